--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -9,6 +9,8 @@
 //!
 //! What one message costs in a store is measured apart from that, in [`message`], on real `hold` state machines.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::missing_errors_doc, missing_docs)]
 #![cfg(not(test))]
 
 pub mod allocation;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -5,6 +5,9 @@
 //! [`Faults`] of a text are told at once. Whatever the bytes, reading ends in a value or in faults, never in
 //! a panic.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::missing_errors_doc, missing_docs)]
+
 mod boot;
 mod config;
 mod faults;
--- a/crates/control-group/src/lib.rs
+++ b/crates/control-group/src/lib.rs
@@ -13,6 +13,8 @@
 //! - a node that has lost its disk has forgotten what it granted: it votes again only after a majority of the others has
 //!   told it where they stand, and as a copy it is unfilled, and does not stand, before it was filled.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::struct_excessive_bools, missing_docs)]
 mod contact;
 mod planted;
 mod primary;
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -5,6 +5,9 @@
 //! Protocol", 2002) with what Lifeguard adds (Dadgar, Phillips, Currey: "Lifeguard: Local Health Awareness for More Accurate
 //! Failure Detection", 2017), written here from the papers. `docs/gossip.md` tells what was kept and changed, and why.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::missing_errors_doc, missing_docs)]
+
 pub mod detector;
 pub mod table;
 pub mod wire;
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,5 +1,8 @@
 //! What both sides of HTTP share: heads and the framing of bodies.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::missing_errors_doc, missing_docs)]
+
 use httparse::Header;
 
 /// Most headers of one message.
--- a/crates/model-check/src/lib.rs
+++ b/crates/model-check/src/lib.rs
@@ -5,6 +5,9 @@
 //! late. The search ([`explore`]) goes every way with no more than so many choices, and leaves out what it has seen. The
 //! [`Invariants`] holds the properties to it at every step. No I/O.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::struct_excessive_bools, missing_docs)]
+
 mod choices;
 mod invariants;
 mod proof;
--- a/crates/model-check/src/main.rs
+++ b/crates/model-check/src/main.rs
@@ -1,5 +1,8 @@
 //! `stileroute-model-check`: searches all orders of events of the control group within bounds, and tells how many there were.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::struct_excessive_bools)]
+
 use gumdrop::Options;
 use std::process::ExitCode;
 use std::sync::atomic::AtomicBool;
--- a/crates/model-check/tests/queue_planted.rs
+++ b/crates/model-check/tests/queue_planted.rs
@@ -1,5 +1,8 @@
 //! Each fault that is planted in the queue is found, and the same days are well without it.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::struct_excessive_bools, clippy::too_many_lines)]
+
 #[path = "../../queue/tests/world/mod.rs"]
 mod world;
 
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,5 +1,8 @@
 //! `stileroute`: the decisions of the library as a node on sockets. The parts are put together here.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::struct_excessive_bools, clippy::too_many_lines)]
+
 mod desk;
 mod drive;
 mod life;
--- a/crates/operator-file/src/lib.rs
+++ b/crates/operator-file/src/lib.rs
@@ -3,6 +3,9 @@
 //!
 //! No I/O but [`load`]; no section is known here.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::missing_errors_doc, missing_docs)]
+
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::fmt;
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -1,6 +1,8 @@
 //! The durable queue of one store: messages, their copies, attempts, ends, call-backs and ceilings. A state
 //! machine: events and a clock go in, [`Effect`]s come out; sockets, disk and time are the program's.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::struct_excessive_bools, clippy::too_many_lines, missing_docs)]
 mod copies;
 mod duplicates;
 mod ends;
--- a/crates/queue/tests/faults.rs
+++ b/crates/queue/tests/faults.rs
@@ -1,5 +1,8 @@
 //! Every fault at every numbered point, and faults that meet.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::struct_excessive_bools, clippy::too_many_lines)]
+
 mod world;
 
 use world::{Act, Does, Fault, World};
--- a/crates/queue/tests/repeats.rs
+++ b/crates/queue/tests/repeats.rs
@@ -1,5 +1,8 @@
 //! Three stores and nine executors of one service, of which some struggle: how many repeats meet at one of them.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::struct_excessive_bools, clippy::too_many_lines)]
+
 mod world;
 
 use std::collections::{BTreeMap, HashMap};
--- a/crates/queue/tests/retire.rs
+++ b/crates/queue/tests/retire.rs
@@ -1,5 +1,8 @@
 //! A store that is emptied takes nothing with it, whatever happens to others meanwhile, and to its order.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::struct_excessive_bools, clippy::too_many_lines)]
+
 mod world;
 
 use world::{as_it_is, emptied, Act, Does, Fault, World};
--- a/crates/queue/tests/words.rs
+++ b/crates/queue/tests/words.rs
@@ -1,5 +1,8 @@
 //! One store alone, told what other stores and executors would say: what a whole day seldom brings about.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::struct_excessive_bools, clippy::too_many_lines)]
+
 mod world;
 
 use assert_matches::assert_matches;
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -10,6 +10,9 @@
 //! Nothing of this is on disk: after a start the executors call again within their interval, and until then nobody who has a
 //! list is told of a shorter one.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(missing_docs)]
+
 mod executors;
 mod types;
 
--- a/crates/route-limits/src/lib.rs
+++ b/crates/route-limits/src/lib.rs
@@ -4,6 +4,9 @@
 //! A route only narrows what the module may do. `docs/routes.md` tells the order of precedence and why the check at
 //! load is enough.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::missing_errors_doc, clippy::too_many_lines, missing_docs)]
+
 pub mod budget;
 pub mod check;
 pub mod gate;
--- a/crates/route-limits/tests/safe.rs
+++ b/crates/route-limits/tests/safe.rs
@@ -1,6 +1,9 @@
 //! That the check at load is enough, and not more than enough: random files over a small world are held against every
 //! request of it, and what loads never leads to a forbidden push, whatever the outcomes.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::too_many_lines)]
+
 mod common;
 use common::{ground, read_on};
 use rand::seq::IndexedRandom;
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,6 +1,9 @@
 //! `stilerouted`: the whole ingest and dispatch service in one program; the first word is the role. See docs/system.md for
 //! its design and docs/server.md for running it.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::struct_excessive_bools)]
+
 mod args;
 mod calls;
 mod core;
--- a/crates/server/tests/commands.rs
+++ b/crates/server/tests/commands.rs
@@ -1,6 +1,9 @@
 //! What docs/replace.md says of machines that are replaced, retired and lost, on three cores, three stores and an edge on
 //! loopback: each command that it shows is tried, in the state that it is shown for.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::too_many_lines)]
+
 use assert_matches::assert_matches;
 use std::fs::{self, File};
 use std::io::{Read, Write};
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -1,6 +1,9 @@
 //! A small system on loopback addresses: one core, two stores, one edge, and an executor played here. Each command that
 //! docs/server.md shows is tried on it, as it stands there.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::too_many_lines)]
+
 use std::collections::BTreeSet;
 use std::fs::{self, File};
 use std::io::{Read, Write};
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,6 +1,9 @@
 //! The rig: one model of the fleet, played in simulated time or behind real sockets, with load, faults, experiments
 //! and a judge of the four rules that keeps its own ledger. `docs/testbed.md` tells how far it may be trusted.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::missing_errors_doc, clippy::struct_excessive_bools, clippy::too_many_lines, missing_docs)]
+
 pub mod experiment;
 pub mod faults;
 pub mod fleet;
--- a/crates/testbed/tests/plan.rs
+++ b/crates/testbed/tests/plan.rs
@@ -1,5 +1,8 @@
 //! Experiment files: the shipped ones are good, bad ones are refused in one line, and a day is the same each time.
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::too_many_lines)]
+
 use std::path::Path;
 use std::process::Command;
 use stileroute_testbed::experiment::{load, read};
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -30,6 +30,8 @@
 //! Generations of it would contain the third alone. Taken from it: segments, entries of several records, snapshots by a fold on
 //! a thread. It uses no links, locks or mappings, and neither does this: **nothing keeps two processes out of one folder.**
 
+// Not finished yet: what these lints name is still to be documented or divided.
+#![allow(clippy::missing_errors_doc, clippy::struct_excessive_bools, missing_docs)]
 mod disk;
 mod folder;
 mod frame;
