--- a/crates/capacity/src/control_node.rs
+++ b/crates/capacity/src/control_node.rs
@@ -5,7 +5,7 @@
 use crate::net::{Millis, Net};
 use crate::signals::{Class, Heartbeat, Hello, Member, Retiring, Signal};
 use std::net::SocketAddrV4;
-use stileroute_control_group::{ControlGroup, Effect, GroupSettings, Persisted};
+use stileroute_control_group::{ControlGroup, Effect, GroupSettings, PersistedState};
 use stileroute_queue::Node;
 use stileroute_registry::{Effect as Notice, Registry};
 
@@ -24,7 +24,7 @@
     writing: Vec<(Millis, u64)>,
     heard_at: Millis,
     next_ticket: u64,
-    disk: Persisted,
+    disk: PersistedState,
 }
 
 fn member_of(hello: &Hello, config: u64) -> Member {
@@ -43,7 +43,7 @@
 
 impl ControlNode {
     /// `disk`: what an earlier life has kept; none at the first start.
-    pub fn new(hello: &Hello, layout: &Layout, disk: Option<Persisted>, now: Millis) -> ControlNode {
+    pub fn new(hello: &Hello, layout: &Layout, disk: Option<PersistedState>, now: Millis) -> ControlNode {
         let seeds = layout.seeds();
         let me = hello.control.unwrap_or(SocketAddrV4::new(hello.ip, 0));
         let settings = GroupSettings::new(me, seeds.clone(), disk.is_none(), LOSSES, hello.life);
@@ -59,7 +59,7 @@
         }
     }
 
-    pub fn disk(self) -> Persisted {
+    pub fn disk(self) -> PersistedState {
         self.disk
     }
 
@@ -70,7 +70,7 @@
     /// An operator's configuration.
     pub fn replace(&mut self, now: Millis, version: u64, body: Vec<u8>) {
         self.next_ticket += 1;
-        self.group.replace(now, self.next_ticket, version, body);
+        self.group.replace_configuration(now, self.next_ticket, version, body);
     }
 
     pub fn heartbeat(&mut self, now: Millis, heartbeat: Heartbeat) {
@@ -79,15 +79,15 @@
 
     pub fn next(&self, now: Millis) -> Millis {
         let disk = self.writing.iter().map(|(at, _)| *at).min().unwrap_or(Millis::MAX);
-        self.group.next(now).min(self.registry.next()).min(disk)
+        self.group.next_tick(now).min(self.registry.next()).min(disk)
     }
 
     pub fn link_event(&mut self, links: &Links, now: Millis, link_event: LinkEvent) {
         match link_event {
             LinkEvent::Up(hello) if hello.class == Class::Core => {
                 if let Some(control) = hello.control {
-                    self.group.link(now, control, true);
-                    self.group.learn(control);
+                    self.group.peer_connected(now, control);
+                    self.group.add_learner(control);
                 }
                 self.registry.core_up(now, member_of(&hello, 0));
             }
@@ -95,7 +95,7 @@
             LinkEvent::Down(node, Class::Core) => {
                 let control = self.registry.members.iter().find(|m| m.node == node).and_then(|m| m.control);
                 if let Some(control) = control {
-                    self.group.link(now, control, false);
+                    self.group.peer_disconnected(now, control);
                 }
                 self.registry.core_down(node);
             }
@@ -108,7 +108,7 @@
         match (class, signal) {
             (Class::Core, Signal::Control(signal)) => {
                 if let Some(voter) = links.hello(from).and_then(|hello| hello.control) {
-                    self.group.signal(now, voter, signal);
+                    self.group.handle_message(now, voter, signal);
                 }
             }
             (Class::Core, Signal::Sessions(members)) => self.registry.told_sessions(now, from, members),
@@ -138,15 +138,15 @@
 
     fn carry_out(&mut self, links: &mut Links, net: &mut Net) {
         loop {
-            let effects = self.group.take();
+            let effects = self.group.take_effects();
             if effects.is_empty() {
                 return;
             }
             for effect in effects {
                 match effect {
-                    Effect::Send { to, signal } => {
+                    Effect::Send { to, message } => {
                         if let Some(node) = links.by_control(to) {
-                            links.say(net, node, &Signal::Control(signal));
+                            links.say(net, node, &Signal::Control(message));
                         }
                     }
                     Effect::Persist { ticket, record } => {
@@ -177,7 +177,7 @@
     /// Who is there, and who is told of it.
     fn tell(&mut self, links: &mut Links, net: &mut Net) {
         let now = net.now();
-        let in_touch = self.group.in_touch(now);
+        let in_touch = self.group.is_in_contact(now);
         if now >= self.heard_at {
             self.heard_at = now + HEARD_EVERY;
             for core in links.class(Class::Core) {
--- a/crates/capacity/src/simulation.rs
+++ b/crates/capacity/src/simulation.rs
@@ -11,7 +11,7 @@
 use crate::traffic::{Flow, Role, Traffic};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddrV4;
-use stileroute_control_group::Persisted;
+use stileroute_control_group::PersistedState;
 
 /// Each frame is preceded by its length.
 const FRAME_HEAD: usize = 4;
@@ -73,7 +73,7 @@
     pub layout: Layout,
     pub now: Millis,
     nodes: Vec<Option<Running>>,
-    disks: Vec<Option<Persisted>>,
+    disks: Vec<Option<PersistedState>>,
     by_address: HashMap<SocketAddrV4, usize>,
     /// The other end of each connection, and whose it is.
     ends: HashMap<ConnId, (usize, ConnId)>,
--- a/crates/control-group/src/lib.rs
+++ b/crates/control-group/src/lib.rs
@@ -1,17 +1,17 @@
-//! Who decides on the control state, and which copies hold it. A state machine: events and a steady clock go in,
+//! Who decides on the control state, and which replicas hold it. A state machine: events and a steady clock go in,
 //! [`Effect`]s come out.
 //!
 //! The state is one value: the operators' configuration and the stores that are retired, with a serial that rises with each
-//! write. A primary writes it whole to every copy before it answers. A small group of voters keeps only the *view*: the epoch, who is primary, which nodes are
-//! copies, and who votes. A majority of voters, each with it on disk first, grants a new view; no log is replicated.
+//! write. A primary writes it whole to every replica before it answers. A small group of voters keeps only the *view*: the epoch, who is primary, which nodes are
+//! replicas, and who votes. A majority of voters, each with it on disk first, grants a new view; no log is replicated.
 //!
 //! What keeps it safe:
-//! - a candidate is a copy by the newest list of copies that a majority knows, so it holds whatever was answered; the list
+//! - a candidate is a replica by the newest list of replicas that a majority knows, so it holds whatever was answered; the list
 //!   is as new as the epoch in which a primary had it written down, not as the epoch in which somebody stood;
 //! - a primary acts only on acks of heartbeats that it sent within the lease, and a voter that acked one grants nothing to
 //!   others for longer than that: time on steady clocks, never the time of day;
 //! - a node that has lost its disk has forgotten what it granted: it votes again only after a majority of the others has
-//!   told it where they stand, and as a copy it is unfilled, and does not stand, before it was filled.
+//!   told it where they stand, and as a replica it is unfilled, and does not stand, before it was filled.
 
 // Not finished yet: what these lints name is still to be documented or divided.
 #![allow(clippy::struct_excessive_bools, missing_docs)]
@@ -38,11 +38,11 @@
 /// What is done when the disk has a record.
 #[derive(Clone, Debug, Hash)]
 enum After {
-    Grant { to: Voter, view: View },
+    Grant { to: NodeId, view: View },
     OwnGrant { view: View },
     Adopted { view: View },
-    Stored { to: Voter, epoch: u64, serial: u64, state: ControlState },
-    OwnStored { serial: u64 },
+    Stored { to: NodeId, epoch: u64, write_id: u64, state: ControlState },
+    OwnStored { write_id: u64 },
     First,
 }
 
@@ -63,8 +63,8 @@
     /// The highest epoch that is on disk: nothing is acked by a view that a loss of power would take back.
     safe: u64,
     /// Who heartbeat_heard by a view that this node does not know: it has been granted, or it would not heartbeat.
-    unknown_leader: Option<(u64, Voter)>,
-    /// What this node's disk holds: no more than that, unless it is a copy of the highest view.
+    unknown_leader: Option<(u64, NodeId)>,
+    /// What this node's disk holds: no more than that, unless it is a replica of the highest view.
     state: ControlState,
     /// The highest that is known to be committed.
     committed: Option<ControlState>,
@@ -72,7 +72,7 @@
     force_digest: u64,
     /// It has lost its disk, or never had one: no vote until it has learned.
     blank: bool,
-    /// No state on disk: it may be named as a copy, but is none until it was filled.
+    /// No state on disk: it may be named as a replica, but is none until it was filled.
     unfilled: bool,
     learning: Learning,
     role: Role,
@@ -83,13 +83,13 @@
     heartbeat_heard: bool,
     contact: Contact,
     /// Who has this node's vote until it has been silent.
-    voted_for: Option<Voter>,
+    voted_for: Option<NodeId>,
     /// The epoch for which the disk has been told of it.
     vote_persisted: u64,
     /// A candidate waits a random while, so that two do not go on colliding.
     candidate_at: Millis,
-    learners: BTreeSet<Voter>,
-    links: BTreeMap<Voter, bool>,
+    learners: BTreeSet<NodeId>,
+    links: BTreeMap<NodeId, bool>,
     after: BTreeMap<u64, After>,
     next_ticket: u64,
     serial: u64,
@@ -98,17 +98,17 @@
     /// Its process ends, and it waits to be taken out of the voters.
     leaving: Option<Leaving>,
     /// The primary that ended and named this node: it leaves, unless it is back.
-    left: Option<Voter>,
+    left: Option<NodeId>,
     effects: Vec<Effect>,
 }
 
 impl ControlGroup {
-    pub fn new(settings: GroupSettings, persisted: Persisted, now: Millis) -> ControlGroup {
+    pub fn new(settings: GroupSettings, persisted: PersistedState, now: Millis) -> ControlGroup {
         let mut seeds = settings.seeds.clone();
         seeds.sort();
         seeds.dedup();
         let epoch = persisted.view.as_ref().map_or(0, |w| w.epoch);
-        let voted_for = persisted.voted_for.filter(|(voted_for, _)| *voted_for == epoch).map(|(_, to)| to);
+        let voted_for = persisted.vote.filter(|vote| vote.epoch == epoch).map(|vote| vote.primary);
         let mut group = ControlGroup {
             blank: persisted.view.is_none(),
             unfilled: persisted.state.is_none(),
@@ -131,34 +131,34 @@
             links: BTreeMap::new(),
             after: BTreeMap::new(),
             next_ticket: 1,
-            serial: settings.seed | 1,
-            random_state: settings.seed,
+            serial: settings.random_seed | 1,
+            random_state: settings.random_seed,
             released: false,
             leaving: None,
             left: None,
             effects: Vec::new(),
             settings,
         };
-        let first = group.settings.first_start || group.planted(Planted::BlankVotes);
-        if group.view.is_none() && first && seeds.contains(&group.settings.me) {
+        let first = group.settings.is_first_start || group.planted(Planted::BlankVotes);
+        if group.view.is_none() && first && seeds.contains(&group.settings.node_id) {
             // Reckoned alike by all that begin: nothing has to be elected, and nobody waits for anybody.
-            let copies = seeds.iter().take(group.settings.tolerated(seeds.len()) + 1).copied().collect();
-            let view = View { epoch: 1, primary: seeds[0], copies, voters: seeds, membership_epoch: 1 };
+            let replicas = seeds.iter().take(group.settings.tolerated(seeds.len()) + 1).copied().collect();
+            let view = View { epoch: 1, primary: seeds[0], replicas, voters: seeds, membership_epoch: 1 };
             group.blank = false;
-            if view.copies.contains(&group.settings.me) {
-                // That there is none yet is known too: a copy without a state counts as one that lost it.
+            if view.replicas.contains(&group.settings.node_id) {
+                // That there is none yet is known too: a replica without a state counts as one that lost it.
                 group.unfilled = false;
                 group.persist(Record::ControlState(ControlState::default()), After::First);
             }
             group.view = Some(view.clone());
-            if view.primary == group.settings.me {
+            if view.primary == group.settings.node_id {
                 group.become_first_candidate(now, view);
                 return group;
             }
             group.persist_view(view.clone(), After::Adopted { view });
         }
         group.schedule_candidacy(now);
-        if group.voted_for == Some(group.settings.me) {
+        if group.voted_for == Some(group.settings.node_id) {
             // It led, and lent its own vote to nobody else: nothing has to run out before it asks the others again.
             group.candidate_at = now;
         }
@@ -166,11 +166,11 @@
     }
 
     /// The vote is with the primary of the present epoch.
-    fn vote_for(&mut self, to: Voter) {
+    fn vote_for(&mut self, to: NodeId) {
         self.voted_for = Some(to);
         let epoch = self.epoch();
         if std::mem::replace(&mut self.vote_persisted, epoch) != epoch {
-            self.persist(Record::Vote { epoch, to }, After::First);
+            self.persist(Record::Vote(Vote { epoch, primary: to }), After::First);
         }
     }
 
@@ -182,17 +182,17 @@
 
     fn schedule_candidacy(&mut self, now: Millis) {
         // After a start of all, the one that was primary before is the first to stand.
-        let wait = if self.primary() == Some(self.settings.me) {
+        let wait = if self.primary() == Some(self.settings.node_id) {
             0
         } else {
-            self.random_below(self.settings.silence_ms / 3)
+            self.random_below(self.settings.grace_period_ms / 3)
         };
-        self.candidate_at = now + self.settings.silence_ms + wait;
+        self.candidate_at = now + self.settings.grace_period_ms + wait;
     }
 
-    fn send(&mut self, to: Voter, signal: Signal) {
-        if to != self.settings.me {
-            self.effects.push(Effect::Send { to, signal });
+    fn send(&mut self, to: NodeId, message: Message) {
+        if to != self.settings.node_id {
+            self.effects.push(Effect::Send { to, message });
         }
     }
 
@@ -203,57 +203,59 @@
         self.effects.push(Effect::Persist { ticket, record });
     }
 
-    pub fn take(&mut self) -> Vec<Effect> {
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
     pub fn view(&self) -> Option<&View> {
         self.view.as_ref()
     }
-    pub fn blank(&self) -> bool {
+    pub fn is_awaiting_view(&self) -> bool {
         self.blank
     }
     pub fn committed(&self) -> Option<&ControlState> {
         self.committed.as_ref()
     }
     /// What this node's disk holds. At the primary, what it decides by.
-    pub fn held(&self) -> &ControlState {
+    pub fn state(&self) -> &ControlState {
         &self.state
     }
     /// It leads, or a primary that held the lease has heard it, and it that primary, not long ago: what it tells others is
     /// not of yesterday.
-    pub fn in_touch(&self, now: Millis) -> bool {
-        !self.blank && (self.leads(now) || self.contact.within(now, 2 * self.settings.silence_ms))
+    pub fn is_in_contact(&self, now: Millis) -> bool {
+        !self.blank && (self.holds_lease(now) || self.contact.within(now, 2 * self.settings.grace_period_ms))
     }
     /// Who decides, as far as is known here.
-    pub fn primary(&self) -> Option<Voter> {
+    pub fn primary(&self) -> Option<NodeId> {
         self.view.as_ref().map(|w| w.primary)
     }
     fn epoch(&self) -> u64 {
         self.view.as_ref().map_or(0, |w| w.epoch)
     }
 
-    /// A connection to another control node is open, or broke.
-    pub fn link(&mut self, now: Millis, voter: Voter, up: bool) {
-        self.links.insert(voter, up);
-        if up {
-            self.is_back(voter);
-        } else {
-            self.learners.remove(&voter);
-        }
-        if up && self.blank {
+    /// A connection to another control node is open.
+    pub fn peer_connected(&mut self, now: Millis, peer: NodeId) {
+        self.links.insert(peer, true);
+        self.is_back(peer);
+        if self.blank {
             self.learning.ask_at = now;
         }
+    }
+
+    /// The connection to another control node broke.
+    pub fn peer_disconnected(&mut self, now: Millis, peer: NodeId) {
+        self.links.insert(peer, false);
+        self.learners.remove(&peer);
         // The primary's process ended: no heartbeat will come. A short wait is left for one that starts again at once.
-        if !up && self.primary() == Some(voter) && matches!(self.role, Role::Follow) {
+        if self.primary() == Some(peer) && matches!(self.role, Role::Follow) {
             self.candidate_at =
-                self.candidate_at.min(now.max(self.free_at()) + self.settings.heartbeat_ms / 2);
+                self.candidate_at.min(now.max(self.free_at()) + self.settings.heartbeat_interval_ms / 2);
         }
     }
 
     /// A control node that is no voter has a session: it hears the heartbeats, and may become one.
-    pub fn learn(&mut self, voter: Voter) {
-        if voter != self.settings.me
+    pub fn add_learner(&mut self, voter: NodeId) {
+        if voter != self.settings.node_id
             && self.links.get(&voter) != Some(&false)
             && self.learners.len() < LEARNERS
         {
@@ -280,53 +282,53 @@
             // One that was overtaken in the meantime is not told on.
             (After::Grant { to, view }, true) if self.view.as_ref() == Some(&view) => {
                 self.safe = self.safe.max(view.epoch);
-                self.send(to, Signal::Granted { view });
+                self.send(to, Message::Granted { view });
             }
             (After::OwnGrant { view }, true) => {
                 if self.view.as_ref() == Some(&view) {
                     self.safe = self.safe.max(view.epoch);
                 }
-                self.granted(now, self.settings.me, view);
+                self.granted(now, self.settings.node_id, view);
             }
             (After::Adopted { view }, true) if self.view.as_ref() == Some(&view) => {
                 self.safe = self.safe.max(view.epoch);
             }
-            (After::Stored { to, epoch, serial, state }, true) if epoch == self.epoch() => {
+            (After::Stored { to, epoch, write_id, state }, true) if epoch == self.epoch() => {
                 self.state = state;
                 self.unfilled = false;
-                self.send(to, Signal::Stored { epoch, serial });
+                self.send(to, Message::Stored { epoch, write_id });
+            }
+            (After::OwnStored { write_id }, true) => {
+                self.stored(now, self.settings.node_id, self.epoch(), write_id);
             }
-            (After::OwnStored { serial }, true) => self.stored(now, self.settings.me, self.epoch(), serial),
             (After::OwnStored { .. } | After::OwnGrant { .. }, false) => self.own_disk_failed(now),
             _ => {}
         }
     }
 
-    pub fn signal(&mut self, now: Millis, from: Voter, signal: Signal) {
-        match signal {
-            Signal::Propose { view, released } => self.proposed(now, from, view, released),
-            Signal::Granted { view } => self.granted(now, from, view),
-            Signal::Denied { view } => self.denied(now, from, view),
-            Signal::Store { epoch, serial, state } => self.store(from, epoch, serial, state),
-            Signal::Stored { epoch, serial } => self.stored(now, from, epoch, serial),
-            Signal::Heartbeat(heartbeat) => self.heartbeat_heard(now, from, heartbeat),
-            Signal::HeartbeatAck { epoch, sent_at, votes, holds } => {
-                self.acked(now, from, epoch, sent_at, (votes, holds))
-            }
-            Signal::Handover { epoch, ends } => self.handed(now, from, epoch, ends),
-            Signal::Leave { epoch } => self.leaves(now, from, epoch),
-            Signal::AskView => self.tell_view(from),
-            Signal::TellView { view } => self.view_told(now, from, view),
-            Signal::AskState => {
+    pub fn handle_message(&mut self, now: Millis, from: NodeId, message: Message) {
+        match message {
+            Message::Propose { view, by_handover } => self.proposed(now, from, view, by_handover),
+            Message::Granted { view } => self.granted(now, from, view),
+            Message::Denied { view } => self.denied(now, from, view),
+            Message::Store { epoch, write_id, state } => self.store(from, epoch, write_id, state),
+            Message::Stored { epoch, write_id } => self.stored(now, from, epoch, write_id),
+            Message::Heartbeat(heartbeat) => self.heartbeat_heard(now, from, heartbeat),
+            Message::HeartbeatAck(ack) => self.acked(now, from, ack),
+            Message::Handover { epoch, is_shutting_down } => self.handed(now, from, epoch, is_shutting_down),
+            Message::Leave { epoch } => self.leaves(now, from, epoch),
+            Message::ViewRequest => self.tell_view(from),
+            Message::ViewReply { view } => self.view_told(now, from, view),
+            Message::StateRequest => {
                 if let Some(state) = self.committed.clone() {
-                    self.send(from, Signal::TellState { state });
+                    self.send(from, Message::StateReply { state });
                 }
             }
-            Signal::TellState { state } => self.commit(state),
+            Message::StateReply { state } => self.commit(state),
         }
     }
 
-    /// What is due; call it at `next`, and after each event.
+    /// What is due; call it at `next_tick`, and after each event.
     pub fn tick(&mut self, now: Millis) {
         if self.blank {
             self.ask_around(now);
@@ -339,7 +341,7 @@
         }
     }
 
-    pub fn next(&self, now: Millis) -> Millis {
+    pub fn next_tick(&self, now: Millis) -> Millis {
         if self.blank {
             return self.learning.ask_at.max(now + 1);
         }
@@ -347,7 +349,7 @@
             Role::Lead(lead) => lead.next(now, &self.settings),
             _ if self.leaving.is_some() => self.leaving.as_ref().map_or(now + 1, |l| l.next(now)),
             // It stands no more: nothing is due but what comes in.
-            _ if self.released => now + self.settings.silence_ms,
+            _ if self.released => now + self.settings.grace_period_ms,
             Role::Candidacy(_) | Role::Follow => self.candidate_at.max(now + 1),
         }
     }
--- a/crates/control-group/src/planted.rs
+++ b/crates/control-group/src/planted.rs
@@ -13,7 +13,7 @@
     LeaseByArrival,
     /// The lease is as long as the silence, but for 20 ms: clocks that drift make it outlast that.
     ThinMargin,
-    /// A write is answered when the first copy has it.
+    /// A write is answered when the first replica has it.
     EarlyAnswer,
     /// Another body of the version that is held is taken.
     EqualTaken,
@@ -29,11 +29,11 @@
     GrantUnsynced,
     /// A node that lost its disk takes itself for one that never ran.
     BlankVotes,
-    /// A copy that lost its state stands for the role.
+    /// A replica that lost its state stands for the role.
     UnfilledCandidate,
-    /// The age of a list of copies counts for nothing: it is as new as the epoch that goes with it.
+    /// The age of a list of replicas counts for nothing: it is as new as the epoch that goes with it.
     MembershipEpochIgnored,
-    /// A write that a copy may have is answered as not done.
+    /// A write that a replica may have is answered as not done.
     BegunForgotten,
     /// Nobody takes over a view that it is told.
     NeverAdopts,
@@ -41,7 +41,7 @@
     SwapAtOnce,
     /// A voter is taken for gone after 3 s of silence, and not sooner.
     GoneStays,
-    /// A copy is named in place of another before it is filled.
+    /// A replica is named in place of another before it is filled.
     UnfilledNamed,
     /// A change of voters is begun whoever is there, and never taken back.
     BlindChange,
@@ -92,7 +92,9 @@
     use crate::primary::orders::{Job, ANSWER, TURN};
     use crate::primary::{Candidacy, Lead, Role, LOST};
     use crate::voter::Leaving;
-    use crate::{After, ControlGroup, Effect, GroupSettings, Heartbeat, Millis, Signal, Voter};
+    use crate::{
+        After, ControlGroup, Effect, GroupSettings, Heartbeat, HeartbeatAck, Message, Millis, NodeId,
+    };
     use std::hash::{Hash, Hasher};
 
     /// Writes a state into a hasher, so that states from which the same follows come out the same. Times count from now, and
@@ -100,7 +102,7 @@
     pub struct Fingerprinter<'a, H> {
         pub hasher: &'a mut H,
         pub now: Millis,
-        pub serials: &'a [(Voter, u64)],
+        pub serials: &'a [(NodeId, u64)],
     }
 
     impl<H: Hasher> Fingerprinter<'_, H> {
@@ -108,52 +110,58 @@
         fn time(&mut self, at: Millis, most: Millis) {
             (at as i64 - self.now as i64).max(-1 - most as i64).hash(self.hasher);
         }
-        fn serial(&mut self, of: Voter, serial: u64) {
+        fn write_id(&mut self, of: NodeId, write_id: u64) {
             let last = self.serials.iter().find(|(voter, _)| *voter == of).map_or(0, |(_, last)| *last);
-            last.wrapping_sub(serial).hash(self.hasher);
+            last.wrapping_sub(write_id).hash(self.hasher);
         }
         /// For what was sent at another clock's time `now` has to be that clock's.
-        pub fn signal(&mut self, from: Voter, to: Voter, signal: &Signal) {
-            match signal {
+        pub fn message(&mut self, from: NodeId, to: NodeId, message: &Message) {
+            match message {
                 // Which ack was seen tells others what to say to nodes that are none of this group, and nothing here.
-                Signal::Heartbeat(Heartbeat { epoch, sent_at, committed, digest, acked: _ }) => {
-                    (1, epoch, committed, digest).hash(self.hasher);
+                Message::Heartbeat(Heartbeat {
+                    epoch,
+                    sent_at,
+                    committed,
+                    committed_digest,
+                    last_acked: _,
+                }) => {
+                    (1, epoch, committed, committed_digest).hash(self.hasher);
                     self.time(*sent_at, LOST);
                 }
-                Signal::HeartbeatAck { epoch, sent_at, votes, holds } => {
-                    (2, epoch, votes, holds).hash(self.hasher);
+                Message::HeartbeatAck(HeartbeatAck { epoch, sent_at, is_voting, has_state }) => {
+                    (2, epoch, is_voting, has_state).hash(self.hasher);
                     self.time(*sent_at, LOST);
                 }
-                Signal::Store { epoch, serial, state } => {
+                Message::Store { epoch, write_id, state } => {
                     (3, epoch, state).hash(self.hasher);
-                    self.serial(from, *serial);
+                    self.write_id(from, *write_id);
                 }
-                Signal::Stored { epoch, serial } => {
+                Message::Stored { epoch, write_id } => {
                     (4, epoch).hash(self.hasher);
-                    self.serial(to, *serial);
+                    self.write_id(to, *write_id);
                 }
-                signal => signal.hash(self.hasher),
+                message => message.hash(self.hasher),
             }
         }
-        pub fn effect(&mut self, from: Voter, effect: &Effect) {
+        pub fn effect(&mut self, from: NodeId, effect: &Effect) {
             match effect {
-                Effect::Send { to, signal } => {
+                Effect::Send { to, message } => {
                     (1, to).hash(self.hasher);
-                    self.signal(from, *to, signal);
+                    self.message(from, *to, message);
                 }
                 Effect::Persist { ticket: _, record } => (2, record).hash(self.hasher),
                 effect => effect.hash(self.hasher),
             }
         }
-        fn after(&mut self, me: Voter, after: &After) {
+        fn after(&mut self, me: NodeId, after: &After) {
             match after {
-                After::Stored { to, epoch, serial, state } => {
+                After::Stored { to, epoch, write_id, state } => {
                     (1, to, epoch, state).hash(self.hasher);
-                    self.serial(*to, *serial);
+                    self.write_id(*to, *write_id);
                 }
-                After::OwnStored { serial } => {
+                After::OwnStored { write_id } => {
                     2.hash(self.hasher);
-                    self.serial(me, *serial);
+                    self.write_id(me, *write_id);
                 }
                 after => after.hash(self.hasher),
             }
@@ -163,14 +171,14 @@
             (view, before, grants, against, released).hash(self.hasher);
             self.time(*since, silence);
         }
-        fn job(&mut self, me: Voter, job: &Job) {
-            let Job { serial, state, change, missing, since, sent, joins } = job;
+        fn job(&mut self, me: NodeId, job: &Job) {
+            let Job { write_id, state, change, missing, since, sent, joins } = job;
             (state, change, missing, joins).hash(self.hasher);
-            self.serial(me, *serial);
+            self.write_id(me, *write_id);
             self.time(*since, ANSWER);
             self.time(*sent, ANSWER);
         }
-        fn lead(&mut self, me: Voter, lead: &Lead, voters: &[Voter]) {
+        fn lead(&mut self, me: NodeId, lead: &Lead, voters: &[NodeId]) {
             let Lead {
                 heartbeat_at,
                 since,
@@ -218,7 +226,7 @@
         pub fn fingerprint<H: Hasher>(&self, to: &mut Fingerprinter<H>) {
             // Named one by one, so that a new field can't be forgotten.
             let ControlGroup {
-                settings: GroupSettings { me, silence_ms, .. },
+                settings: GroupSettings { node_id: me, grace_period_ms, .. },
                 view,
                 safe,
                 unknown_leader,
@@ -259,7 +267,7 @@
             // By their order, for that is how they are answered.
             after.len().hash(to.hasher);
             after.values().for_each(|after| to.after(*me, after));
-            to.time(*heard.max(started), *silence_ms);
+            to.time(*heard.max(started), *grace_period_ms);
             if *blank {
                 learning.told.hash(to.hasher);
                 to.time(learning.ask_at, 0);
@@ -268,14 +276,14 @@
                 Role::Follow => to.time(*candidate_at, 0),
                 Role::Candidacy(stand) => {
                     to.time(*candidate_at, 0);
-                    to.stand(stand, *silence_ms);
+                    to.stand(stand, *grace_period_ms);
                 }
                 Role::Lead(lead) => to.lead(*me, lead, view.as_ref().map_or(&[], |w| &w.voters)),
             }
         }
 
-        /// The last serial that it gave.
-        pub fn serial(&self) -> u64 {
+        /// The last number that it gave to a write.
+        pub fn last_write_id(&self) -> u64 {
             self.serial
         }
         /// From here on chance draws as from this.
@@ -284,16 +292,12 @@
         }
 
         /// Whether it answers at this time.
-        pub fn answers(&self, now: Millis) -> bool {
+        pub fn can_serve(&self, now: Millis) -> bool {
             self.may_answer(now)
         }
-        /// The state on its disk is missing.
-        pub fn unfilled(&self) -> bool {
-            self.unfilled
-        }
-        /// What it writes or reads by now.
-        pub fn state(&self) -> &crate::ControlState {
-            &self.state
+        /// There is a state on its disk.
+        pub fn has_state(&self) -> bool {
+            !self.unfilled
         }
     }
 }
--- a/crates/control-group/src/primary/orders.rs
+++ b/crates/control-group/src/primary/orders.rs
@@ -1,9 +1,9 @@
-//! Orders to change the control state, and the writes that bring each to all copies: one at a time, the others wait.
+//! Orders to change the control state, and the writes that bring each to all replicas: one at a time, the others wait.
 
 use super::Role;
 use crate::{
-    After, Applied, Change, ControlGroup, ControlState, Effect, Millis, Planted, Record, Signal, Stage,
-    Verdict, View, Voter,
+    After, Applied, ControlGroup, ControlState, Effect, Message, Millis, NodeId, Planted, Record,
+    RetirementStage, StateChange, Verdict, View,
 };
 use std::collections::BTreeSet;
 
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Order {
     pub ticket: Option<u64>,
-    pub change: Change,
+    pub change: StateChange,
 }
 
 impl Order {
@@ -29,15 +29,15 @@
 /// A write under way.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
-    pub serial: u64,
+    pub write_id: u64,
     pub state: ControlState,
-    /// None where the own state is stored again, or a copy is filled.
+    /// None where the own state is stored again, or a replica is filled.
     pub change: Option<Order>,
-    pub missing: BTreeSet<Voter>,
+    pub missing: BTreeSet<NodeId>,
     pub since: Millis,
     pub sent: Millis,
-    /// To become a copy when it has it, in place of those.
-    pub joins: Option<(Voter, Vec<Voter>)>,
+    /// To become a replica when it has it, in place of those.
+    pub joins: Option<(NodeId, Vec<NodeId>)>,
 }
 
 /// An order that waits for its turn.
@@ -45,34 +45,34 @@
 pub(crate) struct Waiting {
     pub order: Order,
     pub since: Millis,
-    /// A copy may have it already: it can't be said that it was not done.
+    /// A replica may have it already: it can't be said that it was not done.
     pub begun: bool,
 }
 
 impl Waiting {
     pub(super) fn given_up(&self, lies: bool) -> Option<Effect> {
-        let verdict = if self.begun && !lies { Verdict::Uncertain } else { Verdict::NotDone };
+        let verdict = if self.begun && !lies { Verdict::Uncertain } else { Verdict::NotCommitted };
         self.order.answer(verdict)
     }
 }
 
 impl ControlGroup {
     /// An operator's configuration.
-    pub fn replace(&mut self, now: Millis, ticket: u64, version: u64, body: Vec<u8>) {
-        let change = Change::Configuration { version, body };
+    pub fn replace_configuration(&mut self, now: Millis, ticket: u64, version: u64, body: Vec<u8>) {
+        let change = StateChange::Configuration { version, body };
         self.take_order(now, Order { ticket: Some(ticket), change });
     }
 
-    /// An order to retire a store, that the caller has checked against `settled` and `retiring_soon`.
-    pub fn retire(&mut self, now: Millis, ticket: u64, node: u32, name: String) {
-        let change = Change::Retire { node, name };
+    /// An order to retire a store, that the caller has checked against `settled` and `pending_retirements`.
+    pub fn retire_store(&mut self, now: Millis, ticket: u64, node: u32, name: String) {
+        let change = StateChange::Retire { node, name };
         self.take_order(now, Order { ticket: Some(ticket), change });
     }
 
     /// A store that is retired has come further. Only the primary writes that down, and nobody waits for it: it is called
     /// again until the value says so.
-    pub fn advance(&mut self, now: Millis, node: u32, stage: Stage) {
-        let order = Order { ticket: None, change: Change::Advance { node, stage } };
+    pub fn advance_retirement(&mut self, now: Millis, node: u32, stage: RetirementStage) {
+        let order = Order { ticket: None, change: StateChange::Advance { node, stage } };
         if !self.may_answer(now) || self.orders().any(|waiting| *waiting == order) {
             return;
         }
@@ -80,12 +80,12 @@
     }
 
     fn take_order(&mut self, now: Millis, order: Order) {
-        let primary = self.primary().filter(|p| *p != self.settings.me);
+        let primary = self.primary().filter(|p| *p != self.settings.node_id);
         let Role::Lead(lead) = &mut self.role else {
             return self.effects.extend(order.answer(Verdict::NotPrimary { primary }));
         };
         if lead.queue.len() >= QUEUE || lead.leave_by.is_some() {
-            return self.effects.extend(order.answer(Verdict::NotDone));
+            return self.effects.extend(order.answer(Verdict::NotCommitted));
         }
         lead.queue.push_back(Waiting { order, since: now, begun: false });
         self.lead(now);
@@ -99,21 +99,21 @@
         under_way.into_iter().chain(waiting)
     }
 
-    /// Stores whose retirement is under way to the copies, or waits for its turn.
-    pub fn retiring_soon(&self) -> impl Iterator<Item = u32> + '_ {
+    /// Stores whose retirement is under way to the replicas, or waits for its turn.
+    pub fn pending_retirements(&self) -> impl Iterator<Item = u32> + '_ {
         self.orders().filter_map(|order| match order.change {
-            Change::Retire { node, .. } => Some(node),
+            StateChange::Retire { node, .. } => Some(node),
             _ => None,
         })
     }
 
     /// The newest configuration, if this is the primary and nobody else can be.
-    pub fn read(&mut self, now: Millis, ticket: u64) {
-        if let Some(state) = self.settled(now) {
+    pub fn read_configuration(&mut self, now: Millis, ticket: u64) {
+        if let Some(state) = self.readable_state(now) {
             let state = Some(state.clone()).filter(|c| c.version > 0);
-            return self.effects.push(Effect::ControlState { ticket, state });
+            return self.effects.push(Effect::ReadAnswer { ticket, state });
         }
-        let primary = self.primary().filter(|p| *p != self.settings.me);
+        let primary = self.primary().filter(|p| *p != self.settings.node_id);
         self.effects.push(Effect::Answer { ticket, verdict: Verdict::NotPrimary { primary } });
     }
 
@@ -131,7 +131,7 @@
     }
 
     pub(super) fn begin_job(&mut self, now: Millis, view: &View) {
-        if !self.leads(now) || view.membership_epoch != view.epoch {
+        if !self.holds_lease(now) || view.membership_epoch != view.epoch {
             return;
         }
         let enough = self.enough(view);
@@ -141,11 +141,12 @@
         if lead.job.is_some() || lead.change.is_some() {
             return;
         }
-        if !lead.settled || view.copies.iter().any(|v| lead.unfilled.contains(v) && lead.acks.contains_key(v))
+        if !lead.settled
+            || view.replicas.iter().any(|v| lead.unfilled.contains(v) && lead.acks.contains_key(v))
         {
-            // What it holds may be on no other copy, or a copy may hold what was given up, or have lost its disk: all
+            // What it holds may be on no other replica, or a replica may hold what was given up, or have lost its disk: all
             // are made alike first.
-            return self.write(now, own, None, view.copies.clone(), None);
+            return self.write(now, own, None, view.replicas.clone(), None);
         }
         if !enough || lead.leave_by.is_some() {
             return;
@@ -153,9 +154,9 @@
         while let Some(Waiting { order, .. }) = lead.queue.pop_front() {
             match order.change.applied(&self.state, equal_taken) {
                 Applied::Unchanged => self.effects.extend(order.answer(Verdict::Unchanged)),
-                Applied::Full => self.effects.extend(order.answer(Verdict::NotDone)),
+                Applied::Full => self.effects.extend(order.answer(Verdict::NotCommitted)),
                 Applied::Changed(state) => {
-                    return self.write(now, state, Some(order), view.copies.clone(), None);
+                    return self.write(now, state, Some(order), view.replicas.clone(), None);
                 }
             }
         }
@@ -166,24 +167,24 @@
         now: Millis,
         state: ControlState,
         change: Option<Order>,
-        to: Vec<Voter>,
-        joins: Option<(Voter, Vec<Voter>)>,
+        to: Vec<NodeId>,
+        joins: Option<(NodeId, Vec<NodeId>)>,
     ) {
         self.serial = self.serial.wrapping_add(1);
-        let (serial, epoch, me) = (self.serial, self.epoch(), self.settings.me);
-        let missing: BTreeSet<Voter> = to.into_iter().collect();
+        let (write_id, epoch, me) = (self.serial, self.epoch(), self.settings.node_id);
+        let missing: BTreeSet<NodeId> = to.into_iter().collect();
         for voter in missing.clone() {
-            self.send(voter, Signal::Store { epoch, serial, state: state.clone() });
+            self.send(voter, Message::Store { epoch, write_id, state: state.clone() });
         }
         if missing.contains(&me) {
-            self.persist(Record::ControlState(state.clone()), After::OwnStored { serial });
+            self.persist(Record::ControlState(state.clone()), After::OwnStored { write_id });
         }
         if let Role::Lead(lead) = &mut self.role {
-            lead.job = Some(Job { serial, state, change, missing, since: now, sent: now, joins });
+            lead.job = Some(Job { write_id, state, change, missing, since: now, sent: now, joins });
         }
     }
 
-    /// It refuses, or hangs: another is to decide. Whether the copies have what was written is not known.
+    /// It refuses, or hangs: another is to decide. Whether the replicas have what was written is not known.
     pub(crate) fn own_disk_failed(&mut self, now: Millis) {
         let Role::Lead(lead) = &mut self.role else { return };
         let under_way = lead.job.take().and_then(|job| job.change);
@@ -192,15 +193,15 @@
         self.hand_over(now, false);
     }
 
-    pub(crate) fn stored(&mut self, now: Millis, from: Voter, epoch: u64, serial: u64) {
+    pub(crate) fn stored(&mut self, now: Millis, from: NodeId, epoch: u64, write_id: u64) {
         if epoch != self.epoch() {
             return;
         }
-        let leads = self.leads(now);
+        let leads = self.holds_lease(now);
         let early = self.planted(Planted::EarlyAnswer);
         let enough = self.view.as_ref().is_some_and(|w| self.enough(w));
         let Role::Lead(lead) = &mut self.role else { return };
-        let Some(job) = lead.job.as_mut().filter(|job| job.serial == serial) else { return };
+        let Some(job) = lead.job.as_mut().filter(|job| job.write_id == write_id) else { return };
         job.missing.remove(&from);
         lead.unfilled.remove(&from);
         if early && job.change.is_some() {
@@ -211,7 +212,7 @@
         }
         let Some(job) = lead.job.take() else { return };
         if let Some((voter, lost)) = job.joins {
-            self.change_copies(now, voter, &lost);
+            self.change_replicas(now, voter, &lost);
             return self.lead(now);
         }
         lead.settled = true;
--- a/crates/control-group/src/primary/replicas.rs
+++ b/crates/control-group/src/primary/replicas.rs
@@ -1,19 +1,19 @@
-//! The copies of the control state: one that is lost is replaced by a voter that was filled before it is named.
+//! The replicas of the control state: one that is lost is replaced by a voter that was filled before it is named.
 
 use super::orders::Waiting;
 use super::{Role, LOST};
-use crate::{ControlGroup, Millis, Planted, View, Voter};
+use crate::{ControlGroup, Millis, NodeId, Planted, View};
 
 impl ControlGroup {
-    /// Too few copies, or one that does not answer: another voter is filled, and then named.
-    pub(super) fn look_after_copies(&mut self, now: Millis, view: &View) {
-        if !self.leads(now) {
+    /// Too few replicas, or one that does not answer: another voter is filled, and then named.
+    pub(super) fn look_after_replicas(&mut self, now: Millis, view: &View) {
+        if !self.holds_lease(now) {
             return;
         }
-        let want = self.wanted_copies(view);
+        let want = self.wanted_replicas(view);
         let own = self.state.clone();
-        let lost = self.lost_copies(now, view);
-        let link_down = |v: &Voter| self.links.get(v) == Some(&false);
+        let lost = self.lost_replicas(now, view);
+        let link_down = |v: &NodeId| self.links.get(v) == Some(&false);
         let Role::Lead(lead) = &mut self.role else { return };
         if lead.change.is_some() {
             return;
@@ -24,7 +24,7 @@
         if view.membership_epoch != view.epoch {
             return self.ask_change(now, view.clone());
         }
-        let other = view.voters.iter().filter(|v| !view.copies.contains(v) && !lead.leaving.contains(v));
+        let other = view.voters.iter().filter(|v| !view.replicas.contains(v) && !lead.leaving.contains(v));
         let other = other.copied().find(|v| lead.here(now, v) && !link_down(v));
         if let Some(job) = &lead.job {
             let slow = now > job.since + LOST;
@@ -33,7 +33,7 @@
                 Some(_) => return,
                 None if lost.is_empty() || !job.missing.iter().all(|v| lost.contains(v)) => return,
                 None if other.is_none() => return,
-                // A write that waits for one that is gone is settled with the copies that come after it.
+                // A write that waits for one that is gone is settled with the replicas that come after it.
                 None => {
                     let order = lead.job.take().and_then(|job| job.change);
                     if let Some(order) = order.filter(|order| order.ticket.is_some()) {
@@ -44,38 +44,38 @@
                 }
             }
         }
-        if let Some(voter) = other.filter(|_| view.copies.len() - lost.len() < want) {
+        if let Some(voter) = other.filter(|_| view.replicas.len() - lost.len() < want) {
             if self.planted(Planted::UnfilledNamed) {
-                return self.change_copies(now, voter, &lost);
+                return self.change_replicas(now, voter, &lost);
             }
             return self.write(now, own, None, vec![voter], Some((voter, lost)));
         }
         self.look_after_voters(now, view);
     }
 
-    fn wanted_copies(&self, view: &View) -> usize {
+    fn wanted_replicas(&self, view: &View) -> usize {
         (self.settings.tolerated(view.voters.len()) + 1).min(view.voters.len())
     }
 
     /// Copies that are gone, or whose disk does not take what they are sent.
-    fn lost_copies(&self, now: Millis, view: &View) -> Vec<Voter> {
+    fn lost_replicas(&self, now: Millis, view: &View) -> Vec<NodeId> {
         let Role::Lead(lead) = &self.role else { return Vec::new() };
         let slow = lead.job.as_ref().filter(|job| now > job.since + LOST);
-        let gone = |v: &Voter| {
+        let gone = |v: &NodeId| {
             self.links.get(v) == Some(&false)
                 || Self::leaves_by(lead, view, v)
                 || lead.silent(now, v, LOST)
                 || slow.is_some_and(|job| job.missing.contains(v))
         };
-        view.copies.iter().copied().filter(|v| *v != self.settings.me && gone(v)).collect()
+        view.replicas.iter().copied().filter(|v| *v != self.settings.node_id && gone(v)).collect()
     }
 
-    /// Asks for the view without the copies that were lost, and with one that has been filled. No more than are wanted: each
+    /// Asks for the view without the replicas that were lost, and with one that has been filled. No more than are wanted: each
     /// write waits for all, and whether one that seemed lost is back does not matter any more.
-    pub(super) fn change_copies(&mut self, now: Millis, joins: Voter, lost: &[Voter]) {
+    pub(super) fn change_replicas(&mut self, now: Millis, joins: NodeId, lost: &[NodeId]) {
         let Some(mut next) = self.view.clone() else { return };
-        next.copies.retain(|v| !lost.contains(v));
-        next.copies.push(joins);
+        next.replicas.retain(|v| !lost.contains(v));
+        next.replicas.push(joins);
         self.ask_change(now, next);
     }
 }
--- a/crates/control-group/src/primary/view_change.rs
+++ b/crates/control-group/src/primary/view_change.rs
@@ -2,7 +2,7 @@
 
 use super::Role;
 use crate::voter::majority;
-use crate::{After, ControlGroup, Effect, Millis, Signal, View, Voter};
+use crate::{After, ControlGroup, Effect, Message, Millis, NodeId, RoleChange, View};
 use std::collections::BTreeSet;
 
 /// A view that is asked for.
@@ -10,9 +10,9 @@
 pub(crate) struct Candidacy {
     pub view: View,
     pub before: View,
-    pub grants: BTreeSet<Voter>,
+    pub grants: BTreeSet<NodeId>,
     /// They have given another their vote for this epoch.
-    pub against: BTreeSet<Voter>,
+    pub against: BTreeSet<NodeId>,
     pub since: Millis,
     pub released: bool,
 }
@@ -26,7 +26,7 @@
         !majority(&self.view.voters, self.view.voters.iter().filter(|v| !self.against.contains(v)))
     }
     /// Granted by a majority of those who vote now and of those who will; `with` one more.
-    pub fn won(&self, with: Option<Voter>) -> bool {
+    pub fn won(&self, with: Option<NodeId>) -> bool {
         let grants = self.grants.iter().chain(with.as_ref());
         majority(&self.view.voters, grants.clone()) && majority(&self.before.voters, grants)
     }
@@ -46,7 +46,7 @@
     }
 
     /// A voter has a view on its disk that this node asked for.
-    pub(crate) fn granted(&mut self, now: Millis, from: Voter, view: View) {
+    pub(crate) fn granted(&mut self, now: Millis, from: NodeId, view: View) {
         match &mut self.role {
             Role::Candidacy(candidacy) if candidacy.view == view => {
                 candidacy.grants.insert(from);
@@ -55,7 +55,7 @@
             Role::Lead(lead) => {
                 let Some(change) = lead.change.as_mut().filter(|c| c.view == view) else { return };
                 change.grants.insert(from);
-                if !change.won(None) || !change.grants.contains(&self.settings.me) {
+                if !change.won(None) || !change.grants.contains(&self.settings.node_id) {
                     return;
                 }
                 let before = std::mem::take(&mut change.before.voters);
@@ -64,12 +64,13 @@
                 // Whoever was left out counts anew, should it come again.
                 lead.acks.retain(|v, _| view.voters.contains(v) || !before.contains(v));
                 lead.heartbeat_at = now;
-                self.effects.push(Effect::RoleChanged { epoch: view.epoch, what: "has other copies" });
+                self.effects
+                    .push(Effect::RoleChanged { epoch: view.epoch, change: RoleChange::MembershipChanged });
                 self.view = Some(view.clone());
-                self.vote_for(self.settings.me);
+                self.vote_for(self.settings.node_id);
                 // Who votes no more hears it too: it may wait for that to end.
                 for voter in before.into_iter().filter(|v| !view.voters.contains(v)) {
-                    self.send(voter, Signal::TellView { view: Some(view.clone()) });
+                    self.send(voter, Message::ViewReply { view: Some(view.clone()) });
                 }
                 self.lead(now);
             }
--- a/crates/control-group/src/types.rs
+++ b/crates/control-group/src/types.rs
@@ -6,29 +6,29 @@
 pub type Millis = u64;
 /// Within this span no clock gains or loses more than this against true time, in thousandths. Steady clocks that are kept in
 /// step are slewed by half a thousandth; the rest is for virtual machines whose clock is stretched.
-pub const MAX_CLOCK_DRIFT: u64 = 100;
+pub const MAX_CLOCK_DRIFT_PER_MILLE: u64 = 100;
 /// A primary acts no longer than this after it sent the heartbeat that a majority acked, by its clock.
-pub const LEASE: Millis = 700;
+pub const LEASE_PERIOD: Millis = 700;
 /// A voter grants nothing to others for so long after it acked a heartbeat, by its own clock.
-pub const SILENCE: Millis = 900;
+pub const GRACE_PERIOD: Millis = 900;
 
 /// The lease has run out, by the slowest clock, before the silence has, by the fastest: one millisecond is for the rounding of
 /// each of the two clocks.
 pub const fn lease_ends_first(lease: Millis, silence: Millis, drift: u64) -> bool {
     (lease + 1) * (1_000 + drift) < (silence - 1) * (1_000 - drift)
 }
-const _: () = assert!(lease_ends_first(LEASE, SILENCE, MAX_CLOCK_DRIFT));
+const _: () = assert!(lease_ends_first(LEASE_PERIOD, GRACE_PERIOD, MAX_CLOCK_DRIFT_PER_MILLE));
 
 /// A control node, by its control address.
-pub type Voter = std::net::SocketAddrV4;
+pub type NodeId = std::net::SocketAddrV4;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct View {
     pub epoch: u64,
-    pub primary: Voter,
-    pub copies: Vec<Voter>,
-    pub voters: Vec<Voter>,
-    /// The epoch in which a primary had these copies and voters written down. A candidate takes them over as they are; before
+    pub primary: NodeId,
+    pub replicas: Vec<NodeId>,
+    pub voters: Vec<NodeId>,
+    /// The epoch in which a primary had these replicas and voters written down. A candidate takes them over as they are; before
     /// it acts, it has them written down anew, so that whoever knows only older ones is not voted for any more.
     pub membership_epoch: u64,
 }
@@ -111,29 +111,29 @@
     /// The store, by the hash of its name.
     pub node: u32,
     pub name: String,
-    pub stage: Stage,
+    pub stage: RetirementStage,
 }
 
 /// How far a retirement has come. It never goes back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Stage {
+pub enum RetirementStage {
     /// Accepted; whether the store has it is not known.
     Ordered,
     /// The store has the order on its disk.
-    Rolling,
+    Draining,
     /// The store has said that it is empty.
     Complete,
 }
 
 /// Most retirements that are remembered. Beyond, the oldest complete one is forgotten.
-pub const RETIREMENTS: usize = 64;
+pub const MAX_RETIREMENTS: usize = 64;
 
 /// A change of the replicated value, as the primary takes it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Change {
+pub enum StateChange {
     Configuration { version: u64, body: Vec<u8> },
     Retire { node: u32, name: String },
-    Advance { node: u32, stage: Stage },
+    Advance { node: u32, stage: RetirementStage },
 }
 
 /// What a change makes of the value that is held.
@@ -145,30 +145,30 @@
     Changed(ControlState),
 }
 
-impl Change {
+impl StateChange {
     /// `equal_taken`: a planted fault.
     pub(crate) fn applied(&self, held: &ControlState, equal_taken: bool) -> Applied {
         let mut next = ControlState { serial: held.serial + 1, ..held.clone() };
         match self {
-            Change::Configuration { version, body } => {
+            StateChange::Configuration { version, body } => {
                 if *version < held.version || (*version == held.version && !equal_taken) {
                     return Applied::Unchanged;
                 }
                 (next.version, next.body) = (*version, body.clone());
             }
-            Change::Retire { node, name } => {
+            StateChange::Retire { node, name } => {
                 if held.retirement(*node).is_some() {
                     return Applied::Unchanged;
                 }
-                if next.retirements.len() >= RETIREMENTS {
-                    let complete = next.retirements.iter().position(|r| r.stage == Stage::Complete);
+                if next.retirements.len() >= MAX_RETIREMENTS {
+                    let complete = next.retirements.iter().position(|r| r.stage == RetirementStage::Complete);
                     let Some(oldest) = complete else { return Applied::Full };
                     next.retirements.remove(oldest);
                 }
-                let order = Retirement { node: *node, name: name.clone(), stage: Stage::Ordered };
+                let order = Retirement { node: *node, name: name.clone(), stage: RetirementStage::Ordered };
                 next.retirements.push(order);
             }
-            Change::Advance { node, stage } => {
+            StateChange::Advance { node, stage } => {
                 let mut known = next.retirements.iter_mut();
                 let Some(known) = known.find(|r| r.node == *node && r.stage < *stage) else {
                     return Applied::Unchanged;
@@ -187,18 +187,30 @@
     pub sent_at: Millis,
     /// Of the value committed.
     pub committed: Rank,
-    pub digest: u64,
+    pub committed_digest: u64,
     /// The last of these heartbeats that the one it is sent to has acked, unless the lease has run out.
-    pub acked: Option<Millis>,
+    pub last_acked: Option<Millis>,
+}
+
+/// The answer to a heartbeat.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct HeartbeatAck {
+    pub epoch: u64,
+    /// Of the heartbeat, by the primary's clock.
+    pub sent_at: Millis,
+    /// It counts for the primary's lease.
+    pub is_voting: bool,
+    /// It has a state on disk: only such a replica may become a candidate.
+    pub has_state: bool,
 }
 
 /// Between control nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Signal {
-    /// `released`: the primary itself has stopped and named the proposer.
+pub enum Message {
+    /// `by_handover`: the primary itself has stopped and named the proposer.
     Propose {
         view: View,
-        released: bool,
+        by_handover: bool,
     },
     /// The whole of it: one that lost power may ask for another by the same epoch.
     Granted {
@@ -209,36 +221,30 @@
     },
     Store {
         epoch: u64,
-        serial: u64,
+        write_id: u64,
         state: ControlState,
     },
     Stored {
         epoch: u64,
-        serial: u64,
+        write_id: u64,
     },
     Heartbeat(Heartbeat),
-    HeartbeatAck {
-        epoch: u64,
-        sent_at: Millis,
-        votes: bool,
-        /// It has a state on disk: only such a copy may stand for the role.
-        holds: bool,
-    },
+    HeartbeatAck(HeartbeatAck),
     Handover {
         epoch: u64,
         /// The process of the primary ends.
-        ends: bool,
+        is_shutting_down: bool,
     },
     /// The process of a voter ends, and the group is one larger than it needs to be: it asks to be taken out.
     Leave {
         epoch: u64,
     },
-    AskView,
-    TellView {
+    ViewRequest,
+    ViewReply {
         view: Option<View>,
     },
-    AskState,
-    TellState {
+    StateRequest,
+    StateReply {
         state: ControlState,
     },
 }
@@ -249,39 +255,43 @@
     View(View),
     /// Read, never written: the value as builds before 0.2 wrote it, without a serial and retirements. Its version is taken
     /// for the serial. To be removed one release later.
-    Unnumbered(Unnumbered),
+    LegacyConfiguration(LegacyConfiguration),
     /// The vote is lent to the primary of this epoch, and to nobody else. Written once in an epoch, and waited for by nobody:
     /// without it a process that has just begun waits until whatever its earlier life lent has run out.
-    Vote {
-        epoch: u64,
-        to: Voter,
-    },
+    Vote(Vote),
     ControlState(ControlState),
 }
 
+/// To whom a node has given its vote.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Vote {
+    pub epoch: u64,
+    pub primary: NodeId,
+}
+
 /// A configuration without a serial, from an older build's disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Unnumbered {
+pub struct LegacyConfiguration {
     pub version: u64,
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
-impl From<Unnumbered> for ControlState {
-    fn from(Unnumbered { version, body }: Unnumbered) -> ControlState {
+impl From<LegacyConfiguration> for ControlState {
+    fn from(LegacyConfiguration { version, body }: LegacyConfiguration) -> ControlState {
         ControlState { serial: version, version, body, retirements: Vec::new() }
     }
 }
 
 /// What the records come to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Persisted {
+pub struct PersistedState {
     pub view: Option<View>,
     pub state: Option<ControlState>,
-    pub voted_for: Option<(u64, Voter)>,
+    pub vote: Option<Vote>,
 }
 
-impl Persisted {
+impl PersistedState {
     pub fn apply(&mut self, record: Record) {
         match record {
             Record::View(view) if self.view.as_ref().is_none_or(|old| old.epoch <= view.epoch) => {
@@ -290,14 +300,14 @@
             Record::View(_) => {}
             // The last one stored, not the highest: one that was given up is written over by what holds.
             Record::ControlState(state) => self.state = Some(state),
-            Record::Unnumbered(old) => self.state = Some(old.into()),
-            Record::Vote { epoch, to } => self.voted_for = Some((epoch, to)),
+            Record::LegacyConfiguration(old) => self.state = Some(old.into()),
+            Record::Vote(vote) => self.vote = Some(vote),
         }
     }
     pub fn records(&self) -> impl Iterator<Item = Record> + '_ {
         let view = self.view.iter().cloned().map(Record::View);
-        let voted_for = self.voted_for.iter().map(|(epoch, to)| Record::Vote { epoch: *epoch, to: *to });
-        view.chain(self.state.iter().cloned().map(Record::ControlState)).chain(voted_for)
+        let vote = self.vote.map(Record::Vote);
+        view.chain(self.state.iter().cloned().map(Record::ControlState)).chain(vote)
     }
 }
 
@@ -309,21 +319,21 @@
     Unchanged,
     /// Ask there.
     NotPrimary {
-        primary: Option<Voter>,
+        primary: Option<NodeId>,
     },
     /// It may be committed, or come committed.
     Uncertain,
     /// It is not committed and will not be, unless it is sent again.
-    NotDone,
+    NotCommitted,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
     Send {
-        to: Voter,
-        signal: Signal,
+        to: NodeId,
+        message: Message,
     },
-    /// Write it, sync it, then call `kept`.
+    /// Write it, sync it, then call `persisted`.
     Persist {
         ticket: u64,
         record: Record,
@@ -333,7 +343,7 @@
         verdict: Verdict,
     },
     /// To one that has asked to read.
-    ControlState {
+    ReadAnswer {
         ticket: u64,
         state: Option<ControlState>,
     },
@@ -343,51 +353,78 @@
     /// A change of role, for the log.
     RoleChanged {
         epoch: u64,
-        what: &'static str,
+        change: RoleChange,
     },
     /// The role is handed over, or there was none: the process may end.
-    Released,
+    ReadyToExit,
+}
+
+/// What became of a node's role, or of the view that it leads by.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum RoleChange {
+    BecameCandidate,
+    BecamePrimary,
+    SteppedDown,
+    MembershipChanged,
+}
+
+impl RoleChange {
+    /// For the log.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            RoleChange::BecameCandidate => "became candidate",
+            RoleChange::BecamePrimary => "became primary",
+            RoleChange::SteppedDown => "stepped down",
+            RoleChange::MembershipChanged => "membership changed",
+        }
+    }
 }
 
 #[derive(Clone, Debug)]
 pub struct GroupSettings {
-    pub me: Voter,
-    pub seeds: Vec<Voter>,
-    pub first_start: bool,
-    /// So many machines may be lost at once: one copy more than that is held.
-    pub losses: usize,
-    /// Whole places may be lost, with every voter there: then as many copies are held as a majority may lose, and one more.
+    pub node_id: NodeId,
+    pub seeds: Vec<NodeId>,
+    pub is_first_start: bool,
+    /// So many machines may be lost at once: one replica more than that is held.
+    pub tolerated_losses: usize,
+    /// Whole places may be lost, with every voter there: then as many replicas are held as a majority may lose, and one more.
     /// Where they lie need not be known for that.
-    pub places: bool,
-    pub heartbeat_ms: Millis,
-    pub lease_ms: Millis,
-    pub silence_ms: Millis,
-    pub seed: u64,
+    pub survives_domain_loss: bool,
+    pub heartbeat_interval_ms: Millis,
+    pub lease_period_ms: Millis,
+    pub grace_period_ms: Millis,
+    pub random_seed: u64,
     /// A fault for the search in `crates/model-check/` to find.
     #[cfg(feature = "planted")]
     pub planted: Option<crate::Planted>,
 }
 
 impl GroupSettings {
-    /// Losses of copies that are borne among so many voters.
+    /// Losses of replicas that are borne among so many voters.
     pub(crate) fn tolerated(&self, voters: usize) -> usize {
-        if self.places {
-            self.losses.max(voters.saturating_sub(1) / 2)
+        if self.survives_domain_loss {
+            self.tolerated_losses.max(voters.saturating_sub(1) / 2)
         } else {
-            self.losses
+            self.tolerated_losses
         }
     }
-    pub fn new(me: Voter, seeds: Vec<Voter>, first_start: bool, losses: usize, seed: u64) -> GroupSettings {
+    pub fn new(
+        node_id: NodeId,
+        seeds: Vec<NodeId>,
+        is_first_start: bool,
+        tolerated_losses: usize,
+        random_seed: u64,
+    ) -> GroupSettings {
         GroupSettings {
-            me,
+            node_id,
             seeds,
-            first_start,
-            losses,
-            places: false,
-            heartbeat_ms: 200,
-            lease_ms: LEASE,
-            silence_ms: SILENCE,
-            seed,
+            is_first_start,
+            tolerated_losses,
+            survives_domain_loss: false,
+            heartbeat_interval_ms: 200,
+            lease_period_ms: LEASE_PERIOD,
+            grace_period_ms: GRACE_PERIOD,
+            random_seed,
             #[cfg(feature = "planted")]
             planted: None,
         }
--- a/crates/control-group/tests/faults.rs
+++ b/crates/control-group/tests/faults.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use stileroute_control_group::{Signal, Verdict};
+use stileroute_control_group::{Message, Verdict};
 use world::*;
 
 /// First start, first configuration, three changes, a reading.
@@ -14,20 +14,20 @@
     world.read(0, 3000);
 }
 
-fn quiet(seeds: usize, losses: usize, seed: u64) -> World {
-    let mut world = World::new(seeds, losses, seed);
+fn quiet(seeds: usize, tolerated_losses: usize, seed: u64) -> World {
+    let mut world = World::new(seeds, tolerated_losses, seed);
     scenario(&mut world);
     world.run(1000);
     world
 }
 
 /// Trouble strikes whoever carries out the effect k, for each k.
-fn at_each_effect(seeds: usize, losses: usize, trouble: Trouble, every: usize) {
-    let mut whole = World::new(seeds, losses, 7);
+fn at_each_effect(seeds: usize, tolerated_losses: usize, trouble: Trouble, every: usize) {
+    let mut whole = World::new(seeds, tolerated_losses, 7);
     scenario(&mut whole);
     assert!(whole.effects > 50);
     for k in (1..=whole.effects).step_by(every) {
-        let mut world = World::new(seeds, losses, 7);
+        let mut world = World::new(seeds, tolerated_losses, 7);
         world.trap = Some((k, trouble));
         world.trace.push(format!("{trouble:?} at effect {k}"));
         scenario(&mut world);
@@ -51,7 +51,7 @@
     world.sent.clear();
     world.run(10_000);
     assert_eq!(epoch, world.view().epoch);
-    assert!(world.sent.iter().all(|s| matches!(s, Signal::Heartbeat(_) | Signal::HeartbeatAck { .. })));
+    assert!(world.sent.iter().all(|s| matches!(s, Message::Heartbeat(_) | Message::HeartbeatAck { .. })));
     assert!(world.effects - effects == world.sent.len() && world.sent.len() <= 4 * 51);
 }
 
@@ -64,8 +64,8 @@
             world.strike(primary, trouble, None);
             let call = world.replace((primary + 1) % 3, 9);
             world.wait(call, 2200);
-            let copies = world.view().copies;
-            assert!(copies.len() == 2 && !copies.contains(&voter(primary)), "{copies:?}");
+            let replicas = world.view().replicas;
+            assert!(replicas.len() == 2 && !replicas.contains(&voter(primary)), "{replicas:?}");
         }
     }
 }
@@ -92,7 +92,7 @@
 fn the_small_side_of_a_cut_answers_nothing_new() {
     for seed in 0..20 {
         let mut world = quiet(5, 2, seed);
-        let (primary, with) = (world.primary(), world.copy());
+        let (primary, with) = (world.primary(), world.replica());
         for i in (0..5).filter(|i| *i != primary && *i != with) {
             world.cut(primary, i);
             world.cut(with, i);
@@ -112,19 +112,19 @@
 fn the_small_side_of_a_long_cut_is_out_of_touch() {
     for seed in 0..20 {
         let mut world = quiet(5, 2, seed);
-        let small = [world.primary(), world.copy()];
+        let small = [world.primary(), world.replica()];
         for i in (0..5).filter(|i| !small.contains(i)) {
             small.iter().for_each(|s| world.cut(*s, i));
         }
         world.run(2500);
         for _ in 0..175 {
             world.run(100);
-            assert!(small.iter().all(|i| !world.in_touch(*i)), "of {small:?} one is in touch");
-            assert!((0..5).filter(|i| !small.contains(i)).all(|i| world.in_touch(i)));
+            assert!(small.iter().all(|i| !world.is_in_contact(*i)), "of {small:?} one is in touch");
+            assert!((0..5).filter(|i| !small.contains(i)).all(|i| world.is_in_contact(i)));
         }
         world.heal();
         world.run(1500);
-        assert!((0..5).all(|i| world.in_touch(i)));
+        assert!((0..5).all(|i| world.is_in_contact(i)));
         world.calm();
     }
 }
@@ -133,7 +133,7 @@
 fn a_cut_between_two_changes_no_duty() {
     let mut world = quiet(3, 1, 5);
     let view = world.view();
-    world.cut(world.primary(), world.copy());
+    world.cut(world.primary(), world.replica());
     world.run(3000);
     world.heal();
     world.run(1000);
@@ -172,19 +172,19 @@
 fn a_lost_disk_has_no_vote_and_is_filled_again() {
     for seed in 0..10 {
         let mut world = quiet(3, 1, seed);
-        let (primary, copy) = (world.primary(), world.copy());
-        let blank = |world: &World| world.nodes[copy].group.as_ref().is_some_and(|p| p.blank());
-        world.cut(copy, primary);
-        world.strike(copy, Wipe, Some(10));
+        let (primary, replica) = (world.primary(), world.replica());
+        let blank = |world: &World| world.nodes[replica].group.as_ref().is_some_and(|p| p.is_awaiting_view());
+        world.cut(replica, primary);
+        world.strike(replica, Wipe, Some(10));
         world.run(2000);
         assert!(blank(&world), "one of the others is no majority");
         world.heal();
         world.run(1500);
         assert!(!blank(&world));
         // It and the primary are enough now.
-        world.strike(3 - primary - copy, Power, None);
+        world.strike(3 - primary - replica, Power, None);
         world.run(2500);
-        assert_eq!(world.copy(), copy);
+        assert_eq!(world.replica(), replica);
         world.calm();
     }
 }
@@ -237,16 +237,16 @@
     }
 }
 
-/// One machine, or one place with two voters of five. With `losses` + 1 copies both could lie in that place.
+/// One machine, or one place with two voters of five. With `losses` + 1 replicas both could lie in that place.
 #[test]
 fn a_place_that_is_lost_takes_no_configuration() {
     for seed in 0..30 {
         let mut world = World::of_places(5, 1, seed);
         scenario(&mut world);
         world.run(1000);
-        let copies: Vec<usize> = (0..5).filter(|i| world.view().copies.contains(&voter(*i))).collect();
-        assert_eq!(copies.len(), 3);
-        let both = [copies[seed as usize % 3], copies[(seed as usize + 1) % 3]];
+        let replicas: Vec<usize> = (0..5).filter(|i| world.view().replicas.contains(&voter(*i))).collect();
+        assert_eq!(replicas.len(), 3);
+        let both = [replicas[seed as usize % 3], replicas[(seed as usize + 1) % 3]];
         for i in both {
             world.strike(i, Wipe, None);
         }
@@ -281,7 +281,7 @@
         world.run(500);
         world.add();
         world.run(4200);
-        let next = if seed < 6 { world.primary() } else { world.copy() };
+        let next = if seed < 6 { world.primary() } else { world.replica() };
         world.strike(next, Power, None);
         let call = world.replace((0..4).find(|i| world.up(*i)).unwrap(), 9);
         world.wait(call, 3000);
@@ -295,7 +295,7 @@
         world.nodes[full].full = true;
         let call = world.replace(full, 9);
         world.wait(call, 3000);
-        assert!(!world.view().copies.contains(&voter(full)) || world.view().primary != voter(full));
+        assert!(!world.view().replicas.contains(&voter(full)) || world.view().primary != voter(full));
         world.nodes[full].full = false;
         world.run(1500);
         world.calm();
@@ -305,8 +305,8 @@
 #[test]
 fn by_chance() {
     for seed in 0..300 {
-        let (seeds, losses) = if seed % 3 == 0 { (5, 2) } else { (3, 1) };
-        let mut world = World::new(seeds, losses, seed + 1000);
+        let (seeds, tolerated_losses) = if seed % 3 == 0 { (5, 2) } else { (3, 1) };
+        let mut world = World::new(seeds, tolerated_losses, seed + 1000);
         world.trace.push(format!("seed {seed}"));
         world.delay = [4, 150][world.random_below(2) as usize];
         world.disk = [2, 40, 400][world.random_below(3) as usize];
@@ -323,7 +323,7 @@
             let (back, what) = (20 + world.random_below(1500), world.random_below(6) as usize);
             if what == 4 {
                 world.cut(node, (node + 1) % seeds);
-            } else if what < 4 && down < losses && world.up(node) {
+            } else if what < 4 && down < tolerated_losses && world.up(node) {
                 world.strike(node, [Kill, Power, Wipe, Freeze][what], Some(back));
                 // A disk counts as lost until it is filled.
                 if what == 2 {
--- a/crates/control-group/tests/replaced.rs
+++ b/crates/control-group/tests/replaced.rs
@@ -4,8 +4,8 @@
 
 use world::*;
 
-fn quiet(seeds: usize, losses: usize, seed: u64) -> World {
-    let mut world = World::new(seeds, losses, seed);
+fn quiet(seeds: usize, tolerated_losses: usize, seed: u64) -> World {
+    let mut world = World::new(seeds, tolerated_losses, seed);
     let call = world.replace(0, 1);
     world.wait(call, 6000);
     world.run(1000);
@@ -13,12 +13,12 @@
 }
 /// Each of three, as whatever it is in the group.
 fn each(world: &World, which: u64) -> usize {
-    let (primary, copy) = (world.primary(), world.copy());
-    [primary, copy, 3 - primary - copy][which as usize % 3]
+    let (primary, replica) = (world.primary(), world.replica());
+    [primary, replica, 3 - primary - replica][which as usize % 3]
 }
 /// Two of three are lost one after the other: whoever is left leads within 3 s and takes a write.
 fn bears_one_more(world: &mut World, which: u64) {
-    let lost = if which.is_multiple_of(2) { world.primary() } else { world.copy() };
+    let lost = if which.is_multiple_of(2) { world.primary() } else { world.replica() };
     world.strike(lost, Power, None);
     let up = (0..world.nodes.len()).find(|i| world.up(*i)).unwrap();
     let call = world.replace(up, 9);
@@ -37,7 +37,7 @@
             world.add();
             world.run(2000);
             assert!(!world.voters().contains(&lost) && world.voters().contains(&3), "{:?}", world.voters());
-            assert!(!world.view().copies.contains(&voter(lost)));
+            assert!(!world.view().replicas.contains(&voter(lost)));
             bears_one_more(&mut world, seed / 3);
         }
     }
@@ -82,8 +82,8 @@
         world.run(200);
         assert!(world.nodes[old].released, "a follower waits for no more than two agreements");
         world.run(if led { 100 } else { 0 });
-        assert!(!world.voters().contains(&old) && !world.view().copies.contains(&voter(old)));
-        assert_eq!(world.view().copies.len(), 2);
+        assert!(!world.voters().contains(&old) && !world.view().replicas.contains(&voter(old)));
+        assert_eq!(world.view().replicas.len(), 2);
         world.run(300);
         assert_eq!(world.voters().len(), 3, "it does not join again as it ends");
         world.strike(old, Kill, None);
@@ -114,7 +114,7 @@
     let mut world = quiet(3, 1, 4);
     world.add();
     world.run(1500);
-    let old = world.copy();
+    let old = world.replica();
     (0..4).filter(|i| *i != old).for_each(|i| world.cut(old, i));
     world.release(old);
     world.run(400);
@@ -157,7 +157,7 @@
         world.run(3000);
         let voters = world.voters();
         assert!(voters.len() == 5 && gone.iter().all(|i| !voters.contains(i)), "{voters:?}");
-        let (one, other) = (world.primary(), world.copy());
+        let (one, other) = (world.primary(), world.replica());
         world.strike(one, Power, None);
         world.strike(other, Power, None);
         let call = world.replace((0..7).find(|i| world.up(*i)).unwrap(), 9);
@@ -165,7 +165,7 @@
     }
 }
 
-/// A write waits for the copy that is gone: it ends with the copies that come after it.
+/// A write waits for the replica that is gone: it ends with the replicas that come after it.
 #[test]
 fn a_replacement_while_a_write_is_under_way() {
     for seed in 0..18 {
@@ -212,8 +212,8 @@
         world.add();
         world.add();
         world.run(3500);
-        assert_eq!((world.voters().len(), world.view().copies.len()), (5, 3));
-        let next = [world.primary(), world.copy()];
+        assert_eq!((world.voters().len(), world.view().replicas.len()), (5, 3));
+        let next = [world.primary(), world.replica()];
         next.iter().for_each(|i| world.strike(*i, Wipe, None));
         world.read((0..7).find(|i| world.up(*i)).unwrap(), 3000);
     }
@@ -242,7 +242,7 @@
 fn the_one_that_comes_is_lost_at_each_moment() {
     for after in (0..900).step_by(2) {
         let mut world = quiet(3, 1, 6);
-        let lost = world.copy();
+        let lost = world.replica();
         world.strike(lost, Power, None);
         world.run(700);
         world.add();
--- a/crates/control-group/tests/retirements.rs
+++ b/crates/control-group/tests/retirements.rs
@@ -16,9 +16,9 @@
     for call in once.into_iter().chain(again).chain([change]) {
         world.wait(call, 9000);
     }
-    world.advance(3, Stage::Rolling);
+    world.advance(3, RetirementStage::Draining);
     world.run(50);
-    world.advance(3, Stage::Complete);
+    world.advance(3, RetirementStage::Complete);
 }
 
 fn assert_all_know(world: &World, nodes: usize) {
@@ -63,7 +63,7 @@
         }
         world.run(500);
         assert_eq!(world.nodes[0].committed.serial, before);
-        assert!(world.retired(1).contains(&(3, Stage::Complete)));
+        assert!(world.retired(1).contains(&(3, RetirementStage::Complete)));
     }
 }
 
@@ -73,42 +73,45 @@
     orders(&mut world);
     world.run(500);
     let serial = world.nodes[0].committed.serial;
-    world.advance(3, Stage::Rolling);
-    world.advance(9, Stage::Complete);
+    world.advance(3, RetirementStage::Draining);
+    world.advance(9, RetirementStage::Complete);
     world.run(500);
     assert_eq!(world.nodes[0].committed.serial, serial);
     // Noticed at each turn of the loop until it is written.
-    (0..5).for_each(|_| world.advance(4, Stage::Rolling));
+    (0..5).for_each(|_| world.advance(4, RetirementStage::Draining));
     world.run(500);
     assert_eq!(world.nodes[0].committed.serial, serial + 1);
     assert!(
-        world.retired(2).contains(&(4, Stage::Rolling)) && world.retired(2).contains(&(3, Stage::Complete))
+        world.retired(2).contains(&(4, RetirementStage::Draining))
+            && world.retired(2).contains(&(3, RetirementStage::Complete))
     );
 }
 
 #[test]
 fn the_oldest_complete_one_is_forgotten_beyond_the_bound_and_none_that_is_under_way() {
     let mut world = World::new(3, 1, 5);
-    for node in 0..RETIREMENTS as u32 {
+    for node in 0..MAX_RETIREMENTS as u32 {
         let call = world.retire(0, node);
         world.wait(call, 6000);
     }
     // All are under way: one more is not taken, and none makes room.
     let more = world.retire(0, 900);
     world.run(1000);
-    assert_eq!((world.calls[more].done, world.retired(0).len()), (None, RETIREMENTS));
-    world.advance(7, Stage::Complete);
-    world.advance(2, Stage::Complete);
+    assert_eq!((world.calls[more].done, world.retired(0).len()), (None, MAX_RETIREMENTS));
+    world.advance(7, RetirementStage::Complete);
+    world.advance(2, RetirementStage::Complete);
     assert_eq!(world.wait(more, 3000), Verdict::Accepted);
     world.run(500);
     let known: Vec<u32> = world.retired(0).into_iter().map(|(node, _)| node).collect();
-    assert!(known.len() == RETIREMENTS && !known.contains(&2) && known.contains(&7) && known.contains(&900));
+    assert!(
+        known.len() == MAX_RETIREMENTS && !known.contains(&2) && known.contains(&7) && known.contains(&900)
+    );
 }
 
 #[test]
 fn an_older_builds_value_is_read_with_its_version_for_a_serial() {
-    let old = Record::Unnumbered(Unnumbered { version: 7, body: b"seven".to_vec() });
-    let mut persisted = Persisted::default();
+    let old = Record::LegacyConfiguration(LegacyConfiguration { version: 7, body: b"seven".to_vec() });
+    let mut persisted = PersistedState::default();
     persisted.apply(old);
     let read = ControlState { serial: 7, version: 7, body: b"seven".to_vec(), retirements: Vec::new() };
     assert_matches!(&persisted.state, Some(state) if *state == read);
@@ -120,11 +123,11 @@
 fn a_value_is_told_from_another_by_any_part_of_it() {
     let order = |name: &str, stage| Retirement { node: 1, name: name.to_string(), stage };
     let of = |retirements| ControlState { serial: 3, version: 2, body: b"two".to_vec(), retirements };
-    let base = of(vec![order("a", Stage::Ordered)]);
+    let base = of(vec![order("a", RetirementStage::Ordered)]);
     let others = [
         of(Vec::new()),
-        of(vec![order("b", Stage::Ordered)]),
-        of(vec![order("a", Stage::Rolling)]),
+        of(vec![order("b", RetirementStage::Ordered)]),
+        of(vec![order("a", RetirementStage::Draining)]),
         ControlState { serial: 4, ..base.clone() },
         ControlState { version: 3, ..base.clone() },
         ControlState { body: b"owt".to_vec(), ..base.clone() },
--- a/crates/control-group/tests/rules.rs
+++ b/crates/control-group/tests/rules.rs
@@ -1,62 +1,65 @@
 //! Single rules that schedules seldom touch, one machine at a time.
 
 use stileroute_control_group::{
-    ControlGroup, ControlState, Effect, GroupSettings, Heartbeat, Persisted, Rank, Signal, Verdict, View,
-    Voter,
+    ControlGroup, ControlState, Effect, GroupSettings, Heartbeat, HeartbeatAck, Message, NodeId,
+    PersistedState, Rank, Verdict, View,
 };
 
-const PULSE: Signal = heartbeat(5, None);
+const PULSE: Message = heartbeat(5, None);
 
-const fn heartbeat(sent_at: u64, acked: Option<u64>) -> Signal {
-    Signal::Heartbeat(Heartbeat {
+const fn heartbeat(sent_at: u64, last_acked: Option<u64>) -> Message {
+    Message::Heartbeat(Heartbeat {
         epoch: 4,
         sent_at,
         committed: Rank { version: 0, serial: 0 },
-        digest: 0,
-        acked,
+        committed_digest: 0,
+        last_acked,
     })
 }
 
-fn voter(i: u8) -> Voter {
-    Voter::new([10, 0, 0, i].into(), 9000)
+fn voter(i: u8) -> NodeId {
+    NodeId::new([10, 0, 0, i].into(), 9000)
 }
-fn view(epoch: u64, primary: u8, copies: [u8; 2], membership_epoch: u64) -> View {
+fn view(epoch: u64, primary: u8, replicas: [u8; 2], membership_epoch: u64) -> View {
     let voters = (1..=3).map(voter).collect();
-    View { epoch, primary: voter(primary), copies: copies.map(voter).to_vec(), voters, membership_epoch }
+    View { epoch, primary: voter(primary), replicas: replicas.map(voter).to_vec(), voters, membership_epoch }
 }
 /// Node `me`, started at 0 with this view and a state on its disk.
 fn machine(me: u8, view: View) -> ControlGroup {
-    let persisted =
-        Persisted { view: Some(view), state: Some(ControlState::default()), ..Persisted::default() };
+    let persisted = PersistedState {
+        view: Some(view),
+        state: Some(ControlState::default()),
+        ..PersistedState::default()
+    };
     ControlGroup::new(GroupSettings::new(voter(me), (1..=3).map(voter).collect(), false, 1, 1), persisted, 0)
 }
-fn sent(effects: &[Effect], to: u8) -> Vec<Signal> {
-    let signal = |e: &Effect| match e {
-        Effect::Send { to: t, signal } if *t == voter(to) => Some(signal.clone()),
+fn sent(effects: &[Effect], to: u8) -> Vec<Message> {
+    let message = |e: &Effect| match e {
+        Effect::Send { to: t, message } if *t == voter(to) => Some(message.clone()),
         _ => None,
     };
-    effects.iter().filter_map(signal).collect()
+    effects.iter().filter_map(message).collect()
 }
 /// Says it, does what is asked of the disk, and tells what was sent back.
-fn say(p: &mut ControlGroup, now: u64, from: u8, signal: Signal) -> Vec<Signal> {
-    p.signal(now, voter(from), signal);
+fn say(p: &mut ControlGroup, now: u64, from: u8, message: Message) -> Vec<Message> {
+    p.handle_message(now, voter(from), message);
     sent(&sync(p, now), from)
 }
-fn propose(p: &mut ControlGroup, now: u64, view: &View, released: bool) -> Vec<Signal> {
-    let wanted = Signal::Propose { view: view.clone(), released };
+fn propose(p: &mut ControlGroup, now: u64, view: &View, by_handover: bool) -> Vec<Message> {
+    let wanted = Message::Propose { view: view.clone(), by_handover };
     say(p, now, view.primary.ip().octets()[3], wanted)
 }
-fn ack(epoch: u64, sent_at: u64) -> Signal {
-    Signal::HeartbeatAck { epoch, sent_at, votes: true, holds: true }
+fn ack(epoch: u64, sent_at: u64) -> Message {
+    Message::HeartbeatAck(HeartbeatAck { epoch, sent_at, is_voting: true, has_state: true })
 }
 /// Does what is asked of its disk.
 fn sync(p: &mut ControlGroup, now: u64) -> Vec<Effect> {
-    let mut all = p.take();
+    let mut all = p.take_effects();
     let mut done = 0;
     while let Some(effect) = all.get(done) {
         if let Effect::Persist { ticket, .. } = effect {
             p.persisted(now, *ticket, true);
-            all.extend(p.take());
+            all.extend(p.take_effects());
         }
         done += 1;
     }
@@ -64,20 +67,20 @@
 }
 fn last_store(effects: &[Effect], to: u8) -> Option<(u64, u64)> {
     sent(effects, to).into_iter().rev().find_map(|s| match s {
-        Signal::Store { epoch, serial, .. } => Some((epoch, serial)),
+        Message::Store { epoch, write_id, .. } => Some((epoch, write_id)),
         _ => None,
     })
 }
-/// The primary 1 by the first view, settled, with 2 as the other copy, at the time 100.
+/// The primary 1 by the first view, settled, with 2 as the other replica, at the time 100.
 fn leader() -> ControlGroup {
     let settings = GroupSettings::new(voter(1), (1..=3).map(voter).collect(), true, 1, 1);
-    let mut p = ControlGroup::new(settings, Persisted::default(), 0);
+    let mut p = ControlGroup::new(settings, PersistedState::default(), 0);
     sync(&mut p, 0);
-    p.signal(0, voter(2), Signal::Granted { view: view(1, 1, [1, 2], 1) });
-    (2..=3).for_each(|from| p.signal(0, voter(from), ack(1, 0)));
-    let (epoch, serial) = last_store(&sync(&mut p, 0), 2).unwrap_or_default();
-    p.signal(100, voter(2), Signal::Stored { epoch, serial });
-    (2..=3).for_each(|from| p.signal(100, voter(from), ack(1, 100)));
+    p.handle_message(0, voter(2), Message::Granted { view: view(1, 1, [1, 2], 1) });
+    (2..=3).for_each(|from| p.handle_message(0, voter(from), ack(1, 0)));
+    let (epoch, write_id) = last_store(&sync(&mut p, 0), 2).unwrap_or_default();
+    p.handle_message(100, voter(2), Message::Stored { epoch, write_id });
+    (2..=3).for_each(|from| p.handle_message(100, voter(from), ack(1, 100)));
     sync(&mut p, 100);
     p
 }
@@ -86,26 +89,26 @@
 fn a_grant_is_on_disk_before_it_is_told() {
     let mut p = machine(3, view(4, 1, [1, 2], 4));
     let wanted = view(5, 2, [1, 2], 4);
-    let ask = Signal::Propose { view: wanted.clone(), released: true };
+    let ask = Message::Propose { view: wanted.clone(), by_handover: true };
     for (now, ticket) in [(10, 1), (20, 2)] {
-        p.signal(now, voter(2), ask.clone());
-        p.signal(now + 1, voter(2), ask.clone());
-        assert!(sent(&p.take(), 2).is_empty());
+        p.handle_message(now, voter(2), ask.clone());
+        p.handle_message(now + 1, voter(2), ask.clone());
+        assert!(sent(&p.take_effects(), 2).is_empty());
         // The first time the disk refuses it.
         p.persisted(now + 2, ticket, ticket == 2);
     }
-    assert_eq!(sent(&p.take(), 2), [Signal::Granted { view: wanted }]);
+    assert_eq!(sent(&p.take_effects(), 2), [Message::Granted { view: wanted }]);
 }
 
 #[test]
 fn no_vote_after_a_start_nor_by_an_old_release_nor_for_who_missed_a_change_of_copies() {
     let mut p = machine(3, view(4, 1, [1, 2], 4));
-    let denied = [Signal::Denied { view: view(4, 1, [1, 2], 4) }];
+    let denied = [Message::Denied { view: view(4, 1, [1, 2], 4) }];
     assert_eq!(propose(&mut p, 850, &view(5, 2, [1, 2], 4), false), denied);
     assert_eq!(propose(&mut p, 850, &view(6, 2, [1, 2], 4), true), denied);
     assert_eq!(propose(&mut p, 950, &view(9, 2, [1, 2], 2), false), denied);
     let wanted = view(5, 2, [1, 2], 4);
-    assert_eq!(propose(&mut p, 950, &wanted, false), [Signal::Granted { view: wanted }]);
+    assert_eq!(propose(&mut p, 950, &wanted, false), [Message::Granted { view: wanted }]);
 }
 
 #[test]
@@ -113,19 +116,19 @@
     let mut p = machine(3, view(4, 1, [1, 2], 4));
     assert_eq!(say(&mut p, 2000, 1, PULSE).len(), 1);
     let heard_of = view(5, 2, [1, 2], 4);
-    say(&mut p, 2010, 1, Signal::TellView { view: Some(heard_of.clone()) });
-    let denied = [Signal::Denied { view: heard_of.clone() }];
+    say(&mut p, 2010, 1, Message::ViewReply { view: Some(heard_of.clone()) });
+    let denied = [Message::Denied { view: heard_of.clone() }];
     assert_eq!(propose(&mut p, 2100, &heard_of, false), denied);
     assert_eq!(propose(&mut p, 2100, &view(6, 2, [1, 2], 4), false), denied);
-    assert_eq!(propose(&mut p, 2950, &heard_of, false), [Signal::Granted { view: heard_of }]);
+    assert_eq!(propose(&mut p, 2950, &heard_of, false), [Message::Granted { view: heard_of }]);
 }
 
 #[test]
 fn epoch_and_list_of_copies_are_learned_each_by_itself() {
     let mut p = machine(2, view(4, 1, [1, 2], 2));
-    say(&mut p, 2000, 3, Signal::Denied { view: view(4, 3, [2, 3], 4) });
+    say(&mut p, 2000, 3, Message::Denied { view: view(4, 3, [2, 3], 4) });
     assert_eq!(p.view(), Some(&view(4, 1, [2, 3], 4)));
-    say(&mut p, 2000, 3, Signal::Denied { view: view(6, 3, [1, 3], 3) });
+    say(&mut p, 2000, 3, Message::Denied { view: view(6, 3, [1, 3], 3) });
     assert_eq!(p.view(), Some(&view(6, 3, [2, 3], 4)));
 }
 
@@ -133,13 +136,13 @@
 fn a_candidate_that_lends_its_vote_stands_no_more() {
     let mut p = machine(2, view(4, 1, [1, 2], 4));
     p.tick(1500);
-    assert!(!sent(&p.take(), 3).is_empty());
+    assert!(!sent(&p.take_effects(), 3).is_empty());
     // Another that stands for the same epoch does not take the own vote away.
     let other = view(5, 1, [1, 2], 4);
-    say(&mut p, 1505, 3, Signal::Denied { view: other.clone() });
-    assert_eq!(propose(&mut p, 1505, &other, false), [Signal::Denied { view: view(4, 1, [1, 2], 4) }]);
+    say(&mut p, 1505, 3, Message::Denied { view: other.clone() });
+    assert_eq!(propose(&mut p, 1505, &other, false), [Message::Denied { view: view(4, 1, [1, 2], 4) }]);
     say(&mut p, 1510, 1, PULSE);
-    say(&mut p, 1520, 3, Signal::Granted { view: view(5, 2, [1, 2], 4) });
+    say(&mut p, 1520, 3, Message::Granted { view: view(5, 2, [1, 2], 4) });
     assert_eq!(p.view().map(|w| w.epoch), Some(4));
 }
 
@@ -148,38 +151,42 @@
     let mine = view(4, 1, [1, 2], 4);
     let mut p = machine(3, mine.clone());
     p.tick(1500);
-    assert_eq!(sent(&p.take(), 2), [Signal::TellView { view: Some(mine) }]);
-    p.release(1600);
-    assert!(p.take() == [Effect::Released] && p.next(5000) > 5500);
+    assert_eq!(sent(&p.take_effects(), 2), [Message::ViewReply { view: Some(mine) }]);
+    p.shut_down(1600);
+    assert!(p.take_effects() == [Effect::ReadyToExit] && p.next_tick(5000) > 5500);
 }
 
 #[test]
 fn a_change_that_is_asked_for_is_told_and_a_write_begun_is_uncertain() {
     let mut p = leader();
-    p.replace(100, 7, 1, b"new".to_vec());
+    p.replace_configuration(100, 7, 1, b"new".to_vec());
     sync(&mut p, 105);
-    p.link(110, voter(2), false);
+    p.peer_disconnected(110, voter(2));
     p.tick(120);
-    let (epoch, serial) = last_store(&sync(&mut p, 120), 3).unwrap_or_default();
-    p.signal(130, voter(3), Signal::Stored { epoch, serial });
+    let (epoch, write_id) = last_store(&sync(&mut p, 120), 3).unwrap_or_default();
+    p.handle_message(130, voter(3), Message::Stored { epoch, write_id });
     sync(&mut p, 130);
-    let told = say(&mut p, 140, 2, Signal::AskView);
-    assert_eq!(told, [Signal::TellView { view: Some(view(2, 1, [1, 3], 2)) }]);
-    p.signal(150, voter(3), Signal::Denied { view: view(9, 2, [1, 2], 1) });
-    assert!(p.take().contains(&Effect::Answer { ticket: 7, verdict: Verdict::Uncertain }));
+    let told = say(&mut p, 140, 2, Message::ViewRequest);
+    assert_eq!(told, [Message::ViewReply { view: Some(view(2, 1, [1, 3], 2)) }]);
+    p.handle_message(150, voter(3), Message::Denied { view: view(9, 2, [1, 2], 1) });
+    assert!(p.take_effects().contains(&Effect::Answer { ticket: 7, verdict: Verdict::Uncertain }));
 }
 
 #[test]
 fn a_copy_that_lost_its_disk_is_filled_in_place_and_a_joiner_that_is_gone_not_waited_for() {
     let mut p = leader();
-    p.signal(110, voter(2), Signal::HeartbeatAck { epoch: 1, sent_at: 105, votes: true, holds: false });
+    p.handle_message(
+        110,
+        voter(2),
+        Message::HeartbeatAck(HeartbeatAck { epoch: 1, sent_at: 105, is_voting: true, has_state: false }),
+    );
     assert!(last_store(&sync(&mut p, 110), 2).is_some());
-    p.link(110, voter(2), false);
+    p.peer_disconnected(110, voter(2));
     p.tick(120);
     assert!(last_store(&sync(&mut p, 120), 3).is_some());
-    p.link(130, voter(3), false);
-    p.link(130, voter(2), true);
-    p.replace(140, 7, 1, b"new".to_vec());
+    p.peer_disconnected(130, voter(3));
+    p.peer_connected(130, voter(2));
+    p.replace_configuration(140, 7, 1, b"new".to_vec());
     assert!(last_store(&sync(&mut p, 140), 2).is_some());
 }
 
@@ -188,21 +195,21 @@
 fn pulses_of_a_primary_without_the_lease_or_that_waited_are_no_contact() {
     let mut p = machine(3, view(4, 1, [1, 2], 4));
     say(&mut p, 1000, 1, heartbeat(50, None));
-    assert!(!p.in_touch(1001), "nothing says that the primary holds the lease");
+    assert!(!p.is_in_contact(1001), "nothing says that the primary holds the lease");
     say(&mut p, 1200, 1, heartbeat(250, Some(50)));
-    assert!(p.in_touch(2799) && !p.in_touch(2801), "sent after the ack at 1000");
+    assert!(p.is_in_contact(2799) && !p.is_in_contact(2801), "sent after the ack at 1000");
     // The primary is cut off with this node, and goes on unknown_leader.
     (1..10).for_each(|i| {
         say(&mut p, 1200 + i * 200, 1, heartbeat(250 + i * 200, None));
     });
-    assert!(!p.in_touch(3001));
+    assert!(!p.is_in_contact(3001));
     // Frozen until here: what had come meanwhile is of then.
     (1..10).for_each(|i| {
         say(&mut p, 9000, 1, heartbeat(2050 + i * 200, Some(1850)));
     });
-    assert!(!p.in_touch(9000));
+    assert!(!p.is_in_contact(9000));
     say(&mut p, 9200, 1, heartbeat(9000, Some(3850)));
-    assert!(p.in_touch(9200));
+    assert!(p.is_in_contact(9200));
 }
 
 /// As docs/replace.md says of a control side that has lost most of its disks: its serials begin anew, its versions do not.
@@ -212,18 +219,29 @@
     let state =
         |version, serial| ControlState { version, serial, body: b"any".to_vec(), ..ControlState::default() };
     let told = |p: &mut ControlGroup, state: ControlState| {
-        p.signal(10, voter(1), Signal::TellState { state });
+        p.handle_message(10, voter(1), Message::StateReply { state });
         p.committed().map(|c| (c.version, c.serial))
     };
     assert_eq!(told(&mut p, state(7, 12)), Some((7, 12)));
     assert_eq!(told(&mut p, state(7, 1)), Some((7, 12)));
     assert_eq!(told(&mut p, state(6, 13)), Some((7, 12)));
     let heartbeat = |p: &mut ControlGroup, state: &ControlState| {
-        let (committed, digest) = (state.rank(), state.digest());
-        say(p, 20, 1, Signal::Heartbeat(Heartbeat { epoch: 4, sent_at: 15, committed, digest, acked: None }))
+        let (committed, committed_digest) = (state.rank(), state.digest());
+        say(
+            p,
+            20,
+            1,
+            Message::Heartbeat(Heartbeat {
+                epoch: 4,
+                sent_at: 15,
+                committed,
+                committed_digest,
+                last_acked: None,
+            }),
+        )
     };
-    assert!(!heartbeat(&mut p, &state(7, 1)).contains(&Signal::AskState));
-    assert!(heartbeat(&mut p, &state(9, 2)).contains(&Signal::AskState));
+    assert!(!heartbeat(&mut p, &state(7, 1)).contains(&Message::StateRequest));
+    assert!(heartbeat(&mut p, &state(9, 2)).contains(&Message::StateRequest));
     assert_eq!(told(&mut p, state(9, 2)), Some((9, 2)));
 }
 
@@ -232,15 +250,15 @@
 #[test]
 fn voters_that_are_asked_for_in_vain_are_taken_back() {
     let mut p = leader();
-    p.replace(100, 7, 1, b"new".to_vec());
-    let (epoch, serial) = last_store(&sync(&mut p, 100), 2).unwrap_or_default();
-    p.signal(110, voter(2), Signal::Stored { epoch, serial });
-    p.link(120, voter(4), true);
-    p.learn(voter(4));
-    [2, 4].into_iter().for_each(|from| p.signal(2000, voter(from), ack(1, 1990)));
+    p.replace_configuration(100, 7, 1, b"new".to_vec());
+    let (epoch, write_id) = last_store(&sync(&mut p, 100), 2).unwrap_or_default();
+    p.handle_message(110, voter(2), Message::Stored { epoch, write_id });
+    p.peer_connected(120, voter(4));
+    p.add_learner(voter(4));
+    [2, 4].into_iter().for_each(|from| p.handle_message(2000, voter(from), ack(1, 1990)));
     let proposed = |effects: &[Effect], to| {
         sent(effects, to).into_iter().rev().find_map(|s| match s {
-            Signal::Propose { view, .. } => Some((view.epoch, view.voters)),
+            Message::Propose { view, .. } => Some((view.epoch, view.voters)),
             _ => None,
         })
     };
@@ -251,8 +269,8 @@
     assert_eq!(proposed(&sync(&mut p, 3010), 3), Some((3, three)));
     // 2 had granted the other, and tells of it: that is this node's own, and older.
     let older = View { voters: two, ..view(2, 1, [1, 2], 2) };
-    p.signal(3020, voter(2), Signal::TellView { view: Some(older) });
-    p.signal(3030, voter(3), Signal::Granted { view: view(3, 1, [1, 2], 3) });
+    p.handle_message(3020, voter(2), Message::ViewReply { view: Some(older) });
+    p.handle_message(3030, voter(3), Message::Granted { view: view(3, 1, [1, 2], 3) });
     assert_eq!(p.view(), Some(&view(3, 1, [1, 2], 3)));
 }
 
@@ -260,17 +278,17 @@
 #[test]
 fn no_change_of_voters_without_a_majority_in_sight() {
     let mut p = leader();
-    p.replace(100, 7, 1, b"new".to_vec());
-    let (epoch, serial) = last_store(&sync(&mut p, 100), 2).unwrap_or_default();
-    p.signal(110, voter(2), Signal::Stored { epoch, serial });
-    p.link(120, voter(4), true);
-    p.learn(voter(4));
-    p.link(120, voter(3), false);
-    (2..=4).for_each(|from| p.signal(200, voter(from), ack(1, 190)));
+    p.replace_configuration(100, 7, 1, b"new".to_vec());
+    let (epoch, write_id) = last_store(&sync(&mut p, 100), 2).unwrap_or_default();
+    p.handle_message(110, voter(2), Message::Stored { epoch, write_id });
+    p.peer_connected(120, voter(4));
+    p.add_learner(voter(4));
+    p.peer_disconnected(120, voter(3));
+    (2..=4).for_each(|from| p.handle_message(200, voter(from), ack(1, 190)));
     sync(&mut p, 200);
-    p.link(650, voter(2), false);
-    p.signal(850, voter(4), ack(1, 840));
+    p.peer_disconnected(650, voter(2));
+    p.handle_message(850, voter(4), ack(1, 840));
     p.tick(860);
     let effects = sync(&mut p, 860);
-    assert!(!sent(&effects, 2).iter().any(|s| matches!(s, Signal::Propose { .. })));
+    assert!(!sent(&effects, 2).iter().any(|s| matches!(s, Message::Propose { .. })));
 }
--- a/crates/control-group/tests/world/mod.rs
+++ b/crates/control-group/tests/world/mod.rs
@@ -15,7 +15,7 @@
 pub use Trouble::*;
 
 enum Happening {
-    Said { from: usize, conn: u64, signal: Signal },
+    Said { from: usize, conn: u64, message: Message },
     Synced,
     Link { peer: usize, up: bool },
     Start,
@@ -29,7 +29,7 @@
     pub group: Option<ControlGroup>,
     life: u64,
     clock: Millis,
-    disk: Persisted,
+    disk: PersistedState,
     writing: VecDeque<(u64, Record)>,
     pub full: bool,
     frozen: bool,
@@ -54,7 +54,7 @@
 
 #[derive(Default)]
 pub struct World {
-    places: bool,
+    survives_domain_loss: bool,
     pub now: Millis,
     pub nodes: Vec<Node>,
     pub calls: Vec<Call>,
@@ -62,13 +62,13 @@
     pub effects: usize,
     pub trap: Option<(usize, Trouble)>,
     /// Signals sent.
-    pub sent: Vec<Signal>,
+    pub sent: Vec<Message>,
     pub trace: Vec<String>,
     /// How slow disks and messages are.
     pub disk: Millis,
     pub delay: Millis,
     seeds: usize,
-    losses: usize,
+    tolerated_losses: usize,
     queue: BTreeMap<(Millis, u64), To>,
     next: u64,
     random_state: u64,
@@ -83,10 +83,10 @@
     acked: u64,
 }
 
-pub fn voter(i: usize) -> Voter {
-    Voter::new([10, 0, 0, i as u8 + 1].into(), 9000)
+pub fn voter(i: usize) -> NodeId {
+    NodeId::new([10, 0, 0, i as u8 + 1].into(), 9000)
 }
-fn index(voter: Voter) -> usize {
+fn index(voter: NodeId) -> usize {
     usize::from(voter.ip().octets()[3]) - 1
 }
 fn way(a: usize, b: usize) -> (usize, usize) {
@@ -100,15 +100,16 @@
 #[allow(dead_code)]
 impl World {
     /// Whole places may be lost: any two of five.
-    pub fn of_places(seeds: usize, losses: usize, seed: u64) -> World {
-        let mut world = World { places: true, ..World::new(0, losses, seed) };
+    pub fn of_places(seeds: usize, tolerated_losses: usize, seed: u64) -> World {
+        let mut world = World { survives_domain_loss: true, ..World::new(0, tolerated_losses, seed) };
         world.seeds = seeds;
         (0..seeds).for_each(|_| world.add());
         world
     }
-    pub fn new(seeds: usize, losses: usize, seed: u64) -> World {
+    pub fn new(seeds: usize, tolerated_losses: usize, seed: u64) -> World {
         let random_state = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
-        let mut world = World { seeds, losses, random_state, disk: 2, delay: 4, ..World::default() };
+        let mut world =
+            World { seeds, tolerated_losses, random_state, disk: 2, delay: 4, ..World::default() };
         (0..seeds).for_each(|_| world.add());
         world
     }
@@ -141,8 +142,8 @@
         let seeds = (0..self.seeds).map(voter).collect();
         let seed = self.random_below(u64::MAX);
         let node = &mut self.nodes[i];
-        let settings = GroupSettings::new(voter(i), seeds, node.life == 0, self.losses, seed);
-        let settings = GroupSettings { places: self.places, ..settings };
+        let settings = GroupSettings::new(voter(i), seeds, node.life == 0, self.tolerated_losses, seed);
+        let settings = GroupSettings { survives_domain_loss: self.survives_domain_loss, ..settings };
         node.group = Some(ControlGroup::new(settings, node.disk.clone(), self.now + node.clock));
         node.life += 1;
         self.note(format!("{i} starts"));
@@ -192,7 +193,7 @@
         let Node { clock, life, mut disk, writing, .. } = std::mem::take(&mut self.nodes[i]);
         writing.into_iter().take(reached as usize).for_each(|(_, record)| disk.apply(record));
         if trouble == Wipe {
-            disk = Persisted::default();
+            disk = PersistedState::default();
         }
         self.nodes[i] = Node { clock, life, disk, ..Node::default() };
         let noticed = if trouble == Kill { 1 } else { 3000 };
@@ -215,11 +216,12 @@
         self.calls.len() - 1
     }
     /// A store has come further, as the node that leads sees.
-    pub fn advance(&mut self, node: u32, stage: Stage) {
-        (0..self.nodes.len()).for_each(|i| self.with(i, |group, now| group.advance(now, node, stage)));
+    pub fn advance(&mut self, node: u32, stage: RetirementStage) {
+        (0..self.nodes.len())
+            .for_each(|i| self.with(i, |group, now| group.advance_retirement(now, node, stage)));
     }
     /// Stores that are retired by what node `i` has committed, in their order.
-    pub fn retired(&self, i: usize) -> Vec<(u32, Stage)> {
+    pub fn retired(&self, i: usize) -> Vec<(u32, RetirementStage)> {
         self.nodes[i].committed.retirements.iter().map(|r| (r.node, r.stage)).collect()
     }
     #[track_caller]
@@ -241,9 +243,9 @@
         // Where nobody is it is noticed at once, and at a machine that ends meanwhile, soon.
         self.at(if there { 500 } else { 30 }, i, Happening::Try { call, attempt, at: None });
         self.with(i, |group, now| match (version, retires) {
-            (_, Some(node)) => group.retire(now, ticket, node, format!("storage-{node}")),
-            (Some(version), _) => group.replace(now, ticket, version, body),
-            (None, None) => group.read(now, ticket),
+            (_, Some(node)) => group.retire_store(now, ticket, node, format!("storage-{node}")),
+            (Some(version), _) => group.replace_configuration(now, ticket, version, body),
+            (None, None) => group.read_configuration(now, ticket),
         });
     }
     fn answered(&mut self, ticket: u64, verdict: Verdict, state: Option<ControlState>) {
@@ -290,16 +292,16 @@
         let mut states = Vec::new();
         for node in self.nodes.iter_mut().filter(|n| !n.frozen) {
             let Some(group) = &mut node.group else { continue };
-            group.read(self.now + node.clock, 0);
-            let settled = group.settled(self.now + node.clock);
+            group.read_configuration(self.now + node.clock, 0);
+            let settled = group.readable_state(self.now + node.clock);
             // Of a full list the oldest complete one may go.
-            let settled = settled.filter(|state| state.retirements.len() < RETIREMENTS);
+            let settled = settled.filter(|state| state.retirements.len() < MAX_RETIREMENTS);
             let forgotten =
                 settled.is_some_and(|state| ordered.iter().any(|node| state.retirement(*node).is_none()));
             if forgotten {
                 self.fail("an acknowledged order to retire a store is forgotten");
             }
-            if let Some(Effect::ControlState { state, .. }) = group.take().pop() {
+            if let Some(Effect::ReadAnswer { state, .. }) = group.take_effects().pop() {
                 states.push(state.unwrap_or_default());
             }
         }
@@ -323,9 +325,9 @@
         loop {
             let node = &mut self.nodes[i];
             let Some(group) = &mut node.group else { return };
-            node.outbox.extend(group.take());
+            node.outbox.extend(group.take_effects());
             let now = self.now + node.clock;
-            node.due = group.next(now) - node.clock;
+            node.due = group.next_tick(now) - node.clock;
             if node.frozen {
                 return;
             }
@@ -346,12 +348,12 @@
     }
     fn carry(&mut self, i: usize, effect: Effect) {
         match effect {
-            Effect::Send { to, signal } => {
+            Effect::Send { to, message } => {
                 let to = index(to);
-                self.sent.push(signal.clone());
+                self.sent.push(message.clone());
                 if let Some(conn) = self.conns.get(&way(i, to)).copied() {
                     let after = self.in_turn((i, to), self.delay);
-                    self.at(after, to, Happening::Said { from: i, conn, signal });
+                    self.at(after, to, Happening::Said { from: i, conn, message });
                 }
             }
             Effect::Persist { ticket, record } => {
@@ -360,7 +362,7 @@
                 self.at(after, i, Happening::Synced);
             }
             Effect::Answer { ticket, verdict } => self.answered(ticket, verdict, None),
-            Effect::ControlState { ticket, state } => self.answered(ticket, Verdict::Unchanged, state),
+            Effect::ReadAnswer { ticket, state } => self.answered(ticket, Verdict::Unchanged, state),
             Effect::Committed { serial } => {
                 let state =
                     self.nodes[i].group.as_ref().and_then(|p| p.committed()).cloned().unwrap_or_default();
@@ -370,8 +372,8 @@
                 }
                 self.seen(&state, 0);
             }
-            Effect::RoleChanged { epoch, what } => self.note(format!("{i} {what} by {epoch}")),
-            Effect::Released => self.nodes[i].released = true,
+            Effect::RoleChanged { epoch, change } => self.note(format!("{i} {} by {epoch}", change.as_str())),
+            Effect::ReadyToExit => self.nodes[i].released = true,
         }
     }
     fn happen(&mut self, (i, life, what): To) {
@@ -388,8 +390,8 @@
                 return held.into_iter().for_each(|what| self.happen(what));
             }
             what if node.frozen => node.held.push((i, life, what)),
-            Happening::Said { from, conn, signal } if self.conns.get(&way(from, i)) == Some(&conn) => {
-                self.with(i, |group, now| group.signal(now, voter(from), signal));
+            Happening::Said { from, conn, message } if self.conns.get(&way(from, i)) == Some(&conn) => {
+                self.with(i, |group, now| group.handle_message(now, voter(from), message));
             }
             Happening::Synced => {
                 let Some((ticket, record)) = node.writing.pop_front() else { return };
@@ -399,9 +401,11 @@
             }
             Happening::Link { peer, up } if up == self.conns.contains_key(&way(i, peer)) => {
                 self.with(i, |group, now| {
-                    group.link(now, voter(peer), up);
                     if up {
-                        group.learn(voter(peer));
+                        group.peer_connected(now, voter(peer));
+                        group.add_learner(voter(peer));
+                    } else {
+                        group.peer_disconnected(now, voter(peer));
                     }
                 });
             }
@@ -458,7 +462,7 @@
         }
     }
     pub fn primary(&self) -> usize {
-        let leads = |n: &Node| n.group.as_ref().is_some_and(|p| p.leads(self.now + n.clock));
+        let leads = |n: &Node| n.group.as_ref().is_some_and(|p| p.holds_lease(self.now + n.clock));
         self.nodes.iter().position(leads).unwrap_or_else(|| self.fail("nobody leads"))
     }
     pub fn view(&self) -> View {
@@ -468,20 +472,20 @@
     pub fn voters(&self) -> Vec<usize> {
         self.view().voters.into_iter().map(index).collect()
     }
-    /// A copy beside the primary.
-    pub fn copy(&self) -> usize {
-        let others = self.view().copies.into_iter().map(index);
-        others.filter(|i| *i != self.primary()).min().unwrap_or_else(|| self.fail("no copy"))
+    /// A replica beside the primary.
+    pub fn replica(&self) -> usize {
+        let others = self.view().replicas.into_iter().map(index);
+        others.filter(|i| *i != self.primary()).min().unwrap_or_else(|| self.fail("no replica"))
     }
-    pub fn in_touch(&self, i: usize) -> bool {
+    pub fn is_in_contact(&self, i: usize) -> bool {
         let node = &self.nodes[i];
-        node.group.as_ref().is_some_and(|p| p.in_touch(self.now + node.clock))
+        node.group.as_ref().is_some_and(|p| p.is_in_contact(self.now + node.clock))
     }
     pub fn up(&self, i: usize) -> bool {
         self.nodes[i].group.is_some() && !self.nodes[i].frozen
     }
     pub fn release(&mut self, i: usize) {
         self.note(format!("{i} is told to end"));
-        self.with(i, |group, now| group.release(now));
+        self.with(i, |group, now| group.shut_down(now));
     }
 }
--- a/crates/model-check/src/choices.rs
+++ b/crates/model-check/src/choices.rs
@@ -1,7 +1,7 @@
 //! Where something could go another way than it does by itself.
 
 use crate::world::{Due, Grain, Kinds, Spans, Step, World, ROUND};
-use stileroute_control_group_planted::{Millis, Record, Signal};
+use stileroute_control_group_planted::{Message, Millis, Record};
 
 /// What takes another choice, at the state before a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -103,7 +103,7 @@
     },
 }
 
-/// Less than the silence after which others stand, about as long, and until another copy has been named.
+/// Less than the silence after which others stand, about as long, and until another replica has been named.
 const BACK: [Millis; 3] = [20, 1_100, 2_200];
 const FROZEN: [Millis; 3] = [300, 1_000, 2_200];
 const APART: [Millis; 2] = [500, 1_600];
@@ -176,7 +176,7 @@
             return;
         }
         let lost = self.nodes.iter().enumerate().filter(|(i, n)| *i != node && n.seen.lost).count();
-        let bearable = lost < self.bounds.losses;
+        let bearable = lost < self.bounds.tolerated_losses;
         if self.bounds.kinds == Kinds::Growth {
             return self.growth(node, bearable, choices);
         }
@@ -241,8 +241,8 @@
         match self.next() {
             Some((_, Step::Said(from, to))) => {
                 let head = self.wires[self.wire(from, to)].front();
-                let heartbeat = |s: &Signal| matches!(s, Signal::Heartbeat(_) | Signal::HeartbeatAck { .. });
-                if head.is_some_and(|(_, signal)| fine || !heartbeat(signal)) {
+                let heartbeat = |s: &Message| matches!(s, Message::Heartbeat(_) | Message::HeartbeatAck(_));
+                if head.is_some_and(|(_, message)| fine || !heartbeat(message)) {
                     choices.extend(LATE.map(|by| Choice::Late { from, to, by }));
                     choices.push(Choice::Lost { from, to });
                 }
@@ -310,7 +310,7 @@
                     self.cut(with, other, span);
                 }
             }
-            Choice::Release { node } => self.with(node, |group, now| group.release(now)),
+            Choice::Release { node } => self.with(node, |group, now| group.shut_down(now)),
             Choice::Late { from, to, by } => {
                 let (until, wire) = (self.next().map_or(self.now, |(at, _)| at) + by, self.wire(from, to));
                 self.wires[wire].iter_mut().for_each(|(due, _)| *due = (*due).max(until));
--- a/crates/model-check/src/invariants.rs
+++ b/crates/model-check/src/invariants.rs
@@ -2,7 +2,7 @@
 
 use crate::world::{index, World};
 use std::collections::BTreeMap;
-use stileroute_control_group_planted::{ControlState, Effect, Millis, Signal, View, Voter};
+use stileroute_control_group_planted::{ControlState, Effect, HeartbeatAck, Message, Millis, NodeId, View};
 
 /// Each in one sentence: its text is what the search prints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -70,7 +70,7 @@
     /// The highest of it.
     pub highest: u64,
     /// Who led by which epoch.
-    pub led: BTreeMap<u64, Voter>,
+    pub led: BTreeMap<u64, NodeId>,
     /// Answered as not done.
     pub never: Vec<ControlState>,
     pub breach: Option<Breach>,
@@ -82,7 +82,7 @@
     /// Committed in this life.
     pub committed: Option<ControlState>,
     /// By the disk that it has now.
-    pub granted: BTreeMap<u64, Voter>,
+    pub granted: BTreeMap<u64, NodeId>,
     /// Its disk was lost: it has no vote before these have told it enough.
     pub blank: bool,
     pub told: BTreeMap<usize, View>,
@@ -130,7 +130,7 @@
             self.invariants.learn(&state, "committed");
         }
         let group = self.nodes[i].group.as_ref();
-        let led = group.filter(|p| p.leads(now)).and_then(|p| p.view()).map(|w| (w.epoch, w.primary));
+        let led = group.filter(|p| p.holds_lease(now)).and_then(|p| p.view()).map(|w| (w.epoch, w.primary));
         if let Some((epoch, primary)) = led {
             let first = *self.invariants.led.entry(epoch).or_insert(primary);
             if first != primary {
@@ -145,7 +145,7 @@
     pub(crate) fn look_around(&mut self) {
         let answers = |(i, node): (usize, &crate::world::Node)| {
             let group = node.group.as_ref().filter(|_| !node.frozen)?;
-            group.answers(node.local(self.now)).then_some(i)
+            group.can_serve(node.local(self.now)).then_some(i)
         };
         let mut acting = self.nodes.iter().enumerate().filter_map(answers);
         let (may_answer, other) = (acting.next(), acting.next());
@@ -156,16 +156,17 @@
         let Some(may_answer) = may_answer else { return };
         self.read(may_answer);
         let view = self.nodes[may_answer].group.as_ref().and_then(|p| p.view()).cloned();
-        let (copies, voters) = view.map(|w| (w.copies, w.voters)).unzip();
+        let (replicas, voters) = view.map(|w| (w.replicas, w.voters)).unzip();
         let cut_off: Vec<bool> = (0..self.nodes.len())
             .map(|i| (0..self.nodes.len()).any(|peer| peer != i && self.cuts[self.way(i, peer)] > 0))
             .collect();
         // While as many vote as did before; else one that was left out is not replaced yet.
-        let complete = voters.as_ref().is_some_and(|v: &Vec<Voter>| v.len() >= self.bounds.nodes);
+        let complete = voters.as_ref().is_some_and(|v: &Vec<NodeId>| v.len() >= self.bounds.nodes);
         for (i, node) in self.nodes.iter_mut().enumerate().filter(|(_, n)| n.seen.lost) {
-            let named = copies.iter().flatten().any(|copy| index(*copy) == i);
+            let named = replicas.iter().flatten().any(|replica| index(*replica) == i);
             let votes = voters.iter().flatten().any(|voter| index(*voter) == i);
-            let whole = node.group.as_ref().is_some_and(|p| !p.blank() && (!named || !p.unfilled()));
+            let whole =
+                node.group.as_ref().is_some_and(|p| !p.is_awaiting_view() && (!named || p.has_state()));
             let replaced = !named && !votes;
             node.seen.lost =
                 !complete || if node.gone { !replaced } else { !whole || (node.presumed && cut_off[i]) };
@@ -176,8 +177,8 @@
         let node = &mut self.nodes[i];
         let now = node.local(self.now);
         let Some(group) = &mut node.group else { return };
-        group.read(now, 0);
-        let Some(Effect::ControlState { state, .. }) = group.take().pop() else { return };
+        group.read_configuration(now, 0);
+        let Some(Effect::ReadAnswer { state, .. }) = group.take_effects().pop() else { return };
         let (state, highest) = (state.unwrap_or_default(), self.invariants.highest);
         if state.version < highest {
             let evidence = format!("node {i} answers {} after {highest}", state.version);
@@ -189,9 +190,12 @@
     }
 
     /// Before it is sent.
-    pub(crate) fn look_at_signal(&mut self, i: usize, signal: &Signal) {
+    pub(crate) fn look_at_message(&mut self, i: usize, message: &Message) {
         let node = &mut self.nodes[i];
-        let votes = matches!(signal, Signal::Granted { .. } | Signal::HeartbeatAck { votes: true, .. });
+        let votes = matches!(
+            message,
+            Message::Granted { .. } | Message::HeartbeatAck(HeartbeatAck { is_voting: true, .. })
+        );
         if votes && node.seen.blank {
             let highest = node.seen.told.values().max_by_key(|w| w.epoch);
             let told =
@@ -202,7 +206,7 @@
             }
             self.nodes[i].seen.blank = false;
         }
-        let Signal::Granted { view } = signal else { return };
+        let Message::Granted { view } = message else { return };
         let node = &mut self.nodes[i];
         if node.disk.view.as_ref().is_none_or(|disk| disk.epoch < view.epoch) {
             self.invariants.fail(Property::GrantOnDisk, format!("node {i} grants epoch {}", view.epoch));
@@ -233,7 +237,7 @@
             return true;
         }
         let may_answer = |node: &&crate::world::Node| {
-            !node.frozen && node.group.as_ref().is_some_and(|p| p.answers(node.local(self.now)))
+            !node.frozen && node.group.as_ref().is_some_and(|p| p.can_serve(node.local(self.now)))
         };
         let view = self.nodes.iter().find(may_answer).and_then(|n| n.group.as_ref()).and_then(|p| p.view());
         let Some(view) = view else { return false };
--- a/crates/model-check/src/main.rs
+++ b/crates/model-check/src/main.rs
@@ -129,7 +129,7 @@
     let bounds = Bounds {
         nodes: words.nodes,
         spares: words.spares,
-        losses: (words.nodes - 1) / 2,
+        tolerated_losses: (words.nodes - 1) / 2,
         troubles: words.troubles,
         delays: words.delays,
         grain: if words.fine { Grain::Fine } else { Grain::Coarse },
--- a/crates/model-check/src/proof.rs
+++ b/crates/model-check/src/proof.rs
@@ -8,7 +8,7 @@
 pub const THREE: Bounds = Bounds {
     nodes: 3,
     spares: 0,
-    losses: 1,
+    tolerated_losses: 1,
     troubles: 1,
     delays: 0,
     grain: Grain::Coarse,
@@ -19,7 +19,7 @@
     script: 0,
     planted: None,
 };
-const FIVE: Bounds = Bounds { nodes: 5, losses: 2, ..THREE };
+const FIVE: Bounds = Bounds { nodes: 5, tolerated_losses: 2, ..THREE };
 
 /// The primary's clock is slow and the others' are fast, and nobody waits at random before it stands.
 const DRIFTING: Bounds = Bounds { drift: Drift::FirstSlow, chance: Chance::Soonest, ..THREE };
--- a/crates/model-check/src/world/bounds.rs
+++ b/crates/model-check/src/world/bounds.rs
@@ -1,6 +1,6 @@
 //! The bounds of a search: how many nodes and troubles, how long these last, how clocks run, and what operators ask for.
 
-use stileroute_control_group_planted::{Planted, MAX_CLOCK_DRIFT};
+use stileroute_control_group_planted::{Planted, MAX_CLOCK_DRIFT_PER_MILLE};
 
 /// At which steps a choice is offered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -46,7 +46,7 @@
 impl Drift {
     /// By how much the clock of node `i` gains on true time, in thousandths.
     pub(super) fn rate(self, i: usize) -> i64 {
-        let (slow, bound) = (i == 0, MAX_CLOCK_DRIFT as i64);
+        let (slow, bound) = (i == 0, MAX_CLOCK_DRIFT_PER_MILLE as i64);
         match self {
             Drift::None => 0,
             Drift::FirstSlow => {
@@ -91,7 +91,7 @@
     /// Control nodes that start first, and those that may come later, empty, at addresses of their own.
     pub nodes: usize,
     pub spares: usize,
-    pub losses: usize,
+    pub tolerated_losses: usize,
     /// Most troubles: an end, a loss of power or disk, a freeze, a cut, an orderly end.
     pub troubles: u8,
     /// Most delays: a message or disk late, a message lost, a record refused.
--- a/crates/model-check/src/world/connections.rs
+++ b/crates/model-check/src/world/connections.rs
@@ -1,24 +1,24 @@
 //! The connections between nodes: which are there, and what is under way on them.
 
 use super::{Due, World};
-use stileroute_control_group_planted::{Millis, Signal, Voter};
+use stileroute_control_group_planted::{Message, Millis, NodeId};
 
 /// Both ends notice a new connection after so long.
 const NOTICED: Millis = 2;
 
 /// The address of this node.
-pub(crate) fn voter(i: usize) -> Voter {
-    Voter::new([10, 0, 0, i as u8 + 1].into(), 9000)
+pub(crate) fn voter(i: usize) -> NodeId {
+    NodeId::new([10, 0, 0, i as u8 + 1].into(), 9000)
 }
 
 /// The node at this address.
-pub(crate) fn index(voter: Voter) -> usize {
+pub(crate) fn index(voter: NodeId) -> usize {
     usize::from(voter.ip().octets()[3]) - 1
 }
 
 /// A heartbeat, or the answer to one.
-pub(super) fn heartbeat(signal: &Signal) -> bool {
-    matches!(signal, Signal::Heartbeat(_) | Signal::HeartbeatAck { .. })
+pub(super) fn heartbeat(message: &Message) -> bool {
+    matches!(message, Message::Heartbeat(_) | Message::HeartbeatAck(_))
 }
 
 impl World {
--- a/crates/model-check/src/world/digest.rs
+++ b/crates/model-check/src/world/digest.rs
@@ -4,7 +4,7 @@
 use super::nodes::Node;
 use super::{Due, World};
 use std::hash::{Hash, Hasher};
-use stileroute_control_group_planted::{Fingerprinter, Millis, Signal, Voter};
+use stileroute_control_group_planted::{Fingerprinter, Message, Millis, NodeId};
 
 impl World {
     /// Whatever decides what may follow, with all times counted from now.
@@ -12,8 +12,9 @@
         let mut hasher = Mixer::default();
         let now = self.now;
         let away = |at: Millis| at as i64 - now as i64;
-        let serial = |(i, node): (usize, &Node)| (voter(i), node.group.as_ref().map_or(0, |p| p.serial()));
-        let serials: Vec<(Voter, u64)> = self.nodes.iter().enumerate().map(serial).collect();
+        let serial =
+            |(i, node): (usize, &Node)| (voter(i), node.group.as_ref().map_or(0, |p| p.last_write_id()));
+        let serials: Vec<(NodeId, u64)> = self.nodes.iter().enumerate().map(serial).collect();
         for (i, node) in self.nodes.iter().enumerate() {
             (node.frozen, node.gone, node.presumed, &node.disk, node.wiped, node.group.is_some())
                 .hash(&mut hasher);
@@ -40,14 +41,13 @@
         for (at, wire) in self.wires.iter().enumerate() {
             let (from, to) = (at / self.nodes.len(), at % self.nodes.len());
             (wire.len(), self.held[at].saturating_sub(now)).hash(&mut hasher);
-            for (due, signal) in wire {
+            for (due, message) in wire {
                 away(*due).max(0).hash(&mut hasher);
                 // An ack tells the time of the clock that it goes to.
-                let clock =
-                    &self.nodes[if matches!(signal, Signal::HeartbeatAck { .. }) { to } else { from }];
+                let clock = &self.nodes[if matches!(message, Message::HeartbeatAck(_)) { to } else { from }];
                 let mut fingerprinter =
                     Fingerprinter { hasher: &mut hasher, now: clock.local(now), serials: &serials };
-                fingerprinter.signal(voter(from), voter(to), signal);
+                fingerprinter.message(voter(from), voter(to), message);
             }
         }
         for call in &self.calls {
--- a/crates/model-check/src/world/mod.rs
+++ b/crates/model-check/src/world/mod.rs
@@ -18,7 +18,7 @@
 use crate::invariants::Invariants;
 use nodes::random_state;
 use std::collections::VecDeque;
-use stileroute_control_group_planted::{Millis, Signal};
+use stileroute_control_group_planted::{Message, Millis};
 
 /// Troubles end at multiples of this.
 pub(crate) const ROUND: Millis = 50;
@@ -62,7 +62,7 @@
     pub now: Millis,
     pub(crate) nodes: Vec<Node>,
     /// From one to another, in order.
-    pub(crate) wires: Vec<VecDeque<(Millis, Signal)>>,
+    pub(crate) wires: Vec<VecDeque<(Millis, Message)>>,
     pub(crate) joined: Vec<bool>,
     pub(crate) cuts: Vec<u8>,
     /// Nothing arrives this way before then; what is sent meanwhile waits.
--- a/crates/model-check/src/world/nodes.rs
+++ b/crates/model-check/src/world/nodes.rs
@@ -4,7 +4,7 @@
 use super::{Due, World};
 use crate::invariants::Seen;
 use std::collections::VecDeque;
-use stileroute_control_group_planted::{ControlGroup, Effect, GroupSettings, Millis, Persisted, Record};
+use stileroute_control_group_planted::{ControlGroup, Effect, GroupSettings, Millis, PersistedState, Record};
 
 /// One node: its process, if it runs, its clock and its disk.
 #[derive(Clone, Default)]
@@ -14,7 +14,7 @@
     /// What its clock shows at the start of all, and what it gains from then on, in thousandths.
     pub clock: Millis,
     pub rate: i64,
-    pub disk: Persisted,
+    pub disk: PersistedState,
     pub writing: VecDeque<(Millis, u64, Record)>,
     pub wiped: bool,
     pub frozen: bool,
@@ -48,8 +48,13 @@
         // Serials of one life don't follow those of another.
         let seed = (i as u64 + 1) * 1_000_000 + node.life * 10_000;
         let seeds = (0..bounds.nodes).map(voter).collect();
-        let mut settings =
-            GroupSettings::new(voter(i), seeds, node.life == 0 && i < bounds.nodes, bounds.losses, seed);
+        let mut settings = GroupSettings::new(
+            voter(i),
+            seeds,
+            node.life == 0 && i < bounds.nodes,
+            bounds.tolerated_losses,
+            seed,
+        );
         settings.planted = bounds.planted;
         node.group = Some(ControlGroup::new(settings, node.disk.clone(), node.local(self.now)));
         node.life += 1;
@@ -71,7 +76,7 @@
         node.seen.committed = None;
         node.seen.told.clear();
         if wipe {
-            node.disk = Persisted::default();
+            node.disk = PersistedState::default();
         }
         if node.disk.view.is_none() {
             // Nothing was synced yet: that is no other than a disk that was lost.
--- a/crates/model-check/src/world/operators.rs
+++ b/crates/model-check/src/world/operators.rs
@@ -69,7 +69,9 @@
     pub(super) fn ask(&mut self, at: usize, call: usize, attempt: u64) {
         let ControlState { version, body, .. } = self.calls[call].state.clone();
         self.note(|| format!("node {at} is asked for {version}, call {call}"));
-        self.with(at, |group, now| group.replace(now, call as u64 * 1_000 + attempt, version, body));
+        self.with(at, |group, now| {
+            group.replace_configuration(now, call as u64 * 1_000 + attempt, version, body)
+        });
     }
 
     pub(super) fn answered(&mut self, i: usize, ticket: u64, verdict: Verdict) {
@@ -96,7 +98,7 @@
                 c.done = Some(verdict);
                 return self.ended_call(call);
             }
-            Verdict::NotDone if !c.unclear && !calm => {
+            Verdict::NotCommitted if !c.unclear && !calm => {
                 c.done = Some(verdict);
                 self.invariants.never.push(state.clone());
                 if self.invariants.known.get(&state.version) == Some(&state.body) {
--- a/crates/model-check/src/world/steps.rs
+++ b/crates/model-check/src/world/steps.rs
@@ -1,9 +1,9 @@
 //! The step loop: what is due first, and how it is carried out.
 
 use super::connections::{heartbeat, index, voter};
-use super::trace::{record_text, signal_text};
+use super::trace::{message_text, record_text};
 use super::{Due, World};
-use stileroute_control_group_planted::{ControlGroup, Effect, Millis, Signal};
+use stileroute_control_group_planted::{ControlGroup, Effect, Message, Millis, RoleChange};
 
 /// A message takes so long.
 const HOP: Millis = 4;
@@ -33,13 +33,13 @@
         what(group, now);
         group.tick(now);
         let weighty = {
-            let effects = group.take();
+            let effects = group.take_effects();
             let weighty =
-                effects.iter().any(|e| !matches!(e, Effect::Send { signal, .. } if heartbeat(signal)));
+                effects.iter().any(|e| !matches!(e, Effect::Send { message, .. } if heartbeat(message)));
             node.outbox.extend(effects);
             weighty
         };
-        let next = group.next(now);
+        let next = group.next_tick(now);
         node.due = node.when(next);
         self.touched = Some((i, weighty));
         self.look_at(i);
@@ -106,14 +106,14 @@
             }
             Step::Said(from, to) => {
                 let wire = self.wire(from, to);
-                let Some((_, signal)) = self.wires[wire].pop_front() else { return };
-                if !heartbeat(&signal) {
-                    self.note(|| format!("node {to} hears from {from}: {}", signal_text(&signal)));
+                let Some((_, message)) = self.wires[wire].pop_front() else { return };
+                if !heartbeat(&message) {
+                    self.note(|| format!("node {to} hears from {from}: {}", message_text(&message)));
                 }
-                if let Signal::TellView { view: Some(view) } = &signal {
+                if let Message::ViewReply { view: Some(view) } = &message {
                     self.nodes[to].seen.told.insert(from, view.clone());
                 }
-                self.with(to, |group, now| group.signal(now, voter(from), signal));
+                self.with(to, |group, now| group.handle_message(now, voter(from), message));
             }
             Step::Synced(i) => self.synced(i, true),
             Step::Tick(i) => self.with(i, |_, _| ()),
@@ -132,16 +132,16 @@
     }
 
     fn carry(&mut self, i: usize, effect: Effect) {
-        self.touched = Some((i, !matches!(&effect, Effect::Send { signal, .. } if heartbeat(signal))));
+        self.touched = Some((i, !matches!(&effect, Effect::Send { message, .. } if heartbeat(message))));
         match effect {
-            Effect::Send { to, signal } => {
+            Effect::Send { to, message } => {
                 let to = index(to);
-                self.look_at_signal(i, &signal);
+                self.look_at_message(i, &message);
                 if self.joined[self.way(i, to)] {
                     let wire = self.wire(i, to);
                     let last = self.wires[wire].back().map_or(0, |(due, _)| *due);
                     let due = (self.now + HOP).max(last).max(self.held[wire]);
-                    self.wires[wire].push_back((due, signal));
+                    self.wires[wire].push_back((due, message));
                 }
             }
             Effect::Persist { ticket, record } => {
@@ -151,17 +151,17 @@
                 node.writing.push_back((due, ticket, record));
             }
             Effect::Answer { ticket, verdict } => self.answered(i, ticket, verdict),
-            Effect::ControlState { .. } => {}
+            Effect::ReadAnswer { .. } => {}
             Effect::Committed { serial } => {
                 self.note(|| format!("node {i} has the value {serial} committed"))
             }
-            Effect::RoleChanged { epoch, what } => {
-                self.note(|| format!("node {i} {what} by {epoch}"));
-                if what == "stands" {
+            Effect::RoleChanged { epoch, change } => {
+                self.note(|| format!("node {i} {} by {epoch}", change.as_str()));
+                if change == RoleChange::BecameCandidate {
                     self.look_at_candidate(i);
                 }
             }
-            Effect::Released => {
+            Effect::ReadyToExit => {
                 self.note(|| format!("node {i} may end"));
                 self.at(1, Due::End(i));
             }
@@ -187,7 +187,7 @@
             Due::Start(i) => self.start(i),
             Due::Retire(i) => {
                 self.note(|| format!("node {i} is told to end"));
-                self.with(i, |group, now| group.release(now));
+                self.with(i, |group, now| group.shut_down(now));
             }
             Due::Heal(a, b) => {
                 self.note(|| format!("{a} and {b} meet again"));
@@ -202,9 +202,11 @@
             Due::Link { at, peer, up } => {
                 if self.joined[self.way(at, peer)] == up {
                     self.with(at, |group, now| {
-                        group.link(now, voter(peer), up);
                         if up {
-                            group.learn(voter(peer));
+                            group.peer_connected(now, voter(peer));
+                            group.add_learner(voter(peer));
+                        } else {
+                            group.peer_disconnected(now, voter(peer));
                         }
                     });
                 }
--- a/crates/model-check/src/world/trace.rs
+++ b/crates/model-check/src/world/trace.rs
@@ -1,17 +1,19 @@
 //! Messages and records as text, for the trace of a world.
 
 use super::connections::index;
-use stileroute_control_group_planted::{Record, Signal};
+use stileroute_control_group_planted::{Message, Record};
 
-pub(super) fn signal_text(signal: &Signal) -> String {
-    match signal {
-        Signal::Store { epoch, serial, state } => format!("store {} by {epoch} ({serial})", state.version),
-        Signal::Propose { view, released } => {
-            let freed = if *released { ", released" } else { "" };
+pub(super) fn message_text(message: &Message) -> String {
+    match message {
+        Message::Store { epoch, write_id, state } => {
+            format!("store {} by {epoch} ({write_id})", state.version)
+        }
+        Message::Propose { view, by_handover } => {
+            let freed = if *by_handover { ", released" } else { "" };
             format!("propose epoch {} for {}{freed}", view.epoch, index(view.primary))
         }
-        Signal::Granted { view } => format!("granted epoch {} to {}", view.epoch, index(view.primary)),
-        Signal::Denied { view } => {
+        Message::Granted { view } => format!("granted epoch {} to {}", view.epoch, index(view.primary)),
+        Message::Denied { view } => {
             format!(
                 "denied, by epoch {} of {}, drawn {}",
                 view.epoch,
@@ -19,7 +21,7 @@
                 view.membership_epoch
             )
         }
-        Signal::TellView { view: Some(view) } => {
+        Message::ViewReply { view: Some(view) } => {
             format!(
                 "this view: epoch {} of {}, drawn {}",
                 view.epoch,
@@ -27,7 +29,7 @@
                 view.membership_epoch
             )
         }
-        Signal::TellState { state } => format!("this state: {}", state.version),
+        Message::StateReply { state } => format!("this state: {}", state.version),
         other => format!("{other:?}"),
     }
 }
@@ -35,9 +37,9 @@
 pub(super) fn record_text(record: &Record) -> String {
     match record {
         Record::View(view) => {
-            let copies: Vec<usize> = view.copies.iter().map(|c| index(*c)).collect();
+            let replicas: Vec<usize> = view.replicas.iter().map(|c| index(*c)).collect();
             format!(
-                "view: epoch {} of {}, copies {copies:?}, drawn {}",
+                "view: epoch {} of {}, replicas {replicas:?}, drawn {}",
                 view.epoch,
                 index(view.primary),
                 view.membership_epoch
@@ -46,7 +48,7 @@
         Record::ControlState(state) => {
             format!("state {}: {}", state.version, String::from_utf8_lossy(&state.body))
         }
-        Record::Unnumbered(old) => format!("state {} of an older build", old.version),
-        Record::Vote { epoch, to } => format!("vote by {epoch} to {}", index(*to)),
+        Record::LegacyConfiguration(old) => format!("state {} of an older build", old.version),
+        Record::Vote(vote) => format!("vote by {} to {}", vote.epoch, index(vote.primary)),
     }
 }
--- a/crates/server/src/core.rs
+++ b/crates/server/src/core.rs
@@ -67,7 +67,7 @@
             .map_err(|e| miette::miette!("{}: {e}", dir.display()))?;
         let losses = boot.losses.machines;
         let settings = GroupSettings::new(at, boot.seeds.clone(), boot.first_start, losses, lot());
-        let settings = GroupSettings { places: boot.losses.places(), ..settings };
+        let settings = GroupSettings { survives_domain_loss: boot.losses.places(), ..settings };
         let bounds = Bounds { body: LARGEST_BODY, ..Bounds::default() };
         let control =
             common.net.listen(at, Some(bounds)).map_err(|e| miette::miette!("control address: {e}"))?;
@@ -75,7 +75,11 @@
         let me = member_of(common.links.me(), 0);
         let registry = Registry::new(me, lot(), common.boot.beat_interval_ms, now);
         let group = ControlGroup::new(settings, ledger.0, now);
-        tracing::info!(blank = group.blank(), epoch = group.view().map_or(0, |w| w.epoch), "disk read");
+        tracing::info!(
+            blank = group.is_awaiting_view(),
+            epoch = group.view().map_or(0, |w| w.epoch),
+            "disk read"
+        );
         Ok(Core {
             control,
             group,
@@ -93,7 +97,7 @@
     pub fn run(mut self) -> miette::Result<()> {
         loop {
             let now = self.common.net.now();
-            let until = self.group.next(now).min(self.registry.next());
+            let until = self.group.next_tick(now).min(self.registry.next());
             let (link_events, events) = self.common.turn(until);
             link_events.into_iter().for_each(|link_event| self.link_event(link_event));
             events.into_iter().for_each(|event| self.event(event));
@@ -106,7 +110,7 @@
             self.look_after_retirements(now);
             self.give_up_overdue(now);
             if self.common.told_to_end() {
-                self.group.release(now);
+                self.group.shut_down(now);
                 self.carry_out();
             }
             if self.may_end(now) {
@@ -157,8 +161,8 @@
         match link_event {
             LinkEvent::Up(hello) if hello.class == Class::Core => {
                 if let Some(control) = hello.control {
-                    self.group.link(now, control, true);
-                    self.group.learn(control);
+                    self.group.peer_connected(now, control);
+                    self.group.add_learner(control);
                 }
                 self.registry.core_up(now, member_of(&hello, 0));
             }
@@ -166,7 +170,7 @@
             LinkEvent::Down(node, Class::Core) => {
                 let control = self.registry.members.iter().find(|m| m.node == node).and_then(|m| m.control);
                 if let Some(control) = control {
-                    self.group.link(now, control, false);
+                    self.group.peer_disconnected(now, control);
                 }
                 // It may have settled what was passed to it.
                 for (place, kind) in self.in_hand.lost(node) {
@@ -185,7 +189,7 @@
             }
             LinkEvent::Said(from, Class::Core, Signal::Control(signal)) => {
                 if let Some(voter) = self.common.links.hello(from).and_then(|h| h.control) {
-                    self.group.signal(now, voter, signal);
+                    self.group.handle_message(now, voter, signal);
                 }
             }
             LinkEvent::Said(from, Class::Core, Signal::Sessions(members)) => {
@@ -289,7 +293,7 @@
 
     fn carry_out(&mut self) {
         loop {
-            let effects = self.group.take();
+            let effects = self.group.take_effects();
             if effects.is_empty() {
                 return;
             }
@@ -299,22 +303,24 @@
 
     fn effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Send { to, signal } => {
+            Effect::Send { to, message } => {
                 if let Some(node) = self.common.links.by_control(to) {
-                    self.common.links.say(&mut self.common.net, node, &Signal::Control(signal));
+                    self.common.links.say(&mut self.common.net, node, &Signal::Control(message));
                 }
             }
             Effect::Persist { ticket, record } => {
                 self.disk.append(ticket, vec![ledger::bytes(&record)], true);
             }
             Effect::Answer { ticket, verdict } => self.answered(ticket, verdict),
-            Effect::ControlState { ticket, state } => {
+            Effect::ReadAnswer { ticket, state } => {
                 let settings = state.map_or(Settings::None, |state| Settings::Whole(state.body));
                 self.said(ticket, settings.into());
             }
             Effect::Committed { .. } => self.committed(),
-            Effect::RoleChanged { epoch, what } => tracing::info!(epoch, what, "control duty"),
-            Effect::Released => self.released = Some(self.common.net.now()),
+            Effect::RoleChanged { epoch, change } => {
+                tracing::info!(epoch, what = change.as_str(), "control duty")
+            }
+            Effect::ReadyToExit => self.released = Some(self.common.net.now()),
         }
     }
 
@@ -324,7 +330,7 @@
         match verdict {
             Verdict::NotPrimary { primary } => self.pass(place, primary),
             Verdict::Uncertain => self.said(place, kind.uncertain()),
-            Verdict::NotDone => self.said(place, kind.not_now()),
+            Verdict::NotCommitted => self.said(place, kind.not_now()),
             Verdict::Accepted | Verdict::Unchanged if kind == PassedKind::RetireBegin => {
                 self.in_hand.await_store(place);
             }
@@ -341,7 +347,7 @@
         if verdict == Verdict::Accepted {
             return Some(Replaced::InForce(InForce::new(version, body, true)));
         }
-        let held = self.group.held();
+        let held = self.group.state();
         Some(Replaced::InForce(InForce::new(held.version, &held.body, body == held.body)))
     }
 
@@ -367,7 +373,7 @@
 
     /// Who is there, and who is told of it.
     fn tell(&mut self, now: Millis) {
-        let in_touch = self.group.in_touch(now);
+        let in_touch = self.group.is_in_contact(now);
         if now >= self.heard_at {
             self.heard_at = now + HEARD;
             for core in self.common.links.class(Class::Core) {
@@ -433,7 +439,7 @@
             },
         );
         // Cut off from the others it could not tell them: the executor is to tell another as well.
-        Some(Heard { beat_url, told: self.group.in_touch(now) || !self.registry.ready })
+        Some(Heard { beat_url, told: self.group.is_in_contact(now) || !self.registry.ready })
     }
 }
 
@@ -448,7 +454,7 @@
     fn settle(&mut self, place: u64, call: Replace) -> Option<Replaced> {
         let now = self.common.net.now();
         self.in_hand.keep(place, Passed::Replace { version: call.version, body: call.body.clone() });
-        self.group.replace(now, place, call.version, call.body);
+        self.group.replace_configuration(now, place, call.version, call.body);
         self.carry_out();
         None
     }
@@ -458,7 +464,7 @@
     fn settle(&mut self, place: u64, _: ReadSettings) -> Option<Settings> {
         let now = self.common.net.now();
         self.in_hand.keep(place, Passed::Read);
-        self.group.read(now, place);
+        self.group.read_configuration(now, place);
         self.carry_out();
         None
     }
--- a/crates/server/src/core/ledger.rs
+++ b/crates/server/src/core/ledger.rs
@@ -1,6 +1,6 @@
 //! The control node's records on disk.
 
-use stileroute_control_group::{Persisted, Record};
+use stileroute_control_group::{PersistedState, Record};
 use stileroute_wal::Fold;
 
 /// A record as the log takes it.
@@ -10,7 +10,7 @@
 
 /// What all records amount to.
 #[derive(Default)]
-pub struct Ledger(pub Persisted);
+pub struct Ledger(pub PersistedState);
 
 impl Fold for Ledger {
     fn apply(&mut self, record: &[u8]) {
--- a/crates/server/src/core/report.rs
+++ b/crates/server/src/core/report.rs
@@ -40,10 +40,10 @@
             "control" => self.common.boot.control.map(|at| at.to_string()),
             "epoch" => self.group.view().map_or(0, |w| w.epoch),
             "primary" => self.group.primary().map(|p| p.to_string()),
-            "copies" => self.group.view().map_or(JsonValue::Null, |w| list(&w.copies)),
+            "copies" => self.group.view().map_or(JsonValue::Null, |w| list(&w.replicas)),
             "voters" => self.group.view().map_or(JsonValue::Null, |w| list(&w.voters)),
-            "leads" => self.group.leads(now),
-            "blank" => self.group.blank(),
+            "leads" => self.group.holds_lease(now),
+            "blank" => self.group.is_awaiting_view(),
         };
         let executors: Vec<JsonValue> = self
             .registry
@@ -76,9 +76,9 @@
         );
         let epoch = self.group.view().map_or(0, |w| w.epoch);
         sheet.gauge("stileroute_control_epoch", "Epoch of the control duty.", &[], epoch);
-        let leads = u8::from(self.group.leads(now));
+        let leads = u8::from(self.group.holds_lease(now));
         sheet.gauge("stileroute_control_leads", "1: this node decides, and its lease holds.", &[], leads);
-        let blank = u8::from(self.group.blank());
+        let blank = u8::from(self.group.is_awaiting_view());
         sheet.gauge(
             "stileroute_control_blank",
             "1: it has lost its disk and has not learned yet.",
--- a/crates/server/src/core/retire.rs
+++ b/crates/server/src/core/retire.rs
@@ -7,7 +7,7 @@
 use crate::node::number;
 use crate::signals::{Class, Passed, Retiring, Signal};
 use std::collections::BTreeMap;
-use stileroute_control_group::{ControlState, Stage};
+use stileroute_control_group::{ControlState, RetirementStage};
 use stileroute_queue::Node;
 use stileroute_registry::Registry;
 
@@ -69,17 +69,17 @@
     let stage = agreed.and_then(|state| state.retirement(number(name))).map(|retirement| retirement.stage);
     let says = registry.store(name).map(|store| store.retiring);
     match (stage, says) {
-        (Some(Stage::Complete), None | Some(Retiring::Complete)) => Some(Retired::Complete),
+        (Some(RetirementStage::Complete), None | Some(Retiring::Complete)) => Some(Retired::Complete),
         (Some(_), _) => Some(Retired::Rolling),
         (None, _) => None,
     }
 }
 
-fn stage(retiring: Retiring) -> Option<Stage> {
+fn stage(retiring: Retiring) -> Option<RetirementStage> {
     match retiring {
         Retiring::No => None,
-        Retiring::Rolling => Some(Stage::Rolling),
-        Retiring::Complete => Some(Stage::Complete),
+        Retiring::Rolling => Some(RetirementStage::Draining),
+        Retiring::Complete => Some(RetirementStage::Complete),
     }
 }
 
@@ -121,17 +121,19 @@
 
     /// At the primary.
     fn note_stages(&mut self, now: Millis) {
-        let Some(held) = self.group.settled(now).filter(|held| !held.retirements.is_empty()) else { return };
+        let Some(held) = self.group.readable_state(now).filter(|held| !held.retirements.is_empty()) else {
+            return;
+        };
         let further = |retirement: &stileroute_control_group::Retirement| {
             let says = stage(self.registry.store(&retirement.name)?.retiring)?;
             (says > retirement.stage).then_some((retirement.node, says))
         };
-        let steps: Vec<(Node, Stage)> = held.retirements.iter().filter_map(further).collect();
+        let steps: Vec<(Node, RetirementStage)> = held.retirements.iter().filter_map(further).collect();
         if steps.is_empty() {
             return;
         }
         for (node, stage) in steps {
-            self.group.advance(now, node, stage);
+            self.group.advance_retirement(now, node, stage);
         }
         self.carry_out();
     }
@@ -151,12 +153,12 @@
     fn confirmed(&self, name: &str) -> bool {
         let agreed = self.group.committed().and_then(|state| state.retirement(number(name)));
         let says = self.registry.store(name).is_some_and(|store| store.retiring != Retiring::No);
-        agreed.is_some_and(|retirement| says || retirement.stage != Stage::Ordered)
+        agreed.is_some_and(|retirement| says || retirement.stage != RetirementStage::Ordered)
     }
 
     fn judge(&self, now: Millis, name: &str) -> Option<Judgement> {
-        let held = self.group.settled(now)?;
-        let soon: Vec<Node> = self.group.retiring_soon().collect();
+        let held = self.group.readable_state(now)?;
+        let soon: Vec<Node> = self.group.pending_retirements().collect();
         let suffice = |zones: &[&str]| self.common.boot.suffice(zones.iter().copied());
         Some(judge(name, held, &soon, &self.registry, suffice))
     }
@@ -179,7 +181,7 @@
             Judgement::NotNow => return Some(Retire::NotNow),
             Judgement::Known => self.in_hand.await_store(place),
             Judgement::Take => {
-                self.group.retire(now, place, number(&name), name);
+                self.group.retire_store(now, place, number(&name), name);
                 self.carry_out();
             }
         }
@@ -195,13 +197,13 @@
         }
         self.in_hand.keep(place, Passed::RetireRead { node: name.clone() });
         // Only who decides can say that there is no such order.
-        if self.group.settled(now).is_none() {
+        if self.group.readable_state(now).is_none() {
             self.pass(place, self.group.primary());
             return None;
         }
         let says = self.registry.store(&name).and_then(|store| stage(store.retiring));
         Some(match says {
-            Some(Stage::Complete) => Retired::Complete,
+            Some(RetirementStage::Complete) => Retired::Complete,
             Some(_) => Retired::Rolling,
             None if self.registry.ready => Retired::Unknown,
             None => Retired::NotNow,
--- a/crates/server/src/core/tests.rs
+++ b/crates/server/src/core/tests.rs
@@ -8,7 +8,7 @@
 use crate::signals::{Class, Member, Passed, PassedKind, Retiring};
 use assert_matches::assert_matches;
 use std::net::Ipv4Addr;
-use stileroute_control_group::{ControlState, Record, Retirement, Stage, RETIREMENTS};
+use stileroute_control_group::{ControlState, Record, Retirement, RetirementStage, MAX_RETIREMENTS};
 use stileroute_registry::Registry;
 use stileroute_wal::{Fold, MAX_RECORD};
 
@@ -120,8 +120,8 @@
     registry
 }
 
-fn held(retirements: &[(&str, Stage)]) -> ControlState {
-    let one = |(name, stage): &(&str, Stage)| Retirement {
+fn held(retirements: &[(&str, RetirementStage)]) -> ControlState {
+    let one = |(name, stage): &(&str, RetirementStage)| Retirement {
         node: number(name),
         name: name.to_string(),
         stage: *stage,
@@ -151,17 +151,17 @@
         "they may come to nothing"
     );
     // They are agreed on, and no store has said so yet.
-    let agreed = held(&[("s-1", Stage::Ordered), ("s-2", Stage::Ordered)]);
+    let agreed = held(&[("s-1", RetirementStage::Ordered), ("s-2", RetirementStage::Ordered)]);
     assert_eq!(judged("s-3", &agreed, &[], &registry), Judgement::TooFew);
     // One that was said to be empty is gone by now, and one that never was a member counts for none.
-    assert_eq!(judged("s-1", &held(&[("s-9", Stage::Complete)]), &[], &registry), Judgement::Take);
+    assert_eq!(judged("s-1", &held(&[("s-9", RetirementStage::Complete)]), &[], &registry), Judgement::Take);
     assert_eq!(judged("s-9", &none, &[], &registry), Judgement::Unknown);
 }
 
 #[test]
 fn an_order_sent_again_is_never_refused_also_when_the_machine_is_gone() {
     let left = registry(&FOUR[1..3], true);
-    for stage in [Stage::Ordered, Stage::Rolling, Stage::Complete] {
+    for stage in [RetirementStage::Ordered, RetirementStage::Draining, RetirementStage::Complete] {
         assert_eq!(judged("s-1", &held(&[("s-1", stage)]), &[], &left), Judgement::Known);
     }
 }
@@ -175,8 +175,8 @@
 
 #[test]
 fn complete_is_what_the_store_has_said_and_no_other_machine_of_its_name_contradicts() {
-    let complete = held(&[("s-1", Stage::Complete)]);
-    let rolling = held(&[("s-1", Stage::Rolling)]);
+    let complete = held(&[("s-1", RetirementStage::Complete)]);
+    let rolling = held(&[("s-1", RetirementStage::Draining)]);
     let says = |retiring| registry(&[("s-1", retiring)], true);
     let gone = registry(&[], true);
     let of = |state, registry: &Registry| standing("s-1", Some(state), registry);
@@ -194,7 +194,11 @@
 
 #[test]
 fn a_store_is_told_where_its_session_is_until_it_says_that_it_retires() {
-    let agreed = held(&[("s-1", Stage::Ordered), ("s-2", Stage::Rolling), ("s-9", Stage::Ordered)]);
+    let agreed = held(&[
+        ("s-1", RetirementStage::Ordered),
+        ("s-2", RetirementStage::Draining),
+        ("s-9", RetirementStage::Ordered),
+    ]);
     let mut here = registry(&FOUR, true);
     let mut told = Told::default();
     let (first, second) = (number("s-1"), number("s-2"));
@@ -212,9 +216,9 @@
 /// The largest there is, with as many retirements as are remembered, of the longest names that are read.
 fn largest() -> ControlState {
     let name = |i: usize| format!("{i:0>255}");
-    let retirement = |i| Retirement { node: i as u32, name: name(i), stage: Stage::Complete };
+    let retirement = |i| Retirement { node: i as u32, name: name(i), stage: RetirementStage::Complete };
     let body = (0..LARGEST_CONFIGURATION).map(|i| i as u8).collect();
-    ControlState { serial: 70, version: 7, body, retirements: (0..RETIREMENTS).map(retirement).collect() }
+    ControlState { serial: 70, version: 7, body, retirements: (0..MAX_RETIREMENTS).map(retirement).collect() }
 }
 
 #[test]
--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -61,7 +61,7 @@
         found: Option<(Found, Option<Vec<u8>>)>,
     },
     PeerMessage(PeerMessage),
-    Control(stileroute_control_group::Signal),
+    Control(stileroute_control_group::Message),
     /// Between control nodes: the sessions here, and the executors that called.
     Sessions(Vec<Member>),
     Heartbeats(Vec<Heartbeat>),
--- a/crates/server/src/state.rs
+++ b/crates/server/src/state.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 use stileroute_config::Config;
-use stileroute_control_group::{Persisted, Record as Watching};
+use stileroute_control_group::{PersistedState, Record as Watching};
 use stileroute_queue::{End, Ledger, Record};
 use stileroute_wal::{verify as read, State, Trouble};
 
@@ -59,14 +59,14 @@
 }
 
 fn watch(dir: &Path) -> Result<JsonValue, Trouble> {
-    let (mut kept, mut kinds) = (Persisted::default(), Kinds::default());
+    let (mut kept, mut kinds) = (PersistedState::default(), Kinds::default());
     let report = read(dir, &mut |bytes| match postcard::from_bytes::<Watching>(bytes) {
         Ok(record) => {
             kinds.add(match &record {
                 Watching::View(_) => "watch",
                 Watching::ControlState(_) => "state",
-                Watching::Unnumbered(_) => "state of an older build",
-                Watching::Vote { .. } => "lent",
+                Watching::LegacyConfiguration(_) => "state of an older build",
+                Watching::Vote(_) => "lent",
             });
             kept.apply(record);
         }
--- a/crates/server/tests/control_log/group.rs
+++ b/crates/server/tests/control_log/group.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use stileroute_control_group::{Effect, GroupSettings, Millis, Signal, Verdict, Voter};
+use stileroute_control_group::{Effect, GroupSettings, Message, Millis, NodeId, Verdict};
 use stileroute_wal::Step;
 
 use crate::machine::{Machine, Trouble};
@@ -15,7 +15,7 @@
 const BACK: Millis = 300;
 
 enum Happening {
-    Said { from: (usize, u64), signal: Signal },
+    Said { from: (usize, u64), message: Message },
     Persisted { ticket: u64 },
     Link { peer: usize, up: bool },
     Start,
@@ -47,11 +47,11 @@
     behind: Vec<(usize, Millis, u64)>,
 }
 
-fn voter(i: usize) -> Voter {
-    Voter::new([10, 0, 0, i as u8 + 1].into(), 9000)
+fn voter(i: usize) -> NodeId {
+    NodeId::new([10, 0, 0, i as u8 + 1].into(), 9000)
 }
 
-fn index(voter: Voter) -> usize {
+fn index(voter: NodeId) -> usize {
     usize::from(voter.ip().octets()[3]) - 1
 }
 
@@ -120,7 +120,7 @@
     pub fn arm(&mut self, step: Step, trouble: Trouble, which: usize) {
         let watches = self.machines.iter_mut().filter_map(|machine| machine.group()?.view().cloned());
         let watch = watches.max_by_key(|watch| watch.epoch).expect("a node runs");
-        let node = index(watch.copies[which % watch.copies.len()]);
+        let node = index(watch.replicas[which % watch.replicas.len()]);
         self.armed = Some((node, step, trouble, 0));
         self.machines[node].arm(Some(step));
     }
@@ -175,7 +175,7 @@
         let (version, body) = (order.version, order.body.clone());
         order.at = (at + 1) % NODES;
         match self.machines[at].group() {
-            Some(group) => group.replace(now, ticket, version, body),
+            Some(group) => group.replace_configuration(now, ticket, version, body),
             None => self.order.iter_mut().for_each(|order| order.again = now + 30),
         }
         self.carry_out(at);
@@ -202,7 +202,7 @@
         let now = self.now;
         loop {
             let Some(group) = self.machines[i].group() else { return };
-            let (effects, due) = (group.take(), group.next(now));
+            let (effects, due) = (group.take_effects(), group.next_tick(now));
             self.machines[i].due = due;
             if effects.is_empty() {
                 return;
@@ -218,9 +218,9 @@
 
     fn carry(&mut self, i: usize, effect: Effect) {
         match effect {
-            Effect::Send { to, signal } => {
+            Effect::Send { to, message } => {
                 let from = (i, self.machines[i].life);
-                self.at(WAY, index(to), Happening::Said { from, signal });
+                self.at(WAY, index(to), Happening::Said { from, message });
             }
             Effect::Persist { ticket, record } => {
                 self.machines[i].keep(&record);
@@ -247,12 +247,14 @@
         }
         let Some(group) = self.machines[i].group() else { return };
         match what {
-            Happening::Said { from: (from, _), signal } => group.signal(now, voter(from), signal),
+            Happening::Said { from: (from, _), message } => group.handle_message(now, voter(from), message),
             Happening::Persisted { ticket } => group.persisted(now, ticket, true),
             Happening::Link { peer, up } => {
-                group.link(now, voter(peer), up);
                 if up {
-                    group.learn(voter(peer));
+                    group.peer_connected(now, voter(peer));
+                    group.add_learner(voter(peer));
+                } else {
+                    group.peer_disconnected(now, voter(peer));
                 }
             }
             Happening::Start => {}
@@ -288,7 +290,7 @@
     /// No more than one leads, and with nothing older than what was acknowledged.
     fn check(&mut self) {
         let now = self.now;
-        let settled = |machine: &mut Machine| machine.group()?.settled(now).map(|state| state.version);
+        let settled = |machine: &mut Machine| machine.group()?.readable_state(now).map(|state| state.version);
         let leading: Vec<u64> = self.machines.iter_mut().filter_map(settled).collect();
         assert!(leading.len() <= 1, "two lead at {now}");
         let old = leading.iter().find(|version| **version < self.acked);
@@ -325,9 +327,9 @@
     fn caught_up(&mut self, node: usize, wanted: u64) -> bool {
         let kept = self.machines[node].kept;
         let Some(group) = self.machines[node].group() else { return true };
-        let copy = group.view().is_some_and(|watch| watch.copies.contains(&voter(node)));
+        let copy = group.view().is_some_and(|watch| watch.replicas.contains(&voter(node)));
         let force = group.committed().map_or(0, |state| state.version);
-        !group.blank() && force >= wanted && (!copy || kept >= wanted)
+        !group.is_awaiting_view() && force >= wanted && (!copy || kept >= wanted)
     }
 
     pub fn largest_disk(&self) -> u64 {
--- a/crates/server/tests/control_log/machine.rs
+++ b/crates/server/tests/control_log/machine.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use stileroute_control_group::{ControlGroup, GroupSettings, Millis, Persisted, Record};
+use stileroute_control_group::{ControlGroup, GroupSettings, Millis, PersistedState, Record};
 use stileroute_wal::{Fold, Operation, Options, Step, Trouble as Refused, Wal};
 
 use crate::power::{write, Disk, Files};
@@ -23,7 +23,7 @@
 
 /// As the control node folds its records.
 #[derive(Default)]
-struct Ledger(Persisted);
+struct Ledger(PersistedState);
 
 impl Fold for Ledger {
     fn apply(&mut self, record: &[u8]) {
--- a/crates/server/tests/large_configurations.rs
+++ b/crates/server/tests/large_configurations.rs
@@ -12,7 +12,9 @@
 use std::time::{Duration, Instant};
 
 use stileroute_config::Config;
-use stileroute_control_group::{ControlState, Persisted, Record, Retirement, Stage, RETIREMENTS};
+use stileroute_control_group::{
+    ControlState, PersistedState, Record, Retirement, RetirementStage, MAX_RETIREMENTS,
+};
 use stileroute_wal::{Fold, Options, Step, Wal, MAX_RECORD};
 
 /// Bytes of the largest configuration.
@@ -40,7 +42,7 @@
 }
 
 #[derive(Default)]
-struct Ledger(Persisted);
+struct Ledger(PersistedState);
 
 impl Fold for Ledger {
     fn apply(&mut self, record: &[u8]) {
@@ -100,8 +102,8 @@
 
 /// With as many retirements as are remembered, and names as long as a name may be.
 fn fits_a_record() {
-    let retirement = |node| Retirement { node, name: "n".repeat(255), stage: Stage::Complete };
-    let retirements = (0..RETIREMENTS as u32).map(retirement).collect();
+    let retirement = |node| Retirement { node, name: "n".repeat(255), stage: RetirementStage::Complete };
+    let retirements = (0..MAX_RETIREMENTS as u32).map(retirement).collect();
     let state = ControlState { serial: u64::MAX, version: u64::MAX, body: vec![b'x'; LARGEST], retirements };
     let record = postcard::to_stdvec(&Record::ControlState(state)).expect("encodes");
     println!("the largest value takes {} bytes, a record may have {MAX_RECORD}", record.len());
