--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -19,7 +19,8 @@
 
 pub use ledger::Ledger;
 pub use message::{
-    End, Handed, Key, KnownEnd, Message, Millis, Node, Owned, PeerMessage, Record, Refusal, Shared, Stands,
+    End, Handed, Key, KnownEnd, Message, Millis, Node, Owned, PeerMessage, Range, Record, Refusal, Shared,
+    Stands, Sum,
 };
 pub use ordering::place;
 #[cfg(feature = "planted")]
