--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -26,6 +26,7 @@
 pub mod net;
 pub mod report;
 pub mod run;
+#[rustfmt::skip] // As above.
 #[path = "../../server/src/signals.rs"]
 pub mod signals;
 pub mod simulation;
--- /dev/null
+++ b/crates/server/src/calls/tests.rs
@@ -0,0 +1,260 @@
+use super::*;
+use assert_matches::assert_matches;
+
+const BEAT: &str = r#"{"backend":"crane","address":"10.0.0.9:8080","zone":"z","revision":"v1","capacity":4,
+    "state":"draining","cold_left_ms":70.5,"call_count":9,"more":[]}"#;
+
+/// Answers what it was asked; replies to nothing at once.
+#[derive(Default)]
+struct TestHandler(Vec<String>);
+impl CallHandler<HeartbeatCall> for TestHandler {
+    fn settle(&mut self, place: u64, call: HeartbeatCall) -> Option<Heard> {
+        self.0.push(format!("{place} {call:?}"));
+        Some(Heard { beat_url: Some("10.0.0.1:1".to_string()), told: true })
+    }
+}
+impl CallHandler<Leave> for TestHandler {
+    fn settle(&mut self, _: u64, call: Leave) -> Option<Done> {
+        self.0.push(call.id);
+        None
+    }
+}
+
+fn request(method: &str, target: &str, body: &str) -> Request {
+    let (method, target) = (method.to_string(), target.to_string());
+    Request { method, target, body: body.as_bytes().to_vec(), ..Request::default() }
+}
+
+#[test]
+fn a_heartbeat_is_read_or_refused_by_its_key() {
+    assert_matches!(HeartbeatCall::read("i-1", BEAT.as_bytes()), Ok(heartbeat) => {
+        assert_eq!((heartbeat.id.as_str(), heartbeat.backend.as_str(), heartbeat.zone.as_str()), ("i-1", "crane", "z"));
+        assert_eq!((heartbeat.capacity, heartbeat.draining, heartbeat.cold_left_ms, heartbeat.call_count), (4, true, 70, 9));
+    });
+    let rows = [
+        ("\"backend\":\"crane\",", "", "backend: no text"),
+        ("\"crane\"", "7", "backend: no text"),
+        ("10.0.0.9:8080", "crane:8080", "address: \"crane:8080\" is no"),
+        ("10.0.0.9:8080", "[::1]:8080", "address: "),
+        ("draining", "gone", "state: \"gone\" is neither"),
+        (":4", ":-4", "capacity: no number"),
+        (":9", ":\"9\"", "call_count: no number"),
+        (":9", ":1e300", "call_count: no number"),
+        ("70.5", "null,\"x\":[", "body: "),
+        (BEAT, "[]", "body: no object"),
+        (BEAT, "", "body: "),
+        (BEAT, "{\"a\":\u{0}}", "body: "),
+    ];
+    for (of, with, told) in rows {
+        assert!(BEAT.contains(of), "{of}");
+        let body = BEAT.replacen(of, with, 1);
+        assert_matches!(HeartbeatCall::read("i-1", body.as_bytes()), Err(e) if e.starts_with(told), "{body}");
+    }
+    for cut in 0..BEAT.len() {
+        assert_matches!(HeartbeatCall::read("i-1", &BEAT.as_bytes()[..cut]), Err(_), "{cut}");
+    }
+    assert_matches!(HeartbeatCall::read(&"i".repeat(129), BEAT.as_bytes()), Err(e) if e.starts_with("id: "));
+    assert_matches!(HeartbeatCall::read("i", &[b' '; 65 << 10]), Err(e) if e.starts_with("body: over"));
+    assert_matches!(HeartbeatCall::read("i", b"\xff"), Err(e) if e == "body: not UTF-8");
+    // A capacity that is left out or nought is one slot.
+    let none = BEAT.replace("\"capacity\":4,", "");
+    assert_matches!(HeartbeatCall::read("i", none.as_bytes()), Ok(HeartbeatCall { capacity: 1, .. }));
+}
+
+#[test]
+fn the_other_calls_are_read() {
+    assert_matches!(Leave::read("i-1", b"anything"), Ok(Leave { id }) if id == "i-1");
+    assert_matches!(RetireBegin::read("s-1", b""), Ok(RetireBegin { node }) if node == "s-1");
+    assert_matches!(ReadSettings::read("", b""), Ok(ReadSettings));
+    let body = br#"{"revision":7,"routes":[],"backends":[]}"#;
+    assert_matches!(Replace::read("", body), Ok(Replace { version: 7, body: kept }) if kept == body);
+    let twice = br#"{"routes":7,"backends":[]}"#;
+    assert_matches!(Replace::read("", twice).err(), Some(e) if e.lines().count() == 2, "each fault is told");
+}
+
+#[test]
+fn a_request_finds_its_call_by_method_and_path() {
+    let mut handler = TestHandler::default();
+    let heartbeat = request("POST", "/v1/servers/i-1/heartbeat?x", BEAT);
+    assert_matches!(handle::<HeartbeatCall, _>(&mut handler, 5, &heartbeat), Some(Some(Answer { status: 200, body, .. })) => {
+        assert_eq!(body, br#"{"beat_url":"10.0.0.1:1"}"#);
+    });
+    let bad = request("POST", "/v1/servers/i-1/heartbeat", "{}");
+    assert_matches!(
+        handle::<HeartbeatCall, _>(&mut handler, 5, &bad),
+        Some(Some(Answer { status: 400, .. }))
+    );
+    assert_matches!(
+        handle::<Leave, _>(&mut handler, 5, &request("POST", "/v1/servers/i-2/leave", "")),
+        Some(None)
+    );
+    assert_eq!((handler.0.len(), handler.0[1].as_str()), (2, "i-2"));
+    for (method, target) in [
+        ("GET", "/v1/servers/i-1/heartbeat"),
+        ("POST", "/v1/servers//heartbeat"),
+        ("POST", "/v1/servers/a/b/heartbeat"),
+        ("POST", "/v1/servers/heartbeat"),
+        ("POST", "/v1/servers/i-1/heartbeats"),
+        ("POST", ""),
+    ] {
+        let answer = handle::<HeartbeatCall, _>(&mut handler, 5, &request(method, target, BEAT));
+        assert_matches!(answer, None, "{method} {target}");
+    }
+    let cut_off = Heard { beat_url: None, told: false };
+    let answers: [(Answer, u16); 7] = [
+        (cut_off.into(), 503),
+        (Replaced::InForce(InForce::new(7, b"seven", true)).into(), 200),
+        (Replaced::Uncertain.into(), 504),
+        (Replaced::NotNow.into(), 503),
+        (Settings::None.into(), 404),
+        (Retire::Unknown.into(), 404),
+        (Retire::TooFew.into(), 409),
+    ];
+    for (answer, status) in answers {
+        assert_eq!((answer.status, answer.body.is_empty()), (status, false));
+    }
+}
+
+/// An answer as it goes out: status, headers of its own, whether it is marked as JSON, whether it ends the connection, body.
+fn told(answer: impl Into<Answer>) -> String {
+    let Answer { status, headers, json, body, close } = answer.into();
+    let headers: Vec<String> = headers.iter().map(|(name, value)| format!("{name}: {value}")).collect();
+    format!("{status} {headers:?} {json} {close} {}", String::from_utf8(body).unwrap())
+}
+
+#[test]
+fn every_answer_has_the_status_and_the_text_of_earlier_releases() {
+    let heard = |beat_url: Option<&str>, told| Heard { beat_url: beat_url.map(str::to_string), told };
+    let rows = [
+        (told(Done), r#"200 [] true false {}"#),
+        (told(heard(None, true)), r#"200 [] true false {}"#),
+        (told(heard(Some("10.0.0.1:1"), true)), r#"200 [] true false {"beat_url":"10.0.0.1:1"}"#),
+        (
+            told(heard(Some("10.0.0.1:1"), false)),
+            r#"503 [] true false {"error":"cut off from the other control nodes"}"#,
+        ),
+        (
+            told(Replaced::InForce(InForce::new(7, b"seven", true))),
+            r#"200 [] true false {"revision":7,"digest":"35be53c2695dda5b7930ee5d191760eaa2e7f0e8b5fdb7174c4b9d36874f06ee","applied":true}"#,
+        ),
+        (
+            told(Replaced::InForce(InForce { revision: 0, digest: "d".to_string(), applied: false })),
+            r#"200 [] true false {"revision":0,"digest":"d","applied":false}"#,
+        ),
+        (
+            told(Replaced::Uncertain),
+            r#"504 [] true false {"error":"it may be in force or come in force: send it again"}"#,
+        ),
+        (
+            told(Replaced::NotNow),
+            r#"503 ["Retry-After: 1"] true false {"error":"no primary can settle it now"}"#,
+        ),
+        (told(Settings::Whole(b"{\"a\": 1}\n".to_vec())), "200 [] true false {\"a\": 1}\n"),
+        (told(Settings::None), r#"404 [] true false {"error":"no configuration has come yet"}"#),
+        (
+            told(Settings::NotNow),
+            r#"503 ["Retry-After: 1"] true false {"error":"no primary can answer now"}"#,
+        ),
+        (told(Retire::Unknown), r#"404 [] true false {"error":"no such machine"}"#),
+        (told(Retire::TooFew), r#"409 [] true false {"error":"too few would be left"}"#),
+        (told(Retire::Taken), r#"200 [] true false {}"#),
+        (told(Retire::NotNow), r#"503 ["Retry-After: 1"] true false {"error":"it has not confirmed"}"#),
+        (
+            told(Retired::Unknown),
+            r#"404 [] true false {"error":"no such machine, or it is not to be emptied"}"#,
+        ),
+        (told(Retired::Rolling), r#"200 [] true false {"state":"rolling"}"#),
+        (told(Retired::Complete), r#"200 [] true false {"state":"complete"}"#),
+        (told(Retired::NotNow), r#"503 ["Retry-After: 1"] true false {"error":"no primary can answer now"}"#),
+        (told(fault(418, "a \"b\"\n")), r#"418 [] true false {"error":"a \"b\"\n"}"#),
+        (told(Answer::bare(204)), r#"204 [] false false "#),
+        (told(Answer::come_back(503, 2)), r#"503 ["Retry-After: 2"] false false "#),
+    ];
+    for (seen, pinned) in rows {
+        assert_eq!(seen, pinned);
+    }
+}
+
+/// What is said at once to a request whose call is not read.
+fn refused<C: Call>(method: &str, target: &str, body: &[u8]) -> Option<String>
+where
+    AnyCall: CallHandler<C>,
+{
+    let request = Request { body: body.to_vec(), ..request(method, target, "") };
+    handle::<C, _>(&mut AnyCall, 1, &request).map(|answer| answer.map_or("taken".to_string(), told))
+}
+
+/// Takes any call and settles none.
+struct AnyCall;
+impl<C: Call> CallHandler<C> for AnyCall {
+    fn settle(&mut self, _: u64, _: C) -> Option<C::Answer> {
+        None
+    }
+}
+
+#[test]
+fn every_refusal_of_a_body_has_the_text_of_earlier_releases() {
+    let with = |of: &str, with: &str| BEAT.replacen(of, with, 1).into_bytes();
+    let rows: [(Vec<u8>, &str); 15] = [
+        (BEAT.into(), "taken"),
+        (with("\"backend\":\"crane\",", ""), "backend: no text"),
+        (with("\"10.0.0.9:8080\"", "null"), "address: no text"),
+        (with("10.0.0.9:8080", "crane"), r#"address: \"crane\" is no IPv4 address and port"#),
+        (with("\"state\":\"draining\",", ""), "state: no text"),
+        (with("draining", "gone"), r#"state: \"gone\" is neither serving nor draining"#),
+        (with(":4", ":-4"), "capacity: no number"),
+        (with("70.5", "true"), "cold_left_ms: no number"),
+        (with(":9", ":1e15"), "call_count: no number"),
+        (with(",\"zone\":\"z\"", ",\"zone\":8"), "taken"),
+        (b"[]".to_vec(), "body: no object"),
+        (b"".to_vec(), "body: Unexpected end of JSON"),
+        (b"{\"a\":}".to_vec(), "body: Unexpected character: } at (1:6)"),
+        (b"\xff".to_vec(), "body: not UTF-8"),
+        (vec![b' '; (64 << 10) + 1], "body: over 64 KiB"),
+    ];
+    for (body, reason) in rows {
+        let seen = refused::<HeartbeatCall>("POST", "/v1/servers/i/heartbeat", &body);
+        let pinned = match reason {
+            "taken" => reason.to_string(),
+            reason => format!(r#"400 [] true false {{"error":"{reason}"}}"#),
+        };
+        assert_eq!(seen, Some(pinned), "{}", String::from_utf8_lossy(&body));
+    }
+    let long = format!("/v1/servers/{}/heartbeat", "i".repeat(129));
+    let pinned = r#"400 [] true false {"error":"id: over 128 letters"}"#;
+    assert_eq!(refused::<HeartbeatCall>("POST", &long, BEAT.as_bytes()).as_deref(), Some(pinned));
+    // The body is looked at before the name.
+    let pinned = r#"400 [] true false {"error":"body: no object"}"#;
+    assert_eq!(refused::<HeartbeatCall>("POST", &long, b"7").as_deref(), Some(pinned));
+}
+
+#[test]
+fn every_call_has_the_method_the_path_and_the_longest_body_of_earlier_releases() {
+    fn row<C: Call>() -> (&'static str, &'static str, usize) {
+        (C::METHOD, C::PATH, C::BODY)
+    }
+    assert_eq!(row::<HeartbeatCall>(), ("POST", "/v1/servers/*/heartbeat", usize::MAX));
+    assert_eq!(row::<Leave>(), ("POST", "/v1/servers/*/leave", usize::MAX));
+    assert_eq!(row::<Replace>(), ("POST", "/v1/settings/replace", 4 << 20));
+    assert_eq!(row::<ReadSettings>(), ("GET", "/v1/settings/read", usize::MAX));
+    assert_eq!(row::<RetireBegin>(), ("POST", "/v1/retire/*/begin", usize::MAX));
+    assert_eq!(row::<RetireRead>(), ("GET", "/v1/retire/*/read", usize::MAX));
+}
+
+#[test]
+fn a_configuration_is_refused_by_its_size_before_its_faults() {
+    let replace = |body: &[u8]| refused::<Replace>("POST", "/v1/settings/replace", body);
+    let taken = br#"{"revision":7,"routes":[],"backends":[]}"#;
+    assert_eq!(replace(taken).as_deref(), Some("taken"));
+    let long = vec![b' '; LARGEST_CONFIGURATION + 1];
+    let pinned = r#"413 [] true false {"error":"body: over 4194304 bytes"}"#;
+    assert_eq!(replace(&long).as_deref(), Some(pinned));
+    let pinned = r#"400 [] true false {"error":"configuration: revision: missing\nconfiguration: routes: must be a list, is 7.0"}"#;
+    assert_eq!(replace(br#"{"routes":7,"backends":[]}"#).as_deref(), Some(pinned));
+    assert_eq!(refused::<Replace>("GET", "/v1/settings/replace", taken), None, "another method is no call");
+    // Nothing of these is read but the path, whatever the body.
+    assert_eq!(refused::<Leave>("POST", "/v1/servers/i/leave", b"\xff").as_deref(), Some("taken"));
+    assert_eq!(refused::<RetireBegin>("POST", "/v1/retire/s-1/begin", b"\xff").as_deref(), Some("taken"));
+    assert_eq!(refused::<RetireRead>("GET", "/v1/retire/s-1/read?x=y", b"").as_deref(), Some("taken"));
+    assert_eq!(refused::<ReadSettings>("GET", "/v1/settings/read", b"[").as_deref(), Some("taken"));
+}
--- a/crates/server/src/figures.rs
+++ b/crates/server/src/figures.rs
@@ -75,23 +75,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_sheet_is_the_usual_text() {
-        let mut sheet = Sheet::default();
-        sheet.count("a_total", "As.", &[("of", "x\"y\\")], 3);
-        sheet.count("a_total", "As.", &[("of", "z")], 4);
-        let mut times = Histogram::default();
-        [5, 6, 20_000].into_iter().for_each(|ms| times.add(ms));
-        sheet.histogram("t_seconds", "Ts.", &times);
-        let begin =
-            "# HELP a_total As.\n# TYPE a_total counter\na_total{of=\"x\\\"y\\\\\"} 3\na_total{of=\"z\"} 4\n";
-        assert!(sheet.text.starts_with(begin), "{}", sheet.text);
-        for line in ["t_seconds_bucket{le=\"0.005\"} 1", "t_seconds_bucket{le=\"0.01\"} 2", "le=\"15\"} 2"] {
-            assert!(sheet.text.contains(line), "{line}: {}", sheet.text);
-        }
-        assert!(sheet.text.ends_with("le=\"+Inf\"} 3\nt_seconds_sum 20.011\nt_seconds_count 3\n"));
-    }
-}
+mod tests;
--- a/crates/server/src/net/frames/tests.rs
+++ b/crates/server/src/net/frames/tests.rs
@@ -36,3 +36,17 @@
     let (frames, end) = take(&mut input);
     assert_eq!((frames, end), (vec![b"first".to_vec()], Err(TooLong)));
 }
+
+#[test]
+fn a_frame_is_its_length_in_four_bytes_little_endian_and_its_bytes() {
+    let mut out = b"before".to_vec();
+    append(&mut out, b"");
+    append(&mut out, &[0xAB; 258]);
+    let mut pinned = b"before\0\0\0\0\x02\x01\0\0".to_vec();
+    pinned.extend_from_slice(&[0xAB; 258]);
+    assert_eq!(out, pinned);
+    assert_eq!(LONGEST, 16 << 20);
+    let longest = (LONGEST as u32).to_le_bytes();
+    assert_eq!(next(&longest), Ok(None));
+    assert_eq!(next(&(LONGEST as u32 + 1).to_le_bytes()), Err(TooLong));
+}
--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -160,3 +160,6 @@
         node: String,
     },
 }
+
+#[cfg(test)]
+mod tests;
