--- a/crates/server/src/signals/tests.rs
+++ b/crates/server/src/signals/tests.rs
@@ -111,7 +111,7 @@
         found(Some((Found::Complete { seal: "s".to_string() }, Some(vec![1, 2])))),
         found(Some((Found::Failed, None))),
         Signal::PeerMessage(PeerMessage::Copied(vec![KEY])),
-        Signal::Control(group::Signal::Stored { epoch: 1, serial: 2 }),
+        Signal::Control(group::Message::Stored { epoch: 1, write_id: 2 }),
         Signal::Sessions(vec![member(Class::Store, None, Retiring::No)]),
         Signal::Heartbeats(vec![heartbeat(Standing::Serving)]),
         Signal::Pass { ticket: 4, call: Passed::Replace { version: 7, body: b"{}".to_vec() } },
