--- a/crates/control-group/src/lib.rs
+++ b/crates/control-group/src/lib.rs
@@ -15,9 +15,9 @@
 
 // Not finished yet: what these lints name is still to be documented or divided.
 #![allow(clippy::struct_excessive_bools, missing_docs)]
-mod contact;
 mod planted;
 mod primary;
+mod primary_contact;
 mod types;
 mod voter;
 
@@ -25,10 +25,10 @@
 pub use planted::{Fingerprinter, Planted};
 pub use types::*;
 
-use contact::Contact;
 #[cfg(not(feature = "planted"))]
 use planted::Planted;
 use primary::Role;
+use primary_contact::Contact;
 use std::collections::{BTreeMap, BTreeSet};
 use voter::{Learning, Leaving};
 
--- a/crates/control-group/src/planted.rs
+++ b/crates/control-group/src/planted.rs
@@ -89,7 +89,7 @@
 #[cfg(feature = "planted")]
 mod fingerprint {
     use super::Planted;
-    use crate::primary::orders::{Job, ANSWER, TURN};
+    use crate::primary::writes::{Job, ANSWER, TURN};
     use crate::primary::{Candidacy, Lead, Role, LOST};
     use crate::voter::Leaving;
     use crate::{
--- a/crates/control-group/src/primary/mod.rs
+++ b/crates/control-group/src/primary/mod.rs
@@ -3,10 +3,10 @@
 
 mod handover;
 mod lease;
-pub(crate) mod orders;
-mod replicas;
+mod replica_changes;
 mod view_change;
-mod voters;
+mod voter_changes;
+pub(crate) mod writes;
 
 pub(crate) use view_change::Candidacy;
 
@@ -16,8 +16,8 @@
     RoleChange,
 };
 use crate::{NodeId, Verdict, View};
-use orders::{Job, Waiting};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use writes::{Job, Waiting};
 
 /// A replica that has not acked, or not stored, for so long is replaced where another is there; so is a voter.
 pub(crate) const LOST: Millis = 1000;
--- a/crates/control-group/src/primary/replicas.rs
+++ b/crates/control-group/src/primary/replica_changes.rs
@@ -1,6 +1,6 @@
 //! The replicas of the control state: one that is lost is replaced by a voter that was filled before it is named.
 
-use super::orders::Waiting;
+use super::writes::Waiting;
 use super::{Role, LOST};
 use crate::{ControlGroup, Millis, NodeId, Planted, View};
 
