--- /dev/null
+++ b/crates/control-group/src/control_group.rs
@@ -0,0 +1,340 @@
+//! The state of one control node, and how it takes events in and gives effects out.
+
+use crate::node_state::{Connection, Departure, LastHeard, OnPersisted, UnknownPrimary, ViewRecovery};
+use crate::primary_contact::PrimaryContact;
+use crate::proposal::Proposal;
+use crate::role::Role;
+use crate::{
+    ControlState, Effect, GroupSettings, Message, Millis, NodeId, PersistedState, Planted, Record,
+    RoleChange, View, Vote,
+};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The most nodes that are sent heartbeats and are no voters: far more than ever join together.
+const MAX_LEARNERS: usize = 64;
+
+/// One node of a control group.
+///
+/// The caller hands in events, each with the present time of a steady clock, calls [`tick`](ControlGroup::tick) when
+/// [`next_tick`](ControlGroup::next_tick) is due, and carries out what [`take_effects`](ControlGroup::take_effects) returns.
+#[derive(Clone)]
+pub struct ControlGroup {
+    pub(crate) settings: GroupSettings,
+    /// The newest view that is known here. None: the node has lost its disk, or is new. It votes for nobody until a majority of
+    /// the others has told it their view.
+    pub(crate) view: Option<View>,
+    /// The highest epoch that is on disk: nothing is acknowledged by a view that a loss of power would take back.
+    pub(crate) durable_epoch: u64,
+    /// Its view has been granted, or it would send no heartbeats.
+    pub(crate) unknown_primary: Option<UnknownPrimary>,
+    /// What this node's disk holds. It may be older than what is committed, unless the node is a replica of the newest view.
+    pub(crate) state: ControlState,
+    /// The newest value that is known to be committed.
+    pub(crate) committed: Option<ControlState>,
+    /// Of the committed value. Kept, because each heartbeat carries it and a configuration may be long.
+    pub(crate) committed_digest: u64,
+    /// A value is on disk. Without one the node may be named as a replica, but does not become a candidate before it is filled.
+    pub(crate) has_state: bool,
+    pub(crate) view_recovery: ViewRecovery,
+    pub(crate) role: Role,
+    pub(crate) started_at: Millis,
+    /// When the node last acknowledged a heartbeat or granted a view; its vote is bound for a grace period from then on.
+    pub(crate) heard_at: Millis,
+    pub(crate) last_heard: LastHeard,
+    pub(crate) primary_contact: PrimaryContact,
+    /// Who has this node's vote until the grace period is over.
+    pub(crate) voted_for: Option<NodeId>,
+    /// The epoch of the last vote that was handed to the disk.
+    pub(crate) persisted_vote_epoch: u64,
+    /// When the node becomes a candidate, unless a primary is heard. Partly random, so that two do not go on colliding.
+    pub(crate) candidacy_at: Millis,
+    /// Nodes that are connected and are no voters, but may become ones.
+    pub(crate) learners: BTreeSet<NodeId>,
+    pub(crate) connections: BTreeMap<NodeId, Connection>,
+    pub(crate) pending_persists: BTreeMap<u64, OnPersisted>,
+    pub(crate) next_ticket: u64,
+    /// Counts the writes to replicas. It starts at random, so that a late answer to an earlier incarnation is not counted.
+    pub(crate) last_write_id: u64,
+    pub(crate) random_state: u64,
+    /// The process may exit: the node becomes no candidate any more.
+    pub(crate) may_exit: bool,
+    /// The process ends, and the node waits to be removed from the voters.
+    pub(crate) departure: Option<Departure>,
+    /// The primary that ended and named this node as its successor, unless it has come back.
+    pub(crate) departed_primary: Option<NodeId>,
+    pub(crate) effects: Vec<Effect>,
+}
+
+impl ControlGroup {
+    /// A node that has just started, with what its disk holds.
+    pub fn new(settings: GroupSettings, persisted: PersistedState, now: Millis) -> ControlGroup {
+        let mut group = ControlGroup::with_persisted(settings, persisted, now);
+        if let Some(view) = group.first_view() {
+            group.adopt_first_view(now, view);
+            if matches!(group.role, Role::Candidate(_)) {
+                return group;
+            }
+        }
+        group.schedule_candidacy(now);
+        if group.voted_for == Some(group.settings.node_id) {
+            // It was primary, and gave its vote to nobody else: nothing has to run out before it asks the others again.
+            group.candidacy_at = now;
+        }
+        group
+    }
+
+    fn with_persisted(settings: GroupSettings, persisted: PersistedState, now: Millis) -> ControlGroup {
+        let epoch = persisted.view.as_ref().map_or(0, |view| view.epoch);
+        let voted_for = persisted.vote.filter(|vote| vote.epoch == epoch).map(|vote| vote.primary);
+        ControlGroup {
+            view: persisted.view,
+            durable_epoch: epoch,
+            unknown_primary: None,
+            has_state: persisted.state.is_some(),
+            state: persisted.state.unwrap_or_default(),
+            committed: None,
+            committed_digest: 0,
+            view_recovery: ViewRecovery::default(),
+            role: Role::Backup,
+            started_at: now,
+            heard_at: now,
+            last_heard: LastHeard::GrantOrStart,
+            primary_contact: PrimaryContact::default(),
+            voted_for,
+            persisted_vote_epoch: voted_for.map_or(0, |_| epoch),
+            candidacy_at: 0,
+            learners: BTreeSet::new(),
+            connections: BTreeMap::new(),
+            pending_persists: BTreeMap::new(),
+            next_ticket: 1,
+            last_write_id: settings.random_seed | 1,
+            random_state: settings.random_seed,
+            may_exit: false,
+            departure: None,
+            departed_primary: None,
+            effects: Vec::new(),
+            settings,
+        }
+    }
+
+    /// The view by which a new group starts, if this node is one of its seeds.
+    ///
+    /// All seeds compute the same: nothing has to be elected, and nobody waits for anybody.
+    fn first_view(&self) -> Option<View> {
+        let is_first_start = self.settings.is_first_start || self.planted(Planted::BlankVotes);
+        if self.view.is_some() || !is_first_start || !self.settings.seeds.contains(&self.settings.node_id) {
+            return None;
+        }
+        let mut voters = self.settings.seeds.clone();
+        voters.sort();
+        voters.dedup();
+        let replica_count = self.settings.tolerated_replica_losses(voters.len()) + 1;
+        let replicas = voters.iter().take(replica_count).copied().collect();
+        Some(View { epoch: 1, primary: voters[0], replicas, voters, membership_epoch: 1 })
+    }
+
+    fn adopt_first_view(&mut self, now: Millis, view: View) {
+        if view.replicas.contains(&self.settings.node_id) {
+            // That there is no value yet is known too: a replica without one counts as one that has lost it.
+            self.has_state = true;
+            self.persist(Record::ControlState(ControlState::default()), OnPersisted::Nothing);
+        }
+        self.view = Some(view.clone());
+        if view.primary == self.settings.node_id {
+            self.become_first_candidate(now, view);
+        } else {
+            self.persist_view(view.clone(), OnPersisted::ConfirmView { view });
+        }
+    }
+
+    /// The first view is on all seeds' disks soon: this node only waits for their grants.
+    fn become_first_candidate(&mut self, now: Millis, view: View) {
+        self.role = Role::Candidate(Proposal::new(now, view.clone(), view.clone(), false));
+        self.candidacy_at = now + self.settings.heartbeat_interval_ms;
+        self.propose(&view, &[], false);
+        self.persist_view(view.clone(), OnPersisted::CountOwnGrant { view });
+    }
+
+    /// Takes out what is to be done, in order. Call it after each event.
+    pub fn take_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.effects)
+    }
+
+    /// The newest view that is known here.
+    pub fn view(&self) -> Option<&View> {
+        self.view.as_ref()
+    }
+
+    /// Whether the node has lost its disk, or is new, and has yet to learn the view from the others. It does not vote.
+    pub fn is_awaiting_view(&self) -> bool {
+        self.view.is_none()
+    }
+
+    /// The newest value that is known to be committed.
+    pub fn committed(&self) -> Option<&ControlState> {
+        self.committed.as_ref()
+    }
+
+    /// The value on this node's disk, committed or not. At a primary: the value that changes are applied to.
+    pub fn state(&self) -> &ControlState {
+        &self.state
+    }
+
+    /// Whether what this node tells others is recent: it holds the lease itself, or it was in contact with a primary that did
+    /// less than two grace periods ago.
+    pub fn is_in_contact(&self, now: Millis) -> bool {
+        let span = 2 * self.settings.grace_period_ms;
+        !self.is_awaiting_view() && (self.holds_lease(now) || self.primary_contact.is_within(now, span))
+    }
+
+    /// The primary of the newest view that is known here.
+    pub fn primary(&self) -> Option<NodeId> {
+        self.view.as_ref().map(|view| view.primary)
+    }
+
+    pub(crate) fn epoch(&self) -> u64 {
+        self.view.as_ref().map_or(0, |view| view.epoch)
+    }
+
+    /// The primary, unless it is this node: whom a caller is sent to.
+    pub(crate) fn other_primary(&self) -> Option<NodeId> {
+        self.primary().filter(|primary| *primary != self.settings.node_id)
+    }
+
+    /// A connection to another control node is open.
+    pub fn peer_connected(&mut self, now: Millis, peer: NodeId) {
+        self.connections.insert(peer, Connection::Open);
+        self.cancel_departure(peer);
+        if self.is_awaiting_view() {
+            self.view_recovery.next_request_at = now;
+        }
+    }
+
+    /// The connection to another control node broke.
+    pub fn peer_disconnected(&mut self, now: Millis, peer: NodeId) {
+        self.connections.insert(peer, Connection::Broken);
+        self.learners.remove(&peer);
+        if self.primary() == Some(peer) && matches!(self.role, Role::Backup) {
+            // Its process ended: no heartbeat will come. A short wait is left for one that starts again at once.
+            let vote_free_at = now.max(self.vote_free_at());
+            self.candidacy_at = self.candidacy_at.min(vote_free_at + self.settings.heartbeat_interval_ms / 2);
+        }
+    }
+
+    pub(crate) fn is_disconnected(&self, node: &NodeId) -> bool {
+        self.connections.get(node) == Some(&Connection::Broken)
+    }
+
+    /// A control node is connected that may be no voter: it is sent heartbeats, and may become one.
+    pub fn add_learner(&mut self, node: NodeId) {
+        let is_self = node == self.settings.node_id;
+        if !is_self && !self.is_disconnected(&node) && self.learners.len() < MAX_LEARNERS {
+            self.learners.insert(node);
+        }
+    }
+
+    /// A message from another control node.
+    pub fn handle_message(&mut self, now: Millis, from: NodeId, message: Message) {
+        match message {
+            Message::Propose { view, by_handover } => self.proposed(now, from, view, by_handover),
+            Message::Granted { view } => self.granted(now, from, view),
+            Message::Denied { view } => self.denied(now, from, view),
+            Message::Store { epoch, write_id, state } => self.store(from, epoch, write_id, state),
+            Message::Stored { epoch, write_id } => self.stored(now, from, epoch, write_id),
+            Message::Heartbeat(heartbeat) => self.heartbeat_received(now, from, heartbeat),
+            Message::HeartbeatAck(ack) => self.heartbeat_acked(now, from, ack),
+            Message::Handover { epoch, is_shutting_down } => {
+                self.handover_received(now, from, epoch, is_shutting_down);
+            }
+            Message::Leave { epoch } => self.leave_requested(now, from, epoch),
+            Message::ViewRequest => self.send_view(from),
+            Message::ViewReply { view } => self.view_received(now, from, view),
+            Message::StateRequest => {
+                if let Some(state) = self.committed.clone() {
+                    self.send(from, Message::StateReply { state });
+                }
+            }
+            Message::StateReply { state } => self.commit(state),
+        }
+    }
+
+    /// Does what is due. Call it at [`next_tick`](ControlGroup::next_tick), and after each event.
+    pub fn tick(&mut self, now: Millis) {
+        if self.is_awaiting_view() {
+            self.request_views(now);
+            return;
+        }
+        self.continue_departure(now);
+        match self.role {
+            Role::Primary(_) => self.lead(now),
+            Role::Candidate(_) | Role::Backup => self.seek_leadership(now),
+        }
+    }
+
+    /// When [`tick`](ControlGroup::tick) is due next: always later than `now`.
+    pub fn next_tick(&self, now: Millis) -> Millis {
+        if self.is_awaiting_view() {
+            return self.view_recovery.next_request_at.max(now + 1);
+        }
+        if let Role::Primary(leadership) = &self.role {
+            return leadership.next_tick(now, &self.settings);
+        }
+        if let Some(departure) = &self.departure {
+            return departure.next_tick(now);
+        }
+        if self.may_exit {
+            // It becomes no candidate any more: nothing is due but what arrives.
+            return now + self.settings.grace_period_ms;
+        }
+        self.candidacy_at.max(now + 1)
+    }
+
+    pub(crate) fn send(&mut self, to: NodeId, message: Message) {
+        if to != self.settings.node_id {
+            self.effects.push(Effect::Send { to, message });
+        }
+    }
+
+    pub(crate) fn role_changed(&mut self, epoch: u64, change: RoleChange) {
+        self.effects.push(Effect::RoleChanged { epoch, change });
+    }
+
+    /// The vote is with the primary of the present epoch.
+    pub(crate) fn vote_for(&mut self, primary: NodeId) {
+        self.voted_for = Some(primary);
+        let epoch = self.epoch();
+        if self.persisted_vote_epoch != epoch {
+            self.persisted_vote_epoch = epoch;
+            self.persist(Record::Vote(Vote { epoch, primary }), OnPersisted::Nothing);
+        }
+    }
+
+    /// A number below `limit`, by a linear congruential generator: all that is random depends on the seed alone.
+    pub(crate) fn random_below(&mut self, limit: u64) -> u64 {
+        self.random_state =
+            self.random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        (self.random_state >> 33) % limit.max(1)
+    }
+
+    /// The node becomes a candidate when the primary has been silent for a grace period and a random time.
+    pub(crate) fn schedule_candidacy(&mut self, now: Millis) {
+        // After a start of all nodes the one that was primary before is the first candidate.
+        let random_wait = if self.primary() == Some(self.settings.node_id) {
+            0
+        } else {
+            self.random_below(self.settings.grace_period_ms / 3)
+        };
+        self.candidacy_at = now + self.settings.grace_period_ms + random_wait;
+    }
+
+    /// A value is committed. What is committed here never goes back.
+    pub(crate) fn commit(&mut self, state: ControlState) {
+        let is_newer = self.committed.as_ref().is_none_or(|known| state.rank() > known.rank());
+        let is_other = self.planted(Planted::CommitGoesBack) && self.committed.as_ref() != Some(&state);
+        if (is_newer || is_other) && state.serial > 0 {
+            self.effects.push(Effect::Committed { serial: state.serial });
+            self.committed_digest = state.digest();
+            self.committed = Some(state);
+        }
+    }
+}
--- a/crates/control-group/src/primary/lease.rs
+++ b/crates/control-group/src/primary/lease.rs
@@ -1,38 +1,54 @@
-//! The lease of the primary: while it holds, no other node can lead, and the control state may be answered.
+//! The primary's lease: while it holds, no other node can be primary, and the control state may be read here.
 
-use super::Role;
-use crate::voter::majority;
+use crate::role::Role;
+use crate::view::is_majority;
 use crate::{ControlGroup, ControlState, Millis, Planted, View};
 
+/// By the fault `ThinMargin` the lease ends so long before the grace period.
+const FAULTY_MARGIN: Millis = 20;
+
 impl ControlGroup {
-    /// The lease holds: more than half of the voters, this one among them, acked a heartbeat sent since then.
+    /// Whether this node is primary and holds the lease: a majority of the voters, this one among them, has acknowledged a
+    /// heartbeat that it sent less than a lease period ago.
     pub fn holds_lease(&self, now: Millis) -> bool {
-        let (Role::Lead(lead), Some(view)) = (&self.role, &self.view) else { return false };
-        let mut long = if self.planted(Planted::LongLease) { 3 * self.settings.grace_period_ms } else { 0 };
+        let (Role::Primary(leadership), Some(view)) = (&self.role, &self.view) else { return false };
+        let period = self.lease_period();
+        let is_fresh = |sent_at: &Millis| now <= sent_at + period;
+        let fresh = leadership.acked.iter().filter(|(_, sent_at)| is_fresh(sent_at)).map(|(node, _)| node);
+        if self.planted(Planted::LearnersCount) && (fresh.clone().count() + 1) * 2 > view.voters.len() {
+            return true;
+        }
+        let with_own = fresh.chain(std::iter::once(&self.settings.node_id));
+        is_majority(&view.voters, with_own) && !self.may_exit
+    }
+
+    fn lease_period(&self) -> Millis {
         if self.planted(Planted::ThinMargin) {
-            long = self.settings.grace_period_ms - self.settings.lease_period_ms - 20;
+            return self.settings.grace_period_ms - FAULTY_MARGIN;
         }
-        let fresh = |at: &Millis| now <= at + self.settings.lease_period_ms + long;
-        let acked = lead.acks.iter().filter(|(_, at)| fresh(at)).map(|(v, _)| v);
-        if self.planted(Planted::LearnersCount) && (acked.clone().count() + 1) * 2 > view.voters.len() {
-            return true;
+        if self.planted(Planted::LongLease) {
+            return self.settings.lease_period_ms + 3 * self.settings.grace_period_ms;
         }
-        majority(&view.voters, acked.chain(std::iter::once(&self.settings.node_id))) && !self.released
+        self.settings.lease_period_ms
     }
 
-    pub(super) fn enough(&self, view: &View) -> bool {
-        view.replicas.len() > self.settings.tolerated(view.voters.len()).min(view.voters.len() - 1)
+    /// Whether the view has as many replicas as the losses that are tolerated ask for.
+    pub(super) fn has_enough_replicas(&self, view: &View) -> bool {
+        let voters = view.voters.len();
+        view.replicas.len() > self.settings.tolerated_replica_losses(voters).min(voters - 1)
     }
 
-    /// May answer: the lease holds, and enough replicas hold all there is.
+    /// Whether this node may answer for the control state: it holds the lease, and enough replicas have the present value.
     pub(crate) fn may_answer(&self, now: Millis) -> bool {
-        let settled = matches!(&self.role, Role::Lead(lead) if lead.settled && lead.leave_by.is_none());
-        settled
-            && self.holds_lease(now)
-            && self.view.as_ref().is_some_and(|w| self.enough(w) && w.membership_epoch == w.epoch)
+        let Role::Primary(leadership) = &self.role else { return false };
+        if !leadership.is_state_replicated || leadership.exit_deadline.is_some() || !self.holds_lease(now) {
+            return false;
+        }
+        let is_complete = |view: &View| self.has_enough_replicas(view) && view.membership_epoch == view.epoch;
+        self.view.as_ref().is_some_and(is_complete)
     }
 
-    /// The newest value, if this is the primary and nobody else can be.
+    /// The newest value, if this is the primary and no other node can be.
     pub fn readable_state(&self, now: Millis) -> Option<&ControlState> {
         self.may_answer(now).then_some(&self.state)
     }
--- a/crates/control-group/src/primary/replica_changes.rs
+++ b/crates/control-group/src/primary/replica_changes.rs
@@ -1,81 +1,133 @@
-//! The replicas of the control state: one that is lost is replaced by a voter that was filled before it is named.
+//! Changes of the replicas: one that is lost is replaced by a voter, which is filled before it is named.
 
-use super::writes::Waiting;
-use super::{Role, LOST};
+use crate::replicated_write::{QueuedRequest, ReplicaReplacement, ReplicatedWrite, WriteProgress};
+use crate::role::{Leadership, Role, PEER_SILENCE_LIMIT};
 use crate::{ControlGroup, Millis, NodeId, Planted, View};
 
+/// Whether the write under way leaves room for a change of replicas.
+enum UnderWay {
+    /// It goes on, or there is nobody to change to.
+    Continue,
+    /// It can only end with other replicas.
+    Abandon,
+    Nothing,
+}
+
 impl ControlGroup {
-    /// Too few replicas, or one that does not answer: another voter is filled, and then named.
-    pub(super) fn look_after_replicas(&mut self, now: Millis, view: &View) {
+    /// Fills and names another voter, if there are too few replicas or one does not answer; else looks after the voters.
+    pub(super) fn maintain_replicas(&mut self, now: Millis, view: &View) {
         if !self.holds_lease(now) {
             return;
         }
-        let want = self.wanted_replicas(view);
-        let own = self.state.clone();
-        let lost = self.lost_replicas(now, view);
-        let link_down = |v: &NodeId| self.links.get(v) == Some(&false);
-        let Role::Lead(lead) = &mut self.role else { return };
-        if lead.change.is_some() {
+        let Role::Primary(leadership) = &self.role else { return };
+        if leadership.membership_change.is_some() {
             return;
         }
-        if lead.leave_by.is_some() {
-            return self.look_after_voters(now, view);
+        if leadership.exit_deadline.is_some() {
+            return self.maintain_voters(now, view);
         }
         if view.membership_epoch != view.epoch {
-            return self.ask_change(now, view.clone());
+            return self.propose_membership(now, view.clone());
         }
-        let other = view.voters.iter().filter(|v| !view.replicas.contains(v) && !lead.leaving.contains(v));
-        let other = other.copied().find(|v| lead.here(now, v) && !link_down(v));
-        if let Some(job) = &lead.job {
-            let slow = now > job.since + LOST;
-            match &job.joins {
-                Some((v, _)) if slow || link_down(v) || !lead.here(now, v) => lead.job = None,
-                Some(_) => return,
-                None if lost.is_empty() || !job.missing.iter().all(|v| lost.contains(v)) => return,
-                None if other.is_none() => return,
-                // A write that waits for one that is gone is settled with the replicas that come after it.
-                None => {
-                    let order = lead.job.take().and_then(|job| job.change);
-                    if let Some(order) = order.filter(|order| order.ticket.is_some()) {
-                        lead.queue.push_front(Waiting { order, since: now, begun: true });
-                    }
-                    // Those that are left are made alike again: what was answered late may be on all of them.
-                    lead.settled = false;
-                }
-            }
+        let lost = self.lost_replicas(now, leadership, view);
+        let spare = self.spare_replica(now, leadership, view);
+        match self.write_under_way(now, leadership, &lost, spare) {
+            UnderWay::Continue => return,
+            UnderWay::Abandon => self.abandon_write(now),
+            UnderWay::Nothing => {}
         }
-        if let Some(voter) = other.filter(|_| view.replicas.len() - lost.len() < want) {
-            if self.planted(Planted::UnfilledNamed) {
-                return self.change_replicas(now, voter, &lost);
-            }
-            return self.write(now, own, None, vec![voter], Some((voter, lost)));
+        let is_replica_missing = view.replicas.len() - lost.len() < self.wanted_replicas(view);
+        match spare.filter(|_| is_replica_missing) {
+            Some(joining) => self.replace_replicas(now, ReplicaReplacement { joining, lost }),
+            None => self.maintain_voters(now, view),
         }
-        self.look_after_voters(now, view);
     }
 
     fn wanted_replicas(&self, view: &View) -> usize {
-        (self.settings.tolerated(view.voters.len()) + 1).min(view.voters.len())
+        let voters = view.voters.len();
+        (self.settings.tolerated_replica_losses(voters) + 1).min(voters)
+    }
+
+    /// Replicas that are lost, or whose disk does not take what they are sent.
+    fn lost_replicas(&self, now: Millis, leadership: &Leadership, view: &View) -> Vec<NodeId> {
+        let slow_write = leadership.write.as_ref().filter(|write| is_slow(now, write));
+        let is_lost = |node: &NodeId| {
+            self.is_disconnected(node)
+                || Self::is_leaving_for_good(leadership, view, node)
+                || leadership.is_silent(now, node, PEER_SILENCE_LIMIT)
+                || slow_write.is_some_and(|write| write.missing.contains(node))
+        };
+        let others = view.replicas.iter().filter(|node| **node != self.settings.node_id);
+        others.copied().filter(is_lost).collect()
     }
 
-    /// Copies that are gone, or whose disk does not take what they are sent.
-    fn lost_replicas(&self, now: Millis, view: &View) -> Vec<NodeId> {
-        let Role::Lead(lead) = &self.role else { return Vec::new() };
-        let slow = lead.job.as_ref().filter(|job| now > job.since + LOST);
-        let gone = |v: &NodeId| {
-            self.links.get(v) == Some(&false)
-                || Self::leaves_by(lead, view, v)
-                || lead.silent(now, v, LOST)
-                || slow.is_some_and(|job| job.missing.contains(v))
+    /// A voter that is no replica and may become one.
+    fn spare_replica(&self, now: Millis, leadership: &Leadership, view: &View) -> Option<NodeId> {
+        let is_able = |node: &NodeId| {
+            !view.replicas.contains(node)
+                && !leadership.departing.contains(node)
+                && leadership.is_alive(now, node)
+                && !self.is_disconnected(node)
         };
-        view.replicas.iter().copied().filter(|v| *v != self.settings.node_id && gone(v)).collect()
+        view.voters.iter().copied().find(is_able)
     }
 
-    /// Asks for the view without the replicas that were lost, and with one that has been filled. No more than are wanted: each
-    /// write waits for all, and whether one that seemed lost is back does not matter any more.
-    pub(super) fn change_replicas(&mut self, now: Millis, joins: NodeId, lost: &[NodeId]) {
-        let Some(mut next) = self.view.clone() else { return };
-        next.replicas.retain(|v| !lost.contains(v));
-        next.replicas.push(joins);
-        self.ask_change(now, next);
+    fn write_under_way(
+        &self,
+        now: Millis,
+        leadership: &Leadership,
+        lost: &[NodeId],
+        spare: Option<NodeId>,
+    ) -> UnderWay {
+        let Some(write) = &leadership.write else { return UnderWay::Nothing };
+        if let Some(ReplicaReplacement { joining, .. }) = &write.replacement {
+            let is_joining_lost =
+                is_slow(now, write) || self.is_disconnected(joining) || !leadership.is_alive(now, joining);
+            return if is_joining_lost { UnderWay::Abandon } else { UnderWay::Continue };
+        }
+        let waits_for_lost_only = !lost.is_empty() && write.missing.iter().all(|node| lost.contains(node));
+        if waits_for_lost_only && spare.is_some() {
+            UnderWay::Abandon
+        } else {
+            UnderWay::Continue
+        }
     }
+
+    /// A write that waits for a lost replica is done again with the replicas that come after it.
+    fn abandon_write(&mut self, now: Millis) {
+        let Role::Primary(leadership) = &mut self.role else { return };
+        let Some(write) = leadership.write.take() else { return };
+        if write.replacement.is_some() {
+            return;
+        }
+        if let Some(request) = write.request.filter(|request| request.ticket.is_some()) {
+            let progress = WriteProgress::Begun;
+            leadership.queue.push_front(QueuedRequest { request, queued_at: now, progress });
+        }
+        // The replicas that are left are made alike again: what was answered late may be on all of them.
+        leadership.is_state_replicated = false;
+    }
+
+    /// Fills the node that joins; it is named when it has the value.
+    fn replace_replicas(&mut self, now: Millis, replacement: ReplicaReplacement) {
+        if self.planted(Planted::UnfilledNamed) {
+            return self.name_replica(now, &replacement);
+        }
+        self.fill(now, replacement);
+    }
+
+    /// Proposes the view without the replicas that were lost, and with one that has been filled.
+    ///
+    /// No more replicas than are wanted: each write waits for all, and whether one that seemed lost is back does not matter any
+    /// more.
+    pub(super) fn name_replica(&mut self, now: Millis, replacement: &ReplicaReplacement) {
+        let Some(mut membership) = self.view.clone() else { return };
+        membership.replicas.retain(|node| !replacement.lost.contains(node));
+        membership.replicas.push(replacement.joining);
+        self.propose_membership(now, membership);
+    }
+}
+
+fn is_slow(now: Millis, write: &ReplicatedWrite) -> bool {
+    now > write.began_at + PEER_SILENCE_LIMIT
 }
--- a/crates/control-group/src/primary/view_change.rs
+++ b/crates/control-group/src/primary/view_change.rs
@@ -1,80 +1,80 @@
-//! Asking for another view, and counting the voters that grant it.
+//! How a primary has another membership granted: the same view with other replicas or voters, under the next epoch.
 
-use super::Role;
-use crate::voter::majority;
-use crate::{After, ControlGroup, Effect, Message, Millis, NodeId, RoleChange, View};
-use std::collections::BTreeSet;
+use crate::node_state::OnPersisted;
+use crate::proposal::Proposal;
+use crate::role::Role;
+use crate::{ControlGroup, Message, Millis, NodeId, RoleChange, View};
 
-/// A view that is asked for.
-#[derive(Clone, Debug)]
-pub(crate) struct Candidacy {
-    pub view: View,
-    pub before: View,
-    pub grants: BTreeSet<NodeId>,
-    /// They have given another their vote for this epoch.
-    pub against: BTreeSet<NodeId>,
-    pub since: Millis,
-    pub released: bool,
-}
-
-impl Candidacy {
-    pub fn new(since: Millis, view: View, before: View, released: bool) -> Candidacy {
-        Candidacy { view, before, grants: BTreeSet::new(), against: BTreeSet::new(), since, released }
-    }
-    /// Those who may still grant it are no majority.
-    pub fn lost(&self) -> bool {
-        !majority(&self.view.voters, self.view.voters.iter().filter(|v| !self.against.contains(v)))
-    }
-    /// Granted by a majority of those who vote now and of those who will; `with` one more.
-    pub fn won(&self, with: Option<NodeId>) -> bool {
-        let grants = self.grants.iter().chain(with.as_ref());
-        majority(&self.view.voters, grants.clone()) && majority(&self.before.voters, grants)
+impl ControlGroup {
+    /// Proposes a view with this membership, under an epoch that this node has not proposed before.
+    pub(super) fn propose_membership(&mut self, now: Millis, membership: View) {
+        let Some(previous) = self.view.clone() else { return };
+        let Role::Primary(leadership) = &mut self.role else { return };
+        let last_epoch = leadership.proposed_view().map_or(previous.epoch, |proposed| proposed.epoch);
+        let epoch = last_epoch + 1;
+        let next = View { epoch, membership_epoch: epoch, ..membership };
+        let previous_voters = previous.voters.clone();
+        leadership.membership_change = Some(Proposal::new(now, next.clone(), previous, false));
+        leadership.membership_proposed_at = now;
+        self.persist_view(next.clone(), OnPersisted::CountOwnGrant { view: next.clone() });
+        self.propose(&next, &previous_voters, false);
     }
-}
 
-impl ControlGroup {
-    pub(super) fn ask_change(&mut self, now: Millis, next: View) {
-        let Some(before) = self.view.clone() else { return };
-        let Role::Lead(lead) = &mut self.role else { return };
-        let asked = lead.asked_for().map_or(before.epoch, |asked| asked.epoch);
-        let next = View { epoch: asked + 1, membership_epoch: asked + 1, ..next };
-        let before_voters = before.voters.clone();
-        lead.change = Some(Candidacy::new(now, next.clone(), before, false));
-        lead.asked = now;
-        self.persist_view(next.clone(), After::OwnGrant { view: next.clone() });
-        self.propose(&next, &before_voters, false);
+    /// A proposal, or its answer, may have been lost: it is sent again while it is not granted.
+    pub(super) fn repeat_membership_proposal(&mut self, now: Millis) {
+        let interval = self.settings.heartbeat_interval_ms;
+        let Role::Primary(leadership) = &mut self.role else { return };
+        let Some(change) = &leadership.membership_change else { return };
+        if now < leadership.membership_proposed_at + interval {
+            return;
+        }
+        let (view, previous_voters) = (change.view.clone(), change.previous.voters.clone());
+        let is_own_grant_missing = !change.grants.contains(&self.settings.node_id);
+        leadership.membership_proposed_at = now;
+        if is_own_grant_missing {
+            self.persist_view(view.clone(), OnPersisted::CountOwnGrant { view: view.clone() });
+        }
+        self.propose(&view, &previous_voters, false);
     }
 
-    /// A voter has a view on its disk that this node asked for.
+    /// A voter has a view on its disk that this node proposed.
     pub(crate) fn granted(&mut self, now: Millis, from: NodeId, view: View) {
         match &mut self.role {
-            Role::Candidacy(candidacy) if candidacy.view == view => {
-                candidacy.grants.insert(from);
+            Role::Candidate(proposal) if proposal.view == view => {
+                proposal.grants.insert(from);
                 self.count_grants(now);
             }
-            Role::Lead(lead) => {
-                let Some(change) = lead.change.as_mut().filter(|c| c.view == view) else { return };
-                change.grants.insert(from);
-                if !change.won(None) || !change.grants.contains(&self.settings.node_id) {
-                    return;
-                }
-                let before = std::mem::take(&mut change.before.voters);
-                lead.change = None;
-                self.safe = self.safe.max(view.epoch);
-                // Whoever was left out counts anew, should it come again.
-                lead.acks.retain(|v, _| view.voters.contains(v) || !before.contains(v));
-                lead.heartbeat_at = now;
-                self.effects
-                    .push(Effect::RoleChanged { epoch: view.epoch, change: RoleChange::MembershipChanged });
-                self.view = Some(view.clone());
-                self.vote_for(self.settings.node_id);
-                // Who votes no more hears it too: it may wait for that to end.
-                for voter in before.into_iter().filter(|v| !view.voters.contains(v)) {
-                    self.send(voter, Message::ViewReply { view: Some(view.clone()) });
-                }
-                self.lead(now);
-            }
+            Role::Primary(_) => self.membership_granted(now, from, view),
             _ => {}
         }
     }
+
+    fn membership_granted(&mut self, now: Millis, from: NodeId, view: View) {
+        let Role::Primary(leadership) = &mut self.role else { return };
+        let Some(change) = leadership.membership_change.as_mut().filter(|change| change.view == view) else {
+            return;
+        };
+        change.grants.insert(from);
+        if !change.is_granted() || !change.grants.contains(&self.settings.node_id) {
+            return;
+        }
+        let previous_voters = std::mem::take(&mut change.previous.voters);
+        leadership.membership_change = None;
+        // A voter that was removed counts anew, should it come again.
+        leadership.acked.retain(|node, _| view.voters.contains(node) || !previous_voters.contains(node));
+        leadership.next_heartbeat_at = now;
+        self.durable_epoch = self.durable_epoch.max(view.epoch);
+        self.role_changed(view.epoch, RoleChange::MembershipChanged);
+        self.view = Some(view.clone());
+        self.vote_for(self.settings.node_id);
+        self.notify_removed_voters(&previous_voters, &view);
+        self.lead(now);
+    }
+
+    /// A removed voter gets no heartbeats, and may wait to be removed.
+    fn notify_removed_voters(&mut self, previous_voters: &[NodeId], view: &View) {
+        for voter in previous_voters.iter().filter(|voter| !view.voters.contains(voter)) {
+            self.send(*voter, Message::ViewReply { view: Some(view.clone()) });
+        }
+    }
 }
--- a/crates/control-group/src/primary/voter_changes.rs
+++ b/crates/control-group/src/primary/voter_changes.rs
@@ -1,96 +1,132 @@
-//! Who votes: a node that is gone is left out, and one that comes joins, one change at a time.
+//! Changes of the voters: a node that is lost is removed, and one that comes is added, one change at a time.
 
-use super::{Candidacy, Lead, Role, ABSENT, LOST};
-use crate::voter::majority;
+use crate::proposal::Proposal;
+use crate::role::{Leadership, Role, PEER_ABSENCE_LIMIT, PEER_SILENCE_LIMIT};
+use crate::view::is_majority;
 use crate::{ControlGroup, Millis, NodeId, Planted, View};
 
+/// By the fault `GoneStays` a voter is taken for lost after so long, and not sooner.
+const FAULTY_SILENCE_LIMIT: Millis = 3_000;
+
 impl ControlGroup {
-    /// One voter comes or goes at a time, so that any majority of before and any of after meet: one that has granted a change
+    /// Removes or adds one voter, if that is called for.
+    ///
+    /// One at a time, so that any majority of before and any of after have a node in common: a voter that has granted a change
     /// which was never granted by enough still needs a majority of the voters that it knows, and so may the others.
-    pub(super) fn look_after_voters(&mut self, now: Millis, view: &View) {
-        let committed = self.committed.as_ref().map_or(0, |c| c.serial);
-        let Role::Lead(lead) = &self.role else { return };
-        if committed == 0 || lead.job.is_some() || !lead.settled {
+    pub(super) fn maintain_voters(&mut self, now: Millis, view: &View) {
+        let has_committed = self.committed.as_ref().is_some_and(|committed| committed.serial > 0);
+        let Role::Primary(leadership) = &self.role else { return };
+        if !has_committed || leadership.write.is_some() || !leadership.is_state_replicated {
             return;
         }
-        let Some(voters) = self.next_voters(now, lead, view) else { return };
-        if lead.leave_by.is_some() && !self.half_replaced(now, lead, view) {
+        let Some(voters) = self.next_voters(now, leadership, view) else { return };
+        if leadership.exit_deadline.is_some() && !self.is_half_replaced(now, leadership, view) {
             return;
         }
-        // One that is asked for and never granted holds up everything: it is not begun without a majority of both in sight.
-        let present = |v: &&NodeId| {
-            **v == self.settings.node_id || self.present(now, lead, v) || self.planted(Planted::BlindChange)
-        };
-        let enough = |list: &[NodeId]| majority(list, list.iter().filter(present));
-        if enough(&voters) && enough(&view.voters) {
-            self.ask_change(now, View { voters, ..view.clone() });
+        // A change that is proposed and never granted holds up everything: it is not begun without both majorities in sight.
+        if self.is_majority_present(now, leadership, &voters)
+            && self.is_majority_present(now, leadership, &view.voters)
+        {
+            self.propose_membership(now, View { voters, ..view.clone() });
         }
     }
 
-    /// One that is gone is replaced in two changes, one right after the other. It is left out first: so the loss of the one that
-    /// comes, as it comes, holds nothing up. Without one that comes it stays, for it may only be starting again; but of an even
-    /// number of voters, who bear no more losses than one less, it is left out at once.
-    fn next_voters(&self, now: Millis, lead: &Lead, view: &View) -> Option<Vec<NodeId>> {
-        let voters = &view.voters;
-        let others = || voters.iter().filter(|v| **v != self.settings.node_id);
-        let comes = |v: &NodeId| {
-            lead.here(now, v) && !voters.contains(v) && !lead.leaving.contains(v) && !self.link_down(v)
-        };
-        let joins = self.learners.iter().copied().find(comes);
-        let with = |joins: NodeId| {
-            let mut next: Vec<NodeId> = voters.iter().copied().chain([joins]).collect();
-            next.sort();
-            next
+    fn is_majority_present(&self, now: Millis, leadership: &Leadership, voters: &[NodeId]) -> bool {
+        let is_present = |voter: &&NodeId| {
+            **voter == self.settings.node_id
+                || self.is_present(now, leadership, voter)
+                || self.planted(Planted::BlindChange)
         };
-        // A replica is let go only when another was filled in its place; where there is none yet, it comes first.
-        let gone = others().find(|v| !view.replicas.contains(v) && self.gone(now, lead, view, v));
-        if let Some(gone) = gone.filter(|_| joins.is_some() || voters.len().is_multiple_of(2)) {
-            let next = joins.filter(|_| self.planted(Planted::SwapAtOnce)).map_or(voters.clone(), with);
-            return Some(next.into_iter().filter(|v| v != gone).collect());
+        is_majority(voters, voters.iter().filter(is_present))
+    }
+
+    /// The voters by the next change; none if the voters are as they should be.
+    ///
+    /// A lost voter is replaced in two changes, one right after the other. It is removed first: so the loss of the node that
+    /// comes, as it comes, holds nothing up. While none comes it stays, for it may only be restarting; but from an even number
+    /// of voters, which tolerates no more losses than one voter less, it is removed at once.
+    fn next_voters(&self, now: Millis, leadership: &Leadership, view: &View) -> Option<Vec<NodeId>> {
+        let voters = &view.voters;
+        let others = || voters.iter().filter(|voter| **voter != self.settings.node_id);
+        let joining = self.joining_voter(now, leadership, view);
+        // A replica is removed only when another was filled in its place; where there is none yet, that comes first.
+        let lost = others()
+            .find(|voter| !view.replicas.contains(voter) && self.is_lost(now, leadership, view, voter));
+        if let Some(lost) = lost.filter(|_| joining.is_some() || voters.len().is_multiple_of(2)) {
+            let joins_at_once = self.planted(Planted::SwapAtOnce);
+            let next = match joining.filter(|_| joins_at_once) {
+                Some(joining) => with_voter(voters, joining),
+                None => voters.clone(),
+            };
+            return Some(next.into_iter().filter(|voter| voter != lost).collect());
         }
-        // Who has just fallen silent may be gone: until that is known nobody joins, or the group would bear less than before.
-        let open = others().any(|v| !self.present(now, lead, v) && !self.gone(now, lead, view, v));
-        joins.filter(|_| !open).map(with)
+        // A voter that has just fallen silent may be lost: until that is known none joins, or the group would tolerate less
+        // than before.
+        let is_any_in_doubt = others().any(|voter| {
+            !self.is_present(now, leadership, voter) && !self.is_lost(now, leadership, view, voter)
+        });
+        joining.filter(|_| !is_any_in_doubt).map(|joining| with_voter(voters, joining))
     }
 
-    /// One that is gone was left out, and the one that comes is yet to join: one that ends now would be the second loss.
-    pub(super) fn half_replaced(&self, now: Millis, lead: &Lead, view: &View) -> bool {
-        let more = |next: Vec<NodeId>| next.len() > view.voters.len();
-        view.voters.len().is_multiple_of(2) && self.next_voters(now, lead, view).is_some_and(more)
+    /// A learner that may become a voter.
+    fn joining_voter(&self, now: Millis, leadership: &Leadership, view: &View) -> Option<NodeId> {
+        let may_join = |node: &NodeId| {
+            leadership.is_alive(now, node)
+                && !view.voters.contains(node)
+                && !leadership.departing.contains(node)
+                && !self.is_disconnected(node)
+        };
+        self.learners.iter().copied().find(may_join)
     }
 
-    /// Other voters were asked for, and those who would have to grant it are gone: the voters stay as they were. Whoever has
-    /// granted it needs a majority of the voters asked for, which has one in common with the majority that grants this.
-    pub(super) fn take_back(&mut self, now: Millis, view: &View) {
-        let Role::Lead(lead) = &self.role else { return };
-        let waits = |change: &Candidacy| change.view.voters != view.voters && now > change.since + LOST;
-        if lead.change.as_ref().is_some_and(waits) && !self.planted(Planted::BlindChange) {
-            self.ask_change(now, view.clone());
-        }
+    /// Whether a lost voter was removed, and the node that comes in its place is yet to join: the end of this primary now would
+    /// be the second loss.
+    pub(super) fn is_half_replaced(&self, now: Millis, leadership: &Leadership, view: &View) -> bool {
+        let adds_voter = |next: Vec<NodeId>| next.len() > view.voters.len();
+        view.voters.len().is_multiple_of(2) && self.next_voters(now, leadership, view).is_some_and(adds_voter)
     }
 
-    fn link_down(&self, voter: &NodeId) -> bool {
-        self.links.get(voter) == Some(&false)
+    /// Proposes the present voters again, if others were proposed and those who would have to grant them are lost.
+    ///
+    /// A node that has granted the other voters needs a majority of them, and that has a node in common with the majority that
+    /// grants this.
+    pub(super) fn revert_stuck_voter_change(&mut self, now: Millis, view: &View) {
+        let Role::Primary(leadership) = &self.role else { return };
+        let is_stuck = |change: &Proposal| {
+            change.view.voters != view.voters && now > change.proposed_at + PEER_SILENCE_LIMIT
+        };
+        if leadership.membership_change.as_ref().is_some_and(is_stuck) && !self.planted(Planted::BlindChange)
+        {
+            self.propose_membership(now, view.clone());
+        }
     }
 
-    /// It acked the last heartbeats.
-    fn present(&self, now: Millis, lead: &Lead, voter: &NodeId) -> bool {
-        lead.acks.contains_key(voter)
-            && !lead.silent(now, voter, 3 * self.settings.heartbeat_interval_ms)
-            && !self.link_down(voter)
+    /// Whether the node has acknowledged one of the last three heartbeats.
+    fn is_present(&self, now: Millis, leadership: &Leadership, node: &NodeId) -> bool {
+        leadership.acked.contains_key(node)
+            && !leadership.is_silent(now, node, 3 * self.settings.heartbeat_interval_ms)
+            && !self.is_disconnected(node)
     }
 
-    /// It has said that it goes for good, has been silent for long, or its connection broke and it was not back soon.
-    fn gone(&self, now: Millis, lead: &Lead, view: &View, voter: &NodeId) -> bool {
+    /// Whether the node leaves for good, has been silent for long, or its connection broke and it was not back soon.
+    fn is_lost(&self, now: Millis, leadership: &Leadership, view: &View, node: &NodeId) -> bool {
         if self.planted(Planted::GoneStays) {
-            return lead.acks.get(voter).map_or(now > lead.since + 3_000, |at| now > at + 3_000);
+            let last = leadership.acked.get(node).unwrap_or(&leadership.began_at);
+            return now > last + FAULTY_SILENCE_LIMIT;
         }
-        Self::leaves_by(lead, view, voter)
-            || lead.silent(now, voter, if self.link_down(voter) { ABSENT } else { LOST })
+        let limit = if self.is_disconnected(node) { PEER_ABSENCE_LIMIT } else { PEER_SILENCE_LIMIT };
+        Self::is_leaving_for_good(leadership, view, node) || leadership.is_silent(now, node, limit)
     }
 
-    /// It ends, and the group needs it no more. In an odd group whoever ends is taken for one that starts again.
-    pub(super) fn leaves_by(lead: &Lead, view: &View, voter: &NodeId) -> bool {
-        view.voters.len().is_multiple_of(2) && lead.leaving.contains(voter)
+    /// Whether the node's process ends and the group does not need it. In an odd group an end is taken for a restart.
+    pub(super) fn is_leaving_for_good(leadership: &Leadership, view: &View, node: &NodeId) -> bool {
+        view.voters.len().is_multiple_of(2) && leadership.departing.contains(node)
     }
 }
+
+/// In the order of addresses.
+fn with_voter(voters: &[NodeId], joining: NodeId) -> Vec<NodeId> {
+    let mut next: Vec<NodeId> = voters.iter().copied().chain([joining]).collect();
+    next.sort();
+    next
+}
--- a/crates/control-group/src/primary/writes.rs
+++ b/crates/control-group/src/primary/writes.rs
@@ -1,230 +1,265 @@
-//! Orders to change the control state, and the writes that bring each to all replicas: one at a time, the others wait.
+//! Requests to change the control state, and the writes that bring each to all replicas: one at a time, the others wait.
 
-use super::Role;
+use crate::node_state::OnPersisted;
+use crate::replicated_write::{
+    ChangeRequest, QueuedRequest, ReplicaReplacement, ReplicatedWrite, WriteProgress, QUEUE_TIMEOUT,
+    WRITE_TIMEOUT,
+};
+use crate::role::{Role, PEER_SILENCE_LIMIT};
+use crate::state_change::{ChangeOutcome, EqualVersion};
 use crate::{
-    After, Applied, ControlGroup, ControlState, Effect, Message, Millis, NodeId, Planted, Record,
-    RetirementStage, StateChange, Verdict, View,
+    ControlGroup, ControlState, Effect, Message, Millis, NodeId, Planted, Record, RetirementStage,
+    StateChange, Verdict, View,
 };
 use std::collections::BTreeSet;
 
-/// A write waits so long for its turn, and is answered at the latest after so long.
-pub(crate) const TURN: Millis = 1500;
-pub(crate) const ANSWER: Millis = 2500;
-/// Most writes that wait.
-const QUEUE: usize = 32;
-
-/// A change that was asked for, and who waits for the answer: nobody where the primary noticed it by itself.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Order {
-    pub ticket: Option<u64>,
-    pub change: StateChange,
-}
-
-impl Order {
-    pub(super) fn answer(&self, verdict: Verdict) -> Option<Effect> {
-        self.ticket.map(|ticket| Effect::Answer { ticket, verdict })
-    }
-}
-
-/// A write under way.
-#[derive(Clone, Debug)]
-pub(crate) struct Job {
-    pub write_id: u64,
-    pub state: ControlState,
-    /// None where the own state is stored again, or a replica is filled.
-    pub change: Option<Order>,
-    pub missing: BTreeSet<NodeId>,
-    pub since: Millis,
-    pub sent: Millis,
-    /// To become a replica when it has it, in place of those.
-    pub joins: Option<(NodeId, Vec<NodeId>)>,
-}
-
-/// An order that waits for its turn.
-#[derive(Clone, Debug)]
-pub(crate) struct Waiting {
-    pub order: Order,
-    pub since: Millis,
-    /// A replica may have it already: it can't be said that it was not done.
-    pub begun: bool,
-}
-
-impl Waiting {
-    pub(super) fn given_up(&self, lies: bool) -> Option<Effect> {
-        let verdict = if self.begun && !lies { Verdict::Uncertain } else { Verdict::NotCommitted };
-        self.order.answer(verdict)
-    }
-}
+/// The most requests that wait.
+const MAX_QUEUED_REQUESTS: usize = 32;
 
 impl ControlGroup {
-    /// An operator's configuration.
+    /// Replaces the operators' configuration. The answer is an [`Effect::Answer`] with this ticket.
     pub fn replace_configuration(&mut self, now: Millis, ticket: u64, version: u64, body: Vec<u8>) {
         let change = StateChange::Configuration { version, body };
-        self.take_order(now, Order { ticket: Some(ticket), change });
+        self.accept_request(now, ChangeRequest { ticket: Some(ticket), change });
     }
 
-    /// An order to retire a store, that the caller has checked against `settled` and `pending_retirements`.
+    /// Orders a store to be retired. The answer is an [`Effect::Answer`] with this ticket.
+    ///
+    /// The caller has checked the order against [`readable_state`](ControlGroup::readable_state) and
+    /// [`pending_retirements`](ControlGroup::pending_retirements).
     pub fn retire_store(&mut self, now: Millis, ticket: u64, node: u32, name: String) {
         let change = StateChange::Retire { node, name };
-        self.take_order(now, Order { ticket: Some(ticket), change });
+        self.accept_request(now, ChangeRequest { ticket: Some(ticket), change });
     }
 
-    /// A store that is retired has come further. Only the primary writes that down, and nobody waits for it: it is called
-    /// again until the value says so.
+    /// Records that a retirement has come further.
+    ///
+    /// Only the primary does, and nobody waits for an answer: call it again until the value says so.
     pub fn advance_retirement(&mut self, now: Millis, node: u32, stage: RetirementStage) {
-        let order = Order { ticket: None, change: StateChange::Advance { node, stage } };
-        if !self.may_answer(now) || self.orders().any(|waiting| *waiting == order) {
+        let request = ChangeRequest { ticket: None, change: StateChange::Advance { node, stage } };
+        if !self.may_answer(now) || self.requests().any(|pending| *pending == request) {
             return;
         }
-        self.take_order(now, order);
+        self.accept_request(now, request);
     }
 
-    fn take_order(&mut self, now: Millis, order: Order) {
-        let primary = self.primary().filter(|p| *p != self.settings.node_id);
-        let Role::Lead(lead) = &mut self.role else {
-            return self.effects.extend(order.answer(Verdict::NotPrimary { primary }));
+    fn accept_request(&mut self, now: Millis, request: ChangeRequest) {
+        let primary = self.other_primary();
+        let Role::Primary(leadership) = &mut self.role else {
+            return self.effects.extend(request.answer(Verdict::NotPrimary { primary }));
         };
-        if lead.queue.len() >= QUEUE || lead.leave_by.is_some() {
-            return self.effects.extend(order.answer(Verdict::NotCommitted));
+        if leadership.queue.len() >= MAX_QUEUED_REQUESTS || leadership.exit_deadline.is_some() {
+            return self.effects.extend(request.answer(Verdict::NotCommitted));
         }
-        lead.queue.push_back(Waiting { order, since: now, begun: false });
+        let progress = WriteProgress::NotBegun;
+        leadership.queue.push_back(QueuedRequest { request, queued_at: now, progress });
         self.lead(now);
     }
 
-    /// Those under way and those that wait.
-    fn orders(&self) -> impl Iterator<Item = &Order> {
-        let lead = if let Role::Lead(lead) = &self.role { Some(lead) } else { None };
-        let under_way = lead.and_then(|lead| lead.job.as_ref()?.change.as_ref());
-        let waiting = lead.into_iter().flat_map(|lead| lead.queue.iter().map(|waiting| &waiting.order));
-        under_way.into_iter().chain(waiting)
+    /// The request under way, and those that wait.
+    fn requests(&self) -> impl Iterator<Item = &ChangeRequest> {
+        let leadership = match &self.role {
+            Role::Primary(leadership) => Some(leadership),
+            _ => None,
+        };
+        let under_way = leadership.and_then(|leadership| leadership.write.as_ref()?.request.as_ref());
+        let queue = leadership.into_iter().flat_map(|leadership| &leadership.queue);
+        under_way.into_iter().chain(queue.map(|queued| &queued.request))
     }
 
-    /// Stores whose retirement is under way to the replicas, or waits for its turn.
+    /// Stores whose retirement is on its way to the replicas, or waits for its turn.
     pub fn pending_retirements(&self) -> impl Iterator<Item = u32> + '_ {
-        self.orders().filter_map(|order| match order.change {
+        self.requests().filter_map(|request| match request.change {
             StateChange::Retire { node, .. } => Some(node),
             _ => None,
         })
     }
 
-    /// The newest configuration, if this is the primary and nobody else can be.
+    /// Reads the newest configuration. The answer is an [`Effect::ReadAnswer`] with this ticket, or an [`Effect::Answer`] if
+    /// this node is not the primary or may not answer now.
     pub fn read_configuration(&mut self, now: Millis, ticket: u64) {
-        if let Some(state) = self.readable_state(now) {
-            let state = Some(state.clone()).filter(|c| c.version > 0);
-            return self.effects.push(Effect::ReadAnswer { ticket, state });
-        }
-        let primary = self.primary().filter(|p| *p != self.settings.node_id);
-        self.effects.push(Effect::Answer { ticket, verdict: Verdict::NotPrimary { primary } });
+        let effect = match self.readable_state(now) {
+            Some(state) => {
+                let state = Some(state.clone()).filter(|state| state.version > 0);
+                Effect::ReadAnswer { ticket, state }
+            }
+            None => Effect::Answer { ticket, verdict: Verdict::NotPrimary { primary: self.other_primary() } },
+        };
+        self.effects.push(effect);
     }
 
-    pub(super) fn answer_late(&mut self, now: Millis) {
-        let lies = self.planted(Planted::BegunForgotten);
-        let Role::Lead(lead) = &mut self.role else { return };
-        if let Some(job) = lead.job.as_mut().filter(|job| now > job.since + ANSWER) {
-            let ticket = job.change.as_mut().and_then(|order| order.ticket.take());
-            let late = ticket.map(|ticket| Effect::Answer { ticket, verdict: Verdict::Uncertain });
-            self.effects.extend(late);
+    /// Answers those who have waited for too long. The write under way goes on.
+    pub(super) fn expire_requests(&mut self, now: Millis) {
+        let Role::Primary(leadership) = &mut self.role else { return };
+        if let Some(write) = leadership.write.as_mut().filter(|write| now > write.began_at + WRITE_TIMEOUT) {
+            let ticket = write.request.as_mut().and_then(|request| request.ticket.take());
+            let verdict = Verdict::Uncertain;
+            self.effects.extend(ticket.map(|ticket| Effect::Answer { ticket, verdict }));
         }
-        while lead.queue.front().is_some_and(|w| now > w.since + TURN) {
-            self.effects.extend(lead.queue.pop_front().and_then(|w| w.given_up(lies)));
+        while let Some(queued) = self.take_expired(now) {
+            self.abandon(queued);
         }
     }
 
-    pub(super) fn begin_job(&mut self, now: Millis, view: &View) {
+    fn take_expired(&mut self, now: Millis) -> Option<QueuedRequest> {
+        let Role::Primary(leadership) = &mut self.role else { return None };
+        let first = leadership.queue.front()?;
+        if now > first.queued_at + QUEUE_TIMEOUT {
+            leadership.queue.pop_front()
+        } else {
+            None
+        }
+    }
+
+    /// Answers a request that is not carried out any more.
+    pub(super) fn abandon(&mut self, queued: QueuedRequest) {
+        let is_begun = queued.progress == WriteProgress::Begun && !self.planted(Planted::BegunForgotten);
+        let verdict = if is_begun { Verdict::Uncertain } else { Verdict::NotCommitted };
+        self.effects.extend(queued.request.answer(verdict));
+    }
+
+    /// Begins the next write, if none is under way.
+    pub(super) fn begin_next_write(&mut self, now: Millis, view: &View) {
         if !self.holds_lease(now) || view.membership_epoch != view.epoch {
             return;
         }
-        let enough = self.enough(view);
-        let own = self.state.clone();
-        let equal_taken = self.planted(Planted::EqualTaken);
-        let Role::Lead(lead) = &mut self.role else { return };
-        if lead.job.is_some() || lead.change.is_some() {
+        let has_enough_replicas = self.has_enough_replicas(view);
+        let Role::Primary(leadership) = &self.role else { return };
+        if leadership.write.is_some() || leadership.membership_change.is_some() {
             return;
         }
-        if !lead.settled
-            || view.replicas.iter().any(|v| lead.unfilled.contains(v) && lead.acks.contains_key(v))
-        {
-            // What it holds may be on no other replica, or a replica may hold what was given up, or have lost its disk: all
-            // are made alike first.
-            return self.write(now, own, None, view.replicas.clone(), None);
+        let has_lost_state =
+            |node: &NodeId| leadership.without_state.contains(node) && leadership.acked.contains_key(node);
+        if !leadership.is_state_replicated || view.replicas.iter().any(has_lost_state) {
+            // The own value may be on no other replica, or a replica may have an abandoned one, or have lost its disk: all are
+            // made alike first.
+            return self.write(now, self.state.clone(), None, &view.replicas, None);
         }
-        if !enough || lead.leave_by.is_some() {
-            return;
+        if has_enough_replicas && leadership.exit_deadline.is_none() {
+            self.begin_queued_write(now, view);
         }
-        while let Some(Waiting { order, .. }) = lead.queue.pop_front() {
-            match order.change.applied(&self.state, equal_taken) {
-                Applied::Unchanged => self.effects.extend(order.answer(Verdict::Unchanged)),
-                Applied::Full => self.effects.extend(order.answer(Verdict::NotCommitted)),
-                Applied::Changed(state) => {
-                    return self.write(now, state, Some(order), view.replicas.clone(), None);
+    }
+
+    /// Answers the requests that change nothing, and begins a write for the first that does.
+    fn begin_queued_write(&mut self, now: Millis, view: &View) {
+        let equal_version =
+            if self.planted(Planted::EqualTaken) { EqualVersion::Accepted } else { EqualVersion::Ignored };
+        loop {
+            let Role::Primary(leadership) = &mut self.role else { return };
+            let Some(QueuedRequest { request, .. }) = leadership.queue.pop_front() else { return };
+            match request.change.apply(&self.state, equal_version) {
+                ChangeOutcome::Unchanged => self.effects.extend(request.answer(Verdict::Unchanged)),
+                ChangeOutcome::NoCapacity => self.effects.extend(request.answer(Verdict::NotCommitted)),
+                ChangeOutcome::Changed(state) => {
+                    return self.write(now, state, Some(request), &view.replicas, None);
                 }
             }
         }
     }
 
-    pub(super) fn write(
+    /// Sends the present value to a node that is to become a replica.
+    pub(super) fn fill(&mut self, now: Millis, replacement: ReplicaReplacement) {
+        self.write(now, self.state.clone(), None, &[replacement.joining], Some(replacement));
+    }
+
+    fn write(
         &mut self,
         now: Millis,
         state: ControlState,
-        change: Option<Order>,
-        to: Vec<NodeId>,
-        joins: Option<(NodeId, Vec<NodeId>)>,
+        request: Option<ChangeRequest>,
+        receivers: &[NodeId],
+        replacement: Option<ReplicaReplacement>,
     ) {
-        self.serial = self.serial.wrapping_add(1);
-        let (write_id, epoch, me) = (self.serial, self.epoch(), self.settings.node_id);
-        let missing: BTreeSet<NodeId> = to.into_iter().collect();
-        for voter in missing.clone() {
-            self.send(voter, Message::Store { epoch, write_id, state: state.clone() });
+        self.last_write_id = self.last_write_id.wrapping_add(1);
+        let (write_id, epoch) = (self.last_write_id, self.epoch());
+        let missing: BTreeSet<NodeId> = receivers.iter().copied().collect();
+        for node in &missing {
+            self.send(*node, Message::Store { epoch, write_id, state: state.clone() });
         }
-        if missing.contains(&me) {
-            self.persist(Record::ControlState(state.clone()), After::OwnStored { write_id });
+        if missing.contains(&self.settings.node_id) {
+            self.persist(Record::ControlState(state.clone()), OnPersisted::CountOwnReplica { write_id });
         }
-        if let Role::Lead(lead) = &mut self.role {
-            lead.job = Some(Job { write_id, state, change, missing, since: now, sent: now, joins });
+        if let Role::Primary(leadership) = &mut self.role {
+            leadership.write = Some(ReplicatedWrite {
+                write_id,
+                state,
+                request,
+                missing,
+                began_at: now,
+                sent_at: now,
+                replacement,
+            });
+        }
+    }
+
+    /// A message, or its answer, may have been lost: the value is sent again to those who have not stored it.
+    pub(super) fn repeat_write(&mut self, now: Millis, view: &View) {
+        let interval = self.settings.heartbeat_interval_ms;
+        let Role::Primary(leadership) = &mut self.role else { return };
+        let Some(write) = leadership.write.as_mut().filter(|write| now >= write.sent_at + interval) else {
+            return;
+        };
+        write.sent_at = now;
+        let (missing, write_id, state) = (write.missing.clone(), write.write_id, write.state.clone());
+        for node in missing {
+            self.send(node, Message::Store { epoch: view.epoch, write_id, state: state.clone() });
         }
     }
 
-    /// It refuses, or hangs: another is to decide. Whether the replicas have what was written is not known.
+    /// Whether this node's own disk has not taken a write for long.
+    pub(super) fn is_own_disk_stuck(&self, now: Millis) -> bool {
+        let Role::Primary(leadership) = &self.role else { return false };
+        leadership.write.as_ref().is_some_and(|write| {
+            write.missing.contains(&self.settings.node_id) && now > write.began_at + PEER_SILENCE_LIMIT
+        })
+    }
+
+    /// The own disk refuses a record, or hangs: another node is to lead. Whether the replicas have what was written is not known.
     pub(crate) fn own_disk_failed(&mut self, now: Millis) {
-        let Role::Lead(lead) = &mut self.role else { return };
-        let under_way = lead.job.take().and_then(|job| job.change);
-        self.effects.extend(under_way.and_then(|order| order.answer(Verdict::Uncertain)));
-        lead.settled = false;
-        self.hand_over(now, false);
+        let Role::Primary(leadership) = &mut self.role else { return };
+        let under_way = leadership.write.take().and_then(|write| write.request);
+        leadership.is_state_replicated = false;
+        self.effects.extend(under_way.and_then(|request| request.answer(Verdict::Uncertain)));
+        self.hand_over_if_possible(now);
     }
 
+    /// A node has the value of this write on its disk.
     pub(crate) fn stored(&mut self, now: Millis, from: NodeId, epoch: u64, write_id: u64) {
         if epoch != self.epoch() {
             return;
         }
-        let leads = self.holds_lease(now);
-        let early = self.planted(Planted::EarlyAnswer);
-        let enough = self.view.as_ref().is_some_and(|w| self.enough(w));
-        let Role::Lead(lead) = &mut self.role else { return };
-        let Some(job) = lead.job.as_mut().filter(|job| job.write_id == write_id) else { return };
-        job.missing.remove(&from);
-        lead.unfilled.remove(&from);
-        if early && job.change.is_some() {
-            job.missing.clear();
-        }
-        if !job.missing.is_empty() {
+        let first_is_enough = self.planted(Planted::EarlyAnswer);
+        let Role::Primary(leadership) = &mut self.role else { return };
+        let Some(write) = leadership.write.as_mut().filter(|write| write.write_id == write_id) else {
+            return;
+        };
+        write.missing.remove(&from);
+        leadership.without_state.remove(&from);
+        let is_answered_early = first_is_enough && write.request.is_some();
+        if !write.missing.is_empty() && !is_answered_early {
             return;
         }
-        let Some(job) = lead.job.take() else { return };
-        if let Some((voter, lost)) = job.joins {
-            self.change_replicas(now, voter, &lost);
-            return self.lead(now);
-        }
-        lead.settled = true;
-        self.state = job.state;
-        let verdict = if leads { Verdict::Accepted } else { Verdict::Uncertain };
-        self.effects.extend(job.change.and_then(|order| order.answer(verdict)));
-        if enough && leads {
-            // The others hear of it with the next heartbeat: now, for the data plane waits for it.
-            if let Role::Lead(lead) = &mut self.role {
-                lead.heartbeat_at = now;
-            }
+        if let Some(write) = leadership.write.take() {
+            self.finish_write(now, write);
         }
         self.lead(now);
     }
+
+    /// All who were to store the value have it.
+    fn finish_write(&mut self, now: Millis, write: ReplicatedWrite) {
+        if let Some(replacement) = write.replacement {
+            return self.name_replica(now, &replacement);
+        }
+        let holds_lease = self.holds_lease(now);
+        let has_enough_replicas = self.view.as_ref().is_some_and(|view| self.has_enough_replicas(view));
+        self.state = write.state;
+        let verdict = if holds_lease { Verdict::Accepted } else { Verdict::Uncertain };
+        self.effects.extend(write.request.and_then(|request| request.answer(verdict)));
+        let Role::Primary(leadership) = &mut self.role else { return };
+        leadership.is_state_replicated = true;
+        if has_enough_replicas && holds_lease {
+            // The others hear of it with the next heartbeat: it is sent now, for the data plane waits for it.
+            leadership.next_heartbeat_at = now;
+        }
+    }
 }
--- a/crates/model-check/src/world/digest.rs
+++ b/crates/model-check/src/world/digest.rs
@@ -12,9 +12,9 @@
         let mut hasher = Mixer::default();
         let now = self.now;
         let away = |at: Millis| at as i64 - now as i64;
-        let serial =
+        let last_write_id =
             |(i, node): (usize, &Node)| (voter(i), node.group.as_ref().map_or(0, |p| p.last_write_id()));
-        let serials: Vec<(NodeId, u64)> = self.nodes.iter().enumerate().map(serial).collect();
+        let last_write_ids: Vec<(NodeId, u64)> = self.nodes.iter().enumerate().map(last_write_id).collect();
         for (i, node) in self.nodes.iter().enumerate() {
             (node.frozen, node.gone, node.presumed, &node.disk, node.wiped, node.group.is_some())
                 .hash(&mut hasher);
@@ -30,7 +30,8 @@
             for (due, _, record) in &node.writing {
                 (away(*due).max(0), record).hash(&mut hasher);
             }
-            let mut to = Fingerprinter { hasher: &mut hasher, now: node.local(now), serials: &serials };
+            let mut to =
+                Fingerprinter { hasher: &mut hasher, now: node.local(now), last_write_ids: &last_write_ids };
             node.outbox.iter().for_each(|effect| to.effect(voter(i), effect));
             // Not which life of it this is: all lives are alike.
             if let Some(group) = &node.group {
@@ -45,8 +46,11 @@
                 away(*due).max(0).hash(&mut hasher);
                 // An ack tells the time of the clock that it goes to.
                 let clock = &self.nodes[if matches!(message, Message::HeartbeatAck(_)) { to } else { from }];
-                let mut fingerprinter =
-                    Fingerprinter { hasher: &mut hasher, now: clock.local(now), serials: &serials };
+                let mut fingerprinter = Fingerprinter {
+                    hasher: &mut hasher,
+                    now: clock.local(now),
+                    last_write_ids: &last_write_ids,
+                };
                 fingerprinter.message(voter(from), voter(to), message);
             }
         }
