--- a/crates/server/src/store/tests.rs
+++ b/crates/server/src/store/tests.rs
@@ -81,3 +81,31 @@
     let fault = Some(planted::Planted::AnswerBeforeDisk);
     assert!(planted::with(fault, || answered_before_the_disk("planted")), "the planted fault is not found");
 }
+
+#[test]
+fn each_outcome_of_a_delivery_is_counted_under_its_label() {
+    let mut lone = Lone::new("outcomes");
+    let outcomes = [
+        (Outcome::Done { seal: String::new() }, "done"),
+        (Outcome::Refused, "refused"),
+        (Outcome::Failed, "failed"),
+        (Outcome::Full, "full"),
+        (Outcome::Over, "over"),
+        (Outcome::Running, "running"),
+        (Outcome::Wrong, "wrong"),
+        (Outcome::NotRun, "not_run"),
+        (Outcome::Stopped, "stopped"),
+        (Outcome::NotConnected, "not_connected"),
+        (Outcome::NoRoom, "no_room"),
+        (Outcome::Broken, "broken"),
+        (Outcome::Late, "late"),
+        (Outcome::Garbled, "garbled"),
+    ];
+    outcomes.iter().for_each(|(outcome, _)| lone.store.tally.ended(outcome));
+    let mut sheet = crate::figures::Sheet::default();
+    lone.store.figures(&mut sheet);
+    for (outcome, label) in &outcomes {
+        let line = format!("stileroute_deliveries_total{{outcome=\"{label}\"}} 1");
+        assert!(sheet.text.lines().any(|shown| shown == line), "{outcome:?}: {line}");
+    }
+}
--- a/crates/server/tests/commands.rs
+++ b/crates/server/tests/commands.rs
@@ -271,7 +271,11 @@
         let mut command = Command::new(env!("CARGO_BIN_EXE_stilerouted"));
         command.args(["retire", "storage-3", "--at", &at]).args(words).output().unwrap()
     };
-    assert_eq!((retire(&[]).status.code(), retire(&["--status"]).status.code()), (Some(0), Some(0)));
+    let (ordered, emptied) = (retire(&[]), retire(&["--status"]));
+    assert_eq!((ordered.status.code(), emptied.status.code()), (Some(0), Some(0)));
+    let said = |output: &Output| String::from_utf8(output.stdout.clone()).unwrap();
+    assert_eq!(said(&ordered), "storage-3 has the order: ask with --status until it is empty\n");
+    assert_eq!(said(&emptied), "storage-3 is empty: take it away with its disk\n");
     let cores = ["core-1", "core-2", "core-3"];
     cores.iter().for_each(|name| fleet.kill(name));
     cores.iter().for_each(|name| fleet.start(name, false));
