--- a/crates/capacity/src/message.rs
+++ b/crates/capacity/src/message.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use stileroute_config::Config;
 use stileroute_queue::{
-    first_number, Bear, Effect, Ledger, Message, Millis, Node, Outcome, PeerMessage, Queue, QueueSettings,
-    Server,
+    first_number, Bear, Effect, Message, Millis, Node, Outcome, PeerMessage, Queue, QueueSettings, Server,
+    StateTable,
 };
 
 /// Bytes of a body, as on the operators' sites.
@@ -78,8 +78,8 @@
         method: "POST".into(),
         target: "/in/event".into(),
         content_type: Some("application/json".into()),
-        taken: WALL,
-        config: 1,
+        accepted_at_ms: WALL,
+        config_revision: 1,
         body: vec![b'x'; BODY],
         ..Message::default()
     }
@@ -117,7 +117,7 @@
         let text = configuration(services, 0.0);
         let config = Config::read(text.as_bytes()).map_err(|faults| miette::miette!("{faults}"))?;
         let config = Arc::new(config);
-        let new = |me: usize| Queue::new(terms(me as Node + 1, losses), Ledger::default(), 0, WALL);
+        let new = |me: usize| Queue::new(terms(me as Node + 1, losses), StateTable::default(), 0, WALL);
         let mut stores = Stores {
             now: 0,
             queues: (0..count).map(new).collect(),
@@ -128,11 +128,11 @@
         let all: Vec<(Node, usize)> = (0..count).map(|at| (at as Node + 1, 0)).collect();
         for at in 0..count {
             stores.queues[at].configure(0, 0, Arc::clone(&config));
-            stores.queues[at].members(0, &all);
+            stores.queues[at].set_members(0, &all);
         }
         for at in 0..count {
             let others = all.iter().filter(|(node, _)| *node != at as Node + 1);
-            others.for_each(|(node, _)| stores.queues[at].up(0, *node));
+            others.for_each(|(node, _)| stores.queues[at].peer_connected(0, *node));
         }
         stores.settle();
         Ok(stores)
@@ -186,7 +186,7 @@
                 }
             }
             match notes.pop_front() {
-                Some((at, from, note)) => self.queues[at].note(self.now, from, note),
+                Some((at, from, note)) => self.queues[at].handle_peer_message(self.now, from, note),
                 None if before == 0 => return,
                 None => {}
             }
@@ -273,12 +273,12 @@
     let read = thread_cpu_ns() - began;
     let config = Arc::new(config);
     let (mut queue, heap) = heap_of(|| {
-        let mut queue = Queue::new(terms(1, 1), Ledger::default(), 0, WALL);
+        let mut queue = Queue::new(terms(1, 1), StateTable::default(), 0, WALL);
         queue.configure(0, 0, Arc::clone(&config));
         queue
     });
     let all: Vec<(Node, usize)> = (0..stores).map(|at| (at as Node + 1, 0)).collect();
-    queue.members(0, &all);
+    queue.set_members(0, &all);
     let began = thread_cpu_ns();
     let mut now = 0;
     while now < 2000 {
--- a/crates/model-check/src/queue/fleet/bounds.rs
+++ b/crates/model-check/src/queue/fleet/bounds.rs
@@ -1,6 +1,6 @@
 //! The bounds of a search of the queue, and what its stores are asked to do.
 
-use stileroute_queue::Planted;
+use stileroute_queue::PlantedFault;
 
 /// What the stores are asked to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,5 +24,5 @@
     pub one_away: bool,
     /// Choices at one step of a store in so many.
     pub every: u32,
-    pub planted: Option<Planted>,
+    pub planted: Option<PlantedFault>,
 }
--- a/crates/model-check/src/queue/fleet/connections.rs
+++ b/crates/model-check/src/queue/fleet/connections.rs
@@ -19,7 +19,10 @@
         let Some(link) = self.links.get(&(at.min(to), at.max(to))).copied() else { return };
         let quiet = matches!(
             note,
-            PeerMessage::Digests { .. } | PeerMessage::Disk(_) | PeerMessage::Stood | PeerMessage::Relieved
+            PeerMessage::Digests { .. }
+                | PeerMessage::DiskId(_)
+                | PeerMessage::Reconciled
+                | PeerMessage::NoReplicasNeeded
         );
         self.told(|| format!("{at} to {to}: {note:?}"));
         self.wires.entry((at, to)).or_default().push_back(note);
@@ -40,7 +43,7 @@
         }
         let Some(note) = self.wires.get_mut(&(from, to)).and_then(VecDeque::pop_front) else { return };
         let from = self.stores[from].node;
-        self.with(to, None, |queue, now| queue.note(now, from, note));
+        self.with(to, None, |queue, now| queue.handle_peer_message(now, from, note));
     }
 
     pub(super) fn link_up(&mut self, a: usize, b: usize) {
@@ -57,9 +60,9 @@
             self.with(x, None, |queue, now| {
                 // As `crates/server/src/links.rs` has it: the end of the connection before is told first.
                 if queue.stores().any(|(node, connected, ..)| node == other && connected) {
-                    queue.down(now, other);
+                    queue.peer_disconnected(now, other);
                 }
-                queue.up(now, other);
+                queue.peer_connected(now, other);
             });
         }
     }
@@ -82,7 +85,7 @@
             if self.stores[at].runs(self.now) && !self.stores[at].off {
                 self.with(at, None, |queue, now| {
                     (queue.heard, queue.lapsed) = (true, false);
-                    queue.members(now, &all);
+                    queue.set_members(now, &all);
                 });
             }
         }
--- a/crates/model-check/src/queue/fleet/edge.rs
+++ b/crates/model-check/src/queue/fleet/edge.rs
@@ -1,7 +1,7 @@
 //! The edge: it offers each message to one store after the other, until one has accepted it.
 
 use super::{Event, Fleet, Sent};
-use stileroute_queue::{Key, Millis, Refusal};
+use stileroute_queue::{Key, Millis, PutError};
 
 /// A word between the edge and a store takes so long.
 pub(super) const EDGE: Millis = 1;
@@ -47,20 +47,20 @@
         }
     }
 
-    pub(super) fn said(&mut self, sent: usize, asked: u64, result: Result<String, Refusal>) {
+    pub(super) fn said(&mut self, sent: usize, asked: u64, result: Result<String, PutError>) {
         let m = &mut self.messages[sent];
         if m.asked != asked || m.key.is_some() {
             return;
         }
         match result {
             Ok(name) => {
-                m.key = Key::parse(&name).map(|(key, _)| key);
+                m.key = Key::parse(&name).map(|location| location.key);
                 m.asked = 0;
                 self.told(|| format!("message {sent} is accepted as {name}"));
                 self.supersede(sent);
             }
             Err(refusal) => {
-                m.unclear |= refusal == Refusal::Uncertain;
+                m.unclear |= refusal == PutError::Uncertain;
                 self.offer(sent);
             }
         }
--- a/crates/model-check/src/queue/fleet/events.rs
+++ b/crates/model-check/src/queue/fleet/events.rs
@@ -76,7 +76,7 @@
             Event::PeerMessage { from, to, link } => self.arrive(from, to, link),
             Event::Synced { at, life, serial } => self.synced(at, life, serial),
             Event::Offer { sent } => {
-                self.messages[sent].message.taken = WALL + self.now;
+                self.messages[sent].message.accepted_at_ms = WALL + self.now;
                 self.offer(sent);
             }
             Event::Put { sent, to, asked } => self.put(sent, to, asked),
@@ -84,8 +84,8 @@
             Event::Impatient { sent, asked } => self.not_said(sent, asked),
             Event::Superseded { to, sent } => {
                 let m = &self.messages[sent];
-                let (id, print, kept) = (m.message.id.clone(), m.message.print(), m.key);
-                self.with(to, None, |queue, _| queue.superseded(&id, print, kept));
+                let (id, print, kept) = (m.message.id.clone(), m.message.fingerprint(), m.key);
+                self.with(to, None, |queue, _| queue.drop_superseded(&id, print, kept));
             }
             Event::Done { at, life, attempt, run, outcome } => {
                 let reads = self.stores[at].life == life && self.stores[at].queue.is_some();
@@ -107,7 +107,7 @@
             Event::Broken { a, b, link } => self.broken(a, b, link),
             Event::Down { at, other, life } => {
                 let other = self.stores[other].node;
-                self.with(at, Some(life), |queue, now| queue.down(now, other));
+                self.with(at, Some(life), |queue, now| queue.peer_disconnected(now, other));
             }
             // Until the control nodes have been heard again it knows that it may be cut off.
             Event::Thaw { at, life } => {
--- a/crates/model-check/src/queue/fleet/mod.rs
+++ b/crates/model-check/src/queue/fleet/mod.rs
@@ -11,7 +11,7 @@
 use super::invariants::QueueBreach;
 use super::stores::Store;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-use stileroute_queue::{Key, Message, Millis, Outcome, PeerMessage, Refusal};
+use stileroute_queue::{Key, Message, Millis, Outcome, PeerMessage, PutError};
 
 /// Messages are sent from here on, and choices may be taken for so long.
 const BEGIN: Millis = 1200;
@@ -51,7 +51,7 @@
     Synced { at: usize, life: u64, serial: u64 },
     Offer { sent: usize },
     Put { sent: usize, to: usize, asked: u64 },
-    Said { sent: usize, asked: u64, result: Result<String, Refusal> },
+    Said { sent: usize, asked: u64, result: Result<String, PutError> },
     Impatient { sent: usize, asked: u64 },
     Superseded { to: usize, sent: usize },
     Done { at: usize, life: u64, attempt: u64, run: usize, outcome: Outcome },
@@ -137,9 +137,9 @@
                 host: "h".to_string(),
                 method: "POST".to_string(),
                 target: format!("/{at}"),
-                callback: (at == 2).then(|| "http://10.0.1.1:80/".to_string()),
+                callback_url: (at == 2).then(|| "http://10.0.1.1:80/".to_string()),
                 delay_ms,
-                config: 1,
+                config_revision: 1,
                 body: vec![at as u8; 8],
                 ..Message::default()
             };
--- a/crates/model-check/src/queue/fleet/processes.rs
+++ b/crates/model-check/src/queue/fleet/processes.rs
@@ -4,7 +4,7 @@
 use crate::queue::choices::LAPSE;
 use crate::queue::stores::{config, executor, Disk};
 use std::collections::HashMap;
-use stileroute_queue::{Millis, Queue};
+use stileroute_queue::{Millis, Queue, RetirementState};
 
 /// A store that is told to end waits at most so long for what it has in hand.
 const GRACE: Millis = 5000;
@@ -68,13 +68,16 @@
         let leaving = self.stores[at].leaving;
         let Some(queue) = self.stores[at].queue.as_mut() else { return };
         if leaving.is_some() {
-            queue.leave(now);
+            queue.begin_draining(now);
         }
         self.carry_out(at);
         if let Some(since) = leaving {
             self.may_end(at, since);
         }
-        let empty = self.stores[at].queue.as_ref().is_some_and(|queue| queue.retired() == Some(true));
+        let empty = self.stores[at]
+            .queue
+            .as_ref()
+            .is_some_and(|queue| queue.retirement_state() == RetirementState::Empty);
         if empty && self.emptied.insert(at) {
             self.told(|| format!("store {at} says that it is empty"));
             self.breach = self.breach.take().or_else(|| self.look_at_emptied(at));
--- a/crates/model-check/src/queue/invariants.rs
+++ b/crates/model-check/src/queue/invariants.rs
@@ -1,7 +1,7 @@
 //! What must hold of the queue at every step, and after a calm: seen from its clients, its executor and the disks.
 
 use super::fleet::{Fleet, Run, Sent};
-use stileroute_queue::{Key, Ledger, Millis, State};
+use stileroute_queue::{Key, Millis, State, StateTable};
 
 /// Once trouble is over, what was told late or not at all may run again for so long.
 const QUIET: Millis = 4000;
@@ -56,8 +56,8 @@
     pub evidence: String,
 }
 
-fn holds(ledger: &Ledger, key: Key) -> bool {
-    ledger.all.get(&key).is_some_and(|kept| kept.shared.is_some() || kept.end.is_some())
+fn holds(ledger: &StateTable, key: Key) -> bool {
+    ledger.messages.get(&key).is_some_and(|kept| kept.replica.is_some() || kept.end.is_some())
 }
 
 impl Fleet {
@@ -88,7 +88,7 @@
         self.runs.iter().any(|run| run.sent == sent && run.ends && run.over <= self.now)
     }
 
-    fn disks(&self) -> impl Iterator<Item = (usize, &Ledger)> {
+    fn disks(&self) -> impl Iterator<Item = (usize, &StateTable)> {
         let left = self.stores.iter().enumerate().filter(|(_, store)| !store.vanished);
         left.map(|(at, store)| (at, &store.disk.kept))
     }
@@ -134,7 +134,7 @@
         let term =
             starts.queue.as_ref().and_then(|queue| Some(queue.view(self.now - starts.began, key)?.term));
         let newer = |(at, other): &(usize, &super::stores::Store)| {
-            let shared = other.disk.kept.all.get(&key).and_then(|kept| kept.shared.as_ref());
+            let shared = other.disk.kept.messages.get(&key).and_then(|kept| kept.replica.as_ref());
             *at != store
                 && other.runs(self.now)
                 && shared.is_some_and(|s| s.owner == other.node && term.is_some_and(|term| s.term > term))
--- a/crates/model-check/src/queue/mod.rs
+++ b/crates/model-check/src/queue/mod.rs
@@ -18,4 +18,4 @@
 pub use plan::{QUEUE_FAULTS, QUEUE_PLAN};
 pub use report::{prove_queue, search_queue_by_hand, QueueArgs};
 pub use search::{find_in_queue, retrace_queue, search_queue, QueueCounts, QueueFound};
-pub use stileroute_queue::Planted as QueuePlanted;
+pub use stileroute_queue::PlantedFault as QueuePlanted;
--- a/crates/model-check/src/queue/plan.rs
+++ b/crates/model-check/src/queue/plan.rs
@@ -2,7 +2,7 @@
 
 use super::fleet::{QueueBounds, QueueScript};
 use super::invariants::QueueProperty;
-use stileroute_queue::Planted;
+use stileroute_queue::PlantedFault;
 
 const TAKING: QueueBounds = QueueBounds {
     stores: 3,
@@ -35,17 +35,17 @@
 
 /// Each fault that shows within these bounds, and the property that tells of it first. The others are found by
 /// `crates/model-check/tests/queue_planted.rs`.
-pub const QUEUE_FAULTS: [(Planted, QueueProperty, QueueBounds); 12] = [
-    (Planted::EarlyAnswer, QueueProperty::AcceptedIsKept, TAKING),
-    (Planted::CopyUnsynced, QueueProperty::AcceptedIsKept, TWICE),
-    (Planted::FenceUnheeded, QueueProperty::OwnerStarts, TAKING),
-    (Planted::ReleasedEarly, QueueProperty::OwnerStarts, TWICE),
-    (Planted::OldCopyList, QueueProperty::OwnerStarts, TWICE),
-    (Planted::TermUnraised, QueueProperty::EndIsTold, TWICE),
-    (Planted::TakenUnasked, QueueProperty::OwnerStarts, EMPTYING),
-    (Planted::RetiredEarly, QueueProperty::EmptiedIsNotNeeded, EMPTYING),
-    (Planted::RelievedForever, QueueProperty::EmptiedIsNotNeeded, EMPTYING),
-    (Planted::OrphansUnheeded, QueueProperty::EmptiedIsNotNeeded, EMPTYING),
-    (Planted::CopiesUnconfirmed, QueueProperty::EmptiedIsNotNeeded, TWICE_EMPTYING),
-    (Planted::EndsGoAlong, QueueProperty::EndIsTold, EMPTYING),
+pub const QUEUE_FAULTS: [(PlantedFault, QueueProperty, QueueBounds); 12] = [
+    (PlantedFault::EarlyAnswer, QueueProperty::AcceptedIsKept, TAKING),
+    (PlantedFault::CopyUnsynced, QueueProperty::AcceptedIsKept, TWICE),
+    (PlantedFault::FenceUnheeded, QueueProperty::OwnerStarts, TAKING),
+    (PlantedFault::ReleasedEarly, QueueProperty::OwnerStarts, TWICE),
+    (PlantedFault::OldCopyList, QueueProperty::OwnerStarts, TWICE),
+    (PlantedFault::TermUnraised, QueueProperty::EndIsTold, TWICE),
+    (PlantedFault::TakenUnasked, QueueProperty::OwnerStarts, EMPTYING),
+    (PlantedFault::RetiredEarly, QueueProperty::EmptiedIsNotNeeded, EMPTYING),
+    (PlantedFault::RelievedForever, QueueProperty::EmptiedIsNotNeeded, EMPTYING),
+    (PlantedFault::OrphansUnheeded, QueueProperty::EmptiedIsNotNeeded, EMPTYING),
+    (PlantedFault::CopiesUnconfirmed, QueueProperty::EmptiedIsNotNeeded, TWICE_EMPTYING),
+    (PlantedFault::EndsGoAlong, QueueProperty::EndIsTold, EMPTYING),
 ];
--- a/crates/model-check/src/queue/report.rs
+++ b/crates/model-check/src/queue/report.rs
@@ -6,7 +6,7 @@
 use gumdrop::Options;
 use std::sync::atomic::AtomicBool;
 use std::time::Instant;
-use stileroute_queue::Planted;
+use stileroute_queue::PlantedFault;
 
 #[derive(Debug, Options)]
 pub struct QueueArgs {
@@ -31,7 +31,7 @@
     #[options(help = "choices at one step in so many", default = "1", meta = "N")]
     every: u32,
     #[options(help = "a fault to find, by its name", meta = "NAME", parse(try_from_str = "planted"))]
-    planted: Option<Planted>,
+    planted: Option<PlantedFault>,
 }
 
 impl QueueArgs {
@@ -55,9 +55,9 @@
     }
 }
 
-fn planted(word: &str) -> Result<Planted, String> {
-    let named = Planted::ALL.into_iter().find(|fault| format!("{fault:?}") == word);
-    named.ok_or_else(|| format!("one of {:?}", Planted::ALL))
+fn planted(word: &str) -> Result<PlantedFault, String> {
+    let named = PlantedFault::ALL.into_iter().find(|fault| format!("{fault:?}") == word);
+    named.ok_or_else(|| format!("one of {:?}", PlantedFault::ALL))
 }
 
 fn line(bounds: &QueueBounds, counts: &QueueCounts, since: Instant) -> String {
--- a/crates/model-check/src/queue/stores.rs
+++ b/crates/model-check/src/queue/stores.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use stileroute_config::Config;
 use stileroute_queue::{
-    first_number, Bear, Ledger, Millis, Node, Planted, Queue, QueueSettings, Record, Server,
+    first_number, Bear, Millis, Node, PlantedFault, Queue, QueueSettings, Record, Server, StateTable,
 };
 
 /// Time of day when the steady clock stands at nought.
@@ -22,7 +22,7 @@
     pub number: u64,
     pub records: Vec<Record>,
     /// What the records come to.
-    pub kept: Ledger,
+    pub kept: StateTable,
     pub writing: VecDeque<Writing>,
     /// Serial of the first that is being written.
     pub first_serial: u64,
@@ -38,7 +38,7 @@
         let writing = self.writing.pop_front()?;
         self.first_serial += 1;
         for record in writing.records {
-            self.kept.enter(record.clone());
+            self.kept.apply_record(record.clone());
             self.records.push(record);
         }
         Some(writing.ticket)
@@ -90,16 +90,16 @@
     }
 
     /// The process starts on what the disk holds. `lot` is another for each life of any store.
-    pub fn start(&mut self, at: usize, now: Millis, lot: u64, planted: Option<Planted>) {
-        let mut ledger = Ledger::default();
-        self.disk.records.iter().for_each(|record| ledger.enter(record.clone()));
+    pub fn start(&mut self, at: usize, now: Millis, lot: u64, planted: Option<PlantedFault>) {
+        let mut ledger = StateTable::default();
+        self.disk.records.iter().for_each(|record| ledger.apply_record(record.clone()));
         let first = first_number(lot << 37);
         let terms = QueueSettings {
             me: self.node,
             zone: at,
             disk: self.disk.number,
             first,
-            begun: ledger.begun.clone(),
+            begun: ledger.incarnation_first_numbers.clone(),
             losses: 1,
             regions: vec![0; NODES.len()],
             bear: Bear { zones: 1, regions: 0 },
@@ -108,8 +108,8 @@
             status_ms: 120_000,
             seed: at as u64,
         };
-        let born = Record::Born { disk: self.disk.number, first };
-        self.disk.kept.enter(born.clone());
+        let born = Record::IncarnationStarted { disk_id: self.disk.number, first_number: first };
+        self.disk.kept.apply_record(born.clone());
         self.disk.records.push(born);
         let mut queue = Queue::new(terms, ledger, 0, WALL + now);
         queue.plant(planted);
--- a/crates/model-check/tests/queue_planted.rs
+++ b/crates/model-check/tests/queue_planted.rs
@@ -9,33 +9,33 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::rc::Rc;
 use stileroute_model_check::queue::QUEUE_FAULTS;
-use stileroute_queue::{Planted, Queue};
+use stileroute_queue::{PlantedFault, Queue};
 use world::{emptied, Act, Does, Fault, Prepare, World};
 
 type Day = fn(&Prepare);
 
-const DAYS: [(Planted, Day); 14] = [
-    (Planted::EarlyAnswer, the_owner_is_lost_just_after_its_answer),
-    (Planted::CopyUnsynced, the_copy_loses_power_and_the_owner_its_disk),
-    (Planted::FenceUnheeded, a_store_is_cut_off),
-    (Planted::ReleasedEarly, an_end_is_lost_with_the_power),
-    (Planted::OldCopyList, the_copy_that_replaced_another_runs_it),
-    (Planted::DropUnsent, a_copy_that_was_replaced_is_still_there),
-    (Planted::EndUnkept, all_lose_power_after_the_end),
-    (Planted::HandedTwice, one_of_two_copies_gets_it),
-    (Planted::TermUnraised, emptied::an_owner_is_gone),
-    (Planted::RetiredEarly, emptied::a_message_is_handed_over_late),
-    (Planted::RelievedForever, emptied::a_message_is_handed_over_late),
-    (Planted::OrphansUnheeded, emptied::an_owner_is_gone),
-    (Planted::EndsGoAlong, emptied::ends_are_asked_for_later),
-    (Planted::EndsGoAlong, emptied::ends_outlive_two_disks),
+const DAYS: [(PlantedFault, Day); 14] = [
+    (PlantedFault::EarlyAnswer, the_owner_is_lost_just_after_its_answer),
+    (PlantedFault::CopyUnsynced, the_copy_loses_power_and_the_owner_its_disk),
+    (PlantedFault::FenceUnheeded, a_store_is_cut_off),
+    (PlantedFault::ReleasedEarly, an_end_is_lost_with_the_power),
+    (PlantedFault::OldCopyList, the_copy_that_replaced_another_runs_it),
+    (PlantedFault::DropUnsent, a_copy_that_was_replaced_is_still_there),
+    (PlantedFault::EndUnkept, all_lose_power_after_the_end),
+    (PlantedFault::HandedTwice, one_of_two_copies_gets_it),
+    (PlantedFault::TermUnraised, emptied::an_owner_is_gone),
+    (PlantedFault::RetiredEarly, emptied::a_message_is_handed_over_late),
+    (PlantedFault::RelievedForever, emptied::a_message_is_handed_over_late),
+    (PlantedFault::OrphansUnheeded, emptied::an_owner_is_gone),
+    (PlantedFault::EndsGoAlong, emptied::ends_are_asked_for_later),
+    (PlantedFault::EndsGoAlong, emptied::ends_outlive_two_disks),
 ];
 
-fn planted(fault: Option<Planted>) -> Prepare {
+fn planted(fault: Option<PlantedFault>) -> Prepare {
     Rc::new(move |queue: &mut Queue| queue.plant(fault))
 }
 
-fn fails(day: Day, fault: Option<Planted>) -> bool {
+fn fails(day: Day, fault: Option<PlantedFault>) -> bool {
     catch_unwind(AssertUnwindSafe(|| day(&planted(fault)))).is_err()
 }
 
@@ -43,7 +43,7 @@
 fn each_planted_fault_is_found_on_its_day() {
     let by_search = |fault| QUEUE_FAULTS.iter().any(|(of, ..)| of == fault);
     let found = |fault| by_search(fault) || DAYS.iter().any(|(of, _)| of == fault);
-    assert!(Planted::ALL.iter().all(found));
+    assert!(PlantedFault::ALL.iter().all(found));
     for (fault, day) in DAYS {
         assert!(!fails(day, None), "the day of {fault:?} fails without it");
         assert!(fails(day, Some(fault)), "{fault:?} is not found");
--- a/crates/queue/src/copies/connections.rs
+++ b/crates/queue/src/copies/connections.rs
@@ -1,12 +1,13 @@
 //! Members and connections: what is said to a store that comes, and done about one that is gone.
 
 use super::{Outbox, Peer};
-use crate::message::{End, Key, Millis, Node, PeerMessage};
+use crate::message::{Key, Millis, Node};
+use crate::peer_message::{EndNotice, PeerMessage};
 use crate::queue::{Effect, Queue};
 
 impl Queue {
     /// The stores that are members, as the control nodes tell.
-    pub fn members(&mut self, now: Millis, stores: &[(Node, usize)]) {
+    pub fn set_members(&mut self, now: Millis, stores: &[(Node, usize)]) {
         self.acquainted = true;
         let listed = |peers: &std::collections::BTreeMap<Node, Peer>| -> Vec<Node> {
             peers.iter().filter(|(_, p)| p.listed).map(|(node, _)| *node).collect()
@@ -26,33 +27,34 @@
     }
 
     /// A connection to another store is open: each says what it holds in common with the other.
-    pub fn up(&mut self, now: Millis, node: Node) {
+    pub fn peer_connected(&mut self, now: Millis, node: Node) {
         let peer = self.peers.entry(node).or_default();
         (peer.connected, peer.leaving, peer.stood, peer.since) = (true, false, false, now);
         // One that is to be emptied yet says so again: an order that was lost with its power is none.
         peer.retiring = false;
         peer.out = Outbox::default();
         self.rows.changed = now;
-        self.push(Effect::Send { to: node, note: PeerMessage::Disk(self.terms.disk) });
+        self.push(Effect::Send { to: node, note: PeerMessage::DiskId(self.terms.disk) });
         // One of the two begins: the other answers with what differs.
         if self.terms.me < node {
             self.compare(now, node, 0);
         }
         // Ends that were told while it was away, or got lost with the connection.
         let mine = self.owned_here().filter(|(_, e)| e.copies.contains(&node));
-        let owed: Vec<(Key, End, bool)> =
-            mine.filter_map(|(key, e)| Some((key, e.end.clone()?, e.owed))).collect();
+        let owed: Vec<EndNotice> = mine
+            .filter_map(|(key, e)| Some(EndNotice { key, end: e.end.clone()?, callback_pending: e.owed }))
+            .collect();
         self.to(node).ends.extend(owed);
         self.ends_at.get_or_insert(now);
         if self.leaving {
-            self.push(Effect::Send { to: node, note: PeerMessage::Leaving });
+            self.push(Effect::Send { to: node, note: PeerMessage::Draining });
         }
         if self.retiring {
             self.push(Effect::Send { to: node, note: PeerMessage::Retiring });
         }
     }
 
-    pub fn down(&mut self, now: Millis, node: Node) {
+    pub fn peer_disconnected(&mut self, now: Millis, node: Node) {
         let peer = self.peers.entry(node).or_default();
         (peer.connected, peer.stood, peer.since) = (false, false, now);
         peer.out = Outbox::default();
--- a/crates/queue/src/copies/handover.rs
+++ b/crates/queue/src/copies/handover.rs
@@ -1,19 +1,20 @@
 //! Leaving in order: what waits is given to those that hold the copies.
 
-use crate::message::{Handed, Key, Millis, Node, PeerMessage};
-use crate::planted::Planted;
+use crate::message::{Key, Millis, Node};
+use crate::peer_message::{HandoverOffer, PeerMessage};
+use crate::planted::PlantedFault;
 use crate::queue::{Effect, Entry, Queue, Stage};
 
 impl Queue {
     /// Takes nothing more, and gives what waits to those that hold the copies.
-    pub fn leave(&mut self, now: Millis) {
+    pub fn begin_draining(&mut self, now: Millis) {
         if std::mem::replace(&mut self.leaving, true) {
             return;
         }
         let peers: Vec<Node> =
             self.peers.iter().filter(|(_, p)| p.connected).map(|(node, _)| *node).collect();
         for to in peers {
-            self.push(Effect::Send { to, note: PeerMessage::Leaving });
+            self.push(Effect::Send { to, note: PeerMessage::Draining });
         }
         self.deal_duties(now);
         self.tell_ends();
@@ -47,14 +48,14 @@
         let safe = entry.copies.iter().filter(|node| !entry.missing.contains(node));
         let (term, tries) = (entry.term, entry.tries);
         let successors = safe.copied().filter(|node| able(&node));
-        let most = if self.planted(Planted::HandedTwice) { usize::MAX } else { 1 };
+        let most = if self.planted(PlantedFault::HandedTwice) { usize::MAX } else { 1 };
         for to in successors.take(most).collect::<Vec<Node>>() {
             self.unschedule(key);
             if let Some(entry) = self.entries.get_mut(&key).filter(|e| e.end.is_none()) {
                 entry.stage = Stage::Held;
             }
             self.handing.insert(key, to);
-            self.to(to).handover.push(Handed { key, term, tries });
+            self.to(to).handover.push(HandoverOffer { key, term, attempts: tries });
         }
     }
 }
--- a/crates/queue/src/copies/notes.rs
+++ b/crates/queue/src/copies/notes.rs
@@ -1,37 +1,39 @@
 //! Each kind of note of another store, and what is done about it.
 
 use super::take_over::LINE;
-use crate::message::{Millis, Node, Owned, PeerMessage, Record};
+use crate::message::{Millis, Node};
+use crate::peer_message::{AcceptedHandover, Ownership, PeerMessage};
 use crate::queue::{Effect, Queue, Stage};
+use crate::record::Record;
 
 impl Queue {
     /// A note of another store.
-    pub fn note(&mut self, now: Millis, from: Node, note: PeerMessage) {
+    pub fn handle_peer_message(&mut self, now: Millis, from: Node, note: PeerMessage) {
         match note {
-            PeerMessage::Copy(all) => all.into_iter().for_each(|shared| self.keep_copy(now, from, shared)),
-            PeerMessage::Copied(keys) => keys.into_iter().for_each(|key| self.safe_at(now, key, from)),
-            PeerMessage::NotCopied(keys) => {
+            PeerMessage::Replicate(all) => {
+                all.into_iter().for_each(|shared| self.keep_copy(now, from, shared))
+            }
+            PeerMessage::Replicated(keys) => keys.into_iter().for_each(|key| self.safe_at(now, key, from)),
+            PeerMessage::ReplicationRejected(keys) => {
                 self.peers.entry(from).or_default().full_until = now + 2000;
                 for key in keys {
                     self.copy_elsewhere(now, key, Some(from));
                     self.not_on(now, key, from);
                 }
             }
-            PeerMessage::Ends(all) => {
-                all.into_iter().for_each(|(key, end, owed)| self.told_end(now, key, end, owed))
-            }
-            PeerMessage::Called(keys) => {
+            PeerMessage::Ended(all) => all.into_iter().for_each(|notice| self.told_end(now, notice)),
+            PeerMessage::CallbacksDelivered(keys) => {
                 for key in keys {
                     // Of one that has not ended here all is needed yet.
                     if let Some(entry) = self.entries.get_mut(&key).filter(|e| e.end.is_some()) {
                         entry.owed = false;
                         entry.strip();
                         self.file(key);
-                        self.record(&Record::Called { key }, false);
+                        self.record(&Record::CallbackDelivered { key }, false);
                     }
                 }
             }
-            PeerMessage::Own(all) => {
+            PeerMessage::OwnershipChanged(all) => {
                 for owned in all {
                     self.contradict(now, from, &owned);
                     self.owned_by(now, owned);
@@ -42,14 +44,14 @@
                     match self.entries.get(&key).filter(|e| e.end.is_none()).map(|e| e.owner == from) {
                         Some(true) => {
                             self.remove(key);
-                            self.record(&Record::Drop { key }, false);
+                            self.record(&Record::Dropped { key }, false);
                         }
                         Some(false) => self.figures.former += 1,
                         None => {}
                     }
                 }
             }
-            PeerMessage::Lost(keys) => {
+            PeerMessage::LostWithDisk(keys) => {
                 for key in keys {
                     // Of several that hold a copy one takes over at once, and the others if it does not.
                     let mine = self.entries.get(&key).filter(|e| e.owner == from);
@@ -63,26 +65,28 @@
                     }
                 }
             }
-            PeerMessage::Want(keys) => {
+            PeerMessage::RequestReplicas(keys) => {
                 keys.into_iter().for_each(|key| self.not_yet_on(now, key, from));
             }
-            PeerMessage::Digests { disk, over, sums } => self.digests(now, from, disk, over, &sums),
-            PeerMessage::Standing { disk, answer, ranges, live } => {
+            PeerMessage::Digests { disk_id: disk, min_age_ms: over, digests: sums } => {
+                self.digests(now, from, disk, over, &sums)
+            }
+            PeerMessage::RangeContents { disk_id: disk, reply_wanted: answer, ranges, entries: live } => {
                 self.standing(now, from, disk, &ranges, live);
                 if answer {
                     self.list_ranges(from, ranges, false);
                 }
-                self.push(Effect::Send { to: from, note: PeerMessage::Stood });
+                self.push(Effect::Send { to: from, note: PeerMessage::Reconciled });
             }
-            PeerMessage::Stood => self.stood(now, from),
-            PeerMessage::Disk(disk) => self.seen_disk(from, disk),
+            PeerMessage::Reconciled => self.stood(now, from),
+            PeerMessage::DiskId(disk) => self.seen_disk(from, disk),
             PeerMessage::Handover(keys) => {
                 for handed in keys {
                     self.take_over(now, handed.key, Some((from, handed)));
                 }
             }
-            PeerMessage::HandoverTaken(keys) => {
-                for (key, term) in keys {
+            PeerMessage::HandoverAccepted(keys) => {
+                for AcceptedHandover { key, term } in keys {
                     self.handing.remove(&key);
                     self.counted_on_by(from);
                     let Some(entry) = self.entries.get(&key) else { continue };
@@ -90,10 +94,10 @@
                     let mut copies = entry.copies.clone();
                     copies.retain(|node| *node != from);
                     copies.push(self.terms.me);
-                    self.owned_by(now, Owned { key, owner: from, term, copies });
+                    self.owned_by(now, Ownership { key, owner: from, term, replicas: copies });
                 }
             }
-            PeerMessage::HandoverRefused(keys) => {
+            PeerMessage::HandoverRejected(keys) => {
                 for key in keys {
                     self.handing.remove(&key);
                     if self.retiring {
@@ -105,12 +109,20 @@
                     }
                 }
             }
-            PeerMessage::RowAsk { number, row, taken, key, announced } => {
+            PeerMessage::GroupQuery {
+                query_id: number,
+                group: row,
+                accepted_at_ms: taken,
+                key,
+                is_announcement: announced,
+            } => {
                 self.row_asked(now, from, (number, row, taken, key, announced));
             }
-            PeerMessage::RowLive { number, beyond, live } => self.row_told(now, from, number, beyond, live),
-            PeerMessage::RowDone(all) => self.row_done(all),
-            PeerMessage::Leaving => {
+            PeerMessage::GroupQueryReply { query_id: number, min_accepted_at_ms: beyond, live } => {
+                self.row_told(now, from, number, beyond, live)
+            }
+            PeerMessage::GroupMessagesEnded(all) => self.row_done(all),
+            PeerMessage::Draining => {
                 self.rows.changed = now;
                 self.peers.entry(from).or_default().leaving = true;
                 self.deal_duties(now);
@@ -120,13 +132,13 @@
                 (peer.leaving, peer.retiring) = (true, true);
                 self.deal_duties(now);
             }
-            PeerMessage::Relieved => {
+            PeerMessage::NoReplicasNeeded => {
                 self.relieved.insert(from);
             }
-            PeerMessage::KnownEnds(ends) => self.keep_ends(now, from, ends),
-            PeerMessage::EndsKept(keys) => self.passing.kept(from, keys),
-            PeerMessage::TokensWanted { service, count } => self.tokens_wanted(now, from, service, count),
-            PeerMessage::Tokens { service, count } => self.tokens_came(now, from, &service, count),
+            PeerMessage::TransferEnds(ends) => self.keep_ends(now, from, ends),
+            PeerMessage::EndsStored(keys) => self.passing.kept(from, keys),
+            PeerMessage::RequestTokens { service, count } => self.tokens_wanted(now, from, service, count),
+            PeerMessage::GrantTokens { service, count } => self.tokens_came(now, from, &service, count),
         }
     }
 }
--- a/crates/queue/src/copies/outbox.rs
+++ b/crates/queue/src/copies/outbox.rs
@@ -1,22 +1,23 @@
 //! What is told to another store, put together into notes at the end of a turn.
 
-use crate::message::{End, Handed, Key, Owned, PeerMessage, Shared};
+use crate::message::{Key, ReplicatedMessage};
+use crate::peer_message::{AcceptedHandover, EndNotice, HandoverOffer, Ownership, PeerMessage};
 use crate::queue::{Effect, Queue};
 
 /// What is told to another store at the end of the turn, or with the next batch of ends.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
-    pub copy: Vec<Shared>,
+    pub copy: Vec<ReplicatedMessage>,
     pub copied: Vec<Key>,
     pub not_copied: Vec<Key>,
-    pub handed: Vec<(Key, u32)>,
+    pub handed: Vec<AcceptedHandover>,
     pub not_handed: Vec<Key>,
-    pub own: Vec<Owned>,
+    pub own: Vec<Ownership>,
     pub drop: Vec<Key>,
-    pub ends: Vec<(Key, End, bool)>,
+    pub ends: Vec<EndNotice>,
     pub ends_kept: Vec<Key>,
     pub called: Vec<Key>,
-    pub handover: Vec<Handed>,
+    pub handover: Vec<HandoverOffer>,
 }
 
 impl Queue {
@@ -25,10 +26,10 @@
         let mut notes = Vec::new();
         for (node, peer) in self.peers.iter_mut().filter(|(_, p)| p.connected) {
             for part in std::mem::take(&mut peer.out.ends).chunks(4000) {
-                notes.push((*node, PeerMessage::Ends(part.to_vec())));
+                notes.push((*node, PeerMessage::Ended(part.to_vec())));
             }
             if !peer.out.called.is_empty() {
-                notes.push((*node, PeerMessage::Called(std::mem::take(&mut peer.out.called))));
+                notes.push((*node, PeerMessage::CallbacksDelivered(std::mem::take(&mut peer.out.called))));
             }
         }
         notes.into_iter().for_each(|(to, note)| self.push(Effect::Send { to, note }));
@@ -41,40 +42,40 @@
             while !out.copy.is_empty() {
                 // Frames are bounded: no more than a megabyte or so in one.
                 let mut size = 0;
-                let fits = |s: &&Shared| {
+                let fits = |s: &&ReplicatedMessage| {
                     size += s.message.body.len() + 512;
                     size < 1 << 20
                 };
                 let some = out.copy.iter().take_while(fits).count().max(1);
-                notes.push((*node, PeerMessage::Copy(out.copy.drain(..some).collect())));
+                notes.push((*node, PeerMessage::Replicate(out.copy.drain(..some).collect())));
             }
             if !out.copied.is_empty() {
-                notes.push((*node, PeerMessage::Copied(std::mem::take(&mut out.copied))));
+                notes.push((*node, PeerMessage::Replicated(std::mem::take(&mut out.copied))));
             }
             if !out.not_copied.is_empty() {
-                notes.push((*node, PeerMessage::NotCopied(std::mem::take(&mut out.not_copied))));
+                notes.push((*node, PeerMessage::ReplicationRejected(std::mem::take(&mut out.not_copied))));
             }
             if !out.drop.is_empty() {
                 notes.push((*node, PeerMessage::Drop(std::mem::take(&mut out.drop))));
             }
             if !out.own.is_empty() {
                 for part in std::mem::take(&mut out.own).chunks(4000) {
-                    notes.push((*node, PeerMessage::Own(part.to_vec())));
+                    notes.push((*node, PeerMessage::OwnershipChanged(part.to_vec())));
                 }
             }
             if !out.ends_kept.is_empty() {
-                notes.push((*node, PeerMessage::EndsKept(std::mem::take(&mut out.ends_kept))));
+                notes.push((*node, PeerMessage::EndsStored(std::mem::take(&mut out.ends_kept))));
             }
             if !out.not_handed.is_empty() {
-                notes.push((*node, PeerMessage::HandoverRefused(std::mem::take(&mut out.not_handed))));
+                notes.push((*node, PeerMessage::HandoverRejected(std::mem::take(&mut out.not_handed))));
             }
             if !out.handed.is_empty() {
-                notes.push((*node, PeerMessage::HandoverTaken(std::mem::take(&mut out.handed))));
+                notes.push((*node, PeerMessage::HandoverAccepted(std::mem::take(&mut out.handed))));
             }
             if !out.handover.is_empty() {
                 // Ends first: what has ended must not be run by the successor.
                 if !out.ends.is_empty() {
-                    notes.push((*node, PeerMessage::Ends(std::mem::take(&mut out.ends))));
+                    notes.push((*node, PeerMessage::Ended(std::mem::take(&mut out.ends))));
                 }
                 notes.push((*node, PeerMessage::Handover(std::mem::take(&mut out.handover))));
             }
--- a/crates/queue/src/copies/ownership.rs
+++ b/crates/queue/src/copies/ownership.rs
@@ -1,16 +1,19 @@
 //! Who owns a message and whether it has ended: two stores settle that, and the newer word holds.
 
-use crate::message::{End, Key, Millis, Node, Owned, PeerMessage, Range, Record, Stands};
-use crate::planted::Planted;
+use crate::message::{End, Key, Millis, Node};
+use crate::peer_message::{EndNotice, EntrySummary, KeyRange, Ownership, PeerMessage};
+use crate::planted::PlantedFault;
 use crate::queue::{Effect, Queue, Stage};
+use crate::record::Record;
 use crate::repair::range;
 
 impl Queue {
-    pub(super) fn told_end(&mut self, now: Millis, key: Key, end: End, owed: bool) {
+    pub(super) fn told_end(&mut self, now: Millis, notice: EndNotice) {
+        let EndNotice { key, end, callback_pending: owed } = notice;
         let Some(entry) = self.entries.get(&key) else { return };
         if entry.end.is_some() {
             if !owed && entry.owed {
-                self.note(now, 0, PeerMessage::Called(vec![key]));
+                self.handle_peer_message(now, 0, PeerMessage::CallbacksDelivered(vec![key]));
             }
             return;
         }
@@ -19,24 +22,27 @@
 
     fn ended_elsewhere(&mut self, now: Millis, key: Key, end: End, owed: bool) {
         let at = self.wall_of(now);
-        if !self.planted(Planted::EndUnkept) {
-            self.record(&Record::End { key, end: end.clone(), owed, at }, false);
+        if !self.planted(PlantedFault::EndUnkept) {
+            self.record(
+                &Record::Ended { key, end: end.clone(), callback_pending: owed, ended_at_ms: at },
+                false,
+            );
         }
         self.close_copy(now, key, end, owed);
     }
 
-    pub(super) fn owned(&self, key: Key) -> Option<Owned> {
+    pub(super) fn owned(&self, key: Key) -> Option<Ownership> {
         let e = self.entries.get(&key)?;
-        Some(Owned { key, owner: e.owner, term: e.term, copies: e.copies.clone() })
+        Some(Ownership { key, owner: e.owner, term: e.term, replicas: e.copies.clone() })
     }
 
     /// Another has taken over a message that is known here to have ended, or to be another's.
-    pub(super) fn contradict(&mut self, now: Millis, from: Node, owned: &Owned) {
+    pub(super) fn contradict(&mut self, now: Millis, from: Node, owned: &Ownership) {
         let Some(entry) = self.entries.get(&owned.key).filter(|_| owned.owner == from) else { return };
         let known = (entry.term, std::cmp::Reverse(entry.owner));
         if let Some(end) = entry.end.clone() {
             let owed = entry.owed;
-            self.to(from).ends.push((owned.key, end, owed));
+            self.to(from).ends.push(EndNotice { key: owned.key, end, callback_pending: owed });
             self.ends_at.get_or_insert(now);
         } else if known > (owned.term, std::cmp::Reverse(from)) {
             let mine = self.owned(owned.key);
@@ -45,8 +51,8 @@
     }
 
     /// Who owns a message: the higher term holds, and of equal ones the lower node.
-    pub(super) fn owned_by(&mut self, now: Millis, owned: Owned) {
-        let Owned { key, owner, term, copies } = owned;
+    pub(super) fn owned_by(&mut self, now: Millis, owned: Ownership) {
+        let Ownership { key, owner, term, replicas: copies } = owned;
         let Some(entry) = self.entries.get_mut(&key) else { return };
         let newer = term > entry.term || (term == entry.term && owner < entry.owner);
         self.figures.former += u64::from(!newer && owner != entry.owner);
@@ -65,7 +71,7 @@
         if !ended && !out {
             entry.stage = if mine { Stage::Held } else { Stage::Copy };
         }
-        self.record(&Record::Own { key, owner, term, copies }, mine);
+        self.record(&Record::OwnerChanged { key, owner, term, replicas: copies }, mine);
         self.file(key);
         self.handing.remove(&key);
         self.held.remove(&key);
@@ -86,14 +92,14 @@
         now: Millis,
         from: Node,
         disk: u64,
-        ranges: &[Range],
-        live: Vec<Stands>,
+        ranges: &[KeyRange],
+        live: Vec<EntrySummary>,
     ) {
         let me = self.terms.me;
         self.seen_disk(from, disk);
         let (mut own, mut want, mut drop, mut lost) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         let theirs: std::collections::HashSet<Key> = live.iter().map(|stands| stands.key).collect();
-        for Stands { key, owner, term, ended } in live {
+        for EntrySummary { key, owner, term, has_ended: ended } in live {
             let Some(entry) = self.entries.get(&key) else {
                 match owner == from {
                     true => want.push(key),
@@ -113,12 +119,12 @@
                 (Some(_), true) => {}
                 (Some(end), false) => {
                     let owed = entry.owed;
-                    self.to(from).ends.push((key, end, owed));
+                    self.to(from).ends.push(EndNotice { key, end, callback_pending: owed });
                 }
                 // Its end comes in answer to what this store says.
                 (None, true) => {}
                 (None, false) => {
-                    let theirs = Owned { key, owner, term, copies: entry.copies.clone() };
+                    let theirs = Ownership { key, owner, term, replicas: entry.copies.clone() };
                     if (entry.term, std::cmp::Reverse(entry.owner)) > (term, std::cmp::Reverse(owner)) {
                         own.extend(self.owned(key));
                     } else if entry.owner == me
@@ -141,7 +147,7 @@
             }
         }
         // What it should hold and does not: it has lost its disk, or never got the copy.
-        let asked: std::collections::HashSet<&Range> = ranges.iter().collect();
+        let asked: std::collections::HashSet<&KeyRange> = ranges.iter().collect();
         let both =
             self.owned_here().filter(|(key, _)| asked.contains(&range(me, *key)) && !theirs.contains(key));
         let both = both.filter(|(_, e)| e.stage != Stage::Landing && e.copies.contains(&from));
@@ -151,10 +157,10 @@
         // this store has named it. Taken over on its silence alone it would run twice.
         self.tell_ends();
         for (note, empty) in [
-            (PeerMessage::Own(own.clone()), own.is_empty()),
-            (PeerMessage::Want(want.clone()), want.is_empty()),
+            (PeerMessage::OwnershipChanged(own.clone()), own.is_empty()),
+            (PeerMessage::RequestReplicas(want.clone()), want.is_empty()),
             (PeerMessage::Drop(drop.clone()), drop.is_empty()),
-            (PeerMessage::Lost(lost.clone()), lost.is_empty()),
+            (PeerMessage::LostWithDisk(lost.clone()), lost.is_empty()),
         ] {
             if !empty {
                 self.push(Effect::Send { to: from, note });
--- a/crates/queue/src/copies/placement.rs
+++ b/crates/queue/src/copies/placement.rs
@@ -1,9 +1,11 @@
 //! Where the copies of a message lie, and how they are made and confirmed.
 
 use super::COPY_WAIT;
-use crate::message::{Key, Millis, Node, PeerMessage, Record, Shared};
-use crate::planted::Planted;
+use crate::message::{Key, Millis, Node, ReplicatedMessage};
+use crate::peer_message::{EndNotice, PeerMessage};
+use crate::planted::PlantedFault;
 use crate::queue::{Effect, Queue, Stage, Waits};
+use crate::record::Record;
 use std::collections::BTreeSet;
 
 /// One that is not safe by then is taken back: its edge gives up soon (400 ms) and asks another store, and a
@@ -58,20 +60,20 @@
         chosen
     }
 
-    pub(crate) fn copy_to(&mut self, to: Node, shared: Shared) {
+    pub(crate) fn copy_to(&mut self, to: Node, shared: ReplicatedMessage) {
         self.to(to).copy.push(shared);
     }
 
-    pub(crate) fn shared(&self, now: Millis, key: Key) -> Option<Shared> {
+    pub(crate) fn shared(&self, now: Millis, key: Key) -> Option<ReplicatedMessage> {
         let e = self.entries.get(&key)?;
-        Some(Shared {
+        Some(ReplicatedMessage {
             key,
             owner: e.owner,
             term: e.term,
-            copies: e.copies.clone(),
-            due_in: e.due.saturating_sub(now),
-            waited: e.waited(now),
-            tries: e.tries,
+            replicas: e.copies.clone(),
+            due_in_ms: e.due.saturating_sub(now),
+            waited_ms: e.waited(now),
+            attempts: e.tries,
             message: e.message.clone(),
         })
     }
@@ -85,7 +87,7 @@
             self.copy_to(to, shared);
         }
         if let Some(end) = end {
-            self.to(to).ends.push((key, end, owed));
+            self.to(to).ends.push(EndNotice { key, end, callback_pending: owed });
             self.ends_at.get_or_insert(now + COPY_WAIT);
         }
     }
@@ -120,7 +122,7 @@
             // Nothing has been sent yet: whoever is gone by then is replaced at the next look.
             return;
         }
-        let list_stays = self.planted(Planted::OldCopyList);
+        let list_stays = self.planted(PlantedFault::OldCopyList);
         for from in slow {
             // Others get the copies of the next messages: each would wait here as long as this one has.
             self.peers.entry(from).or_default().full_until = now + SLOW;
@@ -134,10 +136,10 @@
             let (term, copies) = (entry.term, entry.copies.clone());
             if !list_stays {
                 entry.missing.push(me);
-                self.record(&Record::Own { key, owner: me, term, copies }, true);
+                self.record(&Record::OwnerChanged { key, owner: me, term, replicas: copies }, true);
                 self.wait_for_disk(Waits::Own(key));
             }
-            if !self.planted(Planted::DropUnsent) {
+            if !self.planted(PlantedFault::DropUnsent) {
                 self.to(from).drop.push(key);
             }
             if let Some(shared) = self.shared(now, key) {
@@ -146,7 +148,7 @@
         }
     }
 
-    pub(super) fn keep_copy(&mut self, now: Millis, from: Node, shared: Shared) {
+    pub(super) fn keep_copy(&mut self, now: Millis, from: Node, shared: ReplicatedMessage) {
         let key = shared.key;
         self.counted_on_by(from);
         if self.stalled(now) && !self.entries.contains_key(&key) {
@@ -155,19 +157,19 @@
         let known = self.entries.get(&key).map(|e| (e.term, e.end.clone(), e.owed));
         match known {
             Some((_, Some(end), owed)) => {
-                self.to(from).ends.push((key, end, owed));
+                self.to(from).ends.push(EndNotice { key, end, callback_pending: owed });
                 self.to(from).copied.push(key);
                 self.ends_at.get_or_insert(now);
             }
             Some((term, None, _)) if (term, std::cmp::Reverse(self.owner(key))) > shared.rank() => {
                 self.figures.former += 1;
                 if let Some(owned) = self.owned(key) {
-                    self.push(Effect::Send { to: from, note: PeerMessage::Own(vec![owned]) });
+                    self.push(Effect::Send { to: from, note: PeerMessage::OwnershipChanged(vec![owned]) });
                 }
             }
             _ => {
-                self.record(&Record::Put { shared: shared.clone() }, true);
-                if self.planted(Planted::CopyUnsynced) {
+                self.record(&Record::Put { replica: shared.clone() }, true);
+                if self.planted(PlantedFault::CopyUnsynced) {
                     self.to(from).copied.push(key);
                 } else {
                     self.wait_for_disk(Waits::CopyOf(from, key));
--- a/crates/queue/src/copies/release.rs
+++ b/crates/queue/src/copies/release.rs
@@ -2,7 +2,7 @@
 
 use super::{ASK, PATIENCE};
 use crate::message::{Key, Millis, Node};
-use crate::planted::Planted;
+use crate::planted::PlantedFault;
 use crate::queue::{Entry, Queue, Stage};
 
 impl Queue {
@@ -15,7 +15,7 @@
             Some(peer) => peer.stood || (!peer.connected && now > PATIENCE),
             None => now > PATIENCE,
         };
-        let early = self.planted(Planted::ReleasedEarly);
+        let early = self.planted(PlantedFault::ReleasedEarly);
         let ready = |key: &Key| early || self.entries.get(key).is_none_or(|e| e.copies.iter().all(spoken));
         let free: Vec<Key> = self.held.iter().copied().filter(ready).collect();
         for key in free {
@@ -45,7 +45,7 @@
         let open = |e: &&Entry| matches!(e.stage, Stage::Held | Stage::Waiting);
         let Some(entry) = self.entries.get(&key).filter(open) else { return };
         let spoken = |node: &Node| self.peers.get(node).is_some_and(|peer| peer.stood);
-        let unasked = self.planted(Planted::TakenUnasked) || self.planted(Planted::ReleasedEarly);
+        let unasked = self.planted(PlantedFault::TakenUnasked) || self.planted(PlantedFault::ReleasedEarly);
         if entry.copies.iter().all(spoken) || unasked {
             return;
         }
--- a/crates/queue/src/copies/take_over.rs
+++ b/crates/queue/src/copies/take_over.rs
@@ -1,19 +1,21 @@
 //! Taking over what another store owned: one that is gone, or one that gives it away in order.
 
 use super::{Peer, ASK, GONE};
-use crate::message::{Handed, Key, Millis, Node, Owned, Record};
-use crate::planted::Planted;
+use crate::message::{Key, Millis, Node};
+use crate::peer_message::{AcceptedHandover, HandoverOffer, Ownership};
+use crate::planted::PlantedFault;
 use crate::queue::{Queue, Stage, Waits};
+use crate::record::Record;
 
 /// The next in line waits so much longer, for the first may be about to take over.
 pub(super) const LINE: Millis = 1500;
 
 impl Queue {
     /// This store delivers a message from now on. `from`: the one that gives it away in order.
-    pub(super) fn take_over(&mut self, now: Millis, key: Key, from: Option<(Node, Handed)>) {
+    pub(super) fn take_over(&mut self, now: Millis, key: Key, from: Option<(Node, HandoverOffer)>) {
         let me = self.terms.me;
-        let raised = u32::from(!self.planted(Planted::TermUnraised));
-        let asks = !self.planted(Planted::TakenUnasked);
+        let raised = u32::from(!self.planted(PlantedFault::TermUnraised));
+        let asks = !self.planted(PlantedFault::TakenUnasked);
         let giver = from.map(|(node, _)| node);
         let Some(entry) = self.entries.get_mut(&key) else {
             if let Some(giver) = giver {
@@ -25,13 +27,13 @@
         if before == me || (entry.end.is_some() && !entry.owed) {
             let term = entry.term;
             if let Some(giver) = giver {
-                self.to(giver).handed.push((key, term));
+                self.to(giver).handed.push(AcceptedHandover { key, term });
             }
             return;
         }
         entry.owner = me;
         if let Some((_, handed)) = from {
-            (entry.term, entry.tries) = (entry.term.max(handed.term), entry.tries.max(handed.tries));
+            (entry.term, entry.tries) = (entry.term.max(handed.term), entry.tries.max(handed.attempts));
         }
         entry.term += raised;
         entry.copies.retain(|node| *node != me && *node != before);
@@ -50,13 +52,13 @@
         self.look_at_copies(now, key);
         self.expiry(key);
         self.figures.taken_over += 1;
-        self.record(&Record::Own { key, owner: me, term, copies: copies.clone() }, true);
+        self.record(&Record::OwnerChanged { key, owner: me, term, replicas: copies.clone() }, true);
         match giver {
             Some(giver) => self.wait_for_disk(Waits::HandedBy(giver, key)),
             None => {
                 // All are told, for another may hold a copy that nobody knows of any more, and would take
                 // over too.
-                let owned = Owned { key, owner: me, term, copies: copies.clone() };
+                let owned = Ownership { key, owner: me, term, replicas: copies.clone() };
                 let all = self.peers.values_mut().filter(|p| p.connected);
                 all.for_each(|p| p.out.own.push(owned.clone()));
             }
--- a/crates/queue/src/duplicates.rs
+++ b/crates/queue/src/duplicates.rs
@@ -3,8 +3,9 @@
 //! one is kept, and the others drop theirs unless it runs already. It tells them again when a connection comes back: a store
 //! that stood still reads what was sent to it before, and only then that nobody waits for it.
 
-use crate::message::{Key, Message, Record};
+use crate::message::{Key, Message};
 use crate::queue::{Queue, Stage};
+use crate::record::Record;
 
 /// Most messages that are known to be unwanted and owned by others.
 const MOST: usize = 10_000;
@@ -12,11 +13,11 @@
 impl Message {
     /// Tells this message from another that a client sent under the same id, also from the same sent again later. (In a row
     /// a store may move the time at which it was taken.)
-    pub fn print(&self) -> u64 {
+    pub fn fingerprint(&self) -> u64 {
         let step = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01B3);
         let head = [&self.host, &self.method, &self.target].map(|text| text.as_bytes());
         let delay = self.delay_ms.to_le_bytes();
-        let taken = if self.order_key.is_none() { self.taken } else { 0 }.to_le_bytes();
+        let taken = if self.ordering_key.is_none() { self.accepted_at_ms } else { 0 }.to_le_bytes();
         let parts = head.into_iter().chain([self.body.as_slice(), &delay, &taken]);
         // A byte that no text holds stands between the parts.
         parts.fold(0xCBF2_9CE4_8422_2325, |hash, part| step(part.iter().fold(hash, step), &0xFF))
@@ -25,11 +26,11 @@
 
 impl Queue {
     /// Of a message that was offered to several stores one is kept (none: nothing was promised), and the others go.
-    pub fn superseded(&mut self, id: &str, print: u64, kept: Option<Key>) {
+    pub fn drop_superseded(&mut self, id: &str, print: u64, kept: Option<Key>) {
         let same = |key: &Key| {
             let entry = self.entries.get(key)?;
             let alike = Some(*key) != kept && entry.end.is_none() && entry.message.id == id;
-            (alike && entry.message.print() == print).then_some(*key)
+            (alike && entry.message.fingerprint() == print).then_some(*key)
         };
         let others: Vec<Key> = self.live.iter().filter_map(|(_, key)| same(key)).collect();
         for key in others {
@@ -48,7 +49,7 @@
     }
 
     /// Nobody waits any more for a message that is not yet safe: the connection it came by is gone.
-    pub fn abandoned(&mut self, ticket: u64) {
+    pub fn drop_abandoned(&mut self, ticket: u64) {
         let waits = |key: &&Key| self.entries.get(key).is_some_and(|e| e.ticket == Some(ticket));
         let key = self.landing.iter().map(|(_, key)| key).find(waits).copied();
         if let Some(key) = key {
@@ -60,7 +61,7 @@
     pub(crate) fn withdraw(&mut self, key: Key) {
         let copies = self.entries.get(&key).map(|e| e.copies.clone()).unwrap_or_default();
         self.figures.withdrawn += 1;
-        self.record(&Record::Drop { key }, false);
+        self.record(&Record::Dropped { key }, false);
         copies.into_iter().for_each(|to| self.to(to).drop.push(key));
         self.remove(key);
     }
--- a/crates/queue/src/ends.rs
+++ b/crates/queue/src/ends.rs
@@ -2,9 +2,11 @@
 //! knows; and when one is lost for good, or back with another disk, those that knew ends together with it pass them on. Else a
 //! question within `status_s` is answered as if there had been no such message.
 
-use crate::message::{End, Key, KnownEnd, Message, Millis, Node, PeerMessage, Record, Shared};
-use crate::planted::Planted;
+use crate::message::{End, Key, Message, Millis, Node, ReplicatedMessage};
+use crate::peer_message::{PeerMessage, TransferredEnd};
+use crate::planted::PlantedFault;
 use crate::queue::{Effect, Entry, Queue, Stage, Waits};
+use crate::record::Record;
 use crate::repair::RATE;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -70,7 +72,7 @@
     /// Passes on, at a bounded rate, the ends that too few others have confirmed.
     pub(crate) fn pass_ends_on(&mut self, now: Millis) {
         let nothing = self.passing.done || !self.retiring && self.passing.lost.is_empty();
-        if nothing || self.planted(Planted::EndsGoAlong) {
+        if nothing || self.planted(PlantedFault::EndsGoAlong) {
             return;
         }
         let able = |p: &crate::copies::Peer| p.listed && p.connected && !p.leaving;
@@ -81,7 +83,7 @@
             return;
         }
         let (mut lacking, mut bytes) = (false, 0);
-        let mut parcels: BTreeMap<Node, Vec<KnownEnd>> = BTreeMap::new();
+        let mut parcels: BTreeMap<Node, Vec<TransferredEnd>> = BTreeMap::new();
         let passed = |e: &Entry| e.end.is_some() && (self.retiring || self.passing.concerns(e));
         for (key, entry) in self.entries.iter().filter(|(_, e)| passed(e)) {
             let have = others.iter().filter(|node| self.passing.has(**node, *key)).count();
@@ -102,7 +104,7 @@
         }
         for (to, ends) in parcels {
             self.passing.sent.extend(ends.iter().map(|known| ((to, known.key), now)));
-            self.push(Effect::Send { to, note: PeerMessage::KnownEnds(ends) });
+            self.push(Effect::Send { to, note: PeerMessage::TransferEnds(ends) });
         }
     }
 
@@ -126,8 +128,8 @@
     }
 
     /// Another store is to be emptied, and this one keeps the ends that it knew.
-    pub(crate) fn keep_ends(&mut self, now: Millis, from: Node, ends: Vec<KnownEnd>) {
-        for KnownEnd { key, end, owed, dead } in ends {
+    pub(crate) fn keep_ends(&mut self, now: Millis, from: Node, ends: Vec<TransferredEnd>) {
+        for TransferredEnd { key, end, callback_pending: owed, failed_message: dead } in ends {
             match self.entries.get(&key).map(|e| e.end.is_some()) {
                 Some(true) => {}
                 Some(false) => self.close_copy(now, key, end.clone(), owed),
@@ -136,9 +138,9 @@
             let Some(owed) = self.entries.get(&key).map(|e| e.owed) else { continue };
             // The end first: what is read of a torn batch is never a live message.
             let at = self.wall_of(now);
-            self.record(&Record::End { key, end, owed, at }, true);
+            self.record(&Record::Ended { key, end, callback_pending: owed, ended_at_ms: at }, true);
             if let Some(message) = dead {
-                self.record(&Record::Put { shared: ended(self.terms.me, key, message) }, true);
+                self.record(&Record::Put { replica: ended(self.terms.me, key, message) }, true);
             }
             self.wait_for_disk(Waits::EndOf(from, key));
         }
@@ -152,15 +154,18 @@
     }
 }
 
-fn ended(owner: Node, key: Key, message: Message) -> Shared {
-    Shared { key, owner, message, ..Shared::default() }
+fn ended(owner: Node, key: Key, message: Message) -> ReplicatedMessage {
+    ReplicatedMessage { key, owner, message, ..ReplicatedMessage::default() }
 }
 
 /// Of one that failed the bytes are asked for, too.
-fn known_end(key: Key, entry: &Entry) -> Option<KnownEnd> {
+fn known_end(key: Key, entry: &Entry) -> Option<TransferredEnd> {
     let end = entry.end.clone()?;
-    let bytes =
-        || Message { body: entry.message.body.clone(), taken: entry.message.taken, ..Message::default() };
-    let dead = (end == End::Failed && entry.message.taken > 0).then(bytes);
-    Some(KnownEnd { key, end, owed: entry.owed, dead })
+    let bytes = || Message {
+        body: entry.message.body.clone(),
+        accepted_at_ms: entry.message.accepted_at_ms,
+        ..Message::default()
+    };
+    let dead = (end == End::Failed && entry.message.accepted_at_ms > 0).then(bytes);
+    Some(TransferredEnd { key, end, callback_pending: entry.owed, failed_message: dead })
 }
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -1,4 +1,4 @@
-//! The durable queue of one store: messages, their copies, attempts, ends, call-backs and ceilings. A state
+//! The durable queue of one store: messages, their replicas, attempts, ends, callbacks and rate limits. A state
 //! machine: events and a clock go in, [`Effect`]s come out; sockets, disk and time are the program's.
 
 // Not finished yet: what these lints name is still to be documented or divided.
@@ -6,25 +6,30 @@
 mod copies;
 mod duplicates;
 mod ends;
-mod ledger;
 mod message;
 mod ordering;
+mod peer_message;
 mod planted;
 mod queue;
+mod record;
 mod repair;
 mod repeats;
 mod retire;
 mod service_queue;
+mod state_table;
 mod tokens;
 
-pub use ledger::Ledger;
-pub use message::{
-    End, Handed, Key, KnownEnd, Message, Millis, Node, Owned, PeerMessage, Range, Record, Refusal, Shared,
-    Stands, Sum,
+pub use message::{End, Key, KeyLocation, Message, Millis, Node, PutError, ReplicatedMessage};
+pub use ordering::preferred_store;
+pub use peer_message::{
+    AcceptedHandover, EndNotice, EntrySummary, GroupMessage, GroupPosition, HandoverOffer, KeyRange,
+    Ownership, PeerMessage, RangeDigest, TransferredEnd,
 };
-pub use ordering::place;
 #[cfg(feature = "planted")]
-pub use planted::Planted;
+pub use planted::PlantedFault;
 pub use queue::{first_number, Bear, Effect, Entry, Figures, Outcome, Queue, QueueSettings, Stage, State};
 pub use queue::{MessageView, ServiceView, Stages};
+pub use record::Record;
+pub use retire::RetirementState;
 pub use service_queue::{Repeats, Server};
+pub use state_table::{StateTable, StoredEnd, StoredMessage};
--- a/crates/queue/src/message.rs
+++ b/crates/queue/src/message.rs
@@ -1,253 +1,126 @@
-//! What a message is, on the wire between stores and on disk.
+//! A message of the queue: its key, its content, its replicated form and how it ends.
 
 use serde::{Deserialize, Serialize};
 
 /// Milliseconds on the steady clock of this process.
 pub type Millis = u64;
-/// A node of the system, by a hash of its name.
+/// Identifier of a node: a hash of its name.
 pub type Node = u32;
 
-/// A message's name: who took it, and its number there.
+/// Identifies a message: the store that accepted it, and the number that the store gave it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Key {
+    /// The store that accepted the message; it need not own it any more.
     pub origin: Node,
+    /// Number among the messages that the origin has accepted; a restart begins a new series.
     pub number: u64,
 }
 
+/// A key as clients send it back, with the stores that are likely to know the message.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct KeyLocation {
+    /// The message's key.
+    pub key: Key,
+    /// Stores to ask, in this order: the origin, then the replicas that the text names.
+    pub stores: Vec<Node>,
+}
+
 impl Key {
-    /// As clients see it: the key, and where its first copy lies.
-    pub fn name(&self, copy: Option<Node>) -> String {
-        match copy {
-            Some(copy) => format!("{:x}.{:x}.{copy:x}", self.origin, self.number),
+    /// The text that clients get for the message: hexadecimal numbers, with its first replica at the end.
+    pub fn to_text(&self, replica: Option<Node>) -> String {
+        match replica {
+            Some(replica) => format!("{:x}.{:x}.{replica:x}", self.origin, self.number),
             None => format!("{:x}.{:x}", self.origin, self.number),
         }
     }
-    /// The key, and where to ask in which order.
-    pub fn parse(name: &str) -> Option<(Key, Vec<Node>)> {
-        let mut parts = name.split('.');
+
+    /// Reads what [`Key::to_text`] has written; `None` if the text names no message.
+    ///
+    /// Replicas are read up to the first that is no hexadecimal number.
+    pub fn parse(text: &str) -> Option<KeyLocation> {
+        let mut parts = text.split('.');
         let origin = Node::from_str_radix(parts.next()?, 16).ok()?;
         let number = u64::from_str_radix(parts.next()?, 16).ok()?;
-        let copies = parts.map_while(|part| Node::from_str_radix(part, 16).ok());
-        Some((Key { origin, number }, std::iter::once(origin).chain(copies).collect()))
+        let replicas = parts.map_while(|part| Node::from_str_radix(part, 16).ok());
+        let stores = std::iter::once(origin).chain(replicas).collect();
+        Some(KeyLocation { key: Key { origin, number }, stores })
     }
 }
 
-/// A message as it was taken.
+/// A message as a client has submitted it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Message {
+    /// Identifier that the client chose: executors use it to recognise a repeated delivery.
     pub id: String,
+    /// Host of the request; with the target it selects the route.
     pub host: String,
+    /// HTTP method of the request.
     pub method: String,
+    /// Path and query of the request.
     pub target: String,
+    /// Content type of the body, if the client named one.
     pub content_type: Option<String>,
-    pub callback: Option<String>,
-    /// Route and key of a message that must not start before those of the same that were accepted earlier.
-    pub order_key: Option<String>,
-    /// Not to run sooner than so long after it was taken.
+    /// URL that is called once the message has ended.
+    pub callback_url: Option<String>,
+    /// Route and key of its FIFO group: it must not start before the messages of the same group that were accepted earlier.
+    pub ordering_key: Option<String>,
+    /// Earliest start, in milliseconds after the message was accepted.
     pub delay_ms: u64,
-    /// Time of day when it was taken, in ms: only a restart counts by it.
-    pub taken: u64,
-    /// The version of the configuration by which it was taken.
-    pub config: u64,
+    /// Time of day when it was accepted, in milliseconds since 1970; 0 where that is no longer kept.
+    pub accepted_at_ms: u64,
+    /// Revision of the configuration under which it was accepted.
+    pub config_revision: u64,
+    /// Body of the request.
     pub body: Vec<u8>,
 }
 
 /// How a message ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum End {
-    Complete { seal: String },
+    /// An executor has completed it.
+    Complete {
+        /// The executor's proof that it ran the message.
+        seal: String,
+    },
+    /// It was rejected for good, ran out of attempts or waited too long.
     Failed,
 }
 
-/// A message as one store tells it to another.
+/// A message with its ownership, as one store sends it to another and as it is kept on disk.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Shared {
+pub struct ReplicatedMessage {
+    /// The message's key.
     pub key: Key,
+    /// The store that delivers it.
     pub owner: Node,
-    /// Rises with each change of owner: the higher one holds.
+    /// Raised with each change of owner; of two claims the one with the higher term holds.
     pub term: u32,
-    pub copies: Vec<Node>,
-    /// How long until it is due, and how long it has waited since it was taken.
-    pub due_in: u64,
-    pub waited: u64,
-    pub tries: u32,
+    /// The other stores that hold a replica.
+    pub replicas: Vec<Node>,
+    /// How long until it is due, in milliseconds from now.
+    pub due_in_ms: u64,
+    /// How long it has waited since it was accepted, in milliseconds.
+    pub waited_ms: u64,
+    /// Attempts that have failed so far.
+    pub attempts: u32,
+    /// What the client submitted.
     pub message: Message,
 }
 
-impl Shared {
-    /// Of two the higher one holds.
+impl ReplicatedMessage {
+    /// Orders claims to own the message: the greatest holds. Of equal terms that is the one of the lower node.
     pub(crate) fn rank(&self) -> (u32, std::cmp::Reverse<Node>) {
         (self.term, std::cmp::Reverse(self.owner))
     }
 }
 
-/// On disk.
-#[allow(clippy::large_enum_variant)]
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Record {
-    /// A life begins: the disk's own number (another one is another disk), and the first number of its messages.
-    Born {
-        disk: u64,
-        first: u64,
-    },
-    Put {
-        shared: Shared,
-    },
-    End {
-        key: Key,
-        end: End,
-        owed: bool,
-        at: u64,
-    },
-    Called {
-        key: Key,
-    },
-    Own {
-        key: Key,
-        owner: Node,
-        term: u32,
-        copies: Vec<Node>,
-    },
-    Drop {
-        key: Key,
-    },
-    /// An operator has ordered this store to be emptied.
-    Retire,
-}
-
-/// Who owns a message, and where its copies lie.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Owned {
-    pub key: Key,
-    pub owner: Node,
-    pub term: u32,
-    pub copies: Vec<Node>,
-}
-
-/// A message as it stands at one store: live, or ended with its call-back owed.
-#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Stands {
-    pub key: Key,
-    pub owner: Node,
-    pub term: u32,
-    pub ended: bool,
-}
-
-/// Numbers in a row among what one store owns.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Range {
-    pub owner: Node,
-    pub part: u64,
-}
-
-/// How many there are in a range, and all of them mixed into one number in which no order counts.
-#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Sum {
-    pub range: Range,
-    pub count: u32,
-    pub mix: u64,
-}
-
-/// A message that is given to another store, with what its owner knows of it.
-#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Handed {
-    pub key: Key,
-    pub term: u32,
-    pub tries: u32,
-}
-
-/// An end as a store that is to be emptied passes it on.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct KnownEnd {
-    pub key: Key,
-    pub end: End,
-    /// Its call-back has not been taken.
-    pub owed: bool,
-    /// Body and time of a message that failed: they are asked for.
-    pub dead: Option<Message>,
-}
-
-/// Between stores.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum PeerMessage {
-    /// Keep these; `Copied` when they are safe.
-    Copy(Vec<Shared>),
-    Copied(Vec<Key>),
-    /// No room on the disk: they are not safe here.
-    NotCopied(Vec<Key>),
-    Ends(Vec<(Key, End, bool)>),
-    Called(Vec<Key>),
-    /// Who owns these now.
-    Own(Vec<Owned>),
-    Drop(Vec<Key>),
-    /// The sender owned these and has lost them with its disk.
-    Lost(Vec<Key>),
-    Want(Vec<Key>),
-    /// The number of the sender's disk, with each connection: another one is another disk.
-    Disk(u64),
-    /// What both hold of the live messages, as sums over ranges; those younger than `over` ms are left out.
-    Digests {
-        disk: u64,
-        over: u64,
-        sums: Vec<Sum>,
-    },
-    /// The live messages of these ranges that both hold, as the sender sees them. `answer`: the receiver's
-    /// are wanted too.
-    Standing {
-        disk: u64,
-        answer: bool,
-        ranges: Vec<Range>,
-        live: Vec<Stands>,
-    },
-    /// All that was to be said to a `Standing` has been said.
-    Stood,
-    /// The sender ends: these are the receiver's from now on.
-    Handover(Vec<Handed>),
-    /// Those that the receiver has taken, and by which term.
-    HandoverTaken(Vec<(Key, u32)>),
-    /// It does not know these, and takes none of them.
-    HandoverRefused(Vec<Key>),
-    /// What is live of this row? `announced`: the sender is about to keep this message of it.
-    RowAsk {
-        number: u64,
-        row: String,
-        taken: u64,
-        key: Key,
-        announced: bool,
-    },
-    /// A new one comes not before `beyond`.
-    RowLive {
-        number: u64,
-        beyond: u64,
-        live: Vec<(u64, Key)>,
-    },
-    /// Announced, and ended.
-    RowDone(Vec<(String, Key)>),
-    /// Takes no more messages and copies: it is about to end.
-    Leaving,
-    /// The sender is to be emptied for good: copies that lie there are to lie elsewhere.
-    Retiring,
-    /// The sender counts on no copy that lies at the receiver.
-    Relieved,
-    /// The sender is to be emptied: keep the ends that it knows; `EndsKept` when they are on disk.
-    KnownEnds(Vec<KnownEnd>),
-    EndsKept(Vec<Key>),
-    /// Tokens of a service with a ceiling: so many are wanted, so many may be used.
-    TokensWanted {
-        service: String,
-        count: u32,
-    },
-    Tokens {
-        service: String,
-        count: u32,
-    },
-}
-
-/// Why a message was not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Refusal {
-    /// It has not been kept and never will run: another store may take it.
-    NotTaken,
-    /// It may run.
+/// Why a store did not confirm a message that an edge has offered to it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
+pub enum PutError {
+    /// It is not kept and will never run: another store may be asked.
+    #[error("the store did not accept the message")]
+    Rejected,
+    /// It may run: asking another store could run it twice.
+    #[error("it is unknown whether the store has accepted the message")]
     Uncertain,
 }
--- a/crates/queue/src/ordering.rs
+++ b/crates/queue/src/ordering.rs
@@ -3,14 +3,16 @@
 //!
 //! All stores see one order, by (`taken`, key). `taken` is raised at the store beyond all that is known of
 //! the row when a message is put, so that clocks of edges don't matter. Edges choose the store of a row by
-//! [`place`]. One that is not the place, or has not asked since its neighbours changed, asks the others
+//! [`preferred_store`]. One that is not the place, or has not asked since its neighbours changed, asks the others
 //! *before* it keeps the message: they name what they know of the row, and remember the newcomer. So whoever
 //! takes the next one knows of this one, wherever it is. A message that came in another way (taken over,
 //! handed over, read from disk) asks before it starts. Nobody waits for a higher one, so no two wait for each
 //! other.
 
-use crate::message::{Key, Millis, Node, PeerMessage, Record};
+use crate::message::{Key, Millis, Node};
+use crate::peer_message::{GroupMessage, GroupPosition, PeerMessage};
 use crate::queue::{Effect, Queue, Stage, Waits};
+use crate::record::Record;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 /// While another store holds an earlier one, it is asked again so often, should its word get lost.
@@ -20,15 +22,12 @@
 /// Named in one answer at the most: the lowest ones, and those are what the asker waits for.
 const MOST: usize = 64;
 
-/// Where a message stands among those of its row.
-type Spot = (u64, Key);
-
 #[derive(Debug, Default)]
 struct Row {
     /// Known here: owned or copies.
-    live: BTreeSet<Spot>,
+    live: BTreeSet<GroupPosition>,
     /// Known at others only.
-    outside: BTreeSet<Spot>,
+    outside: BTreeSet<GroupPosition>,
     /// When all the others were asked.
     asked: Option<Millis>,
     asking: bool,
@@ -40,7 +39,7 @@
     /// Beyond all that is known, but for one.
     fn beyond(&self, key: Key) -> u64 {
         let all = self.live.iter().rev().chain(self.outside.iter().rev());
-        all.filter(|(_, other)| *other != key).map(|(taken, _)| taken + 1).max().unwrap_or(0)
+        all.filter(|other| other.key != key).map(|other| other.accepted_at_ms + 1).max().unwrap_or(0)
     }
 }
 
@@ -50,11 +49,11 @@
     key: Key,
     waiting: BTreeSet<Node>,
     answered: BTreeSet<Node>,
-    found: BTreeSet<Spot>,
+    found: BTreeSet<GroupPosition>,
     beyond: u64,
     landing: bool,
     /// Told by others meanwhile: an answer from before does not undo that.
-    told: BTreeSet<Spot>,
+    told: BTreeSet<GroupPosition>,
 }
 
 #[derive(Debug, Default)]
@@ -66,7 +65,7 @@
     wake: BTreeSet<String>,
     later: BTreeSet<(Millis, String)>,
     /// Ended, and others remember them.
-    done: Vec<(String, Key)>,
+    done: Vec<GroupMessage>,
     idle: VecDeque<(Millis, String)>,
     /// When members or connections last changed.
     pub changed: Millis,
@@ -81,21 +80,21 @@
         self.all.entry(name.to_string()).or_default()
     }
 
-    pub fn enter(&mut self, name: &str, spot: Spot) {
+    pub fn enter(&mut self, name: &str, spot: GroupPosition) {
         let row = self.row(name);
-        row.outside.retain(|(_, key)| *key != spot.1);
+        row.outside.retain(|other| other.key != spot.key);
         row.live.insert(spot);
     }
 
-    pub fn leave(&mut self, name: &str, spot: Spot, announced: bool) {
+    pub fn leave(&mut self, name: &str, spot: GroupPosition, announced: bool) {
         self.row(name).live.remove(&spot);
         self.wake.insert(name.to_string());
         if announced {
-            self.done.push((name.to_string(), spot.1));
+            self.done.push(GroupMessage { group: name.to_string(), key: spot.key });
         }
     }
 
-    pub fn is_first(&self, name: &str, spot: Spot) -> bool {
+    pub fn is_first(&self, name: &str, spot: GroupPosition) -> bool {
         let first =
             |row: &Row| row.live.first() == Some(&spot) && row.outside.first().is_none_or(|o| *o > spot);
         self.all.get(name).is_none_or(first)
@@ -107,7 +106,7 @@
 }
 
 /// The store of a row among those that are there: each is as likely, and few rows move when one goes.
-pub fn place(row: &str, nodes: impl Iterator<Item = Node>) -> Option<Node> {
+pub fn preferred_store(row: &str, nodes: impl Iterator<Item = Node>) -> Option<Node> {
     nodes.max_by_key(|node| stileroute_dispatch::types::mark(&format!("{row}/{node}")))
 }
 
@@ -124,13 +123,14 @@
         self.acquainted
             && self.heard
             && listed().all(|(_, p)| p.connected && !p.leaving)
-            && place(row, listed().map(|(node, _)| *node).chain([self.terms.me])) == Some(self.terms.me)
+            && preferred_store(row, listed().map(|(node, _)| *node).chain([self.terms.me]))
+                == Some(self.terms.me)
             && asked.is_some_and(|at| at > self.rows.changed)
     }
 
     /// A message of a row has been put. True: it may be kept at once.
     pub(crate) fn put_in_row(&mut self, now: Millis, key: Key) -> bool {
-        let Some(name) = self.entries.get(&key).and_then(|e| e.message.order_key.clone()) else {
+        let Some(name) = self.entries.get(&key).and_then(|e| e.message.ordering_key.clone()) else {
             return true;
         };
         let row = self.rows.row(&name);
@@ -138,7 +138,7 @@
         let beyond = row.beyond(key);
         let knows = self.knows(&name);
         if let Some(entry) = self.entries.get_mut(&key) {
-            entry.message.taken = entry.message.taken.max(beyond);
+            entry.message.accepted_at_ms = entry.message.accepted_at_ms.max(beyond);
             (entry.cleared, entry.asking) = (true, !knows);
         }
         self.file(key);
@@ -151,7 +151,7 @@
     }
 
     fn ask(&mut self, now: Millis, name: String, key: Key, landing: bool) {
-        let Some(taken) = self.entries.get(&key).map(|e| e.message.taken) else { return };
+        let Some(taken) = self.entries.get(&key).map(|e| e.message.accepted_at_ms) else { return };
         self.rows.number += 1;
         let number = self.rows.number;
         let waiting = self.connected();
@@ -159,7 +159,13 @@
             entry.announced = true;
         }
         for to in &waiting {
-            let note = PeerMessage::RowAsk { number, row: name.clone(), taken, key, announced: landing };
+            let note = PeerMessage::GroupQuery {
+                query_id: number,
+                group: name.clone(),
+                accepted_at_ms: taken,
+                key,
+                is_announcement: landing,
+            };
             self.push(Effect::Send { to: *to, note });
         }
         let (answered, found, told) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
@@ -174,22 +180,32 @@
         let row = self.rows.row(&name);
         row.used = now;
         // What is known when it is first heard of comes before it; what comes later is put behind it.
-        let known = row.outside.iter().any(|(_, other)| *other == key);
+        let known = row.outside.iter().any(|other| other.key == key);
         let beyond = if known || !announced { 0 } else { row.beyond(key) };
-        let live = row.live.iter().filter(|(_, other)| *other != key).take(MOST).copied().collect();
+        let live = row.live.iter().filter(|other| other.key != key).take(MOST).copied().collect();
         if announced && !self.entries.contains_key(&key) {
-            row.outside.retain(|(_, other)| *other != key);
-            row.outside.insert((taken, key));
+            row.outside.retain(|other| other.key != key);
+            row.outside.insert(GroupPosition { accepted_at_ms: taken, key });
             for asking in self.rows.asking.values_mut().filter(|a| a.row == name) {
-                asking.told.retain(|(_, other)| *other != key);
-                asking.told.insert((taken, key));
+                asking.told.retain(|other| other.key != key);
+                asking.told.insert(GroupPosition { accepted_at_ms: taken, key });
             }
             self.rows.wake.insert(name.clone());
         }
-        self.push(Effect::Send { to: from, note: PeerMessage::RowLive { number, beyond, live } });
+        self.push(Effect::Send {
+            to: from,
+            note: PeerMessage::GroupQueryReply { query_id: number, min_accepted_at_ms: beyond, live },
+        });
     }
 
-    pub(crate) fn row_told(&mut self, now: Millis, from: Node, number: u64, beyond: u64, live: Vec<Spot>) {
+    pub(crate) fn row_told(
+        &mut self,
+        now: Millis,
+        from: Node,
+        number: u64,
+        beyond: u64,
+        live: Vec<GroupPosition>,
+    ) {
         let Some(asking) = self.rows.asking.get_mut(&number) else { return };
         asking.waiting.remove(&from);
         asking.answered.insert(from);
@@ -239,18 +255,18 @@
             self.rows.wake.insert(name);
             return;
         };
-        let moved = landing && beyond > entry.message.taken;
+        let moved = landing && beyond > entry.message.accepted_at_ms;
         if moved {
-            entry.message.taken = beyond;
+            entry.message.accepted_at_ms = beyond;
         }
         entry.cleared = true;
-        let spot = (entry.message.taken, key);
+        let spot = GroupPosition { accepted_at_ms: entry.message.accepted_at_ms, key };
         // Earlier ones that nobody names have ended. Of later ones nothing is known by that: those that came
         // since then and were told here wait for them.
         let row = self.rows.row(&name);
         row.outside.retain(|other| landing || *other > spot);
         row.outside
-            .extend(found.into_iter().chain(told).filter(|(_, other)| !self.entries.contains_key(other)));
+            .extend(found.into_iter().chain(told).filter(|other| !self.entries.contains_key(&other.key)));
         self.rows.wake.insert(name.clone());
         if moved {
             // The others hear of its new spot before it is kept, and put what comes next behind it.
@@ -267,7 +283,7 @@
         entry.asking = false;
         let copies = entry.copies.clone();
         let Some(shared) = self.shared(now, key) else { return };
-        self.record(&Record::Put { shared: shared.clone() }, true);
+        self.record(&Record::Put { replica: shared.clone() }, true);
         self.wait_for_disk(Waits::Own(key));
         copies.into_iter().for_each(|to| self.copy_to(to, shared.clone()));
     }
@@ -276,8 +292,9 @@
     /// that changes.
     pub(crate) fn may_start(&mut self, now: Millis, key: Key) -> bool {
         let Some(entry) = self.entries.get(&key) else { return false };
-        let Some(name) = entry.message.order_key.clone() else { return true };
-        let (spot, cleared) = ((entry.message.taken, key), entry.cleared);
+        let Some(name) = entry.message.ordering_key.clone() else { return true };
+        let spot = GroupPosition { accepted_at_ms: entry.message.accepted_at_ms, key };
+        let cleared = entry.cleared;
         let row = self.rows.row(&name);
         if row.live.first() != Some(&spot) {
             return false;
@@ -296,9 +313,9 @@
     }
 
     /// Others had it in mind, and it has ended.
-    pub(crate) fn row_done(&mut self, all: Vec<(String, Key)>) {
-        for (name, key) in all {
-            self.rows.row(&name).outside.retain(|(_, other)| *other != key);
+    pub(crate) fn row_done(&mut self, all: Vec<GroupMessage>) {
+        for GroupMessage { group: name, key } in all {
+            self.rows.row(&name).outside.retain(|other| other.key != key);
             self.rows.wake.insert(name);
         }
     }
@@ -308,7 +325,7 @@
         if !self.rows.done.is_empty() {
             let done = std::mem::take(&mut self.rows.done);
             for to in self.connected() {
-                self.push(Effect::Send { to, note: PeerMessage::RowDone(done.clone()) });
+                self.push(Effect::Send { to, note: PeerMessage::GroupMessagesEnded(done.clone()) });
             }
         }
         while self.rows.later.first().is_some_and(|(at, _)| *at <= now) {
@@ -316,7 +333,9 @@
             self.rows.wake.insert(name);
         }
         while let Some(name) = self.rows.wake.pop_first() {
-            let Some((_, key)) = self.rows.all.get(&name).and_then(|row| row.live.first().copied()) else {
+            let Some(GroupPosition { key, .. }) =
+                self.rows.all.get(&name).and_then(|row| row.live.first().copied())
+            else {
                 continue;
             };
             if self.entries.get(&key).is_some_and(|e| e.owner == self.terms.me) {
--- a/crates/queue/src/planted.rs
+++ b/crates/queue/src/planted.rs
@@ -5,7 +5,7 @@
 
 /// A fault of which a property has to tell. Each undoes one rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
+pub enum PlantedFault {
     /// A message is answered as taken when the own disk has it, and no copy yet.
     EarlyAnswer,
     /// A copy is confirmed before its record is synced.
@@ -39,42 +39,42 @@
 }
 
 #[cfg(feature = "planted")]
-impl Planted {
-    pub const ALL: [Planted; 15] = [
-        Planted::EarlyAnswer,
-        Planted::CopyUnsynced,
-        Planted::FenceUnheeded,
-        Planted::ReleasedEarly,
-        Planted::OldCopyList,
-        Planted::DropUnsent,
-        Planted::EndUnkept,
-        Planted::HandedTwice,
-        Planted::TermUnraised,
-        Planted::TakenUnasked,
-        Planted::RetiredEarly,
-        Planted::RelievedForever,
-        Planted::OrphansUnheeded,
-        Planted::CopiesUnconfirmed,
-        Planted::EndsGoAlong,
+impl PlantedFault {
+    pub const ALL: [PlantedFault; 15] = [
+        PlantedFault::EarlyAnswer,
+        PlantedFault::CopyUnsynced,
+        PlantedFault::FenceUnheeded,
+        PlantedFault::ReleasedEarly,
+        PlantedFault::OldCopyList,
+        PlantedFault::DropUnsent,
+        PlantedFault::EndUnkept,
+        PlantedFault::HandedTwice,
+        PlantedFault::TermUnraised,
+        PlantedFault::TakenUnasked,
+        PlantedFault::RetiredEarly,
+        PlantedFault::RelievedForever,
+        PlantedFault::OrphansUnheeded,
+        PlantedFault::CopiesUnconfirmed,
+        PlantedFault::EndsGoAlong,
     ];
 }
 
 #[cfg(not(feature = "planted"))]
 impl Queue {
     #[inline(always)]
-    pub(crate) const fn planted(&self, _: Planted) -> bool {
+    pub(crate) const fn planted(&self, _: PlantedFault) -> bool {
         false
     }
 }
 
 #[cfg(feature = "planted")]
 impl Queue {
-    pub(crate) fn planted(&self, fault: Planted) -> bool {
+    pub(crate) fn planted(&self, fault: PlantedFault) -> bool {
         self.planted == Some(fault)
     }
 
     /// From here on this store has the fault.
-    pub fn plant(&mut self, fault: Option<Planted>) {
+    pub fn plant(&mut self, fault: Option<PlantedFault>) {
         self.planted = fault;
     }
 }
--- a/crates/queue/src/queue.rs
+++ b/crates/queue/src/queue.rs
@@ -17,11 +17,12 @@
 pub use types::{Bear, Effect, Entry, Figures, Outcome, QueueSettings, Stage, State};
 
 use crate::copies::Peer;
-use crate::ledger::Ledger;
-use crate::message::{End, Key, Message, Millis, Node, Shared};
+use crate::message::{End, Key, Message, Millis, Node, ReplicatedMessage};
+use crate::peer_message::GroupPosition;
 #[cfg(feature = "planted")]
-use crate::planted::Planted;
+use crate::planted::PlantedFault;
 use crate::service_queue::{Server, ServiceQueue};
+use crate::state_table::{StateTable, StoredEnd, StoredMessage};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
 use stileroute_config::Config;
@@ -56,7 +57,7 @@
     /// Live, or with a call-back owed, by owner: what is compared with others and looked through when one is
     /// gone. All entries, with those that ended in the last minutes, are a hundred times as many.
     pub(crate) live: BTreeSet<(Node, Key)>,
-    /// Owned here and on too few disks: when to see to each.
+    /// Ownership here and on too few disks: when to see to each.
     pub(crate) thin: BTreeSet<(Millis, Key)>,
     pub(crate) thin_since: Option<Millis>,
     pub(crate) bucket: crate::repair::Bytes,
@@ -101,13 +102,13 @@
     /// The members have been told: before that a store would take itself for the only one.
     pub(crate) acquainted: bool,
     #[cfg(feature = "planted")]
-    pub(crate) planted: Option<Planted>,
+    pub(crate) planted: Option<PlantedFault>,
     pub figures: Figures,
 }
 
 impl Queue {
     /// Begins with what the disk holds. `wall` is the time of day in ms.
-    pub fn new(terms: QueueSettings, ledger: Ledger, now: Millis, wall: u64) -> Queue {
+    pub fn new(terms: QueueSettings, ledger: StateTable, now: Millis, wall: u64) -> Queue {
         let mut queue = Queue {
             // Numbers never come again: each life has a line of its own.
             next_number: terms.first,
@@ -148,8 +149,8 @@
             lane_wait: 0,
             upkeep: now,
             leaving: false,
-            retiring: ledger.retire,
-            retire_kept: ledger.retire,
+            retiring: ledger.retirement_ordered,
+            retire_kept: ledger.retirement_ordered,
             relieved: BTreeSet::new(),
             passing: Default::default(),
             heard: true,
@@ -161,29 +162,29 @@
             figures: Figures::default(),
             terms,
         };
-        for (key, kept) in ledger.all {
+        for (key, kept) in ledger.messages {
             queue.recall(key, kept, now, wall);
         }
-        if ledger.retire {
+        if ledger.retirement_ordered {
             queue.begin_retiring(now);
         }
         queue
     }
 
-    fn recall(&mut self, key: Key, kept: crate::ledger::Kept, now: Millis, wall: u64) {
-        let known = kept.shared.is_some();
-        let shared = kept.shared.unwrap_or_default();
+    fn recall(&mut self, key: Key, kept: StoredMessage, now: Millis, wall: u64) {
+        let known = kept.replica.is_some();
+        let shared = kept.replica.unwrap_or_default();
         let (end, owed) = match kept.end {
-            Some((end, owed, _)) => (Some(end), owed),
+            Some(StoredEnd { end, callback_pending, .. }) => (Some(end), callback_pending),
             None => (None, false),
         };
         if end.is_none() && shared.message.id.is_empty() && shared.message.method.is_empty() {
             return;
         }
-        let gone = wall.saturating_sub(shared.message.taken);
+        let gone = wall.saturating_sub(shared.message.accepted_at_ms);
         // Whoever owns it, or held a copy, may be gone for good: it is missed from now on all the same.
         for node in
-            shared.copies.iter().chain([&shared.owner]).filter(|node| known && **node != self.terms.me)
+            shared.replicas.iter().chain([&shared.owner]).filter(|node| known && **node != self.terms.me)
         {
             self.peers.entry(*node).or_insert_with(|| Peer::new(now));
         }
@@ -242,7 +243,7 @@
             Some(End::Complete { seal }) => State::Complete { seal: seal.clone() },
             Some(End::Failed) => State::Failed,
         };
-        let here = !matches!(state, State::Complete { .. }) && entry.message.taken > 0;
+        let here = !matches!(state, State::Complete { .. }) && entry.message.accepted_at_ms > 0;
         Some((state, here.then_some(entry.message.body.as_slice())))
     }
 
@@ -254,7 +255,7 @@
             entry.thin.map(|at| self.thin.remove(&(at, key)));
             entry.filed.map(|owner| self.live.remove(&(owner, key)));
             if let Some(row) = entry.row {
-                self.rows.leave(&row.0, (row.1, key), entry.announced);
+                self.rows.leave(&row.0, GroupPosition { accepted_at_ms: row.1, key }, entry.announced);
             }
             self.held.remove(&key);
             self.handing.remove(&key);
@@ -271,14 +272,16 @@
             was.map(|owner| self.live.remove(&(owner, key)));
             filed.map(|owner| self.live.insert((owner, key)));
         }
-        let row = (entry.end.is_none()).then_some(&entry.message.order_key);
-        let row = row.and_then(|name| name.clone()).map(|name| Box::new((name, entry.message.taken)));
+        let row = (entry.end.is_none()).then_some(&entry.message.ordering_key);
+        let row =
+            row.and_then(|name| name.clone()).map(|name| Box::new((name, entry.message.accepted_at_ms)));
         if entry.row != row {
             if let Some(old) = std::mem::replace(&mut entry.row, row) {
-                self.rows.leave(&old.0, (old.1, key), entry.announced && entry.end.is_some());
+                let position = GroupPosition { accepted_at_ms: old.1, key };
+                self.rows.leave(&old.0, position, entry.announced && entry.end.is_some());
             }
             if let Some(new) = &entry.row {
-                self.rows.enter(&new.0, (new.1, key));
+                self.rows.enter(&new.0, GroupPosition { accepted_at_ms: new.1, key });
             }
         }
         if filed != Some(self.terms.me) {
@@ -286,7 +289,7 @@
         }
     }
 
-    pub(crate) fn enter(&mut self, now: Millis, shared: &Shared, stage: Stage) {
+    pub(crate) fn enter(&mut self, now: Millis, shared: &ReplicatedMessage, stage: Stage) {
         let mut entry = Entry::of(shared, now);
         entry.stage = stage;
         // It may wait, land or be out here: none of that may go on with what is put in its place.
--- a/crates/queue/src/queue/call_backs.rs
+++ b/crates/queue/src/queue/call_backs.rs
@@ -2,7 +2,8 @@
 
 use super::completion::TELL;
 use super::{Effect, Queue};
-use crate::message::{End, Key, Millis, Record};
+use crate::message::{End, Key, Millis};
+use crate::record::Record;
 
 /// Connections to one receiver of call-backs from here.
 const CALLS: usize = 4;
@@ -33,7 +34,9 @@
 
 impl Queue {
     pub(crate) fn owe(&mut self, key: Key) {
-        let Some(url) = self.entries.get(&key).and_then(|e| e.message.callback.as_deref()) else { return };
+        let Some(url) = self.entries.get(&key).and_then(|e| e.message.callback_url.as_deref()) else {
+            return;
+        };
         let place = receiver(url);
         self.receivers.entry(place).or_default().queue.push_back(key);
     }
@@ -64,7 +67,7 @@
                     }
                     End::Failed => format!("{{\"id\":{},\"state\":\"failed\",\"seal\":null}}", quoted(id)),
                 };
-                out.push((key, entry.message.callback.clone().unwrap_or_default(), body));
+                out.push((key, entry.message.callback_url.clone().unwrap_or_default(), body));
             }
         }
         self.figures.calls += out.len() as u64;
@@ -90,7 +93,7 @@
         let copies = entry.copies.clone();
         self.file(key);
         self.figures.called += 1;
-        self.record(&Record::Called { key }, false);
+        self.record(&Record::CallbackDelivered { key }, false);
         copies.into_iter().for_each(|to| self.to(to).called.push(key));
         self.ends_at.get_or_insert(now + TELL);
     }
--- a/crates/queue/src/queue/completion.rs
+++ b/crates/queue/src/queue/completion.rs
@@ -1,8 +1,10 @@
 //! The end of a message: recorded, told to those that hold copies, and forgotten in time.
 
 use super::{Queue, Stage};
-use crate::message::{End, Key, Millis, Record};
-use crate::planted::Planted;
+use crate::message::{End, Key, Millis};
+use crate::peer_message::EndNotice;
+use crate::planted::PlantedFault;
+use crate::record::Record;
 
 /// Ends are told to the copies in batches, at the latest after so long.
 pub(super) const TELL: Millis = 40;
@@ -12,7 +14,7 @@
     pub(crate) fn finish(&mut self, now: Millis, key: Key, end: End) {
         self.unschedule(key);
         let Some(entry) = self.entries.get_mut(&key) else { return };
-        let owed = entry.message.callback.is_some();
+        let owed = entry.message.callback_url.is_some();
         (entry.stage, entry.end, entry.owed) = (Stage::Ended, Some(end.clone()), owed);
         entry.strip();
         self.expiring.remove(&(entry.expires, key));
@@ -26,11 +28,19 @@
             End::Failed => self.figures.failed += 1,
         }
         self.forget_later(now, key);
-        if !self.planted(Planted::EndUnkept) {
-            self.record(&Record::End { key, end: end.clone(), owed, at: self.wall_of(now) }, false);
+        if !self.planted(PlantedFault::EndUnkept) {
+            self.record(
+                &Record::Ended {
+                    key,
+                    end: end.clone(),
+                    callback_pending: owed,
+                    ended_at_ms: self.wall_of(now),
+                },
+                false,
+            );
         }
         for to in told {
-            self.to(to).ends.push((key, end.clone(), owed));
+            self.to(to).ends.push(EndNotice { key, end: end.clone(), callback_pending: owed });
         }
         self.ends_at.get_or_insert(now + TELL);
         self.handing.remove(&key);
--- a/crates/queue/src/queue/delivery.rs
+++ b/crates/queue/src/queue/delivery.rs
@@ -2,8 +2,9 @@
 
 use super::token_holders::holder_of;
 use super::{Effect, Outcome, Queue, Stage, UPKEEP};
-use crate::message::{End, Key, Millis, PeerMessage};
-use crate::planted::Planted;
+use crate::message::{End, Key, Millis};
+use crate::peer_message::{GroupPosition, PeerMessage};
+use crate::planted::PlantedFault;
 use crate::service_queue::{Again, Picked};
 use stileroute_dispatch::types::{Outcome as Judged, Time};
 
@@ -39,7 +40,7 @@
             return;
         };
         let Some(route) = config.route(&entry.message.host, &entry.message.target) else {
-            if entry.message.config > config.revision {
+            if entry.message.config_revision > config.revision {
                 self.early.insert(key);
             } else {
                 self.figures.dropped += 1;
@@ -47,7 +48,7 @@
             }
             return;
         };
-        if entry.message.config > config.revision {
+        if entry.message.config_revision > config.revision {
             self.early.insert(key);
             return;
         }
@@ -74,7 +75,7 @@
 
     /// Sends what can be sent.
     pub(super) fn pump(&mut self, now: Millis, fine: Time) {
-        if self.leaving || self.fence.is_some() && !self.planted(Planted::FenceUnheeded) {
+        if self.leaving || self.fence.is_some() && !self.planted(PlantedFault::FenceUnheeded) {
             self.lane_wait = now + UPKEEP;
             return;
         }
@@ -91,8 +92,8 @@
                     continue;
                 };
                 // An earlier one of its row has come to light since: it waits again.
-                let spot = (entry.message.taken, key);
-                if entry.message.order_key.as_ref().is_some_and(|row| !self.rows.is_first(row, spot)) {
+                let spot = GroupPosition { accepted_at_ms: entry.message.accepted_at_ms, key };
+                if entry.message.ordering_key.as_ref().is_some_and(|row| !self.rows.is_first(row, spot)) {
                     entry.turn = None;
                     self.service_queues[at].leave(&turn);
                     continue;
@@ -122,7 +123,7 @@
                         let wanted = (service_queue.ready.len() + service_queue.again.len()).min(4) as u32;
                         if bucket.ask(now) {
                             let holder = holder_of(&service_queue.name, self.terms.me, &self.peers);
-                            let note = PeerMessage::TokensWanted {
+                            let note = PeerMessage::RequestTokens {
                                 service: service_queue.name.clone(),
                                 count: wanted,
                             };
--- a/crates/queue/src/queue/intake.rs
+++ b/crates/queue/src/queue/intake.rs
@@ -1,8 +1,10 @@
 //! Taking a message: its copies are chosen, and it is answered for once all of its disks have it.
 
 use super::{Effect, Entry, Queue, Stage, Waits};
-use crate::message::{Key, Message, Millis, Node, Record, Refusal, Shared};
-use crate::planted::Planted;
+use crate::message::{Key, Message, Millis, Node, PutError, ReplicatedMessage};
+use crate::peer_message::AcceptedHandover;
+use crate::planted::PlantedFault;
+use crate::record::Record;
 
 /// Messages that are kept for others to pick up at the most.
 const MOST: usize = 400_000;
@@ -17,19 +19,19 @@
         if self.leaving || self.stalled(now) || copies.len() < self.terms.losses || self.entries.len() >= MOST
         {
             self.figures.refused += 1;
-            self.effects.push(Effect::Taken { ticket, result: Err(Refusal::NotTaken) });
+            self.effects.push(Effect::Taken { ticket, result: Err(PutError::Rejected) });
             return;
         }
         self.next_number += 1;
         let key = Key { origin: self.terms.me, number: self.next_number };
         let due_in = message.delay_ms;
-        let shared = Shared {
+        let shared = ReplicatedMessage {
             key,
             owner: self.terms.me,
-            copies: copies.clone(),
-            due_in,
+            replicas: copies.clone(),
+            due_in_ms: due_in,
             message,
-            ..Shared::default()
+            ..ReplicatedMessage::default()
         };
         let mut entry = Entry::of(&shared, now);
         entry.stage = Stage::Landing;
@@ -74,7 +76,7 @@
                     self.figures.no_disk += 1;
                     // Only what it wrote for the sender: it may own the message by now.
                     if self.entries.get(&key).is_some_and(|e| e.stage == Stage::Copy && e.owner == from) {
-                        self.record(&Record::Drop { key }, false);
+                        self.record(&Record::Dropped { key }, false);
                         self.remove(key);
                         self.to(from).not_copied.push(key);
                     }
@@ -86,7 +88,7 @@
                     self.figures.no_disk += u64::from(!ok);
                     let term = self.entries.get(&key).filter(|e| e.owner == self.terms.me).map(|e| e.term);
                     if let Some(term) = term {
-                        self.to(from).handed.push((key, term));
+                        self.to(from).handed.push(AcceptedHandover { key, term });
                     }
                 }
             }
@@ -97,14 +99,14 @@
     pub(crate) fn undo(&mut self, key: Key) {
         let Some(entry) = self.entries.get(&key).filter(|e| e.stage == Stage::Landing) else { return };
         let (ticket, copies) = (entry.ticket, entry.copies.clone());
-        self.record(&Record::Drop { key }, false);
+        self.record(&Record::Dropped { key }, false);
         copies.into_iter().for_each(|to| self.to(to).drop.push(key));
         self.remove(key);
         self.uncertain(ticket);
     }
 
     pub(crate) fn safe_at(&mut self, now: Millis, key: Key, node: Node) {
-        let early = self.planted(Planted::EarlyAnswer) && node == self.terms.me;
+        let early = self.planted(PlantedFault::EarlyAnswer) && node == self.terms.me;
         let Some(entry) = self.entries.get_mut(&key) else { return };
         let was = entry.missing.len();
         entry.missing.retain(|missing| *missing != node && !early);
@@ -120,7 +122,7 @@
         look.map(|at| self.landing.remove(&(at, key)));
         if let Some(ticket) = ticket {
             self.figures.taken += 1;
-            self.effects.push(Effect::Taken { ticket, result: Ok(key.name(copy)) });
+            self.effects.push(Effect::Taken { ticket, result: Ok(key.to_text(copy)) });
         }
         self.schedule(now, key);
     }
@@ -129,7 +131,7 @@
     pub(crate) fn uncertain(&mut self, ticket: Option<u64>) {
         if let Some(ticket) = ticket {
             self.figures.uncertain += 1;
-            self.effects.push(Effect::Taken { ticket, result: Err(Refusal::Uncertain) });
+            self.effects.push(Effect::Taken { ticket, result: Err(PutError::Uncertain) });
         }
     }
 }
--- a/crates/queue/src/queue/timers.rs
+++ b/crates/queue/src/queue/timers.rs
@@ -1,7 +1,8 @@
 //! What is due at a given time, and the effects of a turn handed to the program.
 
 use super::{Effect, Queue, Stage, Waits, UPKEEP};
-use crate::message::{End, Key, Millis, Record};
+use crate::message::{End, Key, Millis};
+use crate::record::Record;
 use std::collections::BTreeSet;
 use stileroute_dispatch::types::Time;
 
@@ -60,7 +61,7 @@
                 (true, None) => {}
                 // Its owner never told an end. Left on the disk it would be read as live for ever.
                 (false, None) => {
-                    self.record(&Record::Drop { key }, false);
+                    self.record(&Record::Dropped { key }, false);
                     self.remove(key);
                 }
                 _ => self.remove(key),
--- a/crates/queue/src/queue/token_holders.rs
+++ b/crates/queue/src/queue/token_holders.rs
@@ -2,7 +2,8 @@
 
 use super::{Effect, Queue};
 use crate::copies::Peer;
-use crate::message::{Millis, Node, PeerMessage};
+use crate::message::{Millis, Node};
+use crate::peer_message::PeerMessage;
 use std::collections::BTreeMap;
 
 /// Who hands out the tokens of a service.
@@ -32,7 +33,7 @@
         let service_queue = self.lane_of.get(&service).map(|at| &mut self.service_queues[*at]);
         let count =
             service_queue.and_then(|l| l.bucket.as_mut()).map_or(0, |b| b.hand_out(now, count.min(16)));
-        self.effects.push(Effect::Send { to: from, note: PeerMessage::Tokens { service, count } });
+        self.effects.push(Effect::Send { to: from, note: PeerMessage::GrantTokens { service, count } });
     }
 
     /// Of one that does not hold the duty (any more) none are taken: together with those of its successor they would be
--- a/crates/queue/src/queue/types.rs
+++ b/crates/queue/src/queue/types.rs
@@ -1,6 +1,7 @@
 //! The types of the queue's interface: settings, entries, effects, outcomes and figures.
 
-use crate::message::{End, Key, Message, Millis, Node, PeerMessage, Refusal, Shared};
+use crate::message::{End, Key, Message, Millis, Node, PutError, ReplicatedMessage};
+use crate::peer_message::PeerMessage;
 use crate::service_queue::Turn;
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
@@ -100,7 +101,7 @@
     },
     Taken {
         ticket: u64,
-        result: Result<String, Refusal>,
+        result: Result<String, PutError>,
     },
     Deliver {
         attempt: u64,
@@ -173,7 +174,7 @@
     /// Words of those that held a duty before, refused; times that nothing was started here for others might have taken over.
     pub former: u64,
     pub fenced: u64,
-    /// Owned here and on too few disks, as of now; how long it took until none was, the last time.
+    /// Ownership here and on too few disks, as of now; how long it took until none was, the last time.
     pub thin: usize,
     pub thin_ms: u64,
     pub repaired: u64,
@@ -202,21 +203,21 @@
 }
 
 impl Entry {
-    pub(crate) fn of(shared: &Shared, now: Millis) -> Entry {
+    pub(crate) fn of(shared: &ReplicatedMessage, now: Millis) -> Entry {
         Entry {
             message: shared.message.clone(),
             owner: shared.owner,
             term: shared.term,
-            copies: shared.copies.clone(),
+            copies: shared.replicas.clone(),
             stage: Stage::Copy,
-            due: now + shared.due_in,
+            due: now + shared.due_in_ms,
             pause: 0,
             wake: None,
-            born: now as i64 - shared.waited as i64,
+            born: now as i64 - shared.waited_ms as i64,
             expires: Millis::MAX,
-            tries: shared.tries,
+            tries: shared.attempts,
             fails: 0,
-            ran: shared.tries > 0,
+            ran: shared.attempts > 0,
             failed_at: None,
             end: None,
             owed: false,
@@ -237,11 +238,12 @@
     pub(crate) fn strip(&mut self) {
         let message = std::mem::take(&mut self.message);
         if self.owed {
-            self.message = Message { id: message.id, callback: message.callback, ..Message::default() };
+            self.message =
+                Message { id: message.id, callback_url: message.callback_url, ..Message::default() };
         }
         if matches!(self.end, Some(End::Failed)) {
             // Dead ones are asked for their bytes.
-            (self.message.body, self.message.taken) = (message.body, message.taken);
+            (self.message.body, self.message.accepted_at_ms) = (message.body, message.accepted_at_ms);
         }
     }
 
--- /dev/null
+++ b/crates/queue/src/record.rs
@@ -0,0 +1,57 @@
+//! The records that a store writes to its log.
+
+use crate::message::{End, Key, Node, ReplicatedMessage};
+use serde::{Deserialize, Serialize};
+
+/// One change of the store's state, as it is kept on disk.
+// Most records are of the large variant: a box would only add an allocation to each.
+#[allow(clippy::large_enum_variant)]
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub enum Record {
+    /// The store has started.
+    IncarnationStarted {
+        /// Identifies the disk: a different one means that the disk was replaced.
+        disk_id: u64,
+        /// The first message number of this incarnation.
+        first_number: u64,
+    },
+    /// A message, owned or a replica, is stored.
+    Put {
+        /// The message with its ownership.
+        replica: ReplicatedMessage,
+    },
+    /// A message has ended.
+    Ended {
+        /// Which message.
+        key: Key,
+        /// How it ended.
+        end: End,
+        /// Its callback has yet to be delivered.
+        callback_pending: bool,
+        /// Time of day of the end, in milliseconds since 1970.
+        ended_at_ms: u64,
+    },
+    /// The callback of an ended message was delivered.
+    CallbackDelivered {
+        /// Which message.
+        key: Key,
+    },
+    /// The owner of a message, or the list of its replicas, has changed.
+    OwnerChanged {
+        /// Which message.
+        key: Key,
+        /// The store that delivers it from now on.
+        owner: Node,
+        /// The term of that ownership.
+        term: u32,
+        /// The other stores that hold a replica.
+        replicas: Vec<Node>,
+    },
+    /// A message is discarded: it was never confirmed, or another store keeps it.
+    Dropped {
+        /// Which message.
+        key: Key,
+    },
+    /// An operator has ordered that this store be retired.
+    RetirementOrdered,
+}
--- a/crates/queue/src/repair.rs
+++ b/crates/queue/src/repair.rs
@@ -1,9 +1,11 @@
 //! Copies that are missing, made again at a bounded rate; and what two stores hold, compared by sums over
 //! ranges and mended from the newer: of two owners the higher term holds, and an end holds always.
 
-use crate::message::{Key, Millis, Node, PeerMessage, Range, Record, Stands, Sum};
-use crate::planted::Planted;
+use crate::message::{Key, Millis, Node};
+use crate::peer_message::{EntrySummary, KeyRange, PeerMessage, RangeDigest};
+use crate::planted::PlantedFault;
 use crate::queue::{Effect, Entry, Queue, Stage, Waits};
+use crate::record::Record;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A store that is no member and not connected for so long holds no copies any more. An orderly restart is
@@ -47,8 +49,8 @@
     }
 }
 
-pub(crate) fn range(owner: Node, key: Key) -> Range {
-    Range { owner, part: key.number >> PART }
+pub(crate) fn range(owner: Node, key: Key) -> KeyRange {
+    KeyRange { owner, block: key.number >> PART }
 }
 
 fn mixed(key: Key, entry: &Entry) -> u64 {
@@ -88,8 +90,8 @@
 
     // ---- Comparing ----
 
-    fn sums(&self, now: Millis, node: Node, over: u64) -> BTreeMap<Range, (u32, u64)> {
-        let mut sums: BTreeMap<Range, (u32, u64)> = BTreeMap::new();
+    fn sums(&self, now: Millis, node: Node, over: u64) -> BTreeMap<KeyRange, (u32, u64)> {
+        let mut sums: BTreeMap<KeyRange, (u32, u64)> = BTreeMap::new();
         for (key, entry) in self.common(node).filter(|(_, e)| e.waited(now) >= over) {
             let sum = sums.entry(range(entry.owner, key)).or_default();
             *sum = (sum.0 + 1, sum.1 ^ mixed(key, entry));
@@ -101,40 +103,45 @@
         self.peers.entry(node).or_default().compared = now;
         self.figures.compared += 1;
         let sums = self.sums(now, node, over).into_iter();
-        let sums = sums.map(|(range, (count, mix))| Sum { range, count, mix }).collect();
+        let sums = sums.map(|(range, (count, mix))| RangeDigest { range, count, hash: mix }).collect();
         self.push(Effect::Send {
             to: node,
-            note: PeerMessage::Digests { disk: self.terms.disk, over, sums },
+            note: PeerMessage::Digests { disk_id: self.terms.disk, min_age_ms: over, digests: sums },
         });
     }
 
     /// Lists what differs, or says that nothing does.
-    pub(crate) fn digests(&mut self, now: Millis, from: Node, disk: u64, over: u64, theirs: &[Sum]) {
+    pub(crate) fn digests(&mut self, now: Millis, from: Node, disk: u64, over: u64, theirs: &[RangeDigest]) {
         self.seen_disk(from, disk);
         self.figures.compared += 1;
         let mut mine = self.sums(now, from, over);
-        let mut differ: BTreeSet<Range> = BTreeSet::new();
+        let mut differ: BTreeSet<KeyRange> = BTreeSet::new();
         for sum in theirs {
-            if mine.remove(&sum.range) != Some((sum.count, sum.mix)) {
+            if mine.remove(&sum.range) != Some((sum.count, sum.hash)) {
                 differ.insert(sum.range);
             }
         }
         differ.extend(mine.into_keys());
         self.figures.differed += differ.len() as u64;
         if differ.is_empty() {
-            self.push(Effect::Send { to: from, note: PeerMessage::Stood });
+            self.push(Effect::Send { to: from, note: PeerMessage::Reconciled });
             return self.stood(now, from);
         }
         self.list_ranges(from, differ.into_iter().collect(), true);
     }
 
-    pub(crate) fn list_ranges(&mut self, to: Node, ranges: Vec<Range>, answer: bool) {
-        let asked: BTreeSet<&Range> = ranges.iter().collect();
+    pub(crate) fn list_ranges(&mut self, to: Node, ranges: Vec<KeyRange>, answer: bool) {
+        let asked: BTreeSet<&KeyRange> = ranges.iter().collect();
         let live = self.common(to).filter(|(key, e)| asked.contains(&range(e.owner, *key)));
         let live = live
-            .map(|(key, e)| Stands { key, owner: e.owner, term: e.term, ended: e.end.is_some() })
+            .map(|(key, e)| EntrySummary { key, owner: e.owner, term: e.term, has_ended: e.end.is_some() })
             .collect();
-        let note = PeerMessage::Standing { disk: self.terms.disk, answer, ranges, live };
+        let note = PeerMessage::RangeContents {
+            disk_id: self.terms.disk,
+            reply_wanted: answer,
+            ranges,
+            entries: live,
+        };
         self.push(Effect::Send { to, note });
     }
 
@@ -164,7 +171,7 @@
     /// store ended is read from disk as if it had been made.
     pub(crate) fn is_confirmed(&self, entry: &Entry) -> bool {
         let spoken = |node: &Node| self.peers.get(node).is_some_and(|peer| peer.stood);
-        entry.copies.iter().all(spoken) || self.planted(Planted::CopiesUnconfirmed)
+        entry.copies.iter().all(spoken) || self.planted(PlantedFault::CopiesUnconfirmed)
     }
 
     fn mine(&mut self, key: Key) -> Option<&mut Entry> {
@@ -204,7 +211,7 @@
         let Some(entry) = self.mine(key) else { return };
         entry.copies.push(node);
         let (owner, term, copies) = (entry.owner, entry.term, entry.copies.clone());
-        self.record(&Record::Own { key, owner, term, copies }, true);
+        self.record(&Record::OwnerChanged { key, owner, term, replicas: copies }, true);
         self.look_at_copies(now, key);
     }
 
@@ -285,7 +292,7 @@
             self.figures.repaired_bytes += size * to.len() as u64;
             // Known on disk before the copy is: after a restart those that hold copies are waited for.
             if !new.is_empty() {
-                self.record(&Record::Own { key, owner: me, term, copies }, true);
+                self.record(&Record::OwnerChanged { key, owner: me, term, replicas: copies }, true);
                 self.wait_for_disk(Waits::Own(key));
             }
             to.into_iter().for_each(|to| self.copy_anew(now, key, to));
--- a/crates/queue/src/retire.rs
+++ b/crates/queue/src/retire.rs
@@ -2,20 +2,43 @@
 //! the copies that lie here anew elsewhere. It is empty when all of them have said that they count on it no longer.
 
 use crate::copies::Peer;
-use crate::message::{Key, Millis, Node, PeerMessage, Record};
-use crate::planted::Planted;
+use crate::message::{Key, Millis, Node};
+use crate::peer_message::PeerMessage;
+use crate::planted::PlantedFault;
 use crate::queue::{Effect, Queue, Waits};
+use crate::record::Record;
 
 /// How often one that retires is told that nobody counts on it: a word lost with a connection comes again.
 const TELL: Millis = 500;
 
+/// How far the retirement of a store has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RetirementState {
+    /// The store is in service, or the order is not on disk yet.
+    NotOrdered,
+    /// The order is on disk; messages or ends that lie here do not all lie elsewhere yet.
+    InProgress,
+    /// No other store relies on anything here: the store may be removed with its disk.
+    Empty,
+}
+
+impl RetirementState {
+    fn ordered(is_empty: bool) -> RetirementState {
+        if is_empty {
+            RetirementState::Empty
+        } else {
+            RetirementState::InProgress
+        }
+    }
+}
+
 impl Queue {
     /// Ordered by an operator. It holds over restarts: the order is on disk before it is confirmed.
     pub fn retire(&mut self, now: Millis) {
         if std::mem::replace(&mut self.retiring, true) {
             return;
         }
-        self.record(&Record::Retire, true);
+        self.record(&Record::RetirementOrdered, true);
         self.wait_for_disk(Waits::Retire);
         self.begin_retiring(now);
     }
@@ -27,27 +50,28 @@
         for to in peers {
             self.push(Effect::Send { to, note: PeerMessage::Retiring });
         }
-        self.leave(now);
+        self.begin_draining(now);
     }
 
     /// Whether it retires, and the order is on disk, and if so whether every copy lies elsewhere.
-    pub fn retired(&self) -> Option<bool> {
+    pub fn retirement_state(&self) -> RetirementState {
         if !self.retire_kept {
-            return None;
+            return RetirementState::NotOrdered;
         }
         let empty = self.owned_here().next().is_none() && self.in_hand() == 0 && self.ends_at.is_none();
-        if self.planted(Planted::RetiredEarly) {
-            return Some(empty);
+        if self.planted(PlantedFault::RetiredEarly) {
+            return RetirementState::ordered(empty);
         }
         let empty = empty && self.owners_count_on_nothing() && self.ends_lie_elsewhere();
         let mut others = self.peers.iter().filter(|(_, p)| p.listed).peekable();
         // Cut off, or before it knows them, it can't speak for the others.
         let known = others.peek().is_some() && self.heard && self.acquainted;
-        Some(empty && known && others.all(|(node, p)| p.connected && self.relieved.contains(node)))
+        let others_agree = others.all(|(node, p)| p.connected && self.relieved.contains(node));
+        RetirementState::ordered(empty && known && others_agree)
     }
 
     fn ends_lie_elsewhere(&self) -> bool {
-        self.passing.done() || self.planted(Planted::EndsGoAlong)
+        self.passing.done() || self.planted(PlantedFault::EndsGoAlong)
     }
 
     /// Of every copy that lies here the owner has said that it counts on none. One whose owner is gone may be the only one
@@ -56,12 +80,12 @@
         let free = |node: Node| {
             self.relieved.contains(&node) && self.peers.get(&node).is_some_and(|peer| peer.connected)
         };
-        self.owners().all(free) || self.planted(Planted::OrphansUnheeded)
+        self.owners().all(free) || self.planted(PlantedFault::OrphansUnheeded)
     }
 
     /// A store names this one as holder of a copy: what it said before, that it counts on none, holds no longer.
     pub(crate) fn counted_on_by(&mut self, node: Node) {
-        if !self.planted(Planted::RelievedForever) {
+        if !self.planted(PlantedFault::RelievedForever) {
             self.relieved.remove(&node);
         }
     }
@@ -91,7 +115,7 @@
             counted.into_iter().for_each(|key| self.not_on(now, key, node));
             if free {
                 self.peers.entry(node).or_default().relieved_at = now;
-                self.push(Effect::Send { to: node, note: PeerMessage::Relieved });
+                self.push(Effect::Send { to: node, note: PeerMessage::NoReplicasNeeded });
             }
         }
     }
--- /dev/null
+++ b/crates/queue/src/state_table.rs
@@ -0,0 +1,150 @@
+//! The state that the records on disk add up to: read when the store starts, and written anew when its log is compacted.
+
+use crate::message::{End, Key, ReplicatedMessage};
+use crate::record::Record;
+use std::collections::HashMap;
+use stileroute_wal::Fold;
+
+/// Ends are kept on disk for so long, in milliseconds: clients ask for them no later.
+const END_RETENTION_MS: u64 = 240_000;
+
+/// Incarnations of a disk that are remembered. A replica of a message from an earlier one than that has waited too long.
+const MAX_INCARNATIONS: usize = 64;
+
+/// The end of a message, as it is kept on disk.
+#[derive(Clone, Debug, PartialEq)]
+pub struct StoredEnd {
+    /// How the message ended.
+    pub end: End,
+    /// Its callback has yet to be delivered.
+    pub callback_pending: bool,
+    /// Time of day of the end, in milliseconds since 1970.
+    pub ended_at_ms: u64,
+}
+
+/// What the disk holds of one message.
+#[derive(Clone, Debug, Default)]
+pub struct StoredMessage {
+    /// The message with its ownership; `None` where only its end is known.
+    pub replica: Option<ReplicatedMessage>,
+    /// How it ended; `None` while it is live.
+    pub end: Option<StoredEnd>,
+}
+
+/// The state of a store as its records add up to.
+#[derive(Debug, Default)]
+pub struct StateTable {
+    /// Identifies the disk; `None` if it is empty.
+    pub disk_id: Option<u64>,
+    /// The first message numbers of the incarnations that began with this disk, the newest last.
+    pub incarnation_first_numbers: Vec<u64>,
+    /// An operator has ordered that this store be retired.
+    pub retirement_ordered: bool,
+    /// All messages that are live, or whose end is kept.
+    pub messages: HashMap<Key, StoredMessage>,
+    /// Records that could not be decoded.
+    pub unreadable_records: u64,
+    /// The latest end that was recorded: by it old ends are told, not by the clock.
+    latest_end_ms: u64,
+}
+
+impl StateTable {
+    /// Applies one record. Records must be applied in the order in which they were written.
+    pub fn apply_record(&mut self, record: Record) {
+        match record {
+            Record::IncarnationStarted { disk_id, first_number } => {
+                self.start_incarnation(disk_id, first_number);
+            }
+            Record::Put { replica } => self.put(replica),
+            Record::Ended { key, end, callback_pending, ended_at_ms } => {
+                self.end(key, StoredEnd { end, callback_pending, ended_at_ms });
+            }
+            Record::CallbackDelivered { key } => {
+                if let Some(stored) = self.messages.get_mut(&key).and_then(|message| message.end.as_mut()) {
+                    stored.callback_pending = false;
+                }
+            }
+            Record::OwnerChanged { key, owner, term, replicas } => {
+                let message = self.messages.get_mut(&key);
+                if let Some(replica) = message.and_then(|message| message.replica.as_mut()) {
+                    if term >= replica.term {
+                        replica.owner = owner;
+                        replica.term = term;
+                        replica.replicas = replicas;
+                    }
+                }
+            }
+            Record::RetirementOrdered => self.retirement_ordered = true,
+            Record::Dropped { key } => {
+                self.messages.remove(&key);
+            }
+        }
+    }
+
+    fn start_incarnation(&mut self, disk_id: u64, first_number: u64) {
+        self.disk_id = Some(disk_id);
+        self.incarnation_first_numbers.push(first_number);
+        if self.incarnation_first_numbers.len() > MAX_INCARNATIONS {
+            self.incarnation_first_numbers.remove(0);
+        }
+    }
+
+    fn put(&mut self, replica: ReplicatedMessage) {
+        let message = self.messages.entry(replica.key).or_default();
+        // Of one that has ended only what was not known: the bytes of a failed one, transferred by another store.
+        let is_live = message.end.is_none();
+        if message.replica.as_ref().is_none_or(|old| is_live && old.term <= replica.term) {
+            message.replica = Some(replica);
+        }
+    }
+
+    fn end(&mut self, key: Key, end: StoredEnd) {
+        self.latest_end_ms = self.latest_end_ms.max(end.ended_at_ms);
+        let message = self.messages.entry(key).or_default();
+        // The rest is what a callback needs; of a failed message clients may ask for the body.
+        if let Some(replica) = message.replica.as_mut().filter(|_| end.end != End::Failed) {
+            replica.message.body = Vec::new();
+        }
+        message.end = Some(end);
+    }
+
+    fn is_outdated(&self, end: &StoredEnd) -> bool {
+        !end.callback_pending && end.ended_at_ms + END_RETENTION_MS < self.latest_end_ms
+    }
+}
+
+impl Fold for StateTable {
+    fn apply(&mut self, record: &[u8]) {
+        match postcard::from_bytes(record) {
+            Ok(record) => self.apply_record(record),
+            Err(_) => self.unreadable_records += 1,
+        }
+    }
+
+    fn snapshot(&self, out: &mut dyn FnMut(&[u8])) {
+        let mut put = |record: &Record| {
+            if let Ok(bytes) = postcard::to_stdvec(record) {
+                out(&bytes);
+            }
+        };
+        if let Some(disk_id) = self.disk_id {
+            for first_number in &self.incarnation_first_numbers {
+                put(&Record::IncarnationStarted { disk_id, first_number: *first_number });
+            }
+        }
+        if self.retirement_ordered {
+            put(&Record::RetirementOrdered);
+        }
+        for (key, message) in &self.messages {
+            if message.end.as_ref().is_some_and(|end| self.is_outdated(end)) {
+                continue;
+            }
+            if let Some(replica) = &message.replica {
+                put(&Record::Put { replica: replica.clone() });
+            }
+            if let Some(StoredEnd { end, callback_pending, ended_at_ms }) = message.end.clone() {
+                put(&Record::Ended { key: *key, end, callback_pending, ended_at_ms });
+            }
+        }
+    }
+}
--- a/crates/queue/tests/faults.rs
+++ b/crates/queue/tests/faults.rs
@@ -5,6 +5,7 @@
 
 mod world;
 
+use stileroute_queue::RetirementState;
 use world::{Act, Does, Fault, World};
 
 /// A mixed day of four seconds: what fails, what is refused, what is silent, what is delayed.
@@ -347,10 +348,14 @@
             }
             world.run(14_000);
             // Not on disk when the power went it is no order: nobody was told that it is one.
-            if world.retired(0).is_none() {
+            if matches!(world.retirement_state(0), None | Some(RetirementState::NotOrdered)) {
                 continue;
             }
-            assert_eq!(world.retired(0), Some(true), "{fault:?} of {at} after {after} ms");
+            assert_eq!(
+                world.retirement_state(0),
+                Some(RetirementState::Empty),
+                "{fault:?} of {at} after {after} ms"
+            );
             world.act(14_001, Act::Gone(0));
             world.run(24_000);
             world.check(false);
--- a/crates/queue/tests/repeats.rs
+++ b/crates/queue/tests/repeats.rs
@@ -58,9 +58,12 @@
             status_ms: 120_000,
             seed: at as u64,
         };
-        let mut queue = Queue::new(terms, Ledger::default(), 0, WALL);
-        queue.members(0, &members);
-        members.iter().filter(|(node, _)| *node != members[at].0).for_each(|(node, _)| queue.up(0, *node));
+        let mut queue = Queue::new(terms, StateTable::default(), 0, WALL);
+        queue.set_members(0, &members);
+        members
+            .iter()
+            .filter(|(node, _)| *node != members[at].0)
+            .for_each(|(node, _)| queue.peer_connected(0, *node));
         let servers = (0..EXECUTORS).map(|n| Server {
             id: format!("e{n}"),
             address: format!("10.0.0.{n}:80").parse().unwrap(),
@@ -86,7 +89,7 @@
                 host: "h".into(),
                 method: "POST".into(),
                 target: format!("/plain/{n}"),
-                taken: WALL + now,
+                accepted_at_ms: WALL + now,
                 ..Message::default()
             };
             born.insert(id, now);
--- a/crates/queue/tests/retire.rs
+++ b/crates/queue/tests/retire.rs
@@ -5,6 +5,7 @@
 
 mod world;
 
+use stileroute_queue::RetirementState;
 use world::{as_it_is, emptied, Act, Does, Fault, World};
 
 #[test]
@@ -45,7 +46,7 @@
     world.act(3050, Act::Strike(0, Fault::Power));
     world.act(3100, Act::DiskSlow(0, 2));
     world.run(40_000);
-    assert_eq!(world.retired(0), None);
+    assert_eq!(world.retirement_state(0), Some(RetirementState::NotOrdered));
     world.check_copies();
     let late: u64 = world.copied.range(200..).map(|(_, bytes)| bytes).sum();
     assert_eq!(late, 0, "bytes of copies that were made again and again");
@@ -53,6 +54,6 @@
     world.act(40_001, Act::Retire(0));
     world.act(40_002, Act::Retire(0));
     world.run(45_000);
-    assert_eq!(world.retired(0), Some(true));
+    assert_eq!(world.retirement_state(0), Some(RetirementState::Empty));
     world.check_copies_without(0);
 }
--- a/crates/queue/tests/words.rs
+++ b/crates/queue/tests/words.rs
@@ -24,17 +24,17 @@
 }
 
 impl One {
-    fn new(ledger: Ledger, losses: usize) -> One {
+    fn new(ledger: StateTable, losses: usize) -> One {
         One::placed(ledger, losses, Bear { zones: 1, regions: 0 }, vec![0; 8])
     }
 
-    fn placed(ledger: Ledger, losses: usize, bear: Bear, regions: Vec<usize>) -> One {
+    fn placed(ledger: StateTable, losses: usize, bear: Bear, regions: Vec<usize>) -> One {
         let terms = QueueSettings {
             me: ME,
             zone: 0,
             disk: 7,
             first: 1,
-            begun: ledger.begun.clone(),
+            begun: ledger.incarnation_first_numbers.clone(),
             losses,
             regions,
             bear,
@@ -48,12 +48,12 @@
     }
 
     /// With both others there and agreed with, configured, and with executors.
-    fn ready(ledger: Ledger) -> One {
+    fn ready(ledger: StateTable) -> One {
         let mut one = One::new(ledger, 1);
-        one.queue.members(0, &[(ME, 0), (B, 1), (C, 2)]);
+        one.queue.set_members(0, &[(ME, 0), (B, 1), (C, 2)]);
         for other in [B, C] {
-            one.queue.up(0, other);
-            one.queue.note(0, other, PeerMessage::Stood);
+            one.queue.peer_connected(0, other);
+            one.queue.handle_peer_message(0, other, PeerMessage::Reconciled);
         }
         one.configure(1);
         one.pass(10);
@@ -104,7 +104,7 @@
     }
 
     fn note(&mut self, from: Node, note: PeerMessage) -> Vec<Effect> {
-        self.queue.note(self.now, from, note);
+        self.queue.handle_peer_message(self.now, from, note);
         self.pass(0)
     }
 
@@ -116,7 +116,7 @@
     /// Puts one and has its copy confirmed: its key, and what the store does then.
     fn taken(&mut self, message: Message) -> (Key, Vec<Effect>) {
         let (key, to) = copies(&self.put(1, message))[0];
-        (key, self.note(to, PeerMessage::Copied(vec![key])))
+        (key, self.note(to, PeerMessage::Replicated(vec![key])))
     }
 
     fn answered(&mut self, attempt: u64, outcome: Outcome) -> Vec<Effect> {
@@ -129,21 +129,21 @@
 /// stores have. What fell due meanwhile they have run: seen in the proof, 15 to 19 messages twice.
 #[test]
 fn after_a_long_sleep_nothing_is_started_before_the_others_have_spoken() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     let (_, effects) = one.taken(Message { delay_ms: 1000, ..message("plain") });
     assert!(attempts(&effects).is_empty());
     one.now += 5500;
     assert!(attempts(&one.pass(0)).is_empty());
     for other in [B, C] {
-        one.queue.down(one.now, other);
+        one.queue.peer_disconnected(one.now, other);
     }
     assert!(attempts(&one.pass(500)).is_empty(), "they may be back, and say what they ran");
     for other in [B, C] {
-        one.queue.up(one.now, other);
+        one.queue.peer_connected(one.now, other);
     }
     assert!(attempts(&one.pass(100)).is_empty());
-    let mut all = one.note(B, PeerMessage::Stood);
-    all.extend(one.note(C, PeerMessage::Stood));
+    let mut all = one.note(B, PeerMessage::Reconciled);
+    all.extend(one.note(C, PeerMessage::Reconciled));
     all.extend(one.pass(50));
     assert_eq!(attempts(&all).len(), 1);
 }
@@ -154,23 +154,35 @@
 #[test]
 fn what_a_lost_disk_held_is_lost_and_not_dropped_whatever_the_clock_says() {
     let lines: Vec<u64> = (1..=4).map(|lot| first_number(lot << 37)).collect();
-    let mut ledger = Ledger::default();
+    let mut ledger = StateTable::default();
     // Two lives began with this disk, in any order of their lots; two others with the one that is lost.
     for first in [lines[1], lines[3]] {
-        ledger.enter(Record::Born { disk: 7, first });
+        ledger.apply_record(Record::IncarnationStarted { disk_id: 7, first_number: first });
     }
     let mut one = One::ready(ledger);
-    let stands = |number| Stands { key: Key { origin: ME, number }, owner: ME, term: 0, ended: false };
-    let live: Vec<Stands> = lines.iter().map(|first| stands(first + 5)).collect();
+    let stands =
+        |number| EntrySummary { key: Key { origin: ME, number }, owner: ME, term: 0, has_ended: false };
+    let live: Vec<EntrySummary> = lines.iter().map(|first| stands(first + 5)).collect();
     let keys: Vec<Key> = live.iter().map(|s| s.key).collect();
-    let effects = one.note(B, PeerMessage::Standing { disk: 9, answer: false, ranges: Vec::new(), live });
-    assert!(said(&effects, B, |n| matches!(n, PeerMessage::Lost(all) if *all == [keys[0], keys[2]])));
+    let effects = one.note(
+        B,
+        PeerMessage::RangeContents { disk_id: 9, reply_wanted: false, ranges: Vec::new(), entries: live },
+    );
+    assert!(said(&effects, B, |n| matches!(n, PeerMessage::LostWithDisk(all) if *all == [keys[0], keys[2]])));
     assert!(said(&effects, B, |n| matches!(n, PeerMessage::Drop(all) if *all == [keys[1], keys[3]])));
     // Another disk forgets the lives of the one before, and of one disk only so many are remembered.
-    let mut ledger = Ledger::default();
-    ledger.enter(Record::Born { disk: 7, first: lines[0] });
-    (0..100).for_each(|_| ledger.enter(Record::Born { disk: 8, first: lines[1] }));
-    assert_eq!((ledger.disk, ledger.begun.len(), ledger.begun.contains(&lines[0])), (Some(8), 64, false));
+    let mut ledger = StateTable::default();
+    ledger.apply_record(Record::IncarnationStarted { disk_id: 7, first_number: lines[0] });
+    (0..100)
+        .for_each(|_| ledger.apply_record(Record::IncarnationStarted { disk_id: 8, first_number: lines[1] }));
+    assert_eq!(
+        (
+            ledger.disk_id,
+            ledger.incarnation_first_numbers.len(),
+            ledger.incarnation_first_numbers.contains(&lines[0])
+        ),
+        (Some(8), 64, false)
+    );
 }
 
 /// Zones 0 and 1 in region 0, zone 2 in region 1; this store is in zone 0. Lost as a whole with copies beside it, a zone or
@@ -195,10 +207,10 @@
         (1, 1, 0, &[ZONE, REGION], &[NEAR]),
     ];
     for (losses, zones, regions, away, wanted) in rows {
-        let mut one = One::placed(Ledger::default(), losses, Bear { zones, regions }, vec![0, 0, 1]);
-        one.queue.members(0, &all);
+        let mut one = One::placed(StateTable::default(), losses, Bear { zones, regions }, vec![0, 0, 1]);
+        one.queue.set_members(0, &all);
         for (node, _) in all.iter().filter(|(node, _)| *node != ME && !away.contains(node)) {
-            one.queue.up(0, *node);
+            one.queue.peer_connected(0, *node);
         }
         let to: Vec<Node> = copies(&one.put(1, message("plain"))).iter().map(|(_, to)| *to).collect();
         let mut wanted = wanted.to_vec();
@@ -211,17 +223,32 @@
     let callback = Some("http://10.0.0.9:80/x".to_string());
     let (id, host, method) = ("m".to_string(), "h".to_string(), "POST".to_string());
     let (target, body) = (format!("/{path}/1"), b"bytes".to_vec());
-    Message { id, host, method, target, callback, taken: WALL, body, ..Message::default() }
+    Message {
+        id,
+        host,
+        method,
+        target,
+        callback_url: callback,
+        accepted_at_ms: WALL,
+        body,
+        ..Message::default()
+    }
 }
 
-fn shared(owner: Node, copies: Vec<Node>) -> Shared {
+fn shared(owner: Node, copies: Vec<Node>) -> ReplicatedMessage {
     let key = Key { origin: owner, number: 99 };
-    Shared { key, owner, copies, message: message("plain"), ..Shared::default() }
+    ReplicatedMessage {
+        key,
+        owner,
+        replicas: copies,
+        message: message("plain"),
+        ..ReplicatedMessage::default()
+    }
 }
 
-fn ledger(shared: &Shared) -> Ledger {
-    let mut ledger = Ledger::default();
-    ledger.enter(Record::Put { shared: shared.clone() });
+fn ledger(shared: &ReplicatedMessage) -> StateTable {
+    let mut ledger = StateTable::default();
+    ledger.apply_record(Record::Put { replica: shared.clone() });
     ledger
 }
 
@@ -236,7 +263,7 @@
 fn copies(effects: &[Effect]) -> Vec<(Key, Node)> {
     let mut all = Vec::new();
     for effect in effects {
-        if let Effect::Send { to, note: PeerMessage::Copy(some) } = effect {
+        if let Effect::Send { to, note: PeerMessage::Replicate(some) } = effect {
             all.extend(some.iter().map(|s| (s.key, *to)));
         }
     }
@@ -248,12 +275,12 @@
 }
 
 fn owned(key: Key, owner: Node, term: u32) -> PeerMessage {
-    PeerMessage::Own(vec![Owned { key, owner, term, copies: vec![C] }])
+    PeerMessage::OwnershipChanged(vec![Ownership { key, owner, term, replicas: vec![C] }])
 }
 
 #[test]
 fn what_another_has_taken_over_is_not_run_again_here() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     let (key, effects) = one.taken(message("plain"));
     let attempt = attempts(&effects)[0];
     one.note(B, owned(key, B, 1));
@@ -264,15 +291,21 @@
 
 #[test]
 fn its_new_owner_is_told_of_the_end_of_a_run() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     let (key, effects) = one.taken(message("plain"));
     // Neither B nor C is the copy: the owner is told all the same.
     let copy = if copies(&one.put(2, message("gone")))[0].1 == B { C } else { B };
     one.note(copy, owned(key, copy, 1));
-    one.note(copy, PeerMessage::Own(vec![Owned { key, owner: copy, term: 2, copies: vec![ME] }]));
+    one.note(
+        copy,
+        PeerMessage::OwnershipChanged(vec![Ownership { key, owner: copy, term: 2, replicas: vec![ME] }]),
+    );
     let mut effects = one.answered(attempts(&effects)[0], Outcome::Done { seal: "s".into() });
     effects.extend(one.pass(50));
-    assert!(said(&effects, copy, |n| matches!(n, PeerMessage::Ends(all) if all[0].0 == key)), "{effects:?}");
+    assert!(
+        said(&effects, copy, |n| matches!(n, PeerMessage::Ended(all) if all[0].key == key)),
+        "{effects:?}"
+    );
     assert!(!effects.iter().any(|e| matches!(e, Effect::Call { .. })), "the owner calls back");
 }
 
@@ -287,14 +320,14 @@
 #[test]
 fn an_owner_that_was_gone_before_the_start_is_missed() {
     let mut one = One::new(ledger(&shared(B, vec![ME])), 1);
-    one.queue.members(0, &[(ME, 0), (C, 2)]);
-    one.queue.up(0, C);
+    one.queue.set_members(0, &[(ME, 0), (C, 2)]);
+    one.queue.peer_connected(0, C);
     one.configure(1);
     assert!(attempts(&one.pass(1900)).is_empty());
     let effects = one.pass(1500);
     assert_eq!(attempts(&effects).len(), 1);
     // All are told, for a copy that nobody knows of would be taken over too.
-    assert!(said(&effects, C, |n| matches!(n, PeerMessage::Own(all) if all[0].owner == ME)));
+    assert!(said(&effects, C, |n| matches!(n, PeerMessage::OwnershipChanged(all) if all[0].owner == ME)));
 }
 
 #[test]
@@ -303,31 +336,31 @@
     one.pass(61_600);
     let key = Key { origin: B, number: 99 };
     one.queue.list(one.now, one.now as i64 * 10, HashMap::new());
-    one.note(B, PeerMessage::Handover(vec![Handed { key, term: 0, tries: 0 }]));
+    one.note(B, PeerMessage::Handover(vec![HandoverOffer { key, term: 0, attempts: 0 }]));
     one.pass(300);
     assert_matches!(one.queue.find(key), Some((State::Failed, _)));
 }
 
 #[test]
 fn no_ceiling_is_held_before_the_members_are_known() {
-    let mut one = One::new(Ledger::default(), 0);
+    let mut one = One::new(StateTable::default(), 0);
     one.configure(1);
     one.put(1, message("paid"));
     assert!(attempts(&one.pass(5000)).is_empty());
-    one.queue.members(one.now, &[(ME, 0)]);
+    one.queue.set_members(one.now, &[(ME, 0)]);
     assert_eq!(attempts(&one.pass(3000)).len(), 1);
 }
 
 #[test]
 fn a_slow_copy_is_replaced_and_dropped_and_the_new_place_is_on_disk_first() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     let (key, slow) = copies(&one.put(1, message("plain")))[0];
     one.disk_silent = true;
     let effects = one.pass(220);
     let other = if slow == B { C } else { B };
     assert_eq!(copies(&effects), [(key, other)]);
     assert!(said(&effects, slow, |n| *n == PeerMessage::Drop(vec![key])));
-    let effects = one.note(other, PeerMessage::Copied(vec![key]));
+    let effects = one.note(other, PeerMessage::Replicated(vec![key]));
     assert!(!effects.iter().any(|e| matches!(e, Effect::Taken { .. })), "not yet on disk who has it");
     one.disk_silent = false;
     let effects = one.pass(1);
@@ -336,48 +369,48 @@
 
 #[test]
 fn what_is_not_safe_in_time_is_taken_back() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     let (key, first) = copies(&one.put(1, message("plain")))[0];
     let effects = one.pass(395);
-    let refused = |e: &Effect| matches!(e, Effect::Taken { result: Err(Refusal::Uncertain), .. });
+    let refused = |e: &Effect| matches!(e, Effect::Taken { result: Err(PutError::Uncertain), .. });
     assert!(effects.iter().any(refused), "{effects:?}");
     assert!(said(&effects, first, |n| matches!(n, PeerMessage::Drop(all) if all.contains(&key))));
     assert_eq!(one.queue.in_hand(), 0);
     assert_eq!(one.queue.find(key), None);
-    assert!(one.records.contains(&Record::Drop { key }));
+    assert!(one.records.contains(&Record::Dropped { key }));
 }
 
 #[test]
 fn one_that_leaves_does_not_wait_for_a_successor_that_is_gone() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     let late = Message { delay_ms: 5000, ..message("plain") };
     let (_, copy) = copies(&one.put(1, late))[0];
     let key = Key { origin: ME, number: copies(&one.put(2, message("plain")))[0].0.number - 1 };
-    one.note(copy, PeerMessage::Copied(vec![key]));
-    one.queue.leave(one.now);
+    one.note(copy, PeerMessage::Replicated(vec![key]));
+    one.queue.begin_draining(one.now);
     let effects = one.pass(400);
     assert!(said(&effects, copy, |n| matches!(n, PeerMessage::Handover(_))));
     assert_eq!(one.queue.in_hand(), 1);
-    one.queue.down(one.now, copy);
+    one.queue.peer_disconnected(one.now, copy);
     one.pass(0);
     assert_eq!(one.queue.in_hand(), 0);
     // Told once, however often the program says that it is to end.
-    one.queue.leave(one.now);
+    one.queue.begin_draining(one.now);
     let effects = one.pass(10);
     assert!(!said(&effects, B, |_| true) && !said(&effects, C, |_| true), "{effects:?}");
 }
 
 #[test]
 fn a_handover_of_what_is_not_known_is_answered() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     let key = Key { origin: B, number: 5 };
-    let effects = one.note(B, PeerMessage::Handover(vec![Handed { key, term: 0, tries: 0 }]));
-    assert!(said(&effects, B, |n| *n == PeerMessage::HandoverRefused(vec![key])));
+    let effects = one.note(B, PeerMessage::Handover(vec![HandoverOffer { key, term: 0, attempts: 0 }]));
+    assert!(said(&effects, B, |n| *n == PeerMessage::HandoverRejected(vec![key])));
 }
 
 #[test]
 fn a_receivers_place_is_free_again_though_its_message_is_gone() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     for round in 0..3 {
         let mut keys = Vec::new();
         for _ in 0..4 {
@@ -386,7 +419,7 @@
             assert!(effects.iter().any(|e| matches!(e, Effect::Call { .. })), "none in round {round}");
             keys.push(key);
         }
-        one.note(B, PeerMessage::Called(keys.clone()));
+        one.note(B, PeerMessage::CallbacksDelivered(keys.clone()));
         keys.into_iter().for_each(|key| one.queue.called(one.now, key, true));
     }
 }
@@ -395,23 +428,23 @@
 fn a_call_back_of_another_takes_nothing_from_a_live_message() {
     let mut one = One::ready(ledger(&shared(B, vec![ME])));
     let key = Key { origin: B, number: 99 };
-    one.note(B, PeerMessage::Called(vec![key]));
+    one.note(B, PeerMessage::CallbacksDelivered(vec![key]));
     assert_eq!(one.queue.find(key), Some((State::Waiting, Some(b"bytes".as_slice()))));
 }
 
 #[test]
 fn what_was_read_from_disk_waits_for_those_that_hold_copies() {
     let mut one = One::new(ledger(&shared(ME, vec![B])), 1);
-    one.queue.members(0, &[(ME, 0), (B, 1)]);
-    one.queue.up(0, B);
+    one.queue.set_members(0, &[(ME, 0), (B, 1)]);
+    one.queue.peer_connected(0, B);
     one.configure(1);
     assert!(attempts(&one.pass(8000)).is_empty());
-    assert_eq!(attempts(&one.note(B, PeerMessage::Stood)).len(), 1);
+    assert_eq!(attempts(&one.note(B, PeerMessage::Reconciled)).len(), 1);
 }
 
 #[test]
 fn a_changed_configuration_leaves_the_pause_after_a_failure() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     let (_, effects) = one.taken(message("plain"));
     one.answered(attempts(&effects)[0], Outcome::Failed);
     one.configure(2);
@@ -421,11 +454,11 @@
 
 #[test]
 fn a_newer_copy_in_the_place_of_a_message_that_waits_is_not_run() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     one.queue.list(one.now, 0, HashMap::new());
     let (key, _) = one.taken(message("plain"));
-    let newer = Shared { key, owner: B, term: 3, ..shared(B, vec![ME]) };
-    one.note(B, PeerMessage::Copy(vec![newer]));
+    let newer = ReplicatedMessage { key, owner: B, term: 3, ..shared(B, vec![ME]) };
+    one.note(B, PeerMessage::Replicate(vec![newer]));
     one.configure(2);
     assert!(attempts(&one.pass(3000)).is_empty());
     assert_eq!(one.queue.find(key), Some((State::Waiting, Some(b"bytes".as_slice()))));
@@ -433,21 +466,21 @@
 
 #[test]
 fn its_edge_hears_of_a_message_that_another_owns_before_it_was_safe() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     let (key, to) = copies(&one.put(1, message("plain")))[0];
     let effects = one.note(to, owned(key, to, 1));
-    assert!(effects.iter().any(|e| matches!(e, Effect::Taken { result: Err(Refusal::Uncertain), .. })));
+    assert!(effects.iter().any(|e| matches!(e, Effect::Taken { result: Err(PutError::Uncertain), .. })));
     assert_eq!(one.queue.in_hand(), 0);
 }
 
 #[test]
 fn a_copy_that_the_disk_refuses_does_not_undo_a_message_taken_over_meanwhile() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     one.disk_silent = true;
     let shared = shared(B, vec![ME]);
-    one.note(B, PeerMessage::Copy(vec![shared.clone()]));
+    one.note(B, PeerMessage::Replicate(vec![shared.clone()]));
     let ticket = one.waiting[0].0;
-    one.note(B, PeerMessage::Handover(vec![Handed { key: shared.key, term: 0, tries: 1 }]));
+    one.note(B, PeerMessage::Handover(vec![HandoverOffer { key: shared.key, term: 0, attempts: 1 }]));
     one.queue.kept(one.now, ticket, false);
     one.pass(0);
     assert_matches!(one.queue.find(shared.key), Some((State::Waiting, Some(_))));
@@ -459,7 +492,7 @@
     let key = Key { origin: B, number: 99 };
     one.pass(61_600 + 120_500);
     assert_eq!(one.queue.find(key), None);
-    assert!(one.records.contains(&Record::Drop { key }));
+    assert!(one.records.contains(&Record::Dropped { key }));
 }
 
 /// An edge that heard nothing has offered the message to another store, which keeps it.
@@ -468,32 +501,32 @@
     let kept = Some(Key { origin: 9, number: 9 });
     let dropped = |one: &One, key: Key| one.queue.find(key).is_none();
     // Not yet safe, waiting for its time, and a copy that is taken over later.
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     let (key, to) = copies(&one.put(1, message("plain")))[0];
-    one.queue.superseded("m", message("plain").print(), kept);
+    one.queue.drop_superseded("m", message("plain").fingerprint(), kept);
     let effects = one.pass(0);
     assert!(
         dropped(&one, key) && said(&effects, to, |n| matches!(n, PeerMessage::Drop(keys) if keys[0] == key))
     );
     let delayed = Message { delay_ms: 5000, ..message("plain") };
     let (key, _) = one.taken(delayed.clone());
-    one.queue.superseded("m", delayed.print(), Some(key));
+    one.queue.drop_superseded("m", delayed.fingerprint(), Some(key));
     assert!(!dropped(&one, key), "the one that is kept");
-    one.queue.superseded("m", message("paid").print(), kept);
+    one.queue.drop_superseded("m", message("paid").fingerprint(), kept);
     assert!(!dropped(&one, key), "another message under the same id");
-    one.queue.superseded("m", delayed.print(), kept);
+    one.queue.drop_superseded("m", delayed.fingerprint(), kept);
     assert!(dropped(&one, key));
     let shared = shared(B, vec![ME]);
-    one.note(B, PeerMessage::Copy(vec![shared.clone()]));
-    one.queue.superseded(&shared.message.id, shared.message.print(), kept);
-    one.queue.members(one.now, &[(ME, 0), (C, 2)]);
-    one.queue.down(one.now, B);
+    one.note(B, PeerMessage::Replicate(vec![shared.clone()]));
+    one.queue.drop_superseded(&shared.message.id, shared.message.fingerprint(), kept);
+    one.queue.set_members(one.now, &[(ME, 0), (C, 2)]);
+    one.queue.peer_disconnected(one.now, B);
     let effects = one.pass(9000);
     assert_eq!((dropped(&one, shared.key), attempts(&effects).len()), (true, 0));
     // What is out may have run: it is left.
     let (key, effects) = one.taken(message("plain"));
     assert_eq!(attempts(&effects).len(), 1);
-    one.queue.superseded("m", message("plain").print(), kept);
+    one.queue.drop_superseded("m", message("plain").fingerprint(), kept);
     assert!(!dropped(&one, key));
 }
 
@@ -501,50 +534,50 @@
 /// more under the same id meanwhile, and was answered 202, means another message.
 #[test]
 fn what_a_client_sent_again_and_was_taken_is_not_dropped_for_its_first_try() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     let first = Message { delay_ms: 5000, ..message("plain") };
-    let again = Message { taken: first.taken + 700, ..first.clone() };
+    let again = Message { accepted_at_ms: first.accepted_at_ms + 700, ..first.clone() };
     let (key, _) = one.taken(again.clone());
-    one.queue.superseded("m", first.print(), None);
+    one.queue.drop_superseded("m", first.fingerprint(), None);
     assert!(one.queue.find(key).is_some(), "it was accepted");
-    one.queue.superseded("m", again.print(), None);
+    one.queue.drop_superseded("m", again.fingerprint(), None);
     assert!(one.queue.find(key).is_none());
 }
 
 /// It read what was sent to it before it stood still; the edge has gone elsewhere since.
 #[test]
 fn what_nobody_waits_for_any_more_is_not_taken() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     let (key, to) = copies(&one.put(4, message("plain")))[0];
-    one.queue.abandoned(4);
-    let effects = one.note(to, PeerMessage::Copied(vec![key]));
+    one.queue.drop_abandoned(4);
+    let effects = one.note(to, PeerMessage::Replicated(vec![key]));
     assert!(one.queue.find(key).is_none() && attempts(&effects).is_empty());
 }
 
 /// What it took would wait behind what the disk has: another store takes it in time.
 #[test]
 fn a_store_whose_disk_stands_still_takes_nothing_and_keeps_no_copies() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     one.disk_silent = true;
     one.put(1, message("plain"));
     one.pass(150);
     let effects = one.put(2, Message { id: "n".into(), ..message("plain") });
-    let refused = |e: &Effect| matches!(e, Effect::Taken { ticket: 2, result: Err(Refusal::NotTaken) });
+    let refused = |e: &Effect| matches!(e, Effect::Taken { ticket: 2, result: Err(PutError::Rejected) });
     assert!(effects.iter().any(refused));
-    let effects = one.note(B, PeerMessage::Copy(vec![shared(B, vec![ME])]));
-    assert!(said(&effects, B, |n| matches!(n, PeerMessage::NotCopied(_))));
+    let effects = one.note(B, PeerMessage::Replicate(vec![shared(B, vec![ME])]));
+    assert!(said(&effects, B, |n| matches!(n, PeerMessage::ReplicationRejected(_))));
 }
 
 /// The second message does not wait for the store that left the first without an answer.
 #[test]
 fn a_store_that_confirmed_no_copy_in_time_is_asked_after_the_others() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     let (key, slow) = copies(&one.put(1, message("plain")))[0];
     let other = if slow == B { C } else { B };
     while copies(&one.pass(5)).is_empty() {
         assert!(one.now < 1000);
     }
-    one.note(other, PeerMessage::Copied(vec![key]));
+    one.note(other, PeerMessage::Replicated(vec![key]));
     let (_, next) = copies(&one.put(2, Message { id: "n".into(), ..message("plain") }))[0];
     assert_ne!(next, slow);
 }
@@ -552,13 +585,13 @@
 /// Sent all the same, it would find no connection free and wait longer after each try.
 #[test]
 fn no_more_is_sent_to_an_executor_than_this_store_has_connections_for() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     let fine = one.now as i64 * 10;
     one.queue.configure(one.now, fine, config(2, "few", 3, 60.0));
     let mut sent = Vec::new();
     for n in 0..4 {
         let (key, to) = copies(&one.put(n, Message { id: format!("m{n}"), ..message("plain") }))[0];
-        sent.extend(attempts(&one.note(to, PeerMessage::Copied(vec![key]))));
+        sent.extend(attempts(&one.note(to, PeerMessage::Replicated(vec![key]))));
     }
     sent.extend(attempts(&one.pass(100)));
     assert_eq!(sent.len(), 2);
@@ -570,35 +603,35 @@
 /// all that hold copies, and starts nothing before that.
 #[test]
 fn one_that_may_have_been_taken_over_from_starts_nothing_before_the_others_have_spoken() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     let (key, to) = copies(&one.put(1, Message { delay_ms: 6000, ..message("plain") }))[0];
-    one.note(to, PeerMessage::Copied(vec![key]));
+    one.note(to, PeerMessage::Replicated(vec![key]));
     one.now += 7000;
     one.queue.lapsed = true;
     assert!(attempts(&one.pass(100)).is_empty());
-    [B, C].into_iter().for_each(|other| one.queue.down(one.now, other));
+    [B, C].into_iter().for_each(|other| one.queue.peer_disconnected(one.now, other));
     one.queue.lapsed = false;
-    one.queue.up(one.now, B);
-    assert!(attempts(&one.note(B, PeerMessage::Stood)).is_empty());
+    one.queue.peer_connected(one.now, B);
+    assert!(attempts(&one.note(B, PeerMessage::Reconciled)).is_empty());
     assert!(attempts(&one.pass(200)).is_empty());
     assert_eq!(one.queue.figures.fenced, 1);
-    one.queue.up(one.now, C);
-    assert_eq!(attempts(&one.note(C, PeerMessage::Stood)).len(), 1);
+    one.queue.peer_connected(one.now, C);
+    assert_eq!(attempts(&one.note(C, PeerMessage::Reconciled)).len(), 1);
 }
 
 /// Two that both take themselves for the holder would together hand out more than the ceiling.
 #[test]
 fn tokens_of_one_that_does_not_hold_them_are_refused_and_counted() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     let (key, to) = copies(&one.put(1, message("paid")))[0];
-    let effects = one.note(to, PeerMessage::Copied(vec![key]));
+    let effects = one.note(to, PeerMessage::Replicated(vec![key]));
     let asked = |e: &Effect| match e {
-        Effect::Send { to, note: PeerMessage::TokensWanted { .. } } => Some(*to),
+        Effect::Send { to, note: PeerMessage::RequestTokens { .. } } => Some(*to),
         _ => None,
     };
     let holder = effects.iter().find_map(asked).expect("another store holds the duty");
     let former = if holder == B { C } else { B };
-    let tokens = PeerMessage::Tokens { service: "point".into(), count: 1 };
+    let tokens = PeerMessage::GrantTokens { service: "point".into(), count: 1 };
     assert!(attempts(&one.note(former, tokens.clone())).is_empty());
     assert_eq!(one.queue.figures.former, 1);
     assert_eq!(attempts(&one.note(holder, tokens)).len(), 1);
@@ -608,12 +641,12 @@
 /// at once when it is heard.
 #[test]
 fn a_holder_whose_session_may_have_lapsed_hands_out_nothing() {
-    let mut one = One::ready(Ledger::default());
-    let wanted = || PeerMessage::TokensWanted { service: "point".into(), count: 1 };
-    one.queue.members(one.now, &[(ME, 0)]);
+    let mut one = One::ready(StateTable::default());
+    let wanted = || PeerMessage::RequestTokens { service: "point".into(), count: 1 };
+    one.queue.set_members(one.now, &[(ME, 0)]);
     one.pass(2500);
     let got = |effects: &[Effect], count| {
-        said(effects, B, |n| matches!(n, PeerMessage::Tokens { count: c, .. } if *c == count))
+        said(effects, B, |n| matches!(n, PeerMessage::GrantTokens { count: c, .. } if *c == count))
     };
     assert!(got(&one.note(B, wanted()), 1));
     one.queue.lapsed = true;
@@ -627,18 +660,21 @@
 /// A word of one that is to be emptied comes late: it asks for what it should have held, or names what is left there.
 #[test]
 fn one_that_is_to_be_emptied_is_not_counted_on_again() {
-    let mut one = One::ready(Ledger::default());
+    let mut one = One::ready(StateTable::default());
     let (key, _) = one.taken(Message { delay_ms: 30_000, ..message("plain") });
     one.note(B, PeerMessage::Retiring);
     assert_eq!(copies(&one.pass(600)), [(key, C)]);
-    one.note(C, PeerMessage::Copied(vec![key]));
-    assert!(copies(&one.note(B, PeerMessage::Want(vec![key]))).is_empty());
+    one.note(C, PeerMessage::Replicated(vec![key]));
+    assert!(copies(&one.note(B, PeerMessage::RequestReplicas(vec![key]))).is_empty());
     assert!(copies(&one.pass(1000)).is_empty());
-    one.queue.down(one.now, C);
-    one.queue.members(one.now, &[(ME, 0), (B, 1)]);
+    one.queue.peer_disconnected(one.now, C);
+    one.queue.set_members(one.now, &[(ME, 0), (B, 1)]);
     one.pass(5500);
-    let live = vec![Stands { key, owner: ME, term: 0, ended: false }];
-    one.note(B, PeerMessage::Standing { disk: 9, answer: false, ranges: Vec::new(), live });
+    let live = vec![EntrySummary { key, owner: ME, term: 0, has_ended: false }];
+    one.note(
+        B,
+        PeerMessage::RangeContents { disk_id: 9, reply_wanted: false, ranges: Vec::new(), entries: live },
+    );
     let counted = one.queue.view(one.now, key).unwrap().copies;
     assert!(counted.is_empty(), "{counted:?}");
 }
--- a/crates/queue/tests/world/emptied.rs
+++ b/crates/queue/tests/world/emptied.rs
@@ -1,7 +1,7 @@
 //! Stores that are emptied: days that a fault in it would not survive.
 
 use super::{Act, Does, Fault, Prepare, World};
-use stileroute_queue::State;
+use stileroute_queue::{RetirementState, State};
 
 /// Four stores of which one is to be emptied. Of store 3 the copies lie there, its own lie at store 1.
 const EMPTIED: usize = 0;
@@ -15,7 +15,7 @@
 
 /// As soon as it says that it is empty, its disk is not needed for anything that waits.
 fn run_until_empty(world: &mut World, until: u64) {
-    while world.retired(EMPTIED) != Some(true) {
+    while world.retirement_state(EMPTIED) != Some(RetirementState::Empty) {
         assert!(world.now < until, "not empty by {until}");
         world.run(world.now + 1);
     }
@@ -54,7 +54,7 @@
         run_until_empty(&mut world, 9000);
         world.act(9500, Act::Gone(lost));
         world.run(30_000);
-        assert_eq!(world.retired(EMPTIED), Some(true));
+        assert_eq!(world.retirement_state(EMPTIED), Some(RetirementState::Empty));
         world.check_copies_without(EMPTIED);
     }
 }
--- a/crates/queue/tests/world/mod.rs
+++ b/crates/queue/tests/world/mod.rs
@@ -52,7 +52,7 @@
     Kept { at: usize, life: u64, ticket: u64, upto: usize, ok: bool },
     Send { sent: usize },
     Put { sent: usize, to: usize, ticket: u64 },
-    Said { sent: usize, from: usize, ticket: u64, result: Result<String, Refusal> },
+    Said { sent: usize, from: usize, ticket: u64, result: Result<String, PutError> },
     Impatient { sent: usize, ticket: u64 },
     Done { at: usize, life: u64, attempt: u64, id: String, outcome: Outcome },
     Called { at: usize, life: u64, key: Key, taken: bool },
@@ -304,9 +304,9 @@
             host: "h".into(),
             method: "POST".into(),
             target: format!("/{path}/{n}"),
-            callback: Some(format!("http://10.0.1.1:80/{n}")),
+            callback_url: Some(format!("http://10.0.1.1:80/{n}")),
             // Three rows on the one route in order.
-            order_key: (path == "row").then(|| format!("row\0{}", n % 3)),
+            ordering_key: (path == "row").then(|| format!("row\0{}", n % 3)),
             delay_ms,
             body: format!("body of {n}").into_bytes(),
             ..Message::default()
@@ -325,25 +325,25 @@
         if self.stores[at].queue.is_some() || self.stores[at].gone {
             return;
         }
-        let mut ledger = Ledger::default();
+        let mut ledger = StateTable::default();
         for (record, _) in &self.stores[at].disk {
-            ledger.enter(postcard::from_bytes(record).unwrap());
+            ledger.apply_record(postcard::from_bytes(record).unwrap());
         }
         let store = &mut self.stores[at];
-        if ledger.disk.is_none() {
+        if ledger.disk_id.is_none() {
             self.next_disk += 1;
             store.disk_number = self.next_disk;
         }
         self.next_life += 1;
         let first = first_number(self.next_life << 37);
-        let born = Record::Born { disk: store.disk_number, first };
+        let born = Record::IncarnationStarted { disk_id: store.disk_number, first_number: first };
         store.disk.push((postcard::to_stdvec(&born).unwrap(), true));
         let terms = QueueSettings {
             me: store.node,
             zone: at,
             disk: store.disk_number,
             first,
-            begun: ledger.begun.clone(),
+            begun: ledger.incarnation_first_numbers.clone(),
             losses,
             regions: vec![0; 8],
             bear: Bear { zones: 1, regions: 0 },
@@ -462,7 +462,7 @@
             }
             if let Some((queue, now)) = self.queue(at) {
                 (queue.heard, queue.lapsed) = (true, false);
-                queue.members(now, &all);
+                queue.set_members(now, &all);
             }
         }
     }
@@ -489,7 +489,7 @@
     fn turn(&mut self, at: usize) {
         if let Some(since) = self.stores[at].leaving {
             let Some((queue, now)) = self.queue(at) else { return };
-            queue.leave(now);
+            queue.begin_draining(now);
             self.carry_out(at);
             let Some((queue, _)) = self.queue(at) else { return };
             let done = queue.in_hand() == 0 && self.now > since + 150;
@@ -547,11 +547,11 @@
                 let Some(to) = self.stores.iter().position(|s| s.node == to) else { return };
                 let pair = (at.min(to), at.max(to));
                 let Some(link) = self.links.get(&pair).copied() else { return };
-                if let PeerMessage::Copy(all) = &note {
+                if let PeerMessage::Replicate(all) = &note {
                     let size: u64 = all.iter().map(|s| s.message.body.len() as u64).sum();
                     *self.copied.entry(self.now / 100).or_default() += size;
                 }
-                self.row_asks += usize::from(matches!(note, PeerMessage::RowAsk { .. }));
+                self.row_asks += usize::from(matches!(note, PeerMessage::GroupQuery { .. }));
                 let bytes = postcard::to_stdvec(&note).unwrap();
                 self.bytes += bytes.len() as u64;
                 let wait = 1 + self.random(4);
@@ -622,13 +622,13 @@
         }
         match what {
             What::PeerMessage { from, to, link, note } => {
-                if matches!(note, PeerMessage::Ends(_)) && self.now < self.no_ends_until {
+                if matches!(note, PeerMessage::Ended(_)) && self.now < self.no_ends_until {
                     return;
                 }
                 if self.links.get(&(from.min(to), from.max(to))) == Some(&link) && self.open(from, to) {
                     let from = self.stores[from].node;
                     if let Some((queue, now)) = self.queue(to) {
-                        queue.note(now, from, note);
+                        queue.handle_peer_message(now, from, note);
                         self.turn(to);
                     }
                 }
@@ -645,9 +645,9 @@
             What::Send { sent } => {
                 // The clocks of edges differ, by more than a message takes.
                 let ahead = [0, 400, 150][self.messages[sent].first % 3];
-                let row = self.messages[sent].message.order_key.is_some();
-                self.messages[sent].message.taken = WALL + self.now + if row { ahead } else { 0 };
-                self.messages[sent].message.config = self.config.revision;
+                let row = self.messages[sent].message.ordering_key.is_some();
+                self.messages[sent].message.accepted_at_ms = WALL + self.now + if row { ahead } else { 0 };
+                self.messages[sent].message.config_revision = self.config.revision;
                 self.messages[sent].sent = self.now;
                 self.offer(sent);
             }
@@ -678,7 +678,7 @@
                 match result {
                     Ok(name) => (m.name, m.answered, m.ticket) = (Some(name), self.now, 0),
                     Err(refusal) => {
-                        m.uncertain |= refusal == Refusal::Uncertain;
+                        m.uncertain |= refusal == PutError::Uncertain;
                         self.offer(sent);
                     }
                 }
@@ -720,7 +720,7 @@
                     for (x, y) in [(a, b), (b, a)] {
                         let other = self.stores[y].node;
                         let (queue, now) = self.queue(x).unwrap();
-                        queue.up(now, other);
+                        queue.peer_connected(now, other);
                         self.turn(x);
                     }
                 }
@@ -739,7 +739,7 @@
                 let other = self.stores[other].node;
                 if self.stores[at].life == life && self.stores[at].queue.is_some() {
                     let (queue, now) = self.queue(at).unwrap();
-                    queue.down(now, other);
+                    queue.peer_disconnected(now, other);
                     self.turn(at);
                 }
             }
@@ -850,9 +850,9 @@
             !m.tried.contains(at) && self.stores[*at].queue.is_some() && self.stores[*at].leaving.is_none()
         };
         let mut next = (0..n).map(|k| (m.first + k) % n).filter(able);
-        let to = match m.message.order_key.clone() {
+        let to = match m.message.ordering_key.clone() {
             Some(row) => {
-                let to = place(&row, next.map(|at| self.stores[at].node));
+                let to = preferred_store(&row, next.map(|at| self.stores[at].node));
                 to.and_then(|node| self.stores.iter().position(|s| s.node == node))
             }
             None => next.next(),
@@ -903,7 +903,7 @@
 
     /// What an edge says to one who asks.
     pub fn ask(&self, sent: usize) -> Option<(State, Option<Vec<u8>>)> {
-        let (key, first) = Key::parse(self.messages[sent].name.as_deref()?)?;
+        let KeyLocation { key, stores: first } = Key::parse(self.messages[sent].name.as_deref()?)?;
         let mut waiting = None;
         let rank = |s: &&Store| first.iter().position(|n| *n == s.node).unwrap_or(usize::MAX);
         let mut stores: Vec<&Store> = self.stores.iter().filter(|s| s.queue.is_some()).collect();
@@ -919,11 +919,11 @@
     }
 
     /// What each disk would give after a loss of power.
-    fn disks(&self, all: bool) -> Vec<Ledger> {
+    fn disks(&self, all: bool) -> Vec<StateTable> {
         let read = |store: &Store| {
-            let mut ledger = Ledger::default();
+            let mut ledger = StateTable::default();
             store.disk.iter().filter(|(_, synced)| *synced || all).for_each(|(record, _)| {
-                ledger.enter(postcard::from_bytes(record).unwrap());
+                ledger.apply_record(postcard::from_bytes(record).unwrap());
             });
             ledger
         };
@@ -987,10 +987,10 @@
 
     fn check_order(&self) {
         let runs = |m: &Sent| -> Vec<&Run> { self.runs.iter().filter(|r| r.id == m.message.id).collect() };
-        for later in self.messages.iter().filter(|m| m.message.order_key.is_some()) {
+        for later in self.messages.iter().filter(|m| m.message.ordering_key.is_some()) {
             let Some(start) = runs(later).iter().map(|r| r.at).min() else { continue };
             let before = |m: &&Sent| m.name.is_some() && m.answered < later.sent;
-            let row = self.messages.iter().filter(|m| m.message.order_key == later.message.order_key);
+            let row = self.messages.iter().filter(|m| m.message.ordering_key == later.message.ordering_key);
             for earlier in row.filter(before) {
                 let runs = runs(earlier);
                 let done = runs.iter().filter_map(|r| r.done).min();
@@ -1004,9 +1004,9 @@
         }
     }
 
-    /// Whether a store that is to be emptied says that it is.
-    pub fn retired(&self, at: usize) -> Option<bool> {
-        self.stores[at].queue.as_ref()?.retired()
+    /// How far a store says that its retirement has come; `None` while its process is not there.
+    pub fn retirement_state(&self, at: usize) -> Option<RetirementState> {
+        Some(self.stores[at].queue.as_ref()?.retirement_state())
     }
 
     /// At rest every live message lies on `losses` + 1 disks.
@@ -1017,11 +1017,17 @@
     /// And when the disk of this store is taken away.
     pub fn check_copies_without(&self, gone: usize) {
         let mut disks = self.disks(false);
-        disks.iter_mut().enumerate().filter(|(at, _)| *at == gone).for_each(|(_, l)| *l = Ledger::default());
+        disks
+            .iter_mut()
+            .enumerate()
+            .filter(|(at, _)| *at == gone)
+            .for_each(|(_, l)| *l = StateTable::default());
         for (n, sent) in self.messages.iter().enumerate() {
             let Some((State::Waiting, _)) = self.ask(n) else { continue };
-            let key = Key::parse(sent.name.as_deref().unwrap()).unwrap().0;
-            let lies = |l: &&Ledger| l.all.get(&key).is_some_and(|k| k.end.is_none() && k.shared.is_some());
+            let key = Key::parse(sent.name.as_deref().unwrap()).unwrap().key;
+            let lies = |l: &&StateTable| {
+                l.messages.get(&key).is_some_and(|k| k.end.is_none() && k.replica.is_some())
+            };
             let copies = disks.iter().filter(lies).count();
             assert!(copies > self.losses, "{} lies on {copies} disks", sent.message.id);
         }
@@ -1030,7 +1036,7 @@
     /// Nothing is left on any disk that a restart would take for a live message.
     pub fn check_left(&self) {
         for (store, ledger) in self.stores.iter().zip(self.disks(true)) {
-            let left = ledger.all.iter().find(|(_, kept)| kept.end.is_none() && kept.shared.is_some());
+            let left = ledger.messages.iter().find(|(_, kept)| kept.end.is_none() && kept.replica.is_some());
             assert!(left.is_none(), "left on the disk of {:x}: {left:?}", store.node);
         }
     }
--- a/crates/server/src/edge.rs
+++ b/crates/server/src/edge.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::net::SocketAddrV4;
 use stileroute_config::RouteKind;
-use stileroute_queue::{place, Key, Message, Node, Refusal};
+use stileroute_queue::{preferred_store, Key, KeyLocation, Message, Node, PutError};
 
 /// A store that has not answered for so long is taken to be stuck, and another is asked; one of which nothing at all has
 /// been heard meanwhile is taken to be gone sooner.
@@ -230,14 +230,14 @@
             method: request.method,
             target: request.target,
             content_type: request.content_type,
-            callback: request.callback.filter(|_| route.callback),
-            order_key: request
+            callback_url: request.callback.filter(|_| route.callback),
+            ordering_key: request
                 .order_key
                 .filter(|_| route.in_order)
                 .map(|key| format!("{}\0{key}", route.name)),
             delay_ms: request.delay_ms.unwrap_or(0),
-            taken: wall(),
-            config: config.revision,
+            accepted_at_ms: wall(),
+            config_revision: config.revision,
             body: request.body,
         };
         let ticket = self.ticket();
@@ -269,7 +269,7 @@
         all.sort_unstable();
         let first = *all.first()?;
         if let Some(row) = row {
-            return place(row, all.iter().filter(|s| s.0 == first.0).map(|s| s.2));
+            return preferred_store(row, all.iter().filter(|s| s.0 == first.0).map(|s| s.2));
         }
         let alike = all.iter().take_while(|s| (s.0, s.1) == (first.0, first.1)).count();
         self.next_store = self.next_store.wrapping_add(1);
@@ -278,7 +278,7 @@
 
     fn send(&mut self, ticket: u64, mut put: Put) {
         let now = self.common.net.now();
-        match self.store(&put.tried, put.message.order_key.as_deref()) {
+        match self.store(&put.tried, put.message.ordering_key.as_deref()) {
             Some(store) => {
                 put.tried.push(store);
                 put.sent = now;
@@ -304,7 +304,8 @@
     /// Tells all stores which of several is kept.
     fn supersede(&mut self, put: &Put, kept: Option<Key>) {
         let now = self.common.net.now();
-        let signal = Signal::Superseded { id: put.message.id.clone(), print: put.message.print(), kept };
+        let signal =
+            Signal::Superseded { id: put.message.id.clone(), print: put.message.fingerprint(), kept };
         for store in self.common.links.class(Class::Store) {
             self.common.links.say(&mut self.common.net, store, &signal);
         }
@@ -314,13 +315,13 @@
         }
     }
 
-    fn taken(&mut self, from: Node, ticket: u64, result: Result<String, Refusal>) {
+    fn taken(&mut self, from: Node, ticket: u64, result: Result<String, PutError>) {
         match result {
             Ok(name) => {
                 let Some(put) = self.puts.remove(&ticket) else { return };
                 self.figures.taken += 1;
                 if put.tried.len() > 1 {
-                    self.supersede(&put, Key::parse(&name).map(|(key, _)| key));
+                    self.supersede(&put, Key::parse(&name).map(|location| location.key));
                 }
                 let headers = vec![("X-Queue-Message-Id", name)];
                 self.answer(put.conn, Answer { status: 202, headers, ..Answer::default() });
@@ -397,7 +398,9 @@
     fn find(&mut self, conn: ConnId, name: &str, body: bool) {
         self.figures.asked += 1;
         let now = self.common.net.now();
-        let Some((key, first)) = Key::parse(name) else { return self.answer(conn, Answer::bare(404)) };
+        let Some(KeyLocation { key, stores: first }) = Key::parse(name) else {
+            return self.answer(conn, Answer::bare(404));
+        };
         let up = self.common.links.class(Class::Store);
         let mut left: Vec<Node> = first.into_iter().filter(|n| up.contains(n)).collect();
         left.extend(up.iter().filter(|n| !left.contains(n)).copied().collect::<Vec<_>>());
--- a/crates/server/src/edge/asking.rs
+++ b/crates/server/src/edge/asking.rs
@@ -5,7 +5,7 @@
 
 use crate::net::{ConnId, Millis};
 use crate::signals::Found;
-use stileroute_queue::{Key, Message, Node, Refusal};
+use stileroute_queue::{Key, Message, Node, PutError};
 
 /// A message that is offered to stores until one has taken it.
 pub struct Put {
@@ -28,8 +28,8 @@
 }
 
 impl Put {
-    pub fn refused(&mut self, from: Node, refusal: Refusal) -> Refused {
-        self.uncertain |= refusal == Refusal::Uncertain;
+    pub fn refused(&mut self, from: Node, refusal: PutError) -> Refused {
+        self.uncertain |= refusal == PutError::Uncertain;
         match self.tried.last() == Some(&from) {
             true => Refused::Next,
             false => Refused::Wait,
--- a/crates/server/src/edge/asking/tests.rs
+++ b/crates/server/src/edge/asking/tests.rs
@@ -9,11 +9,11 @@
 fn a_late_refusal_does_not_end_the_wait_for_the_store_asked_since() {
     let message = Message::default();
     let mut put = Put { conn: 0, message, tried: vec![FIRST, SECOND], sent: 0, until: 0, uncertain: false };
-    assert_eq!(put.refused(FIRST, Refusal::NotTaken), Refused::Wait);
+    assert_eq!(put.refused(FIRST, PutError::Rejected), Refused::Wait);
     assert!(!put.uncertain);
-    assert_eq!(put.refused(FIRST, Refusal::Uncertain), Refused::Wait);
+    assert_eq!(put.refused(FIRST, PutError::Uncertain), Refused::Wait);
     assert!(put.uncertain, "what it says counts all the same");
-    assert_eq!(put.refused(SECOND, Refusal::NotTaken), Refused::Next);
+    assert_eq!(put.refused(SECOND, PutError::Rejected), Refused::Next);
 }
 
 #[test]
--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
-use stileroute_queue::{Key, Message, Node, PeerMessage, Refusal};
+use stileroute_queue::{Key, Message, Node, PeerMessage, PutError};
 pub use stileroute_registry::{Class, Heartbeat, Member, News, Retiring, Standing};
 
 /// A version of the protocol: others are turned away by name.
@@ -47,7 +47,7 @@
     },
     Taken {
         ticket: u64,
-        result: Result<String, Refusal>,
+        result: Result<String, PutError>,
     },
     /// A store takes nothing more.
     Leaving,
@@ -121,24 +121,29 @@
                 "operators"
             }
             Signal::PeerMessage(note) => match note {
-                PeerMessage::Copy(_) | PeerMessage::Copied(_) | PeerMessage::NotCopied(_) => "copies",
-                PeerMessage::Ends(_)
-                | PeerMessage::Called(_)
-                | PeerMessage::KnownEnds(_)
-                | PeerMessage::EndsKept(_) => "ends",
+                PeerMessage::Replicate(_)
+                | PeerMessage::Replicated(_)
+                | PeerMessage::ReplicationRejected(_) => "copies",
+                PeerMessage::Ended(_)
+                | PeerMessage::CallbacksDelivered(_)
+                | PeerMessage::TransferEnds(_)
+                | PeerMessage::EndsStored(_) => "ends",
                 PeerMessage::Digests { .. }
-                | PeerMessage::Disk(_)
-                | PeerMessage::Standing { .. }
-                | PeerMessage::Stood => "comparing",
-                PeerMessage::Own(_) | PeerMessage::Drop(_) | PeerMessage::Lost(_) | PeerMessage::Want(_) => {
-                    "owners"
-                }
+                | PeerMessage::DiskId(_)
+                | PeerMessage::RangeContents { .. }
+                | PeerMessage::Reconciled => "comparing",
+                PeerMessage::OwnershipChanged(_)
+                | PeerMessage::Drop(_)
+                | PeerMessage::LostWithDisk(_)
+                | PeerMessage::RequestReplicas(_) => "owners",
                 PeerMessage::Handover(_)
-                | PeerMessage::HandoverTaken(_)
-                | PeerMessage::HandoverRefused(_) => "handover",
-                PeerMessage::RowAsk { .. } | PeerMessage::RowLive { .. } | PeerMessage::RowDone(_) => "rows",
-                PeerMessage::TokensWanted { .. } | PeerMessage::Tokens { .. } => "tokens",
-                PeerMessage::Leaving | PeerMessage::Retiring | PeerMessage::Relieved => "leaving",
+                | PeerMessage::HandoverAccepted(_)
+                | PeerMessage::HandoverRejected(_) => "handover",
+                PeerMessage::GroupQuery { .. }
+                | PeerMessage::GroupQueryReply { .. }
+                | PeerMessage::GroupMessagesEnded(_) => "rows",
+                PeerMessage::RequestTokens { .. } | PeerMessage::GrantTokens { .. } => "tokens",
+                PeerMessage::Draining | PeerMessage::Retiring | PeerMessage::NoReplicasNeeded => "leaving",
             },
         }
     }
--- a/crates/server/src/state.rs
+++ b/crates/server/src/state.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use stileroute_config::Config;
 use stileroute_control_group::{Persisted, Record as Watching};
-use stileroute_queue::{End, Ledger, Record};
+use stileroute_queue::{End, Record, StateTable};
 use stileroute_wal::{verify as read, State, Trouble};
 
 /// Damage was found.
@@ -27,29 +27,37 @@
 }
 
 fn hold(dir: &Path) -> Result<JsonValue, Trouble> {
-    let (mut ledger, mut kinds) = (Ledger::default(), Kinds::default());
+    let (mut ledger, mut kinds) = (StateTable::default(), Kinds::default());
     let report = read(dir, &mut |bytes| match postcard::from_bytes::<Record>(bytes) {
         Ok(record) => {
             kinds.add(match &record {
-                Record::Born { .. } => "born",
+                Record::IncarnationStarted { .. } => "born",
                 Record::Put { .. } => "put",
-                Record::End { .. } => "end",
-                Record::Called { .. } => "called",
-                Record::Own { .. } => "own",
-                Record::Drop { .. } => "drop",
-                Record::Retire => "retire",
+                Record::Ended { .. } => "end",
+                Record::CallbackDelivered { .. } => "called",
+                Record::OwnerChanged { .. } => "own",
+                Record::Dropped { .. } => "drop",
+                Record::RetirementOrdered => "retire",
             });
-            ledger.enter(record);
+            ledger.apply_record(record);
         }
         Err(_) => kinds.add("unread"),
     })?;
     let ends = |test: fn(&End) -> bool| {
-        ledger.all.values().filter(|kept| kept.end.as_ref().is_some_and(|(end, _, _)| test(end))).count()
+        ledger
+            .messages
+            .values()
+            .filter(|kept| kept.end.as_ref().is_some_and(|stored| test(&stored.end)))
+            .count()
     };
-    let live = ledger.all.values().filter(|kept| kept.end.is_none()).count();
-    let owed = ledger.all.values().filter(|kept| kept.end.as_ref().is_some_and(|(_, owed, _)| *owed)).count();
+    let live = ledger.messages.values().filter(|kept| kept.end.is_none()).count();
+    let owed = ledger
+        .messages
+        .values()
+        .filter(|kept| kept.end.as_ref().is_some_and(|stored| stored.callback_pending))
+        .count();
     let mut object = files(&report);
-    object["disk"] = ledger.disk.map(|disk| format!("{disk:016x}")).into();
+    object["disk"] = ledger.disk_id.map(|disk| format!("{disk:016x}")).into();
     object["records_by_kind"] = kinds.json();
     object["live"] = live.into();
     object["complete"] = ends(|end| matches!(end, End::Complete { .. })).into();
--- a/crates/server/src/status.rs
+++ b/crates/server/src/status.rs
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use stileroute_config::Boot;
-use stileroute_queue::Key;
+use stileroute_queue::{Key, KeyLocation};
 
 /// A process that is there answers at once.
 const PATIENCE: Duration = Duration::from_millis(1500);
@@ -386,7 +386,7 @@
 
 /// What each store knows of a message.
 pub fn message(id: &str, at: Option<&str>, boot: Option<&Path>, json: bool) -> u8 {
-    let Some((key, _)) = Key::parse(id) else {
+    let Some(KeyLocation { key, .. }) = Key::parse(id) else {
         eprintln!("command line: ID: {id:?} is no message's name");
         return UNUSABLE;
     };
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -14,7 +14,8 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 use stileroute_queue::{
-    first_number, Bear, Effect, Key, Ledger, Node, Outcome, Queue, QueueSettings, Record, Server, State,
+    first_number, Bear, Effect, Key, Node, Outcome, Queue, QueueSettings, Record, RetirementState, Server,
+    State, StateTable,
 };
 use stileroute_wal::{Options, Trouble, Wal};
 
@@ -60,10 +61,12 @@
         };
         let room = common.boot.means.disk_mb << 20;
         let options = Options { room, lazy_sync: Duration::from_millis(200), ..Options::new("hold") };
-        let (disk, ledger) = Wal::open::<Ledger>(&dir, options, done)
+        let (disk, ledger) = Wal::open::<StateTable>(&dir, options, done)
             .map_err(|e| miette::miette!("{}: {e}", dir.display()))?;
-        let (number, first) = (ledger.disk.unwrap_or_else(lot), first_number(lot()));
-        let record = postcard::to_stdvec(&Record::Born { disk: number, first }).unwrap_or_default();
+        let (number, first) = (ledger.disk_id.unwrap_or_else(lot), first_number(lot()));
+        let record =
+            postcard::to_stdvec(&Record::IncarnationStarted { disk_id: number, first_number: first })
+                .unwrap_or_default();
         disk.append(0, vec![record], true);
         let zone = common.boot.zones.keys().position(|zone| *zone == common.boot.zone).unwrap_or(0);
         let boot = &common.boot;
@@ -72,7 +75,7 @@
             zone,
             disk: number,
             first,
-            begun: ledger.begun.clone(),
+            begun: ledger.incarnation_first_numbers.clone(),
             losses: boot.losses.copies(),
             regions: boot.regions(),
             bear: Bear { zones: boot.losses.zones, regions: boot.losses.regions },
@@ -81,7 +84,7 @@
             status_ms: boot.bounds.status_ms,
             seed: lot(),
         };
-        tracing::info!(messages = ledger.all.len(), disk = number, "disk read");
+        tracing::info!(messages = ledger.messages.len(), disk = number, "disk read");
         // Both clocks after the disk was read: with the steady one from before, delayed messages would run early.
         let (now, wall) = (common.net.look(), wall());
         let queue = Queue::new(terms, ledger, now, wall);
@@ -116,16 +119,14 @@
                 for edge in self.common.links.class(Class::Edge) {
                     self.common.links.say(&mut self.common.net, edge, &Signal::Leaving);
                 }
-                self.queue.leave(now);
+                self.queue.begin_draining(now);
             }
             self.carry_out();
-            let retiring = self.queue.retired().map_or(Retiring::No, |empty| {
-                if empty {
-                    Retiring::Complete
-                } else {
-                    Retiring::Rolling
-                }
-            });
+            let retiring = match self.queue.retirement_state() {
+                RetirementState::NotOrdered => Retiring::No,
+                RetirementState::InProgress => Retiring::Rolling,
+                RetirementState::Empty => Retiring::Complete,
+            };
             self.common.retires(retiring);
             for line in self.queue.log() {
                 tracing::debug!("{line}");
@@ -168,12 +169,12 @@
     fn link_event(&mut self, link_event: LinkEvent) {
         let now = self.common.net.now();
         match link_event {
-            LinkEvent::Up(hello) if hello.class == Class::Store => self.queue.up(now, hello.node),
+            LinkEvent::Up(hello) if hello.class == Class::Store => self.queue.peer_connected(now, hello.node),
             LinkEvent::Up(hello) if hello.class == Class::Edge && self.queue.leaving => {
                 self.common.links.say(&mut self.common.net, hello.node, &Signal::Leaving);
             }
             LinkEvent::Up(_) => {}
-            LinkEvent::Down(node, Class::Store) => self.queue.down(now, node),
+            LinkEvent::Down(node, Class::Store) => self.queue.peer_disconnected(now, node),
             LinkEvent::Down(node, Class::Edge) => {
                 let lost: Vec<u64> = self
                     .askers
@@ -183,7 +184,7 @@
                     .collect();
                 for ticket in lost {
                     self.askers.remove(&ticket);
-                    self.queue.abandoned(ticket);
+                    self.queue.drop_abandoned(ticket);
                 }
             }
             LinkEvent::Down(..) => {}
@@ -201,7 +202,7 @@
                         .filter(|m| m.class == Class::Store)
                         .map(|m| (m.node, zone(&m.zone)))
                         .collect();
-                    self.queue.members(now, &stores);
+                    self.queue.set_members(now, &stores);
                 }
                 if news.whole {
                     self.servers.clear();
@@ -228,7 +229,7 @@
                 }
             }
             LinkEvent::Said(_, Class::Edge, Signal::Superseded { id, print, kept }) => {
-                self.queue.superseded(&id, print, kept);
+                self.queue.drop_superseded(&id, print, kept);
             }
             LinkEvent::Said(from, Class::Edge, Signal::Put { ticket, message }) => {
                 self.next_ticket += 1;
@@ -248,7 +249,7 @@
                 self.common.links.say(&mut self.common.net, from, &Signal::Found { ticket, found });
             }
             LinkEvent::Said(from, Class::Store, Signal::PeerMessage(note)) => {
-                self.queue.note(now, from, note)
+                self.queue.handle_peer_message(now, from, note)
             }
             LinkEvent::Said(_, Class::Core, Signal::Retire { node })
                 if node == self.common.links.me().node =>
--- a/crates/server/src/store/tests.rs
+++ b/crates/server/src/store/tests.rs
@@ -49,7 +49,7 @@
     fn takes(&mut self) {
         let (id, host) = ("m".to_string(), "quay.example".to_string());
         let (method, target) = ("POST".to_string(), "/in/x".to_string());
-        let message = Message { id, host, method, target, taken: wall(), ..Message::default() };
+        let message = Message { id, host, method, target, accepted_at_ms: wall(), ..Message::default() };
         self.store.link_event(LinkEvent::Said(EDGE, Class::Edge, Signal::Put { ticket: 5, message }));
         self.store.carry_out();
     }
