--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -165,3 +165,6 @@
         node: String,
     },
 }
+
+#[cfg(test)]
+mod tests;
