--- /dev/null
+++ b/crates/http1/tests/http1.rs
@@ -0,0 +1,237 @@
+//! Tables of heads, chunked bodies and answers: what is accepted, what is refused, and with what text.
+
+use stileroute_http1::*;
+
+/// The framing of a request head; `Err` where it is ambiguous or malformed.
+fn framing_of(head: &str) -> Result<Option<Framing>, ()> {
+    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    let mut request = httparse::Request::new(&mut headers);
+    assert!(request.parse(head.as_bytes()).expect("a head").is_complete(), "{head:?}");
+    framing(request.headers, request.version).ok_or(())
+}
+
+#[test]
+fn framing_is_taken_only_where_it_can_be_read_in_one_way() {
+    let cases = [
+        ("HTTP/1.1\r\n", Ok(None)),
+        ("HTTP/1.1\r\nContent-Length: 0\r\n", Ok(Some(Framing::Length(0)))),
+        ("HTTP/1.1\r\ncontent-length: \t12 \r\n", Ok(Some(Framing::Length(12)))),
+        ("HTTP/1.0\r\nContent-Length: 007\r\n", Ok(Some(Framing::Length(7)))),
+        ("HTTP/1.1\r\nTransfer-Encoding: chunked\r\n", Ok(Some(Framing::Chunked))),
+        ("HTTP/1.1\r\ntransfer-encoding: CHUNKED\r\n", Ok(Some(Framing::Chunked))),
+        ("HTTP/1.1\r\nContent-Length:\r\n", Err(())),
+        ("HTTP/1.1\r\nContent-Length: +5\r\n", Err(())),
+        ("HTTP/1.1\r\nContent-Length: -5\r\n", Err(())),
+        ("HTTP/1.1\r\nContent-Length: 5, 5\r\n", Err(())),
+        ("HTTP/1.1\r\nContent-Length: 0x5\r\n", Err(())),
+        ("HTTP/1.1\r\nContent-Length: 5\u{a0}\r\n", Err(())),
+        ("HTTP/1.1\r\nContent-Length: 18446744073709551616\r\n", Err(())),
+        ("HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 5\r\n", Err(())),
+        ("HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n", Err(())),
+        ("HTTP/1.1\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", Err(())),
+        ("HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n", Err(())),
+        ("HTTP/1.1\r\nTransfer-Encoding: identity\r\n", Err(())),
+        ("HTTP/1.1\r\nTransfer-Encoding:\r\n", Err(())),
+        ("HTTP/1.0\r\nTransfer-Encoding: chunked\r\n", Err(())),
+    ];
+    for (rest, expected) in cases {
+        assert_eq!(framing_of(&format!("POST / {rest}\r\n")), expected, "{rest:?}");
+    }
+    assert_eq!(framing(&[], None), Some(None));
+    let bytes = [httparse::Header { name: "Content-Length", value: b"\xff" }];
+    assert_eq!(framing(&bytes, Some(1)), None);
+    let chunked = [httparse::Header { name: "Transfer-Encoding", value: b"chunked" }];
+    assert_eq!(framing(&chunked, None), None);
+}
+
+#[test]
+fn headers_are_found_by_name_in_any_case() {
+    let headers = [
+        httparse::Header { name: "Host", value: b" \tquay \t" },
+        httparse::Header { name: "Connection", value: b"keep-alive ,Close" },
+        httparse::Header { name: "connection", value: b"upgrade" },
+        httparse::Header { name: "X-Bytes", value: b"\xc3" },
+        httparse::Header { name: "X-Wide", value: "\u{a0}v".as_bytes() },
+    ];
+    assert_eq!(header(&headers, "hOST"), Some("quay"));
+    assert_eq!(header(&headers, "Connection"), Some("keep-alive ,Close"));
+    assert_eq!(header(&headers, "X-Bytes"), None);
+    assert_eq!(header(&headers, "X-Wide"), Some("\u{a0}v"));
+    assert_eq!(header(&headers, "Hos"), None);
+    assert!(repeated(&headers, "CONNECTION") && !repeated(&headers, "Host") && !repeated(&headers, "None"));
+    for (name, token, expected) in [
+        ("Connection", "close", true),
+        ("connection", "UPGRADE", true),
+        ("Connection", "keep", false),
+        ("Host", "quay", true),
+        ("X-Bytes", "a", false),
+        ("None", "close", false),
+    ] {
+        assert_eq!(has_token(&headers, name, token), expected, "{name}: {token}");
+    }
+}
+
+#[test]
+fn numbers_are_digits_alone() {
+    for (text, expected) in [
+        ("0", true),
+        ("0012", true),
+        ("", false),
+        ("+1", false),
+        ("-1", false),
+        ("1 ", false),
+        ("\u{661}", false),
+    ] {
+        assert_eq!(is_number(text), expected, "{text:?}");
+    }
+}
+
+#[test]
+fn a_bare_line_feed_is_found() {
+    for (head, expected) in [
+        ("", true),
+        ("GET / HTTP/1.1\r\nA: b\r\n\r\n", true),
+        ("GET / HTTP/1.1\r\nA: b\n\r\n", false),
+        ("\n", false),
+        ("a\r", true),
+        ("a\r\n\n", false),
+    ] {
+        assert_eq!(lines_are_whole(head.as_bytes()), expected, "{head:?}");
+    }
+}
+
+/// The body, whether it is at its end, and how many bytes were used.
+fn unchunk(parts: &[&[u8]]) -> Result<(String, bool, usize), Garbled> {
+    let (mut chunks, mut body, mut used) = (Chunks::default(), Vec::new(), 0);
+    for part in parts {
+        used += chunks.feed(part, |bytes| body.extend_from_slice(bytes))?;
+    }
+    Ok((String::from_utf8(body).expect("text"), chunks.done(), used))
+}
+
+#[test]
+fn chunked_bodies_are_accepted_wherever_they_are_split() {
+    let extension = format!("1;{}\r\na\r\n0\r\n\r\n", "x".repeat(256));
+    let trailer = format!("0\r\nT:{}\r\n\r\n", "v".repeat(8190));
+    let cases = [
+        ("", "", false, 0),
+        ("0\r\n\r\n", "", true, 5),
+        ("00000000\r\n\r\n", "", true, 12),
+        ("5\r\nhello\r\n0\r\n\r\n", "hello", true, 15),
+        ("00000005\r\nhello\r\n0\r\n\r\n", "hello", true, 22),
+        ("a\r\n0123456789\r\n", "0123456789", false, 15),
+        ("A\r\n0123456789\r\n", "0123456789", false, 15),
+        ("5;x=y\r\nhello\r\n1\r\n!\r\n0\r\nT: v\r\nU: w\r\n\r\nnext", "hello!", true, 37),
+        ("3;\r\n\r\n\n\r\n0;z\r\n\r\n", "\r\n\n", true, 16),
+        (extension.as_str(), "a", true, 268),
+    ];
+    for (text, body, done, used) in cases {
+        for at in 0..=text.len() {
+            let (head, tail) = text.as_bytes().split_at(at);
+            assert_eq!(unchunk(&[head, tail]), Ok((body.to_string(), done, used)), "{text:?} split at {at}");
+        }
+        let single: Vec<&[u8]> = text.as_bytes().chunks(1).collect();
+        assert_eq!(unchunk(&single), Ok((body.to_string(), done, used)), "{text:?} byte by byte");
+    }
+    assert_eq!(unchunk(&[trailer.as_bytes()]), Ok((String::new(), true, trailer.len())));
+}
+
+#[test]
+fn chunked_bodies_that_others_may_read_otherwise_are_refused() {
+    let extension = format!("1;{}\r\n", "x".repeat(257));
+    let trailer = format!("0\r\nT:{}\r\n", "v".repeat(8191));
+    let cases = [
+        "\r\n",
+        ";\r\n",
+        "x\r\n",
+        "g\r\n",
+        "123456789\r\n",
+        "000000001\r\n",
+        "-1\r\n",
+        "+1\r\n",
+        "0x1\r\n",
+        " 1\r\n",
+        "1 \r\n",
+        "1\t\r\n",
+        "1\n",
+        "1;\n",
+        "1;a\nb\r\n",
+        "1\rx",
+        "1;a\rx",
+        "2\r\nabc\r\n",
+        "2\r\nab0\r\n",
+        "1\r\na\n",
+        "1\r\na\rx",
+        "0\r\n\n",
+        "0\r\nT: v\n\r\n",
+        "0\r\nT\rx",
+        "0\r\n\r\r\n",
+        extension.as_str(),
+        trailer.as_str(),
+    ];
+    for text in cases {
+        assert_eq!(unchunk(&[text.as_bytes()]), Err(Garbled), "{text:?}");
+        let single: Vec<&[u8]> = text.as_bytes().chunks(1).collect();
+        assert_eq!(unchunk(&single), Err(Garbled), "{text:?} byte by byte");
+    }
+}
+
+/// What becomes of an answer that comes in one piece.
+fn gathered(text: &str) -> Result<Option<Whole>, String> {
+    Gather::default().feed(text.as_bytes())
+}
+
+#[test]
+fn whole_answers_are_read() {
+    let whole = |status, body: &str, close| Some(Whole { status, body: body.into(), close });
+    let cases = [
+        ("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", whole(200, "{}", false)),
+        ("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}rest", whole(200, "{}", false)),
+        ("HTTP/1.1 404 No\r\nContent-Length: 0\r\nConnection: x, Close\r\n\r\n", whole(404, "", true)),
+        ("HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\na", whole(200, "a", true)),
+        (
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n2\r\nbc\r\n0\r\n\r\n",
+            whole(200, "abc", false),
+        ),
+        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n", None),
+        ("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{", None),
+        ("HTTP/1.1 200 OK\r\n", None),
+        ("", None),
+    ];
+    for (text, expected) in cases {
+        assert_eq!(gathered(text), Ok(expected), "{text:?}");
+        let mut gather = Gather::default();
+        for byte in text.as_bytes() {
+            assert!(gather.feed(&[*byte]).is_ok(), "{text:?} byte by byte");
+        }
+    }
+}
+
+#[test]
+fn answers_that_cannot_be_read_are_refused_with_a_text() {
+    let long = format!("HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n{}", "x".repeat(4 << 20));
+    let many = format!("HTTP/1.1 200 OK\r\n{}\r\n", "A: b\r\n".repeat(HEADERS + 1));
+    let cases = [
+        (long.as_str(), "answer too large"),
+        ("HTTP/1.1 200 OK\r\n\r\n", "answer has no length"),
+        ("HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n", "answer has no length"),
+        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n", "answer has no length"),
+        (
+            "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
+            "answer has no length",
+        ),
+        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n", "chunks are malformed"),
+        ("x\r\n\r\n", "invalid HTTP version"),
+        ("HTTP/1.1 2x0 OK\r\n\r\n", "invalid response status"),
+        ("HTTP/1.1 200 OK\r\nA b\r\n\r\n", "invalid header name"),
+        (many.as_str(), "too many headers"),
+    ];
+    for (text, expected) in cases {
+        assert_eq!(gathered(text), Err(expected.to_string()), "{:?}", text.get(..60).unwrap_or(text));
+    }
+}
+
+#[test]
+fn bounds_of_a_message() {
+    assert_eq!((HEADERS, HEAD, BODY, MESSAGE), (48, 8192, 65536, 73728));
+}
