--- a/crates/capacity/src/control_node.rs
+++ b/crates/capacity/src/control_node.rs
@@ -3,11 +3,11 @@
 use crate::layout::Layout;
 use crate::links::{LinkEvent, Links};
 use crate::net::{Millis, Net};
-use crate::signals::{Class, Heartbeat, Hello, Member, Retiring, Signal};
+use crate::signals::{Heartbeat, Hello, Member, NodeRole, RetirementState, Signal};
 use std::net::SocketAddrV4;
 use stileroute_control_group::{ControlGroup, Effect, GroupSettings, Persisted};
 use stileroute_queue::Node;
-use stileroute_registry::{Effect as Notice, Registry};
+use stileroute_registry::{Registry, RegistryEffect};
 
 /// Losses that the fleet has to bear.
 const LOSSES: usize = 1;
@@ -31,13 +31,13 @@
     Member {
         node: hello.node,
         name: hello.name.clone(),
-        class: hello.class,
+        role: hello.class,
         zone: hello.zone.clone(),
         ip: hello.ip,
-        life: hello.life,
-        control: hello.control,
-        config,
-        retiring: Retiring::No,
+        incarnation: hello.life,
+        control_address: hello.control,
+        config_version: config,
+        retirement: RetirementState::NotRetiring,
     }
 }
 
@@ -74,49 +74,54 @@
     }
 
     pub fn heartbeat(&mut self, now: Millis, heartbeat: Heartbeat) {
-        self.registry.heartbeat(now, heartbeat);
+        self.registry.record_heartbeat(now, heartbeat);
     }
 
     pub fn next(&self, now: Millis) -> Millis {
         let disk = self.writing.iter().map(|(at, _)| *at).min().unwrap_or(Millis::MAX);
-        self.group.next(now).min(self.registry.next()).min(disk)
+        self.group.next(now).min(self.registry.next_deadline()).min(disk)
     }
 
     pub fn link_event(&mut self, links: &Links, now: Millis, link_event: LinkEvent) {
         match link_event {
-            LinkEvent::Up(hello) if hello.class == Class::Core => {
+            LinkEvent::Up(hello) if hello.class == NodeRole::Control => {
                 if let Some(control) = hello.control {
                     self.group.link(now, control, true);
                     self.group.learn(control);
                 }
-                self.registry.core_up(now, member_of(&hello, 0));
+                self.registry.peer_connected(now, member_of(&hello, 0));
             }
             LinkEvent::Up(_) => {}
-            LinkEvent::Down(node, Class::Core) => {
-                let control = self.registry.members.iter().find(|m| m.node == node).and_then(|m| m.control);
+            LinkEvent::Down(node, NodeRole::Control) => {
+                let control =
+                    self.registry.members.iter().find(|m| m.node == node).and_then(|m| m.control_address);
                 if let Some(control) = control {
                     self.group.link(now, control, false);
                 }
-                self.registry.core_down(node);
+                self.registry.peer_disconnected(node);
             }
-            LinkEvent::Down(node, _) => self.registry.session_down(now, node),
+            LinkEvent::Down(node, _) => self.registry.session_disconnected(now, node),
             LinkEvent::Said(from, class, signal) => self.said(links, now, from, class, signal),
         }
     }
 
-    fn said(&mut self, links: &Links, now: Millis, from: Node, class: Class, signal: Signal) {
+    fn said(&mut self, links: &Links, now: Millis, from: Node, class: NodeRole, signal: Signal) {
         match (class, signal) {
-            (Class::Core, Signal::Control(signal)) => {
+            (NodeRole::Control, Signal::Control(signal)) => {
                 if let Some(voter) = links.hello(from).and_then(|hello| hello.control) {
                     self.group.signal(now, voter, signal);
                 }
             }
-            (Class::Core, Signal::Sessions(members)) => self.registry.told_sessions(now, from, members),
-            (Class::Core, Signal::Heartbeats(heartbeats)) => self.registry.told_heartbeats(now, heartbeats),
-            (_, Signal::Ask { life, version, config, retiring }) if class != Class::Core => {
+            (NodeRole::Control, Signal::Sessions(members)) => {
+                self.registry.record_peer_sessions(now, from, members)
+            }
+            (NodeRole::Control, Signal::Heartbeats(heartbeats)) => {
+                self.registry.merge_peer_heartbeats(now, heartbeats)
+            }
+            (_, Signal::Ask { life, version, config, retiring }) if class != NodeRole::Control => {
                 if let Some(hello) = links.hello(from) {
-                    let member = Member { retiring, ..member_of(hello, config) };
-                    self.registry.asked(now, member, life, version);
+                    let member = Member { retirement: retiring, ..member_of(hello, config) };
+                    self.registry.record_poll(now, member, life, version);
                 }
             }
             _ => {}
@@ -164,13 +169,13 @@
         let me = links.me().ip;
         let mut all: Vec<std::net::Ipv4Addr> = self.seeds.iter().map(|seed| *seed.ip()).collect();
         all.extend(self.group.view().iter().flat_map(|watch| watch.voters.iter().map(|voter| *voter.ip())));
-        all.extend(self.registry.members.iter().filter(|m| m.class == Class::Core).map(|m| m.ip));
+        all.extend(self.registry.members.iter().filter(|m| m.role == NodeRole::Control).map(|m| m.ip));
         let seed = self.seeds.iter().any(|seed| *seed.ip() == me);
         let opens = |ip: &std::net::Ipv4Addr| {
-            *ip > me || (!seed && *ip != me && links.hellos(Class::Core).all(|hello| hello.ip != *ip))
+            *ip > me || (!seed && *ip != me && links.hellos(NodeRole::Control).all(|hello| hello.ip != *ip))
         };
         let wanted: Vec<SocketAddrV4> =
-            all.into_iter().filter(opens).map(|ip| links.address(ip, Class::Core)).collect();
+            all.into_iter().filter(opens).map(|ip| links.address(ip, NodeRole::Control)).collect();
         links.want(now, wanted);
     }
 
@@ -180,22 +185,26 @@
         let in_touch = self.group.in_touch(now);
         if now >= self.heard_at {
             self.heard_at = now + HEARD_EVERY;
-            for core in links.class(Class::Core) {
+            for core in links.class(NodeRole::Control) {
                 if let Some(at) = links.heard(core) {
-                    self.registry.core_heard(core, at);
+                    self.registry.peer_heard(core, at);
                 }
             }
         }
         let committed = self.group.committed().map(|state| (state.version, state.body.as_slice()));
         self.registry.tick(now, in_touch, committed);
-        for notice in self.registry.take() {
+        for notice in self.registry.take_effects() {
             let (to, signal) = match notice {
-                Notice::News { to, news } => (vec![to], Signal::News(news)),
-                Notice::AllHeartbeats { to, heartbeats } => (vec![to], Signal::Heartbeats(heartbeats)),
-                Notice::TellHeartbeats(heartbeats) => {
-                    (links.class(Class::Core), Signal::Heartbeats(heartbeats))
+                RegistryEffect::SendUpdate { to, update } => (vec![to], Signal::News(update)),
+                RegistryEffect::SendHeartbeats { to, heartbeats } => {
+                    (vec![to], Signal::Heartbeats(heartbeats))
+                }
+                RegistryEffect::BroadcastHeartbeats(heartbeats) => {
+                    (links.class(NodeRole::Control), Signal::Heartbeats(heartbeats))
+                }
+                RegistryEffect::BroadcastSessions(all) => {
+                    (links.class(NodeRole::Control), Signal::Sessions(all))
                 }
-                Notice::TellSessions(all) => (links.class(Class::Core), Signal::Sessions(all)),
             };
             for node in to {
                 links.say(net, node, &signal);
--- a/crates/capacity/src/heartbeat.rs
+++ b/crates/capacity/src/heartbeat.rs
@@ -2,7 +2,7 @@
 
 use crate::layout::zone_name;
 use crate::net::Millis;
-use crate::signals::{Heartbeat, Standing};
+use crate::signals::{ExecutorState, Heartbeat};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 /// How often an executor calls, as on the operators' sites.
@@ -33,9 +33,9 @@
             address: SocketAddrV4::new(ip, 8080),
             zone: zone_name(self.zone),
             capacity: 4,
-            standing: Standing::Serving,
-            cold_left_ms: 0,
-            call_count: self.call_count,
+            state: ExecutorState::Serving,
+            warmup_left_ms: 0,
+            sequence: self.call_count,
             age_ms: 0,
         }
     }
@@ -50,8 +50,8 @@
         heartbeat.address,
         heartbeat.zone,
         heartbeat.capacity,
-        heartbeat.cold_left_ms,
-        heartbeat.call_count
+        heartbeat.warmup_left_ms,
+        heartbeat.sequence
     );
     let head = format!(
         "POST /v1/servers/{}/heartbeat HTTP/1.1\r\nHost: {control}\r\nContent-Type: application/json\r\n\
--- a/crates/capacity/src/layout.rs
+++ b/crates/capacity/src/layout.rs
@@ -1,7 +1,7 @@
 //! Which nodes, zones and executors a fleet of a given size has.
 
 use crate::links::address;
-use crate::signals::{Class, Hello, PROTOCOL};
+use crate::signals::{Hello, NodeRole, PROTOCOL};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use stileroute_queue::Node;
 
@@ -50,19 +50,19 @@
 /// A node's place in the fleet. It keeps it over restarts.
 #[derive(Clone, Debug)]
 pub struct Place {
-    pub class: Class,
+    pub class: NodeRole,
     pub zone: usize,
     pub name: String,
     pub ip: Ipv4Addr,
 }
 
 impl Place {
-    fn new(class: Class, number: usize, zone: usize) -> Place {
+    fn new(class: NodeRole, number: usize, zone: usize) -> Place {
         let name = format!("{class}-{}-{number}", zone_name(zone));
         let block = match class {
-            Class::Core => 1,
-            Class::Store => 2,
-            Class::Edge | Class::Visitor => 3,
+            NodeRole::Control => 1,
+            NodeRole::Store => 2,
+            NodeRole::Edge | NodeRole::CommandLine => 3,
         };
         let ip = Ipv4Addr::new(10, block, (number >> 8) as u8, (number & 0xFF) as u8);
         Place { class, zone, name, ip }
@@ -74,7 +74,7 @@
     }
 
     pub fn control(&self) -> Option<SocketAddrV4> {
-        (self.class == Class::Core).then(|| SocketAddrV4::new(self.ip, CONTROL_PORT))
+        (self.class == NodeRole::Control).then(|| SocketAddrV4::new(self.ip, CONTROL_PORT))
     }
 
     pub fn listens_at(&self) -> SocketAddrV4 {
@@ -109,9 +109,10 @@
         let zones = REGION_OF_ZONE.len();
         let stores = (nodes / NODES_PER_STORE).max(1);
         let edges = nodes.saturating_sub(CONTROL_NODES + stores).max(1);
-        let control = CONTROL_ZONES.iter().enumerate().map(|(n, zone)| Place::new(Class::Core, n, *zone));
-        let store = (0..stores).map(|n| Place::new(Class::Store, n, n % zones));
-        let edge = (0..edges).map(|n| Place::new(Class::Edge, n, n % zones));
+        let control =
+            CONTROL_ZONES.iter().enumerate().map(|(n, zone)| Place::new(NodeRole::Control, n, *zone));
+        let store = (0..stores).map(|n| Place::new(NodeRole::Store, n, n % zones));
+        let edge = (0..edges).map(|n| Place::new(NodeRole::Edge, n, n % zones));
         let executors = nodes * executors_per_node;
         Layout {
             places: control.chain(store).chain(edge).collect(),
@@ -125,7 +126,7 @@
         self.places.iter().filter_map(Place::control).take(3).collect()
     }
 
-    pub fn first(&self, class: Class) -> Option<usize> {
+    pub fn first(&self, class: NodeRole) -> Option<usize> {
         self.places.iter().position(|place| place.class == class)
     }
 }
--- a/crates/capacity/src/member_node.rs
+++ b/crates/capacity/src/member_node.rs
@@ -4,7 +4,7 @@
 use crate::layout::{distance, zone_number, Layout, Place};
 use crate::links::{LinkEvent, Links};
 use crate::net::{Millis, Net};
-use crate::signals::{Class, Heartbeat, Member, News, Retiring, Signal, Standing};
+use crate::signals::{ExecutorState, Heartbeat, Member, MembershipUpdate, NodeRole, RetirementState, Signal};
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 use stileroute_queue::Node;
@@ -15,7 +15,7 @@
 const AROUND: Millis = 250;
 
 pub struct MemberNode {
-    class: Class,
+    class: NodeRole,
     zone: usize,
     /// Control nodes by address, and their zone as far as known.
     controls: Vec<(SocketAddrV4, Option<usize>)>,
@@ -65,7 +65,9 @@
     pub fn link_event(&mut self, links: &mut Links, net: &mut Net, link_event: LinkEvent) {
         match link_event {
             LinkEvent::Up(_) | LinkEvent::Down(..) => self.stirred = true,
-            LinkEvent::Said(from, Class::Core, Signal::News(news)) => self.heard(links, net, from, news),
+            LinkEvent::Said(from, NodeRole::Control, Signal::News(news)) => {
+                self.heard(links, net, from, news)
+            }
             LinkEvent::Said(..) => {}
         }
     }
@@ -83,7 +85,7 @@
         if self.session.is_none() {
             let turn = links.me().node & 31;
             let near = |zone: &str| zone_number(zone).map(|zone| distance(self.zone, zone));
-            let known = links.hellos(Class::Core);
+            let known = links.hellos(NodeRole::Control);
             let first = known.map(|h| (near(&h.zone), h.node.rotate_left(turn), h.node)).min();
             self.session = first.map(|(.., node)| node);
             self.ask(links, net);
@@ -96,23 +98,23 @@
             life: self.life,
             version: self.version,
             config: self.config,
-            retiring: Retiring::No,
+            retiring: RetirementState::NotRetiring,
         };
         if links.say(net, with, &ask) {
             self.asked = Some(net.now());
         }
     }
 
-    fn heard(&mut self, links: &mut Links, net: &mut Net, from: Node, news: News) {
+    fn heard(&mut self, links: &mut Links, net: &mut Net, from: Node, news: MembershipUpdate) {
         if self.session != Some(from) {
             return;
         }
         self.stirred = true;
-        if news.cut_off {
+        if news.is_partitioned {
             (self.session, self.asked) = (None, None);
             return;
         }
-        (self.life, self.version) = (news.life, news.version);
+        (self.life, self.version) = (news.incarnation, news.version);
         if let Some(members) = news.members {
             self.learn_controls(&members);
             self.members = members;
@@ -122,12 +124,12 @@
             self.config = crate::simulation::version_of(&body);
             self.body = body;
         }
-        if news.whole {
+        if news.is_complete {
             self.executors.clear();
         }
-        for heartbeat in news.servers {
-            match heartbeat.standing {
-                Standing::Gone => self.executors.remove(&heartbeat.id),
+        for heartbeat in news.executors {
+            match heartbeat.state {
+                ExecutorState::Offline => self.executors.remove(&heartbeat.id),
                 _ => self.executors.insert(heartbeat.id.clone(), heartbeat),
             };
         }
@@ -135,8 +137,8 @@
     }
 
     fn learn_controls(&mut self, members: &[Member]) {
-        for member in members.iter().filter(|m| m.class == Class::Core) {
-            let Some(control) = member.control else { continue };
+        for member in members.iter().filter(|m| m.role == NodeRole::Control) {
+            let Some(control) = member.control_address else { continue };
             self.controls.retain(|(known, _)| *known != control);
             self.controls.push((control, zone_number(&member.zone)));
         }
@@ -149,7 +151,7 @@
         let near_up = near.iter().any(|control| links.by_control(*control).is_some());
         let all = || self.controls.iter().map(|(control, _)| *control).collect();
         let chosen = if near_up { near } else { all() };
-        chosen.into_iter().map(|control| links.address(*control.ip(), Class::Core)).collect()
+        chosen.into_iter().map(|control| links.address(*control.ip(), NodeRole::Control)).collect()
     }
 
     /// An edge opens connections with all stores; of two stores the one with the lower address opens it.
@@ -160,8 +162,8 @@
         self.stirred_at = now + AROUND;
         let mut wanted = self.cores(links);
         let me = links.me().ip;
-        let dials = |m: &&Member| m.class == Class::Store && (self.class == Class::Edge || m.ip > me);
-        wanted.extend(self.members.iter().filter(dials).map(|m| links.address(m.ip, Class::Store)));
+        let dials = |m: &&Member| m.role == NodeRole::Store && (self.class == NodeRole::Edge || m.ip > me);
+        wanted.extend(self.members.iter().filter(dials).map(|m| links.address(m.ip, NodeRole::Store)));
         links.want(now, wanted);
     }
 }
--- a/crates/capacity/src/run.rs
+++ b/crates/capacity/src/run.rs
@@ -2,7 +2,7 @@
 
 use crate::layout::{Distance, Layout};
 use crate::net::Millis;
-use crate::signals::Class;
+use crate::signals::NodeRole;
 use crate::simulation::Simulation;
 use crate::traffic::{Role, Traffic, Volume};
 use std::collections::BTreeMap;
@@ -110,7 +110,7 @@
 /// Bytes of the whole fleet and of its busiest control node.
 fn bytes(simulation: &Simulation) -> (f64, f64) {
     let places = simulation.layout.places.iter().enumerate();
-    let control = places.filter(|(_, place)| place.class == Class::Core);
+    let control = places.filter(|(_, place)| place.class == NodeRole::Control);
     let busiest = control.map(|(at, _)| simulation.traffic.bytes_at(at)).max().unwrap_or(0);
     (simulation.traffic.total(|_| true).bytes as f64, busiest as f64)
 }
@@ -118,8 +118,8 @@
 /// Whether all stores know all executors, and all nodes have this version of the configuration.
 pub fn is_complete(simulation: &Simulation, version: u64) -> bool {
     let executors = simulation.layout.executors;
-    let informed = simulation.members(Class::Store).all(|(_, store)| store.executors.len() == executors);
-    let classes = [Class::Store, Class::Edge];
+    let informed = simulation.members(NodeRole::Store).all(|(_, store)| store.executors.len() == executors);
+    let classes = [NodeRole::Store, NodeRole::Edge];
     let mut members = classes.into_iter().flat_map(|class| simulation.members(class));
     informed && members.all(|(_, member)| member.configuration().0 == version)
 }
@@ -133,16 +133,16 @@
                 simulation.renew_executor(number);
             }
         }
-        Change::Store => restart(simulation, Class::Store),
-        Change::ControlNode => restart(simulation, Class::Core),
+        Change::Store => restart(simulation, NodeRole::Store),
+        Change::ControlNode => restart(simulation, NodeRole::Control),
         Change::Configuration => simulation.configure(2, CONFIGURATION),
     }
 }
 
 /// Of control nodes the last, which neither leads nor votes: what its restart costs is that of a witness.
-fn restart(simulation: &mut Simulation, class: Class) {
+fn restart(simulation: &mut Simulation, class: NodeRole) {
     let Some(first) = simulation.layout.first(class) else { return };
-    let at = if class == Class::Core { crate::layout::CONTROL_NODES - 1 } else { first };
+    let at = if class == NodeRole::Control { crate::layout::CONTROL_NODES - 1 } else { first };
     simulation.stop(at);
     let back = simulation.now + AWAY;
     simulation.start_at(back, at);
--- a/crates/capacity/src/simulation.rs
+++ b/crates/capacity/src/simulation.rs
@@ -7,7 +7,7 @@
 use crate::links::Links;
 use crate::member_node::MemberNode;
 use crate::net::{Action, ConnId, Event, Millis, Net};
-use crate::signals::{Class, Heartbeat, Signal};
+use crate::signals::{Heartbeat, NodeRole, Signal};
 use crate::traffic::{Flow, Role, Traffic};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddrV4;
@@ -182,7 +182,7 @@
 
     // ---- What is asked of it ----
 
-    pub fn members(&self, class: Class) -> impl Iterator<Item = (usize, &MemberNode)> {
+    pub fn members(&self, class: NodeRole) -> impl Iterator<Item = (usize, &MemberNode)> {
         let of_class = move |at: &usize| self.layout.places[*at].class == class;
         (0..self.nodes.len()).filter(of_class).filter_map(|at| match &self.nodes[at] {
             Some(Running { part: Part::Member(node), .. }) => Some((at, node.as_ref())),
@@ -232,7 +232,7 @@
         let place = &self.layout.places[at];
         let hello = place.hello(self.seed ^ (self.lives << 32));
         let part = match place.class {
-            Class::Core => {
+            NodeRole::Control => {
                 let disk = self.disks[at].take();
                 Part::Control(Box::new(ControlNode::new(&hello, &self.layout, disk, self.now)))
             }
@@ -250,7 +250,7 @@
         executor.call_count += 1;
         let (zone, heartbeat) = (executor.zone, executor.heartbeat());
         let places = self.layout.places.iter().enumerate();
-        let up = places.filter(|(at, p)| p.class == Class::Core && self.nodes[*at].is_some());
+        let up = places.filter(|(at, p)| p.class == NodeRole::Control && self.nodes[*at].is_some());
         let turn = |at: usize| (at + number) % crate::layout::CONTROL_NODES;
         let Some((at, place)) = up.min_by_key(|(at, p)| (distance(zone, p.zone), turn(*at))) else { return };
         let Some(control) = place.control() else { return };
--- a/crates/capacity/src/traffic.rs
+++ b/crates/capacity/src/traffic.rs
@@ -1,7 +1,7 @@
 //! What was sent, by the sender's role, by kind of message and by how far it went.
 
 use crate::layout::Distance;
-use crate::signals::Class;
+use crate::signals::NodeRole;
 use std::collections::BTreeMap;
 use std::ops::AddAssign;
 
@@ -15,12 +15,12 @@
     Executor,
 }
 
-impl From<Class> for Role {
-    fn from(class: Class) -> Role {
+impl From<NodeRole> for Role {
+    fn from(class: NodeRole) -> Role {
         match class {
-            Class::Core => Role::Control,
-            Class::Store => Role::Store,
-            Class::Edge | Class::Visitor => Role::Edge,
+            NodeRole::Control => Role::Control,
+            NodeRole::Store => Role::Store,
+            NodeRole::Edge | NodeRole::CommandLine => Role::Edge,
         }
     }
 }
--- a/crates/registry/src/executors.rs
+++ b/crates/registry/src/executors.rs
@@ -1,31 +1,31 @@
 //! The table of executors.
 
-use crate::{Heartbeat, Millis, Standing, MOST};
+use crate::{ExecutorState, Heartbeat, Millis, MAX_ENTRIES};
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 
 /// What an executor that is gone is remembered for: late calls of it must not bring it back.
-const TOMB: Millis = 60_000;
+const TOMBSTONE_RETENTION: Millis = 60_000;
 
 /// One executor, as it last told of itself.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct ExecutorRecord {
     pub heartbeat: Heartbeat,
-    pub heard: Millis,
+    pub last_heard: Millis,
     pub(crate) changed: u64,
 }
 
-impl Known {
+impl ExecutorRecord {
     /// As it is told on: with how long ago it called, and how much colder it was then.
     pub(crate) fn aged(&self, now: Millis) -> Heartbeat {
-        let age_ms = now.saturating_sub(self.heard);
-        let cold_left_ms = self.heartbeat.cold_left_ms.saturating_sub(age_ms);
-        Heartbeat { age_ms, cold_left_ms, ..self.heartbeat.clone() }
+        let age_ms = now.saturating_sub(self.last_heard);
+        let warmup_left_ms = self.heartbeat.warmup_left_ms.saturating_sub(age_ms);
+        Heartbeat { age_ms, warmup_left_ms, ..self.heartbeat.clone() }
     }
 }
 
 pub(crate) struct Executors {
-    pub all: HashMap<String, Known>,
+    pub all: HashMap<String, ExecutorRecord>,
     /// Those that called, and those of them with news, since the other control nodes were told.
     fresh: Vec<String>,
     urgent: Vec<String>,
@@ -67,18 +67,18 @@
     /// What was told of an executor, here or at another control node: the higher count of calls is the newer. Whether that
     /// was news.
     pub fn merge(&mut self, version: &mut u64, now: Millis, heartbeat: Heartbeat) -> bool {
-        let heard = now.saturating_sub(heartbeat.age_ms);
+        let last_heard = now.saturating_sub(heartbeat.age_ms);
         if let Some(known) = self.all.get_mut(&heartbeat.id) {
-            let gone = known.heartbeat.standing == Standing::Gone;
-            if heartbeat.call_count < known.heartbeat.call_count
-                || (gone && heartbeat.call_count == known.heartbeat.call_count)
+            let gone = known.heartbeat.state == ExecutorState::Offline;
+            if heartbeat.sequence < known.heartbeat.sequence
+                || (gone && heartbeat.sequence == known.heartbeat.sequence)
             {
                 return false;
             }
-            known.heard = known.heard.max(heard);
+            known.last_heard = known.last_heard.max(last_heard);
             let old = std::mem::replace(&mut known.heartbeat, heartbeat);
             let now = &known.heartbeat;
-            let same = old.standing == now.standing
+            let same = old.state == now.state
                 && old.address == now.address
                 && old.backend == now.backend
                 && old.capacity == now.capacity;
@@ -88,11 +88,11 @@
                 if old.address != now.address {
                     self.at.entry(now.address).or_default().push(now.id.clone());
                 }
-                tracing::info!(id = now.id, standing = %now.standing, "executor");
+                tracing::info!(id = now.id, state = %now.state, "executor");
             }
             return !same;
         }
-        if self.all.len() >= MOST {
+        if self.all.len() >= MAX_ENTRIES {
             return false;
         }
         *version += 1;
@@ -101,25 +101,25 @@
         let there = self.at.entry(heartbeat.address).or_default();
         for id in there.iter() {
             let Some(known) = self.all.get_mut(id) else { continue };
-            let there =
-                known.heartbeat.address == heartbeat.address && known.heartbeat.standing != Standing::Gone;
-            if there && known.heard <= heard {
-                known.heartbeat.standing = Standing::Gone;
+            let there = known.heartbeat.address == heartbeat.address
+                && known.heartbeat.state != ExecutorState::Offline;
+            if there && known.last_heard <= last_heard {
+                known.heartbeat.state = ExecutorState::Offline;
                 known.changed = *version;
             }
         }
         there.push(heartbeat.id.clone());
-        tracing::info!(id = heartbeat.id, service = heartbeat.backend, standing = %heartbeat.standing, "executor");
-        self.all.insert(heartbeat.id.clone(), Known { heartbeat, heard, changed: *version });
+        tracing::info!(id = heartbeat.id, service = heartbeat.backend, state = %heartbeat.state, "executor");
+        self.all.insert(heartbeat.id.clone(), ExecutorRecord { heartbeat, last_heard, changed: *version });
         true
     }
 
     /// It said that it ends.
     pub fn end(&mut self, version: &mut u64, id: &str) -> bool {
-        let Some(known) = self.all.get_mut(id).filter(|k| k.heartbeat.standing != Standing::Gone) else {
+        let Some(known) = self.all.get_mut(id).filter(|k| k.heartbeat.state != ExecutorState::Offline) else {
             return false;
         };
-        known.heartbeat.standing = Standing::Gone;
+        known.heartbeat.state = ExecutorState::Offline;
         *version += 1;
         (known.changed, self.changed) = (*version, *version);
         tracing::info!(id, "executor left");
@@ -144,18 +144,20 @@
         }
         if now > self.out_of_touch + self.silence {
             let silence = self.silence;
-            let silent = |known: &&mut Known| {
-                known.heartbeat.standing != Standing::Gone && now > known.heard + silence
+            let silent = |known: &&mut ExecutorRecord| {
+                known.heartbeat.state != ExecutorState::Offline && now > known.last_heard + silence
             };
             for known in self.all.values_mut().filter(silent) {
-                known.heartbeat.standing = Standing::Gone;
+                known.heartbeat.state = ExecutorState::Offline;
                 *version += 1;
                 (known.changed, self.changed) = (*version, *version);
                 tracing::info!(id = known.heartbeat.id, "executor silent");
             }
         }
         let before = self.all.len();
-        self.all.retain(|_, known| known.heartbeat.standing != Standing::Gone || now < known.heard + TOMB);
+        self.all.retain(|_, known| {
+            known.heartbeat.state != ExecutorState::Offline || now < known.last_heard + TOMBSTONE_RETENTION
+        });
         if self.all.len() < before {
             let all = &self.all;
             let there =
--- a/crates/registry/src/types.rs
+++ b/crates/registry/src/types.rs
@@ -1,87 +1,126 @@
-//! The plain types.
+//! The messages and identifiers that control nodes, other nodes and executors exchange about who is present.
+//!
+//! Everything here that is `Serialize` travels as postcard, which encodes by the order of fields and variants: never reorder,
+//! add or remove one. `tests/wire_bytes.rs` fixes the bytes.
 
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Milliseconds on the steady clock of this process.
+/// A point or span of time in milliseconds; points are on the monotonic clock of this process.
 pub type Millis = u64;
-/// A node of the system, by a hash of its name.
-pub type Node = u32;
 
+/// Identifies a node by a hash of its name.
+pub type NodeId = u32;
+
+/// What a process of the system does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display)]
 #[strum(serialize_all = "lowercase")]
-pub enum Class {
+pub enum NodeRole {
+    /// Accepts clients' requests and hands them to stores.
     Edge,
+    /// Keeps messages and delivers them to executors; it alone is sent the list of executors.
     Store,
-    Core,
-    /// The command line, which asks and goes: no node, and no role is told of it.
-    Visitor,
+    /// Keeps the configuration and this registry.
+    #[strum(serialize = "core")]
+    Control,
+    /// The operators' command line: it connects, asks and disconnects, and never becomes a member.
+    #[strum(serialize = "visitor")]
+    CommandLine,
 }
 
-/// A node that is there, as its session tells.
+/// A node that is present, as it described itself when its session began.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    pub node: Node,
+    /// The node's identifier.
+    pub node: NodeId,
+    /// The name in the node's settings file.
     pub name: String,
-    pub class: Class,
+    /// What the node does.
+    pub role: NodeRole,
+    /// The failure domain that the node runs in.
     pub zone: String,
+    /// The address of its machine.
     pub ip: Ipv4Addr,
-    pub life: u64,
-    pub control: Option<SocketAddrV4>,
-    /// The version of the configuration that it has.
-    pub config: u64,
-    pub retiring: Retiring,
+    /// Distinguishes this start of the node's process from earlier and later ones; 0 in a membership list.
+    pub incarnation: u64,
+    /// Where a control node takes heartbeats and operators' calls; `None` for other roles.
+    pub control_address: Option<SocketAddrV4>,
+    /// The version of the configuration that the node has; 0 in a membership list, or if it has none.
+    pub config_version: u64,
+    /// How far the node's retirement has come.
+    pub retirement: RetirementState,
 }
 
-/// Whether a store is to be emptied, and whether it is empty.
+/// How far a store has come in handing its messages to others, after operators ordered its retirement. It never goes back:
+/// the greater of two reports is the newer one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, strum::Display,
 )]
 #[strum(serialize_all = "lowercase")]
-pub enum Retiring {
+pub enum RetirementState {
+    /// No retirement is ordered, or the store does not know of it yet.
     #[default]
-    No,
-    Rolling,
+    #[strum(serialize = "no")]
+    NotRetiring,
+    /// The store is handing over its messages.
+    #[strum(serialize = "rolling")]
+    Draining,
+    /// The store holds nothing any more and may be switched off.
     Complete,
 }
 
+/// Whether an executor takes work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display)]
 #[strum(serialize_all = "lowercase")]
-pub enum Standing {
+pub enum ExecutorState {
+    /// It takes new work.
     Serving,
+    /// It finishes what it has and takes nothing new.
     Draining,
-    /// It said so, or was silent for too long, or another took its address.
-    Gone,
+    /// It deregistered, missed its heartbeats for too long, or another executor registered at its address.
+    #[strum(serialize = "gone")]
+    Offline,
 }
 
-/// An executor, as it told of itself.
+/// What an executor reports of itself with each heartbeat, and what nodes are told of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
+    /// Unique to one start of the executor.
     pub id: String,
+    /// The service that it executes requests of.
     pub backend: String,
+    /// Where it takes requests.
     pub address: SocketAddrV4,
+    /// The failure domain that it runs in.
     pub zone: String,
+    /// Requests that it works on at once.
     pub capacity: u32,
-    pub standing: Standing,
-    pub cold_left_ms: u64,
-    /// Rises with each call: an older one is late.
-    pub call_count: u64,
-    /// How long ago it called.
+    /// Whether it takes work.
+    pub state: ExecutorState,
+    /// For so long from now it is still warming up, and is to get less work (slow start).
+    pub warmup_left_ms: u64,
+    /// Rises with each heartbeat of this executor, so that a delayed or repeated one is recognised.
+    pub sequence: u64,
+    /// How long ago the executor sent it; 0 as it arrives.
     pub age_ms: u64,
 }
 
-/// What a node is told when it asks.
+/// The answer to a node's poll: what changed since the version that it named.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct News {
-    /// Of the control node, in this life of it: others count anew.
-    pub life: u64,
+pub struct MembershipUpdate {
+    /// The control node's incarnation, to which `version` belongs: another process counts from the start.
+    pub incarnation: u64,
+    /// What to name in the next poll.
     pub version: u64,
-    /// The control node hears no primary: what it knows may be old, and another is to be asked.
-    pub cut_off: bool,
-    /// The list is whole, not only what has changed.
-    pub whole: bool,
+    /// The control node does not hear the primary: its view may be stale, and the node should poll another. All else is empty.
+    pub is_partitioned: bool,
+    /// `executors` is the full list and replaces the one before; otherwise it holds only those that changed.
+    pub is_complete: bool,
+    /// The bytes of the configuration in force, if it is newer than the node's.
     #[serde(with = "serde_bytes")]
     pub config: Option<Vec<u8>>,
+    /// All members, if there was any change among them.
     pub members: Option<Vec<Member>>,
-    pub servers: Vec<Heartbeat>,
+    /// Executors, of which only stores are told.
+    pub executors: Vec<Heartbeat>,
 }
--- a/crates/registry/tests/wire_bytes.rs
+++ b/crates/registry/tests/wire_bytes.rs
@@ -16,30 +16,30 @@
     assert_eq!(decoded, *value);
 }
 
-fn member(class: Class, control: Option<SocketAddrV4>, retiring: Retiring) -> Member {
+fn member(role: NodeRole, control: Option<SocketAddrV4>, retirement: RetirementState) -> Member {
     Member {
         node: 0x0102_0304,
         name: "store-1".into(),
-        class,
+        role,
         zone: "z1".into(),
         ip: Ipv4Addr::new(10, 1, 0, 14),
-        life: 300,
-        control,
-        config: 7,
-        retiring,
+        incarnation: 300,
+        control_address: control,
+        config_version: 7,
+        retirement,
     }
 }
 
-fn heartbeat(standing: Standing) -> Heartbeat {
+fn heartbeat(state: ExecutorState) -> Heartbeat {
     Heartbeat {
         id: "exec-1".into(),
         backend: "crane".into(),
         address: SocketAddrV4::new(Ipv4Addr::new(10, 2, 0, 5), 8080),
         zone: "z2".into(),
         capacity: 16,
-        standing,
-        cold_left_ms: 2500,
-        call_count: 129,
+        state,
+        warmup_left_ms: 2500,
+        sequence: 129,
         age_ms: 40,
     }
 }
@@ -47,42 +47,45 @@
 #[test]
 fn node_classes_keep_their_bytes_and_texts() {
     let cases = [
-        (Class::Edge, "00", "edge"),
-        (Class::Store, "01", "store"),
-        (Class::Core, "02", "core"),
-        (Class::Visitor, "03", "visitor"),
+        (NodeRole::Edge, "00", "edge"),
+        (NodeRole::Store, "01", "store"),
+        (NodeRole::Control, "02", "core"),
+        (NodeRole::CommandLine, "03", "visitor"),
     ];
-    for (class, hex, text) in cases {
-        assert_bytes(&class, hex);
-        assert_eq!(class.to_string(), text);
+    for (role, hex, text) in cases {
+        assert_bytes(&role, hex);
+        assert_eq!(role.to_string(), text);
     }
 }
 
 #[test]
 fn stages_of_a_retirement_keep_their_bytes_and_texts() {
     let cases = [
-        (Retiring::No, "00", "no"),
-        (Retiring::Rolling, "01", "rolling"),
-        (Retiring::Complete, "02", "complete"),
+        (RetirementState::NotRetiring, "00", "no"),
+        (RetirementState::Draining, "01", "rolling"),
+        (RetirementState::Complete, "02", "complete"),
     ];
-    for (retiring, hex, text) in cases {
-        assert_bytes(&retiring, hex);
-        assert_eq!(retiring.to_string(), text);
+    for (retirement, hex, text) in cases {
+        assert_bytes(&retirement, hex);
+        assert_eq!(retirement.to_string(), text);
     }
-    assert_eq!(Retiring::default(), Retiring::No);
-    assert!(Retiring::No < Retiring::Rolling && Retiring::Rolling < Retiring::Complete);
+    assert_eq!(RetirementState::default(), RetirementState::NotRetiring);
+    assert!(
+        RetirementState::NotRetiring < RetirementState::Draining
+            && RetirementState::Draining < RetirementState::Complete
+    );
 }
 
 #[test]
 fn states_of_an_executor_keep_their_bytes_and_texts() {
     let cases = [
-        (Standing::Serving, "00", "serving"),
-        (Standing::Draining, "01", "draining"),
-        (Standing::Gone, "02", "gone"),
+        (ExecutorState::Serving, "00", "serving"),
+        (ExecutorState::Draining, "01", "draining"),
+        (ExecutorState::Offline, "02", "gone"),
     ];
-    for (standing, hex, text) in cases {
-        assert_bytes(&standing, hex);
-        assert_eq!(standing.to_string(), text);
+    for (state, hex, text) in cases {
+        assert_bytes(&state, hex);
+        assert_eq!(state.to_string(), text);
     }
 }
 
@@ -90,36 +93,42 @@
 fn members_keep_their_bytes() {
     let control = Some(SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, 1), 7300));
     assert_bytes(
-        &member(Class::Store, None, Retiring::Rolling),
+        &member(NodeRole::Store, None, RetirementState::Draining),
         "848688080773746f72652d3101027a310a01000eac02000701",
     );
     assert_bytes(
-        &member(Class::Core, control, Retiring::No),
+        &member(NodeRole::Control, control, RetirementState::NotRetiring),
         "848688080773746f72652d3102027a310a01000eac02010a01000184390700",
     );
 }
 
 #[test]
 fn heartbeats_keep_their_bytes() {
-    assert_bytes(&heartbeat(Standing::Serving), "06657865632d31056372616e650a020005903f027a321000c413810128");
-    assert_bytes(&heartbeat(Standing::Gone), "06657865632d31056372616e650a020005903f027a321002c413810128");
+    assert_bytes(
+        &heartbeat(ExecutorState::Serving),
+        "06657865632d31056372616e650a020005903f027a321000c413810128",
+    );
+    assert_bytes(
+        &heartbeat(ExecutorState::Offline),
+        "06657865632d31056372616e650a020005903f027a321002c413810128",
+    );
 }
 
 #[test]
 fn news_keep_their_bytes() {
-    assert_bytes(&News::default(), "00000000000000");
-    let full = News {
-        life: 77,
+    assert_bytes(&MembershipUpdate::default(), "00000000000000");
+    let full = MembershipUpdate {
+        incarnation: 77,
         version: 300,
-        cut_off: true,
-        whole: false,
+        is_partitioned: true,
+        is_complete: false,
         config: Some(vec![0x7b, 0x7d]),
-        members: Some(vec![member(Class::Edge, None, Retiring::Complete)]),
-        servers: vec![heartbeat(Standing::Draining)],
+        members: Some(vec![member(NodeRole::Edge, None, RetirementState::Complete)]),
+        executors: vec![heartbeat(ExecutorState::Draining)],
     };
     assert_bytes(&full, "4dac02010001027b7d0101848688080773746f72652d3100027a310a01000eac020007020106657865632d31056372616e650a020005903f027a321001c413810128");
     assert_bytes(
-        &News { cut_off: false, whole: true, config: None, members: None, ..full },
+        &MembershipUpdate { is_partitioned: false, is_complete: true, config: None, members: None, ..full },
         "4dac02000100000106657865632d31056372616e650a020005903f027a321001c413810128",
     );
 }
--- a/crates/server/src/args.rs
+++ b/crates/server/src/args.rs
@@ -1,7 +1,7 @@
 //! The command line.
 
 use crate::operate::{self, Asked};
-use crate::signals::Class;
+use crate::signals::NodeRole;
 use crate::{settings, state, status};
 use gumdrop::Options;
 use std::net::SocketAddrV4;
@@ -167,7 +167,7 @@
 
 /// What is to be done: a role to be run, or something that has been done.
 pub enum Task {
-    Run(Class),
+    Run(NodeRole),
     Done(u8),
 }
 
@@ -176,9 +176,9 @@
     let boot = args.boot.as_deref();
     let done = match &args.command {
         None => usage(Args::usage()),
-        Some(Command::Edge(_)) => return Task::Run(Class::Edge),
-        Some(Command::Store(_)) => return Task::Run(Class::Store),
-        Some(Command::Core(_)) => return Task::Run(Class::Core),
+        Some(Command::Edge(_)) => return Task::Run(NodeRole::Edge),
+        Some(Command::Store(_)) => return Task::Run(NodeRole::Store),
+        Some(Command::Core(_)) => return Task::Run(NodeRole::Control),
         Some(Command::Check(args)) => match &args.command {
             None => usage(CheckCommand::usage()),
             Some(CheckCommand::Config(args)) => settings::check_config(&args.file, args.json),
--- a/crates/server/src/core.rs
+++ b/crates/server/src/core.rs
@@ -15,7 +15,9 @@
 use crate::net::{Answer, Bounds, ConnId, Event, Millis, Request};
 use crate::node::{lot, Common};
 use crate::report::Told;
-use crate::signals::{Class, Heartbeat, Hello, Member, Passed, PassedKind, Retiring, Signal, Standing};
+use crate::signals::{
+    ExecutorState, Heartbeat, Hello, Member, NodeRole, Passed, PassedKind, RetirementState, Signal,
+};
 use in_hand::{InHand, Origin};
 use ledger::Ledger;
 use std::net::SocketAddrV4;
@@ -23,7 +25,7 @@
 use std::time::Duration;
 use stileroute_config::Config;
 use stileroute_control_group::{ControlGroup, Effect, GroupSettings, Verdict};
-use stileroute_registry::{Effect as Notice, Registry};
+use stileroute_registry::{Registry, RegistryEffect};
 use stileroute_wal::{Options, Trouble, Wal};
 
 pub struct Core {
@@ -93,7 +95,7 @@
     pub fn run(mut self) -> miette::Result<()> {
         loop {
             let now = self.common.net.now();
-            let until = self.group.next(now).min(self.registry.next());
+            let until = self.group.next(now).min(self.registry.next_deadline());
             let (link_events, events) = self.common.turn(until);
             link_events.into_iter().for_each(|link_event| self.link_event(link_event));
             events.into_iter().for_each(|event| self.event(event));
@@ -136,15 +138,18 @@
         let me = self.common.boot.ip;
         let mut all: Vec<std::net::Ipv4Addr> = self.common.boot.seeds.iter().map(|s| *s.ip()).collect();
         all.extend(self.group.view().iter().flat_map(|w| w.voters.iter().map(|v| *v.ip())));
-        all.extend(self.registry.members.iter().filter(|m| m.class == Class::Core).map(|m| m.ip));
+        all.extend(self.registry.members.iter().filter(|m| m.role == NodeRole::Control).map(|m| m.ip));
         // One that is no seed is not known to the others: it opens the connections itself.
         let seed = self.common.boot.seeds.iter().any(|s| *s.ip() == me);
         let wanted: Vec<SocketAddrV4> = all
             .into_iter()
             .filter(|ip| {
-                *ip > me || (!seed && *ip != me && self.common.links.hellos(Class::Core).all(|h| h.ip != *ip))
+                *ip > me
+                    || (!seed
+                        && *ip != me
+                        && self.common.links.hellos(NodeRole::Control).all(|h| h.ip != *ip))
             })
-            .map(|ip| self.common.links.address(ip, Class::Core))
+            .map(|ip| self.common.links.address(ip, NodeRole::Control))
             .collect();
         let now = self.common.net.now();
         self.common.links.want(now, wanted);
@@ -155,16 +160,17 @@
     fn link_event(&mut self, link_event: LinkEvent) {
         let now = self.common.net.now();
         match link_event {
-            LinkEvent::Up(hello) if hello.class == Class::Core => {
+            LinkEvent::Up(hello) if hello.class == NodeRole::Control => {
                 if let Some(control) = hello.control {
                     self.group.link(now, control, true);
                     self.group.learn(control);
                 }
-                self.registry.core_up(now, member_of(&hello, 0));
+                self.registry.peer_connected(now, member_of(&hello, 0));
             }
             LinkEvent::Up(_) => {}
-            LinkEvent::Down(node, Class::Core) => {
-                let control = self.registry.members.iter().find(|m| m.node == node).and_then(|m| m.control);
+            LinkEvent::Down(node, NodeRole::Control) => {
+                let control =
+                    self.registry.members.iter().find(|m| m.node == node).and_then(|m| m.control_address);
                 if let Some(control) = control {
                     self.group.link(now, control, false);
                 }
@@ -172,35 +178,35 @@
                 for (place, kind) in self.in_hand.lost(node) {
                     self.said(place, kind.uncertain());
                 }
-                self.registry.core_down(node);
+                self.registry.peer_disconnected(node);
             }
-            LinkEvent::Down(node, _) => self.registry.session_down(now, node),
+            LinkEvent::Down(node, _) => self.registry.session_disconnected(now, node),
             LinkEvent::Said(from, class, Signal::Ask { life, version, config, retiring })
-                if class != Class::Core =>
+                if class != NodeRole::Control =>
             {
                 if let Some(hello) = self.common.links.hello(from) {
-                    let member = Member { retiring, ..member_of(hello, config) };
-                    self.registry.asked(now, member, life, version);
+                    let member = Member { retirement: retiring, ..member_of(hello, config) };
+                    self.registry.record_poll(now, member, life, version);
                 }
             }
-            LinkEvent::Said(from, Class::Core, Signal::Control(signal)) => {
+            LinkEvent::Said(from, NodeRole::Control, Signal::Control(signal)) => {
                 if let Some(voter) = self.common.links.hello(from).and_then(|h| h.control) {
                     self.group.signal(now, voter, signal);
                 }
             }
-            LinkEvent::Said(from, Class::Core, Signal::Sessions(members)) => {
-                self.registry.told_sessions(now, from, members)
+            LinkEvent::Said(from, NodeRole::Control, Signal::Sessions(members)) => {
+                self.registry.record_peer_sessions(now, from, members)
             }
-            LinkEvent::Said(_, Class::Core, Signal::Heartbeats(heartbeats)) => {
-                self.registry.told_heartbeats(now, heartbeats)
+            LinkEvent::Said(_, NodeRole::Control, Signal::Heartbeats(heartbeats)) => {
+                self.registry.merge_peer_heartbeats(now, heartbeats)
             }
-            LinkEvent::Said(from, Class::Core, Signal::Pass { ticket, call }) => {
+            LinkEvent::Said(from, NodeRole::Control, Signal::Pass { ticket, call }) => {
                 let place = self.in_hand.open(now, Origin::Core(from, ticket));
                 if let Some(answer) = self.settle_passed(place, call) {
                     self.said(place, answer);
                 }
             }
-            LinkEvent::Said(from, Class::Core, Signal::Settled { ticket, status, body })
+            LinkEvent::Said(from, NodeRole::Control, Signal::Settled { ticket, status, body })
                 if self.in_hand.waits_for(ticket, from) =>
             {
                 let retry = if status == 503 { vec![("Retry-After", "1".to_string())] } else { Vec::new() };
@@ -361,7 +367,7 @@
         if self.common.boot.zone == zone {
             return None;
         }
-        let near = self.common.links.hellos(Class::Core).find(|h| h.zone == zone)?;
+        let near = self.common.links.hellos(NodeRole::Control).find(|h| h.zone == zone)?;
         near.control.map(|at| at.to_string())
     }
 
@@ -370,23 +376,27 @@
         let in_touch = self.group.in_touch(now);
         if now >= self.heard_at {
             self.heard_at = now + HEARD;
-            for core in self.common.links.class(Class::Core) {
+            for core in self.common.links.class(NodeRole::Control) {
                 if let Some(at) = self.common.links.heard(core) {
-                    self.registry.core_heard(core, at);
+                    self.registry.peer_heard(core, at);
                 }
             }
         }
         let force = self.group.committed().filter(|state| state.version > 0);
         let force = force.map(|state| (state.version, state.body.as_slice()));
         self.registry.tick(now, in_touch, force);
-        for effect in self.registry.take() {
+        for effect in self.registry.take_effects() {
             let (to, signal) = match effect {
-                Notice::News { to, news } => (vec![to], Signal::News(news)),
-                Notice::AllHeartbeats { to, heartbeats } => (vec![to], Signal::Heartbeats(heartbeats)),
-                Notice::TellHeartbeats(heartbeats) => {
-                    (self.common.links.class(Class::Core), Signal::Heartbeats(heartbeats))
+                RegistryEffect::SendUpdate { to, update } => (vec![to], Signal::News(update)),
+                RegistryEffect::SendHeartbeats { to, heartbeats } => {
+                    (vec![to], Signal::Heartbeats(heartbeats))
+                }
+                RegistryEffect::BroadcastHeartbeats(heartbeats) => {
+                    (self.common.links.class(NodeRole::Control), Signal::Heartbeats(heartbeats))
+                }
+                RegistryEffect::BroadcastSessions(all) => {
+                    (self.common.links.class(NodeRole::Control), Signal::Sessions(all))
                 }
-                Notice::TellSessions(all) => (self.common.links.class(Class::Core), Signal::Sessions(all)),
             };
             for node in to {
                 self.common.links.say(&mut self.common.net, node, &signal);
@@ -404,13 +414,13 @@
     Member {
         node: hello.node,
         name: hello.name.clone(),
-        class: hello.class,
+        role: hello.class,
         zone: hello.zone.clone(),
         ip: hello.ip,
-        life: hello.life,
-        control: hello.control,
-        config,
-        retiring: Retiring::No,
+        incarnation: hello.life,
+        control_address: hello.control,
+        config_version: config,
+        retirement: RetirementState::NotRetiring,
     }
 }
 
@@ -418,7 +428,7 @@
     fn settle(&mut self, _: u64, call: HeartbeatCall) -> Option<Heard> {
         let now = self.common.net.now();
         let beat_url = self.near_core(&call.zone);
-        self.registry.heartbeat(
+        self.registry.record_heartbeat(
             now,
             Heartbeat {
                 id: call.id,
@@ -426,20 +436,20 @@
                 address: call.address,
                 zone: call.zone,
                 capacity: call.capacity,
-                standing: if call.draining { Standing::Draining } else { Standing::Serving },
-                cold_left_ms: call.cold_left_ms,
-                call_count: call.call_count,
+                state: if call.draining { ExecutorState::Draining } else { ExecutorState::Serving },
+                warmup_left_ms: call.cold_left_ms,
+                sequence: call.call_count,
                 age_ms: 0,
             },
         );
         // Cut off from the others it could not tell them: the executor is to tell another as well.
-        Some(Heard { beat_url, told: self.group.in_touch(now) || !self.registry.ready })
+        Some(Heard { beat_url, told: self.group.in_touch(now) || !self.registry.is_ready })
     }
 }
 
 impl CallHandler<Leave> for Core {
     fn settle(&mut self, _: u64, call: Leave) -> Option<Done> {
-        self.registry.leave(&call.id);
+        self.registry.deregister_executor(&call.id);
         Some(Done)
     }
 }
--- a/crates/server/src/core/report.rs
+++ b/crates/server/src/core/report.rs
@@ -4,7 +4,7 @@
 use crate::figures::Sheet;
 use crate::node::Common;
 use crate::report::{member, Told};
-use crate::signals::{Class, Standing};
+use crate::signals::{ExecutorState, NodeRole};
 use jzon::JsonValue;
 use std::collections::BTreeMap;
 
@@ -24,15 +24,16 @@
         let mut report = self.common.report();
         report["version"] = self.force().into();
         // Its own sessions last: what others told of a node may be from before it came here.
-        let told = self.registry.told.values().flat_map(|(_, members)| members);
-        let own = self.registry.sessions.values().filter(|s| s.up).map(|s| &s.member);
+        let told = self.registry.peer_sessions.values().flat_map(|(_, members)| members);
+        let own = self.registry.sessions.values().filter(|s| s.is_connected).map(|s| &s.member);
         let mut known = BTreeMap::new();
-        for one in self.registry.members.iter().filter(|m| m.class == Class::Core).chain(told).chain(own) {
+        for one in self.registry.members.iter().filter(|m| m.role == NodeRole::Control).chain(told).chain(own)
+        {
             known.insert(one.name.clone(), member(one));
         }
         let known: Vec<JsonValue> = known.into_values().collect();
         report["known"] = known.into();
-        report["ready"] = self.registry.ready.into();
+        report["ready"] = self.registry.is_ready.into();
         let list = |voters: &[std::net::SocketAddrV4]| -> JsonValue {
             voters.iter().map(|v| JsonValue::from(v.to_string())).collect::<Vec<_>>().into()
         };
@@ -48,16 +49,16 @@
         let executors: Vec<JsonValue> = self
             .registry
             .executors()
-            .filter(|known| known.heartbeat.standing != Standing::Gone)
+            .filter(|known| known.heartbeat.state != ExecutorState::Offline)
             .map(|known| {
                 jzon::object! {
                     "id" => known.heartbeat.id.clone(),
                     "service" => known.heartbeat.backend.clone(),
                     "address" => known.heartbeat.address.to_string(),
                     "zone" => known.heartbeat.zone.clone(),
-                    "standing" => known.heartbeat.standing.to_string(),
+                    "standing" => known.heartbeat.state.to_string(),
                     "capacity" => known.heartbeat.capacity,
-                    "beat_ms" => now.saturating_sub(known.heard),
+                    "beat_ms" => now.saturating_sub(known.last_heard),
                 }
             })
             .collect();
@@ -85,10 +86,10 @@
             &[],
             blank,
         );
-        let sessions = self.registry.sessions.values().filter(|s| s.up).count();
+        let sessions = self.registry.sessions.values().filter(|s| s.is_connected).count();
         sheet.gauge("stileroute_sessions", "Sessions of edges and stores with this node.", &[], sessions);
-        for standing in [Standing::Serving, Standing::Draining] {
-            let count = self.registry.executors().filter(|k| k.heartbeat.standing == standing).count();
+        for standing in [ExecutorState::Serving, ExecutorState::Draining] {
+            let count = self.registry.executors().filter(|k| k.heartbeat.state == standing).count();
             let labels = [("standing", &*standing.to_string())];
             sheet.gauge("stileroute_executors", "Executors known, by standing.", &labels, count);
         }
--- a/crates/server/src/core/retire.rs
+++ b/crates/server/src/core/retire.rs
@@ -5,7 +5,7 @@
 use crate::calls::{CallHandler, Retire, RetireBegin, RetireRead, Retired};
 use crate::net::Millis;
 use crate::node::number;
-use crate::signals::{Class, Passed, Retiring, Signal};
+use crate::signals::{NodeRole, Passed, RetirementState, Signal};
 use std::collections::BTreeMap;
 use stileroute_control_group::{ControlState, Stage};
 use stileroute_queue::Node;
@@ -42,14 +42,14 @@
         return Judgement::Known;
     }
     // While it does not know yet who is there, none is refused for good.
-    let refused = |judgement| if registry.ready { judgement } else { Judgement::NotNow };
-    let Some(store) = registry.store(name) else { return refused(Judgement::Unknown) };
-    if store.retiring != Retiring::No {
+    let refused = |judgement| if registry.is_ready { judgement } else { Judgement::NotNow };
+    let Some(store) = registry.store_named(name) else { return refused(Judgement::Unknown) };
+    if store.retirement != RetirementState::NotRetiring {
         return Judgement::Take;
     }
     let agreed = |other: Node| other == node || held.retirement(other).is_some();
     let zones = |goes: &dyn Fn(Node) -> bool| {
-        let stay = registry.stay_without(goes);
+        let stay = registry.stores_remaining_without(goes);
         suffice(&stay.map(|member| member.zone.as_str()).collect::<Vec<_>>())
     };
     // Every message lies on so many stores. With just as many left none can be taken while one is away.
@@ -67,19 +67,19 @@
 /// a new machine of the same name, which is told to retire as well, may hold something.
 pub fn standing(name: &str, agreed: Option<&ControlState>, registry: &Registry) -> Option<Retired> {
     let stage = agreed.and_then(|state| state.retirement(number(name))).map(|retirement| retirement.stage);
-    let says = registry.store(name).map(|store| store.retiring);
+    let says = registry.store_named(name).map(|store| store.retirement);
     match (stage, says) {
-        (Some(Stage::Complete), None | Some(Retiring::Complete)) => Some(Retired::Complete),
+        (Some(Stage::Complete), None | Some(RetirementState::Complete)) => Some(Retired::Complete),
         (Some(_), _) => Some(Retired::Rolling),
         (None, _) => None,
     }
 }
 
-fn stage(retiring: Retiring) -> Option<Stage> {
+fn stage(retiring: RetirementState) -> Option<Stage> {
     match retiring {
-        Retiring::No => None,
-        Retiring::Rolling => Some(Stage::Rolling),
-        Retiring::Complete => Some(Stage::Complete),
+        RetirementState::NotRetiring => None,
+        RetirementState::Draining => Some(Stage::Rolling),
+        RetirementState::Complete => Some(Stage::Complete),
     }
 }
 
@@ -92,8 +92,10 @@
     pub fn due(&mut self, now: Millis, agreed: &ControlState, registry: &Registry) -> Vec<Node> {
         self.0.retain(|node, _| agreed.retirement(*node).is_some());
         let lacks = |node: &Node| {
-            let session = registry.sessions.get(node).filter(|session| session.up);
-            session.is_some_and(|s| s.member.class == Class::Store && s.member.retiring == Retiring::No)
+            let session = registry.sessions.get(node).filter(|session| session.is_connected);
+            session.is_some_and(|s| {
+                s.member.role == NodeRole::Store && s.member.retirement == RetirementState::NotRetiring
+            })
         };
         let mut due: Vec<Node> = agreed.retirements.iter().map(|r| r.node).filter(lacks).collect();
         due.retain(|node| self.0.get(node).is_none_or(|at| now >= at + AGAIN));
@@ -123,7 +125,7 @@
     fn note_stages(&mut self, now: Millis) {
         let Some(held) = self.group.settled(now).filter(|held| !held.retirements.is_empty()) else { return };
         let further = |retirement: &stileroute_control_group::Retirement| {
-            let says = stage(self.registry.store(&retirement.name)?.retiring)?;
+            let says = stage(self.registry.store_named(&retirement.name)?.retirement)?;
             (says > retirement.stage).then_some((retirement.node, says))
         };
         let steps: Vec<(Node, Stage)> = held.retirements.iter().filter_map(further).collect();
@@ -150,7 +152,10 @@
     /// The store has said that it has the order, now or before.
     fn confirmed(&self, name: &str) -> bool {
         let agreed = self.group.committed().and_then(|state| state.retirement(number(name)));
-        let says = self.registry.store(name).is_some_and(|store| store.retiring != Retiring::No);
+        let says = self
+            .registry
+            .store_named(name)
+            .is_some_and(|store| store.retirement != RetirementState::NotRetiring);
         agreed.is_some_and(|retirement| says || retirement.stage != Stage::Ordered)
     }
 
@@ -199,11 +204,11 @@
             self.pass(place, self.group.primary());
             return None;
         }
-        let says = self.registry.store(&name).and_then(|store| stage(store.retiring));
+        let says = self.registry.store_named(&name).and_then(|store| stage(store.retirement));
         Some(match says {
             Some(Stage::Complete) => Retired::Complete,
             Some(_) => Retired::Rolling,
-            None if self.registry.ready => Retired::Unknown,
+            None if self.registry.is_ready => Retired::Unknown,
             None => Retired::NotNow,
         })
     }
--- a/crates/server/src/core/tests.rs
+++ b/crates/server/src/core/tests.rs
@@ -5,7 +5,7 @@
 use super::retire::{judge, standing, Judgement, Told};
 use crate::calls::{Retired, LARGEST_CONFIGURATION};
 use crate::node::number;
-use crate::signals::{Class, Member, Passed, PassedKind, Retiring};
+use crate::signals::{Member, NodeRole, Passed, PassedKind, RetirementState};
 use assert_matches::assert_matches;
 use std::net::Ipv4Addr;
 use stileroute_control_group::{ControlState, Record, Retirement, Stage, RETIREMENTS};
@@ -93,30 +93,34 @@
     assert_eq!(PassedKind::Replace.uncertain().status, 504);
 }
 
-fn store(name: &str, retiring: Retiring) -> Member {
+fn store(name: &str, retiring: RetirementState) -> Member {
     Member {
         node: number(name),
         name: name.to_string(),
-        class: Class::Store,
+        role: NodeRole::Store,
         zone: "z".to_string(),
         ip: Ipv4Addr::LOCALHOST,
-        life: 1,
-        control: None,
-        config: 0,
-        retiring,
+        incarnation: 1,
+        control_address: None,
+        config_version: 0,
+        retirement: retiring,
     }
 }
 
 /// Knows these stores; `ready` if it has been up for long enough.
-fn registry(stores: &[(&str, Retiring)], ready: bool) -> Registry {
-    let mut registry =
-        Registry::new(Member { class: Class::Core, ..store("core-1", Retiring::No) }, 77, 1200, 0);
+fn registry(stores: &[(&str, RetirementState)], ready: bool) -> Registry {
+    let mut registry = Registry::new(
+        Member { role: NodeRole::Control, ..store("core-1", RetirementState::NotRetiring) },
+        77,
+        1200,
+        0,
+    );
     let now = if ready { 3000 } else { 10 };
     for (name, retiring) in stores {
-        registry.asked(now, store(name, *retiring), 0, 0);
+        registry.record_poll(now, store(name, *retiring), 0, 0);
     }
     registry.tick(now, true, None);
-    registry.take();
+    registry.take_effects();
     registry
 }
 
@@ -135,8 +139,12 @@
     judge(name, held, &soon, registry, |zones| zones.len() >= 2)
 }
 
-const FOUR: [(&str, Retiring); 4] =
-    [("s-1", Retiring::No), ("s-2", Retiring::No), ("s-3", Retiring::No), ("s-4", Retiring::No)];
+const FOUR: [(&str, RetirementState); 4] = [
+    ("s-1", RetirementState::NotRetiring),
+    ("s-2", RetirementState::NotRetiring),
+    ("s-3", RetirementState::NotRetiring),
+    ("s-4", RetirementState::NotRetiring),
+];
 
 #[test]
 fn two_orders_at_one_moment_never_leave_too_few() {
@@ -181,14 +189,14 @@
     let gone = registry(&[], true);
     let of = |state, registry: &Registry| standing("s-1", Some(state), registry);
     assert_matches!(of(&complete, &gone), Some(Retired::Complete));
-    assert_matches!(of(&complete, &says(Retiring::Complete)), Some(Retired::Complete));
+    assert_matches!(of(&complete, &says(RetirementState::Complete)), Some(Retired::Complete));
     // It is restarting: nobody has said that it is empty.
     assert_matches!(of(&rolling, &gone), Some(Retired::Rolling));
     // It has said so to one node, and the value does not: whoever restarts would have forgotten it.
-    assert_matches!(of(&rolling, &says(Retiring::Complete)), Some(Retired::Rolling));
+    assert_matches!(of(&rolling, &says(RetirementState::Complete)), Some(Retired::Rolling));
     // A new machine of the name.
-    assert_matches!(of(&complete, &says(Retiring::No)), Some(Retired::Rolling));
-    assert_matches!(of(&held(&[]), &says(Retiring::Complete)), None);
+    assert_matches!(of(&complete, &says(RetirementState::NotRetiring)), Some(Retired::Rolling));
+    assert_matches!(of(&held(&[]), &says(RetirementState::Complete)), None);
     assert_matches!(standing("s-1", None, &gone), None);
 }
 
@@ -202,10 +210,10 @@
     assert_eq!(told.due(3000, &agreed, &here), [first, second]);
     assert!(told.due(3499, &agreed, &here).is_empty());
     assert_eq!(told.due(3500, &agreed, &here), [first, second]);
-    here.asked(3600, store("s-1", Retiring::Rolling), 0, 0);
-    here.session_down(3600, second);
+    here.record_poll(3600, store("s-1", RetirementState::Draining), 0, 0);
+    here.session_disconnected(3600, second);
     assert!(told.due(9000, &agreed, &here).is_empty());
-    here.asked(9100, store("s-2", Retiring::No), 0, 0);
+    here.record_poll(9100, store("s-2", RetirementState::NotRetiring), 0, 0);
     assert_eq!(told.due(9100, &agreed, &here), [second]);
 }
 
--- a/crates/server/src/edge.rs
+++ b/crates/server/src/edge.rs
@@ -9,7 +9,7 @@
 use crate::net::{Answer, Bounds, ConnId, Event, Millis, Request};
 use crate::node::{wall, Common};
 use crate::report::Told;
-use crate::signals::{Class, Found, Signal};
+use crate::signals::{Found, NodeRole, Signal};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::net::SocketAddrV4;
 use stileroute_config::RouteKind;
@@ -106,8 +106,8 @@
             return;
         }
         let mut wanted = self.common.cores();
-        let stores = self.common.session.members.iter().filter(|m| m.class == Class::Store);
-        wanted.extend(stores.map(|m| self.common.links.address(m.ip, Class::Store)));
+        let stores = self.common.session.members.iter().filter(|m| m.role == NodeRole::Store);
+        wanted.extend(stores.map(|m| self.common.links.address(m.ip, NodeRole::Store)));
         let now = self.common.net.now();
         self.common.links.want(now, wanted);
     }
@@ -130,12 +130,12 @@
     fn ready(&self) -> bool {
         self.common.leaving_since.is_none()
             && self.common.config.is_some()
-            && self.common.links.hellos(Class::Store).any(|h| !self.leaving.contains(&h.node))
+            && self.common.links.hellos(NodeRole::Store).any(|h| !self.leaving.contains(&h.node))
     }
 
     fn link_event(&mut self, link_event: LinkEvent) {
         match link_event {
-            LinkEvent::Up(hello) if hello.class == Class::Store => {
+            LinkEvent::Up(hello) if hello.class == NodeRole::Store => {
                 self.leaving.remove(&hello.node);
                 self.shunned.remove(&hello.node);
                 for (_, signal) in &self.superseded {
@@ -143,9 +143,9 @@
                 }
             }
             LinkEvent::Up(_) => {}
-            LinkEvent::Down(node, Class::Store) => self.store_lost(node),
+            LinkEvent::Down(node, NodeRole::Store) => self.store_lost(node),
             LinkEvent::Down(..) => {}
-            LinkEvent::Said(from, Class::Core, Signal::News(news)) => {
+            LinkEvent::Said(from, NodeRole::Control, Signal::News(news)) => {
                 if let Some(config) = self.common.heard_news(from, &news) {
                     let limits = &config.limits;
                     let bounds = Bounds {
@@ -157,13 +157,13 @@
                     self.common.net.bound(self.front, bounds);
                 }
             }
-            LinkEvent::Said(from, Class::Store, Signal::Taken { ticket, result }) => {
+            LinkEvent::Said(from, NodeRole::Store, Signal::Taken { ticket, result }) => {
                 self.taken(from, ticket, result)
             }
-            LinkEvent::Said(from, Class::Store, Signal::Found { ticket, found }) => {
+            LinkEvent::Said(from, NodeRole::Store, Signal::Found { ticket, found }) => {
                 self.found(from, ticket, found)
             }
-            LinkEvent::Said(from, Class::Store, Signal::Leaving) => {
+            LinkEvent::Said(from, NodeRole::Store, Signal::Leaving) => {
                 self.leaving.insert(from);
             }
             LinkEvent::Said(..) => {}
@@ -258,7 +258,7 @@
         let mut all: Vec<(bool, u8, Node)> = self
             .common
             .links
-            .hellos(Class::Store)
+            .hellos(NodeRole::Store)
             .filter(|h| !not.contains(&h.node) && !self.leaving.contains(&h.node))
             .filter(|h| !self.gone(h.node))
             .map(|h| {
@@ -305,7 +305,7 @@
     fn supersede(&mut self, put: &Put, kept: Option<Key>) {
         let now = self.common.net.now();
         let signal = Signal::Superseded { id: put.message.id.clone(), print: put.message.print(), kept };
-        for store in self.common.links.class(Class::Store) {
+        for store in self.common.links.class(NodeRole::Store) {
             self.common.links.say(&mut self.common.net, store, &signal);
         }
         self.superseded.push_back((now, signal));
@@ -398,14 +398,14 @@
         self.figures.asked += 1;
         let now = self.common.net.now();
         let Some((key, first)) = Key::parse(name) else { return self.answer(conn, Answer::bare(404)) };
-        let up = self.common.links.class(Class::Store);
+        let up = self.common.links.class(NodeRole::Store);
         let mut left: Vec<Node> = first.into_iter().filter(|n| up.contains(n)).collect();
         left.extend(up.iter().filter(|n| !left.contains(n)).copied().collect::<Vec<_>>());
         left.dedup();
         left.reverse();
         let ticket = self.ticket();
         let until = now + ASKER;
-        let mut stores = self.common.session.members.iter().filter(|m| m.class == Class::Store);
+        let mut stores = self.common.session.members.iter().filter(|m| m.role == NodeRole::Store);
         // The store that took it may be so new that it is no member here yet.
         let unsure = !up.contains(&key.origin) || stores.any(|m| !up.contains(&m.node));
         let find = Find { conn, key, body, left, asked: 0, sent: now, until, waiting: None, unsure };
--- a/crates/server/src/links.rs
+++ b/crates/server/src/links.rs
@@ -1,7 +1,7 @@
 //! Connections between the system's own processes: opened again when they break, given up when nothing is heard.
 
 use crate::net::{ConnId, Event, Millis, Net};
-use crate::signals::{Class, Hello, Signal, PROTOCOL};
+use crate::signals::{Hello, NodeRole, Signal, PROTOCOL};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use stileroute_queue::Node;
@@ -82,16 +82,16 @@
 /// What a role is told.
 pub enum LinkEvent {
     Up(Hello),
-    Down(Node, Class),
-    Said(Node, Class, Signal),
+    Down(Node, NodeRole),
+    Said(Node, NodeRole, Signal),
 }
 
 /// Where a process of a class listens for others: the first three of the ports.
-pub fn address(ports: (u16, u16), ip: Ipv4Addr, class: Class) -> SocketAddrV4 {
+pub fn address(ports: (u16, u16), ip: Ipv4Addr, class: NodeRole) -> SocketAddrV4 {
     let step = match class {
-        Class::Core => 0,
-        Class::Store => 1,
-        Class::Edge | Class::Visitor => 2,
+        NodeRole::Control => 0,
+        NodeRole::Store => 1,
+        NodeRole::Edge | NodeRole::CommandLine => 2,
     };
     SocketAddrV4::new(ip, ports.0.saturating_add(step).min(ports.1))
 }
@@ -141,7 +141,7 @@
     }
 
     /// Where a process of a class listens for others: roles on one machine share its ports.
-    pub fn address(&self, ip: Ipv4Addr, class: Class) -> SocketAddrV4 {
+    pub fn address(&self, ip: Ipv4Addr, class: NodeRole) -> SocketAddrV4 {
         address(self.ports, ip, class)
     }
 
@@ -175,15 +175,15 @@
         self.by_node.values().filter_map(|conn| self.links.get(conn)?.hello.as_ref())
     }
     /// Who is connected, of one class.
-    pub fn class(&self, class: Class) -> Vec<Node> {
+    pub fn class(&self, class: NodeRole) -> Vec<Node> {
         self.by_class[class as usize].iter().copied().collect()
     }
     /// What those of one class that are connected have said of themselves.
-    pub fn hellos(&self, class: Class) -> impl Iterator<Item = &Hello> {
+    pub fn hellos(&self, class: NodeRole) -> impl Iterator<Item = &Hello> {
         self.by_class[class as usize].iter().filter_map(|node| self.hello(*node))
     }
     pub fn by_control(&self, control: SocketAddrV4) -> Option<Node> {
-        self.hellos(Class::Core).find(|h| h.control == Some(control)).map(|h| h.node)
+        self.hellos(NodeRole::Control).find(|h| h.control == Some(control)).map(|h| h.node)
     }
 
     pub fn say(&mut self, net: &mut Net, to: Node, signal: &Signal) -> bool {
@@ -266,7 +266,7 @@
         }
         self.by_node.remove(&hello.node);
         self.by_class[hello.class as usize].remove(&hello.node);
-        if hello.class != Class::Visitor {
+        if hello.class != NodeRole::CommandLine {
             tracing::info!(node = hello.name, "link down");
         }
         Some(LinkEvent::Down(hello.node, hello.class))
@@ -314,7 +314,7 @@
                             net.close(old);
                             words.push(LinkEvent::Down(hello.node, hello.class));
                         }
-                        if hello.class != Class::Visitor {
+                        if hello.class != NodeRole::CommandLine {
                             tracing::debug!(node = hello.name, "link up");
                         }
                         words.push(LinkEvent::Up(hello));
--- a/crates/server/src/links/tests.rs
+++ b/crates/server/src/links/tests.rs
@@ -69,7 +69,7 @@
 
 const STORE: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 2);
 
-fn hello(node: Node, name: &str, class: Class, ip: Ipv4Addr) -> Hello {
+fn hello(node: Node, name: &str, class: NodeRole, ip: Ipv4Addr) -> Hello {
     let (name, zone) = (name.to_string(), String::new());
     Hello { protocol: PROTOCOL, node, name, class, zone, ip, life: 1, control: None }
 }
@@ -82,7 +82,7 @@
 
 impl End {
     fn new() -> End {
-        let me = hello(1, "edge", Class::Edge, Ipv4Addr::new(10, 0, 0, 1));
+        let me = hello(1, "edge", NodeRole::Edge, Ipv4Addr::new(10, 0, 0, 1));
         End { net: Net::new(16).unwrap().0, links: Links::new(me, (7300, 7309)) }
     }
 
@@ -105,27 +105,27 @@
         assert_eq!(words.is_empty(), end.links.unread == 1);
         !words.is_empty()
     };
-    let store = hello(2, "store", Class::Store, STORE);
+    let store = hello(2, "store", NodeRole::Store, STORE);
     assert!(is_taken(Some(at), &store) && is_taken(None, &store));
     // Another process that has the address by now, or a relay that leads elsewhere.
-    assert!(!is_taken(Some(at), &hello(2, "store", Class::Edge, STORE)));
-    assert!(!is_taken(Some(at), &hello(3, "other", Class::Store, Ipv4Addr::new(10, 0, 0, 3))));
+    assert!(!is_taken(Some(at), &hello(2, "store", NodeRole::Edge, STORE)));
+    assert!(!is_taken(Some(at), &hello(3, "other", NodeRole::Store, Ipv4Addr::new(10, 0, 0, 3))));
     // A control node is dialled at the address of its listener for calls, as the seeds tell it.
-    let elsewhere = hello(4, "core", Class::Core, Ipv4Addr::new(10, 0, 0, 4));
+    let elsewhere = hello(4, "core", NodeRole::Control, Ipv4Addr::new(10, 0, 0, 4));
     let core = Hello { control: Some(SocketAddrV4::new(STORE, 80)), ..elsewhere.clone() };
     let at = SocketAddrV4::new(STORE, 7300);
     assert!(is_taken(Some(at), &core) && !is_taken(Some(at), &elsewhere));
     assert!(!is_taken(None, &Hello { protocol: PROTOCOL + 1, ..store.clone() }));
-    assert!(!is_taken(None, &hello(1, "edge", Class::Edge, STORE)), "its own number");
+    assert!(!is_taken(None, &hello(1, "edge", NodeRole::Edge, STORE)), "its own number");
 }
 
 #[test]
 fn a_number_belongs_to_one_name() {
     let mut end = End::new();
-    let store = Signal::Hello(hello(2, "store", Class::Store, STORE));
+    let store = Signal::Hello(hello(2, "store", NodeRole::Store, STORE));
     assert_eq!(end.hears(None, &store).len(), 1);
     // A visitor draws its number; were it taken for the store, the store's connection would end.
-    let visitor = Signal::Hello(hello(2, "visitor", Class::Visitor, Ipv4Addr::UNSPECIFIED));
+    let visitor = Signal::Hello(hello(2, "visitor", NodeRole::CommandLine, Ipv4Addr::UNSPECIFIED));
     assert!(end.hears(None, &visitor).is_empty());
     assert!(end.links.is_up(2));
     // The same name again is the same node, started anew.
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -23,7 +23,7 @@
 use args::{Args, Task, UNUSABLE};
 use gumdrop::Options;
 use node::Common;
-use signals::Class;
+use signals::NodeRole;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use stileroute_config::Boot;
@@ -37,7 +37,7 @@
 }
 
 /// Runs a role. Settings that can't be used end it with 2 and one line for each fault; anything else with 1.
-fn start(args: Args, class: Class) -> ExitCode {
+fn start(args: Args, class: NodeRole) -> ExitCode {
     let unusable = |reason: String| {
         eprintln!("{reason}");
         ExitCode::from(UNUSABLE)
@@ -67,13 +67,13 @@
     }
 }
 
-fn run(boot: Boot, path: &Path, class: Class) -> miette::Result<()> {
+fn run(boot: Boot, path: &Path, class: NodeRole) -> miette::Result<()> {
     tracing::info!(node = boot.node_name, role = %class, first = boot.first_start, "starts");
     let common = Common::start(boot, path, class)?;
     match class {
-        Class::Edge => edge::Edge::new(common)?.run(),
-        Class::Store => store::Store::new(common)?.run(),
-        Class::Core => core::Core::new(common)?.run(),
-        Class::Visitor => Ok(()),
+        NodeRole::Edge => edge::Edge::new(common)?.run(),
+        NodeRole::Store => store::Store::new(common)?.run(),
+        NodeRole::Control => core::Core::new(common)?.run(),
+        NodeRole::CommandLine => Ok(()),
     }
 }
--- a/crates/server/src/node.rs
+++ b/crates/server/src/node.rs
@@ -4,7 +4,7 @@
 use crate::net::{Bounds, Event, Millis, Net};
 use crate::report::Inquiry;
 use crate::settings;
-use crate::signals::{Class, Hello, Member, News, Retiring, Signal, PROTOCOL};
+use crate::signals::{Hello, Member, MembershipUpdate, NodeRole, RetirementState, Signal, PROTOCOL};
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -63,7 +63,7 @@
     stands: Option<Node>,
     pub since: Millis,
     /// Whether this node, a store, is to be emptied: its control node is told with each question.
-    retiring: Retiring,
+    retiring: RetirementState,
     /// One that said that it is cut off, and until when others are asked first.
     shunned: Vec<(Node, Millis)>,
     asked: Option<Millis>,
@@ -78,7 +78,7 @@
 }
 
 impl Common {
-    pub fn start(boot: Boot, boot_path: &Path, class: Class) -> miette::Result<Common> {
+    pub fn start(boot: Boot, boot_path: &Path, class: NodeRole) -> miette::Result<Common> {
         let most = (boot.means.max_open_files.saturating_sub(260)).clamp(64, 60_000) as usize;
         let (mut net, waker) = Net::new(most).map_err(|e| miette::miette!("event loop: {e}"))?;
         let (term, hup) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
@@ -112,7 +112,7 @@
             with: None,
             stands: None,
             since: 0,
-            retiring: Retiring::No,
+            retiring: RetirementState::NotRetiring,
             shunned: Vec::new(),
             asked: None,
             heard: 0,
@@ -156,7 +156,9 @@
         let moved = |link_event: &LinkEvent| {
             matches!(
                 link_event,
-                LinkEvent::Up(_) | LinkEvent::Down(..) | LinkEvent::Said(_, Class::Core, Signal::News(_))
+                LinkEvent::Up(_)
+                    | LinkEvent::Down(..)
+                    | LinkEvent::Said(_, NodeRole::Control, Signal::News(_))
             )
         };
         self.stirred |= link_events.iter().any(moved);
@@ -246,7 +248,7 @@
             };
             let mut all: Vec<(Millis, u8, u32, Node)> = self
                 .links
-                .hellos(Class::Core)
+                .hellos(NodeRole::Control)
                 .map(|h| {
                     let lot = h.node.rotate_left(self.links.me().node & 31);
                     (shunned(h.node), self.boot.far(&h.zone), lot, h.node)
@@ -275,11 +277,11 @@
         let good = |node: &Node| !self.session.shunned.iter().any(|(shunned, _)| shunned == node);
         let near_up = near.iter().any(|c| self.links.by_control(*c).is_some_and(|node| good(&node)));
         let chosen = if near_up { near } else { known.iter().map(|(c, _)| *c).collect() };
-        chosen.into_iter().map(|c| self.links.address(*c.ip(), Class::Core)).collect()
+        chosen.into_iter().map(|c| self.links.address(*c.ip(), NodeRole::Control)).collect()
     }
 
     /// Tells its control node at once.
-    pub fn retires(&mut self, retiring: Retiring) {
+    pub fn retires(&mut self, retiring: RetirementState) {
         if std::mem::replace(&mut self.session.retiring, retiring) != retiring {
             tracing::info!(%retiring, "retirement");
             self.ask();
@@ -297,12 +299,12 @@
     }
 
     /// News came: a new configuration, if there is one, is read and given back.
-    pub fn heard_news(&mut self, from: Node, news: &News) -> Option<Arc<Config>> {
+    pub fn heard_news(&mut self, from: Node, news: &MembershipUpdate) -> Option<Arc<Config>> {
         if self.session.with != Some(from) {
             return None;
         }
         let now = self.net.now();
-        if news.cut_off {
+        if news.is_partitioned {
             // It may be the only one that can be reached: then it is asked again, but nothing counts as heard.
             self.session.shunned.push((from, now + 1500));
             self.session.with = None;
@@ -315,11 +317,11 @@
             let node = self.links.hello(from).map_or("", |hello| hello.name.as_str());
             tracing::info!(node, "session with a control node");
         }
-        (self.session.life, self.session.version) = (news.life, news.version);
+        (self.session.life, self.session.version) = (news.incarnation, news.version);
         if let Some(members) = &news.members {
             self.session.members = members.clone();
-            for member in members.iter().filter(|m| m.class == Class::Core) {
-                let Some(control) = member.control else { continue };
+            for member in members.iter().filter(|m| m.role == NodeRole::Control) {
+                let Some(control) = member.control_address else { continue };
                 self.session.controls.retain(|(c, _)| *c != control);
                 self.session.controls.push((control, member.zone.clone()));
             }
--- a/crates/server/src/report.rs
+++ b/crates/server/src/report.rs
@@ -4,7 +4,7 @@
 use crate::links::LinkEvent;
 use crate::net::{Answer, ConnId, Event};
 use crate::node::Common;
-use crate::signals::{Class, Signal, PROTOCOL};
+use crate::signals::{NodeRole, Signal, PROTOCOL};
 use jzon::JsonValue;
 use stileroute_queue::{Key, Node};
 
@@ -23,17 +23,19 @@
         let inquiries = &mut self.inquiries;
         link_events.retain(|link_event| {
             match link_event {
-                LinkEvent::Said(from, Class::Visitor, Signal::Report { ticket }) => {
+                LinkEvent::Said(from, NodeRole::CommandLine, Signal::Report { ticket }) => {
                     inquiries.push(Inquiry::Report(*from, *ticket));
                 }
-                LinkEvent::Said(from, Class::Visitor, Signal::Trace { ticket, key }) => {
+                LinkEvent::Said(from, NodeRole::CommandLine, Signal::Trace { ticket, key }) => {
                     inquiries.push(Inquiry::Trace(*from, *ticket, *key));
                 }
-                LinkEvent::Said(from, Class::Visitor, Signal::Count { ticket }) => {
+                LinkEvent::Said(from, NodeRole::CommandLine, Signal::Count { ticket }) => {
                     inquiries.push(Inquiry::Count(*from, *ticket));
                 }
-                LinkEvent::Said(_, class, _) | LinkEvent::Down(_, class) => return *class != Class::Visitor,
-                LinkEvent::Up(hello) => return hello.class != Class::Visitor,
+                LinkEvent::Said(_, class, _) | LinkEvent::Down(_, class) => {
+                    return *class != NodeRole::CommandLine
+                }
+                LinkEvent::Up(hello) => return hello.class != NodeRole::CommandLine,
             }
             false
         });
@@ -64,7 +66,7 @@
         let links: Vec<JsonValue> = self
             .links
             .up()
-            .filter(|h| h.class != Class::Visitor)
+            .filter(|h| h.class != NodeRole::CommandLine)
             .map(|h| {
                 let class = h.class.to_string();
                 jzon::object! { "node" => h.name.clone(), "class" => class, "ip" => h.ip.to_string() }
@@ -83,7 +85,7 @@
             "leaving" => self.leaving_since.is_some(),
             "version" => self.config.as_ref().map_or(0, |c| c.revision),
             "control" => jzon::object! {
-                "heard" => me.class == Class::Core || self.fresh(),
+                "heard" => me.class == NodeRole::Control || self.fresh(),
                 "session" => self.session.with.map(|with| self.name(with)),
                 "session_ms" => since(self.session.since),
                 "news_ms" => since(self.session.heard),
@@ -103,7 +105,7 @@
         sheet.gauge("stileroute_up_seconds", "Since the process began.", &[], seconds(now));
         let version = self.config.as_ref().map_or(0, |c| c.revision);
         sheet.gauge("stileroute_config_version", "Version in force here; 0: none yet.", &[], version);
-        if me.class != Class::Core {
+        if me.class != NodeRole::Control {
             let session = if self.fresh() { now.saturating_sub(self.session.since) } else { 0 };
             let heard = u8::from(self.fresh());
             let news = if self.session.heard == 0 { now } else { now.saturating_sub(self.session.heard) };
@@ -123,7 +125,7 @@
             let lost = self.session.lost;
             sheet.count("stileroute_sessions_lost_total", "Sessions that ended unasked.", &[], lost);
         }
-        for class in [Class::Core, Class::Store, Class::Edge] {
+        for class in [NodeRole::Control, NodeRole::Store, NodeRole::Edge] {
             let (name, count) = (class.to_string(), self.links.class(class).len());
             sheet.gauge(
                 "stileroute_links",
@@ -184,10 +186,10 @@
 pub fn member(member: &crate::signals::Member) -> JsonValue {
     jzon::object! {
         "node" => member.name.clone(),
-        "class" => member.class.to_string(),
+        "class" => member.role.to_string(),
         "zone" => member.zone.clone(),
         "ip" => member.ip.to_string(),
-        "version" => member.config,
+        "version" => member.config_version,
     }
 }
 
--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -5,7 +5,7 @@
 
 use crate::args::{say, UNUSABLE};
 use crate::calls::LARGEST_CONFIGURATION;
-use crate::signals::Class;
+use crate::signals::NodeRole;
 use jzon::JsonValue;
 use std::path::Path;
 use stileroute_config::{Boot, Config, Fault, Faults};
@@ -41,7 +41,7 @@
 }
 
 /// What is wrong with the settings for these roles, and what is odd.
-pub fn check(file: &str, boot: &Boot, classes: &[Class]) -> (Vec<Fault>, Vec<Fault>) {
+pub fn check(file: &str, boot: &Boot, classes: &[NodeRole]) -> (Vec<Fault>, Vec<Fault>) {
     let mut c = Check { file, faults: Vec::new(), warnings: Vec::new() };
     let (first, last) = boot.internal_ports;
     c.must(
@@ -83,13 +83,13 @@
     (c.faults, c.warnings)
 }
 
-fn role(c: &mut Check, boot: &Boot, class: Class) {
+fn role(c: &mut Check, boot: &Boot, class: NodeRole) {
     match class {
-        Class::Edge => {
+        NodeRole::Edge => {
             c.must(boot.front.is_some(), "bind_addresses.front", "missing, and an edge needs it");
             c.must(boot.readiness.is_some(), "bind_addresses.readiness", "missing, and an edge needs it");
         }
-        Class::Store => {
+        NodeRole::Store => {
             c.must(boot.bounds.status_ms <= DAY, "bounds.status_s", "must be a day or less");
             let window = boot.bounds.ceiling_window_ms;
             c.must(
@@ -100,15 +100,15 @@
             c.must(boot.bounds.origin_overrun <= 100.0, "bounds.origin_overrun", "must be 100 or less");
             c.should(boot.bounds.origin_overrun >= 1.0, "bounds.origin_overrun", "below 1 counts as 1");
         }
-        Class::Core => {
+        NodeRole::Control => {
             c.must(boot.control.is_some(), "bind_addresses.control", "missing, and a control node needs it");
             let enough = boot.seeds.len() > 2 * boot.losses.machines;
             let reason = "the seeds are too few to have a majority after so many losses";
             c.should(enough, "tolerate.machine_losses", reason);
         }
-        Class::Visitor => {}
+        NodeRole::CommandLine => {}
     }
-    if matches!(class, Class::Store | Class::Core) {
+    if matches!(class, NodeRole::Store | NodeRole::Control) {
         c.must(boot.data_dir.is_some(), "data_dir", format!("missing, and a {class} needs it"));
         let disk = boot.means.disk_mb;
         let fits = disk == 0 || (DISK.0..=DISK.1).contains(&disk);
@@ -117,7 +117,7 @@
 }
 
 /// The settings of a role that is to run, or all that is wrong with them.
-pub fn read(path: &Path, class: Class) -> Result<Boot, Faults> {
+pub fn read(path: &Path, class: NodeRole) -> Result<Boot, Faults> {
     let boot = Boot::read(path)?;
     let (faults, warnings) = check(&path.display().to_string(), &boot, &[class]);
     for warning in warnings {
@@ -189,14 +189,14 @@
         Err(faults) => verdict("", &faults.0, &[], json),
         Ok(boot) => {
             let class = |serves: &String| match serves.as_str() {
-                "edge" => Some(Class::Edge),
-                "storage" => Some(Class::Store),
-                "control" => Some(Class::Core),
+                "edge" => Some(NodeRole::Edge),
+                "storage" => Some(NodeRole::Store),
+                "control" => Some(NodeRole::Control),
                 _ => None,
             };
-            let classes: Vec<Class> = boot.serves.iter().filter_map(class).collect();
+            let classes: Vec<NodeRole> = boot.serves.iter().filter_map(class).collect();
             let (faults, warnings) = check(&file, &boot, &classes);
-            let names: Vec<String> = classes.iter().map(Class::to_string).collect();
+            let names: Vec<String> = classes.iter().map(NodeRole::to_string).collect();
             let what = format!("{file}: {} can run as {}", boot.node_name, names.join(", "));
             verdict(&what, &faults, &warnings, json)
         }
--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -3,7 +3,9 @@
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use stileroute_queue::{Key, Message, Node, PeerMessage, Refusal};
-pub use stileroute_registry::{Class, Heartbeat, Member, News, Retiring, Standing};
+pub use stileroute_registry::{
+    ExecutorState, Heartbeat, Member, MembershipUpdate, NodeRole, RetirementState,
+};
 
 /// A version of the protocol: others are turned away by name.
 pub const PROTOCOL: u16 = 1;
@@ -14,7 +16,7 @@
     pub protocol: u16,
     pub node: Node,
     pub name: String,
-    pub class: Class,
+    pub class: NodeRole,
     pub zone: String,
     pub ip: Ipv4Addr,
     /// Another start is another life.
@@ -38,9 +40,9 @@
         life: u64,
         version: u64,
         config: u64,
-        retiring: Retiring,
+        retiring: RetirementState,
     },
-    News(News),
+    News(MembershipUpdate),
     Put {
         ticket: u64,
         message: Message,
--- a/crates/server/src/status.rs
+++ b/crates/server/src/status.rs
@@ -3,7 +3,7 @@
 use crate::args::{say, UNUSABLE};
 use crate::links;
 use crate::node::lot;
-use crate::signals::{Class, Hello, Signal, PROTOCOL};
+use crate::signals::{Hello, NodeRole, Signal, PROTOCOL};
 use jzon::JsonValue;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
@@ -34,7 +34,7 @@
         // Drawn: a fixed one would end the connection of another who asks at the same time.
         node: lot() as u32,
         name: "visitor".to_string(),
-        class: Class::Visitor,
+        class: NodeRole::CommandLine,
         zone: String::new(),
         ip: Ipv4Addr::UNSPECIFIED,
         life: lot(),
@@ -77,13 +77,14 @@
     let file = file.ok_or("command line: --at: missing, and STILEROUTE_BOOT is not set")?;
     let boot = Boot::read(&file).map_err(|faults| faults.to_string())?;
     let place = |ip, class| links::address(boot.internal_ports, ip, class);
-    let mut all = [Class::Edge, Class::Store, Class::Core].map(|class| place(boot.ip, class)).to_vec();
-    all.extend(boot.seeds.iter().filter(|_| seeds).map(|seed| place(*seed.ip(), Class::Core)));
+    let mut all =
+        [NodeRole::Edge, NodeRole::Store, NodeRole::Control].map(|class| place(boot.ip, class)).to_vec();
+    all.extend(boot.seeds.iter().filter(|_| seeds).map(|seed| place(*seed.ip(), NodeRole::Control)));
     Ok(all)
 }
 
-fn class_of(text: &str) -> Option<Class> {
-    [Class::Core, Class::Store, Class::Edge].into_iter().find(|class| class.to_string() == text)
+fn class_of(text: &str) -> Option<NodeRole> {
+    [NodeRole::Control, NodeRole::Store, NodeRole::Edge].into_iter().find(|class| class.to_string() == text)
 }
 
 /// Addresses that a report names.
@@ -173,13 +174,13 @@
 pub fn control_addresses(at: Option<&str>, boot: Option<&Path>) -> Result<Vec<SocketAddrV4>, u8> {
     let fleet = open(at, boot)?;
     let leads = |report: &&JsonValue| report["duty"]["leads"] != true;
-    let mut reports: Vec<&JsonValue> = fleet.all(Class::Core).collect();
+    let mut reports: Vec<&JsonValue> = fleet.all(NodeRole::Control).collect();
     reports.sort_by_key(leads);
     Ok(reports.iter().filter_map(|report| report["duty"]["control"].as_str()?.parse().ok()).collect())
 }
 
 impl Fleet {
-    fn all(&self, class: Class) -> impl Iterator<Item = &JsonValue> {
+    fn all(&self, class: NodeRole) -> impl Iterator<Item = &JsonValue> {
         let class = class.to_string();
         self.reports
             .values()
@@ -190,7 +191,7 @@
     /// Of the control nodes the one whose word holds: it leads, or has the highest epoch.
     fn control(&self) -> Option<&JsonValue> {
         let rank = |r: &&JsonValue| (r["duty"]["leads"] == true, r["duty"]["epoch"].as_u64().unwrap_or(0));
-        self.all(Class::Core).max_by_key(rank)
+        self.all(NodeRole::Control).max_by_key(rank)
     }
 
     fn json(&self) -> JsonValue {
@@ -217,12 +218,12 @@
     fn services(&self) -> JsonValue {
         let mut services: BTreeMap<String, JsonValue> = BTreeMap::new();
         let mut executors: BTreeMap<String, JsonValue> = BTreeMap::new();
-        for report in self.all(Class::Core) {
+        for report in self.all(NodeRole::Control) {
             for one in report["executors"].members() {
                 executors.entry(one["id"].to_string()).or_insert_with(|| one.clone());
             }
         }
-        for store in self.all(Class::Store) {
+        for store in self.all(NodeRole::Store) {
             let name = store["node"].to_string();
             for part in store["services"].members() {
                 let all = services.entry(part["service"].to_string()).or_insert_with(|| {
@@ -286,11 +287,11 @@
         None => text += "control: no control node answers\n",
         Some(report) => {
             let duty = &report["duty"];
-            let leads = fleet.all(Class::Core).find(|r| r["duty"]["leads"] == true);
+            let leads = fleet.all(NodeRole::Control).find(|r| r["duty"]["leads"] == true);
             let leader = leads.map_or("nobody leads now".to_string(), |r| format!("{} leads", r["node"]));
             text += &format!("control: epoch {}, primary {}, {leader}\n", duty["epoch"], duty["primary"]);
             text += &format!("  copies: {}\n  voters: {}\n", list(&duty["copies"]), list(&duty["voters"]));
-            for blank in fleet.all(Class::Core).filter(|r| r["duty"]["blank"] == true) {
+            for blank in fleet.all(NodeRole::Control).filter(|r| r["duty"]["blank"] == true) {
                 text += &format!("  blank: {}\n", blank["node"]);
             }
         }
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -7,7 +7,7 @@
 use crate::net::{Event, Failure, Millis, Reply};
 use crate::node::{lot, wall, Common};
 use crate::report::Told;
-use crate::signals::{Class, Found, Heartbeat, Retiring, Signal, Standing};
+use crate::signals::{ExecutorState, Found, Heartbeat, NodeRole, RetirementState, Signal};
 use std::collections::HashMap;
 use std::io::Write;
 use std::net::SocketAddrV4;
@@ -111,19 +111,19 @@
             self.queue.heard = self.common.fresh();
             let now = self.common.net.now();
             // From the last answer on: the session stood then, and is counted for so long after its end.
-            self.queue.lapsed = now >= self.common.session.heard + stileroute_registry::GRACE;
+            self.queue.lapsed = now >= self.common.session.heard + stileroute_registry::SESSION_GRACE;
             if self.common.told_to_end() {
-                for edge in self.common.links.class(Class::Edge) {
+                for edge in self.common.links.class(NodeRole::Edge) {
                     self.common.links.say(&mut self.common.net, edge, &Signal::Leaving);
                 }
                 self.queue.leave(now);
             }
             self.carry_out();
-            let retiring = self.queue.retired().map_or(Retiring::No, |empty| {
+            let retiring = self.queue.retired().map_or(RetirementState::NotRetiring, |empty| {
                 if empty {
-                    Retiring::Complete
+                    RetirementState::Complete
                 } else {
-                    Retiring::Rolling
+                    RetirementState::Draining
                 }
             });
             self.common.retires(retiring);
@@ -159,8 +159,8 @@
         }
         let mut wanted = self.common.cores();
         let me = self.common.boot.ip;
-        let stores = self.common.session.members.iter().filter(|m| m.class == Class::Store && m.ip > me);
-        wanted.extend(stores.map(|m| self.common.links.address(m.ip, Class::Store)));
+        let stores = self.common.session.members.iter().filter(|m| m.role == NodeRole::Store && m.ip > me);
+        wanted.extend(stores.map(|m| self.common.links.address(m.ip, NodeRole::Store)));
         let now = self.common.net.now();
         self.common.links.want(now, wanted);
     }
@@ -168,13 +168,13 @@
     fn link_event(&mut self, link_event: LinkEvent) {
         let now = self.common.net.now();
         match link_event {
-            LinkEvent::Up(hello) if hello.class == Class::Store => self.queue.up(now, hello.node),
-            LinkEvent::Up(hello) if hello.class == Class::Edge && self.queue.leaving => {
+            LinkEvent::Up(hello) if hello.class == NodeRole::Store => self.queue.up(now, hello.node),
+            LinkEvent::Up(hello) if hello.class == NodeRole::Edge && self.queue.leaving => {
                 self.common.links.say(&mut self.common.net, hello.node, &Signal::Leaving);
             }
             LinkEvent::Up(_) => {}
-            LinkEvent::Down(node, Class::Store) => self.queue.down(now, node),
-            LinkEvent::Down(node, Class::Edge) => {
+            LinkEvent::Down(node, NodeRole::Store) => self.queue.down(now, node),
+            LinkEvent::Down(node, NodeRole::Edge) => {
                 let lost: Vec<u64> = self
                     .askers
                     .iter()
@@ -187,7 +187,7 @@
                 }
             }
             LinkEvent::Down(..) => {}
-            LinkEvent::Said(from, Class::Core, Signal::News(news)) => {
+            LinkEvent::Said(from, NodeRole::Control, Signal::News(news)) => {
                 let config = self.common.heard_news(from, &news);
                 if news.members.is_some() {
                     let zone = |name: &str| {
@@ -198,18 +198,18 @@
                         .session
                         .members
                         .iter()
-                        .filter(|m| m.class == Class::Store)
+                        .filter(|m| m.role == NodeRole::Store)
                         .map(|m| (m.node, zone(&m.zone)))
                         .collect();
                     self.queue.members(now, &stores);
                 }
-                if news.whole {
+                if news.is_complete {
                     self.servers.clear();
                 }
-                let changed = news.whole || !news.servers.is_empty();
-                for heartbeat in news.servers {
-                    match heartbeat.standing {
-                        Standing::Gone => {
+                let changed = news.is_complete || !news.executors.is_empty();
+                for heartbeat in news.executors {
+                    match heartbeat.state {
+                        ExecutorState::Offline => {
                             if let Some(old) = self.servers.remove(&heartbeat.id) {
                                 self.common.net.forget(old.address);
                             }
@@ -227,15 +227,15 @@
                     self.queue.configure(now, fine, config);
                 }
             }
-            LinkEvent::Said(_, Class::Edge, Signal::Superseded { id, print, kept }) => {
+            LinkEvent::Said(_, NodeRole::Edge, Signal::Superseded { id, print, kept }) => {
                 self.queue.superseded(&id, print, kept);
             }
-            LinkEvent::Said(from, Class::Edge, Signal::Put { ticket, message }) => {
+            LinkEvent::Said(from, NodeRole::Edge, Signal::Put { ticket, message }) => {
                 self.next_ticket += 1;
                 self.askers.insert(self.next_ticket, (from, ticket));
                 self.queue.put(now, self.next_ticket, message);
             }
-            LinkEvent::Said(from, Class::Edge, Signal::Find { ticket, key, body }) => {
+            LinkEvent::Said(from, NodeRole::Edge, Signal::Find { ticket, key, body }) => {
                 let found = self.queue.find(key).map(|(state, bytes)| {
                     let bytes = bytes.filter(|_| body).map(<[u8]>::to_vec);
                     let found = match state {
@@ -247,14 +247,14 @@
                 });
                 self.common.links.say(&mut self.common.net, from, &Signal::Found { ticket, found });
             }
-            LinkEvent::Said(from, Class::Store, Signal::PeerMessage(note)) => {
+            LinkEvent::Said(from, NodeRole::Store, Signal::PeerMessage(note)) => {
                 self.queue.note(now, from, note)
             }
-            LinkEvent::Said(_, Class::Core, Signal::Retire { node })
+            LinkEvent::Said(_, NodeRole::Control, Signal::Retire { node })
                 if node == self.common.links.me().node =>
             {
                 self.queue.retire(now);
-                for edge in self.common.links.class(Class::Edge) {
+                for edge in self.common.links.class(NodeRole::Edge) {
                     self.common.links.say(&mut self.common.net, edge, &Signal::Leaving);
                 }
             }
@@ -273,8 +273,8 @@
                 address: heartbeat.address,
                 zone: zone.unwrap_or(self.common.boot.zones.len()),
                 capacity: f64::from(heartbeat.capacity),
-                serving: heartbeat.standing == Standing::Serving,
-                cold_left_ms: heartbeat.cold_left_ms,
+                serving: heartbeat.state == ExecutorState::Serving,
+                cold_left_ms: heartbeat.warmup_left_ms,
             });
         }
         all
--- a/crates/server/src/store/tests.rs
+++ b/crates/server/src/store/tests.rs
@@ -39,7 +39,7 @@
         std::fs::write(&file, text).unwrap();
         let mut boot = Boot::read(&file).unwrap();
         (boot.ip, boot.internal_ports) = (Ipv4Addr::LOCALHOST, (0, 0));
-        let mut store = Store::new(Common::start(boot, Path::new(""), Class::Store).unwrap()).unwrap();
+        let mut store = Store::new(Common::start(boot, Path::new(""), NodeRole::Store).unwrap()).unwrap();
         let (now, fine) = (store.common.net.now(), store.common.net.fine());
         store.queue.configure(now, fine, Arc::new(Config::read(CONFIG).unwrap()));
         store.carry_out();
@@ -50,7 +50,7 @@
         let (id, host) = ("m".to_string(), "quay.example".to_string());
         let (method, target) = ("POST".to_string(), "/in/x".to_string());
         let message = Message { id, host, method, target, taken: wall(), ..Message::default() };
-        self.store.link_event(LinkEvent::Said(EDGE, Class::Edge, Signal::Put { ticket: 5, message }));
+        self.store.link_event(LinkEvent::Said(EDGE, NodeRole::Edge, Signal::Put { ticket: 5, message }));
         self.store.carry_out();
     }
 
