--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -162,3 +162,6 @@
         node: String,
     },
 }
+
+#[cfg(test)]
+mod tests;
