--- /dev/null
+++ b/crates/wal/tests/disk_format.rs
@@ -0,0 +1,187 @@
+//! The disk format: a folder that an earlier build wrote opens with all its records, and the same appends give the same bytes.
+
+use std::collections::BTreeMap;
+use std::fs;
+use std::io;
+use std::path::{Path, PathBuf};
+use std::sync::mpsc::channel;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use stileroute_wal::{verify, Fold, Options, Step, Wal};
+
+const FORMAT: &str = "FORMAT";
+const SNAPSHOT: &str = "snapshot-0000000002";
+const LOG: &str = "log-0000000002";
+/// A small segment limit, so that the first appends end in a snapshot.
+const FIRST_SEGMENT_BYTES: u64 = 150;
+
+/// Of records KEY=VALUE the last of each key; KEY= alone removes it.
+#[derive(Default, Debug, PartialEq, Clone)]
+struct Keys(BTreeMap<String, String>);
+
+impl Fold for Keys {
+    fn apply(&mut self, record: &[u8]) {
+        let text = std::str::from_utf8(record).expect("text");
+        let (key, value) = text.split_once('=').expect("a key");
+        self.0.remove(key);
+        if !value.is_empty() {
+            self.0.insert(key.into(), value.into());
+        }
+    }
+
+    fn snapshot(&self, out: &mut dyn FnMut(&[u8])) {
+        self.0.iter().for_each(|(key, value)| out(format!("{key}={value}").as_bytes()));
+    }
+}
+
+/// Removes its folder when it is dropped.
+struct TemporaryFolder(PathBuf);
+
+impl TemporaryFolder {
+    fn new(name: &str) -> TemporaryFolder {
+        let path = std::env::temp_dir().join(format!("wal-format-{name}-{}", std::process::id()));
+        let _ = fs::remove_dir_all(&path);
+        fs::create_dir_all(&path).unwrap();
+        TemporaryFolder(path)
+    }
+
+    fn copy_of_the_fixture(name: &str) -> TemporaryFolder {
+        let folder = TemporaryFolder::new(name);
+        for (file, bytes) in files(&fixture()) {
+            fs::write(folder.0.join(file), bytes).unwrap();
+        }
+        folder
+    }
+}
+
+impl Drop for TemporaryFolder {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.0);
+    }
+}
+
+fn fixture() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/keys")
+}
+
+fn files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
+    let entries = fs::read_dir(folder).unwrap().map(Result::unwrap);
+    entries.map(|entry| (entry.file_name().into_string().unwrap(), fs::read(entry.path()).unwrap())).collect()
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn options() -> Options {
+    Options { lazy_sync: Duration::from_secs(3600), ..Options::new("keys") }
+}
+
+/// Appends one after the other, so that each entry's place does not depend on timing.
+fn append_all(wal: &Wal, results: &std::sync::mpsc::Receiver<bool>, appends: &[(&[&str], bool)]) {
+    for (records, sync) in appends {
+        wal.append(0, records.iter().map(|record| record.as_bytes().to_vec()).collect(), *sync);
+        assert!(results.recv_timeout(Duration::from_secs(20)).unwrap());
+    }
+}
+
+/// Writes what the fixture holds. Of a new folder FORMAT alone is not the same each time: its identity is drawn.
+fn write_fixture(folder: &Path) {
+    fs::write(folder.join(FORMAT), "stileroute-logbook 1 keys 0badf00d\n").unwrap();
+
+    let (checkpoint_ended, checkpoints) = channel();
+    let checkpoint_ended = Mutex::new(checkpoint_ended);
+    let hook = move |step| -> io::Result<()> {
+        if step == Step::CheckpointEnded {
+            let _ = checkpoint_ended.lock().unwrap().send(());
+        }
+        Ok(())
+    };
+    let small = Options { checkpoint_after: FIRST_SEGMENT_BYTES, hook: Some(Arc::new(hook)), ..options() };
+    let (sender, results) = channel();
+    let done = move |_, result: Result<(), _>| sender.send(result.is_ok()).unwrap();
+    let (wal, _) = Wal::open::<Keys>(folder, small, done).unwrap();
+    let first: [(&[&str], bool); 4] = [
+        (&["a=1", "b=2"], true),
+        (&["gone=1"], false),
+        (&["gone="], true),
+        (&["long=0123456789abcdefghijklmnopqrstuvwxyz"], true),
+    ];
+    append_all(&wal, &results, &first);
+    checkpoints.recv_timeout(Duration::from_secs(20)).unwrap();
+    drop(wal);
+
+    let (sender, results) = channel();
+    let done = move |_, result: Result<(), _>| sender.send(result.is_ok()).unwrap();
+    let (wal, _) = Wal::open::<Keys>(folder, options(), done).unwrap();
+    let second: [(&[&str], bool); 4] =
+        [(&["c=3"], true), (&["d=4", "a=5"], false), (&["b="], false), (&["e=6"], false)];
+    append_all(&wal, &results, &second);
+    // Dropped, not stopped: the last three stay unsynced.
+    drop(wal);
+}
+
+fn expected_keys() -> Keys {
+    let pairs =
+        [("a", "5"), ("c", "3"), ("d", "4"), ("e", "6"), ("long", "0123456789abcdefghijklmnopqrstuvwxyz")];
+    Keys(pairs.into_iter().map(|(key, value)| (key.to_string(), value.to_string())).collect())
+}
+
+#[test]
+fn the_stored_folder_verifies_with_each_record_in_order() {
+    let mut records = Vec::new();
+    let report = verify(&fixture(), &mut |record| records.push(String::from_utf8(record.to_vec()).unwrap()));
+    let expected =
+        ["a=1", "b=2", "long=0123456789abcdefghijklmnopqrstuvwxyz", "c=3", "d=4", "a=5", "b=", "e=6"];
+    assert_eq!(records, expected);
+    let report = report.unwrap();
+    assert_eq!(report.identity, "0badf00d");
+    assert_eq!(
+        report.to_string(),
+        "keys: opens, 8 records, 277 bytes\
+         \n  snapshot-0000000002: 3 records, 127 bytes, whole\
+         \n  log-0000000002: 5 records, 150 bytes, whole"
+    );
+}
+
+#[test]
+fn the_stored_folder_opens_with_all_its_records_and_is_not_rewritten() {
+    let folder = TemporaryFolder::copy_of_the_fixture("opens");
+    for _ in 0..2 {
+        let (_, keys) = Wal::open::<Keys>(&folder.0, options(), |_, _| {}).unwrap();
+        assert_eq!(keys, expected_keys());
+        assert_eq!(files(&folder.0), files(&fixture()));
+    }
+}
+
+#[test]
+fn the_same_appends_write_the_bytes_of_the_stored_folder() {
+    let folder = TemporaryFolder::new("written");
+    write_fixture(&folder.0);
+    let (written, stored) = (files(&folder.0), files(&fixture()));
+    let names: Vec<&str> = written.keys().map(String::as_str).collect();
+    assert_eq!(names, [FORMAT, LOG, SNAPSHOT]);
+    for (name, bytes) in &written {
+        assert_eq!(hex(bytes), hex(&stored[name]), "{name}");
+    }
+}
+
+#[test]
+fn a_new_folder_names_its_format_version_kind_and_identity() {
+    let folder = TemporaryFolder::new("new");
+    drop(Wal::open::<Keys>(&folder.0, options(), |_, _| {}).unwrap());
+    let format = fs::read_to_string(folder.0.join(FORMAT)).unwrap();
+    let identity = format.strip_prefix("stileroute-logbook 1 keys ").and_then(|rest| rest.strip_suffix('\n'));
+    let identity = identity.unwrap_or_else(|| panic!("{format:?}"));
+    assert!(
+        identity.len() == 8 && u32::from_str_radix(identity, 16).is_ok_and(|number| number > 0),
+        "{format:?}"
+    );
+    // The segment's first 20 bytes: its mark, `l`, version 1, number 1, the identity, and the checksum of these.
+    let log = fs::read(folder.0.join("log-0000000001")).unwrap();
+    let mut head = b"slbookl\x01\x01\0\0\0".to_vec();
+    head.extend_from_slice(&u32::from_str_radix(identity, 16).unwrap().to_le_bytes());
+    head.extend_from_slice(&crc32fast::hash(&head).to_le_bytes());
+    assert_eq!(hex(&log), hex(&head));
+}
