--- a/crates/model-check/wal/tests/planted.rs
+++ b/crates/model-check/wal/tests/planted.rs
@@ -6,19 +6,19 @@
 mod power;
 
 use power::{search, Failing, Play};
-use stileroute_wal::{Options, Planted, Step};
+use stileroute_wal::{Options, PlantedFault, Step};
 
-fn faults(planted: Planted, failing: Failing) -> Option<String> {
-    let options = |options| Options { planted: Some(planted), ..options };
+fn faults(planted: PlantedFault, failing: Failing) -> Option<String> {
+    let options = |options| Options { planted_fault: Some(planted), ..options };
     search(&Play { failing, options: &options }).fault
 }
 
 #[test]
 fn each_planted_fault_is_found() {
-    for planted in Planted::ALL {
+    for planted in PlantedFault::ALL {
         let failing = match planted {
             // Only a folder that could not be synced leaves a segment whose name may be lost.
-            Planted::NamelessCovered => Some((Step::SegmentFolder, 1)),
+            PlantedFault::NamelessCovered => Some((Step::SyncFolderAfterSegment, 1)),
             _ => None,
         };
         let fault = faults(planted, failing);
--- a/crates/queue/src/ledger.rs
+++ b/crates/queue/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use crate::message::{End, Key, Record, Shared};
 use std::collections::HashMap;
-use stileroute_wal::Fold;
+use stileroute_wal::StateMachine;
 
 /// Ends are asked for so long, and then for nothing.
 const KEPT: u64 = 240_000;
@@ -75,7 +75,7 @@
     }
 }
 
-impl Fold for Ledger {
+impl StateMachine for Ledger {
     fn apply(&mut self, record: &[u8]) {
         match postcard::from_bytes(record) {
             Ok(record) => self.enter(record),
--- a/crates/server/src/core.rs
+++ b/crates/server/src/core.rs
@@ -58,9 +58,9 @@
             let _ = waker.wake();
         };
         let options = Options {
-            room: boot.means.disk_mb << 20,
-            checkpoint_after: 4 << 20,
-            lazy_sync: Duration::from_millis(200),
+            capacity_bytes: boot.means.disk_mb << 20,
+            checkpoint_after_bytes: 4 << 20,
+            max_sync_delay: Duration::from_millis(200),
             ..Options::new("watch")
         };
         let (disk, ledger) = Wal::open::<Ledger>(&dir, options, done)
@@ -111,7 +111,7 @@
             }
             if self.may_end(now) {
                 self.common.net.flush_all();
-                self.disk.stop();
+                self.disk.close();
                 return Ok(());
             }
         }
--- a/crates/server/src/core/ledger.rs
+++ b/crates/server/src/core/ledger.rs
@@ -1,7 +1,7 @@
 //! The control node's records on disk.
 
 use stileroute_control_group::{Persisted, Record};
-use stileroute_wal::Fold;
+use stileroute_wal::StateMachine;
 
 /// A record as the log takes it.
 pub fn bytes(record: &Record) -> Vec<u8> {
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub struct Ledger(pub Persisted);
 
-impl Fold for Ledger {
+impl StateMachine for Ledger {
     fn apply(&mut self, record: &[u8]) {
         match postcard::from_bytes(record) {
             Ok(record) => self.0.apply(record),
--- a/crates/server/src/core/report.rs
+++ b/crates/server/src/core/report.rs
@@ -98,6 +98,6 @@
             &[],
             self.in_hand.len(),
         );
-        crate::store::report::disk(sheet, self.disk.figures());
+        crate::store::report::disk(sheet, self.disk.statistics());
     }
 }
--- a/crates/server/src/core/tests.rs
+++ b/crates/server/src/core/tests.rs
@@ -10,7 +10,7 @@
 use std::net::Ipv4Addr;
 use stileroute_control_group::{ControlState, Record, Retirement, Stage, RETIREMENTS};
 use stileroute_registry::Registry;
-use stileroute_wal::{Fold, MAX_RECORD};
+use stileroute_wal::{StateMachine, MAX_RECORD_BYTES};
 
 const CLIENT: Origin = Origin::Client(9);
 
@@ -220,7 +220,7 @@
 #[test]
 fn the_largest_value_that_is_taken_is_also_taken_by_the_disk() {
     let record = bytes(&Record::ControlState(largest()));
-    assert!(record.len() <= MAX_RECORD);
+    assert!(record.len() <= MAX_RECORD_BYTES);
     let mut ledger = Ledger::default();
     ledger.apply(&record);
     assert_eq!(ledger.0.state, Some(largest()));
--- a/crates/server/src/state.rs
+++ b/crates/server/src/state.rs
@@ -7,7 +7,7 @@
 use stileroute_config::Config;
 use stileroute_control_group::{Persisted, Record as Watching};
 use stileroute_queue::{End, Ledger, Record};
-use stileroute_wal::{verify as read, State, Trouble};
+use stileroute_wal::{verify as read, FileState, Trouble};
 
 /// Damage was found.
 const DAMAGED: u8 = 1;
@@ -89,13 +89,13 @@
         .iter()
         .map(|file| {
             let state = match &file.state {
-                State::Whole => "whole".to_string(),
-                State::Torn { at, reason } => {
-                    format!("torn at byte {at}, cut off at the next start: {reason}")
+                FileState::Complete => "whole".to_string(),
+                FileState::TornTail { offset, reason } => {
+                    format!("torn at byte {offset}, cut off at the next start: {reason}")
                 }
-                State::Damaged(reason) => format!("damaged: {reason}"),
-                State::Left => "left over".to_string(),
-                State::Foreign => "foreign".to_string(),
+                FileState::Corrupted(reason) => format!("damaged: {reason}"),
+                FileState::Obsolete => "left over".to_string(),
+                FileState::Unrecognized => "foreign".to_string(),
             };
             jzon::object! {
                 "name" => file.name.clone(),
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -58,8 +58,9 @@
             let _ = said.send((ticket, result));
             let _ = waker.wake();
         };
-        let room = common.boot.means.disk_mb << 20;
-        let options = Options { room, lazy_sync: Duration::from_millis(200), ..Options::new("hold") };
+        let capacity_bytes = common.boot.means.disk_mb << 20;
+        let options =
+            Options { capacity_bytes, max_sync_delay: Duration::from_millis(200), ..Options::new("hold") };
         let (disk, ledger) = Wal::open::<Ledger>(&dir, options, done)
             .map_err(|e| miette::miette!("{}: {e}", dir.display()))?;
         let (number, first) = (ledger.disk.unwrap_or_else(lot), first_number(lot()));
@@ -132,7 +133,7 @@
             }
             if self.may_end(now) {
                 self.common.net.flush_all();
-                self.disk.stop();
+                self.disk.close();
                 return Ok(());
             }
         }
--- a/crates/server/src/store/report.rs
+++ b/crates/server/src/store/report.rs
@@ -232,13 +232,13 @@
         sheet.gauge("stileroute_messages_thin", help, &[], f.thin);
         let help = "How long some were on too few disks, the last time that this was so.";
         sheet.gauge("stileroute_thin_seconds", help, &[], f.thin_ms as f64 / 1000.0);
-        disk(sheet, self.disk.figures());
+        disk(sheet, self.disk.statistics());
         let trouble = u8::from(self.disk_trouble);
         sheet.gauge("stileroute_disk_trouble", "1: the disk refused the last write.", &[], trouble);
     }
 }
 
-pub fn disk(sheet: &mut Sheet, f: stileroute_wal::Figures) {
+pub fn disk(sheet: &mut Sheet, f: stileroute_wal::Statistics) {
     let all = [
         ("records", f.records),
         ("bytes", f.bytes),
--- a/crates/server/tests/control_log.rs
+++ b/crates/server/tests/control_log.rs
@@ -26,17 +26,17 @@
 const BESIDE: u64 = 400;
 
 const STEPS: [Step; 11] = [
-    Step::Write,
-    Step::Sync,
-    Step::SegmentMake,
-    Step::SegmentRename,
-    Step::SegmentFolder,
-    Step::FoldRead,
-    Step::SnapshotWrite,
-    Step::SnapshotSync,
-    Step::SnapshotRename,
-    Step::SnapshotFolder,
-    Step::Remove,
+    Step::WriteEntries,
+    Step::SyncSegment,
+    Step::CreateSegment,
+    Step::RenameSegment,
+    Step::SyncFolderAfterSegment,
+    Step::ReadForCheckpoint,
+    Step::WriteSnapshot,
+    Step::SyncSnapshot,
+    Step::RenameSnapshot,
+    Step::SyncFolderAfterSnapshot,
+    Step::RemoveCovered,
 ];
 const TROUBLES: [Trouble; 3] = [Trouble::Kill, Trouble::Power, Trouble::Wipe];
 
--- a/crates/server/tests/control_log/machine.rs
+++ b/crates/server/tests/control_log/machine.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use stileroute_control_group::{ControlGroup, GroupSettings, Millis, Persisted, Record};
-use stileroute_wal::{Fold, Operation, Options, Step, Trouble as Refused, Wal};
+use stileroute_wal::{Operation, Options, StateMachine, Step, Trouble as Refused, Wal};
 
 use crate::power::{write, Disk, Files};
 
@@ -25,7 +25,7 @@
 #[derive(Default)]
 struct Ledger(Persisted);
 
-impl Fold for Ledger {
+impl StateMachine for Ledger {
     fn apply(&mut self, record: &[u8]) {
         self.0.apply(postcard::from_bytes(record).expect("a record"));
     }
@@ -79,12 +79,12 @@
         let (rolled_, watched, observed) = (rolled.clone(), self.watched.clone(), self.watched.clone());
         let hook = move |step: Step| {
             match step {
-                Step::SegmentMake => rolled_.store(true, Ordering::Relaxed),
+                Step::CreateSegment => rolled_.store(true, Ordering::Relaxed),
                 Step::CheckpointEnded => drop(checkpointed.lock().unwrap().send(())),
                 _ => {}
             }
             let mut watched = watched.lock().unwrap();
-            if matches!(step, Step::SnapshotRename | Step::SnapshotFolder | Step::Remove) {
+            if matches!(step, Step::RenameSnapshot | Step::SyncFolderAfterSnapshot | Step::RemoveCovered) {
                 watched.peak = watched.peak.max(watched.disk.bytes());
             }
             if watched.armed == Some(step) {
@@ -94,10 +94,10 @@
             Ok(())
         };
         let options = Options {
-            checkpoint_after: CHECKPOINT_AFTER,
-            lazy_sync: Duration::from_secs(3600),
-            hook: Some(Arc::new(hook)),
-            observer: Some(Arc::new(move |operation: Operation| {
+            checkpoint_after_bytes: CHECKPOINT_AFTER,
+            max_sync_delay: Duration::from_secs(3600),
+            step_hook: Some(Arc::new(hook)),
+            operation_observer: Some(Arc::new(move |operation: Operation| {
                 observed.lock().unwrap().disk.apply(&operation);
             })),
             ..Options::new("watch")
--- a/crates/server/tests/large_configurations.rs
+++ b/crates/server/tests/large_configurations.rs
@@ -13,7 +13,7 @@
 
 use stileroute_config::Config;
 use stileroute_control_group::{ControlState, Persisted, Record, Retirement, Stage, RETIREMENTS};
-use stileroute_wal::{Fold, Options, Step, Wal, MAX_RECORD};
+use stileroute_wal::{Options, StateMachine, Step, Wal, MAX_RECORD_BYTES};
 
 /// Bytes of the largest configuration.
 const LARGEST: usize = 8 << 20;
@@ -42,7 +42,7 @@
 #[derive(Default)]
 struct Ledger(Persisted);
 
-impl Fold for Ledger {
+impl StateMachine for Ledger {
     fn apply(&mut self, record: &[u8]) {
         self.0.apply(postcard::from_bytes(record).expect("a record"));
     }
@@ -104,8 +104,8 @@
     let retirements = (0..RETIREMENTS as u32).map(retirement).collect();
     let state = ControlState { serial: u64::MAX, version: u64::MAX, body: vec![b'x'; LARGEST], retirements };
     let record = postcard::to_stdvec(&Record::ControlState(state)).expect("encodes");
-    println!("the largest value takes {} bytes, a record may have {MAX_RECORD}", record.len());
-    assert!(record.len() <= MAX_RECORD, "{} bytes", record.len());
+    println!("the largest value takes {} bytes, a record may have {MAX_RECORD_BYTES}", record.len());
+    assert!(record.len() <= MAX_RECORD_BYTES, "{} bytes", record.len());
 }
 
 fn kept_many_times_over() {
@@ -117,7 +117,7 @@
     let (peak, snapshots) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
     let (peak_, snapshots_, hooked): (_, _, PathBuf) = (peak.clone(), snapshots.clone(), dir.clone());
     let hook = move |step| {
-        if step == Step::SnapshotRename {
+        if step == Step::RenameSnapshot {
             peak_.fetch_max(folder_bytes(&hooked), Ordering::Relaxed);
             let files = fs::read_dir(&hooked).into_iter().flatten().flatten();
             let unfinished = files.filter(|file| file.file_name().to_string_lossy().ends_with(".tmp"));
@@ -126,12 +126,16 @@
         }
         Ok(())
     };
-    let options = || Options { checkpoint_after: CHECKPOINT_AFTER, room: ROOM, ..Options::new("watch") };
+    let options = || Options {
+        checkpoint_after_bytes: CHECKPOINT_AFTER,
+        capacity_bytes: ROOM,
+        ..Options::new("watch")
+    };
     let (answer, answers) = channel();
     let done = move |ticket, result| drop(answer.send((ticket, result)));
     let before = memory::live();
     memory::peak_since(before);
-    let hooked = Options { hook: Some(Arc::new(hook)), ..options() };
+    let hooked = Options { step_hook: Some(Arc::new(hook)), ..options() };
     let (book, _) = Wal::open::<Ledger>(&dir, hooked, done).expect("opens");
     let since = Instant::now();
     for serial in 1..=changes {
@@ -140,8 +144,8 @@
         assert!(ticket == serial && result.is_ok(), "{ticket}: {result:?}");
         peak.fetch_max(folder_bytes(&dir), Ordering::Relaxed);
     }
-    let (took, figures) = (since.elapsed(), book.figures());
-    book.stop();
+    let (took, figures) = (since.elapsed(), book.statistics());
+    book.close();
     let most = memory::peak_since(before);
     let written = figures.bytes + snapshots.load(Ordering::Relaxed);
     let amplified = written as f64 / (changes * body.len() as u64) as f64;
--- a/crates/server/tests/state.rs
+++ b/crates/server/tests/state.rs
@@ -5,12 +5,12 @@
 use std::process::{Command, Output};
 
 use stileroute_control_group::{ControlState, Record};
-use stileroute_wal::{Fold, Options, Wal};
+use stileroute_wal::{Options, StateMachine, Wal};
 
 #[derive(Default)]
 struct Nothing;
 
-impl Fold for Nothing {
+impl StateMachine for Nothing {
     fn apply(&mut self, _: &[u8]) {}
     fn snapshot(&self, _: &mut dyn FnMut(&[u8])) {}
 }
@@ -28,7 +28,7 @@
         let record = postcard::to_stdvec(&Record::ControlState(state)).unwrap();
         let (book, _) = Wal::open::<Nothing>(&machine.watch(), Options::new("watch"), |_, _| {}).unwrap();
         book.append(1, vec![record], true);
-        book.stop();
+        book.close();
         machine
     }
 
--- a/crates/wal/src/disk.rs
+++ b/crates/wal/src/disk.rs
@@ -11,11 +11,11 @@
 #[doc(hidden)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
-    FolderMade,
+    FolderCreated,
     /// The folder that holds the folder.
     ParentSynced,
     /// Made, or emptied if it was there.
-    Made {
+    FileCreated {
         name: String,
     },
     Written {
@@ -48,7 +48,7 @@
 
 impl Options {
     fn observed(&self, operation: impl FnOnce() -> Operation) {
-        if let Some(observer) = &self.observer {
+        if let Some(observer) = &self.operation_observer {
             observer(operation());
         }
     }
@@ -60,7 +60,7 @@
         dir.ancestors().take_while(|path| !path.as_os_str().is_empty() && !path.exists()).collect();
     if !missing.is_empty() {
         fs::create_dir_all(dir)?;
-        options.observed(|| Operation::FolderMade);
+        options.observed(|| Operation::FolderCreated);
     }
     for made in missing.into_iter().skip(1).rev() {
         File::open(parent_of(made))?.sync_all()?;
@@ -104,7 +104,7 @@
     pub fn make(dir: &Path, name: &str, options: &Options) -> io::Result<DiskFile> {
         let mut opening = OpenOptions::new();
         let file = opening.read(true).write(true).create(true).truncate(true).open(dir.join(name))?;
-        options.observed(|| Operation::Made { name: name.to_string() });
+        options.observed(|| Operation::FileCreated { name: name.to_string() });
         Ok(DiskFile { file, name: name.to_string() })
     }
 
@@ -120,7 +120,7 @@
 
     /// At the present place.
     pub fn write(&mut self, bytes: &[u8], options: &Options) -> io::Result<()> {
-        let at = if options.observer.is_some() { self.file.stream_position()? } else { 0 };
+        let at = if options.operation_observer.is_some() { self.file.stream_position()? } else { 0 };
         let written = self.file.write_all(bytes);
         options.observed(|| Operation::Written { name: self.name.clone(), at, bytes: bytes.to_vec() });
         written
--- a/crates/wal/src/folder.rs
+++ b/crates/wal/src/folder.rs
@@ -8,7 +8,7 @@
 
 use crate::disk::{self, DiskFile};
 use crate::frame::{self, End, Expected, Identity, Kind, FILE_HEAD};
-use crate::planted::Planted;
+use crate::planted::PlantedFault;
 use crate::{Options, Step, Trouble};
 
 pub const MISSING: &str = "the file is missing";
@@ -106,7 +106,7 @@
 /// Written beside and renamed: under its own name it is whole.
 fn write_format(dir: &Path, options: &Options) -> io::Result<()> {
     let mut file = DiskFile::make(dir, FORMAT_UNFINISHED, options)?;
-    let text = format!("{PROGRAM} {VERSION_WORD} {} {}\n", options.kind, Identity::draw());
+    let text = format!("{PROGRAM} {VERSION_WORD} {} {}\n", options.schema, Identity::draw());
     file.write(text.as_bytes(), options)?;
     file.sync_all(options)?;
     disk::rename(dir, FORMAT_UNFINISHED, FORMAT, options)
@@ -128,7 +128,7 @@
 impl Folder {
     pub fn open(dir: &Path, options: Options, on_record: &mut dyn FnMut(&[u8])) -> Result<Folder, Trouble> {
         let opening = Trouble::io("opening the folder");
-        if options.planted(Planted::ParentUnsynced) {
+        if options.planted(PlantedFault::ParentUnsynced) {
             fs::create_dir_all(dir).map_err(&opening)?;
         } else {
             disk::make_folder(dir, &options).map_err(&opening)?;
@@ -145,14 +145,14 @@
             write_format(dir, &options).map_err(Trouble::io("writing FORMAT"))?;
         }
         let Format { kind, identity } = read_format(dir)?;
-        if kind != options.kind {
-            let found = format!("it keeps {kind:?}, not {:?}", options.kind);
+        if kind != options.schema {
+            let found = format!("it keeps {kind:?}, not {:?}", options.schema);
             return Err(Trouble::Format { file: dir.join(FORMAT).display().to_string(), found });
         }
 
         // A process that was killed may have renamed without a sync. First these names are made lasting, then others are made
         // that take them for given, and what they replace is removed.
-        if !names.format || !options.planted(Planted::NamesTrusted) {
+        if !names.format || !options.planted(PlantedFault::NamesTrusted) {
             disk::sync_folder(dir, &options).map_err(Trouble::io("syncing the folder"))?;
         }
 
@@ -190,7 +190,7 @@
                 End::Whole => {}
             }
             if scan.good >= FILE_HEAD {
-                if options.planted(Planted::TornTaken) {
+                if options.planted(PlantedFault::TornTaken) {
                     scan.good = scan.len;
                 }
                 let segment = Segment::reopen(dir, number, &scan, &options);
@@ -264,15 +264,15 @@
     pub fn create(dir: &Path, number: u64, folder: Identity, options: &Options) -> io::Result<Segment> {
         let name = log_name(number);
         let unfinished = format!("{name}.tmp");
-        options.at(Step::SegmentMake)?;
+        options.at(Step::CreateSegment)?;
         let mut file = DiskFile::make(dir, &unfinished, options)?;
         file.write(&frame::file_head(Expected { kind: Kind::Log, number, folder }), options)?;
         file.sync_all(options)?;
-        options.at(Step::SegmentRename)?;
+        options.at(Step::RenameSegment)?;
         disk::rename(dir, &unfinished, &name, options)?;
         let file = file.called(&name);
-        let named = match options.at(Step::SegmentFolder) {
-            Ok(()) if options.planted(Planted::SegmentNameUnsynced) => Ok(()),
+        let named = match options.at(Step::SyncFolderAfterSegment) {
+            Ok(()) if options.planted(PlantedFault::SegmentNameUnsynced) => Ok(()),
             Ok(()) => disk::sync_folder(dir, options),
             failed => failed,
         };
@@ -296,7 +296,7 @@
     fn reopen(dir: &Path, number: u64, scan: &frame::Scan, options: &Options) -> io::Result<Segment> {
         let mut file = DiskFile::open(dir, &log_name(number))?;
         let (good, entries) = (scan.good, scan.entries);
-        if scan.len > good && !options.planted(Planted::NotCut) {
+        if scan.len > good && !options.planted(PlantedFault::NotCut) {
             file.cut(good, options)?;
         }
         file.file.seek(SeekFrom::Start(good))?;
@@ -318,7 +318,7 @@
     /// All or nothing.
     pub fn write(&mut self, bytes: &[u8], entries: u32, options: &Options) -> io::Result<()> {
         self.mend(options)?;
-        let written = match options.at(Step::Write) {
+        let written = match options.at(Step::WriteEntries) {
             Ok(()) => self.file.write(bytes, options),
             Err(error) => self.file.write(&bytes[..bytes.len() / 2], options).and(Err(error)),
         };
@@ -367,7 +367,7 @@
             self.write_anew(options)?;
         }
         self.doubt = true;
-        options.at(Step::Sync)?;
+        options.at(Step::SyncSegment)?;
         if self.shortened {
             self.file.sync_all(options)?;
         } else {
--- a/crates/wal/src/frame.rs
+++ b/crates/wal/src/frame.rs
@@ -12,7 +12,7 @@
 use std::io::{BufReader, Read, Seek, SeekFrom};
 use std::path::Path;
 
-use crate::{Trouble, MAX_APPEND};
+use crate::{Trouble, MAX_APPEND_BYTES};
 
 pub const VERSION: u8 = 1;
 pub const FILE_HEAD: u64 = 20;
@@ -110,7 +110,7 @@
         return None;
     }
     let len = four(bytes, 0) as usize;
-    (len <= MAX_APPEND).then(|| Head {
+    (len <= MAX_APPEND_BYTES).then(|| Head {
         len,
         number: four(bytes, 4),
         synced: eight(bytes, 8),
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -51,87 +51,87 @@
 #[doc(hidden)]
 pub use disk::Operation;
 #[cfg(feature = "planted")]
-pub use planted::Planted;
-pub use verify::{verify, FileReport, Report, State};
+pub use planted::PlantedFault;
+pub use verify::{verify, FileReport, FileState, Report};
 
 use folder::Folder;
 use writer::{Command, Writer};
 
 /// Of one record: the largest configuration (`charter::read::LONGEST`, 8 MiB), which is kept whole, and what goes with it.
-pub const MAX_RECORD: usize = (8 << 20) + (64 << 10);
+pub const MAX_RECORD_BYTES: usize = (8 << 20) + (64 << 10);
 /// Of the records of one append, with four bytes for each.
-pub const MAX_APPEND: usize = 9 << 20;
+pub const MAX_APPEND_BYTES: usize = 9 << 20;
 
 /// What all records amount to. A checkpoint builds a second one beside the program's own: its memory is needed twice for a while.
-pub trait Fold: Default + Send + 'static {
+pub trait StateMachine: Default + Send + 'static {
     fn apply(&mut self, record: &[u8]);
     /// Gives records that rebuild it when they are applied to the default. They should take no more bytes than the records
-    /// they stand for, or `Options::room` cannot be kept.
+    /// they stand for, or `Options::capacity_bytes` cannot be kept.
     fn snapshot(&self, out: &mut dyn FnMut(&[u8]));
 }
 
 #[derive(Clone)]
 pub struct Options {
     /// Name of what is kept, without blanks. A folder of another kind is refused.
-    pub kind: &'static str,
-    /// Bytes in a segment after which a checkpoint begins; an eighth of `room` if that is less.
-    pub checkpoint_after: u64,
+    pub schema: &'static str,
+    /// Bytes in a segment after which a checkpoint begins; an eighth of `capacity_bytes` if that is less.
+    pub checkpoint_after_bytes: u64,
     /// Bytes of disk it may use in all; 0 = unknown. A checkpoint needs the old and the new at once, so synced appends are
     /// refused as `Full` beyond 7/16 of it. Others may go to 1/2: what frees room must not be refused first.
-    pub room: u64,
+    pub capacity_bytes: u64,
     /// Longest time until a record without sync is synced.
-    pub lazy_sync: Duration,
+    pub max_sync_delay: Duration,
     /// For tests: called before each step, may wait there or have it fail.
     #[doc(hidden)]
-    pub hook: Option<Hook>,
+    pub step_hook: Option<StepHook>,
     /// For tests: told of each operation on the folder once it is done.
     #[doc(hidden)]
-    pub observer: Option<Observer>,
+    pub operation_observer: Option<OperationObserver>,
     /// A fault for the tests in `crates/model-check/wal/` to find.
     #[cfg(feature = "planted")]
-    pub planted: Option<Planted>,
+    pub planted_fault: Option<PlantedFault>,
 }
 
 impl Options {
-    pub fn new(kind: &'static str) -> Options {
+    pub fn new(schema: &'static str) -> Options {
         Options {
-            kind,
-            checkpoint_after: 32 << 20,
-            room: 0,
-            lazy_sync: Duration::from_millis(200),
-            hook: None,
-            observer: None,
+            schema,
+            checkpoint_after_bytes: 32 << 20,
+            capacity_bytes: 0,
+            max_sync_delay: Duration::from_millis(200),
+            step_hook: None,
+            operation_observer: None,
             #[cfg(feature = "planted")]
-            planted: None,
+            planted_fault: None,
         }
     }
 
     pub(crate) fn at(&self, step: Step) -> io::Result<()> {
-        self.hook.as_ref().map_or(Ok(()), |hook| hook(step))
+        self.step_hook.as_ref().map_or(Ok(()), |hook| hook(step))
     }
 }
 
 #[doc(hidden)]
-pub type Hook = Arc<dyn Fn(Step) -> io::Result<()> + Send + Sync>;
+pub type StepHook = Arc<dyn Fn(Step) -> io::Result<()> + Send + Sync>;
 
 #[doc(hidden)]
-pub type Observer = Arc<dyn Fn(Operation) + Send + Sync>;
+pub type OperationObserver = Arc<dyn Fn(Operation) + Send + Sync>;
 
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// A failure here leaves half of the bytes in the file.
-    Write,
-    Sync,
-    SegmentMake,
-    SegmentRename,
-    SegmentFolder,
-    FoldRead,
-    SnapshotWrite,
-    SnapshotSync,
-    SnapshotRename,
-    SnapshotFolder,
-    Remove,
+    WriteEntries,
+    SyncSegment,
+    CreateSegment,
+    RenameSegment,
+    SyncFolderAfterSegment,
+    ReadForCheckpoint,
+    WriteSnapshot,
+    SyncSnapshot,
+    RenameSnapshot,
+    SyncFolderAfterSnapshot,
+    RemoveCovered,
     /// A checkpoint has succeeded or failed, and the writer knows.
     CheckpointEnded,
 }
@@ -221,7 +221,7 @@
 
 /// Counted since the opening.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Statistics {
     pub records: u64,
     /// Of entries, heads included.
     pub bytes: u64,
@@ -244,7 +244,7 @@
     counter.fetch_add(more, Ordering::Relaxed);
 }
 
-/// Dropping it without `stop` writes what is queued and leaves the rest to the system, as when the process is killed.
+/// Dropping it without `close` writes what is queued and leaves the rest to the system, as when the process is killed.
 pub struct Wal {
     queue: Sender<Command>,
     counters: Arc<Counters>,
@@ -253,7 +253,7 @@
 
 impl Wal {
     /// Recovers: cuts off a torn end, finishes or undoes a checkpoint, and returns the fold of all that is there, synced.
-    pub fn open<F: Fold>(
+    pub fn open<F: StateMachine>(
         dir: &Path,
         options: Options,
         done: impl Fn(u64, Result<(), Trouble>) + Send + 'static,
@@ -282,13 +282,13 @@
 
     /// Writes what is queued, syncs, and waits for the writer. A checkpoint under way is given up; the next one makes up for it.
     /// Not to be called from `done`.
-    pub fn stop(mut self) {
+    pub fn close(mut self) {
         self.end(true);
     }
 
-    pub fn figures(&self) -> Figures {
+    pub fn statistics(&self) -> Statistics {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-        Figures {
+        Statistics {
             records: read(&self.counters.records),
             bytes: read(&self.counters.bytes),
             syncs: read(&self.counters.syncs),
--- a/crates/wal/src/planted.rs
+++ b/crates/wal/src/planted.rs
@@ -6,7 +6,7 @@
 /// A fault that a test has to tell of. Each undoes one rule.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
+pub enum PlantedFault {
     /// The folder's own name is not synced in the folder that holds it.
     ParentUnsynced,
     /// Names that a killed process left unsynced are built on at the next opening.
@@ -28,29 +28,29 @@
 }
 
 #[cfg(feature = "planted")]
-impl Planted {
-    pub const ALL: [Planted; 9] = [
-        Planted::ParentUnsynced,
-        Planted::NamesTrusted,
-        Planted::SegmentNameUnsynced,
-        Planted::NamelessCovered,
-        Planted::SnapshotUnsynced,
-        Planted::DroppedEarly,
-        Planted::EarlyAnswer,
-        Planted::TornTaken,
-        Planted::NotCut,
+impl PlantedFault {
+    pub const ALL: [PlantedFault; 9] = [
+        PlantedFault::ParentUnsynced,
+        PlantedFault::NamesTrusted,
+        PlantedFault::SegmentNameUnsynced,
+        PlantedFault::NamelessCovered,
+        PlantedFault::SnapshotUnsynced,
+        PlantedFault::DroppedEarly,
+        PlantedFault::EarlyAnswer,
+        PlantedFault::TornTaken,
+        PlantedFault::NotCut,
     ];
 }
 
 impl Options {
     #[cfg(feature = "planted")]
-    pub(crate) fn planted(&self, fault: Planted) -> bool {
-        self.planted == Some(fault)
+    pub(crate) fn planted(&self, fault: PlantedFault) -> bool {
+        self.planted_fault == Some(fault)
     }
 
     #[cfg(not(feature = "planted"))]
     #[inline(always)]
-    pub(crate) const fn planted(&self, _: Planted) -> bool {
+    pub(crate) const fn planted(&self, _: PlantedFault) -> bool {
         false
     }
 }
--- a/crates/wal/src/verify.rs
+++ b/crates/wal/src/verify.rs
@@ -8,19 +8,19 @@
 use crate::Trouble;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum State {
-    Whole,
+pub enum FileState {
+    Complete,
     /// An opening would cut it off from this byte on.
-    Torn {
-        at: u64,
+    TornTail {
+        offset: u64,
         reason: String,
     },
     /// An opening would refuse the folder.
-    Damaged(String),
+    Corrupted(String),
     /// A snapshot covers it, or it was never finished; an opening would remove it.
-    Left,
+    Obsolete,
     /// Not of this package.
-    Foreign,
+    Unrecognized,
 }
 
 #[derive(Clone, Debug)]
@@ -28,12 +28,12 @@
     pub name: String,
     pub records: u64,
     pub bytes: u64,
-    pub state: State,
+    pub state: FileState,
 }
 
 impl FileReport {
     /// Of one that is not read.
-    fn of(name: String, state: State) -> FileReport {
+    fn of(name: String, state: FileState) -> FileReport {
         FileReport { name, records: 0, bytes: 0, state }
     }
 }
@@ -52,7 +52,7 @@
 impl Report {
     /// Whether an opening would succeed.
     pub fn opens(&self) -> bool {
-        !self.files.iter().any(|file| matches!(file.state, State::Damaged(_)))
+        !self.files.iter().any(|file| matches!(file.state, FileState::Corrupted(_)))
     }
 }
 
@@ -63,11 +63,11 @@
         for FileReport { name, records, bytes, state } in &self.files {
             write!(f, "\n  {name}: {records} records, {bytes} bytes, ")?;
             match state {
-                State::Whole => write!(f, "whole")?,
-                State::Torn { at, reason } => write!(f, "torn at byte {at}: {reason}")?,
-                State::Damaged(reason) => write!(f, "damaged: {reason}")?,
-                State::Left => write!(f, "left over")?,
-                State::Foreign => write!(f, "foreign")?,
+                FileState::Complete => write!(f, "whole")?,
+                FileState::TornTail { offset, reason } => write!(f, "torn at byte {offset}: {reason}")?,
+                FileState::Corrupted(reason) => write!(f, "damaged: {reason}")?,
+                FileState::Obsolete => write!(f, "left over")?,
+                FileState::Unrecognized => write!(f, "foreign")?,
             }
         }
         Ok(())
@@ -87,7 +87,7 @@
         let name = file_name(expected);
         let sound = report.opens();
         if kind == Kind::Log && !names.logs.contains(&number) {
-            report.files.push(FileReport::of(name, State::Damaged(MISSING.into())));
+            report.files.push(FileReport::of(name, FileState::Corrupted(MISSING.into())));
             continue;
         }
         let scan = frame::scan(&dir.join(&name), expected, &mut |record| {
@@ -96,11 +96,11 @@
             }
         })?;
         let state = match scan.end {
-            End::Whole => State::Whole,
+            End::Whole => FileState::Complete,
             End::Torn(reason) if kind == Kind::Log && number == *live.end() => {
-                State::Torn { at: scan.good, reason }
+                FileState::TornTail { offset: scan.good, reason }
             }
-            End::Torn(reason) | End::Damaged(reason) => State::Damaged(reason),
+            End::Torn(reason) | End::Damaged(reason) => FileState::Corrupted(reason),
         };
         report.records += scan.records;
         report.bytes += scan.good;
@@ -108,7 +108,7 @@
     }
     let old = names.snapshots.range(..names.base()).map(|&number| snapshot_name(number));
     let old = old.chain(names.logs.range(..names.base()).map(|&number| log_name(number)));
-    report.files.extend(old.chain(names.unfinished).map(|name| FileReport::of(name, State::Left)));
-    report.files.extend(names.others.into_iter().map(|name| FileReport::of(name, State::Foreign)));
+    report.files.extend(old.chain(names.unfinished).map(|name| FileReport::of(name, FileState::Obsolete)));
+    report.files.extend(names.others.into_iter().map(|name| FileReport::of(name, FileState::Unrecognized)));
     Ok(report)
 }
--- a/crates/wal/src/writer.rs
+++ b/crates/wal/src/writer.rs
@@ -12,8 +12,8 @@
 use crate::disk::{self, DiskFile};
 use crate::folder::{self, snapshot_name, Folder, Segment};
 use crate::frame::{self, Expected, Identity, Kind, FILE_HEAD};
-use crate::planted::Planted;
-use crate::{count, Counters, Fold, Options, Step, Trouble, MAX_APPEND, MAX_RECORD};
+use crate::planted::PlantedFault;
+use crate::{count, Counters, Options, StateMachine, Step, Trouble, MAX_APPEND_BYTES, MAX_RECORD_BYTES};
 
 pub enum Command {
     Append { ticket: u64, records: Vec<Vec<u8>>, sync: bool },
@@ -132,9 +132,9 @@
 
     fn is_large_and_does_not_fit(&self, group: &[Append]) -> bool {
         let sizes = || group.iter().map(|(_, records, _)| frame::size(records) as u64);
-        let large = sizes().any(|size| size >= self.due() && size <= MAX_APPEND as u64);
+        let large = sizes().any(|size| size >= self.due() && size <= MAX_APPEND_BYTES as u64);
         let most = most_used(&self.folder.options, true);
-        large && self.folder.options.room > 0 && self.folder.used() + sizes().sum::<u64>() > most
+        large && self.folder.options.capacity_bytes > 0 && self.folder.used() + sizes().sum::<u64>() > most
     }
 
     fn wait(&mut self) -> Option<Command> {
@@ -163,11 +163,13 @@
             let size = frame::size(append);
             let most = most_used(options, *with_sync);
             let largest = append.iter().map(Vec::len).max().unwrap_or(0);
-            refused.push(if largest > MAX_RECORD {
+            refused.push(if largest > MAX_RECORD_BYTES {
                 Some(Trouble::TooLarge { bytes: largest })
-            } else if size > MAX_APPEND {
+            } else if size > MAX_APPEND_BYTES {
                 Some(Trouble::TooLarge { bytes: size })
-            } else if options.room > 0 && !append.is_empty() && used + (self.bytes.len() + size) as u64 > most
+            } else if options.capacity_bytes > 0
+                && !append.is_empty()
+                && used + (self.bytes.len() + size) as u64 > most
             {
                 full = true;
                 Some(Trouble::Full)
@@ -189,10 +191,10 @@
                 count(&self.counters.failures, 1);
                 Err(Trouble::io("writing")(error))
             }
-            Ok(()) if sync && !self.folder.options.planted(Planted::EarlyAnswer) => self.sync(),
+            Ok(()) if sync && !self.folder.options.planted(PlantedFault::EarlyAnswer) => self.sync(),
             Ok(()) => {
                 if put > 0 {
-                    self.sync_by.get_or_insert_with(|| Instant::now() + self.folder.options.lazy_sync);
+                    self.sync_by.get_or_insert_with(|| Instant::now() + self.folder.options.max_sync_delay);
                 }
                 Ok(())
             }
@@ -224,7 +226,7 @@
             Err(error) => {
                 tracing::warn!(%error, "a sync failed");
                 count(&self.counters.failures, 1);
-                self.sync_by = Some(Instant::now() + options.lazy_sync.max(Duration::from_millis(50)));
+                self.sync_by = Some(Instant::now() + options.max_sync_delay.max(Duration::from_millis(50)));
                 Err(Trouble::io("syncing")(error))
             }
         }
@@ -233,8 +235,10 @@
     /// Bytes in a segment after which a checkpoint begins.
     fn due(&self) -> u64 {
         match self.folder.options {
-            Options { room: 0, checkpoint_after, .. } => checkpoint_after,
-            Options { room, checkpoint_after, .. } => checkpoint_after.min(room / 8),
+            Options { capacity_bytes: 0, checkpoint_after_bytes, .. } => checkpoint_after_bytes,
+            Options { capacity_bytes, checkpoint_after_bytes, .. } => {
+                checkpoint_after_bytes.min(capacity_bytes / 8)
+            }
         }
     }
 
@@ -244,7 +248,7 @@
             return;
         }
         self.rest_until = None;
-        let (room, due) = (self.folder.options.room, self.due());
+        let (room, due) = (self.folder.options.capacity_bytes, self.due());
         let len = self.folder.log.len;
         // Some ends that came since may be enough to have room again; none, and it would be for nothing.
         if len >= due.max(FILE_HEAD + 1) || full && len > FILE_HEAD + room / 1024 {
@@ -273,11 +277,11 @@
     fn begin_fold(&mut self) -> Result<(), Trouble> {
         let Folder { dir, options, identity, base, snapshot, closed, log } = &mut self.folder;
         // A snapshot that is kept while the name of the segment after it is lost would look like damage.
-        if !options.planted(Planted::NamelessCovered) {
+        if !options.planted(PlantedFault::NamelessCovered) {
             log.sync_name(dir, options).map_err(Trouble::io("syncing the folder"))?;
         }
         let (to, closed, give_up) = (log.number, *closed, Arc::new(AtomicBool::new(false)));
-        let left = match options.room {
+        let left = match options.capacity_bytes {
             0 => u64::MAX,
             room => room.saturating_sub(*snapshot + closed + log.len),
         };
@@ -329,9 +333,9 @@
 /// Bytes of the folder beyond which an append is refused. What frees room comes without sync, and must not be refused first.
 fn most_used(options: &Options, sync: bool) -> u64 {
     if sync {
-        options.room / 16 * 7
+        options.capacity_bytes / 16 * 7
     } else {
-        options.room / 2
+        options.capacity_bytes / 2
     }
 }
 
@@ -364,8 +368,8 @@
 const SYNC_EVERY: u64 = 4 << 20;
 
 /// The snapshot's length, or none if it was given up.
-pub fn fold<F: Fold>(task: &Task) -> Result<Option<u64>, Trouble> {
-    task.options.at(Step::FoldRead).map_err(Trouble::io("reading"))?;
+pub fn fold<F: StateMachine>(task: &Task) -> Result<Option<u64>, Trouble> {
+    task.options.at(Step::ReadForCheckpoint).map_err(Trouble::io("reading"))?;
     let mut fold = F::default();
     let mut stint = 0;
     let mut apply = |record: &[u8]| {
@@ -399,7 +403,7 @@
     drop(fold);
     let renamed = match written {
         _ if task.given_up() => Ok(None),
-        Ok(len) => step(Step::SnapshotRename, "renaming the snapshot", &|| {
+        Ok(len) => step(Step::RenameSnapshot, "renaming the snapshot", &|| {
             disk::rename(dir, &unfinished, &name, options)
         })
         .map(|()| Some(len)),
@@ -410,10 +414,11 @@
         return renamed;
     };
     // Before this returns a power loss may bring the old name back, so what it replaces stays.
-    if !options.planted(Planted::DroppedEarly) {
-        step(Step::SnapshotFolder, "syncing the folder", &|| disk::sync_folder(dir, options))?;
+    if !options.planted(PlantedFault::DroppedEarly) {
+        step(Step::SyncFolderAfterSnapshot, "syncing the folder", &|| disk::sync_folder(dir, options))?;
     }
-    if let Err(trouble) = step(Step::Remove, "removing", &|| folder::remove_before(dir, *to, options)) {
+    if let Err(trouble) = step(Step::RemoveCovered, "removing", &|| folder::remove_before(dir, *to, options))
+    {
         tracing::warn!(%trouble, "what a snapshot replaced is still there");
     }
     Ok(Some(len))
@@ -450,7 +455,7 @@
         if self.failed.is_some() || self.task.given_up() {
             return;
         }
-        if record.len() > MAX_RECORD {
+        if record.len() > MAX_RECORD_BYTES {
             self.failed = Some(Trouble::TooLarge { bytes: record.len() });
             return;
         }
@@ -476,7 +481,7 @@
             return Err(Trouble::Full);
         }
         let writing = Trouble::io("writing a snapshot");
-        self.task.options.at(Step::SnapshotWrite).map_err(&writing)?;
+        self.task.options.at(Step::WriteSnapshot).map_err(&writing)?;
         self.file.write(&self.bytes, &self.task.options).map_err(&writing)?;
         self.bytes.clear();
         self.len += more;
@@ -499,8 +504,8 @@
         frame::close(&mut self.bytes, 0, self.entries, self.records);
         self.flush()?;
         let syncing = Trouble::io("syncing a snapshot");
-        self.task.options.at(Step::SnapshotSync).map_err(&syncing)?;
-        if !self.task.options.planted(Planted::SnapshotUnsynced) {
+        self.task.options.at(Step::SyncSnapshot).map_err(&syncing)?;
+        if !self.task.options.planted(PlantedFault::SnapshotUnsynced) {
             self.file.sync_all(&self.task.options).map_err(&syncing)?;
         }
         Ok(self.len)
--- a/crates/wal/tests/disk_format.rs
+++ b/crates/wal/tests/disk_format.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use stileroute_wal::{verify, Fold, Options, Step, Wal};
+use stileroute_wal::{verify, Options, StateMachine, Step, Wal};
 
 const FORMAT: &str = "FORMAT";
 const SNAPSHOT: &str = "snapshot-0000000002";
@@ -20,7 +20,7 @@
 #[derive(Default, Debug, PartialEq, Clone)]
 struct Keys(BTreeMap<String, String>);
 
-impl Fold for Keys {
+impl StateMachine for Keys {
     fn apply(&mut self, record: &[u8]) {
         let text = std::str::from_utf8(record).expect("text");
         let (key, value) = text.split_once('=').expect("a key");
@@ -75,7 +75,7 @@
 }
 
 fn options() -> Options {
-    Options { lazy_sync: Duration::from_secs(3600), ..Options::new("keys") }
+    Options { max_sync_delay: Duration::from_secs(3600), ..Options::new("keys") }
 }
 
 /// Appends one after the other, so that each entry's place does not depend on timing.
@@ -98,7 +98,8 @@
         }
         Ok(())
     };
-    let small = Options { checkpoint_after: FIRST_SEGMENT_BYTES, hook: Some(Arc::new(hook)), ..options() };
+    let small =
+        Options { checkpoint_after_bytes: FIRST_SEGMENT_BYTES, step_hook: Some(Arc::new(hook)), ..options() };
     let (sender, results) = channel();
     let done = move |_, result: Result<(), _>| sender.send(result.is_ok()).unwrap();
     let (wal, _) = Wal::open::<Keys>(folder, small, done).unwrap();
--- a/crates/wal/tests/power/disk.rs
+++ b/crates/wal/tests/power/disk.rs
@@ -92,12 +92,12 @@
 
     pub fn apply(&mut self, operation: &Operation) {
         match operation {
-            Operation::FolderMade => self.folder = false,
+            Operation::FolderCreated => self.folder = false,
             Operation::ParentSynced => self.folder = true,
-            Operation::Made { name } if self.names.contains_key(name) => {
+            Operation::FileCreated { name } if self.names.contains_key(name) => {
                 self.change(name, Change::Length(0));
             }
-            Operation::Made { name } => {
+            Operation::FileCreated { name } => {
                 self.contents.push(Content::default());
                 self.name(name, Some(self.contents.len() - 1));
             }
--- a/crates/wal/tests/power/mod.rs
+++ b/crates/wal/tests/power/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use disk::{Disk, Files};
-use stileroute_wal::{verify, Fold, Operation, Options, Step, Trouble, Wal};
+use stileroute_wal::{verify, Operation, Options, StateMachine, Step, Trouble, Wal};
 
 /// Records are counted up; the fold is the count, and whether one was missing or of another content.
 #[derive(Default, Debug, Clone, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 
 const SNAPSHOT: u8 = b'=';
 
-impl Fold for Count {
+impl StateMachine for Count {
     fn apply(&mut self, record: &[u8]) {
         let (snapshot, digits) = match record {
             [SNAPSHOT, digits @ ..] => (true, digits),
@@ -74,7 +74,7 @@
 /// Bytes of some five appends.
 const SEGMENT: u64 = 200;
 /// Steps of a checkpoint at which more is appended while its thread waits.
-const BETWEEN: [Step; 2] = [Step::SnapshotFolder, Step::Remove];
+const BETWEEN: [Step; 2] = [Step::SyncFolderAfterSnapshot, Step::RemoveCovered];
 
 struct Writer {
     book: Wal,
@@ -125,9 +125,9 @@
     let trace = trace.clone();
     let observer = move |operation| trace.lock().unwrap().push(Event::Did(operation));
     (play.options)(Options {
-        lazy_sync: Duration::from_secs(3600),
-        checkpoint_after: SEGMENT,
-        observer: Some(Arc::new(observer)),
+        max_sync_delay: Duration::from_secs(3600),
+        checkpoint_after_bytes: SEGMENT,
+        operation_observer: Some(Arc::new(observer)),
         ..Options::new("count")
     })
 }
@@ -146,9 +146,9 @@
             return Ok(());
         }
         match step {
-            Step::SegmentMake => rolled_.store(true, Ordering::Relaxed),
+            Step::CreateSegment => rolled_.store(true, Ordering::Relaxed),
             Step::CheckpointEnded => say.lock().unwrap().send(Word::Ended).unwrap(),
-            Step::Write | Step::Sync | Step::SegmentRename | Step::SegmentFolder => {}
+            Step::WriteEntries | Step::SyncSegment | Step::RenameSegment | Step::SyncFolderAfterSegment => {}
             _ => {
                 say.lock().unwrap().send(Word::At(step)).unwrap();
                 may_go.lock().unwrap().recv().unwrap();
@@ -161,7 +161,7 @@
             _ => Ok(()),
         }
     };
-    let options = Options { hook: Some(Arc::new(hook)), ..base(&trace, play) };
+    let options = Options { step_hook: Some(Arc::new(hook)), ..base(&trace, play) };
     let (mut writer, _) = Writer::open(dir, options, &trace).unwrap();
     opened.store(true, Ordering::Relaxed);
     for number in 1..=APPENDS {
@@ -224,7 +224,8 @@
 
     fn check(&self, moment: &Moment) -> Result<(), String> {
         let trace = Trace::default();
-        let options = Options { observer: None, checkpoint_after: 1 << 20, ..base(&trace, self.play) };
+        let options =
+            Options { operation_observer: None, checkpoint_after_bytes: 1 << 20, ..base(&trace, self.play) };
         let opened = Writer::open(&self.root, options, &trace);
         let (mut writer, count) = opened.map_err(|trouble| format!("refused: {trouble}"))?;
         let Moment { least, most, .. } = moment;
@@ -250,7 +251,7 @@
     fn kill(&mut self, moment: &Moment) -> Result<(), String> {
         disk::write(&self.root, &moment.disk.seen());
         let trace = Trace::default();
-        let options = Options { checkpoint_after: 1 << 20, ..base(&trace, self.play) };
+        let options = Options { checkpoint_after_bytes: 1 << 20, ..base(&trace, self.play) };
         let opened = Writer::open(&self.root, options, &trace);
         let (mut writer, count) = opened.map_err(|trouble| format!("refused after a kill: {trouble}"))?;
         if count.broken || count.last < moment.least || count.last > moment.most {
--- a/crates/wal/tests/power_loss.rs
+++ b/crates/wal/tests/power_loss.rs
@@ -9,11 +9,11 @@
 fn whatever_a_loss_of_power_keeps_the_folder_opens_with_what_was_answered() {
     let failing = [
         None,
-        Some((Step::SegmentFolder, 1)),
-        Some((Step::SnapshotFolder, 1)),
-        Some((Step::Sync, 4)),
-        Some((Step::Write, 4)),
-        Some((Step::Remove, 1)),
+        Some((Step::SyncFolderAfterSegment, 1)),
+        Some((Step::SyncFolderAfterSnapshot, 1)),
+        Some((Step::SyncSegment, 4)),
+        Some((Step::WriteEntries, 4)),
+        Some((Step::RemoveCovered, 1)),
     ];
     for failing in failing {
         let found = search(&Play { failing, options: &|options| options });
--- a/crates/wal/tests/wal.rs
+++ b/crates/wal/tests/wal.rs
@@ -10,13 +10,15 @@
 use std::time::Duration;
 
 use assert_matches::assert_matches;
-use stileroute_wal::{verify, Figures, Fold, Options, State, Step, Trouble, Wal, MAX_RECORD};
+use stileroute_wal::{
+    verify, FileState, Options, StateMachine, Statistics, Step, Trouble, Wal, MAX_RECORD_BYTES,
+};
 
 /// Of records KEY=VALUE the last of each key; KEY= alone removes it.
 #[derive(Default, Debug, PartialEq, Clone)]
 struct Keys(BTreeMap<String, String>);
 
-impl Fold for Keys {
+impl StateMachine for Keys {
     fn apply(&mut self, record: &[u8]) {
         let text = std::str::from_utf8(record).expect("text");
         let (key, value) = text.split_once('=').expect("a key");
@@ -78,11 +80,11 @@
 
 /// No sync but those that are asked for.
 fn options() -> Options {
-    Options { lazy_sync: Duration::from_secs(3600), ..Options::new("keys") }
+    Options { max_sync_delay: Duration::from_secs(3600), ..Options::new("keys") }
 }
 
 fn hooked(hook: impl Fn(Step) -> io::Result<()> + Send + Sync + 'static) -> Options {
-    Options { hook: Some(Arc::new(hook)), ..options() }
+    Options { step_hook: Some(Arc::new(hook)), ..options() }
 }
 
 struct Book {
@@ -140,7 +142,7 @@
     assert_eq!(fold, keys(&["a=3", "b=2"]));
     book.put(&["b="], false).unwrap();
     book.queue(&["c=4"], false);
-    book.book.stop();
+    book.book.close();
     assert_eq!(dir.fold().unwrap(), keys(&["a=3", "c=4"]));
 }
 
@@ -153,7 +155,7 @@
     let (mut book, _) = Book::open(
         &dir.0,
         hooked(move |step| {
-            if step == Step::Write {
+            if step == Step::WriteEntries {
                 entered.lock().unwrap().send(()).unwrap();
                 drop(gate_.lock().unwrap());
             }
@@ -164,7 +166,7 @@
     book.queue(&["a=1"], true);
     at_write.recv().unwrap();
     (0..20).for_each(|n| book.queue(&[&format!("n{n}=1")], n % 2 == 0));
-    book.queue(&[&format!("big={}", "x".repeat(MAX_RECORD - 3))], true);
+    book.queue(&[&format!("big={}", "x".repeat(MAX_RECORD_BYTES - 3))], true);
     book.queue(&[], true);
     drop(held);
     for ticket in 1..=23 {
@@ -172,7 +174,7 @@
         assert_eq!(answered, ticket);
         assert_eq!(matches!(result, Err(Trouble::TooLarge { .. })), ticket == 22, "{result:?}");
     }
-    assert_matches!(book.book.figures(), Figures { records: 21, syncs: 2, failures: 0, .. });
+    assert_matches!(book.book.statistics(), Statistics { records: 21, syncs: 2, failures: 0, .. });
 }
 
 #[test]
@@ -181,12 +183,13 @@
     let (sender, synced) = channel();
     let sender = Mutex::new(sender);
     let hook = move |step| {
-        if step == Step::Sync {
+        if step == Step::SyncSegment {
             let _ = sender.lock().unwrap().send(());
         }
         Ok(())
     };
-    let (mut book, _) = Book::open(&dir.0, Options { lazy_sync: Duration::from_millis(5), ..hooked(hook) });
+    let (mut book, _) =
+        Book::open(&dir.0, Options { max_sync_delay: Duration::from_millis(5), ..hooked(hook) });
     book.put(&["a=1"], false).unwrap();
     synced.recv_timeout(Duration::from_secs(20)).unwrap();
 }
@@ -237,21 +240,21 @@
         } else {
             let whole = ends.iter().filter(|end| **end <= byte).count() - 1;
             assert_eq!(copy.fold().unwrap().0.len(), whole, "byte {byte}");
-            assert_matches!(&report.files[0].state, State::Torn { at, .. } if *at == ends[whole] as u64);
+            assert_matches!(&report.files[0].state, FileState::TornTail { offset, .. } if *offset == ends[whole] as u64);
         }
     }
 }
 
 const STEPS: [Step; 9] = [
-    Step::SegmentMake,
-    Step::SegmentRename,
-    Step::SegmentFolder,
-    Step::FoldRead,
-    Step::SnapshotWrite,
-    Step::SnapshotSync,
-    Step::SnapshotRename,
-    Step::SnapshotFolder,
-    Step::Remove,
+    Step::CreateSegment,
+    Step::RenameSegment,
+    Step::SyncFolderAfterSegment,
+    Step::ReadForCheckpoint,
+    Step::WriteSnapshot,
+    Step::SyncSnapshot,
+    Step::RenameSnapshot,
+    Step::SyncFolderAfterSnapshot,
+    Step::RemoveCovered,
 ];
 
 /// Appends, all in one segment until its limit is reached, then more while the checkpoint runs; the fold of all.
@@ -267,7 +270,7 @@
         }
         hook(step)
     };
-    let (mut book, mut all) = Book::open(&dir.0, Options { checkpoint_after: 2000, ..hooked(hook) });
+    let (mut book, mut all) = Book::open(&dir.0, Options { checkpoint_after_bytes: 2000, ..hooked(hook) });
     for n in 0..100 {
         let records = [format!("key{}={n}", n % 10), format!("gone={n}"), "gone=".into()];
         let records: Vec<&str> = records.iter().map(String::as_str).collect();
@@ -292,8 +295,8 @@
         }
         Ok(())
     });
-    assert!(book.book.figures().checkpoints >= 1);
-    book.book.stop();
+    assert!(book.book.statistics().checkpoints >= 1);
+    book.book.close();
     assert_eq!(dir.fold().unwrap(), all);
     let files = dir.read();
     assert!(!files.contains_key(LOG), "{:?}", files.keys());
@@ -340,7 +343,7 @@
 
 #[test]
 fn after_a_failed_write_or_sync_nothing_of_it_is_left_and_the_next_succeeds() {
-    for (step, code) in [(Step::Write, 28), (Step::Write, 5), (Step::Sync, 5)] {
+    for (step, code) in [(Step::WriteEntries, 28), (Step::WriteEntries, 5), (Step::SyncSegment, 5)] {
         let dir = Dir::new();
         let broken = Arc::new(AtomicU64::new(0));
         let broken_ = broken.clone();
@@ -363,7 +366,7 @@
         assert_eq!(dir.copy().fold().unwrap(), keys(&["a=1", "lazy=1"]));
         broken.store(0, Ordering::Relaxed);
         book.put(&["d=4"], true).unwrap();
-        assert_eq!(book.book.figures().failures, 3);
+        assert_eq!(book.book.statistics().failures, 3);
         drop(book);
         assert_eq!(dir.fold().unwrap(), keys(&["a=1", "d=4", "lazy=1"]));
     }
@@ -381,7 +384,7 @@
         }
         Ok(())
     };
-    let (mut book, mut all) = Book::open(&dir.0, Options { room, ..hooked(hook) });
+    let (mut book, mut all) = Book::open(&dir.0, Options { capacity_bytes: room, ..hooked(hook) });
     let mut full = false;
     for n in 0..1000 {
         let record = format!("key{n}={}", "x".repeat(1000));
@@ -478,9 +481,9 @@
 fn a_record_of_the_largest_configuration_is_kept_through_a_checkpoint_and_one_byte_more_is_refused() {
     let dir = Dir::new();
     let (mut book, _) = Book::open(&dir.0, options());
-    let largest = format!("a={}", "x".repeat(MAX_RECORD - 2));
+    let largest = format!("a={}", "x".repeat(MAX_RECORD_BYTES - 2));
     book.put(&[&largest], true).unwrap();
-    assert_matches!(book.put(&[&format!("{largest}x")], true), Err(Trouble::TooLarge { bytes }) if bytes == MAX_RECORD + 1);
+    assert_matches!(book.put(&[&format!("{largest}x")], true), Err(Trouble::TooLarge { bytes }) if bytes == MAX_RECORD_BYTES + 1);
     drop(book);
     let (sender, checkpointed) = channel();
     let sender = Mutex::new(sender);
@@ -490,7 +493,7 @@
         }
         Ok(())
     };
-    let (mut book, _) = Book::open(&dir.0, Options { checkpoint_after: 4 << 20, ..hooked(hook) });
+    let (mut book, _) = Book::open(&dir.0, Options { checkpoint_after_bytes: 4 << 20, ..hooked(hook) });
     book.put(&["b=1"], true).unwrap();
     checkpointed.recv_timeout(Duration::from_secs(20)).unwrap();
     drop(book);
@@ -549,12 +552,13 @@
     let (go, may_go) = channel::<()>();
     let may_go = Mutex::new(may_go);
     let hook = move |step| {
-        if step == Step::FoldRead {
+        if step == Step::ReadForCheckpoint {
             let _ = may_go.lock().unwrap().recv();
         }
         Ok(())
     };
-    let (mut book, _) = Book::open(&dir.0, Options { room: 8000, checkpoint_after: 1000, ..hooked(hook) });
+    let (mut book, _) =
+        Book::open(&dir.0, Options { capacity_bytes: 8000, checkpoint_after_bytes: 1000, ..hooked(hook) });
     let large = |key: &str| format!("key={key}{}", "x".repeat(1300));
     for key in ["1", "2"] {
         book.put(&[&large(key)], true).unwrap();
@@ -566,6 +570,6 @@
     for _ in 0..2 {
         assert_matches!(book.answer(), (_, Ok(())));
     }
-    book.book.stop();
+    book.book.close();
     assert_eq!(dir.fold().unwrap(), keys(&[&large("3"), "after=1"]));
 }
