--- a/crates/server/src/edge.rs
+++ b/crates/server/src/edge.rs
@@ -9,11 +9,11 @@
 use crate::net::{Answer, Bounds, ConnId, Event, Millis, Request};
 use crate::node::{wall, Common};
 use crate::report::Told;
-use crate::signals::{Class, Found, Signal};
+use crate::signals::{Found, NodeRole, Signal};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::net::SocketAddrV4;
 use stileroute_config::RouteKind;
-use stileroute_queue::{place, Key, Message, Node, Refusal};
+use stileroute_queue::{preferred_store, Key, KeyLocation, Message, Node, PutError};
 
 /// A store that has not answered for so long is taken to be stuck, and another is asked; one of which nothing at all has
 /// been heard meanwhile is taken to be gone sooner.
@@ -106,8 +106,8 @@
             return;
         }
         let mut wanted = self.common.cores();
-        let stores = self.common.session.members.iter().filter(|m| m.class == Class::Store);
-        wanted.extend(stores.map(|m| self.common.links.address(m.ip, Class::Store)));
+        let stores = self.common.session.members.iter().filter(|m| m.role == NodeRole::Store);
+        wanted.extend(stores.map(|m| self.common.links.address(m.ip, NodeRole::Store)));
         let now = self.common.net.now();
         self.common.links.want(now, wanted);
     }
@@ -130,12 +130,12 @@
     fn ready(&self) -> bool {
         self.common.leaving_since.is_none()
             && self.common.config.is_some()
-            && self.common.links.hellos(Class::Store).any(|h| !self.leaving.contains(&h.node))
+            && self.common.links.hellos(NodeRole::Store).any(|h| !self.leaving.contains(&h.node))
     }
 
     fn link_event(&mut self, link_event: LinkEvent) {
         match link_event {
-            LinkEvent::Up(hello) if hello.class == Class::Store => {
+            LinkEvent::Up(hello) if hello.class == NodeRole::Store => {
                 self.leaving.remove(&hello.node);
                 self.shunned.remove(&hello.node);
                 for (_, signal) in &self.superseded {
@@ -143,9 +143,9 @@
                 }
             }
             LinkEvent::Up(_) => {}
-            LinkEvent::Down(node, Class::Store) => self.store_lost(node),
+            LinkEvent::Down(node, NodeRole::Store) => self.store_lost(node),
             LinkEvent::Down(..) => {}
-            LinkEvent::Said(from, Class::Core, Signal::News(news)) => {
+            LinkEvent::Said(from, NodeRole::Control, Signal::News(news)) => {
                 if let Some(config) = self.common.heard_news(from, &news) {
                     let limits = &config.limits;
                     let bounds = Bounds {
@@ -157,13 +157,13 @@
                     self.common.net.bound(self.front, bounds);
                 }
             }
-            LinkEvent::Said(from, Class::Store, Signal::Taken { ticket, result }) => {
+            LinkEvent::Said(from, NodeRole::Store, Signal::Taken { ticket, result }) => {
                 self.taken(from, ticket, result)
             }
-            LinkEvent::Said(from, Class::Store, Signal::Found { ticket, found }) => {
+            LinkEvent::Said(from, NodeRole::Store, Signal::Found { ticket, found }) => {
                 self.found(from, ticket, found)
             }
-            LinkEvent::Said(from, Class::Store, Signal::Leaving) => {
+            LinkEvent::Said(from, NodeRole::Store, Signal::Leaving) => {
                 self.leaving.insert(from);
             }
             LinkEvent::Said(..) => {}
@@ -230,14 +230,14 @@
             method: request.method,
             target: request.target,
             content_type: request.content_type,
-            callback: request.callback.filter(|_| route.callback),
-            order_key: request
+            callback_url: request.callback.filter(|_| route.callback),
+            ordering_key: request
                 .order_key
                 .filter(|_| route.in_order)
                 .map(|key| format!("{}\0{key}", route.name)),
             delay_ms: request.delay_ms.unwrap_or(0),
-            taken: wall(),
-            config: config.revision,
+            accepted_at_ms: wall(),
+            config_revision: config.revision,
             body: request.body,
         };
         let ticket = self.ticket();
@@ -258,7 +258,7 @@
         let mut all: Vec<(bool, u8, Node)> = self
             .common
             .links
-            .hellos(Class::Store)
+            .hellos(NodeRole::Store)
             .filter(|h| !not.contains(&h.node) && !self.leaving.contains(&h.node))
             .filter(|h| !self.gone(h.node))
             .map(|h| {
@@ -269,7 +269,7 @@
         all.sort_unstable();
         let first = *all.first()?;
         if let Some(row) = row {
-            return place(row, all.iter().filter(|s| s.0 == first.0).map(|s| s.2));
+            return preferred_store(row, all.iter().filter(|s| s.0 == first.0).map(|s| s.2));
         }
         let alike = all.iter().take_while(|s| (s.0, s.1) == (first.0, first.1)).count();
         self.next_store = self.next_store.wrapping_add(1);
@@ -278,7 +278,7 @@
 
     fn send(&mut self, ticket: u64, mut put: Put) {
         let now = self.common.net.now();
-        match self.store(&put.tried, put.message.order_key.as_deref()) {
+        match self.store(&put.tried, put.message.ordering_key.as_deref()) {
             Some(store) => {
                 put.tried.push(store);
                 put.sent = now;
@@ -304,8 +304,9 @@
     /// Tells all stores which of several is kept.
     fn supersede(&mut self, put: &Put, kept: Option<Key>) {
         let now = self.common.net.now();
-        let signal = Signal::Superseded { id: put.message.id.clone(), print: put.message.print(), kept };
-        for store in self.common.links.class(Class::Store) {
+        let signal =
+            Signal::Superseded { id: put.message.id.clone(), print: put.message.fingerprint(), kept };
+        for store in self.common.links.class(NodeRole::Store) {
             self.common.links.say(&mut self.common.net, store, &signal);
         }
         self.superseded.push_back((now, signal));
@@ -314,13 +315,13 @@
         }
     }
 
-    fn taken(&mut self, from: Node, ticket: u64, result: Result<String, Refusal>) {
+    fn taken(&mut self, from: Node, ticket: u64, result: Result<String, PutError>) {
         match result {
             Ok(name) => {
                 let Some(put) = self.puts.remove(&ticket) else { return };
                 self.figures.taken += 1;
                 if put.tried.len() > 1 {
-                    self.supersede(&put, Key::parse(&name).map(|(key, _)| key));
+                    self.supersede(&put, Key::parse(&name).map(|location| location.key));
                 }
                 let headers = vec![("X-Queue-Message-Id", name)];
                 self.answer(put.conn, Answer { status: 202, headers, ..Answer::default() });
@@ -397,15 +398,17 @@
     fn find(&mut self, conn: ConnId, name: &str, body: bool) {
         self.figures.asked += 1;
         let now = self.common.net.now();
-        let Some((key, first)) = Key::parse(name) else { return self.answer(conn, Answer::bare(404)) };
-        let up = self.common.links.class(Class::Store);
+        let Some(KeyLocation { key, stores: first }) = Key::parse(name) else {
+            return self.answer(conn, Answer::bare(404));
+        };
+        let up = self.common.links.class(NodeRole::Store);
         let mut left: Vec<Node> = first.into_iter().filter(|n| up.contains(n)).collect();
         left.extend(up.iter().filter(|n| !left.contains(n)).copied().collect::<Vec<_>>());
         left.dedup();
         left.reverse();
         let ticket = self.ticket();
         let until = now + ASKER;
-        let mut stores = self.common.session.members.iter().filter(|m| m.class == Class::Store);
+        let mut stores = self.common.session.members.iter().filter(|m| m.role == NodeRole::Store);
         // The store that took it may be so new that it is no member here yet.
         let unsure = !up.contains(&key.origin) || stores.any(|m| !up.contains(&m.node));
         let find = Find { conn, key, body, left, asked: 0, sent: now, until, waiting: None, unsure };
--- a/crates/server/src/signals/tests.rs
+++ b/crates/server/src/signals/tests.rs
@@ -7,7 +7,7 @@
 const CONTROL: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 2), 443);
 const KEY: Key = Key { origin: 0x0102_0304, number: 300 };
 
-fn hello(class: Class, control: Option<SocketAddrV4>) -> Hello {
+fn hello(class: NodeRole, control: Option<SocketAddrV4>) -> Hello {
     Hello {
         protocol: PROTOCOL,
         node: 0xDEAD_BEEF,
@@ -20,30 +20,30 @@
     }
 }
 
-fn member(class: Class, control: Option<SocketAddrV4>, retiring: Retiring) -> Member {
+fn member(class: NodeRole, control: Option<SocketAddrV4>, retiring: RetirementState) -> Member {
     Member {
         node: 7,
         name: "n".to_string(),
-        class,
+        role: class,
         zone: "z2".to_string(),
         ip: EDGE_IP,
-        life: 200,
-        control,
-        config: 3,
-        retiring,
+        incarnation: 200,
+        control_address: control,
+        config_version: 3,
+        retirement: retiring,
     }
 }
 
-fn heartbeat(standing: Standing) -> Heartbeat {
+fn heartbeat(standing: ExecutorState) -> Heartbeat {
     Heartbeat {
         id: "i-1".to_string(),
         backend: "crane".to_string(),
         address: SocketAddrV4::new(EDGE_IP, 8080),
         zone: "z".to_string(),
         capacity: 4,
-        standing,
-        cold_left_ms: 70,
-        call_count: 9,
+        state: standing,
+        warmup_left_ms: 70,
+        sequence: 9,
         age_ms: 128,
     }
 }
@@ -55,16 +55,16 @@
         method: "POST".to_string(),
         target: "/t?q".to_string(),
         content_type: Some("text/plain".to_string()),
-        callback: None,
-        order_key: Some("r\0k".to_string()),
+        callback_url: None,
+        ordering_key: Some("r\0k".to_string()),
         delay_ms: 1500,
-        taken: 1_700_000_000_000,
-        config: 2,
+        accepted_at_ms: 1_700_000_000_000,
+        config_revision: 2,
         body: vec![0, 255, 10],
     }
 }
 
-fn ask(retiring: Retiring) -> Signal {
+fn ask(retiring: RetirementState) -> Signal {
     Signal::Ask { life: 1, version: 128, config: 3, retiring }
 }
 
@@ -75,45 +75,49 @@
 /// Every variant of every type that a frame is made of, but for those that the packages of the queue and of the control group
 /// pin themselves: of these one each.
 fn signals() -> Vec<Signal> {
-    let full_news = News {
-        life: 5,
+    let full_news = MembershipUpdate {
+        incarnation: 5,
         version: 6,
-        cut_off: true,
-        whole: true,
+        is_partitioned: true,
+        is_complete: true,
         config: Some(b"{}".to_vec()),
         members: Some(vec![
-            member(Class::Edge, None, Retiring::No),
-            member(Class::Store, None, Retiring::Rolling),
-            member(Class::Core, Some(CONTROL), Retiring::Complete),
-            member(Class::Visitor, None, Retiring::No),
+            member(NodeRole::Edge, None, RetirementState::NotRetiring),
+            member(NodeRole::Store, None, RetirementState::Draining),
+            member(NodeRole::Control, Some(CONTROL), RetirementState::Complete),
+            member(NodeRole::CommandLine, None, RetirementState::NotRetiring),
         ]),
-        servers: vec![heartbeat(Standing::Serving), heartbeat(Standing::Draining), heartbeat(Standing::Gone)],
+        executors: vec![
+            heartbeat(ExecutorState::Serving),
+            heartbeat(ExecutorState::Draining),
+            heartbeat(ExecutorState::Offline),
+        ],
     };
     vec![
-        Signal::Hello(hello(Class::Edge, None)),
-        Signal::Hello(hello(Class::Store, None)),
-        Signal::Hello(hello(Class::Core, Some(CONTROL))),
-        Signal::Hello(hello(Class::Visitor, None)),
+        Signal::Hello(hello(NodeRole::Edge, None)),
+        Signal::Hello(hello(NodeRole::Store, None)),
+        Signal::Hello(hello(NodeRole::Control, Some(CONTROL))),
+        Signal::Hello(hello(NodeRole::CommandLine, None)),
         Signal::Ping,
-        ask(Retiring::No),
-        ask(Retiring::Rolling),
-        ask(Retiring::Complete),
-        Signal::News(News::default()),
+        ask(RetirementState::NotRetiring),
+        ask(RetirementState::Draining),
+        ask(RetirementState::Complete),
+        Signal::News(MembershipUpdate::default()),
         Signal::News(full_news),
         Signal::Put { ticket: 300, message: message() },
         Signal::Taken { ticket: 1, result: Ok("name".to_string()) },
-        Signal::Taken { ticket: 1, result: Err(Refusal::NotTaken) },
-        Signal::Taken { ticket: 1, result: Err(Refusal::Uncertain) },
+        Signal::Taken { ticket: 1, result: Err(PutError::Rejected) },
+        Signal::Taken { ticket: 1, result: Err(PutError::Uncertain) },
         Signal::Leaving,
         Signal::Find { ticket: 2, key: KEY, body: true },
         found(None),
         found(Some((Found::Waiting, None))),
         found(Some((Found::Complete { seal: "s".to_string() }, Some(vec![1, 2])))),
         found(Some((Found::Failed, None))),
-        Signal::PeerMessage(PeerMessage::Copied(vec![KEY])),
+        Signal::PeerMessage(PeerMessage::Replicated(vec![KEY])),
         Signal::Control(group::Message::Stored { epoch: 1, write_id: 2 }),
-        Signal::Sessions(vec![member(Class::Store, None, Retiring::No)]),
-        Signal::Heartbeats(vec![heartbeat(Standing::Serving)]),
+        Signal::Sessions(vec![member(NodeRole::Store, None, RetirementState::NotRetiring)]),
+        Signal::Heartbeats(vec![heartbeat(ExecutorState::Serving)]),
         Signal::Pass { ticket: 4, call: Passed::Replace { version: 7, body: b"{}".to_vec() } },
         Signal::Pass { ticket: 4, call: Passed::Read },
         Signal::Pass { ticket: 4, call: Passed::RetireBegin { node: "s-1".to_string() } },
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -7,14 +7,14 @@
 use crate::net::{Event, Failure, Millis, Reply};
 use crate::node::{lot, wall, Common};
 use crate::report::Told;
-use crate::signals::{Class, Found, Heartbeat, Retiring, Signal, Standing};
+use crate::signals::{ExecutorState, Found, Heartbeat, NodeRole, RetirementState, Signal};
 use std::collections::HashMap;
 use std::io::Write;
 use std::net::SocketAddrV4;
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 use stileroute_queue::{
-    first_number, Bear, Effect, Key, Ledger, Node, Outcome, Queue, QueueSettings, Record, Server, State,
+    first_number, Bear, Effect, Key, Node, Outcome, Queue, QueueSettings, Record, Server, State, StateTable,
 };
 use stileroute_wal::{Options, Trouble, Wal};
 
@@ -58,12 +58,15 @@
             let _ = said.send((ticket, result));
             let _ = waker.wake();
         };
-        let room = common.boot.means.disk_mb << 20;
-        let options = Options { room, lazy_sync: Duration::from_millis(200), ..Options::new("hold") };
-        let (disk, ledger) = Wal::open::<Ledger>(&dir, options, done)
+        let capacity_bytes = common.boot.means.disk_mb << 20;
+        let options =
+            Options { capacity_bytes, max_sync_delay: Duration::from_millis(200), ..Options::new("hold") };
+        let (disk, ledger) = Wal::open::<StateTable>(&dir, options, done)
             .map_err(|e| miette::miette!("{}: {e}", dir.display()))?;
-        let (number, first) = (ledger.disk.unwrap_or_else(lot), first_number(lot()));
-        let record = postcard::to_stdvec(&Record::Born { disk: number, first }).unwrap_or_default();
+        let (number, first) = (ledger.disk_id.unwrap_or_else(lot), first_number(lot()));
+        let record =
+            postcard::to_stdvec(&Record::IncarnationStarted { disk_id: number, first_number: first })
+                .unwrap_or_default();
         disk.append(0, vec![record], true);
         let zone = common.boot.zones.keys().position(|zone| *zone == common.boot.zone).unwrap_or(0);
         let boot = &common.boot;
@@ -72,7 +75,7 @@
             zone,
             disk: number,
             first,
-            begun: ledger.begun.clone(),
+            begun: ledger.incarnation_first_numbers.clone(),
             losses: boot.losses.copies(),
             regions: boot.regions(),
             bear: Bear { zones: boot.losses.zones, regions: boot.losses.regions },
@@ -81,7 +84,7 @@
             status_ms: boot.bounds.status_ms,
             seed: lot(),
         };
-        tracing::info!(messages = ledger.all.len(), disk = number, "disk read");
+        tracing::info!(messages = ledger.messages.len(), disk = number, "disk read");
         // Both clocks after the disk was read: with the steady one from before, delayed messages would run early.
         let (now, wall) = (common.net.look(), wall());
         let queue = Queue::new(terms, ledger, now, wall);
@@ -111,28 +114,26 @@
             self.queue.heard = self.common.fresh();
             let now = self.common.net.now();
             // From the last answer on: the session stood then, and is counted for so long after its end.
-            self.queue.lapsed = now >= self.common.session.heard + stileroute_registry::GRACE;
+            self.queue.lapsed = now >= self.common.session.heard + stileroute_registry::SESSION_GRACE;
             if self.common.told_to_end() {
-                for edge in self.common.links.class(Class::Edge) {
+                for edge in self.common.links.class(NodeRole::Edge) {
                     self.common.links.say(&mut self.common.net, edge, &Signal::Leaving);
                 }
-                self.queue.leave(now);
+                self.queue.begin_draining(now);
             }
             self.carry_out();
-            let retiring = self.queue.retired().map_or(Retiring::No, |empty| {
-                if empty {
-                    Retiring::Complete
-                } else {
-                    Retiring::Rolling
-                }
-            });
-            self.common.retires(retiring);
+            let retirement = match self.queue.retirement_state() {
+                stileroute_queue::RetirementState::NotOrdered => RetirementState::NotRetiring,
+                stileroute_queue::RetirementState::InProgress => RetirementState::Draining,
+                stileroute_queue::RetirementState::Empty => RetirementState::Complete,
+            };
+            self.common.retires(retirement);
             for line in self.queue.log() {
                 tracing::debug!("{line}");
             }
             if self.may_end(now) {
                 self.common.net.flush_all();
-                self.disk.stop();
+                self.disk.close();
                 return Ok(());
             }
         }
@@ -159,8 +160,8 @@
         }
         let mut wanted = self.common.cores();
         let me = self.common.boot.ip;
-        let stores = self.common.session.members.iter().filter(|m| m.class == Class::Store && m.ip > me);
-        wanted.extend(stores.map(|m| self.common.links.address(m.ip, Class::Store)));
+        let stores = self.common.session.members.iter().filter(|m| m.role == NodeRole::Store && m.ip > me);
+        wanted.extend(stores.map(|m| self.common.links.address(m.ip, NodeRole::Store)));
         let now = self.common.net.now();
         self.common.links.want(now, wanted);
     }
@@ -168,13 +169,15 @@
     fn link_event(&mut self, link_event: LinkEvent) {
         let now = self.common.net.now();
         match link_event {
-            LinkEvent::Up(hello) if hello.class == Class::Store => self.queue.up(now, hello.node),
-            LinkEvent::Up(hello) if hello.class == Class::Edge && self.queue.leaving => {
+            LinkEvent::Up(hello) if hello.class == NodeRole::Store => {
+                self.queue.peer_connected(now, hello.node)
+            }
+            LinkEvent::Up(hello) if hello.class == NodeRole::Edge && self.queue.leaving => {
                 self.common.links.say(&mut self.common.net, hello.node, &Signal::Leaving);
             }
             LinkEvent::Up(_) => {}
-            LinkEvent::Down(node, Class::Store) => self.queue.down(now, node),
-            LinkEvent::Down(node, Class::Edge) => {
+            LinkEvent::Down(node, NodeRole::Store) => self.queue.peer_disconnected(now, node),
+            LinkEvent::Down(node, NodeRole::Edge) => {
                 let lost: Vec<u64> = self
                     .askers
                     .iter()
@@ -183,11 +186,11 @@
                     .collect();
                 for ticket in lost {
                     self.askers.remove(&ticket);
-                    self.queue.abandoned(ticket);
+                    self.queue.drop_abandoned(ticket);
                 }
             }
             LinkEvent::Down(..) => {}
-            LinkEvent::Said(from, Class::Core, Signal::News(news)) => {
+            LinkEvent::Said(from, NodeRole::Control, Signal::News(news)) => {
                 let config = self.common.heard_news(from, &news);
                 if news.members.is_some() {
                     let zone = |name: &str| {
@@ -198,18 +201,18 @@
                         .session
                         .members
                         .iter()
-                        .filter(|m| m.class == Class::Store)
+                        .filter(|m| m.role == NodeRole::Store)
                         .map(|m| (m.node, zone(&m.zone)))
                         .collect();
-                    self.queue.members(now, &stores);
+                    self.queue.set_members(now, &stores);
                 }
-                if news.whole {
+                if news.is_complete {
                     self.servers.clear();
                 }
-                let changed = news.whole || !news.servers.is_empty();
-                for heartbeat in news.servers {
-                    match heartbeat.standing {
-                        Standing::Gone => {
+                let changed = news.is_complete || !news.executors.is_empty();
+                for heartbeat in news.executors {
+                    match heartbeat.state {
+                        ExecutorState::Offline => {
                             if let Some(old) = self.servers.remove(&heartbeat.id) {
                                 self.common.net.forget(old.address);
                             }
@@ -227,15 +230,15 @@
                     self.queue.configure(now, fine, config);
                 }
             }
-            LinkEvent::Said(_, Class::Edge, Signal::Superseded { id, print, kept }) => {
-                self.queue.superseded(&id, print, kept);
+            LinkEvent::Said(_, NodeRole::Edge, Signal::Superseded { id, print, kept }) => {
+                self.queue.drop_superseded(&id, print, kept);
             }
-            LinkEvent::Said(from, Class::Edge, Signal::Put { ticket, message }) => {
+            LinkEvent::Said(from, NodeRole::Edge, Signal::Put { ticket, message }) => {
                 self.next_ticket += 1;
                 self.askers.insert(self.next_ticket, (from, ticket));
                 self.queue.put(now, self.next_ticket, message);
             }
-            LinkEvent::Said(from, Class::Edge, Signal::Find { ticket, key, body }) => {
+            LinkEvent::Said(from, NodeRole::Edge, Signal::Find { ticket, key, body }) => {
                 let found = self.queue.find(key).map(|(state, bytes)| {
                     let bytes = bytes.filter(|_| body).map(<[u8]>::to_vec);
                     let found = match state {
@@ -247,14 +250,14 @@
                 });
                 self.common.links.say(&mut self.common.net, from, &Signal::Found { ticket, found });
             }
-            LinkEvent::Said(from, Class::Store, Signal::PeerMessage(note)) => {
-                self.queue.note(now, from, note)
+            LinkEvent::Said(from, NodeRole::Store, Signal::PeerMessage(note)) => {
+                self.queue.handle_peer_message(now, from, note)
             }
-            LinkEvent::Said(_, Class::Core, Signal::Retire { node })
+            LinkEvent::Said(_, NodeRole::Control, Signal::Retire { node })
                 if node == self.common.links.me().node =>
             {
                 self.queue.retire(now);
-                for edge in self.common.links.class(Class::Edge) {
+                for edge in self.common.links.class(NodeRole::Edge) {
                     self.common.links.say(&mut self.common.net, edge, &Signal::Leaving);
                 }
             }
@@ -273,8 +276,8 @@
                 address: heartbeat.address,
                 zone: zone.unwrap_or(self.common.boot.zones.len()),
                 capacity: f64::from(heartbeat.capacity),
-                serving: heartbeat.standing == Standing::Serving,
-                cold_left_ms: heartbeat.cold_left_ms,
+                serving: heartbeat.state == ExecutorState::Serving,
+                cold_left_ms: heartbeat.warmup_left_ms,
             });
         }
         all
--- a/crates/server/src/store/tests.rs
+++ b/crates/server/src/store/tests.rs
@@ -39,7 +39,7 @@
         std::fs::write(&file, text).unwrap();
         let mut boot = Boot::read(&file).unwrap();
         (boot.ip, boot.internal_ports) = (Ipv4Addr::LOCALHOST, (0, 0));
-        let mut store = Store::new(Common::start(boot, Path::new(""), Class::Store).unwrap()).unwrap();
+        let mut store = Store::new(Common::start(boot, Path::new(""), NodeRole::Store).unwrap()).unwrap();
         let (now, fine) = (store.common.net.now(), store.common.net.fine());
         store.queue.configure(now, fine, Arc::new(Config::read(CONFIG).unwrap()));
         store.carry_out();
@@ -49,8 +49,8 @@
     fn takes(&mut self) {
         let (id, host) = ("m".to_string(), "quay.example".to_string());
         let (method, target) = ("POST".to_string(), "/in/x".to_string());
-        let message = Message { id, host, method, target, taken: wall(), ..Message::default() };
-        self.store.link_event(LinkEvent::Said(EDGE, Class::Edge, Signal::Put { ticket: 5, message }));
+        let message = Message { id, host, method, target, accepted_at_ms: wall(), ..Message::default() };
+        self.store.link_event(LinkEvent::Said(EDGE, NodeRole::Edge, Signal::Put { ticket: 5, message }));
         self.store.carry_out();
     }
 
@@ -81,3 +81,31 @@
     let fault = Some(planted::Planted::AnswerBeforeDisk);
     assert!(planted::with(fault, || answered_before_the_disk("planted")), "the planted fault is not found");
 }
+
+#[test]
+fn each_outcome_of_a_delivery_is_counted_under_its_label() {
+    let mut lone = Lone::new("outcomes");
+    let outcomes = [
+        (Outcome::Done { seal: String::new() }, "done"),
+        (Outcome::Refused, "refused"),
+        (Outcome::Failed, "failed"),
+        (Outcome::Full, "full"),
+        (Outcome::Over, "over"),
+        (Outcome::Running, "running"),
+        (Outcome::Wrong, "wrong"),
+        (Outcome::NotRun, "not_run"),
+        (Outcome::Stopped, "stopped"),
+        (Outcome::NotConnected, "not_connected"),
+        (Outcome::NoRoom, "no_room"),
+        (Outcome::Broken, "broken"),
+        (Outcome::Late, "late"),
+        (Outcome::Garbled, "garbled"),
+    ];
+    outcomes.iter().for_each(|(outcome, _)| lone.store.tally.ended(outcome));
+    let mut sheet = crate::figures::Sheet::default();
+    lone.store.figures(&mut sheet);
+    for (outcome, label) in &outcomes {
+        let line = format!("stileroute_deliveries_total{{outcome=\"{label}\"}} 1");
+        assert!(sheet.text.lines().any(|shown| shown == line), "{outcome:?}: {line}");
+    }
+}
