--- a/crates/control-group/tests/faults.rs
+++ b/crates/control-group/tests/faults.rs
@@ -1,9 +1,9 @@
 //! Troubles, each in turn, and by chance: what was answered stays, one answers at a time, and soon again.
 
-mod world;
+mod simulation;
 
+use simulation::*;
 use stileroute_control_group::{Message, Verdict};
-use world::*;
 
 /// First start, first configuration, three changes, a reading.
 fn scenario(world: &mut World) {
--- a/crates/control-group/tests/replaced.rs
+++ b/crates/control-group/tests/replacement.rs
@@ -1,8 +1,8 @@
 //! Control nodes that are replaced: by loss or by plan, with trouble at each step of it, and a second loss right after.
 
-mod world;
+mod simulation;
 
-use world::*;
+use simulation::*;
 
 fn quiet(seeds: usize, tolerated_losses: usize, seed: u64) -> World {
     let mut world = World::new(seeds, tolerated_losses, seed);
--- a/crates/control-group/tests/retirements.rs
+++ b/crates/control-group/tests/retirements.rs
@@ -1,10 +1,10 @@
 //! Retirements in the replicated value: an accepted one is never forgotten, stands there once, and never goes back.
 
-mod world;
+mod simulation;
 
 use assert_matches::assert_matches;
+use simulation::*;
 use stileroute_control_group::*;
-use world::*;
 
 /// A configuration, eight orders at once at all nodes, and each once more at the next node.
 fn orders(world: &mut World) {
