--- a/crates/server/src/core.rs
+++ b/crates/server/src/core.rs
@@ -24,14 +24,14 @@
 use stileroute_config::Config;
 use stileroute_control_group::{ControlGroup, Effect, GroupSettings, Verdict};
 use stileroute_registry::{Effect as Notice, Registry};
-use stileroute_wal::{Options, Trouble, Wal};
+use stileroute_wal::{AppendError, Options, Wal};
 
 pub struct Core {
     common: Common,
     control: usize,
     group: ControlGroup,
     disk: Wal,
-    disk_said: Receiver<(u64, Result<(), Trouble>)>,
+    disk_said: Receiver<(u64, Result<(), AppendError>)>,
     registry: Registry,
     in_hand: InHand,
     told: retire::Told,
--- a/crates/server/src/state.rs
+++ b/crates/server/src/state.rs
@@ -7,7 +7,7 @@
 use stileroute_config::Config;
 use stileroute_control_group::{Persisted, Record as Watching};
 use stileroute_queue::{End, Ledger, Record};
-use stileroute_wal::{verify as read, FileState, Trouble};
+use stileroute_wal::{verify as read, FileState, ReadError};
 
 /// Damage was found.
 const DAMAGED: u8 = 1;
@@ -26,7 +26,7 @@
     }
 }
 
-fn hold(dir: &Path) -> Result<JsonValue, Trouble> {
+fn hold(dir: &Path) -> Result<JsonValue, ReadError> {
     let (mut ledger, mut kinds) = (Ledger::default(), Kinds::default());
     let report = read(dir, &mut |bytes| match postcard::from_bytes::<Record>(bytes) {
         Ok(record) => {
@@ -58,7 +58,7 @@
     Ok(object)
 }
 
-fn watch(dir: &Path) -> Result<JsonValue, Trouble> {
+fn watch(dir: &Path) -> Result<JsonValue, ReadError> {
     let (mut kept, mut kinds) = (Persisted::default(), Kinds::default());
     let report = read(dir, &mut |bytes| match postcard::from_bytes::<Watching>(bytes) {
         Ok(record) => {
@@ -134,7 +134,7 @@
 
 /// 0: all of it opens; 1: something is damaged; 2: nothing of this program is there.
 pub fn verify(dir: &Path, json: bool) -> u8 {
-    type Part = (&'static str, fn(&Path) -> Result<JsonValue, Trouble>);
+    type Part = (&'static str, fn(&Path) -> Result<JsonValue, ReadError>);
     let parts: [Part; 2] = [("hold", hold), ("watch", watch)];
     let (mut all, mut code) = (JsonValue::new_object(), UNUSABLE);
     for (name, read) in parts {
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -16,7 +16,7 @@
 use stileroute_queue::{
     first_number, Bear, Effect, Key, Ledger, Node, Outcome, Queue, QueueSettings, Record, Server, State,
 };
-use stileroute_wal::{Options, Trouble, Wal};
+use stileroute_wal::{AppendError, Options, Wal};
 
 /// A receiver of call-backs has so long.
 const CALL: Millis = 3000;
@@ -32,7 +32,7 @@
     common: Common,
     queue: Queue,
     disk: Wal,
-    disk_said: Receiver<(u64, Result<(), Trouble>)>,
+    disk_said: Receiver<(u64, Result<(), AppendError>)>,
     servers: HashMap<String, Heartbeat>,
     out: HashMap<u64, Out>,
     next_ticket: u64,
--- a/crates/server/tests/control_log/machine.rs
+++ b/crates/server/tests/control_log/machine.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use stileroute_control_group::{ControlGroup, GroupSettings, Millis, Persisted, Record};
-use stileroute_wal::{Operation, Options, StateMachine, Step, Trouble as Refused, Wal};
+use stileroute_wal::{AppendError, Operation, Options, StateMachine, Step, Wal};
 
 use crate::power::{write, Disk, Files};
 
@@ -50,7 +50,7 @@
 struct Open {
     group: ControlGroup,
     book: Wal,
-    answers: Receiver<(u64, Result<(), Refused>)>,
+    answers: Receiver<(u64, Result<(), AppendError>)>,
     checkpoints: Receiver<()>,
     rolled: Arc<AtomicBool>,
 }
--- /dev/null
+++ b/crates/wal/src/background.rs
@@ -0,0 +1,28 @@
+//! What a checkpoint's thread owes to the others: it pauses now and then, and ends early when it is told to.
+
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use std::thread;
+use std::time::Duration;
+
+/// Bytes of records that are worked on between pauses: the program's loop and the writer share one processor with this.
+pub const BYTES_BETWEEN_PAUSES: usize = 256 << 10;
+const PAUSE: Duration = Duration::from_millis(2);
+
+pub fn pause() {
+    thread::sleep(PAUSE);
+}
+
+/// Tells a thread to give up its work.
+#[derive(Clone, Default)]
+pub struct Cancellation(Arc<AtomicBool>);
+
+impl Cancellation {
+    pub fn cancel(&self) {
+        self.0.store(true, Ordering::Relaxed);
+    }
+
+    pub fn is_cancelled(&self) -> bool {
+        self.0.load(Ordering::Relaxed)
+    }
+}
--- a/crates/wal/src/disk.rs
+++ b/crates/wal/src/disk.rs
@@ -1,50 +1,17 @@
-//! The operations that change a folder or a file in it. A test may observe each of them once it is done, and build from
-//! them what a loss of power may leave.
+//! The operations that change a folder or a file in it. A test may observe each of them once it is done, and derive from
+//! them all that a loss of power may leave.
+//!
+//! POSIX: `fsync` of a file makes its bytes durable but not its name; the name is durable once the folder that holds it is
+//! synced. After a failed `fsync` Linux may mark pages clean that never reached the disk (Rebello et al., "Can Applications
+//! Recover from fsync Failures?", USENIX ATC 2020).
 
 use std::fs::{self, File, OpenOptions};
-use std::io::{self, Seek, SeekFrom, Write};
+use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-use crate::Options;
-
-/// What was done. Files are known by the name that they had at that moment.
-#[doc(hidden)]
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Operation {
-    FolderCreated,
-    /// The folder that holds the folder.
-    ParentSynced,
-    /// Made, or emptied if it was there.
-    FileCreated {
-        name: String,
-    },
-    Written {
-        name: String,
-        at: u64,
-        bytes: Vec<u8>,
-    },
-    LengthSet {
-        name: String,
-        len: u64,
-    },
-    FileSynced {
-        name: String,
-    },
-    Renamed {
-        from: String,
-        to: String,
-    },
-    Removed {
-        name: String,
-    },
-    FolderSynced,
-}
-
-/// An open file of the folder, known by its name.
-pub struct DiskFile {
-    pub file: File,
-    name: String,
-}
+use crate::error::FileError;
+use crate::instrumentation::Operation;
+use crate::options::Options;
 
 impl Options {
     fn observed(&self, operation: impl FnOnce() -> Operation) {
@@ -54,95 +21,145 @@
     }
 }
 
-/// Makes the folder if it is missing. Whoever made it, its name is lasting once this returns.
-pub fn make_folder(dir: &Path, options: &Options) -> io::Result<()> {
-    let missing: Vec<&Path> =
-        dir.ancestors().take_while(|path| !path.as_os_str().is_empty() && !path.exists()).collect();
+/// Creates the folder if it is missing. Whoever created it, its name is durable once this returns.
+pub fn create_folder(folder: &Path, options: &Options) -> Result<(), FileError> {
+    let opening = FileError::on("opening the folder", folder);
+    let is_missing = |path: &&Path| !path.as_os_str().is_empty() && !path.exists();
+    let missing: Vec<&Path> = folder.ancestors().take_while(is_missing).collect();
     if !missing.is_empty() {
-        fs::create_dir_all(dir)?;
+        fs::create_dir_all(folder).map_err(opening)?;
         options.observed(|| Operation::FolderCreated);
     }
-    for made in missing.into_iter().skip(1).rev() {
-        File::open(parent_of(made))?.sync_all()?;
+    for created in missing.into_iter().skip(1).rev() {
+        sync(&parent_of(created)).map_err(opening)?;
     }
-    File::open(parent_of(dir))?.sync_all()?;
+    sync(&parent_of(folder)).map_err(opening)?;
     options.observed(|| Operation::ParentSynced);
     Ok(())
 }
 
-fn parent_of(dir: &Path) -> PathBuf {
-    match dir.parent() {
+/// Creates the folder if it is missing, and does not sync its name: a fault for the search to find.
+pub fn create_folder_unsynced(folder: &Path) -> Result<(), FileError> {
+    fs::create_dir_all(folder).map_err(FileError::on("opening the folder", folder))
+}
+
+fn parent_of(folder: &Path) -> PathBuf {
+    match folder.parent() {
         Some(parent) if !parent.as_os_str().is_empty() => parent.to_path_buf(),
         _ => PathBuf::from("."),
     }
 }
 
-/// Names that were made, renamed or removed outlive a power loss from here on.
-pub fn sync_folder(dir: &Path, options: &Options) -> io::Result<()> {
-    File::open(dir)?.sync_all()?;
+fn sync(folder: &Path) -> io::Result<()> {
+    File::open(folder)?.sync_all()
+}
+
+/// Names that were created, renamed or removed outlive a loss of power from here on.
+pub fn sync_folder(folder: &Path, options: &Options) -> Result<(), FileError> {
+    sync(folder).map_err(FileError::on("syncing the folder", folder))?;
     options.observed(|| Operation::FolderSynced);
     Ok(())
 }
 
-pub fn rename(dir: &Path, from: &str, to: &str, options: &Options) -> io::Result<()> {
-    fs::rename(dir.join(from), dir.join(to))?;
+/// Renames a file of the folder, over another if there is one.
+pub fn rename(folder: &Path, from: &str, to: &str, options: &Options) -> Result<(), FileError> {
+    let unnamed = folder.join(from);
+    fs::rename(&unnamed, folder.join(to)).map_err(FileError::on("renaming", &unnamed))?;
     options.observed(|| Operation::Renamed { from: from.to_string(), to: to.to_string() });
     Ok(())
 }
 
-/// A name that is gone already is no error.
-pub fn remove(dir: &Path, name: &str, options: &Options) -> io::Result<()> {
-    match fs::remove_file(dir.join(name)) {
-        Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
-        _ => options.observed(|| Operation::Removed { name: name.to_string() }),
+/// Removes a file of the folder. A name that is gone already is no error.
+pub fn remove(folder: &Path, name: &str, options: &Options) -> Result<(), FileError> {
+    let path = folder.join(name);
+    match fs::remove_file(&path) {
+        Err(error) if error.kind() != io::ErrorKind::NotFound => {
+            Err(FileError::new("removing", &path, error))
+        }
+        _ => {
+            options.observed(|| Operation::Removed { name: name.to_string() });
+            Ok(())
+        }
     }
-    Ok(())
+}
+
+/// An open file of the folder.
+pub struct DiskFile {
+    file: File,
+    path: PathBuf,
 }
 
 impl DiskFile {
-    /// Empty, whatever was there under its name.
-    pub fn make(dir: &Path, name: &str, options: &Options) -> io::Result<DiskFile> {
-        let mut opening = OpenOptions::new();
-        let file = opening.read(true).write(true).create(true).truncate(true).open(dir.join(name))?;
+    /// An empty file, whatever was there under its name.
+    pub fn create(folder: &Path, name: &str, options: &Options) -> Result<DiskFile, FileError> {
+        let path = folder.join(name);
+        let mut creating = OpenOptions::new();
+        creating.read(true).write(true).create(true).truncate(true);
+        let file = creating.open(&path).map_err(FileError::on("creating", &path))?;
         options.observed(|| Operation::FileCreated { name: name.to_string() });
-        Ok(DiskFile { file, name: name.to_string() })
+        Ok(DiskFile { file, path })
+    }
+
+    pub fn open(folder: &Path, name: &str) -> Result<DiskFile, FileError> {
+        let path = folder.join(name);
+        let opened = OpenOptions::new().read(true).write(true).open(&path);
+        let file = opened.map_err(FileError::on("opening", &path))?;
+        Ok(DiskFile { file, path })
+    }
+
+    pub fn path(&self) -> &Path {
+        &self.path
     }
 
-    pub fn open(dir: &Path, name: &str) -> io::Result<DiskFile> {
-        let file = OpenOptions::new().read(true).write(true).open(dir.join(name))?;
-        Ok(DiskFile { file, name: name.to_string() })
+    /// The same file after it was renamed.
+    pub fn renamed(mut self, name: &str) -> DiskFile {
+        self.path.set_file_name(name);
+        self
     }
 
-    /// It has been renamed.
-    pub fn called(self, name: &str) -> DiskFile {
-        DiskFile { name: name.to_string(), ..self }
+    fn name(&self) -> String {
+        self.path.file_name().unwrap_or_default().to_string_lossy().into_owned()
     }
 
-    /// At the present place.
-    pub fn write(&mut self, bytes: &[u8], options: &Options) -> io::Result<()> {
-        let at = if options.operation_observer.is_some() { self.file.stream_position()? } else { 0 };
+    /// Writes at the current offset.
+    pub fn write(&mut self, bytes: &[u8], options: &Options) -> Result<(), FileError> {
+        let offset = match options.operation_observer {
+            Some(_) => self.file.stream_position().map_err(FileError::on("writing", &self.path))?,
+            None => 0,
+        };
         let written = self.file.write_all(bytes);
-        options.observed(|| Operation::Written { name: self.name.clone(), at, bytes: bytes.to_vec() });
-        written
+        options.observed(|| Operation::Written { name: self.name(), offset, bytes: bytes.to_vec() });
+        written.map_err(FileError::on("writing", &self.path))
     }
 
-    /// Sets the length, and goes there.
-    pub fn cut(&mut self, len: u64, options: &Options) -> io::Result<()> {
-        self.file.set_len(len)?;
-        options.observed(|| Operation::LengthSet { name: self.name.clone(), len });
-        self.file.seek(SeekFrom::Start(len))?;
-        Ok(())
+    /// Sets the length, and makes that the current offset.
+    pub fn truncate(&mut self, length: u64, options: &Options) -> Result<(), FileError> {
+        self.file.set_len(length).map_err(FileError::on("truncating", &self.path))?;
+        options.observed(|| Operation::LengthSet { name: self.name(), length });
+        self.seek(length)
+    }
+
+    pub fn seek(&mut self, offset: u64) -> Result<(), FileError> {
+        let sought = self.file.seek(SeekFrom::Start(offset));
+        sought.map(drop).map_err(FileError::on("seeking in", &self.path))
+    }
+
+    /// Fills the buffer from the current offset on.
+    pub fn read_exact(&mut self, buffer: &mut [u8]) -> Result<(), FileError> {
+        self.file.read_exact(buffer).map_err(FileError::on("reading", &self.path))
     }
 
-    pub fn sync_data(&mut self, options: &Options) -> io::Result<()> {
-        self.file.sync_data()?;
-        options.observed(|| Operation::FileSynced { name: self.name.clone() });
+    /// Makes the bytes durable, and of the metadata only what reading them needs (`fdatasync`).
+    pub fn sync_data(&mut self, options: &Options) -> Result<(), FileError> {
+        self.file.sync_data().map_err(FileError::on("syncing", &self.path))?;
+        options.observed(|| Operation::FileSynced { name: self.name() });
         Ok(())
     }
 
-    pub fn sync_all(&mut self, options: &Options) -> io::Result<()> {
-        self.file.sync_all()?;
-        options.observed(|| Operation::FileSynced { name: self.name.clone() });
+    /// Makes the bytes and all metadata durable (`fsync`).
+    pub fn sync_all(&mut self, options: &Options) -> Result<(), FileError> {
+        self.file.sync_all().map_err(FileError::on("syncing", &self.path))?;
+        options.observed(|| Operation::FileSynced { name: self.name() });
         Ok(())
     }
 }
--- a/crates/wal/src/folder.rs
+++ b/crates/wal/src/folder.rs
@@ -1,399 +1,183 @@
-//! The folder: its names, its opening, and the segment that is written to.
+//! Opens a folder: creates or checks it, reads its files, and repairs what a kill or a loss of power left.
 
-use std::collections::BTreeSet;
-use std::fs;
-use std::io::{self, Read, Seek, SeekFrom};
-use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 
-use crate::disk::{self, DiskFile};
-use crate::frame::{self, End, Expected, Identity, Kind, FILE_HEAD};
+use crate::disk;
+use crate::error::{FileError, OpenError, ReadError};
+use crate::file_names::{file_name, log_name, snapshot_name, FileNames, FORMAT};
+use crate::format_file::{self, FORMAT_UNFINISHED};
+use crate::frame::{FileId, FileKind, FolderIdentity, FILE_HEADER_BYTES};
+use crate::options::Options;
 use crate::planted::PlantedFault;
-use crate::{Options, Step, Trouble};
+use crate::scan::{scan, FileEnd};
+use crate::segment::Segment;
 
+/// Why a file is corrupted that is not there.
 pub const MISSING: &str = "the file is missing";
-pub const FORMAT: &str = "FORMAT";
-const FORMAT_UNFINISHED: &str = "FORMAT.tmp";
-/// As it has stood on disks since before the package had its present name.
-const PROGRAM: &str = "stileroute-logbook";
-/// `frame::VERSION`, as it stands in FORMAT.
-const VERSION_WORD: &str = "1";
-
-pub fn log_name(number: u64) -> String {
-    format!("log-{number:010}")
-}
-
-pub fn snapshot_name(number: u64) -> String {
-    format!("snapshot-{number:010}")
-}
-
-pub fn file_name(expected: Expected) -> String {
-    match expected.kind {
-        Kind::Log => log_name(expected.number),
-        Kind::Snapshot => snapshot_name(expected.number),
-    }
-}
-
-#[derive(Default)]
-pub struct Names {
-    pub logs: BTreeSet<u64>,
-    pub snapshots: BTreeSet<u64>,
-    pub unfinished: Vec<String>,
-    pub others: Vec<String>,
-    pub format: bool,
-}
-
-impl Names {
-    pub fn read(dir: &Path) -> Result<Names, Trouble> {
-        let listing = Trouble::io("listing the folder");
-        let mut names = Names::default();
-        for found in fs::read_dir(dir).map_err(&listing)? {
-            let name = found.map_err(&listing)?.file_name().to_string_lossy().into_owned();
-            let number = |prefix: &str| {
-                let number = name.strip_prefix(prefix)?.parse().ok()?;
-                (format!("{prefix}{number:010}") == name).then_some(number)
-            };
-            if name == FORMAT {
-                names.format = true;
-            } else if let Some(number) = number("log-") {
-                names.logs.insert(number);
-            } else if let Some(number) = number("snapshot-") {
-                names.snapshots.insert(number);
-            } else if name.ends_with(".tmp") {
-                names.unfinished.push(name);
-            } else {
-                names.others.push(name);
-            }
-        }
-        Ok(names)
-    }
-
-    /// The first segment that the newest snapshot does not cover.
-    pub fn base(&self) -> u64 {
-        self.snapshots.last().copied().unwrap_or(1)
-    }
-
-    /// The segments to be read. Each must be there; there are none before the first was made.
-    pub fn live(&self) -> RangeInclusive<u64> {
-        let last = self.logs.last().copied().filter(|last| *last >= self.base());
-        self.base()..=last.or(self.snapshots.last().copied()).unwrap_or(0)
-    }
-}
-
-/// What FORMAT says.
-pub struct Format {
-    pub kind: String,
-    pub identity: Identity,
-}
-
-pub fn read_format(dir: &Path) -> Result<Format, Trouble> {
-    let file = dir.join(FORMAT);
-    let bytes = fs::read(&file).map_err(Trouble::io("reading FORMAT"))?;
-    let text = String::from_utf8_lossy(&bytes);
-    let words: Vec<&str> = text.split_whitespace().collect();
-    let (kind, identity) = match words[..] {
-        [PROGRAM, VERSION_WORD, kind] => (kind, Some(0)),
-        [PROGRAM, VERSION_WORD, kind, identity] => (kind, u32::from_str_radix(identity, 16).ok()),
-        _ => ("", None),
-    };
-    let Some(identity) = identity else {
-        let found = format!("{:?}", text.chars().take(80).collect::<String>());
-        return Err(Trouble::Format { file: file.display().to_string(), found });
-    };
-    Ok(Format { kind: kind.to_string(), identity: Identity(identity) })
-}
-
-/// Written beside and renamed: under its own name it is whole.
-fn write_format(dir: &Path, options: &Options) -> io::Result<()> {
-    let mut file = DiskFile::make(dir, FORMAT_UNFINISHED, options)?;
-    let text = format!("{PROGRAM} {VERSION_WORD} {} {}\n", options.schema, Identity::draw());
-    file.write(text.as_bytes(), options)?;
-    file.sync_all(options)?;
-    disk::rename(dir, FORMAT_UNFINISHED, FORMAT, options)
-}
 
 /// An opened folder.
 pub struct Folder {
-    pub dir: PathBuf,
+    pub path: PathBuf,
     pub options: Options,
-    pub identity: Identity,
-    /// The first segment the snapshot does not cover; there is no snapshot at 1.
+    pub identity: FolderIdentity,
+    /// The first segment that the snapshot does not cover; there is no snapshot at 1.
     pub base: u64,
-    /// Bytes of the snapshot, and of the segments between it and the one written to.
-    pub snapshot: u64,
-    pub closed: u64,
+    pub snapshot_bytes: u64,
+    /// Bytes of the segments between the snapshot and the one that is written to.
+    pub closed_bytes: u64,
+    /// The segment that is written to.
     pub log: Segment,
 }
 
 impl Folder {
-    pub fn open(dir: &Path, options: Options, on_record: &mut dyn FnMut(&[u8])) -> Result<Folder, Trouble> {
-        let opening = Trouble::io("opening the folder");
-        if options.planted(PlantedFault::ParentUnsynced) {
-            fs::create_dir_all(dir).map_err(&opening)?;
+    /// Hands out all records in order, and returns the folder with all of them synced.
+    pub fn open(
+        path: &Path,
+        options: Options,
+        on_record: &mut dyn FnMut(&[u8]),
+    ) -> Result<Folder, OpenError> {
+        if options.has_planted(PlantedFault::ParentUnsynced) {
+            disk::create_folder_unsynced(path)?;
         } else {
-            disk::make_folder(dir, &options).map_err(&opening)?;
-        }
-        let names = Names::read(dir)?;
-        if !names.format {
-            let data = names.logs.iter().map(|&number| log_name(number));
-            let data = data.chain(names.snapshots.iter().map(|&number| snapshot_name(number)));
-            let foreign = names.unfinished.iter().filter(|name| *name != FORMAT_UNFINISHED).cloned();
-            if let Some(name) = data.chain(foreign).chain(names.others.iter().cloned()).next() {
-                let found = format!("no such file, but {name}");
-                return Err(Trouble::Format { file: dir.join(FORMAT).display().to_string(), found });
-            }
-            write_format(dir, &options).map_err(Trouble::io("writing FORMAT"))?;
+            disk::create_folder(path, &options)?;
         }
-        let Format { kind, identity } = read_format(dir)?;
-        if kind != options.schema {
-            let found = format!("it keeps {kind:?}, not {:?}", options.schema);
-            return Err(Trouble::Format { file: dir.join(FORMAT).display().to_string(), found });
+        let names = FileNames::read(path)?;
+        if !names.has_format {
+            refuse_without_format(path, &names)?;
+            format_file::write(path, &options)?;
         }
+        let identity = read_identity(path, &options)?;
 
-        // A process that was killed may have renamed without a sync. First these names are made lasting, then others are made
+        // A process that was killed may have renamed without a sync. First these names are made durable, then others are made
         // that take them for given, and what they replace is removed.
-        if !names.format || !options.planted(PlantedFault::NamesTrusted) {
-            disk::sync_folder(dir, &options).map_err(Trouble::io("syncing the folder"))?;
+        if !names.has_format || !options.has_planted(PlantedFault::NamesTrusted) {
+            disk::sync_folder(path, &options)?;
         }
-
-        let live = names.live();
-        if let Some(missing) = live.clone().find(|number| !names.logs.contains(number)) {
-            return Err(Trouble::damaged(&log_name(missing), MISSING));
+        if let Some(missing) = names.missing_segment() {
+            return Err(ReadError::corrupted(&log_name(missing), MISSING).into());
         }
         for name in &names.unfinished {
-            disk::remove(dir, name, &options).map_err(Trouble::io("removing an unfinished file"))?;
-        }
-        let (base, mut snapshot, mut closed) = (names.base(), 0, 0);
-        if names.snapshots.contains(&base) {
-            let expected = Expected { kind: Kind::Snapshot, number: base, folder: identity };
-            snapshot = whole(dir, expected, on_record)?;
+            disk::remove(path, name, &options)?;
         }
-        let mut log = None;
-        for number in live.clone() {
-            let expected = Expected { kind: Kind::Log, number, folder: identity };
-            if number != *live.end() {
-                closed += whole(dir, expected, on_record)?;
-                continue;
-            }
-            let mut scan = frame::scan(&dir.join(log_name(number)), expected, on_record)?;
-            match &scan.end {
-                End::Damaged(reason) => return Err(Trouble::damaged(&log_name(number), reason.as_str())),
-                End::Torn(reason) => {
-                    tracing::warn!(
-                        file = log_name(number),
-                        good = scan.good,
-                        len = scan.len,
-                        reason,
-                        "torn end"
-                    );
-                }
-                End::Whole => {}
-            }
-            if scan.good >= FILE_HEAD {
-                if options.planted(PlantedFault::TornTaken) {
-                    scan.good = scan.len;
-                }
-                let segment = Segment::reopen(dir, number, &scan, &options);
-                log = Some(segment.map_err(Trouble::io("cutting a torn end"))?);
-            }
+        let base = names.base();
+        let (snapshot_bytes, closed_bytes) = read_closed_files(path, &names, identity, on_record)?;
+        let log = open_last_segment(path, &names, identity, &options, on_record)?;
+        if let Err(error) = remove_covered(path, base, &options) {
+            tracing::warn!(%error, "what a snapshot covers is still there");
         }
-        let log = match log {
-            Some(log) => log,
-            None => Segment::create(dir, base.max(*live.end()), identity, &options)
-                .map_err(Trouble::io("making a segment"))?,
-        };
-        if let Err(error) = remove_before(dir, base, &options) {
-            tracing::warn!(%error, "what a snapshot replaced is still there");
-        }
-        Ok(Folder { dir: dir.to_path_buf(), options, identity, base, snapshot, closed, log })
+        let path = path.to_path_buf();
+        Ok(Folder { path, options, identity, base, snapshot_bytes, closed_bytes, log })
     }
-}
 
-impl Folder {
     /// Bytes of the files that count.
-    pub fn used(&self) -> u64 {
-        self.snapshot + self.closed + self.log.len
+    pub fn used_bytes(&self) -> u64 {
+        self.snapshot_bytes + self.closed_bytes + self.log.end.bytes
     }
 }
 
-/// Reads a file that must be whole; its length.
-pub fn whole(dir: &Path, expected: Expected, on_record: &mut dyn FnMut(&[u8])) -> Result<u64, Trouble> {
-    let name = file_name(expected);
-    let scan = frame::scan(&dir.join(&name), expected, on_record)?;
-    match scan.end {
-        End::Whole => Ok(scan.len),
-        End::Torn(reason) | End::Damaged(reason) => Err(Trouble::damaged(&name, reason)),
+/// A folder without FORMAT is new, unless there are other files in it than a FORMAT that was not finished.
+fn refuse_without_format(path: &Path, names: &FileNames) -> Result<(), ReadError> {
+    let logs = names.logs.iter().map(|&number| log_name(number));
+    let snapshots = names.snapshots.iter().map(|&number| snapshot_name(number));
+    let unfinished = names.unfinished.iter().filter(|name| *name != FORMAT_UNFINISHED).cloned();
+    let unrecognized = names.unrecognized.iter().cloned();
+    match logs.chain(snapshots).chain(unfinished).chain(unrecognized).next() {
+        Some(name) => Err(ReadError::UnknownFormat {
+            file: path.join(FORMAT).display().to_string(),
+            found: format!("no such file, but {name}"),
+        }),
+        None => Ok(()),
     }
 }
 
-/// Removes what the snapshot `base` covers. The names may come back at a power loss, and are removed again.
-pub fn remove_before(dir: &Path, base: u64, options: &Options) -> io::Result<()> {
-    let names = Names::read(dir).map_err(|trouble| io::Error::other(trouble.to_string()))?;
-    for &number in names.logs.range(..base) {
-        disk::remove(dir, &log_name(number), options)?;
-    }
-    for &number in names.snapshots.range(..base) {
-        disk::remove(dir, &snapshot_name(number), options)?;
+/// The folder's identity, if it keeps what the options say.
+fn read_identity(path: &Path, options: &Options) -> Result<FolderIdentity, ReadError> {
+    let format = format_file::read(path)?;
+    if format.schema != options.schema {
+        return Err(ReadError::UnknownFormat {
+            file: path.join(FORMAT).display().to_string(),
+            found: format!("it keeps {:?}, not {:?}", format.schema, options.schema),
+        });
     }
-    Ok(())
+    Ok(format.identity)
 }
 
-/// The segment that is written to.
-pub struct Segment {
-    file: DiskFile,
-    pub number: u64,
-    /// Up to where it is good, and the count of entries there.
-    pub len: u64,
-    pub entries: u32,
-    /// Up to where it is synced, and the count of entries there.
-    pub synced: u64,
-    synced_entries: u32,
-    /// More may lie behind `len`, and the place to write at is elsewhere.
-    cut: bool,
-    /// It was made shorter, and not synced since: what was cut off could come back.
-    shortened: bool,
-    /// A sync failed. The system may take what it could not write for written, and the next sync would succeed without it: what
-    /// lies behind `synced` is read back and written anew before.
-    doubt: bool,
-    /// The name has not been synced.
-    pub nameless: bool,
+/// Reads the snapshot and all segments but the last: the bytes of the snapshot, and those of the segments.
+fn read_closed_files(
+    path: &Path,
+    names: &FileNames,
+    identity: FolderIdentity,
+    on_record: &mut dyn FnMut(&[u8]),
+) -> Result<(u64, u64), ReadError> {
+    let base = names.base();
+    let mut snapshot_bytes = 0;
+    if names.snapshots.contains(&base) {
+        let id = FileId { kind: FileKind::Snapshot, number: base, folder: identity };
+        snapshot_bytes = read_complete(path, id, on_record)?;
+    }
+    let mut closed_bytes = 0;
+    let live = names.live_segments();
+    for number in base..*live.end() {
+        let id = FileId { kind: FileKind::Log, number, folder: identity };
+        closed_bytes += read_complete(path, id, on_record)?;
+    }
+    Ok((snapshot_bytes, closed_bytes))
 }
 
-impl Segment {
-    /// Made beside and renamed: a segment that has a name has a head, and the one before it is closed.
-    pub fn create(dir: &Path, number: u64, folder: Identity, options: &Options) -> io::Result<Segment> {
-        let name = log_name(number);
-        let unfinished = format!("{name}.tmp");
-        options.at(Step::CreateSegment)?;
-        let mut file = DiskFile::make(dir, &unfinished, options)?;
-        file.write(&frame::file_head(Expected { kind: Kind::Log, number, folder }), options)?;
-        file.sync_all(options)?;
-        options.at(Step::RenameSegment)?;
-        disk::rename(dir, &unfinished, &name, options)?;
-        let file = file.called(&name);
-        let named = match options.at(Step::SyncFolderAfterSegment) {
-            Ok(()) if options.planted(PlantedFault::SegmentNameUnsynced) => Ok(()),
-            Ok(()) => disk::sync_folder(dir, options),
-            failed => failed,
-        };
-        let nameless = named.is_err();
-        let (len, synced) = (FILE_HEAD, FILE_HEAD);
-        Ok(Segment {
-            file,
-            number,
-            len,
-            entries: 0,
-            synced,
-            synced_entries: 0,
-            cut: false,
-            shortened: false,
-            doubt: false,
-            nameless,
-        })
-    }
-
-    /// Synced even if nothing was cut off: what a killed process left may not have been, and now counts.
-    fn reopen(dir: &Path, number: u64, scan: &frame::Scan, options: &Options) -> io::Result<Segment> {
-        let mut file = DiskFile::open(dir, &log_name(number))?;
-        let (good, entries) = (scan.good, scan.entries);
-        if scan.len > good && !options.planted(PlantedFault::NotCut) {
-            file.cut(good, options)?;
-        }
-        file.file.seek(SeekFrom::Start(good))?;
-        file.sync_all(options)?;
-        Ok(Segment {
-            file,
-            number,
-            len: good,
-            entries,
-            synced: good,
-            synced_entries: entries,
-            cut: false,
-            shortened: false,
-            doubt: false,
-            nameless: false,
-        })
-    }
-
-    /// All or nothing.
-    pub fn write(&mut self, bytes: &[u8], entries: u32, options: &Options) -> io::Result<()> {
-        self.mend(options)?;
-        let written = match options.at(Step::WriteEntries) {
-            Ok(()) => self.file.write(bytes, options),
-            Err(error) => self.file.write(&bytes[..bytes.len() / 2], options).and(Err(error)),
-        };
-        if written.is_err() {
-            self.cut = true;
-            let _ = self.mend(options);
-            return written;
-        }
-        self.len += bytes.len() as u64;
-        self.entries = self.entries.wrapping_add(entries);
-        Ok(())
-    }
-
-    /// Takes back what was written behind `len`.
-    pub fn back_to(&mut self, len: u64, entries: u32, options: &Options) {
-        (self.len, self.entries, self.cut) = (len, entries, true);
-        let _ = self.mend(options);
-    }
-
-    fn mend(&mut self, options: &Options) -> io::Result<()> {
-        if self.cut {
-            self.shortened = true;
-            self.file.cut(self.len, options)?;
-            self.cut = false;
-        }
-        Ok(())
-    }
+/// Reads the last segment and cuts off a torn end; creates it if there is none, or if not even its header is complete.
+fn open_last_segment(
+    path: &Path,
+    names: &FileNames,
+    identity: FolderIdentity,
+    options: &Options,
+    on_record: &mut dyn FnMut(&[u8]),
+) -> Result<Segment, OpenError> {
+    let live = names.live_segments();
+    let number = names.base().max(*live.end());
+    if live.is_empty() {
+        return Ok(Segment::create(path, number, identity, options)?);
+    }
+    let name = log_name(number);
+    let id = FileId { kind: FileKind::Log, number, folder: identity };
+    let mut scanned = scan(&path.join(&name), id, on_record)?;
+    match &scanned.end {
+        FileEnd::Corrupted(reason) => return Err(ReadError::corrupted(&name, reason.as_str()).into()),
+        FileEnd::Torn(reason) => tracing::warn!(
+            file = name,
+            valid_bytes = scanned.valid_bytes,
+            file_bytes = scanned.file_bytes,
+            reason,
+            "torn end"
+        ),
+        FileEnd::Complete => {}
+    }
+    if scanned.valid_bytes < FILE_HEADER_BYTES {
+        return Ok(Segment::create(path, number, identity, options)?);
+    }
+    if options.has_planted(PlantedFault::TornTaken) {
+        scanned.valid_bytes = scanned.file_bytes;
+    }
+    Ok(Segment::reopen(path, number, &scanned, options)?)
+}
 
-    /// From here on a loss of power can't take the segment's name back.
-    pub fn sync_name(&mut self, dir: &Path, options: &Options) -> io::Result<()> {
-        if self.nameless {
-            disk::sync_folder(dir, options)?;
-            self.nameless = false;
-        }
-        Ok(())
+/// Reads a file that must be complete; how many bytes it has.
+pub fn read_complete(path: &Path, id: FileId, on_record: &mut dyn FnMut(&[u8])) -> Result<u64, ReadError> {
+    let name = file_name(id);
+    let scanned = scan(&path.join(&name), id, on_record)?;
+    match scanned.end {
+        FileEnd::Complete => Ok(scanned.file_bytes),
+        FileEnd::Torn(reason) | FileEnd::Corrupted(reason) => Err(ReadError::corrupted(&name, reason)),
     }
+}
 
-    /// Whether a sync was needed and done.
-    pub fn sync(&mut self, dir: &Path, options: &Options) -> io::Result<bool> {
-        self.sync_name(dir, options)?;
-        self.mend(options)?;
-        if self.synced == self.len && !self.shortened {
-            return Ok(false);
-        }
-        if self.doubt {
-            self.write_anew(options)?;
-        }
-        self.doubt = true;
-        options.at(Step::SyncSegment)?;
-        if self.shortened {
-            self.file.sync_all(options)?;
-        } else {
-            self.file.sync_data(options)?;
-        }
-        (self.doubt, self.shortened) = (false, false);
-        (self.synced, self.synced_entries) = (self.len, self.entries);
-        Ok(true)
+/// Removes what the snapshot `base` covers. The names may come back at a loss of power, and are removed again.
+pub fn remove_covered(path: &Path, base: u64, options: &Options) -> Result<(), FileError> {
+    let names = FileNames::read(path)?;
+    for &number in names.logs.range(..base) {
+        disk::remove(path, &log_name(number), options)?;
     }
-
-    fn write_anew(&mut self, options: &Options) -> io::Result<()> {
-        let mut bytes = vec![0; (self.len - self.synced) as usize];
-        self.cut = true;
-        self.file.file.seek(SeekFrom::Start(self.synced))?;
-        self.file.file.read_exact(&mut bytes)?;
-        if !frame::are_entries(&bytes) {
-            tracing::error!(
-                bytes = bytes.len(),
-                "records without sync are lost: a sync failed, and they read otherwise"
-            );
-            (self.len, self.entries) = (self.synced, self.synced_entries);
-            return self.mend(options);
-        }
-        self.file.file.seek(SeekFrom::Start(self.synced))?;
-        self.file.write(&bytes, options)?;
-        self.cut = false;
-        Ok(())
+    for &number in names.snapshots.range(..base) {
+        disk::remove(path, &snapshot_name(number), options)?;
     }
+    Ok(())
 }
--- a/crates/wal/src/frame.rs
+++ b/crates/wal/src/frame.rs
@@ -1,260 +1,190 @@
-//! Bytes of segments and snapshots.
+//! The bytes of segments and snapshots.
 //!
-//! A file begins with 20 bytes: `slbook`, `l` or `s`, the version, its number (4), its folder's identity (4), checksum of these (4). An entry's head has
-//! 24: length of its records (4), its number in the file from 0 (4), up to where the file was synced when it was written (8),
-//! checksum of the records (4), checksum of the head (4). Then the records, each with its length (4). Little-endian, CRC-32.
-//! A snapshot ends with an entry of length 0 that has the count of its records in place of the third field.
+//! A file begins with a header of 20 bytes: `slbook`, `l` for a log segment or `s` for a snapshot, the version, the file's number
+//! (4 bytes), the identity of its folder (4), and the checksum of these (4).
+//!
+//! Entries follow. An entry's header has 24 bytes: length of its payload (4), the entry's number in the file from 0 (4), up to
+//! which offset the file was synced when it was written (8), checksum of the payload (4), checksum of the header (4). The payload
+//! is records, each after its length (4). A snapshot ends with an entry without payload that has the count of the snapshot's
+//! records in place of the synced offset.
+//!
+//! Numbers are little-endian, checksums CRC-32. Checksums of header and payload apart are common in logs (LevelDB's
+//! `log_format.md`); here a header that is intact tells how far the file had been synced even if its payload is torn.
 
 use std::collections::hash_map::RandomState;
 use std::fmt;
-use std::fs::File;
 use std::hash::{BuildHasher, Hasher};
-use std::io::{BufReader, Read, Seek, SeekFrom};
-use std::path::Path;
 
-use crate::{Trouble, MAX_APPEND_BYTES};
+/// Longest record, in bytes: the largest configuration (`charter::read::LONGEST`, 8 MiB), which is kept in one, and what goes
+/// with it.
+pub const MAX_RECORD_BYTES: usize = (8 << 20) + (64 << 10);
+/// Longest entry, in bytes: the records of one append with four bytes for each.
+pub const MAX_APPEND_BYTES: usize = 9 << 20;
+
+pub const FORMAT_VERSION: u8 = 1;
+pub const FILE_HEADER_BYTES: u64 = 20;
+pub const ENTRY_HEADER_BYTES: usize = 24;
 
-pub const VERSION: u8 = 1;
-pub const FILE_HEAD: u64 = 20;
-pub const HEAD: usize = 24;
+const MAGIC: &[u8; 6] = b"slbook";
+const RECORD_LENGTH_BYTES: usize = 4;
 
+/// What a file is.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum FileKind {
+    /// A segment of the log.
     Log = b'l' as isize,
+    /// The state of everything before a segment.
     Snapshot = b's' as isize,
 }
 
-/// Drawn when a folder is made; its files carry it, so that one of another folder is not taken for its own. Nought in folders
-/// that were made before there were identities.
+/// Drawn when a folder is created. Its files carry it, so that one of another folder is not taken for its own. Zero in folders
+/// that were created before there were identities.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub struct Identity(pub u32);
+pub struct FolderIdentity(pub u32);
 
-impl Identity {
-    pub fn draw() -> Identity {
-        Identity((RandomState::new().build_hasher().finish() as u32).max(1))
+impl FolderIdentity {
+    pub fn draw() -> FolderIdentity {
+        // The standard library seeds this from the system's random numbers.
+        FolderIdentity((RandomState::new().build_hasher().finish() as u32).max(1))
     }
 }
 
-impl fmt::Display for Identity {
+impl fmt::Display for FolderIdentity {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{:08x}", self.0)
     }
 }
 
-/// What a file has to say that it is.
+/// What a file's header has to say.
 #[derive(Clone, Copy)]
-pub struct Expected {
-    pub kind: Kind,
+pub struct FileId {
+    pub kind: FileKind,
     pub number: u64,
-    pub folder: Identity,
+    pub folder: FolderIdentity,
 }
 
-pub fn file_head(expected: Expected) -> [u8; FILE_HEAD as usize] {
-    let Expected { kind, number, folder } = expected;
-    let mut head = [0; FILE_HEAD as usize];
-    head[..6].copy_from_slice(b"slbook");
-    head[6] = kind as u8;
-    head[7] = VERSION;
-    head[8..12].copy_from_slice(&(number as u32).to_le_bytes());
-    head[12..16].copy_from_slice(&folder.0.to_le_bytes());
-    let sum = crc32fast::hash(&head[..16]);
-    head[16..].copy_from_slice(&sum.to_le_bytes());
-    head
-}
+pub type FileHeader = [u8; FILE_HEADER_BYTES as usize];
 
-/// Bytes of an entry of these records.
-pub fn size(records: &[Vec<u8>]) -> usize {
-    HEAD + records.iter().map(|record| 4 + record.len()).sum::<usize>()
+pub fn encode_file_header(id: FileId) -> FileHeader {
+    let FileId { kind, number, folder } = id;
+    let mut header = [0; FILE_HEADER_BYTES as usize];
+    header[..6].copy_from_slice(MAGIC);
+    header[6] = kind as u8;
+    header[7] = FORMAT_VERSION;
+    header[8..12].copy_from_slice(&(number as u32).to_le_bytes());
+    header[12..16].copy_from_slice(&folder.0.to_le_bytes());
+    let checksum = crc32fast::hash(&header[..16]);
+    header[16..].copy_from_slice(&checksum.to_le_bytes());
+    header
 }
 
-pub fn put_record(record: &[u8], out: &mut Vec<u8>) {
-    out.extend_from_slice(&(record.len() as u32).to_le_bytes());
-    out.extend_from_slice(record);
+/// Whether the checksum is right, whatever the header says.
+pub fn is_file_header_intact(header: &FileHeader) -> bool {
+    crc32fast::hash(&header[..16]) == u32_at(header, 16)
 }
 
-/// Begins an entry at the end of `out`; `close` with what this returns once the records have been put.
-pub fn begin(out: &mut Vec<u8>) -> usize {
-    let start = out.len();
-    out.resize(start + HEAD, 0);
-    start
+/// Whether the header is of this format and version, and of a file of that kind.
+pub fn is_file_of_kind(header: &FileHeader, kind: FileKind) -> bool {
+    header[..6] == *MAGIC && header[7] == FORMAT_VERSION && header[6] == kind as u8
 }
 
-pub fn close(out: &mut [u8], start: usize, number: u32, synced: u64) {
-    let (head, records) = out[start..].split_at_mut(HEAD);
-    head[..4].copy_from_slice(&(records.len() as u32).to_le_bytes());
-    head[4..8].copy_from_slice(&number.to_le_bytes());
-    head[8..16].copy_from_slice(&synced.to_le_bytes());
-    head[16..20].copy_from_slice(&crc32fast::hash(records).to_le_bytes());
-    let sum = crc32fast::hash(&head[..20]);
-    head[20..].copy_from_slice(&sum.to_le_bytes());
+pub fn file_number(header: &FileHeader) -> u32 {
+    u32_at(header, 8)
 }
 
-#[derive(Clone, Copy)]
-struct Head {
-    len: usize,
-    number: u32,
-    synced: u64,
-    sum: u32,
+pub fn file_folder(header: &FileHeader) -> FolderIdentity {
+    FolderIdentity(u32_at(header, 12))
 }
 
-fn four(bytes: &[u8], at: usize) -> u32 {
-    bytes.get(at..at + 4).and_then(|four| four.try_into().ok()).map_or(0, u32::from_le_bytes)
+/// Bytes of an entry of these records.
+pub fn entry_bytes(records: &[Vec<u8>]) -> usize {
+    ENTRY_HEADER_BYTES + records.iter().map(|record| RECORD_LENGTH_BYTES + record.len()).sum::<usize>()
 }
 
-fn eight(bytes: &[u8], at: usize) -> u64 {
-    u64::from(four(bytes, at)) | u64::from(four(bytes, at + 4)) << 32
+/// Leaves room for an entry's header at the end of `out`. Once the records have been put, `finish_entry` takes the offset that
+/// this returns.
+pub fn begin_entry(out: &mut Vec<u8>) -> usize {
+    let start = out.len();
+    out.resize(start + ENTRY_HEADER_BYTES, 0);
+    start
 }
 
-fn head(bytes: &[u8]) -> Option<Head> {
-    if bytes.len() < HEAD || crc32fast::hash(&bytes[..20]) != four(bytes, 20) {
-        return None;
-    }
-    let len = four(bytes, 0) as usize;
-    (len <= MAX_APPEND_BYTES).then(|| Head {
-        len,
-        number: four(bytes, 4),
-        synced: eight(bytes, 8),
-        sum: four(bytes, 16),
-    })
+pub fn put_record(record: &[u8], out: &mut Vec<u8>) {
+    out.extend_from_slice(&(record.len() as u32).to_le_bytes());
+    out.extend_from_slice(record);
 }
 
-/// The whole entry that `bytes` begin with.
-fn entry(bytes: &[u8]) -> Option<(Head, &[u8])> {
-    let head = head(bytes)?;
-    let records = bytes.get(HEAD..HEAD + head.len)?;
-    (crc32fast::hash(records) == head.sum).then_some((head, records))
+/// Fills in the header of the entry that begins at `start` and ends with `out`.
+pub fn finish_entry(out: &mut [u8], start: usize, number: u32, synced: u64) {
+    let (header, payload) = out[start..].split_at_mut(ENTRY_HEADER_BYTES);
+    header[..4].copy_from_slice(&(payload.len() as u32).to_le_bytes());
+    header[4..8].copy_from_slice(&number.to_le_bytes());
+    header[8..16].copy_from_slice(&synced.to_le_bytes());
+    header[16..20].copy_from_slice(&crc32fast::hash(payload).to_le_bytes());
+    let checksum = crc32fast::hash(&header[..20]);
+    header[20..].copy_from_slice(&checksum.to_le_bytes());
 }
 
-/// Whether `bytes` are whole entries.
-pub fn are_entries(mut bytes: &[u8]) -> bool {
-    while !bytes.is_empty() {
-        let Some((_, records)) = entry(bytes) else { return false };
-        bytes = &bytes[HEAD + records.len()..];
+/// The header of an entry whose checksum was right.
+#[derive(Clone, Copy)]
+pub struct EntryHeader {
+    pub payload_bytes: usize,
+    /// The entry's number in its file.
+    pub number: u32,
+    /// Up to which offset the file was synced when the entry was written; in the last entry of a snapshot the count of its records.
+    pub synced: u64,
+    pub payload_checksum: u32,
+}
+
+impl EntryHeader {
+    /// None if the bytes are too few, the checksum is wrong, or the payload would be too long.
+    pub fn decode(bytes: &[u8]) -> Option<EntryHeader> {
+        if bytes.len() < ENTRY_HEADER_BYTES || crc32fast::hash(&bytes[..20]) != u32_at(bytes, 20) {
+            return None;
+        }
+        let payload_bytes = u32_at(bytes, 0) as usize;
+        (payload_bytes <= MAX_APPEND_BYTES).then(|| EntryHeader {
+            payload_bytes,
+            number: entry_number(bytes),
+            synced: u64_at(bytes, 8),
+            payload_checksum: u32_at(bytes, 16),
+        })
     }
-    true
 }
 
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
-    Whole,
-    /// Nothing behind it was ever synced, as far as the file tells.
-    Torn(String),
-    Damaged(String),
+/// The number in what may be an entry's header, before any checksum was looked at; 0 if the bytes are too few.
+pub fn entry_number(bytes: &[u8]) -> u32 {
+    u32_at(bytes, 4)
 }
 
-/// What a file holds.
-pub struct Scan {
-    /// Up to where it is good; 0 if its head is not.
-    pub good: u64,
-    pub len: u64,
-    pub entries: u32,
-    pub records: u64,
-    pub end: End,
+/// The complete entry that `bytes` begin with: its header and its payload.
+pub fn decode_entry(bytes: &[u8]) -> Option<(EntryHeader, &[u8])> {
+    let header = EntryHeader::decode(bytes)?;
+    let payload = bytes.get(ENTRY_HEADER_BYTES..ENTRY_HEADER_BYTES + header.payload_bytes)?;
+    (crc32fast::hash(payload) == header.payload_checksum).then_some((header, payload))
 }
 
-/// Reads a file, handing out the records of whole entries in order, up to its end or the first bad byte.
-pub fn scan(path: &Path, expected: Expected, on_record: &mut dyn FnMut(&[u8])) -> Result<Scan, Trouble> {
-    let Expected { kind, number, folder } = expected;
-    let reading = Trouble::io("reading");
-    let name = path.file_name().map_or_else(String::new, |name| name.to_string_lossy().into_owned());
-    let file = File::open(path).map_err(&reading)?;
-    let len = file.metadata().map_err(&reading)?.len();
-    let mut file = BufReader::with_capacity(128 << 10, file);
-    let mut scan = Scan { good: 0, len, entries: 0, records: 0, end: End::Whole };
-
-    let mut first = [0; FILE_HEAD as usize];
-    let got = fill(&mut file, &mut first).map_err(&reading)?;
-    if got < first.len() || crc32fast::hash(&first[..16]) != four(&first, 16) {
-        scan.end = behind(file.into_inner(), &scan, "its head is not whole").map_err(&reading)?;
-        return Ok(scan);
-    }
-    if first[..6] != *b"slbook" || first[7] != VERSION || first[6] != kind as u8 {
-        let found = format!("begins with {:?}", String::from_utf8_lossy(&first[..8]));
-        return Err(Trouble::Format { file: name, found });
-    }
-    let found = Identity(four(&first, 12));
-    if found != folder {
-        return Err(Trouble::Stranger { file: name, found: found.to_string(), expected: folder.to_string() });
-    }
-    if u64::from(four(&first, 8)) != number {
-        scan.end = End::Damaged(format!("says it is number {}", four(&first, 8)));
-        return Ok(scan);
+/// Whether `bytes` are complete entries and nothing else.
+pub fn are_complete_entries(mut bytes: &[u8]) -> bool {
+    while !bytes.is_empty() {
+        let Some((_, payload)) = decode_entry(bytes) else { return false };
+        bytes = &bytes[ENTRY_HEADER_BYTES + payload.len()..];
     }
-    scan.good = FILE_HEAD;
+    true
+}
 
-    let mut ended = kind == Kind::Log;
-    let mut bytes = vec![0; HEAD];
-    while scan.good < len {
-        bytes.resize(HEAD, 0);
-        let got = fill(&mut file, &mut bytes).map_err(&reading)?;
-        let found = head(&bytes[..got]).filter(|head| head.number == scan.entries);
-        let whole = match found {
-            Some(head) if (HEAD + head.len) as u64 <= len - scan.good => {
-                bytes.resize(HEAD + head.len, 0);
-                let got = fill(&mut file, &mut bytes[HEAD..]).map_err(&reading)?;
-                got == head.len && crc32fast::hash(&bytes[HEAD..]) == head.sum
-            }
-            _ => false,
-        };
-        let Some(head) = found.filter(|_| whole) else {
-            let reason = format!("no whole entry at byte {}", scan.good);
-            scan.end = behind(file.into_inner(), &scan, &reason).map_err(&reading)?;
-            return Ok(scan);
-        };
-        if kind == Kind::Snapshot && head.len == 0 {
-            ended = head.synced == scan.records && scan.good + HEAD as u64 == len;
-            scan.good += HEAD as u64;
-            break;
-        }
-        let mut rest = &bytes[HEAD..];
-        while !rest.is_empty() {
-            let record = rest.get(4..).and_then(|rest_| rest_.get(..four(rest, 0) as usize));
-            let Some(record) = record else {
-                scan.end = End::Damaged(format!("lengths of records at byte {} do not fit", scan.good));
-                return Ok(scan);
-            };
-            on_record(record);
-            scan.records += 1;
-            rest = &rest[4 + record.len()..];
-        }
-        scan.good += (HEAD + head.len) as u64;
-        scan.entries = scan.entries.wrapping_add(1);
-    }
-    if !ended {
-        scan.end = End::Damaged("the snapshot's end is not there, or its count is another".into());
-    }
-    Ok(scan)
+/// The first record of a payload, and what follows it. None if the lengths do not fit.
+pub fn split_record(payload: &[u8]) -> Option<(&[u8], &[u8])> {
+    let record = payload.get(RECORD_LENGTH_BYTES..)?.get(..u32_at(payload, 0) as usize)?;
+    Some((record, &payload[RECORD_LENGTH_BYTES + record.len()..]))
 }
 
-/// Tells a torn end from damage: damaged if an entry behind says that the file had been synced beyond this place.
-fn behind(mut file: File, scan: &Scan, reason: &str) -> std::io::Result<End> {
-    let mut rest = Vec::new();
-    file.seek(SeekFrom::Start(scan.good))?;
-    file.read_to_end(&mut rest)?;
-    let most = (rest.len() / HEAD) as u32;
-    for at in 0..rest.len().saturating_sub(HEAD - 1) {
-        // The number first: it spares nearly all the checksums.
-        if four(&rest, at + 4).wrapping_sub(scan.entries) > most {
-            continue;
-        }
-        if entry(&rest[at..]).is_some_and(|(head, _)| head.synced > scan.good) {
-            let place = scan.good + at as u64;
-            return Ok(End::Damaged(format!("{reason}, but it was synced before the entry at byte {place}")));
-        }
-    }
-    Ok(End::Torn(reason.into()))
+/// Zero beyond the end.
+fn u32_at(bytes: &[u8], offset: usize) -> u32 {
+    let four = bytes.get(offset..offset + 4).and_then(|four| four.try_into().ok());
+    four.map_or(0, u32::from_le_bytes)
 }
 
-/// Reads until the buffer is full or the file ends.
-fn fill(file: &mut impl Read, buffer: &mut [u8]) -> std::io::Result<usize> {
-    let mut got = 0;
-    while got < buffer.len() {
-        match file.read(&mut buffer[got..]) {
-            Ok(0) => break,
-            Ok(more) => got += more,
-            Err(error) if error.kind() == std::io::ErrorKind::Interrupted => {}
-            Err(error) => return Err(error),
-        }
-    }
-    Ok(got)
+fn u64_at(bytes: &[u8], offset: usize) -> u64 {
+    u64::from(u32_at(bytes, offset)) | u64::from(u32_at(bytes, offset + 4)) << 32
 }
--- a/crates/wal/src/planted.rs
+++ b/crates/wal/src/planted.rs
@@ -1,9 +1,7 @@
 //! Faults for the tests of `crates/model-check/wal/` to find. Without the feature `planted`, which only that package's own build
-//! of these sources has, no fault can be set, and nothing is left.
+//! of these sources has, no fault can be set, and nothing of this is left in the program.
 
-use crate::Options;
-
-/// A fault that a test has to tell of. Each undoes one rule.
+/// A fault that a test must detect. Each breaks one rule.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlantedFault {
@@ -13,15 +11,15 @@
     NamesTrusted,
     /// The folder is not synced after a segment was renamed.
     SegmentNameUnsynced,
-    /// A checkpoint covers everything before a segment whose name is not lasting yet.
+    /// A checkpoint covers everything before a segment whose name may still be lost.
     NamelessCovered,
     /// A snapshot gets its name before it is synced.
     SnapshotUnsynced,
-    /// What a snapshot replaces is removed before the snapshot's name is lasting.
+    /// What a snapshot replaces is removed before the snapshot's name is synced.
     DroppedEarly,
     /// An append is answered before its sync.
     EarlyAnswer,
-    /// A torn end is taken as whole: what comes next is written behind it.
+    /// A torn end counts as valid: what comes next is written behind it.
     TornTaken,
     /// A segment that is written to again keeps what lies behind its torn end.
     NotCut,
@@ -29,6 +27,7 @@
 
 #[cfg(feature = "planted")]
 impl PlantedFault {
+    /// Each of them, for the search.
     pub const ALL: [PlantedFault; 9] = [
         PlantedFault::ParentUnsynced,
         PlantedFault::NamesTrusted,
@@ -41,16 +40,3 @@
         PlantedFault::NotCut,
     ];
 }
-
-impl Options {
-    #[cfg(feature = "planted")]
-    pub(crate) fn planted(&self, fault: PlantedFault) -> bool {
-        self.planted_fault == Some(fault)
-    }
-
-    #[cfg(not(feature = "planted"))]
-    #[inline(always)]
-    pub(crate) const fn planted(&self, _: PlantedFault) -> bool {
-        false
-    }
-}
--- a/crates/wal/src/verify.rs
+++ b/crates/wal/src/verify.rs
@@ -3,49 +3,64 @@
 use std::fmt;
 use std::path::Path;
 
-use crate::folder::{file_name, log_name, read_format, snapshot_name, Format, Names, MISSING};
-use crate::frame::{self, End, Expected, Kind};
-use crate::Trouble;
+use crate::error::ReadError;
+use crate::file_names::{file_name, log_name, snapshot_name, FileNames};
+use crate::folder::MISSING;
+use crate::format_file;
+use crate::frame::{FileId, FileKind};
+use crate::scan::{scan, FileEnd};
 
+/// What is wrong with a file, if anything.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FileState {
+    /// All of it is valid.
     Complete,
-    /// An opening would cut it off from this byte on.
+    /// It ends with bytes that were never synced: an opening would cut them off.
     TornTail {
+        /// The first of these bytes.
         offset: u64,
+        /// What is wrong there.
         reason: String,
     },
-    /// An opening would refuse the folder.
+    /// It is missing, or bytes changed after they had been synced: an opening would refuse the folder. What is wrong, and where.
     Corrupted(String),
-    /// A snapshot covers it, or it was never finished; an opening would remove it.
+    /// A snapshot covers it, or it was never finished: an opening would remove it.
     Obsolete,
-    /// Not of this package.
+    /// It is none of a log's files.
     Unrecognized,
 }
 
+/// What there is in one file.
 #[derive(Clone, Debug)]
 pub struct FileReport {
+    /// Its name within the folder.
     pub name: String,
+    /// Records that are valid; 0 in a file that does not count.
     pub records: u64,
+    /// Length in bytes; 0 of a file that does not count.
     pub bytes: u64,
+    /// What is wrong with it, if anything.
     pub state: FileState,
 }
 
 impl FileReport {
-    /// Of one that is not read.
-    fn of(name: String, state: FileState) -> FileReport {
+    fn not_read(name: String, state: FileState) -> FileReport {
         FileReport { name, records: 0, bytes: 0, state }
     }
 }
 
+/// What there is in a folder.
 #[derive(Clone, Debug)]
 pub struct Report {
-    pub kind: String,
-    /// Drawn when the folder was made; its files carry it.
+    /// What the records are, as FORMAT says.
+    pub schema: String,
+    /// Eight hexadecimal digits, drawn when the folder was created; its files carry them.
     pub identity: String,
+    /// The files that count, in the order in which they are read, and then the others.
     pub files: Vec<FileReport>,
-    /// Of the files that count.
+    /// Records in the files that count.
     pub records: u64,
+    /// Valid bytes in the files that count.
     pub bytes: u64,
 }
 
@@ -59,7 +74,7 @@
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let verdict = if self.opens() { "opens" } else { "damaged" };
-        write!(f, "{}: {verdict}, {} records, {} bytes", self.kind, self.records, self.bytes)?;
+        write!(f, "{}: {verdict}, {} records, {} bytes", self.schema, self.records, self.bytes)?;
         for FileReport { name, records, bytes, state } in &self.files {
             write!(f, "\n  {name}: {records} records, {bytes} bytes, ")?;
             match state {
@@ -74,41 +89,70 @@
     }
 }
 
-/// Reads a folder that no process has open. Hands out the records an opening would fold, in order, up to the first damage.
-pub fn verify(dir: &Path, on_record: &mut dyn FnMut(&[u8])) -> Result<Report, Trouble> {
-    let names = Names::read(dir)?;
-    let Format { kind, identity: folder } = read_format(dir)?;
-    let identity = folder.to_string();
-    let mut report = Report { kind, identity, files: Vec::new(), records: 0, bytes: 0 };
-    let snapshot = names.snapshots.last().map(|&number| (Kind::Snapshot, number));
-    let live = names.live();
-    for (kind, number) in snapshot.into_iter().chain(live.clone().map(|number| (Kind::Log, number))) {
-        let expected = Expected { kind, number, folder };
-        let name = file_name(expected);
-        let sound = report.opens();
-        if kind == Kind::Log && !names.logs.contains(&number) {
-            report.files.push(FileReport::of(name, FileState::Corrupted(MISSING.into())));
+/// Reads a folder that no process has open. Hands out the records that an opening would apply, in order, up to the first damage.
+///
+/// # Errors
+///
+/// A file can't be read, or is of another format or folder. Damage is no error: the report has it.
+pub fn verify(folder: &Path, on_record: &mut dyn FnMut(&[u8])) -> Result<Report, ReadError> {
+    let names = FileNames::read(folder)?;
+    let format = format_file::read(folder)?;
+    let mut report = Report {
+        schema: format.schema,
+        identity: format.identity.to_string(),
+        files: Vec::new(),
+        records: 0,
+        bytes: 0,
+    };
+    let snapshot = names.snapshots.last().map(|&number| (FileKind::Snapshot, number));
+    let segments = names.live_segments().map(|number| (FileKind::Log, number));
+    for (kind, number) in snapshot.into_iter().chain(segments) {
+        let id = FileId { kind, number, folder: format.identity };
+        if kind == FileKind::Log && !names.logs.contains(&number) {
+            let state = FileState::Corrupted(MISSING.into());
+            report.files.push(FileReport::not_read(file_name(id), state));
             continue;
         }
-        let scan = frame::scan(&dir.join(&name), expected, &mut |record| {
-            if sound {
-                on_record(record);
-            }
-        })?;
-        let state = match scan.end {
-            End::Whole => FileState::Complete,
-            End::Torn(reason) if kind == Kind::Log && number == *live.end() => {
-                FileState::TornTail { offset: scan.good, reason }
-            }
-            End::Torn(reason) | End::Damaged(reason) => FileState::Corrupted(reason),
-        };
-        report.records += scan.records;
-        report.bytes += scan.good;
-        report.files.push(FileReport { name, records: scan.records, bytes: scan.len, state });
+        let may_be_torn = kind == FileKind::Log && number == *names.live_segments().end();
+        verify_file(folder, id, may_be_torn, &mut report, on_record)?;
     }
-    let old = names.snapshots.range(..names.base()).map(|&number| snapshot_name(number));
-    let old = old.chain(names.logs.range(..names.base()).map(|&number| log_name(number)));
-    report.files.extend(old.chain(names.unfinished).map(|name| FileReport::of(name, FileState::Obsolete)));
-    report.files.extend(names.others.into_iter().map(|name| FileReport::of(name, FileState::Unrecognized)));
+    report.files.extend(files_that_do_not_count(names));
     Ok(report)
 }
+
+fn verify_file(
+    folder: &Path,
+    id: FileId,
+    may_be_torn: bool,
+    report: &mut Report,
+    on_record: &mut dyn FnMut(&[u8]),
+) -> Result<(), ReadError> {
+    let name = file_name(id);
+    let is_undamaged_so_far = report.opens();
+    let scanned = scan(&folder.join(&name), id, &mut |record| {
+        if is_undamaged_so_far {
+            on_record(record);
+        }
+    })?;
+    let state = match scanned.end {
+        FileEnd::Complete => FileState::Complete,
+        FileEnd::Torn(reason) if may_be_torn => FileState::TornTail { offset: scanned.valid_bytes, reason },
+        FileEnd::Torn(reason) | FileEnd::Corrupted(reason) => FileState::Corrupted(reason),
+    };
+    report.records += scanned.records;
+    report.bytes += scanned.valid_bytes;
+    report.files.push(FileReport { name, records: scanned.records, bytes: scanned.file_bytes, state });
+    Ok(())
+}
+
+fn files_that_do_not_count(names: FileNames) -> Vec<FileReport> {
+    let base = names.base();
+    let snapshots = names.snapshots.range(..base).map(|&number| snapshot_name(number));
+    let logs = names.logs.range(..base).map(|&number| log_name(number));
+    let obsolete = snapshots.chain(logs).chain(names.unfinished);
+    let mut files: Vec<FileReport> =
+        obsolete.map(|name| FileReport::not_read(name, FileState::Obsolete)).collect();
+    let unrecognized = names.unrecognized.into_iter();
+    files.extend(unrecognized.map(|name| FileReport::not_read(name, FileState::Unrecognized)));
+    files
+}
--- /dev/null
+++ b/crates/wal/src/writer/checkpoints.rs
@@ -0,0 +1,185 @@
+//! When a checkpoint begins, what the writer does for it, and what it does once it has ended.
+
+use std::path::PathBuf;
+use std::thread::{Builder, JoinHandle};
+use std::time::{Duration, Instant};
+
+use super::group::max_used_bytes;
+use super::{Append, Command, Writer};
+use crate::background::Cancellation;
+use crate::checkpoint::{CheckpointOutcome, CheckpointTask};
+use crate::error::{AppendError, CheckpointError};
+use crate::folder::Folder;
+use crate::frame::{self, FILE_HEADER_BYTES, MAX_APPEND_BYTES};
+use crate::instrumentation::Step;
+use crate::planted::PlantedFault;
+use crate::segment::Segment;
+use crate::statistics::add;
+
+/// Until a checkpoint is tried again after one that failed.
+const RETRY_DELAY: Duration = Duration::from_secs(10);
+/// A segment is closed before it is due if an append was refused and the segment has this part of the capacity: fewer records
+/// hardly free anything.
+const WORTHWHILE_PART_OF_CAPACITY: u64 = 1024;
+
+/// A checkpoint under way.
+pub(super) struct RunningCheckpoint {
+    thread: JoinHandle<()>,
+    cancellation: Cancellation,
+    /// Number of its snapshot.
+    to: u64,
+    /// Bytes of the segments that it replaces.
+    closed_bytes: u64,
+}
+
+impl RunningCheckpoint {
+    pub(super) fn cancel_and_wait(self) {
+        self.cancellation.cancel();
+        // A panic there has been reported by its thread.
+        let _ = self.thread.join();
+    }
+}
+
+impl<D: Fn(u64, Result<(), AppendError>)> Writer<D> {
+    /// Appends that fill a segment each may come faster than checkpoints clear them away: they wait for those that are under
+    /// way or can be begun, where smaller ones are refused. Each checkpoint leaves less to clear, so this ends.
+    pub(super) fn wait_for_capacity(&mut self, group: &[Append]) {
+        while self.is_large_and_does_not_fit(group) {
+            self.begin_checkpoint_if_due(true);
+            if self.checkpoint.is_none() {
+                return;
+            }
+            match self.commands.recv() {
+                Ok(Command::CheckpointEnded(result)) => self.checkpoint_ended(result),
+                Ok(command) => {
+                    let is_stop = matches!(command, Command::Stop { .. });
+                    self.backlog.push_back(command);
+                    if is_stop {
+                        return;
+                    }
+                }
+                Err(_) => return,
+            }
+        }
+    }
+
+    fn is_large_and_does_not_fit(&self, group: &[Append]) -> bool {
+        let sizes = || group.iter().map(|append| frame::entry_bytes(&append.records) as u64);
+        let fills_a_segment =
+            |size: u64| size >= self.checkpoint_after_bytes() && size <= MAX_APPEND_BYTES as u64;
+        let Folder { options, .. } = &self.folder;
+        sizes().any(fills_a_segment)
+            && options.capacity_bytes > 0
+            && self.folder.used_bytes() + sizes().sum::<u64>() > max_used_bytes(options, true)
+    }
+
+    /// Bytes in a segment after which a checkpoint begins.
+    fn checkpoint_after_bytes(&self) -> u64 {
+        let options = &self.folder.options;
+        match options.capacity_bytes {
+            0 => options.checkpoint_after_bytes,
+            capacity => options.checkpoint_after_bytes.min(capacity / 8),
+        }
+    }
+
+    /// Closes the segment if it is long enough, and begins a checkpoint if there are closed segments. One is under way at most.
+    pub(super) fn begin_checkpoint_if_due(&mut self, is_out_of_capacity: bool) {
+        let must_wait = self.next_checkpoint_at.is_some_and(|at| at > Instant::now());
+        if self.checkpoint.is_some() || must_wait {
+            return;
+        }
+        self.next_checkpoint_at = None;
+        if self.is_segment_due(is_out_of_capacity) {
+            if let Err(error) = self.begin_segment() {
+                return self.checkpoint_failed(&error);
+            }
+        }
+        if self.folder.base < self.folder.log.number {
+            if let Err(error) = self.begin_checkpoint() {
+                self.checkpoint_failed(&error);
+            }
+        }
+    }
+
+    fn is_segment_due(&self, is_out_of_capacity: bool) -> bool {
+        let segment_bytes = self.folder.log.end.bytes;
+        let is_long = segment_bytes >= self.checkpoint_after_bytes().max(FILE_HEADER_BYTES + 1);
+        let worthwhile_bytes = self.folder.options.capacity_bytes / WORTHWHILE_PART_OF_CAPACITY;
+        is_long || is_out_of_capacity && segment_bytes > FILE_HEADER_BYTES + worthwhile_bytes
+    }
+
+    /// Closes the segment, all of it synced, and begins the next.
+    fn begin_segment(&mut self) -> Result<(), CheckpointError> {
+        self.sync()?;
+        let Folder { path, options, identity, log, closed_bytes, .. } = &mut self.folder;
+        let next = Segment::create(path, log.number + 1, *identity, options)?;
+        *closed_bytes += log.end.bytes;
+        *log = next;
+        Ok(())
+    }
+
+    fn begin_checkpoint(&mut self) -> Result<(), CheckpointError> {
+        let Folder { path, options, log, .. } = &mut self.folder;
+        // A snapshot that is kept while the name of the segment after it is lost would look like damage.
+        if !options.has_planted(PlantedFault::NamelessCovered) {
+            log.sync_name(path, options)?;
+        }
+        let task = self.checkpoint_task();
+        let (to, cancellation) = (task.to, task.cancellation.clone());
+        let (queue, run_checkpoint) = (self.queue.clone(), self.run_checkpoint);
+        let spawned = Builder::new().name("wal-fold".into()).spawn(move || {
+            // The writer waits for this thread before it ends.
+            let _ = queue.send(Command::CheckpointEnded(run_checkpoint(&task)));
+        });
+        let thread = spawned.map_err(CheckpointError::SpawnThread)?;
+        let closed_bytes = self.folder.closed_bytes;
+        self.checkpoint = Some(RunningCheckpoint { thread, cancellation, to, closed_bytes });
+        Ok(())
+    }
+
+    fn checkpoint_task(&self) -> CheckpointTask {
+        let Folder { path, options, identity, base, log, .. } = &self.folder;
+        let max_bytes = match options.capacity_bytes {
+            0 => u64::MAX,
+            capacity => capacity.saturating_sub(self.folder.used_bytes()),
+        };
+        CheckpointTask {
+            folder: PathBuf::clone(path),
+            options: options.clone(),
+            identity: *identity,
+            from: *base,
+            to: log.number,
+            max_bytes,
+            cancellation: Cancellation::default(),
+        }
+    }
+
+    pub(super) fn checkpoint_ended(&mut self, result: Result<CheckpointOutcome, CheckpointError>) {
+        let Some(checkpoint) = self.checkpoint.take() else { return };
+        // A panic there has been reported by its thread.
+        let _ = checkpoint.thread.join();
+        match result {
+            Ok(CheckpointOutcome::Cancelled) => return,
+            Ok(CheckpointOutcome::Completed { snapshot_bytes }) => {
+                self.folder.base = checkpoint.to;
+                self.folder.snapshot_bytes = snapshot_bytes;
+                self.folder.closed_bytes -= checkpoint.closed_bytes;
+                add(&self.counters.checkpoints, 1);
+            }
+            Err(error) => return self.checkpoint_failed(&error),
+        }
+        self.tell_test_of_end();
+    }
+
+    fn checkpoint_failed(&mut self, error: &CheckpointError) {
+        tracing::warn!(%error, "a checkpoint failed");
+        add(&self.counters.failures, 1);
+        self.next_checkpoint_at = Some(Instant::now() + RETRY_DELAY);
+        self.tell_test_of_end();
+    }
+
+    fn tell_test_of_end(&self) {
+        // There is nothing left that could fail.
+        let _ = self.folder.options.before(Step::CheckpointEnded, &self.folder.path);
+    }
+}
--- a/crates/wal/tests/power/disk.rs
+++ b/crates/wal/tests/power/disk.rs
@@ -101,10 +101,10 @@
                 self.contents.push(Content::default());
                 self.name(name, Some(self.contents.len() - 1));
             }
-            Operation::Written { name, at, bytes } => {
-                self.change(name, Change::Write { at: *at as usize, bytes: bytes.clone() });
+            Operation::Written { name, offset, bytes } => {
+                self.change(name, Change::Write { at: *offset as usize, bytes: bytes.clone() });
             }
-            Operation::LengthSet { name, len } => self.change(name, Change::Length(*len as usize)),
+            Operation::LengthSet { name, length } => self.change(name, Change::Length(*length as usize)),
             Operation::FileSynced { name } => {
                 let content = &mut self.contents[self.names[name]];
                 content.synced = content.seen();
--- a/crates/wal/tests/power/mod.rs
+++ b/crates/wal/tests/power/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use disk::{Disk, Files};
-use stileroute_wal::{verify, Operation, Options, StateMachine, Step, Trouble, Wal};
+use stileroute_wal::{verify, AppendError, OpenError, Operation, Options, StateMachine, Step, Wal};
 
 /// Records are counted up; the fold is the count, and whether one was missing or of another content.
 #[derive(Default, Debug, Clone, PartialEq, Eq)]
@@ -78,7 +78,7 @@
 
 struct Writer {
     book: Wal,
-    answers: Receiver<(u64, Result<(), Trouble>)>,
+    answers: Receiver<(u64, Result<(), AppendError>)>,
     trace: Trace,
     /// The last record that is there.
     last: u64,
@@ -86,7 +86,7 @@
 }
 
 impl Writer {
-    fn open(dir: &Path, options: Options, trace: &Trace) -> Result<(Writer, Count), Trouble> {
+    fn open(dir: &Path, options: Options, trace: &Trace) -> Result<(Writer, Count), OpenError> {
         let (sender, answers) = channel();
         let done = move |ticket, result| {
             let _ = sender.send((ticket, result));
--- a/crates/wal/tests/wal.rs
+++ b/crates/wal/tests/wal.rs
@@ -11,7 +11,8 @@
 
 use assert_matches::assert_matches;
 use stileroute_wal::{
-    verify, FileState, Options, StateMachine, Statistics, Step, Trouble, Wal, MAX_RECORD_BYTES,
+    verify, AppendError, FileState, OpenError, Options, ReadError, StateMachine, Statistics, Step, Wal,
+    MAX_RECORD_BYTES,
 };
 
 /// Of records KEY=VALUE the last of each key; KEY= alone removes it.
@@ -65,7 +66,7 @@
     }
 
     /// What an opening finds; it is open no more.
-    fn fold(&self) -> Result<Keys, Trouble> {
+    fn fold(&self) -> Result<Keys, OpenError> {
         Wal::open(&self.0, options(), |_, _| {}).map(|(_, fold)| fold)
     }
 }
@@ -89,7 +90,7 @@
 
 struct Book {
     book: Wal,
-    answers: Receiver<(u64, Result<(), Trouble>)>,
+    answers: Receiver<(u64, Result<(), AppendError>)>,
     ticket: u64,
 }
 
@@ -110,11 +111,11 @@
         );
     }
 
-    fn answer(&self) -> (u64, Result<(), Trouble>) {
+    fn answer(&self) -> (u64, Result<(), AppendError>) {
         self.answers.recv_timeout(Duration::from_secs(20)).unwrap()
     }
 
-    fn put(&mut self, records: &[&str], sync: bool) -> Result<(), Trouble> {
+    fn put(&mut self, records: &[&str], sync: bool) -> Result<(), AppendError> {
         self.queue(records, sync);
         let (ticket, result) = self.answer();
         assert_eq!(ticket, self.ticket);
@@ -172,7 +173,7 @@
     for ticket in 1..=23 {
         let (answered, result) = book.answer();
         assert_eq!(answered, ticket);
-        assert_eq!(matches!(result, Err(Trouble::TooLarge { .. })), ticket == 22, "{result:?}");
+        assert_eq!(matches!(result, Err(AppendError::RecordTooLarge { .. })), ticket == 22, "{result:?}");
     }
     assert_matches!(book.book.statistics(), Statistics { records: 21, syncs: 2, failures: 0, .. });
 }
@@ -235,7 +236,7 @@
         copy.edit(LOG, |bytes| bytes[byte] ^= 0x10);
         let report = verify(&copy.0, &mut |_| {}).unwrap();
         if byte < ends[2] {
-            assert_matches!(copy.fold(), Err(Trouble::Damaged { file, .. }) if file == LOG, "byte {byte}");
+            assert_matches!(copy.fold(), Err(OpenError::Read(ReadError::Corrupted { file, .. })) if file == LOG, "byte {byte}");
             assert!(!report.opens());
         } else {
             let whole = ends.iter().filter(|end| **end <= byte).count() - 1;
@@ -359,8 +360,9 @@
         broken.store(1, Ordering::Relaxed);
         for _ in 0..3 {
             match book.put(&["b=2", "c=3"], true).unwrap_err() {
-                Trouble::Full => assert_eq!(code, 28),
-                trouble => assert_matches!(trouble, Trouble::Io { .. }),
+                AppendError::DiskFull => assert_eq!(code, 28),
+                AppendError::Write(_) => assert_eq!((step, code), (Step::WriteEntries, 5)),
+                error => assert_matches!((step, error), (Step::SyncSegment, AppendError::Sync(_))),
             }
         }
         assert_eq!(dir.copy().fold().unwrap(), keys(&["a=1", "lazy=1"]));
@@ -391,7 +393,7 @@
         match book.put(&[&record], true) {
             Ok(()) => all.apply(record.as_bytes()),
             Err(trouble) => {
-                assert_matches!(trouble, Trouble::Full);
+                assert_matches!(trouble, AppendError::DiskFull);
                 full = true;
                 break;
             }
@@ -432,7 +434,7 @@
         let copy = dir.copy();
         edit(&copy);
         let before = copy.read();
-        assert_matches!(copy.fold(), Err(Trouble::Format { file, .. }) if file.ends_with("FORMAT"));
+        assert_matches!(copy.fold(), Err(OpenError::Read(ReadError::UnknownFormat { file, .. })) if file.ends_with("FORMAT"));
         assert_eq!(copy.read(), before);
     }
     // Killed before the folder had a format: new.
@@ -466,14 +468,14 @@
         assert!(report.to_string().contains("log-0000000000.tmp: 0 records, 0 bytes, left over"), "{report}");
         assert_eq!(copy.read(), spoilt);
         if bytes.len() > 100 {
-            assert_matches!(copy.fold(), Err(Trouble::Damaged { file, .. }) if file == *name);
+            assert_matches!(copy.fold(), Err(OpenError::Read(ReadError::Corrupted { file, .. })) if file == *name);
             assert!(!report.opens(), "{report}");
         }
     }
     let copy = dir.copy();
     let log = before.keys().find(|name| name.starts_with("log-")).unwrap();
     fs::remove_file(copy.0.join(log)).unwrap();
-    assert_matches!(copy.fold(), Err(Trouble::Damaged { file, .. }) if file == *log);
+    assert_matches!(copy.fold(), Err(OpenError::Read(ReadError::Corrupted { file, .. })) if file == *log);
     assert!(!verify(&copy.0, &mut |_| {}).unwrap().opens());
 }
 
@@ -483,7 +485,7 @@
     let (mut book, _) = Book::open(&dir.0, options());
     let largest = format!("a={}", "x".repeat(MAX_RECORD_BYTES - 2));
     book.put(&[&largest], true).unwrap();
-    assert_matches!(book.put(&[&format!("{largest}x")], true), Err(Trouble::TooLarge { bytes }) if bytes == MAX_RECORD_BYTES + 1);
+    assert_matches!(book.put(&[&format!("{largest}x")], true), Err(AppendError::RecordTooLarge { bytes }) if bytes == MAX_RECORD_BYTES + 1);
     drop(book);
     let (sender, checkpointed) = channel();
     let sender = Mutex::new(sender);
@@ -520,7 +522,7 @@
         fs::write(copy.0.join(&name), bytes).unwrap();
         let before = copy.read();
         let trouble = copy.fold().unwrap_err();
-        assert_matches!(&trouble, Trouble::Stranger { file, .. } if *file == name || name == "FORMAT");
+        assert_matches!(&trouble, OpenError::Read(ReadError::WrongFolder { file, .. }) if *file == name || name == "FORMAT");
         let line = trouble.to_string();
         assert!(line.contains(": folder: it was written in ") && !line.contains('\n'), "{line}");
         assert_eq!(verify(&copy.0, &mut |_| {}).unwrap_err().to_string(), line);
