--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 CONFIG ?= deploy/example.json
 
-.PHONY: build test lint run fleet test-testbed test-routes test-processes test-processes-long test-model test-system test-system-long test-control
+.PHONY: build test lint run fleet test-testbed test-routes test-processes test-processes-long test-model test-system test-upgrade test-system-long test-control
 
 build:
 	cargo build --release --locked
@@ -43,6 +43,11 @@
 	cargo build --release --locked -p stileroute-server -p stileroute-system-test
 	target/release/stileroute-system-test prove
 
+# A fleet under load is upgraded machine by machine from the program that landed before, and taken back in part: some 50 s. Builds
+# that program first, from the history of this clone.
+test-upgrade:
+	crates/system-test/test-upgrade.sh
+
 # The control nodes on their worst days: three fleets side by side, some 65 s.
 test-control:
 	cargo build --release --locked -p stileroute-server -p stileroute-system-test
--- a/crates/system-test/src/fleet.rs
+++ b/crates/system-test/src/fleet.rs
@@ -101,6 +101,8 @@
 }
 
 struct Machine {
+    /// What it runs from its next start on.
+    program: PathBuf,
     role: Role,
     at: usize,
     dir: PathBuf,
@@ -180,7 +182,8 @@
             self.ways.insert((here, there), ways.out);
             self.ways.insert((there, here), ways.back);
         }
-        self.machines.push(Machine { role, at, dir, child: None, first, away: false });
+        let program = self.program.clone();
+        self.machines.push(Machine { program, role, at, dir, child: None, first, away: false });
         if role == Role::Core {
             let control = SocketAddrV4::new(self.ip(role, at), CONTROL);
             self.controls.lock().unwrap_or_else(PoisonError::into_inner).push(control);
@@ -314,11 +317,16 @@
         &mut self.machines[place]
     }
 
+    /// A machine runs another program from its next start on.
+    pub fn set_program(&mut self, role: Role, at: usize, program: &Path) {
+        self.find(role, at).program = program.to_path_buf();
+    }
+
     pub fn start(&mut self, role: Role, at: usize) -> Plain<()> {
-        let program = self.program.clone();
         let place = self.place(role, at);
         let boot = self.boot(&self.machines[place]);
         let machine = &mut self.machines[place];
+        let program = machine.program.clone();
         let file = machine.dir.join("node.json");
         let said = |e: std::io::Error| format!("{}: {e}", program.display());
         fs::write(&file, boot.to_string()).map_err(said)?;
--- a/crates/system-test/src/main.rs
+++ b/crates/system-test/src/main.rs
@@ -23,6 +23,7 @@
 mod schedule;
 mod setup;
 mod show;
+mod upgrade;
 mod wire;
 
 use clap::{Parser, Subcommand};
@@ -59,6 +60,18 @@
         #[arg(long)]
         long: bool,
     },
+    /// Upgrades such a fleet under load, machine by machine, from an older program to this one, and takes some of it back.
+    ProveUpgrade {
+        /// The older program.
+        #[arg(long, default_value = "target/landed/release/stilerouted")]
+        landed: PathBuf,
+        /// Messages a second.
+        #[arg(long, default_value_t = 150)]
+        rate: u64,
+        /// Keeps the folder with the logs and disks, and prints all breaches.
+        #[arg(long)]
+        keep: bool,
+    },
     /// The same for the control nodes on their worst days: three fleets side by side.
     ProveControl {
         /// Keeps the folders with the logs and disks, and prints all breaches.
@@ -78,6 +91,10 @@
             let proof = if long { prove::Proof::Long } else { prove::Proof::System };
             prove::prove(&args.stilerouted, args.net, rate, keep, proof)
         }
+        Command::ProveUpgrade { landed, rate, keep } => {
+            let programs = upgrade::Programs { landed, current: args.stilerouted };
+            upgrade::prove(&programs, args.net, rate, keep)
+        }
         Command::ProveControl { keep, only } => control::prove(&args.stilerouted, args.net, keep, only),
     };
     match done {
--- a/crates/system-test/src/prove.rs
+++ b/crates/system-test/src/prove.rs
@@ -10,7 +10,7 @@
 use crate::scenarios::{tell, Behind};
 use crate::schedule::{CEILING, FIRST, LOAD};
 use crate::setup::{Place, Running, Setup};
-use std::collections::HashMap;
+use std::collections::{BTreeMap, HashMap};
 use std::path::Path;
 use std::process::ExitCode;
 use std::sync::atomic::Ordering;
@@ -88,10 +88,25 @@
         spans[((sent.at + sent.delay) / (5 * SECOND)) as usize].1 += 1;
     }
     println!("  under the ceiling, runs and messages due in each 5 s: {spans:?}");
+    println!("  answers by status in each 5 s: {}", answers(history));
     println!("  read back: {}", tell(&history.reads));
     slowest(history).iter().for_each(|story| println!("  slow: {story}"));
 }
 
+/// How many messages were answered with each status, by the time at which they were sent.
+fn answers(history: &History) -> String {
+    let mut spans: BTreeMap<Micros, BTreeMap<String, usize>> = BTreeMap::new();
+    for sent in &history.sent {
+        let answer = match sent.answered {
+            Answered::Status(status) => status.to_string(),
+            other => format!("{other:?}"),
+        };
+        *spans.entry(sent.at / (5 * SECOND) * 5).or_default().entry(answer).or_default() += 1;
+    }
+    let spans: Vec<String> = spans.iter().map(|(from, all)| format!("{from} s {all:?}")).collect();
+    spans.join(", ")
+}
+
 /// What does not count time is a breach on any machine; what does is none where the machine was too busy.
 pub fn verdict(breaches: &[Breach], busy: Option<String>) -> ExitCode {
     let hard = breaches.iter().find(|breach| !breach.rule.timed() || busy.is_none());
@@ -110,26 +125,18 @@
     }
 }
 
-fn play(fleet: Fleet, recorder: &Arc<Recorder>, rate: u64) -> Plain<History> {
+/// The usual load: executors of three services, one of them at an endpoint with a ceiling.
+pub fn setup(fleet: &Fleet, rate: u64) -> Setup {
     let endpoint = fleet.outside(90, 9000);
     let services: Services =
         vec![("alder", 0.0, None), ("birch", 0.0, None), ("cedar", CEILING, Some(endpoint))];
-    let kind = |service: &str, capacity, work_ms, tells_load| Kind {
-        service: service.to_string(),
-        capacity,
-        work_ms,
-        tells_load,
-        fails: true,
-        beats_after_ms: 0,
-        endpoint: service == "cedar",
-    };
-    let (alder, birch) = (kind("alder", 6, (5, 30), false), kind("birch", 2, (10, 50), true));
+    let (alder, birch) = (alder(), birch());
     let mut executors = vec![Place::new("cedar", 90, &kind("cedar", 20, (5, 20), false))];
     for part in 1..=3 {
         executors.push(Place::new(format!("alder-{part}"), part, &alder));
         executors.push(Place::new(format!("birch-{part}"), 10 + part, &birch));
     }
-    let setup = Setup {
+    Setup {
         label: "",
         routes: FIRST.to_vec(),
         services,
@@ -137,8 +144,31 @@
         mix: LOAD.to_vec(),
         rate,
         ready_within: Duration::from_secs(10),
-    };
-    let mut running = setup.begin(fleet, recorder)?;
+    }
+}
+
+fn kind(service: &str, capacity: usize, work_ms: (u64, u64), tells_load: bool) -> Kind {
+    Kind {
+        service: service.to_string(),
+        capacity,
+        work_ms,
+        tells_load,
+        fails: true,
+        beats_after_ms: 0,
+        endpoint: service == "cedar",
+    }
+}
+
+fn alder() -> Kind {
+    kind("alder", 6, (5, 30), false)
+}
+
+fn birch() -> Kind {
+    kind("birch", 2, (10, 50), true)
+}
+
+fn play(fleet: Fleet, recorder: &Arc<Recorder>, rate: u64) -> Plain<History> {
+    let mut running = setup(&fleet, rate).begin(fleet, recorder)?;
     let Running { schedule, executors, runs, receiver_down, .. } = &mut running;
     let clients = Arc::clone(&schedule.clients);
     let controls = schedule.fleet.controls();
@@ -162,8 +192,8 @@
     let start = |id: &str, at, kind: &Kind| {
         Executor::start(id, at, kind.clone(), Arc::clone(&controls), recorder, runs)
     };
-    let _again = start("alder-3b", outside(4), &alder)?;
-    let _other = start("birch-4", address, &Kind { beats_after_ms: 700, ..birch.clone() })?;
+    let _again = start("alder-3b", outside(4), &alder())?;
+    let _other = start("birch-4", address, &Kind { beats_after_ms: 700, ..birch() })?;
     let _ = left.join();
     schedule.sleep(500);
     schedule.lose_primary()?;
