--- a/crates/queue/src/queue/types.rs
+++ b/crates/queue/src/queue/types.rs
@@ -46,6 +46,20 @@
     Ended,
 }
 
+impl Stage {
+    /// The word for this stage in reports and in the labels of metrics.
+    pub const fn label(self) -> &'static str {
+        match self {
+            Stage::Landing => "landing",
+            Stage::Held => "held",
+            Stage::Waiting => "waiting",
+            Stage::Out => "out",
+            Stage::Copy => "copy",
+            Stage::Ended => "ended",
+        }
+    }
+}
+
 #[derive(Debug)]
 pub struct Entry {
     pub message: Message,
--- a/crates/server/src/store/report.rs
+++ b/crates/server/src/store/report.rs
@@ -124,7 +124,7 @@
             "owner" => self.common.name(view.owner),
             "copies" => copies,
             "term" => view.term,
-            "stage" => format!("{:?}", view.stage).to_lowercase(),
+            "stage" => view.stage.label(),
             "tries" => view.tries,
             "due_in_ms" => view.due_in_ms,
             "expires_in_ms" => view.expires_in_ms,
