--- a/crates/capacity/src/message.rs
+++ b/crates/capacity/src/message.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use stileroute_config::Config;
 use stileroute_queue::{
-    first_number, Bear, Effect, Ledger, Message, Millis, Node, Outcome, PeerMessage, Queue, QueueSettings,
-    Server,
+    first_number, Effect, Executor, Ledger, Message, Millis, Node, Outcome, PeerMessage, Queue,
+    QueueSettings, ToleratedLosses,
 };
 
 /// Bytes of a body, as on the operators' sites.
@@ -59,14 +59,14 @@
     )
 }
 
-fn servers(count: usize) -> Vec<Server> {
-    let server = |n: usize| Server {
+fn servers(count: usize) -> Vec<Executor> {
+    let server = |n: usize| Executor {
         id: format!("i-{n:06x}-0001"),
         address: SocketAddrV4::new(Ipv4Addr::new(172, 16, (n >> 8) as u8, n as u8), 8080),
         zone: 0,
         capacity: SLOTS,
-        serving: true,
-        cold_left_ms: 0,
+        is_serving: true,
+        warm_up_left_ms: 0,
     };
     (0..count).map(server).collect()
 }
@@ -87,17 +87,17 @@
 
 fn terms(me: Node, losses: usize) -> QueueSettings {
     QueueSettings {
-        me,
+        node: me,
         zone: 0,
-        disk: u64::from(me),
-        first: first_number(u64::from(me)),
-        begun: Vec::new(),
-        losses,
-        regions: vec![0],
-        bear: Bear::default(),
-        window_ms: 1000,
-        overrun: 1.0,
-        status_ms: 30_000,
+        disk_id: u64::from(me),
+        first_number: first_number(u64::from(me)),
+        earlier_first_numbers: Vec::new(),
+        replica_count: losses,
+        region_of_zone: vec![0],
+        tolerated_losses: ToleratedLosses::default(),
+        rate_window_ms: 1000,
+        rate_tolerance: 1.0,
+        status_retention_ms: 30_000,
         seed: 1,
     }
 }
@@ -142,7 +142,7 @@
     pub fn list(&mut self, count: usize) {
         for queue in &mut self.queues {
             let all = HashMap::from([(service_name(0), servers(count))]);
-            queue.list(self.now, self.now as i64 * FINE, all);
+            queue.set_executors(self.now, self.now as i64 * FINE, all);
         }
         self.settle();
     }
@@ -161,8 +161,8 @@
     pub fn complete(&mut self) {
         let fine = self.now as i64 * FINE;
         for (at, attempt) in std::mem::take(&mut self.attempts) {
-            let outcome = Outcome::Done { seal: "3e1b.07.5a2.600.0.c9f2a4d1".into() };
-            self.queues[at].delivered(self.now, fine, attempt, outcome, None);
+            let outcome = Outcome::Completed { seal: "3e1b.07.5a2.600.0.c9f2a4d1".into() };
+            self.queues[at].attempt_ended(self.now, fine, attempt, outcome, None);
         }
         self.settle();
     }
@@ -172,7 +172,7 @@
     }
 
     pub fn live(&self) -> usize {
-        self.queues.iter().map(Queue::live).sum()
+        self.queues.iter().map(Queue::live_count).sum()
     }
 
     fn settle(&mut self) {
@@ -181,7 +181,7 @@
             let before = notes.len();
             for at in 0..self.queues.len() {
                 self.queues[at].tick(self.now, self.now as i64 * FINE);
-                for effect in self.queues[at].take() {
+                for effect in self.queues[at].take_effects() {
                     self.effect(at, effect, &mut notes);
                 }
             }
@@ -195,12 +195,12 @@
 
     fn effect(&mut self, at: usize, effect: Effect, notes: &mut VecDeque<(usize, Node, PeerMessage)>) {
         match effect {
-            Effect::Disk { ticket, records, .. } => {
+            Effect::Persist { ticket, records, .. } => {
                 let bytes = records.iter().map(Vec::len).sum::<usize>() as u64;
                 self.disk += Volume { messages: records.len() as u64, bytes };
-                self.queues[at].kept(self.now, ticket, true);
+                self.queues[at].write_completed(self.now, ticket, true);
             }
-            Effect::Send { to, note } => {
+            Effect::Send { to, message: note } => {
                 let signal = Signal::PeerMessage(note);
                 let bytes = postcard::to_stdvec(&signal).map_or(0, |bytes| bytes.len() + FRAME_HEAD) as u64;
                 *self.frames.entry(signal.about()).or_default() += Volume { messages: 1, bytes };
@@ -208,8 +208,8 @@
                     notes.push_back((to as usize - 1, at as Node + 1, note));
                 }
             }
-            Effect::Deliver { attempt, .. } => self.attempts.push((at, attempt)),
-            Effect::Taken { .. } | Effect::Call { .. } => {}
+            Effect::StartAttempt { attempt, .. } => self.attempts.push((at, attempt)),
+            Effect::PutResult { .. } | Effect::CallBack { .. } => {}
         }
     }
 }
@@ -282,9 +282,9 @@
     let began = thread_cpu_ns();
     let mut now = 0;
     while now < 2000 {
-        now = queue.next().clamp(now + 1, 2000);
+        now = queue.next_deadline().clamp(now + 1, 2000);
         queue.tick(now, now as i64 * FINE);
-        queue.take();
+        queue.take_effects();
     }
     let upkeep = thread_cpu_ns() - began;
     Ok(ServiceCost {
--- a/crates/model-check/src/queue/fleet/connections.rs
+++ b/crates/model-check/src/queue/fleet/connections.rs
@@ -56,7 +56,7 @@
             let other = self.stores[y].node;
             self.with(x, None, |queue, now| {
                 // As `crates/server/src/links.rs` has it: the end of the connection before is told first.
-                if queue.stores().any(|(node, connected, ..)| node == other && connected) {
+                if queue.peer_views().any(|(node, connected, ..)| node == other && connected) {
                     queue.down(now, other);
                 }
                 queue.up(now, other);
@@ -81,7 +81,7 @@
         for at in 0..self.stores.len() {
             if self.stores[at].runs(self.now) && !self.stores[at].off {
                 self.with(at, None, |queue, now| {
-                    (queue.heard, queue.lapsed) = (true, false);
+                    (queue.hears_control_group, queue.session_may_have_lapsed) = (true, false);
                     queue.members(now, &all);
                 });
             }
--- a/crates/model-check/src/queue/fleet/events.rs
+++ b/crates/model-check/src/queue/fleet/events.rs
@@ -21,7 +21,10 @@
     pub fn step(&mut self) {
         self.touched = None;
         let timer = |store: &Store| {
-            store.queue.as_ref().map(|queue| store.began.saturating_add(queue.next()).max(store.frozen))
+            store
+                .queue
+                .as_ref()
+                .map(|queue| store.began.saturating_add(queue.next_deadline()).max(store.frozen))
         };
         let due = self.stores.iter().enumerate().filter_map(|(at, store)| Some((timer(store)?, at))).min();
         let due = due.map(|(when, at)| (when.max(self.now + 1), at));
@@ -89,15 +92,15 @@
             }
             Event::Done { at, life, attempt, run, outcome } => {
                 let reads = self.stores[at].life == life && self.stores[at].queue.is_some();
-                if reads && matches!(outcome, Outcome::Done { .. }) {
+                if reads && matches!(outcome, Outcome::Completed { .. }) {
                     self.runs[run].read = Some(self.now);
                 }
                 self.with(at, Some(life), |queue, now| {
-                    queue.delivered(now, now as i64 * 10, attempt, outcome, None)
+                    queue.attempt_ended(now, now as i64 * 10, attempt, outcome, None)
                 });
             }
             Event::Called { at, life, key } => {
-                self.with(at, Some(life), |queue, now| queue.called(now, key, true))
+                self.with(at, Some(life), |queue, now| queue.callback_ended(now, key, true))
             }
             Event::Retire { at } => self.with(at, None, Queue::retire),
             Event::Vanish { at, life } => self.vanish(at, life),
@@ -111,12 +114,16 @@
             }
             // Until the control nodes have been heard again it knows that it may be cut off.
             Event::Thaw { at, life } => {
-                self.with(at, Some(life), |queue, _| (queue.heard, queue.lapsed) = (false, true));
+                self.with(at, Some(life), |queue, _| {
+                    (queue.hears_control_group, queue.session_may_have_lapsed) = (false, true)
+                });
                 self.tell_again(at);
             }
             Event::Deaf { at, life, heard } => {
                 if self.stores[at].off {
-                    self.with(at, Some(life), |queue, _| (queue.heard, queue.lapsed) = (heard, true));
+                    self.with(at, Some(life), |queue, _| {
+                        (queue.hears_control_group, queue.session_may_have_lapsed) = (heard, true)
+                    });
                 }
             }
             Event::Heard { at } => {
@@ -140,7 +147,7 @@
     pub(super) fn effect(&mut self, at: usize, effect: Effect) {
         let life = self.stores[at].life;
         match effect {
-            Effect::Disk { ticket, records, sync } => {
+            Effect::Persist { ticket, records, sync } => {
                 let disk = &mut self.stores[at].disk;
                 let records = records.iter().filter_map(|bytes| postcard::from_bytes(bytes).ok()).collect();
                 let serial = disk.first_serial + disk.writing.len() as u64;
@@ -148,15 +155,15 @@
                 self.at(if sync { DISK } else { LAZY }, Event::Synced { at, life, serial });
                 self.touch(at);
             }
-            Effect::Send { to, note } => self.send(at, to, note),
-            Effect::Taken { ticket, result } => {
+            Effect::Send { to, message: note } => self.send(at, to, note),
+            Effect::PutResult { ticket, result } => {
                 if let Some((sent, asked)) = self.askers.remove(&(at, ticket)) {
                     self.at(EDGE, Event::Said { sent, asked, result });
                     self.touch(at);
                 }
             }
-            Effect::Deliver { attempt, key, .. } => self.deliver(at, attempt, key),
-            Effect::Call { key, .. } => self.at(6, Event::Called { at, life, key }),
+            Effect::StartAttempt { attempt, key, .. } => self.deliver(at, attempt, key),
+            Effect::CallBack { key, .. } => self.at(6, Event::Called { at, life, key }),
         }
     }
 
@@ -175,9 +182,9 @@
         let m = &self.messages[sent];
         let fails = m.fails_first && !seen;
         let (after, outcome) = match (fails, m.refuses) {
-            (true, _) => (FAILS_AFTER, Outcome::Late),
-            (false, true) => (RUN, Outcome::Refused),
-            (false, false) => (RUN, Outcome::Done { seal: "s".to_string() }),
+            (true, _) => (FAILS_AFTER, Outcome::NoResponse),
+            (false, true) => (RUN, Outcome::Rejected),
+            (false, false) => (RUN, Outcome::Completed { seal: "s".to_string() }),
         };
         self.told(|| format!("{at} starts message {sent}: {outcome:?}"));
         self.runs.push(Run { sent, at: self.now, over: self.now + after, ends: !fails, read: None });
--- a/crates/model-check/src/queue/fleet/processes.rs
+++ b/crates/model-check/src/queue/fleet/processes.rs
@@ -85,11 +85,11 @@
 
     fn may_end(&mut self, at: usize, since: Millis) {
         let done = |fleet: &Fleet| {
-            let idle = fleet.stores[at].queue.as_ref().is_some_and(|queue| queue.in_hand() == 0);
+            let idle = fleet.stores[at].queue.as_ref().is_some_and(|queue| queue.unfinished_count() == 0);
             idle && fleet.now > since + 150
         };
         if done(self) && !std::mem::replace(&mut self.stores[at].flushed, true) {
-            self.stores[at].queue.iter_mut().for_each(Queue::flush);
+            self.stores[at].queue.iter_mut().for_each(Queue::flush_ends);
             self.carry_out(at);
         }
         if (done(self) && self.now > since + 300) || self.now > since + GRACE {
@@ -105,7 +105,7 @@
             let now = self.time(at);
             let Some(queue) = self.stores[at].queue.as_mut() else { return };
             queue.tick(now, now as i64 * 10);
-            let effects = queue.take();
+            let effects = queue.take_effects();
             if effects.is_empty() {
                 return;
             }
@@ -120,7 +120,7 @@
         while self.stores[at].disk.first_serial <= serial {
             let Some(ticket) = self.stores[at].disk.reach() else { break };
             let now = self.time(at);
-            self.stores[at].queue.iter_mut().for_each(|queue| queue.kept(now, ticket, true));
+            self.stores[at].queue.iter_mut().for_each(|queue| queue.write_completed(now, ticket, true));
         }
         self.choice(at);
     }
@@ -137,7 +137,7 @@
     pub(super) fn listen(&mut self, at: usize) {
         let servers = HashMap::from([("works".to_string(), vec![executor()])]);
         self.with(at, None, |queue, now| {
-            queue.list(now, now as i64 * 10, servers);
+            queue.set_executors(now, now as i64 * 10, servers);
             queue.configure(now, now as i64 * 10, config());
         });
         self.tell_again(at);
--- a/crates/model-check/src/queue/invariants.rs
+++ b/crates/model-check/src/queue/invariants.rs
@@ -1,7 +1,7 @@
 //! What must hold of the queue at every step, and after a calm: seen from its clients, its executor and the disks.
 
 use super::fleet::{Fleet, Run, Sent};
-use stileroute_queue::{Key, Ledger, Millis, State};
+use stileroute_queue::{Key, Ledger, MessageState, Millis};
 
 /// Once trouble is over, what was told late or not at all may run again for so long.
 const QUIET: Millis = 4000;
@@ -101,12 +101,12 @@
     }
 
     fn told_wrong(&self, at: usize, sent: &Sent, key: Key) -> Option<String> {
-        let told = self.stores.iter().filter_map(|store| store.queue.as_ref()?.find(key));
+        let told = self.stores.iter().filter_map(|store| store.queue.as_ref()?.lookup(key));
         for (state, _) in told {
             let right = match state {
-                State::Waiting => true,
-                State::Complete { .. } => !sent.refuses && self.has_ended(at),
-                State::Failed => sent.refuses && self.has_ended(at),
+                MessageState::Waiting => true,
+                MessageState::Complete { .. } => !sent.refuses && self.has_ended(at),
+                MessageState::Failed => sent.refuses && self.has_ended(at),
             };
             if !right {
                 return Some(format!("message {at} is told {state:?}"));
@@ -131,8 +131,10 @@
     /// A store starts a message.
     pub fn look_at_start(&self, store: usize, key: Key) -> Option<QueueBreach> {
         let starts = &self.stores[store];
-        let term =
-            starts.queue.as_ref().and_then(|queue| Some(queue.view(self.now - starts.began, key)?.term));
+        let term = starts
+            .queue
+            .as_ref()
+            .and_then(|queue| Some(queue.message_view(self.now - starts.began, key)?.term));
         let newer = |(at, other): &(usize, &super::stores::Store)| {
             let shared = other.disk.kept.all.get(&key).and_then(|kept| kept.shared.as_ref());
             *at != store
@@ -147,8 +149,8 @@
     /// After the calm.
     pub fn look_at_calm(&self) -> Option<QueueBreach> {
         let told = |key| {
-            let all = self.stores.iter().filter_map(|store| Some(store.queue.as_ref()?.find(key)?.0));
-            all.into_iter().any(|state| state != State::Waiting)
+            let all = self.stores.iter().filter_map(|store| Some(store.queue.as_ref()?.lookup(key)?.0));
+            all.into_iter().any(|state| state != MessageState::Waiting)
         };
         let missing = |sent: &&Sent| sent.key.is_some_and(|key| !told(key));
         let at = self.messages.iter().position(|sent| missing(&sent))?;
--- a/crates/model-check/src/queue/stores.rs
+++ b/crates/model-check/src/queue/stores.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use stileroute_config::Config;
 use stileroute_queue::{
-    first_number, Bear, Ledger, Millis, Node, Planted, Queue, QueueSettings, Record, Server,
+    first_number, Executor, Ledger, Millis, Node, Planted, Queue, QueueSettings, Record, ToleratedLosses,
 };
 
 /// Time of day when the steady clock stands at nought.
@@ -95,17 +95,17 @@
         self.disk.records.iter().for_each(|record| ledger.enter(record.clone()));
         let first = first_number(lot << 37);
         let terms = QueueSettings {
-            me: self.node,
+            node: self.node,
             zone: at,
-            disk: self.disk.number,
-            first,
-            begun: ledger.begun.clone(),
-            losses: 1,
-            regions: vec![0; NODES.len()],
-            bear: Bear { zones: 1, regions: 0 },
-            window_ms: 5000,
-            overrun: 1.1,
-            status_ms: 120_000,
+            disk_id: self.disk.number,
+            first_number: first,
+            earlier_first_numbers: ledger.begun.clone(),
+            replica_count: 1,
+            region_of_zone: vec![0; NODES.len()],
+            tolerated_losses: ToleratedLosses { zones: 1, regions: 0 },
+            rate_window_ms: 5000,
+            rate_tolerance: 1.1,
+            status_retention_ms: 120_000,
             seed: at as u64,
         };
         let born = Record::Born { disk: self.disk.number, first };
@@ -132,13 +132,13 @@
     Arc::new(Config::read(text.as_bytes()).expect("the configuration of the search"))
 }
 
-pub fn executor() -> Server {
-    Server {
+pub fn executor() -> Executor {
+    Executor {
         id: "e".to_string(),
         address: std::net::SocketAddrV4::new(std::net::Ipv4Addr::new(10, 0, 0, 1), 80),
         zone: 0,
         capacity: 8.0,
-        serving: true,
-        cold_left_ms: 0,
+        is_serving: true,
+        warm_up_left_ms: 0,
     }
 }
--- a/crates/queue/src/copies.rs
+++ b/crates/queue/src/copies.rs
@@ -72,7 +72,7 @@
     /// last.
     fn line(&self, entry: &Entry) -> u64 {
         let here = |node: &Node| self.peers.get(node).is_some_and(|p| p.connected);
-        let before = entry.copies.iter().take_while(|node| **node != self.terms.me);
+        let before = entry.replicas.iter().take_while(|node| **node != self.settings.node);
         before.filter(|node| here(node)).count() as u64
     }
 }
--- a/crates/queue/src/copies/connections.rs
+++ b/crates/queue/src/copies/connections.rs
@@ -7,7 +7,7 @@
 impl Queue {
     /// The stores that are members, as the control nodes tell.
     pub fn members(&mut self, now: Millis, stores: &[(Node, usize)]) {
-        self.acquainted = true;
+        self.knows_members = true;
         let listed = |peers: &std::collections::BTreeMap<Node, Peer>| -> Vec<Node> {
             peers.iter().filter(|(_, p)| p.listed).map(|(node, _)| *node).collect()
         };
@@ -15,14 +15,14 @@
         for peer in self.peers.values_mut() {
             peer.listed = false;
         }
-        for (node, zone) in stores.iter().filter(|(node, _)| *node != self.terms.me) {
+        for (node, zone) in stores.iter().filter(|(node, _)| *node != self.settings.node) {
             let peer = self.peers.entry(*node).or_insert_with(|| Peer::new(now));
             (peer.zone, peer.listed) = (*zone, true);
         }
         if listed(&self.peers) != before {
-            self.rows.changed = now;
+            self.ordering.changed = now;
         }
-        self.deal_duties(now);
+        self.assign_token_holders(now);
     }
 
     /// A connection to another store is open: each says what it holds in common with the other.
@@ -32,23 +32,23 @@
         // One that is to be emptied yet says so again: an order that was lost with its power is none.
         peer.retiring = false;
         peer.out = Outbox::default();
-        self.rows.changed = now;
-        self.push(Effect::Send { to: node, note: PeerMessage::Disk(self.terms.disk) });
+        self.ordering.changed = now;
+        self.emit(Effect::Send { to: node, message: PeerMessage::Disk(self.settings.disk_id) });
         // One of the two begins: the other answers with what differs.
-        if self.terms.me < node {
+        if self.settings.node < node {
             self.compare(now, node, 0);
         }
         // Ends that were told while it was away, or got lost with the connection.
-        let mine = self.owned_here().filter(|(_, e)| e.copies.contains(&node));
+        let mine = self.owned_here().filter(|(_, e)| e.replicas.contains(&node));
         let owed: Vec<(Key, End, bool)> =
-            mine.filter_map(|(key, e)| Some((key, e.end.clone()?, e.owed))).collect();
+            mine.filter_map(|(key, e)| Some((key, e.end.clone()?, e.callback_pending))).collect();
         self.to(node).ends.extend(owed);
-        self.ends_at.get_or_insert(now);
-        if self.leaving {
-            self.push(Effect::Send { to: node, note: PeerMessage::Leaving });
+        self.flush_ends_at.get_or_insert(now);
+        if self.is_draining {
+            self.emit(Effect::Send { to: node, message: PeerMessage::Leaving });
         }
-        if self.retiring {
-            self.push(Effect::Send { to: node, note: PeerMessage::Retiring });
+        if self.is_retiring {
+            self.emit(Effect::Send { to: node, message: PeerMessage::Retiring });
         }
     }
 
@@ -56,20 +56,20 @@
         let peer = self.peers.entry(node).or_default();
         (peer.connected, peer.stood, peer.since) = (false, false, now);
         peer.out = Outbox::default();
-        self.relieved.remove(&node);
-        self.passing.gone(node);
+        self.released_by.remove(&node);
+        self.end_replication.gone(node);
         let waiting: Vec<Key> = self
-            .landing
+            .persisting
             .iter()
             .map(|(_, key)| *key)
-            .filter(|key| self.entries.get(key).is_some_and(|e| e.missing.contains(&node)))
+            .filter(|key| self.entries.get(key).is_some_and(|e| e.unconfirmed.contains(&node)))
             .collect();
         for key in waiting {
             self.copy_elsewhere(now, key, Some(node));
         }
         // It may have taken these or not. They stay as they are until it says so, here or after the next
         // start; but nobody waits for its answer any more.
-        self.handing.retain(|_, to| *to != node);
+        self.handovers.retain(|_, to| *to != node);
         self.lost_on_the_way(now, node);
         self.row_lost(now, node);
     }
@@ -78,7 +78,7 @@
         let peer = self.peers.entry(from).or_default();
         if peer.disk.replace(disk).is_some_and(|old| old != disk) {
             tracing::info!(node = from, "a store is back with another disk");
-            self.passing.lost(from);
+            self.end_replication.lost(from);
         }
     }
 
@@ -86,7 +86,7 @@
     pub(crate) fn stood(&mut self, now: Millis, from: Node) {
         let first = !std::mem::replace(&mut self.peers.entry(from).or_default().stood, true);
         self.release(now);
-        if self.leaving && first {
+        if self.is_draining && first {
             self.hand_all_over();
         }
     }
--- a/crates/queue/src/copies/fence.rs
+++ b/crates/queue/src/copies/fence.rs
@@ -21,16 +21,16 @@
     /// After a long sleep it does not matter whether they are heard: what they said before they gave this store up may be read
     /// first, and the ends of their connections later.
     pub(crate) fn look_after_fence(&mut self, now: Millis, slept: bool, long: bool) {
-        let silent = self.lapsed || !self.heard;
+        let silent = self.session_may_have_lapsed || !self.hears_control_group;
         let apart = |p: &Peer| p.listed && !p.connected && now + DEAF > p.since + GONE;
-        if long || (silent && (slept || self.fence.is_some() || self.peers.values().any(apart))) {
-            self.figures.fenced += u64::from(self.fence.is_none());
-            self.fence = Some(now);
+        if long || (silent && (slept || self.fenced_since.is_some() || self.peers.values().any(apart))) {
+            self.metrics.fence_activations += u64::from(self.fenced_since.is_none());
+            self.fenced_since = Some(now);
         }
-        let Some(since) = self.fence.filter(|_| !silent) else { return };
+        let Some(since) = self.fenced_since.filter(|_| !silent) else { return };
         let settled = self.peers.values().all(|p| p.stood || !(p.listed || p.connected));
         if (settled && now >= since + AWAKE) || now > since + PATIENCE {
-            self.fence = None;
+            self.fenced_since = None;
             self.ask_before_all(now);
         }
     }
--- a/crates/queue/src/copies/handover.rs
+++ b/crates/queue/src/copies/handover.rs
@@ -7,15 +7,15 @@
 impl Queue {
     /// Takes nothing more, and gives what waits to those that hold the copies.
     pub fn leave(&mut self, now: Millis) {
-        if std::mem::replace(&mut self.leaving, true) {
+        if std::mem::replace(&mut self.is_draining, true) {
             return;
         }
         let peers: Vec<Node> =
             self.peers.iter().filter(|(_, p)| p.connected).map(|(node, _)| *node).collect();
         for to in peers {
-            self.push(Effect::Send { to, note: PeerMessage::Leaving });
+            self.emit(Effect::Send { to, message: PeerMessage::Leaving });
         }
-        self.deal_duties(now);
+        self.assign_token_holders(now);
         self.tell_ends();
         self.hand_all_over();
     }
@@ -26,14 +26,14 @@
         let settled =
             |node: &Node| self.peers.get(node).is_none_or(|p| p.stood || !(p.listed || p.connected));
         let refused = |key: &Key, e: &Entry| {
-            let open = e.stage == Stage::Held && !self.held.contains(key);
-            self.retiring && open && e.copies.iter().all(settled)
+            let open = e.stage == Stage::Suspended && !self.unreleased.contains(key);
+            self.is_retiring && open && e.replicas.iter().all(settled)
         };
         let waiting: Vec<Key> = self
             .owned_here()
             .filter(|(key, e)| e.stage == Stage::Waiting || e.end.is_some() || refused(key, e))
             .map(|(key, _)| key)
-            .filter(|key| !self.handing.contains_key(key))
+            .filter(|key| !self.handovers.contains_key(key))
             .collect();
         for key in waiting {
             self.hand_over(key);
@@ -44,16 +44,16 @@
     pub(crate) fn hand_over(&mut self, key: Key) {
         let Some(entry) = self.entries.get(&key) else { return };
         let able = |node: &&Node| self.peers.get(node).is_some_and(|p| p.connected && p.stood && !p.leaving);
-        let safe = entry.copies.iter().filter(|node| !entry.missing.contains(node));
-        let (term, tries) = (entry.term, entry.tries);
+        let safe = entry.replicas.iter().filter(|node| !entry.unconfirmed.contains(node));
+        let (term, tries) = (entry.term, entry.failed_attempts);
         let successors = safe.copied().filter(|node| able(&node));
         let most = if self.planted(Planted::HandedTwice) { usize::MAX } else { 1 };
         for to in successors.take(most).collect::<Vec<Node>>() {
             self.unschedule(key);
             if let Some(entry) = self.entries.get_mut(&key).filter(|e| e.end.is_none()) {
-                entry.stage = Stage::Held;
+                entry.stage = Stage::Suspended;
             }
-            self.handing.insert(key, to);
+            self.handovers.insert(key, to);
             self.to(to).handover.push(Handed { key, term, tries });
         }
     }
--- a/crates/queue/src/copies/notes.rs
+++ b/crates/queue/src/copies/notes.rs
@@ -9,7 +9,9 @@
     pub fn note(&mut self, now: Millis, from: Node, note: PeerMessage) {
         match note {
             PeerMessage::Copy(all) => all.into_iter().for_each(|shared| self.keep_copy(now, from, shared)),
-            PeerMessage::Copied(keys) => keys.into_iter().for_each(|key| self.safe_at(now, key, from)),
+            PeerMessage::Copied(keys) => {
+                keys.into_iter().for_each(|key| self.confirm_persisted(now, key, from))
+            }
             PeerMessage::NotCopied(keys) => {
                 self.peers.entry(from).or_default().full_until = now + 2000;
                 for key in keys {
@@ -24,9 +26,9 @@
                 for key in keys {
                     // Of one that has not ended here all is needed yet.
                     if let Some(entry) = self.entries.get_mut(&key).filter(|e| e.end.is_some()) {
-                        entry.owed = false;
-                        entry.strip();
-                        self.file(key);
+                        entry.callback_pending = false;
+                        entry.discard_content();
+                        self.reindex(key);
                         self.record(&Record::Called { key }, false);
                     }
                 }
@@ -44,7 +46,7 @@
                             self.remove(key);
                             self.record(&Record::Drop { key }, false);
                         }
-                        Some(false) => self.figures.former += 1,
+                        Some(false) => self.metrics.stale_claims += 1,
                         None => {}
                     }
                 }
@@ -57,7 +59,7 @@
                     match line {
                         0 => self.take_over(now, key, None),
                         _ => {
-                            self.lost.insert(key, from);
+                            self.lost_by_owner.insert(key, from);
                             self.orphans.insert((now + line * LINE, key));
                         }
                     }
@@ -72,7 +74,7 @@
                 if answer {
                     self.list_ranges(from, ranges, false);
                 }
-                self.push(Effect::Send { to: from, note: PeerMessage::Stood });
+                self.emit(Effect::Send { to: from, message: PeerMessage::Stood });
             }
             PeerMessage::Stood => self.stood(now, from),
             PeerMessage::Disk(disk) => self.seen_disk(from, disk),
@@ -83,22 +85,24 @@
             }
             PeerMessage::HandoverTaken(keys) => {
                 for (key, term) in keys {
-                    self.handing.remove(&key);
+                    self.handovers.remove(&key);
                     self.counted_on_by(from);
                     let Some(entry) = self.entries.get(&key) else { continue };
-                    self.figures.handed_over += 1;
-                    let mut copies = entry.copies.clone();
+                    self.metrics.handed_over += 1;
+                    let mut copies = entry.replicas.clone();
                     copies.retain(|node| *node != from);
-                    copies.push(self.terms.me);
+                    copies.push(self.settings.node);
                     self.owned_by(now, Owned { key, owner: from, term, copies });
                 }
             }
             PeerMessage::HandoverRefused(keys) => {
                 for key in keys {
-                    self.handing.remove(&key);
-                    if self.retiring {
+                    self.handovers.remove(&key);
+                    if self.is_retiring {
                         // It holds no copy after all: it gets one, or another does, before it is asked again.
-                        if let Some(entry) = self.entries.get_mut(&key).filter(|e| e.stage == Stage::Held) {
+                        if let Some(entry) =
+                            self.entries.get_mut(&key).filter(|e| e.stage == Stage::Suspended)
+                        {
                             entry.stage = Stage::Waiting;
                         }
                         self.not_on(now, key, from);
@@ -111,22 +115,22 @@
             PeerMessage::RowLive { number, beyond, live } => self.row_told(now, from, number, beyond, live),
             PeerMessage::RowDone(all) => self.row_done(all),
             PeerMessage::Leaving => {
-                self.rows.changed = now;
+                self.ordering.changed = now;
                 self.peers.entry(from).or_default().leaving = true;
-                self.deal_duties(now);
+                self.assign_token_holders(now);
             }
             PeerMessage::Retiring => {
                 let peer = self.peers.entry(from).or_default();
                 (peer.leaving, peer.retiring) = (true, true);
-                self.deal_duties(now);
+                self.assign_token_holders(now);
             }
             PeerMessage::Relieved => {
-                self.relieved.insert(from);
+                self.released_by.insert(from);
             }
             PeerMessage::KnownEnds(ends) => self.keep_ends(now, from, ends),
-            PeerMessage::EndsKept(keys) => self.passing.kept(from, keys),
+            PeerMessage::EndsKept(keys) => self.end_replication.kept(from, keys),
             PeerMessage::TokensWanted { service, count } => self.tokens_wanted(now, from, service, count),
-            PeerMessage::Tokens { service, count } => self.tokens_came(now, from, &service, count),
+            PeerMessage::Tokens { service, count } => self.tokens_received(now, from, &service, count),
         }
     }
 }
--- a/crates/queue/src/copies/outbox.rs
+++ b/crates/queue/src/copies/outbox.rs
@@ -21,7 +21,7 @@
 
 impl Queue {
     pub(crate) fn tell_ends(&mut self) {
-        self.ends_at = None;
+        self.flush_ends_at = None;
         let mut notes = Vec::new();
         for (node, peer) in self.peers.iter_mut().filter(|(_, p)| p.connected) {
             for part in std::mem::take(&mut peer.out.ends).chunks(4000) {
@@ -31,7 +31,7 @@
                 notes.push((*node, PeerMessage::Called(std::mem::take(&mut peer.out.called))));
             }
         }
-        notes.into_iter().for_each(|(to, note)| self.push(Effect::Send { to, note }));
+        notes.into_iter().for_each(|(to, note)| self.emit(Effect::Send { to, message: note }));
     }
 
     pub(crate) fn tell(&mut self) {
@@ -79,6 +79,6 @@
                 notes.push((*node, PeerMessage::Handover(std::mem::take(&mut out.handover))));
             }
         }
-        notes.into_iter().for_each(|(to, note)| self.push(Effect::Send { to, note }));
+        notes.into_iter().for_each(|(to, note)| self.emit(Effect::Send { to, message: note }));
     }
 }
--- a/crates/queue/src/copies/ownership.rs
+++ b/crates/queue/src/copies/ownership.rs
@@ -9,7 +9,7 @@
     pub(super) fn told_end(&mut self, now: Millis, key: Key, end: End, owed: bool) {
         let Some(entry) = self.entries.get(&key) else { return };
         if entry.end.is_some() {
-            if !owed && entry.owed {
+            if !owed && entry.callback_pending {
                 self.note(now, 0, PeerMessage::Called(vec![key]));
             }
             return;
@@ -18,16 +18,16 @@
     }
 
     fn ended_elsewhere(&mut self, now: Millis, key: Key, end: End, owed: bool) {
-        let at = self.wall_of(now);
+        let at = self.wall_clock_ms(now);
         if !self.planted(Planted::EndUnkept) {
             self.record(&Record::End { key, end: end.clone(), owed, at }, false);
         }
-        self.close_copy(now, key, end, owed);
+        self.close_entry(now, key, end, owed);
     }
 
     pub(super) fn owned(&self, key: Key) -> Option<Owned> {
         let e = self.entries.get(&key)?;
-        Some(Owned { key, owner: e.owner, term: e.term, copies: e.copies.clone() })
+        Some(Owned { key, owner: e.owner, term: e.term, copies: e.replicas.clone() })
     }
 
     /// Another has taken over a message that is known here to have ended, or to be another's.
@@ -35,9 +35,9 @@
         let Some(entry) = self.entries.get(&owned.key).filter(|_| owned.owner == from) else { return };
         let known = (entry.term, std::cmp::Reverse(entry.owner));
         if let Some(end) = entry.end.clone() {
-            let owed = entry.owed;
+            let owed = entry.callback_pending;
             self.to(from).ends.push((owned.key, end, owed));
-            self.ends_at.get_or_insert(now);
+            self.flush_ends_at.get_or_insert(now);
         } else if known > (owned.term, std::cmp::Reverse(from)) {
             let mine = self.owned(owned.key);
             self.to(from).own.extend(mine);
@@ -49,33 +49,33 @@
         let Owned { key, owner, term, copies } = owned;
         let Some(entry) = self.entries.get_mut(&key) else { return };
         let newer = term > entry.term || (term == entry.term && owner < entry.owner);
-        self.figures.former += u64::from(!newer && owner != entry.owner);
-        if !newer || entry.end.is_some() && !entry.owed {
+        self.metrics.stale_claims += u64::from(!newer && owner != entry.owner);
+        if !newer || entry.end.is_some() && !entry.callback_pending {
             return;
         }
-        (entry.owner, entry.term, entry.copies) = (owner, term, copies.clone());
-        if copies.contains(&self.terms.me) {
+        (entry.owner, entry.term, entry.replicas) = (owner, term, copies.clone());
+        if copies.contains(&self.settings.node) {
             self.counted_on_by(owner);
         }
         let Some(entry) = self.entries.get_mut(&key) else { return };
         let ticket = entry.ticket.take();
-        entry.landing.take().map(|at| self.landing.remove(&(at, key)));
-        let mine = owner == self.terms.me;
-        let (ended, out) = (entry.end.is_some(), entry.stage == Stage::Out);
+        entry.persist_check_at.take().map(|at| self.persisting.remove(&(at, key)));
+        let mine = owner == self.settings.node;
+        let (ended, out) = (entry.end.is_some(), entry.stage == Stage::InFlight);
         if !ended && !out {
-            entry.stage = if mine { Stage::Held } else { Stage::Copy };
+            entry.stage = if mine { Stage::Suspended } else { Stage::Replica };
         }
         self.record(&Record::Own { key, owner, term, copies }, mine);
-        self.file(key);
-        self.handing.remove(&key);
-        self.held.remove(&key);
+        self.reindex(key);
+        self.handovers.remove(&key);
+        self.unreleased.remove(&key);
         self.unschedule(key);
-        self.uncertain(ticket);
+        self.report_unknown_outcome(ticket);
         if mine && ended {
-            self.owe(key);
+            self.queue_callback(key);
         } else if mine && !out {
             // It was taken over here, and that was lost with the power. Others may have gone on since.
-            self.held.insert(key);
+            self.unreleased.insert(key);
             self.release(now);
         }
     }
@@ -89,7 +89,7 @@
         ranges: &[Range],
         live: Vec<Stands>,
     ) {
-        let me = self.terms.me;
+        let me = self.settings.node;
         self.seen_disk(from, disk);
         let (mut own, mut want, mut drop, mut lost) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         let theirs: std::collections::HashSet<Key> = live.iter().map(|stands| stands.key).collect();
@@ -98,7 +98,9 @@
                 match owner == from {
                     true => want.push(key),
                     // It holds a copy of what was lost with the disk before this one,
-                    false if owner == me && key.origin == me && !self.given_here(key.number) => {
+                    false
+                        if owner == me && key.origin == me && !self.is_number_of_present_disk(key.number) =>
+                    {
                         lost.push(key)
                     }
                     // or of what another had taken, this store has taken over, and its disk has lost,
@@ -112,21 +114,21 @@
             match (entry.end.clone(), ended) {
                 (Some(_), true) => {}
                 (Some(end), false) => {
-                    let owed = entry.owed;
+                    let owed = entry.callback_pending;
                     self.to(from).ends.push((key, end, owed));
                 }
                 // Its end comes in answer to what this store says.
                 (None, true) => {}
                 (None, false) => {
-                    let theirs = Owned { key, owner, term, copies: entry.copies.clone() };
+                    let theirs = Owned { key, owner, term, copies: entry.replicas.clone() };
                     if (entry.term, std::cmp::Reverse(entry.owner)) > (term, std::cmp::Reverse(owner)) {
                         own.extend(self.owned(key));
                     } else if entry.owner == me
-                        && entry.stage != Stage::Landing
-                        && !entry.copies.contains(&from)
+                        && entry.stage != Stage::Persisting
+                        && !entry.replicas.contains(&from)
                     {
                         // Its copy was replaced by another: if that is safe. Else it is as good as a new one.
-                        let enough = entry.thin.is_none() && entry.missing.is_empty();
+                        let enough = entry.repair_at.is_none() && entry.unconfirmed.is_empty();
                         let confirmed = self.is_confirmed(entry);
                         match enough {
                             true if confirmed => drop.push(key),
@@ -144,7 +146,7 @@
         let asked: std::collections::HashSet<&Range> = ranges.iter().collect();
         let both =
             self.owned_here().filter(|(key, _)| asked.contains(&range(me, *key)) && !theirs.contains(key));
-        let both = both.filter(|(_, e)| e.stage != Stage::Landing && e.copies.contains(&from));
+        let both = both.filter(|(_, e)| e.stage != Stage::Persisting && e.replicas.contains(&from));
         let anew: Vec<Key> = both.map(|(key, _)| key).collect();
         anew.into_iter().for_each(|key| self.not_yet_on(now, key, from));
         // What it owned and does not name it has ended, never finished taking, or lost: it says which, for
@@ -157,7 +159,7 @@
             (PeerMessage::Lost(lost.clone()), lost.is_empty()),
         ] {
             if !empty {
-                self.push(Effect::Send { to: from, note });
+                self.emit(Effect::Send { to: from, message: note });
             }
         }
     }
--- a/crates/queue/src/copies/placement.rs
+++ b/crates/queue/src/copies/placement.rs
@@ -3,7 +3,7 @@
 use super::COPY_WAIT;
 use crate::message::{Key, Millis, Node, PeerMessage, Record, Shared};
 use crate::planted::Planted;
-use crate::queue::{Effect, Queue, Stage, Waits};
+use crate::queue::{Effect, PendingWrite, Queue, Stage};
 use std::collections::BTreeSet;
 
 /// One that is not safe by then is taken back: its edge gives up soon (400 ms) and asks another store, and a
@@ -16,20 +16,20 @@
 impl Queue {
     /// Zone and region of a store.
     fn place(&self, zone: usize) -> (usize, usize) {
-        (zone, self.terms.regions.get(zone).copied().unwrap_or(usize::MAX))
+        (zone, self.settings.region_of_zone.get(zone).copied().unwrap_or(usize::MAX))
     }
 
     /// Where so many copies of a message go, beside those that lie at `stay`: into as many zones and regions as have to be
     /// borne and one more, and nearby from then on, for bytes between zones are dear. Where too few are there, into what is.
     pub(crate) fn choose(&self, now: Millis, stay: &[Node], not: &[Node], wanted: usize) -> Vec<Node> {
-        let own = self.place(self.terms.zone);
+        let own = self.place(self.settings.zone);
         let mut places = vec![own];
         places.extend(stay.iter().filter_map(|node| self.peers.get(node)).map(|p| self.place(p.zone)));
         let mut chosen: Vec<Node> = Vec::new();
         for _ in 0..wanted {
             let zones: BTreeSet<usize> = places.iter().map(|(zone, _)| *zone).collect();
             let regions: BTreeSet<usize> = places.iter().map(|(_, region)| *region).collect();
-            let bear = self.terms.bear;
+            let bear = self.settings.tolerated_losses;
             let (more_zones, more_regions) = (zones.len() <= bear.zones, regions.len() <= bear.regions);
             let able = self.peers.iter().filter(|(node, p)| {
                 p.connected
@@ -48,7 +48,7 @@
                     region != own.1,
                     zone != own.0,
                     // In a ring from this store on, so that copies are spread over all.
-                    node.wrapping_sub(self.terms.me),
+                    node.wrapping_sub(self.settings.node),
                 )
             });
             let Some((node, peer)) = next else { break };
@@ -68,31 +68,34 @@
             key,
             owner: e.owner,
             term: e.term,
-            copies: e.copies.clone(),
-            due_in: e.due.saturating_sub(now),
-            waited: e.waited(now),
-            tries: e.tries,
+            copies: e.replicas.clone(),
+            due_in: e.due_at.saturating_sub(now),
+            waited: e.age_ms(now),
+            tries: e.failed_attempts,
             message: e.message.clone(),
         })
     }
 
     /// A copy of what is live or has a call-back owed; the end follows the message.
     pub(crate) fn copy_anew(&mut self, now: Millis, key: Key, to: Node) {
-        let own = self.entries.get(&key).filter(|e| e.owner == self.terms.me && (e.end.is_none() || e.owed));
-        let Some((end, owed)) = own.map(|e| (e.end.clone(), e.owed)) else { return };
+        let own = self
+            .entries
+            .get(&key)
+            .filter(|e| e.owner == self.settings.node && (e.end.is_none() || e.callback_pending));
+        let Some((end, owed)) = own.map(|e| (e.end.clone(), e.callback_pending)) else { return };
         if let Some(shared) = self.shared(now, key) {
-            self.figures.copied_anew += 1;
+            self.metrics.replicas_resent += 1;
             self.copy_to(to, shared);
         }
         if let Some(end) = end {
             self.to(to).ends.push((key, end, owed));
-            self.ends_at.get_or_insert(now + COPY_WAIT);
+            self.flush_ends_at.get_or_insert(now + COPY_WAIT);
         }
     }
 
     pub(crate) fn look_after_landing(&mut self, now: Millis) {
-        while let Some((at, key)) = self.landing.first().copied().filter(|(at, _)| *at <= now) {
-            self.landing.remove(&(at, key));
+        while let Some((at, key)) = self.persisting.first().copied().filter(|(at, _)| *at <= now) {
+            self.persisting.remove(&(at, key));
             self.copy_elsewhere(now, key, None);
         }
     }
@@ -101,22 +104,22 @@
     /// to drop it: it would else take over together with the other. `from`: it is known that this one has no
     /// copy.
     pub(super) fn copy_elsewhere(&mut self, now: Millis, key: Key, from: Option<Node>) {
-        let Some(entry) = self.entries.get_mut(&key).filter(|e| e.stage == Stage::Landing) else { return };
-        if let Some(at) = entry.landing.take() {
-            self.landing.remove(&(at, key));
+        let Some(entry) = self.entries.get_mut(&key).filter(|e| e.stage == Stage::Persisting) else { return };
+        if let Some(at) = entry.persist_check_at.take() {
+            self.persisting.remove(&(at, key));
         }
-        let gives_up = entry.waited(now) >= GIVE_UP;
-        let next = (now + COPY_WAIT).min(now + GIVE_UP.saturating_sub(entry.waited(now))).max(now + 1);
-        let me = self.terms.me;
+        let gives_up = entry.age_ms(now) >= GIVE_UP;
+        let next = (now + COPY_WAIT).min(now + GIVE_UP.saturating_sub(entry.age_ms(now))).max(now + 1);
+        let me = self.settings.node;
         let slow = |node: &Node| *node != me && from.is_none_or(|from| from == *node);
-        let slow: Vec<Node> = entry.missing.iter().copied().filter(slow).collect();
-        let copies = entry.copies.clone();
+        let slow: Vec<Node> = entry.unconfirmed.iter().copied().filter(slow).collect();
+        let copies = entry.replicas.clone();
         if gives_up {
-            return self.undo(key);
+            return self.roll_back(key);
         }
-        entry.landing = Some(next);
-        self.landing.insert((next, key));
-        if entry.asking {
+        entry.persist_check_at = Some(next);
+        self.persisting.insert((next, key));
+        if entry.awaits_order_answers {
             // Nothing has been sent yet: whoever is gone by then is replaced at the next look.
             return;
         }
@@ -127,15 +130,15 @@
             let stay: Vec<Node> = copies.iter().copied().filter(|node| *node != from).collect();
             let Some(to) = self.choose(now, &stay, &copies, 1).first().copied() else { continue };
             let Some(entry) = self.entries.get_mut(&key) else { return };
-            entry.missing.iter_mut().filter(|m| **m == from).for_each(|m| *m = to);
-            entry.copies.iter_mut().filter(|c| **c == from).for_each(|c| *c = to);
+            entry.unconfirmed.iter_mut().filter(|m| **m == from).for_each(|m| *m = to);
+            entry.replicas.iter_mut().filter(|c| **c == from).for_each(|c| *c = to);
             // On disk before the answer: after a restart those that hold copies are waited for, and no
             // others.
-            let (term, copies) = (entry.term, entry.copies.clone());
+            let (term, copies) = (entry.term, entry.replicas.clone());
             if !list_stays {
-                entry.missing.push(me);
+                entry.unconfirmed.push(me);
                 self.record(&Record::Own { key, owner: me, term, copies }, true);
-                self.wait_for_disk(Waits::Own(key));
+                self.after_write(PendingWrite::Ownership(key));
             }
             if !self.planted(Planted::DropUnsent) {
                 self.to(from).drop.push(key);
@@ -149,20 +152,20 @@
     pub(super) fn keep_copy(&mut self, now: Millis, from: Node, shared: Shared) {
         let key = shared.key;
         self.counted_on_by(from);
-        if self.stalled(now) && !self.entries.contains_key(&key) {
+        if self.is_disk_stalled(now) && !self.entries.contains_key(&key) {
             return self.to(from).not_copied.push(key);
         }
-        let known = self.entries.get(&key).map(|e| (e.term, e.end.clone(), e.owed));
+        let known = self.entries.get(&key).map(|e| (e.term, e.end.clone(), e.callback_pending));
         match known {
             Some((_, Some(end), owed)) => {
                 self.to(from).ends.push((key, end, owed));
                 self.to(from).copied.push(key);
-                self.ends_at.get_or_insert(now);
+                self.flush_ends_at.get_or_insert(now);
             }
             Some((term, None, _)) if (term, std::cmp::Reverse(self.owner(key))) > shared.rank() => {
-                self.figures.former += 1;
+                self.metrics.stale_claims += 1;
                 if let Some(owned) = self.owned(key) {
-                    self.push(Effect::Send { to: from, note: PeerMessage::Own(vec![owned]) });
+                    self.emit(Effect::Send { to: from, message: PeerMessage::Own(vec![owned]) });
                 }
             }
             _ => {
@@ -170,9 +173,9 @@
                 if self.planted(Planted::CopyUnsynced) {
                     self.to(from).copied.push(key);
                 } else {
-                    self.wait_for_disk(Waits::CopyOf(from, key));
+                    self.after_write(PendingWrite::ReplicaFor(from, key));
                 }
-                self.enter(now, &shared, Stage::Copy);
+                self.insert_replica_of(now, &shared, Stage::Replica);
             }
         }
     }
--- a/crates/queue/src/copies/release.rs
+++ b/crates/queue/src/copies/release.rs
@@ -8,7 +8,7 @@
 impl Queue {
     /// Messages read from disk go on once all that hold copies have spoken, or are not there.
     pub(super) fn release(&mut self, now: Millis) {
-        if self.held.is_empty() {
+        if self.unreleased.is_empty() {
             return;
         }
         let spoken = |node: &Node| match self.peers.get(node) {
@@ -16,12 +16,12 @@
             None => now > PATIENCE,
         };
         let early = self.planted(Planted::ReleasedEarly);
-        let ready = |key: &Key| early || self.entries.get(key).is_none_or(|e| e.copies.iter().all(spoken));
-        let free: Vec<Key> = self.held.iter().copied().filter(ready).collect();
+        let ready = |key: &Key| early || self.entries.get(key).is_none_or(|e| e.replicas.iter().all(spoken));
+        let free: Vec<Key> = self.unreleased.iter().copied().filter(ready).collect();
         for key in free {
-            self.held.remove(&key);
+            self.unreleased.remove(&key);
             self.ask_before_start(now, key);
-            if let Some(entry) = self.entries.get_mut(&key).filter(|e| e.stage == Stage::Held) {
+            if let Some(entry) = self.entries.get_mut(&key).filter(|e| e.stage == Stage::Suspended) {
                 entry.stage = Stage::Waiting;
             }
             self.schedule(now, key);
@@ -42,18 +42,18 @@
     /// One that holds a copy is not back, and may have given it to another and be gone for good: whoever knows of an end, or
     /// of a newer owner, says so before it is started here.
     fn ask_before_start(&mut self, now: Millis, key: Key) {
-        let open = |e: &&Entry| matches!(e.stage, Stage::Held | Stage::Waiting);
+        let open = |e: &&Entry| matches!(e.stage, Stage::Suspended | Stage::Waiting);
         let Some(entry) = self.entries.get(&key).filter(open) else { return };
         let spoken = |node: &Node| self.peers.get(node).is_some_and(|peer| peer.stood);
         let unasked = self.planted(Planted::TakenUnasked) || self.planted(Planted::ReleasedEarly);
-        if entry.copies.iter().all(spoken) || unasked {
+        if entry.replicas.iter().all(spoken) || unasked {
             return;
         }
         let owned = self.owned(key);
         let all = self.peers.values_mut().filter(|p| p.connected);
         all.for_each(|p| p.out.own.extend(owned.clone()));
         if let Some(entry) = self.entries.get_mut(&key) {
-            entry.pause = entry.pause.max(now + ASK);
+            entry.not_before = entry.not_before.max(now + ASK);
         }
     }
 }
--- a/crates/queue/src/copies/take_over.rs
+++ b/crates/queue/src/copies/take_over.rs
@@ -3,7 +3,7 @@
 use super::{Peer, ASK, GONE};
 use crate::message::{Handed, Key, Millis, Node, Owned, Record};
 use crate::planted::Planted;
-use crate::queue::{Queue, Stage, Waits};
+use crate::queue::{PendingWrite, Queue, Stage};
 
 /// The next in line waits so much longer, for the first may be about to take over.
 pub(super) const LINE: Millis = 1500;
@@ -11,7 +11,7 @@
 impl Queue {
     /// This store delivers a message from now on. `from`: the one that gives it away in order.
     pub(super) fn take_over(&mut self, now: Millis, key: Key, from: Option<(Node, Handed)>) {
-        let me = self.terms.me;
+        let me = self.settings.node;
         let raised = u32::from(!self.planted(Planted::TermUnraised));
         let asks = !self.planted(Planted::TakenUnasked);
         let giver = from.map(|(node, _)| node);
@@ -22,7 +22,7 @@
             return;
         };
         let before = entry.owner;
-        if before == me || (entry.end.is_some() && !entry.owed) {
+        if before == me || (entry.end.is_some() && !entry.callback_pending) {
             let term = entry.term;
             if let Some(giver) = giver {
                 self.to(giver).handed.push((key, term));
@@ -31,28 +31,29 @@
         }
         entry.owner = me;
         if let Some((_, handed)) = from {
-            (entry.term, entry.tries) = (entry.term.max(handed.term), entry.tries.max(handed.tries));
+            (entry.term, entry.failed_attempts) =
+                (entry.term.max(handed.term), entry.failed_attempts.max(handed.tries));
         }
         entry.term += raised;
-        entry.copies.retain(|node| *node != me && *node != before);
-        entry.copies.extend(giver);
+        entry.replicas.retain(|node| *node != me && *node != before);
+        entry.replicas.extend(giver);
         let (term, ended) = (entry.term, entry.end.is_some());
         if giver.is_none() && asks {
-            entry.pause = entry.pause.max(now + ASK);
+            entry.not_before = entry.not_before.max(now + ASK);
         }
-        entry.missing.clear();
-        let copies = entry.copies.clone();
-        if !ended && entry.stage != Stage::Out {
+        entry.unconfirmed.clear();
+        let copies = entry.replicas.clone();
+        if !ended && entry.stage != Stage::InFlight {
             entry.stage = Stage::Waiting;
         }
-        self.file(key);
+        self.reindex(key);
         // The one that had it may come back with an empty disk, or not at all: others get a copy.
         self.look_at_copies(now, key);
-        self.expiry(key);
-        self.figures.taken_over += 1;
+        self.update_expiry(key);
+        self.metrics.taken_over += 1;
         self.record(&Record::Own { key, owner: me, term, copies: copies.clone() }, true);
         match giver {
-            Some(giver) => self.wait_for_disk(Waits::HandedBy(giver, key)),
+            Some(giver) => self.after_write(PendingWrite::TakenOverFrom(giver, key)),
             None => {
                 // All are told, for another may hold a copy that nobody knows of any more, and would take
                 // over too.
@@ -62,7 +63,7 @@
             }
         }
         if ended {
-            self.owe(key);
+            self.queue_callback(key);
         } else {
             self.schedule(now, key);
         }
@@ -71,7 +72,7 @@
     /// Looks for stores that are gone, and for messages that have waited long enough for those that are not
     /// back.
     pub(crate) fn look_after(&mut self, now: Millis) {
-        let heard = self.heard && self.acquainted;
+        let heard = self.hears_control_group && self.knows_members;
         let gone =
             |p: &Peer| heard && !p.connected && !p.listed && now > p.since + GONE && now >= p.looked + 3000;
         let gone: Vec<Node> = self.peers.iter().filter(|(_, p)| gone(p)).map(|(node, _)| *node).collect();
@@ -89,7 +90,7 @@
             // Whoever owns it may be back, or another.
             let owner = self.owner(key);
             let back = self.peers.get(&owner).is_none_or(|p| p.connected);
-            let lost = self.lost.remove(&key);
+            let lost = self.lost_by_owner.remove(&key);
             if heard && (lost == Some(owner) || !back) {
                 self.take_over(now, key, None);
             }
--- a/crates/queue/src/duplicates.rs
+++ b/crates/queue/src/duplicates.rs
@@ -31,17 +31,17 @@
             let alike = Some(*key) != kept && entry.end.is_none() && entry.message.id == id;
             (alike && entry.message.print() == print).then_some(*key)
         };
-        let others: Vec<Key> = self.live.iter().filter_map(|(_, key)| same(key)).collect();
+        let others: Vec<Key> = self.live_by_owner.iter().filter_map(|(_, key)| same(key)).collect();
         for key in others {
-            if self.unwanted.len() < MOST {
-                self.unwanted.insert(key);
+            if self.superseded_keys.len() < MOST {
+                self.superseded_keys.insert(key);
             }
-            let entry = self.entries.get(&key).filter(|e| e.owner == self.terms.me);
+            let entry = self.entries.get(&key).filter(|e| e.owner == self.settings.node);
             match entry.map(|e| e.stage) {
-                Some(Stage::Landing) => self.undo(key),
+                Some(Stage::Persisting) => self.roll_back(key),
                 // What is out may have run. Offered to a successor it is looked at when that has spoken.
-                Some(Stage::Out) | None => {}
-                Some(_) if self.handing.contains_key(&key) => {}
+                Some(Stage::InFlight) | None => {}
+                Some(_) if self.handovers.contains_key(&key) => {}
                 Some(_) => self.withdraw(key),
             }
         }
@@ -50,16 +50,16 @@
     /// Nobody waits any more for a message that is not yet safe: the connection it came by is gone.
     pub fn abandoned(&mut self, ticket: u64) {
         let waits = |key: &&Key| self.entries.get(key).is_some_and(|e| e.ticket == Some(ticket));
-        let key = self.landing.iter().map(|(_, key)| key).find(waits).copied();
+        let key = self.persisting.iter().map(|(_, key)| key).find(waits).copied();
         if let Some(key) = key {
-            self.undo(key);
+            self.roll_back(key);
         }
     }
 
     /// Drops it here and at the copies.
     pub(crate) fn withdraw(&mut self, key: Key) {
-        let copies = self.entries.get(&key).map(|e| e.copies.clone()).unwrap_or_default();
-        self.figures.withdrawn += 1;
+        let copies = self.entries.get(&key).map(|e| e.replicas.clone()).unwrap_or_default();
+        self.metrics.withdrawn += 1;
         self.record(&Record::Drop { key }, false);
         copies.into_iter().for_each(|to| self.to(to).drop.push(key));
         self.remove(key);
--- a/crates/queue/src/ends.rs
+++ b/crates/queue/src/ends.rs
@@ -4,7 +4,7 @@
 
 use crate::message::{End, Key, KnownEnd, Message, Millis, Node, PeerMessage, Record, Shared};
 use crate::planted::Planted;
-use crate::queue::{Effect, Entry, Queue, Stage, Waits};
+use crate::queue::{Effect, Entry, PendingWrite, Queue, Stage};
 use crate::repair::RATE;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -43,7 +43,7 @@
     }
 
     fn concerns(&self, entry: &Entry) -> bool {
-        self.lost.contains(&entry.owner) || entry.copies.iter().any(|node| self.lost.contains(node))
+        self.lost.contains(&entry.owner) || entry.replicas.iter().any(|node| self.lost.contains(node))
     }
 
     /// What that store had may be gone with its disk.
@@ -69,22 +69,22 @@
 impl Queue {
     /// Passes on, at a bounded rate, the ends that too few others have confirmed.
     pub(crate) fn pass_ends_on(&mut self, now: Millis) {
-        let nothing = self.passing.done || !self.retiring && self.passing.lost.is_empty();
+        let nothing = self.end_replication.done || !self.is_retiring && self.end_replication.lost.is_empty();
         if nothing || self.planted(Planted::EndsGoAlong) {
             return;
         }
         let able = |p: &crate::copies::Peer| p.listed && p.connected && !p.leaving;
         let others: Vec<Node> = self.peers.iter().filter(|(_, p)| able(p)).map(|(node, _)| *node).collect();
-        let leaves = usize::from(self.retiring);
-        let wanted = others.len().min(self.terms.losses + leaves);
+        let leaves = usize::from(self.is_retiring);
+        let wanted = others.len().min(self.settings.replica_count + leaves);
         if wanted == 0 {
             return;
         }
         let (mut lacking, mut bytes) = (false, 0);
         let mut parcels: BTreeMap<Node, Vec<KnownEnd>> = BTreeMap::new();
-        let passed = |e: &Entry| e.end.is_some() && (self.retiring || self.passing.concerns(e));
+        let passed = |e: &Entry| e.end.is_some() && (self.is_retiring || self.end_replication.concerns(e));
         for (key, entry) in self.entries.iter().filter(|(_, e)| passed(e)) {
-            let have = others.iter().filter(|node| self.passing.has(**node, *key)).count();
+            let have = others.iter().filter(|node| self.end_replication.has(**node, *key)).count();
             if have >= wanted {
                 continue;
             }
@@ -96,13 +96,13 @@
                 }
             }
         }
-        self.passing.done = !lacking;
-        if !lacking && !self.retiring {
-            self.passing = Passing { done: true, ..Passing::default() };
+        self.end_replication.done = !lacking;
+        if !lacking && !self.is_retiring {
+            self.end_replication = Passing { done: true, ..Passing::default() };
         }
         for (to, ends) in parcels {
-            self.passing.sent.extend(ends.iter().map(|known| ((to, known.key), now)));
-            self.push(Effect::Send { to, note: PeerMessage::KnownEnds(ends) });
+            self.end_replication.sent.extend(ends.iter().map(|known| ((to, known.key), now)));
+            self.emit(Effect::Send { to, message: PeerMessage::KnownEnds(ends) });
         }
     }
 
@@ -116,12 +116,12 @@
         lacking: usize,
     ) -> Vec<Node> {
         let mut next: Vec<Node> =
-            others.iter().copied().filter(|node| !self.passing.has(*node, key)).collect();
+            others.iter().copied().filter(|node| !self.end_replication.has(*node, key)).collect();
         next.sort_by_key(|node| {
-            (*node != entry.owner && !entry.copies.contains(node), node.wrapping_sub(self.terms.me))
+            (*node != entry.owner && !entry.replicas.contains(node), node.wrapping_sub(self.settings.node))
         });
         next.truncate(lacking);
-        next.retain(|node| !self.passing.on_its_way(now, *node, key));
+        next.retain(|node| !self.end_replication.on_its_way(now, *node, key));
         next
     }
 
@@ -130,25 +130,25 @@
         for KnownEnd { key, end, owed, dead } in ends {
             match self.entries.get(&key).map(|e| e.end.is_some()) {
                 Some(true) => {}
-                Some(false) => self.close_copy(now, key, end.clone(), owed),
+                Some(false) => self.close_entry(now, key, end.clone(), owed),
                 None => self.enter_end(now, key, end.clone(), dead.clone()),
             }
-            let Some(owed) = self.entries.get(&key).map(|e| e.owed) else { continue };
+            let Some(owed) = self.entries.get(&key).map(|e| e.callback_pending) else { continue };
             // The end first: what is read of a torn batch is never a live message.
-            let at = self.wall_of(now);
+            let at = self.wall_clock_ms(now);
             self.record(&Record::End { key, end, owed, at }, true);
             if let Some(message) = dead {
-                self.record(&Record::Put { shared: ended(self.terms.me, key, message) }, true);
+                self.record(&Record::Put { shared: ended(self.settings.node, key, message) }, true);
             }
-            self.wait_for_disk(Waits::EndOf(from, key));
+            self.after_write(PendingWrite::EndFrom(from, key));
         }
     }
 
     fn enter_end(&mut self, now: Millis, key: Key, end: End, dead: Option<Message>) {
-        let mut entry = Entry::of(&ended(self.terms.me, key, dead.unwrap_or_default()), now);
+        let mut entry = Entry::from_shared(&ended(self.settings.node, key, dead.unwrap_or_default()), now);
         (entry.stage, entry.end) = (Stage::Ended, Some(end));
         self.entries.insert(key, entry);
-        self.forget_later(now, key);
+        self.schedule_forget(now, key);
     }
 }
 
@@ -162,5 +162,5 @@
     let bytes =
         || Message { body: entry.message.body.clone(), taken: entry.message.taken, ..Message::default() };
     let dead = (end == End::Failed && entry.message.taken > 0).then(bytes);
-    Some(KnownEnd { key, end, owed: entry.owed, dead })
+    Some(KnownEnd { key, end, owed: entry.callback_pending, dead })
 }
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -25,6 +25,9 @@
 pub use ordering::place;
 #[cfg(feature = "planted")]
 pub use planted::Planted;
-pub use queue::{first_number, Bear, Effect, Entry, Figures, Outcome, Queue, QueueSettings, Stage, State};
-pub use queue::{MessageView, ServiceView, Stages};
-pub use service_queue::{Repeats, Server};
+pub use queue::{
+    first_number, Effect, Entry, MessageState, Outcome, Queue, QueueMetrics, QueueSettings, Stage,
+    ToleratedLosses,
+};
+pub use queue::{MessageView, ServiceView, StageCounts};
+pub use service_queue::{Executor, RetryCounts};
--- a/crates/queue/src/ordering.rs
+++ b/crates/queue/src/ordering.rs
@@ -10,7 +10,7 @@
 //! other.
 
 use crate::message::{Key, Millis, Node, PeerMessage, Record};
-use crate::queue::{Effect, Queue, Stage, Waits};
+use crate::queue::{Effect, PendingWrite, Queue, Stage};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 /// While another store holds an earlier one, it is asked again so often, should its word get lost.
@@ -120,12 +120,13 @@
     /// asked them.
     fn knows(&self, row: &str) -> bool {
         let listed = || self.peers.iter().filter(|(_, p)| p.listed);
-        let asked = self.rows.all.get(row).and_then(|row| row.asked);
-        self.acquainted
-            && self.heard
+        let asked = self.ordering.all.get(row).and_then(|row| row.asked);
+        self.knows_members
+            && self.hears_control_group
             && listed().all(|(_, p)| p.connected && !p.leaving)
-            && place(row, listed().map(|(node, _)| *node).chain([self.terms.me])) == Some(self.terms.me)
-            && asked.is_some_and(|at| at > self.rows.changed)
+            && place(row, listed().map(|(node, _)| *node).chain([self.settings.node]))
+                == Some(self.settings.node)
+            && asked.is_some_and(|at| at > self.ordering.changed)
     }
 
     /// A message of a row has been put. True: it may be kept at once.
@@ -133,15 +134,15 @@
         let Some(name) = self.entries.get(&key).and_then(|e| e.message.order_key.clone()) else {
             return true;
         };
-        let row = self.rows.row(&name);
+        let row = self.ordering.row(&name);
         row.used = now;
         let beyond = row.beyond(key);
         let knows = self.knows(&name);
         if let Some(entry) = self.entries.get_mut(&key) {
             entry.message.taken = entry.message.taken.max(beyond);
-            (entry.cleared, entry.asking) = (true, !knows);
+            (entry.is_order_confirmed, entry.awaits_order_answers) = (true, !knows);
         }
-        self.file(key);
+        self.reindex(key);
         if knows {
             return true;
         }
@@ -152,26 +153,26 @@
 
     fn ask(&mut self, now: Millis, name: String, key: Key, landing: bool) {
         let Some(taken) = self.entries.get(&key).map(|e| e.message.taken) else { return };
-        self.rows.number += 1;
-        let number = self.rows.number;
+        self.ordering.number += 1;
+        let number = self.ordering.number;
         let waiting = self.connected();
         if let Some(entry) = self.entries.get_mut(&key).filter(|_| landing) {
-            entry.announced = true;
+            entry.is_announced = true;
         }
         for to in &waiting {
             let note = PeerMessage::RowAsk { number, row: name.clone(), taken, key, announced: landing };
-            self.push(Effect::Send { to: *to, note });
+            self.emit(Effect::Send { to: *to, message: note });
         }
         let (answered, found, told) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
         let asking = Asking { row: name, key, waiting, answered, found, beyond: 0, landing, told };
-        self.rows.asking.insert(number, asking);
+        self.ordering.asking.insert(number, asking);
         self.all_answered(now, number);
     }
 
     /// Another store asks, and tells of one that it is about to keep.
     pub(crate) fn row_asked(&mut self, now: Millis, from: Node, ask: (u64, String, u64, Key, bool)) {
         let (number, name, taken, key, announced) = ask;
-        let row = self.rows.row(&name);
+        let row = self.ordering.row(&name);
         row.used = now;
         // What is known when it is first heard of comes before it; what comes later is put behind it.
         let known = row.outside.iter().any(|(_, other)| *other == key);
@@ -180,17 +181,17 @@
         if announced && !self.entries.contains_key(&key) {
             row.outside.retain(|(_, other)| *other != key);
             row.outside.insert((taken, key));
-            for asking in self.rows.asking.values_mut().filter(|a| a.row == name) {
+            for asking in self.ordering.asking.values_mut().filter(|a| a.row == name) {
                 asking.told.retain(|(_, other)| *other != key);
                 asking.told.insert((taken, key));
             }
-            self.rows.wake.insert(name.clone());
+            self.ordering.wake.insert(name.clone());
         }
-        self.push(Effect::Send { to: from, note: PeerMessage::RowLive { number, beyond, live } });
+        self.emit(Effect::Send { to: from, message: PeerMessage::RowLive { number, beyond, live } });
     }
 
     pub(crate) fn row_told(&mut self, now: Millis, from: Node, number: u64, beyond: u64, live: Vec<Spot>) {
-        let Some(asking) = self.rows.asking.get_mut(&number) else { return };
+        let Some(asking) = self.ordering.asking.get_mut(&number) else { return };
         asking.waiting.remove(&from);
         asking.answered.insert(from);
         asking.beyond = asking.beyond.max(beyond);
@@ -200,33 +201,33 @@
 
     /// One is not there to answer any more: what it had lies with its copies, which are asked too.
     pub(crate) fn row_lost(&mut self, now: Millis, node: Node) {
-        self.rows.changed = now;
-        let waiting: Vec<u64> = self.rows.asking.keys().copied().collect();
+        self.ordering.changed = now;
+        let waiting: Vec<u64> = self.ordering.asking.keys().copied().collect();
         for number in waiting {
-            if self.rows.asking.get_mut(&number).is_some_and(|asking| asking.waiting.remove(&node)) {
+            if self.ordering.asking.get_mut(&number).is_some_and(|asking| asking.waiting.remove(&node)) {
                 self.all_answered(now, number);
             }
         }
     }
 
     fn all_answered(&mut self, now: Millis, number: u64) {
-        if self.rows.asking.get(&number).is_none_or(|asking| !asking.waiting.is_empty()) {
+        if self.ordering.asking.get(&number).is_none_or(|asking| !asking.waiting.is_empty()) {
             return;
         }
-        let Some(asking) = self.rows.asking.remove(&number) else { return };
+        let Some(asking) = self.ordering.asking.remove(&number) else { return };
         let Asking { row: name, key, answered, found, beyond, landing, told, .. } = asking;
         // An accepted message lies on `losses` + 1 stores: if no more than `losses` are silent, all are
         // named.
         let there = |p: &crate::copies::Peer| p.listed || !p.written_off;
         let silent = self.peers.iter().filter(|(node, p)| there(p) && !answered.contains(node)).count();
-        let enough = silent <= self.terms.losses && self.acquainted;
-        let row = self.rows.row(&name);
+        let enough = silent <= self.settings.replica_count && self.knows_members;
+        let row = self.ordering.row(&name);
         if !enough {
             // One that is put is taken back soon, and its edge asks elsewhere.
             if !landing {
                 (row.asking, row.next) = (false, now + AGAIN);
                 row.outside.extend(told);
-                self.rows.later.insert((now + AGAIN, name));
+                self.ordering.later.insert((now + AGAIN, name));
             }
             return;
         }
@@ -236,25 +237,25 @@
             row.asking = false;
         }
         let Some(entry) = self.entries.get_mut(&key) else {
-            self.rows.wake.insert(name);
+            self.ordering.wake.insert(name);
             return;
         };
         let moved = landing && beyond > entry.message.taken;
         if moved {
             entry.message.taken = beyond;
         }
-        entry.cleared = true;
+        entry.is_order_confirmed = true;
         let spot = (entry.message.taken, key);
         // Earlier ones that nobody names have ended. Of later ones nothing is known by that: those that came
         // since then and were told here wait for them.
-        let row = self.rows.row(&name);
+        let row = self.ordering.row(&name);
         row.outside.retain(|other| landing || *other > spot);
         row.outside
             .extend(found.into_iter().chain(told).filter(|(_, other)| !self.entries.contains_key(other)));
-        self.rows.wake.insert(name.clone());
+        self.ordering.wake.insert(name.clone());
         if moved {
             // The others hear of its new spot before it is kept, and put what comes next behind it.
-            self.file(key);
+            self.reindex(key);
             self.ask(now, name, key, true);
         } else if landing {
             self.embark(key, now);
@@ -263,12 +264,12 @@
 
     /// The place of a new message in its row is known: it is kept, here and at its copies.
     pub(crate) fn embark(&mut self, key: Key, now: Millis) {
-        let Some(entry) = self.entries.get_mut(&key).filter(|e| e.stage == Stage::Landing) else { return };
-        entry.asking = false;
-        let copies = entry.copies.clone();
+        let Some(entry) = self.entries.get_mut(&key).filter(|e| e.stage == Stage::Persisting) else { return };
+        entry.awaits_order_answers = false;
+        let copies = entry.replicas.clone();
         let Some(shared) = self.shared(now, key) else { return };
         self.record(&Record::Put { shared: shared.clone() }, true);
-        self.wait_for_disk(Waits::Own(key));
+        self.after_write(PendingWrite::Ownership(key));
         copies.into_iter().for_each(|to| self.copy_to(to, shared.clone()));
     }
 
@@ -277,8 +278,8 @@
     pub(crate) fn may_start(&mut self, now: Millis, key: Key) -> bool {
         let Some(entry) = self.entries.get(&key) else { return false };
         let Some(name) = entry.message.order_key.clone() else { return true };
-        let (spot, cleared) = ((entry.message.taken, key), entry.cleared);
-        let row = self.rows.row(&name);
+        let (spot, cleared) = ((entry.message.taken, key), entry.is_order_confirmed);
+        let row = self.ordering.row(&name);
         if row.live.first() != Some(&spot) {
             return false;
         }
@@ -290,7 +291,7 @@
             self.ask(now, name, key, false);
         } else if !row.asking {
             let at = row.next;
-            self.rows.later.insert((at, name));
+            self.ordering.later.insert((at, name));
         }
         false
     }
@@ -298,39 +299,40 @@
     /// Others had it in mind, and it has ended.
     pub(crate) fn row_done(&mut self, all: Vec<(String, Key)>) {
         for (name, key) in all {
-            self.rows.row(&name).outside.retain(|(_, other)| *other != key);
-            self.rows.wake.insert(name);
+            self.ordering.row(&name).outside.retain(|(_, other)| *other != key);
+            self.ordering.wake.insert(name);
         }
     }
 
     /// Starts what comes next in rows that have changed.
     pub(crate) fn move_up(&mut self, now: Millis) {
-        if !self.rows.done.is_empty() {
-            let done = std::mem::take(&mut self.rows.done);
+        if !self.ordering.done.is_empty() {
+            let done = std::mem::take(&mut self.ordering.done);
             for to in self.connected() {
-                self.push(Effect::Send { to, note: PeerMessage::RowDone(done.clone()) });
+                self.emit(Effect::Send { to, message: PeerMessage::RowDone(done.clone()) });
             }
         }
-        while self.rows.later.first().is_some_and(|(at, _)| *at <= now) {
-            let (_, name) = self.rows.later.pop_first().unwrap_or_default();
-            self.rows.wake.insert(name);
+        while self.ordering.later.first().is_some_and(|(at, _)| *at <= now) {
+            let (_, name) = self.ordering.later.pop_first().unwrap_or_default();
+            self.ordering.wake.insert(name);
         }
-        while let Some(name) = self.rows.wake.pop_first() {
-            let Some((_, key)) = self.rows.all.get(&name).and_then(|row| row.live.first().copied()) else {
+        while let Some(name) = self.ordering.wake.pop_first() {
+            let Some((_, key)) = self.ordering.all.get(&name).and_then(|row| row.live.first().copied())
+            else {
                 continue;
             };
-            if self.entries.get(&key).is_some_and(|e| e.owner == self.terms.me) {
+            if self.entries.get(&key).is_some_and(|e| e.owner == self.settings.node) {
                 self.schedule(now, key);
             }
         }
-        while self.rows.idle.front().is_some_and(|(at, _)| *at <= now) {
-            let Some((_, name)) = self.rows.idle.pop_front() else { break };
-            let Some(row) = self.rows.all.get(&name) else { continue };
+        while self.ordering.idle.front().is_some_and(|(at, _)| *at <= now) {
+            let Some((_, name)) = self.ordering.idle.pop_front() else { break };
+            let Some(row) = self.ordering.all.get(&name) else { continue };
             // What is remembered of others only goes too: whoever puts the next message here asks first.
             if row.live.is_empty() && !row.asking && now >= row.used + IDLE {
-                self.rows.all.remove(&name);
+                self.ordering.all.remove(&name);
             } else {
-                self.rows.idle.push_back((now + IDLE, name));
+                self.ordering.idle.push_back((now + IDLE, name));
             }
         }
     }
--- a/crates/queue/src/queue.rs
+++ b/crates/queue/src/queue.rs
@@ -12,20 +12,20 @@
 mod types;
 
 pub use numbers::first_number;
-pub use report::{MessageView, ServiceView, Stages};
-pub(crate) use types::Waits;
-pub use types::{Bear, Effect, Entry, Figures, Outcome, QueueSettings, Stage, State};
+pub use report::{MessageView, ServiceView, StageCounts};
+pub(crate) use types::PendingWrite;
+pub use types::{Effect, Entry, MessageState, Outcome, QueueMetrics, QueueSettings, Stage, ToleratedLosses};
 
 use crate::copies::Peer;
 use crate::ledger::Ledger;
 use crate::message::{End, Key, Message, Millis, Node, Shared};
 #[cfg(feature = "planted")]
 use crate::planted::Planted;
-use crate::service_queue::{Server, ServiceQueue};
+use crate::service_queue::{Executor, ServiceQueue};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
 use stileroute_config::Config;
-use types::Receiver;
+use types::CallbackReceiver;
 
 /// Beyond the time that it may wait, for clients' clocks and first tries: one that has not ended must not be
 /// called failed.
@@ -34,75 +34,75 @@
 const UPKEEP: Millis = 250;
 
 pub struct Queue {
-    pub(crate) terms: QueueSettings,
+    pub(crate) settings: QueueSettings,
     pub(crate) entries: HashMap<Key, Entry>,
     pub(crate) peers: BTreeMap<Node, Peer>,
     config: Option<Arc<Config>>,
     service_queues: Vec<ServiceQueue>,
-    lane_of: HashMap<String, usize>,
-    servers: HashMap<String, Vec<Server>>,
+    service_queue_index: HashMap<String, usize>,
+    executors: HashMap<String, Vec<Executor>>,
     delayed: BTreeSet<(Millis, Key)>,
     expiring: BTreeSet<(Millis, Key)>,
-    forget: VecDeque<(Millis, Key)>,
+    forgetting: VecDeque<(Millis, Key)>,
     /// Taken by a configuration that has not come here yet.
-    early: HashSet<Key>,
+    awaiting_config: HashSet<Key>,
     /// Read from disk, and not yet released.
-    pub(crate) held: BTreeSet<Key>,
+    pub(crate) unreleased: BTreeSet<Key>,
     /// Another store keeps the same message: not to be run here, whoever owns it now.
-    pub(crate) unwanted: HashSet<Key>,
+    pub(crate) superseded_keys: HashSet<Key>,
     /// Offered to a successor that has not said yes.
-    pub(crate) handing: HashMap<Key, Node>,
-    pub(crate) landing: BTreeSet<(Millis, Key)>,
+    pub(crate) handovers: HashMap<Key, Node>,
+    pub(crate) persisting: BTreeSet<(Millis, Key)>,
     /// Live, or with a call-back owed, by owner: what is compared with others and looked through when one is
     /// gone. All entries, with those that ended in the last minutes, are a hundred times as many.
-    pub(crate) live: BTreeSet<(Node, Key)>,
+    pub(crate) live_by_owner: BTreeSet<(Node, Key)>,
     /// Owned here and on too few disks: when to see to each.
-    pub(crate) thin: BTreeSet<(Millis, Key)>,
-    pub(crate) thin_since: Option<Millis>,
-    pub(crate) bucket: crate::repair::Bytes,
-    pub(crate) rows: crate::ordering::Rows,
+    pub(crate) under_replicated: BTreeSet<(Millis, Key)>,
+    pub(crate) under_replicated_since: Option<Millis>,
+    pub(crate) repair_budget: crate::repair::Bytes,
+    pub(crate) ordering: crate::ordering::Rows,
     /// To be taken over by then, if their owner is not back.
     pub(crate) orphans: BTreeSet<(Millis, Key)>,
     /// Their owner has said that it has lost them with its disk.
-    pub(crate) lost: HashMap<Key, Node>,
-    receivers: HashMap<String, Receiver>,
+    pub(crate) lost_by_owner: HashMap<Key, Node>,
+    callback_receivers: HashMap<String, CallbackReceiver>,
     /// Call-backs that are out, and where: by the time of the answer the message may know no receiver any
     /// more.
-    calling: HashMap<Key, String>,
+    callbacks_in_flight: HashMap<Key, String>,
     next_number: u64,
     next_attempt: u64,
     next_ticket: u64,
-    waits: HashMap<u64, Vec<Waits>>,
+    pending_writes: HashMap<u64, Vec<PendingWrite>>,
     /// Since when the disk has had what is waited for.
-    writing: BTreeMap<u64, Millis>,
-    ticked: Millis,
+    write_started_at: BTreeMap<u64, Millis>,
+    last_tick_at: Millis,
     records: Vec<Vec<u8>>,
-    sync: bool,
-    due_waits: Vec<Waits>,
-    pub(crate) ends_at: Option<Millis>,
+    needs_sync: bool,
+    next_pending_writes: Vec<PendingWrite>,
+    pub(crate) flush_ends_at: Option<Millis>,
     effects: Vec<Effect>,
-    lane_wait: Millis,
-    upkeep: Millis,
+    next_dispatch_at: Millis,
+    last_upkeep_at: Millis,
     /// The time of day when the steady clock stood at nought.
-    wall: u64,
-    pub leaving: bool,
+    wall_clock_offset_ms: u64,
+    pub is_draining: bool,
     /// It is to be emptied, and who counts on no copy here.
-    pub(crate) retiring: bool,
-    pub(crate) retire_kept: bool,
-    pub(crate) relieved: BTreeSet<Node>,
+    pub(crate) is_retiring: bool,
+    pub(crate) is_retirement_durable: bool,
+    pub(crate) released_by: BTreeSet<Node>,
     /// Ends that go to others before this store is gone.
-    pub(crate) passing: crate::ends::Passing,
+    pub(crate) end_replication: crate::ends::Passing,
     /// The control nodes hear this store: without them and without a peer it may be the one that is cut off.
-    pub heard: bool,
+    pub hears_control_group: bool,
     /// So long without a word of them that they may call its session lapsed.
-    pub lapsed: bool,
+    pub session_may_have_lapsed: bool,
     /// Nothing is started since then (`look_after_fence`).
-    pub(crate) fence: Option<Millis>,
+    pub(crate) fenced_since: Option<Millis>,
     /// The members have been told: before that a store would take itself for the only one.
-    pub(crate) acquainted: bool,
+    pub(crate) knows_members: bool,
     #[cfg(feature = "planted")]
     pub(crate) planted: Option<Planted>,
-    pub figures: Figures,
+    pub metrics: QueueMetrics,
 }
 
 impl Queue {
@@ -110,59 +110,59 @@
     pub fn new(terms: QueueSettings, ledger: Ledger, now: Millis, wall: u64) -> Queue {
         let mut queue = Queue {
             // Numbers never come again: each life has a line of its own.
-            next_number: terms.first,
+            next_number: terms.first_number,
             next_attempt: 1,
             next_ticket: 1,
             entries: HashMap::new(),
             peers: BTreeMap::new(),
             config: None,
             service_queues: Vec::new(),
-            lane_of: HashMap::new(),
-            servers: HashMap::new(),
+            service_queue_index: HashMap::new(),
+            executors: HashMap::new(),
             delayed: BTreeSet::new(),
             expiring: BTreeSet::new(),
-            forget: VecDeque::new(),
-            early: HashSet::new(),
-            held: BTreeSet::new(),
-            handing: HashMap::new(),
-            wall: wall.saturating_sub(now),
-            unwanted: HashSet::new(),
-            landing: BTreeSet::new(),
-            live: BTreeSet::new(),
-            thin: BTreeSet::new(),
-            thin_since: None,
-            bucket: Default::default(),
-            rows: Default::default(),
+            forgetting: VecDeque::new(),
+            awaiting_config: HashSet::new(),
+            unreleased: BTreeSet::new(),
+            handovers: HashMap::new(),
+            wall_clock_offset_ms: wall.saturating_sub(now),
+            superseded_keys: HashSet::new(),
+            persisting: BTreeSet::new(),
+            live_by_owner: BTreeSet::new(),
+            under_replicated: BTreeSet::new(),
+            under_replicated_since: None,
+            repair_budget: Default::default(),
+            ordering: Default::default(),
             orphans: BTreeSet::new(),
-            lost: HashMap::new(),
-            receivers: HashMap::new(),
-            calling: HashMap::new(),
-            waits: HashMap::new(),
-            writing: BTreeMap::new(),
-            ticked: now,
+            lost_by_owner: HashMap::new(),
+            callback_receivers: HashMap::new(),
+            callbacks_in_flight: HashMap::new(),
+            pending_writes: HashMap::new(),
+            write_started_at: BTreeMap::new(),
+            last_tick_at: now,
             records: Vec::new(),
-            sync: false,
-            due_waits: Vec::new(),
-            ends_at: None,
+            needs_sync: false,
+            next_pending_writes: Vec::new(),
+            flush_ends_at: None,
             effects: Vec::new(),
-            lane_wait: 0,
-            upkeep: now,
-            leaving: false,
-            retiring: ledger.retire,
-            retire_kept: ledger.retire,
-            relieved: BTreeSet::new(),
-            passing: Default::default(),
-            heard: true,
-            lapsed: false,
-            fence: None,
-            acquainted: false,
+            next_dispatch_at: 0,
+            last_upkeep_at: now,
+            is_draining: false,
+            is_retiring: ledger.retire,
+            is_retirement_durable: ledger.retire,
+            released_by: BTreeSet::new(),
+            end_replication: Default::default(),
+            hears_control_group: true,
+            session_may_have_lapsed: false,
+            fenced_since: None,
+            knows_members: false,
             #[cfg(feature = "planted")]
             planted: None,
-            figures: Figures::default(),
-            terms,
+            metrics: QueueMetrics::default(),
+            settings: terms,
         };
         for (key, kept) in ledger.all {
-            queue.recall(key, kept, now, wall);
+            queue.restore(key, kept, now, wall);
         }
         if ledger.retire {
             queue.begin_retiring(now);
@@ -170,7 +170,7 @@
         queue
     }
 
-    fn recall(&mut self, key: Key, kept: crate::ledger::Kept, now: Millis, wall: u64) {
+    fn restore(&mut self, key: Key, kept: crate::ledger::Kept, now: Millis, wall: u64) {
         let known = kept.shared.is_some();
         let shared = kept.shared.unwrap_or_default();
         let (end, owed) = match kept.end {
@@ -183,40 +183,42 @@
         let gone = wall.saturating_sub(shared.message.taken);
         // Whoever owns it, or held a copy, may be gone for good: it is missed from now on all the same.
         for node in
-            shared.copies.iter().chain([&shared.owner]).filter(|node| known && **node != self.terms.me)
+            shared.copies.iter().chain([&shared.owner]).filter(|node| known && **node != self.settings.node)
         {
             self.peers.entry(*node).or_insert_with(|| Peer::new(now));
         }
-        let mut entry = Entry::of(&shared, now);
-        entry.born = now as i64 - gone as i64;
+        let mut entry = Entry::from_shared(&shared, now);
+        entry.accepted_at = now as i64 - gone as i64;
         // Clocks of machines differ a little: rather late than early.
-        entry.due = now + (shared.message.delay_ms + 60).saturating_sub(gone).min(shared.message.delay_ms);
-        entry.stage = match (&end, shared.owner == self.terms.me) {
+        entry.due_at = now + (shared.message.delay_ms + 60).saturating_sub(gone).min(shared.message.delay_ms);
+        entry.stage = match (&end, shared.owner == self.settings.node) {
             (Some(_), _) => Stage::Ended,
-            (None, true) => Stage::Held,
-            (None, false) => Stage::Copy,
+            (None, true) => Stage::Suspended,
+            (None, false) => Stage::Replica,
         };
-        (entry.end, entry.owed) = (end, owed);
-        let (stage, owed) = (entry.stage, entry.owed && entry.owner == self.terms.me);
+        (entry.end, entry.callback_pending) = (end, owed);
+        let (stage, owed) = (entry.stage, entry.callback_pending && entry.owner == self.settings.node);
         self.entries.insert(key, entry);
-        self.file(key);
+        self.reindex(key);
         match stage {
-            Stage::Ended => self.forget.push_back((now + self.terms.status_ms + 60_000, key)),
-            Stage::Held => {
-                self.held.insert(key);
+            Stage::Ended => {
+                self.forgetting.push_back((now + self.settings.status_retention_ms + 60_000, key))
+            }
+            Stage::Suspended => {
+                self.unreleased.insert(key);
             }
             _ => {}
         }
         if owed {
-            self.owe(key);
+            self.queue_callback(key);
         }
-        self.expiry(key);
+        self.update_expiry(key);
     }
 
     /// By when it has waited too long, as its route says now.
-    pub(crate) fn expiry(&mut self, key: Key) {
+    pub(crate) fn update_expiry(&mut self, key: Key) {
         let Some(entry) = self.entries.get_mut(&key) else { return };
-        self.expiring.remove(&(entry.expires, key));
+        self.expiring.remove(&(entry.expires_at, key));
         let most = self
             .config
             .as_ref()
@@ -224,9 +226,9 @@
                 c.route(&entry.message.host, &entry.message.target).map(|at| c.routes[at].max_wait_ms)
             })
             .unwrap_or(90_000);
-        entry.expires = entry.born.saturating_add_unsigned(most + SLACK).max(0) as Millis;
+        entry.expires_at = entry.accepted_at.saturating_add_unsigned(most + SLACK).max(0) as Millis;
         if entry.end.is_none() {
-            self.expiring.insert((entry.expires, key));
+            self.expiring.insert((entry.expires_at, key));
         }
     }
 
@@ -235,77 +237,77 @@
     }
 
     /// What is known of a message, and its bytes where they are here.
-    pub fn find(&self, key: Key) -> Option<(State, Option<&[u8]>)> {
+    pub fn lookup(&self, key: Key) -> Option<(MessageState, Option<&[u8]>)> {
         let entry = self.entries.get(&key)?;
         let state = match &entry.end {
-            None => State::Waiting,
-            Some(End::Complete { seal }) => State::Complete { seal: seal.clone() },
-            Some(End::Failed) => State::Failed,
+            None => MessageState::Waiting,
+            Some(End::Complete { seal }) => MessageState::Complete { seal: seal.clone() },
+            Some(End::Failed) => MessageState::Failed,
         };
-        let here = !matches!(state, State::Complete { .. }) && entry.message.taken > 0;
+        let here = !matches!(state, MessageState::Complete { .. }) && entry.message.taken > 0;
         Some((state, here.then_some(entry.message.body.as_slice())))
     }
 
     pub(crate) fn remove(&mut self, key: Key) {
         self.unschedule(key);
         if let Some(entry) = self.entries.remove(&key) {
-            self.expiring.remove(&(entry.expires, key));
-            entry.landing.map(|at| self.landing.remove(&(at, key)));
-            entry.thin.map(|at| self.thin.remove(&(at, key)));
-            entry.filed.map(|owner| self.live.remove(&(owner, key)));
-            if let Some(row) = entry.row {
-                self.rows.leave(&row.0, (row.1, key), entry.announced);
+            self.expiring.remove(&(entry.expires_at, key));
+            entry.persist_check_at.map(|at| self.persisting.remove(&(at, key)));
+            entry.repair_at.map(|at| self.under_replicated.remove(&(at, key)));
+            entry.indexed_owner.map(|owner| self.live_by_owner.remove(&(owner, key)));
+            if let Some(row) = entry.order_slot {
+                self.ordering.leave(&row.0, (row.1, key), entry.is_announced);
             }
-            self.held.remove(&key);
-            self.handing.remove(&key);
-            self.unwanted.remove(&key);
+            self.unreleased.remove(&key);
+            self.handovers.remove(&key);
+            self.superseded_keys.remove(&key);
         }
     }
 
     /// Keeps `live` in step with an entry that has changed.
-    pub(crate) fn file(&mut self, key: Key) {
+    pub(crate) fn reindex(&mut self, key: Key) {
         let Some(entry) = self.entries.get_mut(&key) else { return };
-        let filed = (entry.end.is_none() || entry.owed).then_some(entry.owner);
-        let was = std::mem::replace(&mut entry.filed, filed);
+        let filed = (entry.end.is_none() || entry.callback_pending).then_some(entry.owner);
+        let was = std::mem::replace(&mut entry.indexed_owner, filed);
         if was != filed {
-            was.map(|owner| self.live.remove(&(owner, key)));
-            filed.map(|owner| self.live.insert((owner, key)));
+            was.map(|owner| self.live_by_owner.remove(&(owner, key)));
+            filed.map(|owner| self.live_by_owner.insert((owner, key)));
         }
         let row = (entry.end.is_none()).then_some(&entry.message.order_key);
         let row = row.and_then(|name| name.clone()).map(|name| Box::new((name, entry.message.taken)));
-        if entry.row != row {
-            if let Some(old) = std::mem::replace(&mut entry.row, row) {
-                self.rows.leave(&old.0, (old.1, key), entry.announced && entry.end.is_some());
+        if entry.order_slot != row {
+            if let Some(old) = std::mem::replace(&mut entry.order_slot, row) {
+                self.ordering.leave(&old.0, (old.1, key), entry.is_announced && entry.end.is_some());
             }
-            if let Some(new) = &entry.row {
-                self.rows.enter(&new.0, (new.1, key));
+            if let Some(new) = &entry.order_slot {
+                self.ordering.enter(&new.0, (new.1, key));
             }
         }
-        if filed != Some(self.terms.me) {
-            entry.thin.take().map(|at| self.thin.remove(&(at, key)));
+        if filed != Some(self.settings.node) {
+            entry.repair_at.take().map(|at| self.under_replicated.remove(&(at, key)));
         }
     }
 
-    pub(crate) fn enter(&mut self, now: Millis, shared: &Shared, stage: Stage) {
-        let mut entry = Entry::of(shared, now);
+    pub(crate) fn insert_replica_of(&mut self, now: Millis, shared: &Shared, stage: Stage) {
+        let mut entry = Entry::from_shared(shared, now);
         entry.stage = stage;
         // It may wait, land or be out here: none of that may go on with what is put in its place.
         let old = self.entries.get_mut(&shared.key).and_then(|old| old.ticket.take());
         self.remove(shared.key);
-        self.uncertain(old);
+        self.report_unknown_outcome(old);
         self.entries.insert(shared.key, entry);
-        self.file(shared.key);
-        self.expiry(shared.key);
+        self.reindex(shared.key);
+        self.update_expiry(shared.key);
     }
 
     /// Requests that are out, and messages that are not yet safe.
-    pub fn in_hand(&self) -> usize {
-        self.service_queues.iter().map(|service_queue| service_queue.sent.len()).sum::<usize>()
-            + self.landing.len()
-            + self.handing.len()
+    pub fn unfinished_count(&self) -> usize {
+        self.service_queues.iter().map(|service_queue| service_queue.in_flight.len()).sum::<usize>()
+            + self.persisting.len()
+            + self.handovers.len()
     }
 
-    pub fn live(&self) -> usize {
-        self.live.len()
+    pub fn live_count(&self) -> usize {
+        self.live_by_owner.len()
     }
 }
--- a/crates/queue/src/queue/call_backs.rs
+++ b/crates/queue/src/queue/call_backs.rs
@@ -32,31 +32,32 @@
 }
 
 impl Queue {
-    pub(crate) fn owe(&mut self, key: Key) {
+    pub(crate) fn queue_callback(&mut self, key: Key) {
         let Some(url) = self.entries.get(&key).and_then(|e| e.message.callback.as_deref()) else { return };
         let place = receiver(url);
-        self.receivers.entry(place).or_default().queue.push_back(key);
+        self.callback_receivers.entry(place).or_default().queue.push_back(key);
     }
 
-    pub(super) fn call_back(&mut self, now: Millis) -> Millis {
+    pub(super) fn start_callbacks(&mut self, now: Millis) -> Millis {
         let mut next = Millis::MAX;
         let mut out = Vec::new();
         // A receiver takes few connections from all stores together, and resets what is beyond: with many stores each has less.
         let calls = (RECEIVER / (1 + self.peers.values().filter(|p| p.listed).count())).clamp(1, CALLS);
-        for (place, receiver) in &mut self.receivers {
+        for (place, receiver) in &mut self.callback_receivers {
             // One that fails is tried with one call at a time, and less and less often.
-            let most = if receiver.fails > 0 { 1 } else { calls };
-            while receiver.out < most && !receiver.queue.is_empty() {
-                if now < receiver.pause {
-                    next = next.min(receiver.pause);
+            let most = if receiver.consecutive_failures > 0 { 1 } else { calls };
+            while receiver.in_flight < most && !receiver.queue.is_empty() {
+                if now < receiver.not_before {
+                    next = next.min(receiver.not_before);
                     break;
                 }
                 let Some(key) = receiver.queue.pop_front() else { break };
-                let entry = self.entries.get(&key).filter(|e| e.owed && e.owner == self.terms.me);
-                let entry = entry.filter(|_| !self.calling.contains_key(&key));
+                let entry =
+                    self.entries.get(&key).filter(|e| e.callback_pending && e.owner == self.settings.node);
+                let entry = entry.filter(|_| !self.callbacks_in_flight.contains_key(&key));
                 let Some((entry, end)) = entry.and_then(|e| Some((e, e.end.as_ref()?))) else { continue };
-                receiver.out += 1;
-                self.calling.insert(key, place.clone());
+                receiver.in_flight += 1;
+                self.callbacks_in_flight.insert(key, place.clone());
                 let id = &entry.message.id;
                 let body = match end {
                     End::Complete { seal } => {
@@ -67,31 +68,31 @@
                 out.push((key, entry.message.callback.clone().unwrap_or_default(), body));
             }
         }
-        self.figures.calls += out.len() as u64;
-        self.effects.extend(out.into_iter().map(|(key, url, body)| Effect::Call { key, url, body }));
+        self.metrics.callbacks_started += out.len() as u64;
+        self.effects.extend(out.into_iter().map(|(key, url, body)| Effect::CallBack { key, url, body }));
         next
     }
 
     /// A call-back came to its end.
-    pub fn called(&mut self, now: Millis, key: Key, taken: bool) {
-        let Some(place) = self.calling.remove(&key) else { return };
-        let receiver = self.receivers.entry(place).or_default();
-        receiver.out = receiver.out.saturating_sub(1);
+    pub fn callback_ended(&mut self, now: Millis, key: Key, taken: bool) {
+        let Some(place) = self.callbacks_in_flight.remove(&key) else { return };
+        let receiver = self.callback_receivers.entry(place).or_default();
+        receiver.in_flight = receiver.in_flight.saturating_sub(1);
         if !taken {
-            receiver.fails += 1;
-            receiver.pause = now + (50 << receiver.fails.min(6)).min(2000);
+            receiver.consecutive_failures += 1;
+            receiver.not_before = now + (50 << receiver.consecutive_failures.min(6)).min(2000);
             receiver.queue.push_back(key);
             return;
         }
-        receiver.fails = 0;
+        receiver.consecutive_failures = 0;
         let Some(entry) = self.entries.get_mut(&key).filter(|e| e.end.is_some()) else { return };
-        entry.owed = false;
-        entry.strip();
-        let copies = entry.copies.clone();
-        self.file(key);
-        self.figures.called += 1;
+        entry.callback_pending = false;
+        entry.discard_content();
+        let copies = entry.replicas.clone();
+        self.reindex(key);
+        self.metrics.callbacks_delivered += 1;
         self.record(&Record::Called { key }, false);
         copies.into_iter().for_each(|to| self.to(to).called.push(key));
-        self.ends_at.get_or_insert(now + TELL);
+        self.flush_ends_at.get_or_insert(now + TELL);
     }
 }
--- a/crates/queue/src/queue/completion.rs
+++ b/crates/queue/src/queue/completion.rs
@@ -13,64 +13,64 @@
         self.unschedule(key);
         let Some(entry) = self.entries.get_mut(&key) else { return };
         let owed = entry.message.callback.is_some();
-        (entry.stage, entry.end, entry.owed) = (Stage::Ended, Some(end.clone()), owed);
-        entry.strip();
-        self.expiring.remove(&(entry.expires, key));
-        let mut told = entry.copies.clone();
+        (entry.stage, entry.end, entry.callback_pending) = (Stage::Ended, Some(end.clone()), owed);
+        entry.discard_content();
+        self.expiring.remove(&(entry.expires_at, key));
+        let mut told = entry.replicas.clone();
         // Its run came to an end here, though another store owns it by now: that one calls back.
         told.extend(
-            Some(entry.owner).filter(|owner| *owner != self.terms.me && !entry.copies.contains(owner)),
+            Some(entry.owner).filter(|owner| *owner != self.settings.node && !entry.replicas.contains(owner)),
         );
         match end {
-            End::Complete { .. } => self.figures.done += 1,
-            End::Failed => self.figures.failed += 1,
+            End::Complete { .. } => self.metrics.completed += 1,
+            End::Failed => self.metrics.failed += 1,
         }
-        self.forget_later(now, key);
+        self.schedule_forget(now, key);
         if !self.planted(Planted::EndUnkept) {
-            self.record(&Record::End { key, end: end.clone(), owed, at: self.wall_of(now) }, false);
+            self.record(&Record::End { key, end: end.clone(), owed, at: self.wall_clock_ms(now) }, false);
         }
         for to in told {
             self.to(to).ends.push((key, end.clone(), owed));
         }
-        self.ends_at.get_or_insert(now + TELL);
-        self.handing.remove(&key);
-        self.file(key);
+        self.flush_ends_at.get_or_insert(now + TELL);
+        self.handovers.remove(&key);
+        self.reindex(key);
         if owed {
-            self.owe(key);
+            self.queue_callback(key);
         }
     }
 
     /// Those who ask are told of it for so long.
-    pub(crate) fn forget_later(&mut self, now: Millis, key: Key) {
-        self.passing.again();
-        self.forget.push_back((now + self.terms.status_ms + 60_000, key));
+    pub(crate) fn schedule_forget(&mut self, now: Millis, key: Key) {
+        self.end_replication.again();
+        self.forgetting.push_back((now + self.settings.status_retention_ms + 60_000, key));
     }
 
-    pub(crate) fn wall_of(&self, now: Millis) -> u64 {
-        self.wall + now
+    pub(crate) fn wall_clock_ms(&self, now: Millis) -> u64 {
+        self.wall_clock_offset_ms + now
     }
 
     /// A message that this store does not deliver has ended, or one that another has ended for it.
-    pub(crate) fn close_copy(&mut self, now: Millis, key: Key, end: End, owed: bool) {
+    pub(crate) fn close_entry(&mut self, now: Millis, key: Key, end: End, owed: bool) {
         self.unschedule(key);
         let Some(entry) = self.entries.get_mut(&key) else { return };
-        (entry.stage, entry.end, entry.owed) = (Stage::Ended, Some(end), owed);
-        entry.strip();
-        self.expiring.remove(&(entry.expires, key));
-        entry.landing.take().map(|at| self.landing.remove(&(at, key)));
-        let (ticket, own) = (entry.ticket.take(), entry.owner == self.terms.me);
-        self.held.remove(&key);
-        self.handing.remove(&key);
-        self.file(key);
-        self.forget_later(now, key);
-        self.uncertain(ticket);
+        (entry.stage, entry.end, entry.callback_pending) = (Stage::Ended, Some(end), owed);
+        entry.discard_content();
+        self.expiring.remove(&(entry.expires_at, key));
+        entry.persist_check_at.take().map(|at| self.persisting.remove(&(at, key)));
+        let (ticket, own) = (entry.ticket.take(), entry.owner == self.settings.node);
+        self.unreleased.remove(&key);
+        self.handovers.remove(&key);
+        self.reindex(key);
+        self.schedule_forget(now, key);
+        self.report_unknown_outcome(ticket);
         if own && owed {
-            self.owe(key);
+            self.queue_callback(key);
         }
     }
 
     /// Tells all ends now.
-    pub fn flush(&mut self) {
+    pub fn flush_ends(&mut self) {
         self.tell_ends();
     }
 }
--- a/crates/queue/src/queue/delivery.rs
+++ b/crates/queue/src/queue/delivery.rs
@@ -1,10 +1,10 @@
 //! Delivery: when a message's turn comes, its attempts, and what the outcome of an attempt leads to.
 
-use super::token_holders::holder_of;
+use super::token_holders::token_holder;
 use super::{Effect, Outcome, Queue, Stage, UPKEEP};
 use crate::message::{End, Key, Millis, PeerMessage};
 use crate::planted::Planted;
-use crate::service_queue::{Again, Picked};
+use crate::service_queue::{Retry, Selection};
 use stileroute_dispatch::types::{Outcome as Judged, Time};
 
 /// After a failed attempt a message waits, twice as long each time, up to the second figure.
@@ -14,19 +14,19 @@
     /// Puts a safe message where it waits: for its time, for a configuration, or for its turn.
     pub(crate) fn schedule(&mut self, now: Millis, key: Key) {
         let Some(entry) = self.entries.get_mut(&key).filter(|e| e.stage == Stage::Waiting) else { return };
-        if entry.turn.is_some() {
+        if entry.queue_position.is_some() {
             return;
         }
-        if self.unwanted.contains(&key) {
+        if self.superseded_keys.contains(&key) {
             return self.withdraw(key);
         }
-        if self.leaving {
+        if self.is_draining {
             self.hand_over(key);
             return;
         }
-        let start = entry.due.max(entry.pause);
+        let start = entry.due_at.max(entry.not_before);
         if start > now {
-            entry.wake = Some(start);
+            entry.delayed_until = Some(start);
             self.delayed.insert((start, key));
             return;
         }
@@ -35,55 +35,57 @@
         }
         let Some(entry) = self.entries.get_mut(&key) else { return };
         let Some(config) = &self.config else {
-            self.early.insert(key);
+            self.awaiting_config.insert(key);
             return;
         };
         let Some(route) = config.route(&entry.message.host, &entry.message.target) else {
             if entry.message.config > config.revision {
-                self.early.insert(key);
+                self.awaiting_config.insert(key);
             } else {
-                self.figures.dropped += 1;
+                self.metrics.failed_without_route += 1;
                 self.finish(now, key, End::Failed);
             }
             return;
         };
         if entry.message.config > config.revision {
-            self.early.insert(key);
+            self.awaiting_config.insert(key);
             return;
         }
         let route = &config.routes[route];
-        let Some(at) = self.lane_of.get(&config.services[route.service].name).copied() else { return };
-        let late = now > entry.due + route.run_target_ms;
-        let turn = (late, route.priority, entry.due, key);
-        entry.turn = Some((at, turn));
-        self.service_queues[at].enter(turn, entry.ran);
-        self.lane_wait = 0;
+        let Some(at) = self.service_queue_index.get(&config.services[route.service].name).copied() else {
+            return;
+        };
+        let late = now > entry.due_at + route.run_target_ms;
+        let turn = (late, route.priority, entry.due_at, key);
+        entry.queue_position = Some((at, turn));
+        self.service_queues[at].enter(turn, entry.has_run);
+        self.next_dispatch_at = 0;
     }
 
     pub(crate) fn unschedule(&mut self, key: Key) {
         if let Some(entry) = self.entries.get_mut(&key) {
-            if let Some(at) = entry.wake.take() {
+            if let Some(at) = entry.delayed_until.take() {
                 self.delayed.remove(&(at, key));
             }
-            if let Some((at, turn)) = entry.turn.take() {
+            if let Some((at, turn)) = entry.queue_position.take() {
                 self.service_queues[at].leave(&turn);
             }
         }
-        self.early.remove(&key);
+        self.awaiting_config.remove(&key);
     }
 
     /// Sends what can be sent.
-    pub(super) fn pump(&mut self, now: Millis, fine: Time) {
-        if self.leaving || self.fence.is_some() && !self.planted(Planted::FenceUnheeded) {
-            self.lane_wait = now + UPKEEP;
+    pub(super) fn start_attempts(&mut self, now: Millis, fine: Time) {
+        if self.is_draining || self.fenced_since.is_some() && !self.planted(Planted::FenceUnheeded) {
+            self.next_dispatch_at = now + UPKEEP;
             return;
         }
-        self.lane_wait = Millis::MAX;
+        self.next_dispatch_at = Millis::MAX;
         for at in 0..self.service_queues.len() {
             let mut again = true;
             loop {
                 let (turn, look) = self.service_queues[at].first_turn(now, again);
-                self.lane_wait = self.lane_wait.min(look);
+                self.next_dispatch_at = self.next_dispatch_at.min(look);
                 let Some(turn) = turn else { break };
                 let (late, priority, due, key) = turn;
                 let Some((config, entry)) = self.config.as_ref().zip(self.entries.get_mut(&key)) else {
@@ -92,8 +94,8 @@
                 };
                 // An earlier one of its row has come to light since: it waits again.
                 let spot = (entry.message.taken, key);
-                if entry.message.order_key.as_ref().is_some_and(|row| !self.rows.is_first(row, spot)) {
-                    entry.turn = None;
+                if entry.message.order_key.as_ref().is_some_and(|row| !self.ordering.is_first(row, spot)) {
+                    entry.queue_position = None;
                     self.service_queues[at].leave(&turn);
                     continue;
                 }
@@ -102,10 +104,10 @@
                 if !late && now > due + route.run_target_ms {
                     // Too late for its aim: those that can still be in time go first.
                     let turn_now = (true, priority, due, key);
-                    entry.turn = Some((at, turn_now));
+                    entry.queue_position = Some((at, turn_now));
                     self.service_queues[at].leave(&turn);
-                    if entry.ran {
-                        self.service_queues[at].again.insert(turn_now);
+                    if entry.has_run {
+                        self.service_queues[at].retries.insert(turn_now);
                     } else {
                         self.service_queues[at].ready.insert(turn_now);
                     }
@@ -113,65 +115,65 @@
                 }
                 let timeout_ms = route.timeout_ms;
                 let service_queue = &mut self.service_queues[at];
-                if now < service_queue.pause {
-                    self.lane_wait = self.lane_wait.min(service_queue.pause);
+                if now < service_queue.paused_until {
+                    self.next_dispatch_at = self.next_dispatch_at.min(service_queue.paused_until);
                     break;
                 }
-                if let Some(bucket) = &mut service_queue.bucket {
+                if let Some(bucket) = &mut service_queue.token_bucket {
                     if !bucket.take(now) {
-                        let wanted = (service_queue.ready.len() + service_queue.again.len()).min(4) as u32;
+                        let wanted = (service_queue.ready.len() + service_queue.retries.len()).min(4) as u32;
                         if bucket.ask(now) {
-                            let holder = holder_of(&service_queue.name, self.terms.me, &self.peers);
+                            let holder = token_holder(&service_queue.name, self.settings.node, &self.peers);
                             let note = PeerMessage::TokensWanted {
                                 service: service_queue.name.clone(),
                                 count: wanted,
                             };
-                            if holder != self.terms.me {
-                                self.effects.push(Effect::Send { to: holder, note });
+                            if holder != self.settings.node {
+                                self.effects.push(Effect::Send { to: holder, message: note });
                             }
                         }
-                        self.lane_wait = self.lane_wait.min(now + 15);
+                        self.next_dispatch_at = self.next_dispatch_at.min(now + 15);
                         break;
                     }
                 }
                 let attempt = self.next_attempt;
                 let stores = 1 + self.peers.values().filter(|p| p.listed || p.connected).count();
-                service_queue.share = (service_queue.max_conns / stores).max(2);
+                service_queue.connection_share = (service_queue.max_connections / stores).max(2);
                 let avoid = entry
-                    .failed_at
+                    .last_failed_on
                     .filter(|(service_queue, _)| *service_queue == at)
                     .map(|(_, executor)| executor);
-                let repeat = entry.ran.then_some(Again { avoid });
+                let repeat = entry.has_run.then_some(Retry { avoid });
                 match service_queue.pick(fine, now, key, attempt, repeat) {
-                    Picked::Full(until) => {
-                        if let Some(bucket) = &mut service_queue.bucket {
+                    Selection::RetriesFullUntil(until) => {
+                        if let Some(bucket) = &mut service_queue.token_bucket {
                             bucket.give_back();
                         }
-                        self.lane_wait = self.lane_wait.min(until);
+                        self.next_dispatch_at = self.next_dispatch_at.min(until);
                         again = false;
                     }
-                    Picked::Wait(until) => {
-                        if let Some(bucket) = &mut service_queue.bucket {
+                    Selection::WaitUntil(until) => {
+                        if let Some(bucket) = &mut service_queue.token_bucket {
                             bucket.give_back();
                         }
-                        self.lane_wait = self.lane_wait.min(until);
+                        self.next_dispatch_at = self.next_dispatch_at.min(until);
                         break;
                     }
-                    Picked::Go { executor } => {
+                    Selection::Send { executor } => {
                         self.next_attempt += 1;
                         service_queue.leave(&turn);
-                        entry.turn = None;
-                        entry.stage = Stage::Out;
-                        self.figures.attempts += 1;
-                        self.figures.again += u64::from(entry.fails > 0);
-                        let server = &service_queue.known[executor].server;
-                        self.effects.push(Effect::Deliver {
+                        entry.queue_position = None;
+                        entry.stage = Stage::InFlight;
+                        self.metrics.attempts += 1;
+                        self.metrics.retries += u64::from(entry.backoff_steps > 0);
+                        let server = &service_queue.executors[executor].executor;
+                        self.effects.push(Effect::StartAttempt {
                             attempt,
                             key,
                             to: server.address,
-                            expect: (!server.id.is_empty()).then(|| server.id.clone()),
+                            expected_server: (!server.id.is_empty()).then(|| server.id.clone()),
                             timeout_ms,
-                            conns: service_queue.share,
+                            max_connections: service_queue.connection_share,
                         });
                     }
                 }
@@ -180,7 +182,7 @@
     }
 
     /// An attempt came to its end.
-    pub fn delivered(
+    pub fn attempt_ended(
         &mut self,
         now: Millis,
         fine: Time,
@@ -189,71 +191,80 @@
         load: Option<[f64; 3]>,
     ) {
         let judged = match &outcome {
-            Outcome::Done { .. } => Judged::Acked,
-            Outcome::Refused | Outcome::Failed => Judged::Unfit,
-            Outcome::Full => Judged::Full,
-            Outcome::Over | Outcome::Running | Outcome::NotRun | Outcome::NoRoom => Judged::Moot,
-            Outcome::Wrong => Judged::Error,
+            Outcome::Completed { .. } => Judged::Acked,
+            Outcome::Rejected | Outcome::Failed => Judged::Unfit,
+            Outcome::ExecutorFull => Judged::Full,
+            Outcome::RateLimited | Outcome::AlreadyRunning | Outcome::NotRun | Outcome::NoFreeConnection => {
+                Judged::Moot
+            }
+            Outcome::WrongServer => Judged::Error,
             Outcome::NotConnected => Judged::NotConnected,
-            Outcome::Broken => Judged::Reset,
-            Outcome::Stopped | Outcome::Late => Judged::TimedOut,
-            Outcome::Garbled => Judged::Broken,
+            Outcome::ConnectionBroken => Judged::Reset,
+            Outcome::TimedOut | Outcome::NoResponse => Judged::TimedOut,
+            Outcome::MalformedResponse => Judged::Broken,
         };
-        let Some(at) =
-            self.service_queues.iter().position(|service_queue| service_queue.sent.contains_key(&attempt))
+        let Some(at) = self
+            .service_queues
+            .iter()
+            .position(|service_queue| service_queue.in_flight.contains_key(&attempt))
         else {
             return;
         };
         // What was stopped at its time, too: the work was done in vain.
         let ran = matches!(
             outcome,
-            Outcome::Failed | Outcome::Stopped | Outcome::Broken | Outcome::Late | Outcome::Garbled
+            Outcome::Failed
+                | Outcome::TimedOut
+                | Outcome::ConnectionBroken
+                | Outcome::NoResponse
+                | Outcome::MalformedResponse
         );
         let settled = self.service_queues[at].settle(fine, now, attempt, judged, ran, load);
         let Some((key, executor)) = settled else { return };
-        if outcome == Outcome::Over {
-            self.service_queues[at].pause = now + 200;
+        if outcome == Outcome::RateLimited {
+            self.service_queues[at].paused_until = now + 200;
         }
-        self.lane_wait = 0;
+        self.next_dispatch_at = 0;
         let Some(entry) = self.entries.get_mut(&key) else { return };
         if entry.end.is_some() {
             return;
         }
-        if ran || outcome == Outcome::Running {
-            (entry.ran, entry.failed_at) = (true, Some((at, executor)));
+        if ran || outcome == Outcome::AlreadyRunning {
+            (entry.has_run, entry.last_failed_on) = (true, Some((at, executor)));
         }
         match outcome {
-            Outcome::Done { seal } => return self.finish(now, key, End::Complete { seal }),
-            Outcome::Refused => return self.finish(now, key, End::Failed),
-            Outcome::Failed => entry.tries += 1,
+            Outcome::Completed { seal } => return self.finish(now, key, End::Complete { seal }),
+            Outcome::Rejected => return self.finish(now, key, End::Failed),
+            Outcome::Failed => entry.failed_attempts += 1,
             _ => {}
         }
-        if entry.stage != Stage::Out {
+        if entry.stage != Stage::InFlight {
             return;
         }
-        if entry.owner != self.terms.me {
+        if entry.owner != self.settings.node {
             // While it was out another store has become its owner, and delivers it.
-            entry.stage = Stage::Copy;
+            entry.stage = Stage::Replica;
             return;
         }
         entry.stage = Stage::Waiting;
         let limit = self.config.as_ref().and_then(|config| {
             config.route(&entry.message.host, &entry.message.target).map(|at| config.routes[at].max_tries)
         });
-        if limit.is_some_and(|limit| entry.tries >= limit) {
+        if limit.is_some_and(|limit| entry.failed_attempts >= limit) {
             return self.finish(now, key, End::Failed);
         }
         // One that was turned away, or never reached anyone, may go elsewhere soon; one that failed waits
         // longer.
-        entry.fails += 1;
+        entry.backoff_steps += 1;
         let pause = match outcome {
-            Outcome::Full | Outcome::NoRoom | Outcome::Wrong | Outcome::NotConnected => {
-                (AGAIN.0 / 4) << (entry.fails / 4).min(5)
-            }
-            Outcome::Running => 100,
-            _ => (AGAIN.0 << entry.fails.min(8)).min(AGAIN.1),
+            Outcome::ExecutorFull
+            | Outcome::NoFreeConnection
+            | Outcome::WrongServer
+            | Outcome::NotConnected => (AGAIN.0 / 4) << (entry.backoff_steps / 4).min(5),
+            Outcome::AlreadyRunning => 100,
+            _ => (AGAIN.0 << entry.backoff_steps.min(8)).min(AGAIN.1),
         };
-        entry.pause = now + pause;
+        entry.not_before = now + pause;
         self.schedule(now, key);
     }
 }
--- a/crates/queue/src/queue/intake.rs
+++ b/crates/queue/src/queue/intake.rs
@@ -1,6 +1,6 @@
 //! Taking a message: its copies are chosen, and it is answered for once all of its disks have it.
 
-use super::{Effect, Entry, Queue, Stage, Waits};
+use super::{Effect, Entry, PendingWrite, Queue, Stage};
 use crate::message::{Key, Message, Millis, Node, Record, Refusal, Shared};
 use crate::planted::Planted;
 
@@ -13,67 +13,70 @@
 impl Queue {
     /// A message from an edge.
     pub fn put(&mut self, now: Millis, ticket: u64, message: Message) {
-        let copies = self.choose(now, &[], &[], self.terms.losses);
-        if self.leaving || self.stalled(now) || copies.len() < self.terms.losses || self.entries.len() >= MOST
+        let copies = self.choose(now, &[], &[], self.settings.replica_count);
+        if self.is_draining
+            || self.is_disk_stalled(now)
+            || copies.len() < self.settings.replica_count
+            || self.entries.len() >= MOST
         {
-            self.figures.refused += 1;
-            self.effects.push(Effect::Taken { ticket, result: Err(Refusal::NotTaken) });
+            self.metrics.rejected += 1;
+            self.effects.push(Effect::PutResult { ticket, result: Err(Refusal::NotTaken) });
             return;
         }
         self.next_number += 1;
-        let key = Key { origin: self.terms.me, number: self.next_number };
+        let key = Key { origin: self.settings.node, number: self.next_number };
         let due_in = message.delay_ms;
         let shared = Shared {
             key,
-            owner: self.terms.me,
+            owner: self.settings.node,
             copies: copies.clone(),
             due_in,
             message,
             ..Shared::default()
         };
-        let mut entry = Entry::of(&shared, now);
-        entry.stage = Stage::Landing;
+        let mut entry = Entry::from_shared(&shared, now);
+        entry.stage = Stage::Persisting;
         entry.ticket = Some(ticket);
-        entry.missing = std::iter::once(self.terms.me).chain(copies.iter().copied()).collect();
+        entry.unconfirmed = std::iter::once(self.settings.node).chain(copies.iter().copied()).collect();
         let look = now + crate::copies::COPY_WAIT;
-        entry.landing = Some(look);
+        entry.persist_check_at = Some(look);
         self.entries.insert(key, entry);
-        self.landing.insert((look, key));
-        self.file(key);
-        self.expiry(key);
+        self.persisting.insert((look, key));
+        self.reindex(key);
+        self.update_expiry(key);
         if self.put_in_row(now, key) {
             self.embark(key, now);
         }
     }
 
     /// The disk does not answer: what is taken now would wait behind what it has. Another store takes it in time.
-    pub(crate) fn stalled(&self, now: Millis) -> bool {
-        self.writing.first_key_value().is_some_and(|(_, since)| now > since + STALLED)
+    pub(crate) fn is_disk_stalled(&self, now: Millis) -> bool {
+        self.write_started_at.first_key_value().is_some_and(|(_, since)| now > since + STALLED)
     }
 
     /// The disk has answered.
-    pub fn kept(&mut self, now: Millis, ticket: u64, ok: bool) {
-        self.writing.remove(&ticket);
-        for wait in self.waits.remove(&ticket).unwrap_or_default() {
+    pub fn write_completed(&mut self, now: Millis, ticket: u64, ok: bool) {
+        self.write_started_at.remove(&ticket);
+        for wait in self.pending_writes.remove(&ticket).unwrap_or_default() {
             match (wait, ok) {
-                (Waits::Retire, ok) => {
-                    self.retire_kept = ok;
+                (PendingWrite::Retirement, ok) => {
+                    self.is_retirement_durable = ok;
                     // Not on disk it would be forgotten: the operator asks again.
-                    self.retiring = ok;
+                    self.is_retiring = ok;
                 }
-                (Waits::EndOf(from, key), true) => self.to(from).ends_kept.push(key),
+                (PendingWrite::EndFrom(from, key), true) => self.to(from).ends_kept.push(key),
                 // It is sent again.
-                (Waits::EndOf(..), false) => self.figures.no_disk += 1,
-                (Waits::Own(key), true) => self.safe_at(now, key, self.terms.me),
-                (Waits::Own(key), false) => {
-                    self.figures.no_disk += 1;
-                    self.undo(key);
+                (PendingWrite::EndFrom(..), false) => self.metrics.failed_writes += 1,
+                (PendingWrite::Ownership(key), true) => self.confirm_persisted(now, key, self.settings.node),
+                (PendingWrite::Ownership(key), false) => {
+                    self.metrics.failed_writes += 1;
+                    self.roll_back(key);
                 }
-                (Waits::CopyOf(from, key), true) => self.to(from).copied.push(key),
-                (Waits::CopyOf(from, key), false) => {
-                    self.figures.no_disk += 1;
+                (PendingWrite::ReplicaFor(from, key), true) => self.to(from).copied.push(key),
+                (PendingWrite::ReplicaFor(from, key), false) => {
+                    self.metrics.failed_writes += 1;
                     // Only what it wrote for the sender: it may own the message by now.
-                    if self.entries.get(&key).is_some_and(|e| e.stage == Stage::Copy && e.owner == from) {
+                    if self.entries.get(&key).is_some_and(|e| e.stage == Stage::Replica && e.owner == from) {
                         self.record(&Record::Drop { key }, false);
                         self.remove(key);
                         self.to(from).not_copied.push(key);
@@ -82,9 +85,10 @@
                 // With a disk that refuses, too: the message lies on both disks, and the one that gave it
                 // away says on both restarts who owns it. Without a word the other would wait until its time
                 // is over.
-                (Waits::HandedBy(from, key), ok) => {
-                    self.figures.no_disk += u64::from(!ok);
-                    let term = self.entries.get(&key).filter(|e| e.owner == self.terms.me).map(|e| e.term);
+                (PendingWrite::TakenOverFrom(from, key), ok) => {
+                    self.metrics.failed_writes += u64::from(!ok);
+                    let term =
+                        self.entries.get(&key).filter(|e| e.owner == self.settings.node).map(|e| e.term);
                     if let Some(term) = term {
                         self.to(from).handed.push((key, term));
                     }
@@ -94,42 +98,43 @@
     }
 
     /// Not safe here: it is taken back everywhere, and its client is told that nothing is known.
-    pub(crate) fn undo(&mut self, key: Key) {
-        let Some(entry) = self.entries.get(&key).filter(|e| e.stage == Stage::Landing) else { return };
-        let (ticket, copies) = (entry.ticket, entry.copies.clone());
+    pub(crate) fn roll_back(&mut self, key: Key) {
+        let Some(entry) = self.entries.get(&key).filter(|e| e.stage == Stage::Persisting) else { return };
+        let (ticket, copies) = (entry.ticket, entry.replicas.clone());
         self.record(&Record::Drop { key }, false);
         copies.into_iter().for_each(|to| self.to(to).drop.push(key));
         self.remove(key);
-        self.uncertain(ticket);
+        self.report_unknown_outcome(ticket);
     }
 
-    pub(crate) fn safe_at(&mut self, now: Millis, key: Key, node: Node) {
-        let early = self.planted(Planted::EarlyAnswer) && node == self.terms.me;
+    pub(crate) fn confirm_persisted(&mut self, now: Millis, key: Key, node: Node) {
+        let early = self.planted(Planted::EarlyAnswer) && node == self.settings.node;
         let Some(entry) = self.entries.get_mut(&key) else { return };
-        let was = entry.missing.len();
-        entry.missing.retain(|missing| *missing != node && !early);
-        if entry.stage != Stage::Landing && was > entry.missing.len() && entry.missing.is_empty() {
-            self.figures.repaired += 1;
+        let was = entry.unconfirmed.len();
+        entry.unconfirmed.retain(|missing| *missing != node && !early);
+        if entry.stage != Stage::Persisting && was > entry.unconfirmed.len() && entry.unconfirmed.is_empty() {
+            self.metrics.repaired += 1;
             return self.look_at_copies(now, key);
         }
-        if entry.stage != Stage::Landing || !entry.missing.is_empty() {
+        if entry.stage != Stage::Persisting || !entry.unconfirmed.is_empty() {
             return;
         }
         entry.stage = Stage::Waiting;
-        let (ticket, copy, look) = (entry.ticket.take(), entry.copies.first().copied(), entry.landing.take());
-        look.map(|at| self.landing.remove(&(at, key)));
+        let (ticket, copy, look) =
+            (entry.ticket.take(), entry.replicas.first().copied(), entry.persist_check_at.take());
+        look.map(|at| self.persisting.remove(&(at, key)));
         if let Some(ticket) = ticket {
-            self.figures.taken += 1;
-            self.effects.push(Effect::Taken { ticket, result: Ok(key.name(copy)) });
+            self.metrics.accepted += 1;
+            self.effects.push(Effect::PutResult { ticket, result: Ok(key.name(copy)) });
         }
         self.schedule(now, key);
     }
 
     /// It may run or not: its edge is told so, for nothing better can be said.
-    pub(crate) fn uncertain(&mut self, ticket: Option<u64>) {
+    pub(crate) fn report_unknown_outcome(&mut self, ticket: Option<u64>) {
         if let Some(ticket) = ticket {
-            self.figures.uncertain += 1;
-            self.effects.push(Effect::Taken { ticket, result: Err(Refusal::Uncertain) });
+            self.metrics.outcome_unknown += 1;
+            self.effects.push(Effect::PutResult { ticket, result: Err(Refusal::Uncertain) });
         }
     }
 }
--- a/crates/queue/src/queue/numbers.rs
+++ b/crates/queue/src/queue/numbers.rs
@@ -19,8 +19,8 @@
 
 impl Queue {
     /// The number was given by a life that began with the present disk.
-    pub(crate) fn given_here(&self, number: u64) -> bool {
-        let begun = self.terms.begun.iter().chain([&self.terms.first]);
+    pub(crate) fn is_number_of_present_disk(&self, number: u64) -> bool {
+        let begun = self.settings.earlier_first_numbers.iter().chain([&self.settings.first_number]);
         begun.into_iter().any(|first| line_of(*first) == line_of(number))
     }
 }
--- a/crates/queue/src/queue/timers.rs
+++ b/crates/queue/src/queue/timers.rs
@@ -1,6 +1,6 @@
 //! What is due at a given time, and the effects of a turn handed to the program.
 
-use super::{Effect, Queue, Stage, Waits, UPKEEP};
+use super::{Effect, PendingWrite, Queue, Stage, UPKEEP};
 use crate::message::{End, Key, Millis, Record};
 use std::collections::BTreeSet;
 use stileroute_dispatch::types::Time;
@@ -14,47 +14,48 @@
 impl Queue {
     /// What is due. Call it at the end of each turn, then carry out what `take` gives.
     pub fn tick(&mut self, now: Millis, fine: Time) {
-        self.ticked = now;
-        let lapsed = self.lapsed;
+        self.last_tick_at = now;
+        let lapsed = self.session_may_have_lapsed;
         self.service_queues
             .iter_mut()
-            .filter_map(|service_queue| service_queue.bucket.as_mut())
+            .filter_map(|service_queue| service_queue.token_bucket.as_mut())
             .for_each(|b| b.paused = lapsed);
-        let slept = now > self.upkeep + UPKEEP + FROZEN;
-        let long = now > self.upkeep + UPKEEP + MISSED;
+        let slept = now > self.last_upkeep_at + UPKEEP + FROZEN;
+        let long = now > self.last_upkeep_at + UPKEEP + MISSED;
         self.look_after_fence(now, slept, long);
         if slept {
             // It has slept: others may have taken messages in its place, and it has not heard of that yet.
-            self.rows.changed = now;
+            self.ordering.changed = now;
         }
         while let Some((at, key)) = self.delayed.first().copied().filter(|(at, _)| *at <= now) {
             self.delayed.remove(&(at, key));
             if let Some(entry) = self.entries.get_mut(&key) {
-                entry.wake = None;
+                entry.delayed_until = None;
             }
             self.schedule(now, key);
         }
         while let Some((at, key)) = self.expiring.first().copied().filter(|(at, _)| *at <= now) {
             self.expiring.remove(&(at, key));
-            let own = self.entries.get(&key).is_some_and(|e| e.owner == self.terms.me && e.end.is_none());
-            if own && self.entries.get(&key).is_some_and(|e| e.stage != Stage::Landing) {
-                self.figures.expired += 1;
+            let own =
+                self.entries.get(&key).is_some_and(|e| e.owner == self.settings.node && e.end.is_none());
+            if own && self.entries.get(&key).is_some_and(|e| e.stage != Stage::Persisting) {
+                self.metrics.expired += 1;
                 self.finish(now, key, End::Failed);
             } else if self.entries.get(&key).is_some_and(|e| e.end.is_none()) {
                 // A copy whose owner has not told an end: kept until the owner is asked, at most so long.
-                self.forget.push_back((now + self.terms.status_ms, key));
+                self.forgetting.push_back((now + self.settings.status_retention_ms, key));
             }
         }
-        while let Some((at, key)) = self.forget.front().copied() {
+        while let Some((at, key)) = self.forgetting.front().copied() {
             if at > now {
                 break;
             }
-            self.forget.pop_front();
+            self.forgetting.pop_front();
             let Some(entry) = self.entries.get(&key) else { continue };
-            match (entry.owner == self.terms.me, &entry.end) {
+            match (entry.owner == self.settings.node, &entry.end) {
                 // The call-back is owed yet.
-                (true, Some(_)) if entry.owed => {
-                    self.forget.push_back((now + self.terms.status_ms + 60_000, key));
+                (true, Some(_)) if entry.callback_pending => {
+                    self.forgetting.push_back((now + self.settings.status_retention_ms + 60_000, key));
                 }
                 // It was a copy when it was put here, and has been taken over.
                 (true, None) => {}
@@ -66,37 +67,37 @@
                 _ => self.remove(key),
             }
         }
-        if now >= self.upkeep + UPKEEP {
-            self.upkeep = now;
+        if now >= self.last_upkeep_at + UPKEEP {
+            self.last_upkeep_at = now;
             self.service_queues.iter_mut().for_each(|service_queue| service_queue.upkeep(fine));
-            self.deal_duties(now);
+            self.assign_token_holders(now);
             self.look_after(now);
         }
         self.look_after_landing(now);
         self.repair(now);
         self.move_up(now);
-        let calls = self.call_back(now);
-        self.pump(now, fine);
-        self.lane_wait = self.lane_wait.min(calls);
-        if self.ends_at.is_some_and(|at| at <= now) {
-            self.ends_at = None;
+        let calls = self.start_callbacks(now);
+        self.start_attempts(now, fine);
+        self.next_dispatch_at = self.next_dispatch_at.min(calls);
+        if self.flush_ends_at.is_some_and(|at| at <= now) {
+            self.flush_ends_at = None;
             self.tell_ends();
         }
         self.tell();
     }
 
     /// When `tick` is wanted next.
-    pub fn next(&self) -> Millis {
+    pub fn next_deadline(&self) -> Millis {
         let first = |set: &BTreeSet<(Millis, Key)>| set.first().map_or(Millis::MAX, |(at, _)| *at);
         let times = [
             first(&self.delayed),
             first(&self.expiring),
-            first(&self.landing),
+            first(&self.persisting),
             self.next_repair(),
-            self.rows.next(),
-            self.ends_at.unwrap_or(Millis::MAX),
-            self.upkeep + UPKEEP,
-            self.lane_wait,
+            self.ordering.next(),
+            self.flush_ends_at.unwrap_or(Millis::MAX),
+            self.last_upkeep_at + UPKEEP,
+            self.next_dispatch_at,
         ];
         times.into_iter().min().unwrap_or(0)
     }
@@ -104,30 +105,30 @@
     pub(crate) fn record(&mut self, record: &Record, sync: bool) {
         if let Ok(bytes) = postcard::to_stdvec(record) {
             self.records.push(bytes);
-            self.sync |= sync;
+            self.needs_sync |= sync;
         }
     }
 
-    pub(crate) fn wait_for_disk(&mut self, wait: Waits) {
-        self.due_waits.push(wait);
+    pub(crate) fn after_write(&mut self, wait: PendingWrite) {
+        self.next_pending_writes.push(wait);
     }
 
-    pub(crate) fn push(&mut self, effect: Effect) {
+    pub(crate) fn emit(&mut self, effect: Effect) {
         self.effects.push(effect);
     }
 
-    pub fn take(&mut self) -> Vec<Effect> {
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         let mut effects = std::mem::take(&mut self.effects);
         if !self.records.is_empty() {
             let ticket = self.next_ticket;
             self.next_ticket += 1;
-            let waits = std::mem::take(&mut self.due_waits);
+            let waits = std::mem::take(&mut self.next_pending_writes);
             if !waits.is_empty() {
-                self.waits.insert(ticket, waits);
-                self.writing.insert(ticket, self.ticked);
+                self.pending_writes.insert(ticket, waits);
+                self.write_started_at.insert(ticket, self.last_tick_at);
             }
             let records = std::mem::take(&mut self.records);
-            effects.push(Effect::Disk { ticket, records, sync: std::mem::take(&mut self.sync) });
+            effects.push(Effect::Persist { ticket, records, sync: std::mem::take(&mut self.needs_sync) });
         }
         effects
     }
--- a/crates/queue/src/queue/types.rs
+++ b/crates/queue/src/queue/types.rs
@@ -1,48 +1,48 @@
 //! The types of the queue's interface: settings, entries, effects, outcomes and figures.
 
 use crate::message::{End, Key, Message, Millis, Node, PeerMessage, Refusal, Shared};
-use crate::service_queue::Turn;
+use crate::service_queue::QueuePosition;
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
 
 /// Whole places that may be lost at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Bear {
+pub struct ToleratedLosses {
     pub zones: usize,
     pub regions: usize,
 }
 
 #[derive(Clone, Debug)]
 pub struct QueueSettings {
-    pub me: Node,
+    pub node: Node,
     pub zone: usize,
     /// Number of the disk, drawn when it was empty.
-    pub disk: u64,
+    pub disk_id: u64,
     /// The first number of this life, and of those before it that began with this disk.
-    pub first: u64,
-    pub begun: Vec<u64>,
+    pub first_number: u64,
+    pub earlier_first_numbers: Vec<u64>,
     /// So many copies beside the own one.
-    pub losses: usize,
+    pub replica_count: usize,
     /// The region of each zone.
-    pub regions: Vec<usize>,
+    pub region_of_zone: Vec<usize>,
     /// So many zones, or regions, may be lost at once: copies lie in one more than that.
-    pub bear: Bear,
-    pub window_ms: u64,
-    pub overrun: f64,
-    pub status_ms: u64,
+    pub tolerated_losses: ToleratedLosses,
+    pub rate_window_ms: u64,
+    pub rate_tolerance: f64,
+    pub status_retention_ms: u64,
     pub seed: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// Not yet safe.
-    Landing,
+    Persisting,
     /// Read from disk: it waits until those who hold copies have said what became of it.
-    Held,
+    Suspended,
     Waiting,
-    Out,
+    InFlight,
     /// Another store delivers it.
-    Copy,
+    Replica,
     Ended,
 }
 
@@ -50,11 +50,11 @@
     /// The word for this stage in reports and in the labels of metrics.
     pub const fn label(self) -> &'static str {
         match self {
-            Stage::Landing => "landing",
-            Stage::Held => "held",
+            Stage::Persisting => "landing",
+            Stage::Suspended => "held",
             Stage::Waiting => "waiting",
-            Stage::Out => "out",
-            Stage::Copy => "copy",
+            Stage::InFlight => "out",
+            Stage::Replica => "copy",
             Stage::Ended => "ended",
         }
     }
@@ -65,66 +65,66 @@
     pub message: Message,
     pub owner: Node,
     pub term: u32,
-    pub copies: Vec<Node>,
+    pub replicas: Vec<Node>,
     pub stage: Stage,
-    pub due: Millis,
+    pub due_at: Millis,
     /// After a failed attempt: not before then. Its place among those that wait stays that of `due`.
-    pub(crate) pause: Millis,
+    pub(crate) not_before: Millis,
     /// Where it stands in `delayed`.
-    pub(super) wake: Option<Millis>,
+    pub(super) delayed_until: Option<Millis>,
     /// When it was taken, on this process's clock: before its start if it is less than nought.
-    pub(super) born: i64,
-    pub expires: Millis,
-    pub tries: u32,
-    pub(super) fails: u32,
+    pub(super) accepted_at: i64,
+    pub expires_at: Millis,
+    pub failed_attempts: u32,
+    pub(super) backoff_steps: u32,
     /// It ran, or may have: the next attempt is a repeat. And who failed it last, at which service.
-    pub(super) ran: bool,
-    pub(super) failed_at: Option<(usize, usize)>,
+    pub(super) has_run: bool,
+    pub(super) last_failed_on: Option<(usize, usize)>,
     pub end: Option<End>,
-    pub owed: bool,
+    pub callback_pending: bool,
     /// Where it has still to become safe, and who waits for that.
-    pub(crate) missing: Vec<Node>,
+    pub(crate) unconfirmed: Vec<Node>,
     pub(crate) ticket: Option<u64>,
     /// Where it stands in `landing`.
-    pub(crate) landing: Option<Millis>,
+    pub(crate) persist_check_at: Option<Millis>,
     /// Where it stands in `thin`.
-    pub(crate) thin: Option<Millis>,
+    pub(crate) repair_at: Option<Millis>,
     /// By which owner it stands in `live`.
-    pub(super) filed: Option<Node>,
+    pub(super) indexed_owner: Option<Node>,
     /// Its row, and where it stands there; whether others were told of it, whether they have been asked, and
     /// whether it is kept only after that.
-    pub(super) row: Option<Box<(String, u64)>>,
-    pub(crate) announced: bool,
-    pub(crate) cleared: bool,
-    pub(crate) asking: bool,
-    pub(super) turn: Option<(usize, Turn)>,
+    pub(super) order_slot: Option<Box<(String, u64)>>,
+    pub(crate) is_announced: bool,
+    pub(crate) is_order_confirmed: bool,
+    pub(crate) awaits_order_answers: bool,
+    pub(super) queue_position: Option<(usize, QueuePosition)>,
 }
 
 /// What the program is to do.
 #[derive(Debug)]
 pub enum Effect {
-    Disk {
+    Persist {
         ticket: u64,
         records: Vec<Vec<u8>>,
         sync: bool,
     },
     Send {
         to: Node,
-        note: PeerMessage,
+        message: PeerMessage,
     },
-    Taken {
+    PutResult {
         ticket: u64,
         result: Result<String, Refusal>,
     },
-    Deliver {
+    StartAttempt {
         attempt: u64,
         key: Key,
         to: SocketAddrV4,
-        expect: Option<String>,
+        expected_server: Option<String>,
         timeout_ms: u64,
-        conns: usize,
+        max_connections: usize,
     },
-    Call {
+    CallBack {
         key: Key,
         url: String,
         body: String,
@@ -134,123 +134,123 @@
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    Done {
+    Completed {
         seal: String,
     },
     /// Can never be done.
-    Refused,
+    Rejected,
     /// This attempt failed; the next may do.
     Failed,
-    Full,
+    ExecutorFull,
     /// Over the ceiling.
-    Over,
+    RateLimited,
     /// The first one runs yet.
-    Running,
+    AlreadyRunning,
     /// Another executor is at that address.
-    Wrong,
+    WrongServer,
     NotRun,
-    Stopped,
+    TimedOut,
     NotConnected,
-    NoRoom,
-    Broken,
-    Late,
-    Garbled,
+    NoFreeConnection,
+    ConnectionBroken,
+    NoResponse,
+    MalformedResponse,
 }
 
 /// What is said of a message.
 #[derive(Clone, Debug, PartialEq)]
-pub enum State {
+pub enum MessageState {
     Waiting,
     Complete { seal: String },
     Failed,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
-    pub taken: u64,
-    pub refused: u64,
-    pub uncertain: u64,
-    pub done: u64,
+pub struct QueueMetrics {
+    pub accepted: u64,
+    pub rejected: u64,
+    pub outcome_unknown: u64,
+    pub completed: u64,
     pub failed: u64,
-    pub dropped: u64,
+    pub failed_without_route: u64,
     pub expired: u64,
     pub attempts: u64,
-    pub again: u64,
-    pub calls: u64,
-    pub called: u64,
+    pub retries: u64,
+    pub callbacks_started: u64,
+    pub callbacks_delivered: u64,
     pub taken_over: u64,
     pub handed_over: u64,
-    pub copied_anew: u64,
+    pub replicas_resent: u64,
     /// Dropped because another store keeps the same message.
     pub withdrawn: u64,
-    pub no_disk: u64,
+    pub failed_writes: u64,
     /// Words of those that held a duty before, refused; times that nothing was started here for others might have taken over.
-    pub former: u64,
-    pub fenced: u64,
+    pub stale_claims: u64,
+    pub fence_activations: u64,
     /// Owned here and on too few disks, as of now; how long it took until none was, the last time.
-    pub thin: usize,
-    pub thin_ms: u64,
+    pub under_replicated: usize,
+    pub last_under_replication_ms: u64,
     pub repaired: u64,
     pub repaired_bytes: u64,
     /// Comparisons with other stores, and ranges that differed.
-    pub compared: u64,
-    pub differed: u64,
+    pub digest_comparisons: u64,
+    pub differing_ranges: u64,
 }
 
 #[derive(Default)]
-pub(super) struct Receiver {
-    pub(super) out: usize,
-    pub(super) fails: u32,
-    pub(crate) pause: Millis,
+pub(super) struct CallbackReceiver {
+    pub(super) in_flight: usize,
+    pub(super) consecutive_failures: u32,
+    pub(crate) not_before: Millis,
     pub(super) queue: VecDeque<Key>,
 }
 
 /// What waits for the disk.
 #[derive(Clone, Debug)]
-pub(crate) enum Waits {
-    Own(Key),
-    CopyOf(Node, Key),
-    HandedBy(Node, Key),
-    EndOf(Node, Key),
-    Retire,
+pub(crate) enum PendingWrite {
+    Ownership(Key),
+    ReplicaFor(Node, Key),
+    TakenOverFrom(Node, Key),
+    EndFrom(Node, Key),
+    Retirement,
 }
 
 impl Entry {
-    pub(crate) fn of(shared: &Shared, now: Millis) -> Entry {
+    pub(crate) fn from_shared(shared: &Shared, now: Millis) -> Entry {
         Entry {
             message: shared.message.clone(),
             owner: shared.owner,
             term: shared.term,
-            copies: shared.copies.clone(),
-            stage: Stage::Copy,
-            due: now + shared.due_in,
-            pause: 0,
-            wake: None,
-            born: now as i64 - shared.waited as i64,
-            expires: Millis::MAX,
-            tries: shared.tries,
-            fails: 0,
-            ran: shared.tries > 0,
-            failed_at: None,
+            replicas: shared.copies.clone(),
+            stage: Stage::Replica,
+            due_at: now + shared.due_in,
+            not_before: 0,
+            delayed_until: None,
+            accepted_at: now as i64 - shared.waited as i64,
+            expires_at: Millis::MAX,
+            failed_attempts: shared.tries,
+            backoff_steps: 0,
+            has_run: shared.tries > 0,
+            last_failed_on: None,
             end: None,
-            owed: false,
-            missing: Vec::new(),
+            callback_pending: false,
+            unconfirmed: Vec::new(),
             ticket: None,
-            landing: None,
-            thin: None,
-            filed: None,
-            row: None,
-            announced: false,
-            cleared: false,
-            asking: false,
-            turn: None,
+            persist_check_at: None,
+            repair_at: None,
+            indexed_owner: None,
+            order_slot: None,
+            is_announced: false,
+            is_order_confirmed: false,
+            awaits_order_answers: false,
+            queue_position: None,
         }
     }
 
     /// Of one that has ended only what a call-back needs is kept.
-    pub(crate) fn strip(&mut self) {
+    pub(crate) fn discard_content(&mut self) {
         let message = std::mem::take(&mut self.message);
-        if self.owed {
+        if self.callback_pending {
             self.message = Message { id: message.id, callback: message.callback, ..Message::default() };
         }
         if matches!(self.end, Some(End::Failed)) {
@@ -259,7 +259,7 @@
         }
     }
 
-    pub(crate) fn waited(&self, now: Millis) -> u64 {
-        (now as i64 - self.born).max(0) as u64
+    pub(crate) fn age_ms(&self, now: Millis) -> u64 {
+        (now as i64 - self.accepted_at).max(0) as u64
     }
 }
--- a/crates/queue/src/repair.rs
+++ b/crates/queue/src/repair.rs
@@ -3,7 +3,7 @@
 
 use crate::message::{Key, Millis, Node, PeerMessage, Range, Record, Stands, Sum};
 use crate::planted::Planted;
-use crate::queue::{Effect, Entry, Queue, Stage, Waits};
+use crate::queue::{Effect, Entry, PendingWrite, Queue, Stage};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A store that is no member and not connected for so long holds no copies any more. An orderly restart is
@@ -66,31 +66,35 @@
 impl Queue {
     /// Live messages, and ended ones with a call-back owed, that a node owns.
     pub(crate) fn owned_by_node(&self, node: Node) -> impl Iterator<Item = (Key, &Entry)> {
-        let keys = self.live.range((node, Key::default())..).take_while(move |(owner, _)| *owner == node);
+        let keys =
+            self.live_by_owner.range((node, Key::default())..).take_while(move |(owner, _)| *owner == node);
         keys.filter_map(|(_, key)| Some((*key, self.entries.get(key)?)))
     }
 
     /// Who owns any of what lies here.
     pub(crate) fn owners(&self) -> impl Iterator<Item = Node> + '_ {
-        let from = |node: Node| self.live.range((node, Key::default())..).next().map(|(owner, _)| *owner);
+        let from =
+            |node: Node| self.live_by_owner.range((node, Key::default())..).next().map(|(owner, _)| *owner);
         std::iter::successors(from(0), move |last| from(last.checked_add(1)?))
     }
 
     pub(crate) fn owned_here(&self) -> impl Iterator<Item = (Key, &Entry)> {
-        self.owned_by_node(self.terms.me)
+        self.owned_by_node(self.settings.node)
     }
 
     /// What this store and another should both hold.
     fn common(&self, node: Node) -> impl Iterator<Item = (Key, &Entry)> {
-        let all = self.live.iter().filter_map(|(_, key)| Some((*key, self.entries.get(key)?)));
-        all.filter(move |(_, e)| e.stage != Stage::Landing && (e.owner == node || e.copies.contains(&node)))
+        let all = self.live_by_owner.iter().filter_map(|(_, key)| Some((*key, self.entries.get(key)?)));
+        all.filter(move |(_, e)| {
+            e.stage != Stage::Persisting && (e.owner == node || e.replicas.contains(&node))
+        })
     }
 
     // ---- Comparing ----
 
     fn sums(&self, now: Millis, node: Node, over: u64) -> BTreeMap<Range, (u32, u64)> {
         let mut sums: BTreeMap<Range, (u32, u64)> = BTreeMap::new();
-        for (key, entry) in self.common(node).filter(|(_, e)| e.waited(now) >= over) {
+        for (key, entry) in self.common(node).filter(|(_, e)| e.age_ms(now) >= over) {
             let sum = sums.entry(range(entry.owner, key)).or_default();
             *sum = (sum.0 + 1, sum.1 ^ mixed(key, entry));
         }
@@ -99,19 +103,19 @@
 
     pub(crate) fn compare(&mut self, now: Millis, node: Node, over: u64) {
         self.peers.entry(node).or_default().compared = now;
-        self.figures.compared += 1;
+        self.metrics.digest_comparisons += 1;
         let sums = self.sums(now, node, over).into_iter();
         let sums = sums.map(|(range, (count, mix))| Sum { range, count, mix }).collect();
-        self.push(Effect::Send {
+        self.emit(Effect::Send {
             to: node,
-            note: PeerMessage::Digests { disk: self.terms.disk, over, sums },
+            message: PeerMessage::Digests { disk: self.settings.disk_id, over, sums },
         });
     }
 
     /// Lists what differs, or says that nothing does.
     pub(crate) fn digests(&mut self, now: Millis, from: Node, disk: u64, over: u64, theirs: &[Sum]) {
         self.seen_disk(from, disk);
-        self.figures.compared += 1;
+        self.metrics.digest_comparisons += 1;
         let mut mine = self.sums(now, from, over);
         let mut differ: BTreeSet<Range> = BTreeSet::new();
         for sum in theirs {
@@ -120,9 +124,9 @@
             }
         }
         differ.extend(mine.into_keys());
-        self.figures.differed += differ.len() as u64;
+        self.metrics.differing_ranges += differ.len() as u64;
         if differ.is_empty() {
-            self.push(Effect::Send { to: from, note: PeerMessage::Stood });
+            self.emit(Effect::Send { to: from, message: PeerMessage::Stood });
             return self.stood(now, from);
         }
         self.list_ranges(from, differ.into_iter().collect(), true);
@@ -134,28 +138,28 @@
         let live = live
             .map(|(key, e)| Stands { key, owner: e.owner, term: e.term, ended: e.end.is_some() })
             .collect();
-        let note = PeerMessage::Standing { disk: self.terms.disk, answer, ranges, live };
-        self.push(Effect::Send { to, note });
+        let note = PeerMessage::Standing { disk: self.settings.disk_id, answer, ranges, live };
+        self.emit(Effect::Send { to, message: note });
     }
 
     // ---- Making copies again ----
 
     fn see_to(&mut self, at: Millis, key: Key) {
         let Some(entry) = self.entries.get_mut(&key) else { return };
-        if let Some(old) = entry.thin.replace(at) {
-            self.thin.remove(&(old, key));
+        if let Some(old) = entry.repair_at.replace(at) {
+            self.under_replicated.remove(&(old, key));
         }
-        self.thin.insert((at, key));
+        self.under_replicated.insert((at, key));
     }
 
     /// After a change: too few copies are made more.
     pub(crate) fn look_at_copies(&mut self, now: Millis, key: Key) {
         let Some(entry) = self.entries.get_mut(&key) else { return };
-        let enough = entry.copies.len() >= self.terms.losses && entry.missing.is_empty();
-        if enough || entry.owner != self.terms.me {
-            entry.thin.take().map(|at| self.thin.remove(&(at, key)));
+        let enough = entry.replicas.len() >= self.settings.replica_count && entry.unconfirmed.is_empty();
+        if enough || entry.owner != self.settings.node {
+            entry.repair_at.take().map(|at| self.under_replicated.remove(&(at, key)));
         } else {
-            self.thin_since.get_or_insert(now);
+            self.under_replicated_since.get_or_insert(now);
             self.see_to(now, key);
         }
     }
@@ -164,12 +168,14 @@
     /// store ended is read from disk as if it had been made.
     pub(crate) fn is_confirmed(&self, entry: &Entry) -> bool {
         let spoken = |node: &Node| self.peers.get(node).is_some_and(|peer| peer.stood);
-        entry.copies.iter().all(spoken) || self.planted(Planted::CopiesUnconfirmed)
+        entry.replicas.iter().all(spoken) || self.planted(Planted::CopiesUnconfirmed)
     }
 
     fn mine(&mut self, key: Key) -> Option<&mut Entry> {
-        let me = self.terms.me;
-        let live = |e: &&mut Entry| e.owner == me && e.stage != Stage::Landing && (e.end.is_none() || e.owed);
+        let me = self.settings.node;
+        let live = |e: &&mut Entry| {
+            e.owner == me && e.stage != Stage::Persisting && (e.end.is_none() || e.callback_pending)
+        };
         self.entries.get_mut(&key).filter(live)
     }
 
@@ -179,11 +185,11 @@
             return self.not_on(now, key, node);
         }
         let Some(entry) = self.mine(key) else { return };
-        if !entry.copies.contains(&node) {
-            entry.copies.push(node);
+        if !entry.replicas.contains(&node) {
+            entry.replicas.push(node);
         }
-        if !entry.missing.contains(&node) {
-            entry.missing.push(node);
+        if !entry.unconfirmed.contains(&node) {
+            entry.unconfirmed.push(node);
         }
         self.look_at_copies(now, key);
     }
@@ -191,8 +197,8 @@
     /// A store that should hold a copy has no room for it, or is gone.
     pub(crate) fn not_on(&mut self, now: Millis, key: Key, node: Node) {
         let Some(entry) = self.mine(key) else { return };
-        entry.copies.retain(|copy| *copy != node);
-        entry.missing.retain(|copy| *copy != node);
+        entry.replicas.retain(|copy| *copy != node);
+        entry.unconfirmed.retain(|copy| *copy != node);
         self.look_at_copies(now, key);
     }
 
@@ -202,23 +208,24 @@
             return;
         }
         let Some(entry) = self.mine(key) else { return };
-        entry.copies.push(node);
-        let (owner, term, copies) = (entry.owner, entry.term, entry.copies.clone());
+        entry.replicas.push(node);
+        let (owner, term, copies) = (entry.owner, entry.term, entry.replicas.clone());
         self.record(&Record::Own { key, owner, term, copies }, true);
         self.look_at_copies(now, key);
     }
 
     /// The connection is gone, and the copies that were on their way with it.
     pub(crate) fn lost_on_the_way(&mut self, now: Millis, node: Node) {
-        let all = self.thin.iter().map(|(_, key)| *key);
-        let on_way = |key: &Key| self.entries.get(key).is_some_and(|e| e.missing.contains(&node));
+        let all = self.under_replicated.iter().map(|(_, key)| *key);
+        let on_way = |key: &Key| self.entries.get(key).is_some_and(|e| e.unconfirmed.contains(&node));
         let lost: Vec<Key> = all.filter(on_way).collect();
         lost.into_iter().for_each(|key| self.not_on(now, key, node));
     }
 
     /// Stores that are gone for good hold no copies any more; and digests are compared when it is time.
     pub(crate) fn look_at_holders(&mut self, now: Millis) {
-        let Queue { peers, heard, acquainted, terms, .. } = self;
+        let Queue { peers, hears_control_group: heard, knows_members: acquainted, settings: terms, .. } =
+            self;
         let (mut gone, mut compare) = (Vec::new(), Vec::new());
         for (node, peer) in peers {
             let here = peer.listed || peer.connected;
@@ -228,13 +235,13 @@
                 peer.written_off = true;
                 gone.push(*node);
             }
-            if peer.connected && peer.stood && terms.me < *node && now >= peer.compared + COMPARE.0 {
+            if peer.connected && peer.stood && terms.node < *node && now >= peer.compared + COMPARE.0 {
                 compare.push(*node);
             }
         }
         for node in gone {
-            self.passing.lost(node);
-            let held = self.owned_here().filter(|(_, e)| e.copies.contains(&node));
+            self.end_replication.lost(node);
+            let held = self.owned_here().filter(|(_, e)| e.replicas.contains(&node));
             let held: Vec<Key> = held.map(|(key, _)| key).collect();
             held.into_iter().for_each(|key| self.not_on(now, key, node));
         }
@@ -242,51 +249,54 @@
     }
 
     pub(crate) fn next_repair(&self) -> Millis {
-        self.thin.first().map_or(Millis::MAX, |(at, _)| (*at).max(self.bucket.at + STEP))
+        self.under_replicated.first().map_or(Millis::MAX, |(at, _)| (*at).max(self.repair_budget.at + STEP))
     }
 
     pub(crate) fn repair(&mut self, now: Millis) {
-        if self.thin.is_empty() {
-            if let Some(since) = self.thin_since.take() {
-                self.figures.thin_ms = now.saturating_sub(since);
-                tracing::info!(ms = self.figures.thin_ms, "all messages are on enough disks again");
+        if self.under_replicated.is_empty() {
+            if let Some(since) = self.under_replicated_since.take() {
+                self.metrics.last_under_replication_ms = now.saturating_sub(since);
+                tracing::info!(
+                    ms = self.metrics.last_under_replication_ms,
+                    "all messages are on enough disks again"
+                );
             }
-            self.figures.thin = 0;
+            self.metrics.under_replicated = 0;
             return;
         }
-        self.figures.thin = self.thin.len();
+        self.metrics.under_replicated = self.under_replicated.len();
         if now < self.next_repair() {
             return;
         }
-        self.bucket.fill(now);
-        while let Some((_, key)) = self.thin.first().copied().filter(|(at, _)| *at <= now) {
-            if self.bucket.held <= 0 {
+        self.repair_budget.fill(now);
+        while let Some((_, key)) = self.under_replicated.first().copied().filter(|(at, _)| *at <= now) {
+            if self.repair_budget.held <= 0 {
                 break;
             }
             let Some(entry) = self.mine(key) else {
-                self.thin.pop_first();
+                self.under_replicated.pop_first();
                 continue;
             };
-            let (size, copies) = (entry.message.body.len() as u64 + AROUND, entry.copies.clone());
-            let lacking = self.terms.losses.saturating_sub(copies.len());
+            let (size, copies) = (entry.message.body.len() as u64 + AROUND, entry.replicas.clone());
+            let lacking = self.settings.replica_count.saturating_sub(copies.len());
             let new = self.choose(now, &copies, &copies, lacking);
             let Some(entry) = self.entries.get_mut(&key) else { return };
-            entry.missing.extend(&new);
-            entry.copies.extend(&new);
-            let (me, term, copies) = (self.terms.me, entry.term, entry.copies.clone());
-            let missing = entry.missing.clone();
+            entry.unconfirmed.extend(&new);
+            entry.replicas.extend(&new);
+            let (me, term, copies) = (self.settings.node, entry.term, entry.replicas.clone());
+            let missing = entry.unconfirmed.clone();
             let to: Vec<Node> =
                 missing.into_iter().filter(|n| self.peers.get(n).is_some_and(|p| p.connected)).collect();
             if to.is_empty() {
                 self.see_to(now + NOBODY, key);
                 continue;
             }
-            self.bucket.take(size * to.len() as u64);
-            self.figures.repaired_bytes += size * to.len() as u64;
+            self.repair_budget.take(size * to.len() as u64);
+            self.metrics.repaired_bytes += size * to.len() as u64;
             // Known on disk before the copy is: after a restart those that hold copies are waited for.
             if !new.is_empty() {
                 self.record(&Record::Own { key, owner: me, term, copies }, true);
-                self.wait_for_disk(Waits::Own(key));
+                self.after_write(PendingWrite::Ownership(key));
             }
             to.into_iter().for_each(|to| self.copy_anew(now, key, to));
             self.see_to(now + CONFIRM, key);
--- a/crates/queue/src/repeats.rs
+++ b/crates/queue/src/repeats.rs
@@ -18,7 +18,7 @@
 const SLOTS: f64 = 0.5;
 /// A store none of whose repeats found room for so long sends them wherever none of its own is out: an executor that
 /// is dark keeps its slots until the control nodes know.
-pub(crate) const LONG: Millis = 500;
+pub(crate) const STUCK_RETRY_LIMIT_MS: Millis = 500;
 
 /// What one store may repeat at one service.
 #[derive(Debug)]
--- a/crates/queue/src/retire.rs
+++ b/crates/queue/src/retire.rs
@@ -4,7 +4,7 @@
 use crate::copies::Peer;
 use crate::message::{Key, Millis, Node, PeerMessage, Record};
 use crate::planted::Planted;
-use crate::queue::{Effect, Queue, Waits};
+use crate::queue::{Effect, PendingWrite, Queue};
 
 /// How often one that retires is told that nobody counts on it: a word lost with a connection comes again.
 const TELL: Millis = 500;
@@ -12,49 +12,51 @@
 impl Queue {
     /// Ordered by an operator. It holds over restarts: the order is on disk before it is confirmed.
     pub fn retire(&mut self, now: Millis) {
-        if std::mem::replace(&mut self.retiring, true) {
+        if std::mem::replace(&mut self.is_retiring, true) {
             return;
         }
         self.record(&Record::Retire, true);
-        self.wait_for_disk(Waits::Retire);
+        self.after_write(PendingWrite::Retirement);
         self.begin_retiring(now);
     }
 
     pub(crate) fn begin_retiring(&mut self, now: Millis) {
-        self.retiring = true;
+        self.is_retiring = true;
         let peers: Vec<Node> =
             self.peers.iter().filter(|(_, p)| p.connected).map(|(node, _)| *node).collect();
         for to in peers {
-            self.push(Effect::Send { to, note: PeerMessage::Retiring });
+            self.emit(Effect::Send { to, message: PeerMessage::Retiring });
         }
         self.leave(now);
     }
 
     /// Whether it retires, and the order is on disk, and if so whether every copy lies elsewhere.
     pub fn retired(&self) -> Option<bool> {
-        if !self.retire_kept {
+        if !self.is_retirement_durable {
             return None;
         }
-        let empty = self.owned_here().next().is_none() && self.in_hand() == 0 && self.ends_at.is_none();
+        let empty = self.owned_here().next().is_none()
+            && self.unfinished_count() == 0
+            && self.flush_ends_at.is_none();
         if self.planted(Planted::RetiredEarly) {
             return Some(empty);
         }
         let empty = empty && self.owners_count_on_nothing() && self.ends_lie_elsewhere();
         let mut others = self.peers.iter().filter(|(_, p)| p.listed).peekable();
         // Cut off, or before it knows them, it can't speak for the others.
-        let known = others.peek().is_some() && self.heard && self.acquainted;
-        Some(empty && known && others.all(|(node, p)| p.connected && self.relieved.contains(node)))
+        let known = others.peek().is_some() && self.hears_control_group && self.knows_members;
+        Some(empty && known && others.all(|(node, p)| p.connected && self.released_by.contains(node)))
     }
 
     fn ends_lie_elsewhere(&self) -> bool {
-        self.passing.done() || self.planted(Planted::EndsGoAlong)
+        self.end_replication.done() || self.planted(Planted::EndsGoAlong)
     }
 
     /// Of every copy that lies here the owner has said that it counts on none. One whose owner is gone may be the only one
     /// that is left: it is taken over, and given away, first.
     fn owners_count_on_nothing(&self) -> bool {
         let free = |node: Node| {
-            self.relieved.contains(&node) && self.peers.get(&node).is_some_and(|peer| peer.connected)
+            self.released_by.contains(&node) && self.peers.get(&node).is_some_and(|peer| peer.connected)
         };
         self.owners().all(free) || self.planted(Planted::OrphansUnheeded)
     }
@@ -62,7 +64,7 @@
     /// A store names this one as holder of a copy: what it said before, that it counts on none, holds no longer.
     pub(crate) fn counted_on_by(&mut self, node: Node) {
         if !self.planted(Planted::RelievedForever) {
-            self.relieved.remove(&node);
+            self.released_by.remove(&node);
         }
     }
 
@@ -73,10 +75,10 @@
 
     /// Another store retires: what it holds for this one is copied elsewhere, at the rate of repair.
     pub(crate) fn look_after_retiring(&mut self, now: Millis) {
-        if self.retiring {
+        if self.is_retiring {
             self.hand_all_over();
         }
-        if self.fence.is_some() {
+        if self.fenced_since.is_some() {
             // Those that hold copies may have taken over, and are asked first.
             return;
         }
@@ -84,14 +86,14 @@
         let retiring = self.peers.iter().filter(|(_, p)| told(p));
         let retiring: Vec<Node> = retiring.map(|(node, _)| *node).collect();
         for node in retiring {
-            let counted = self.owned_here().filter(|(_, e)| e.copies.contains(&node)).map(|(key, _)| key);
+            let counted = self.owned_here().filter(|(_, e)| e.replicas.contains(&node)).map(|(key, _)| key);
             let counted: Vec<Key> = counted.collect();
-            let free = counted.is_empty() && self.thin.is_empty();
+            let free = counted.is_empty() && self.under_replicated.is_empty();
             let free = free && self.owned_here().all(|(_, entry)| self.is_confirmed(entry));
             counted.into_iter().for_each(|key| self.not_on(now, key, node));
             if free {
                 self.peers.entry(node).or_default().relieved_at = now;
-                self.push(Effect::Send { to: node, note: PeerMessage::Relieved });
+                self.emit(Effect::Send { to: node, message: PeerMessage::Relieved });
             }
         }
     }
--- a/crates/queue/src/service_queue.rs
+++ b/crates/queue/src/service_queue.rs
@@ -1,7 +1,7 @@
 //! One service: who serves it, what waits for it, and the module that decides who gets the next.
 
 use crate::message::{Key, Millis};
-use crate::repeats::{dealt, Budget, LONG};
+use crate::repeats::{dealt, Budget, STUCK_RETRY_LIMIT_MS};
 use crate::tokens::Bucket;
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddrV4;
@@ -13,13 +13,13 @@
 
 /// An executor, as the control nodes tell of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Server {
+pub struct Executor {
     pub id: String,
     pub address: SocketAddrV4,
     pub zone: usize,
     pub capacity: f64,
-    pub serving: bool,
-    pub cold_left_ms: u64,
+    pub is_serving: bool,
+    pub warm_up_left_ms: u64,
 }
 
 /// What an executor that has just started is slow for, at the most that is reckoned with.
@@ -29,78 +29,78 @@
 /// The longest pause of a service queue whose endpoint fails, and the first.
 const PAUSE: (Millis, Millis) = (400, 50);
 
-pub(crate) struct Known {
-    pub server: Server,
-    started: Option<Time>,
+pub(crate) struct ExecutorState {
+    pub executor: Executor,
+    started_at: Option<Time>,
     /// When it last answered anything, and requests out there.
-    heard: Millis,
-    out: usize,
+    last_answer_at: Millis,
+    in_flight: usize,
     /// Of these, repeats; and so many of them may be out from here.
-    pub again: usize,
-    may_again: usize,
-    listed: bool,
+    pub retries_in_flight: usize,
+    retry_slots: usize,
+    is_listed: bool,
 }
 
 /// A request that is out.
-pub(crate) struct Sent {
+pub(crate) struct SentAttempt {
     pub key: Key,
     pub executor: usize,
-    at: Millis,
+    sent_at: Millis,
     op: Op,
     push: usize,
-    again: bool,
+    is_retry: bool,
 }
 
 /// A repeat, and where it last failed.
-pub(crate) struct Again {
+pub(crate) struct Retry {
     pub avoid: Option<usize>,
 }
 
 /// What waits: those that may still be in time first, then by priority, then by when they fell due.
-pub(crate) type Turn = (bool, i64, Millis, Key);
+pub(crate) type QueuePosition = (bool, i64, Millis, Key);
 
 pub(crate) struct ServiceQueue {
     pub name: String,
-    pub known: Vec<Known>,
-    pub ready: BTreeSet<Turn>,
+    pub executors: Vec<ExecutorState>,
+    pub ready: BTreeSet<QueuePosition>,
     /// Repeats stand in a queue of their own: those that must wait hold up nobody's first attempt.
-    pub again: BTreeSet<Turn>,
-    pub budget: Budget,
-    pub repeats: Repeats,
+    pub retries: BTreeSet<QueuePosition>,
+    pub retry_budget: Budget,
+    pub retry_counts: RetryCounts,
     /// Since when no repeat has found room.
-    stuck: Option<Millis>,
-    stores: (usize, usize),
-    pub sent: HashMap<u64, Sent>,
-    pub bucket: Option<Bucket>,
-    pub endpoint: bool,
-    pub max_conns: usize,
+    retries_stuck_since: Option<Millis>,
+    store_position: (usize, usize),
+    pub in_flight: HashMap<u64, SentAttempt>,
+    pub token_bucket: Option<Bucket>,
+    pub has_fixed_endpoint: bool,
+    pub max_connections: usize,
     /// Connections to one executor from here: all stores together keep below `max_conns`.
-    pub share: usize,
+    pub connection_share: usize,
     dispatcher: Dispatcher,
-    target: Time,
+    latency_target: Time,
     /// Nothing goes out before this.
-    pub pause: Millis,
-    fails: u32,
+    pub paused_until: Millis,
+    consecutive_failures: u32,
 }
 
-pub(crate) enum Picked {
-    Go {
+pub(crate) enum Selection {
+    Send {
         executor: usize,
     },
     /// Not before this, unless something changes.
-    Wait(Millis),
+    WaitUntil(Millis),
     /// No executor has room for a repeat of this store: first attempts go on.
-    Full(Millis),
+    RetriesFullUntil(Millis),
 }
 
 /// Since the start: first attempts, repeats, repeats that had to wait for their part, and the most that were out at one
 /// executor at once.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Repeats {
-    pub first: u64,
-    pub again: u64,
-    pub held_back: u64,
-    pub most: usize,
+pub struct RetryCounts {
+    pub first_attempts: u64,
+    pub retries: u64,
+    pub retries_delayed: u64,
+    pub max_retries_per_executor: usize,
 }
 
 impl ServiceQueue {
@@ -139,149 +139,154 @@
         };
         ServiceQueue {
             name: name.to_string(),
-            known: Vec::new(),
+            executors: Vec::new(),
             ready: BTreeSet::new(),
-            again: BTreeSet::new(),
-            budget: Budget::new(0),
-            repeats: Repeats::default(),
-            stuck: None,
-            stores: (0, 1),
-            sent: HashMap::new(),
-            bucket: None,
-            endpoint: false,
-            max_conns: 64,
-            share: 2,
+            retries: BTreeSet::new(),
+            retry_budget: Budget::new(0),
+            retry_counts: RetryCounts::default(),
+            retries_stuck_since: None,
+            store_position: (0, 1),
+            in_flight: HashMap::new(),
+            token_bucket: None,
+            has_fixed_endpoint: false,
+            max_connections: 64,
+            connection_share: 2,
             dispatcher: Dispatcher::new(&tariff, seed),
-            target: target as Time * 10,
-            pause: 0,
-            fails: 0,
+            latency_target: target as Time * 10,
+            paused_until: 0,
+            consecutive_failures: 0,
         }
     }
 
     /// So many stores deliver.
     pub fn nodes(&mut self, me: usize, nodes: usize) {
         self.dispatcher.fleet(nodes, nodes);
-        if std::mem::replace(&mut self.stores, (me, nodes)) != (me, nodes) {
+        if std::mem::replace(&mut self.store_position, (me, nodes)) != (me, nodes) {
             self.deal();
         }
     }
 
     /// Deals out the slots that repeats may take. All stores have the same list, by the names of the executors.
     fn deal(&mut self) {
-        let (me, stores) = self.stores;
-        self.known.iter_mut().for_each(|k| k.may_again = 0);
-        let mut serving: Vec<&mut Known> =
-            self.known.iter_mut().filter(|k| k.listed && k.server.serving).collect();
-        serving.sort_unstable_by(|a, b| a.server.id.cmp(&b.server.id));
-        let shares = dealt(serving.iter().map(|k| k.server.capacity), me, stores);
-        serving.iter_mut().zip(shares).for_each(|(known, may)| known.may_again = may);
-        self.budget.sized(self.room(), stores);
+        let (me, stores) = self.store_position;
+        self.executors.iter_mut().for_each(|k| k.retry_slots = 0);
+        let mut serving: Vec<&mut ExecutorState> =
+            self.executors.iter_mut().filter(|k| k.is_listed && k.executor.is_serving).collect();
+        serving.sort_unstable_by(|a, b| a.executor.id.cmp(&b.executor.id));
+        let shares = dealt(serving.iter().map(|k| k.executor.capacity), me, stores);
+        serving.iter_mut().zip(shares).for_each(|(known, may)| known.retry_slots = may);
+        self.retry_budget.sized(self.room(), stores);
     }
 
     fn room(&self) -> f64 {
-        self.known.iter().filter(|k| k.listed && k.server.serving).map(|k| k.server.capacity).sum()
+        self.executors
+            .iter()
+            .filter(|k| k.is_listed && k.executor.is_serving)
+            .map(|k| k.executor.capacity)
+            .sum()
     }
 
     /// What goes next: a repeat only if one may go. Else when to look again for one.
-    pub fn first_turn(&mut self, now: Millis, again: bool) -> (Option<Turn>, Millis) {
+    pub fn first_turn(&mut self, now: Millis, again: bool) -> (Option<QueuePosition>, Millis) {
         let first = self.ready.first().copied();
-        let Some(repeat) = self.again.first().copied() else { return (first, Millis::MAX) };
+        let Some(repeat) = self.retries.first().copied() else { return (first, Millis::MAX) };
         if !again || first.is_some_and(|first| first < repeat) {
             return (first, Millis::MAX);
         }
-        match self.budget.may(now) {
+        match self.retry_budget.may(now) {
             Ok(()) => (Some(repeat), Millis::MAX),
             Err(at) => (first, at),
         }
     }
 
-    pub fn enter(&mut self, turn: Turn, again: bool) {
+    pub fn enter(&mut self, turn: QueuePosition, again: bool) {
         if again {
-            self.again.insert(turn);
-            self.repeats.held_back += u64::from(self.again.len() > self.budget.whole());
+            self.retries.insert(turn);
+            self.retry_counts.retries_delayed += u64::from(self.retries.len() > self.retry_budget.whole());
         } else {
             self.ready.insert(turn);
         }
     }
 
-    pub fn leave(&mut self, turn: &Turn) {
+    pub fn leave(&mut self, turn: &QueuePosition) {
         if !self.ready.remove(turn) {
-            self.again.remove(turn);
+            self.retries.remove(turn);
         }
     }
 
     /// Waiting, repeats among them.
     pub fn waiting(&self) -> usize {
-        self.ready.len() + self.again.len()
+        self.ready.len() + self.retries.len()
     }
 
     pub fn shares(&self) -> Vec<(String, f64, usize)> {
         let shares = self.dispatcher.shares().chain(std::iter::repeat(0.0));
-        let known = self.known.iter().zip(shares).filter(|(k, _)| k.listed && k.server.serving);
-        known.map(|(k, share)| (k.server.id.clone(), share, k.out)).collect()
+        let known = self.executors.iter().zip(shares).filter(|(k, _)| k.is_listed && k.executor.is_serving);
+        known.map(|(k, share)| (k.executor.id.clone(), share, k.in_flight)).collect()
     }
 
     /// Who serves now: the whole list.
-    pub fn list(&mut self, fine: Time, now: Millis, servers: &[Server]) {
-        for known in &mut self.known {
-            known.listed = false;
+    pub fn list(&mut self, fine: Time, now: Millis, servers: &[Executor]) {
+        for known in &mut self.executors {
+            known.is_listed = false;
         }
         let mut new = Vec::new();
         for server in servers {
-            let found = self.known.iter_mut().find(|k| k.server.id == server.id);
+            let found = self.executors.iter_mut().find(|k| k.executor.id == server.id);
             match found {
                 Some(known) => {
-                    known.listed = true;
-                    known.server = server.clone();
+                    known.is_listed = true;
+                    known.executor = server.clone();
                 }
                 None => {
-                    let left = server.cold_left_ms as Time * 10;
+                    let left = server.warm_up_left_ms as Time * 10;
                     let started = (left > 0).then(|| fine - (WARM - left).max(0));
-                    let known = Known {
-                        server: server.clone(),
-                        started,
-                        heard: now,
-                        out: 0,
-                        again: 0,
-                        may_again: 0,
-                        listed: true,
+                    let known = ExecutorState {
+                        executor: server.clone(),
+                        started_at: started,
+                        last_answer_at: now,
+                        in_flight: 0,
+                        retries_in_flight: 0,
+                        retry_slots: 0,
+                        is_listed: true,
                     };
                     // The place of one that is gone for good is used again once the list has grown long.
-                    let gone = (self.known.len() >= 128)
-                        .then(|| self.known.iter().position(|k| !k.listed && k.out == 0));
+                    let gone = (self.executors.len() >= 128)
+                        .then(|| self.executors.iter().position(|k| !k.is_listed && k.in_flight == 0));
                     match gone.flatten() {
                         Some(at) => {
-                            self.known[at] = Known { started: Some(started.unwrap_or(fine - WARM)), ..known };
+                            self.executors[at] =
+                                ExecutorState { started_at: Some(started.unwrap_or(fine - WARM)), ..known };
                             new.push(at);
                         }
                         None => {
-                            new.push(self.known.len());
-                            self.known.push(known);
+                            new.push(self.executors.len());
+                            self.executors.push(known);
                         }
                     }
                 }
             }
         }
         let lines: Vec<Listed> = self
-            .known
+            .executors
             .iter()
             .enumerate()
             .map(|(executor, known)| Listed {
                 executor,
-                domain: known.server.zone,
+                domain: known.executor.zone,
                 kind: 0,
                 cell: 0,
-                active: known.listed && known.server.serving,
-                weight: known.server.capacity,
-                mark: mark(&known.server.id),
-                started: known.started,
+                active: known.is_listed && known.executor.is_serving,
+                weight: known.executor.capacity,
+                mark: mark(&known.executor.id),
+                started: known.started_at,
             })
             .collect();
         self.dispatcher.list(fine, true, &lines);
         // Its slots it tells with its beats, before it has told any load: guessed from none it would be
         // overrun.
         for at in new {
-            self.dispatcher.report(fine, at, &[0.0, 0.0, self.known[at].server.capacity]);
+            self.dispatcher.report(fine, at, &[0.0, 0.0, self.executors[at].executor.capacity]);
         }
         self.deal();
     }
@@ -291,7 +296,7 @@
     }
 
     pub fn serving(&self) -> usize {
-        self.known.iter().filter(|k| k.listed && k.server.serving).count()
+        self.executors.iter().filter(|k| k.is_listed && k.executor.is_serving).count()
     }
 
     /// Who gets the next message, as the design has it.
@@ -301,35 +306,35 @@
         now: Millis,
         key: Key,
         attempt: u64,
-        mut again: Option<Again>,
-    ) -> Picked {
-        if now < self.pause {
-            return Picked::Wait(self.pause);
+        mut again: Option<Retry>,
+    ) -> Selection {
+        if now < self.paused_until {
+            return Selection::WaitUntil(self.paused_until);
         }
-        if self.endpoint && self.fails > 0 && !self.sent.is_empty() {
+        if self.has_fixed_endpoint && self.consecutive_failures > 0 && !self.in_flight.is_empty() {
             // One that fails is tried with one message at a time.
-            return Picked::Wait(now + PAUSE.0);
+            return Selection::WaitUntil(now + PAUSE.0);
         }
         if self.serving() == 0 {
-            return Picked::Wait(now + PAUSE.0);
+            return Selection::WaitUntil(now + PAUSE.0);
         }
         // After a break all that waits is due at once, and each store knows only its own part of what the
         // executors hold: no more is out from here than they work on together. One store alone can still keep
         // all of them busy.
-        if !self.endpoint && self.sent.len() as f64 >= self.room().max(4.0) {
-            return Picked::Wait(now + 10);
+        if !self.has_fixed_endpoint && self.in_flight.len() as f64 >= self.room().max(4.0) {
+            return Selection::WaitUntil(now + 10);
         }
-        if self.endpoint && self.sent.len() >= self.share {
-            return Picked::Wait(now + 10);
+        if self.has_fixed_endpoint && self.in_flight.len() >= self.connection_share {
+            return Selection::WaitUntil(now + 10);
         }
-        let category = usize::from(self.sent.is_empty());
+        let category = usize::from(self.in_flight.is_empty());
         let ask = Ask {
             category,
             slots: 1.0,
             memory: 0.0,
             // Before the first answer: an eighth of the aim. Taken as the whole of it no message would be in
             // time.
-            hint: Some(self.target / 8),
+            hint: Some(self.latency_target / 8),
             deadline: fine + 60 * SECOND,
             limits: Limits { pushes: 1, ..Limits::default() },
             tenant: usize::MAX,
@@ -348,7 +353,7 @@
                     break;
                 }
                 passed += 1;
-                op.closed = passed > self.known.len();
+                op.closed = passed > self.executors.len();
                 let last = op.pushes.len().saturating_sub(1);
                 step = self.dispatcher.settle(fine, &mut op, last, Judged::Withheld, &[]);
             }
@@ -360,61 +365,67 @@
                     op.closed = true;
                     self.dispatcher.settle(fine, &mut op, push, Judged::Withheld, &[]);
                     // The near ones have enough in hand: those of other zones may be idle.
-                    let domain = 1u64.checked_shl(self.known[executor].server.zone as u32).unwrap_or(0);
+                    let domain = 1u64.checked_shl(self.executors[executor].executor.zone as u32).unwrap_or(0);
                     if domains & domain == 0 {
-                        return Picked::Wait(now + 10);
+                        return Selection::WaitUntil(now + 10);
                     }
                     domains &= !domain;
                 }
-                Step::Push { executor } if executor < self.known.len() => {
-                    let known = &mut self.known[executor];
-                    known.out += 1;
+                Step::Push { executor } if executor < self.executors.len() => {
+                    let known = &mut self.executors[executor];
+                    known.in_flight += 1;
                     match again {
                         Some(_) => {
-                            known.again += 1;
-                            self.stuck = None;
-                            self.budget.spent();
-                            self.repeats.again += 1;
-                            self.repeats.most = self.repeats.most.max(known.again);
+                            known.retries_in_flight += 1;
+                            self.retries_stuck_since = None;
+                            self.retry_budget.spent();
+                            self.retry_counts.retries += 1;
+                            self.retry_counts.max_retries_per_executor =
+                                self.retry_counts.max_retries_per_executor.max(known.retries_in_flight);
                         }
                         None => {
-                            self.budget.first();
-                            self.repeats.first += 1;
+                            self.retry_budget.first();
+                            self.retry_counts.first_attempts += 1;
                         }
                     }
-                    self.sent
-                        .insert(attempt, Sent { key, executor, at: now, op, push, again: again.is_some() });
-                    return Picked::Go { executor };
+                    self.in_flight.insert(
+                        attempt,
+                        SentAttempt { key, executor, sent_at: now, op, push, is_retry: again.is_some() },
+                    );
+                    return Selection::Send { executor };
                 }
                 // Nobody else serves: the one that failed it is better than none.
                 _ if passed > 0 && again.as_ref().is_some_and(|repeat| repeat.avoid.is_some()) => {
                     again.iter_mut().for_each(|repeat| repeat.avoid = None);
                 }
                 _ if passed > 0 => {
-                    self.stuck.get_or_insert(now);
-                    return Picked::Full(now + 20);
+                    self.retries_stuck_since.get_or_insert(now);
+                    return Selection::RetriesFullUntil(now + 20);
                 }
                 Step::Nack { come_back } => {
-                    return Picked::Wait(now + (come_back / 10).clamp(5, 100) as Millis);
+                    return Selection::WaitUntil(now + (come_back / 10).clamp(5, 100) as Millis);
                 }
-                _ => return Picked::Wait(now + 20),
+                _ => return Selection::WaitUntil(now + 20),
             }
         }
     }
 
     /// A repeat may go there: not to the one that failed it, and no more of them than are this store's part of
     /// its slots.
-    fn takes(&self, now: Millis, executor: usize, repeat: &Again) -> bool {
-        let Some(known) = self.known.get(executor) else { return false };
-        let long = self.stuck.is_some_and(|since| now > since + LONG) && known.again == 0;
-        repeat.avoid != Some(executor) && (known.again < known.may_again || long)
+    fn takes(&self, now: Millis, executor: usize, repeat: &Retry) -> bool {
+        let Some(known) = self.executors.get(executor) else { return false };
+        let long = self.retries_stuck_since.is_some_and(|since| now > since + STUCK_RETRY_LIMIT_MS)
+            && known.retries_in_flight == 0;
+        repeat.avoid != Some(executor) && (known.retries_in_flight < known.retry_slots || long)
     }
 
     /// It holds twice what it works on from here alone.
     fn overrun(&self, executor: usize) -> bool {
         // Nor more than its connections that are this store's part: with many stores that is the narrower bound.
-        let full = |k: &Known| k.out >= self.share || k.out as f64 >= 2.0 * k.server.capacity;
-        !self.endpoint && self.known.get(executor).is_some_and(full)
+        let full = |k: &ExecutorState| {
+            k.in_flight >= self.connection_share || k.in_flight as f64 >= 2.0 * k.executor.capacity
+        };
+        !self.has_fixed_endpoint && self.executors.get(executor).is_some_and(full)
     }
 
     /// A request came to its end; `judged` is what that says of the executor.
@@ -427,24 +438,25 @@
         ran: bool,
         load: Option<[f64; 3]>,
     ) -> Option<(Key, usize)> {
-        let Sent { key, executor, at, mut op, push, again } = self.sent.remove(&attempt)?;
-        let known = &mut self.known[executor];
-        known.out = known.out.saturating_sub(1);
-        known.again -= usize::from(again).min(known.again);
+        let SentAttempt { key, executor, sent_at: at, mut op, push, is_retry: again } =
+            self.in_flight.remove(&attempt)?;
+        let known = &mut self.executors[executor];
+        known.in_flight = known.in_flight.saturating_sub(1);
+        known.retries_in_flight -= usize::from(again).min(known.retries_in_flight);
         if again && !ran {
-            self.budget.back();
+            self.retry_budget.back();
         }
-        let silent = judged == Judged::TimedOut && known.heard < at;
+        let silent = judged == Judged::TimedOut && known.last_answer_at < at;
         let answered = matches!(judged, Judged::Acked | Judged::Unfit | Judged::Full | Judged::Moot);
         if answered {
-            known.heard = now;
+            known.last_answer_at = now;
         }
         // Silence alone may be one lost answer; an executor that has answered nobody since is not there.
         let judged = if silent { Judged::Error } else { judged };
-        if self.endpoint {
-            self.fails = if answered { 0 } else { self.fails + 1 };
-            if self.fails > 0 {
-                self.pause = now + (PAUSE.1 << self.fails.min(6)).min(PAUSE.0);
+        if self.has_fixed_endpoint {
+            self.consecutive_failures = if answered { 0 } else { self.consecutive_failures + 1 };
+            if self.consecutive_failures > 0 {
+                self.paused_until = now + (PAUSE.1 << self.consecutive_failures.min(6)).min(PAUSE.0);
             }
         }
         let values = load.map_or(Vec::new(), |values| values.to_vec());
