--- a/crates/queue/tests/faults.rs
+++ b/crates/queue/tests/faults.rs
@@ -396,10 +396,10 @@
     (0..20).for_each(|n| _ = world.send(4000 + 20 * n, n as usize % 3, "plain", &[Does::Well], 0));
     world.no_ends_until = 5000;
     world.run(9000);
-    let left: usize = world.stores.iter().map(|s| s.queue.as_ref().unwrap().live()).sum();
+    let left: usize = world.stores.iter().map(|s| s.queue.as_ref().unwrap().live_count()).sum();
     assert_eq!(left, 30 * 2 + 20, "ends that were not told leave live copies");
     world.run(18_000);
-    let left: usize = world.stores.iter().map(|s| s.queue.as_ref().unwrap().live()).sum();
+    let left: usize = world.stores.iter().map(|s| s.queue.as_ref().unwrap().live_count()).sum();
     assert_eq!(left, 30 * 2);
     let before = world.bytes;
     world.run(58_000);
--- a/crates/queue/tests/repeats.rs
+++ b/crates/queue/tests/repeats.rs
@@ -45,31 +45,31 @@
     let members: Vec<(Node, usize)> = (0..STORES).map(|at| (10 + at as Node, at)).collect();
     for at in 0..STORES {
         let terms = QueueSettings {
-            me: members[at].0,
+            node: members[at].0,
             zone: at,
-            disk: 1,
-            first: 1,
-            begun: Vec::new(),
-            losses: 0,
-            regions: Vec::new(),
-            bear: Bear::default(),
-            window_ms: 5000,
-            overrun: 1.1,
-            status_ms: 120_000,
+            disk_id: 1,
+            first_number: 1,
+            earlier_first_numbers: Vec::new(),
+            replica_count: 0,
+            region_of_zone: Vec::new(),
+            tolerated_losses: ToleratedLosses::default(),
+            rate_window_ms: 5000,
+            rate_tolerance: 1.1,
+            status_retention_ms: 120_000,
             seed: at as u64,
         };
         let mut queue = Queue::new(terms, Ledger::default(), 0, WALL);
         queue.members(0, &members);
         members.iter().filter(|(node, _)| *node != members[at].0).for_each(|(node, _)| queue.up(0, *node));
-        let servers = (0..EXECUTORS).map(|n| Server {
+        let servers = (0..EXECUTORS).map(|n| Executor {
             id: format!("e{n}"),
             address: format!("10.0.0.{n}:80").parse().unwrap(),
             zone: n % 3,
             capacity: SLOTS as f64,
-            serving: true,
-            cold_left_ms: 0,
+            is_serving: true,
+            warm_up_left_ms: 0,
         });
-        queue.list(0, 0, HashMap::from([("works".to_string(), servers.collect())]));
+        queue.set_executors(0, 0, HashMap::from([("works".to_string(), servers.collect())]));
         queue.configure(0, 0, config(1, "", 6, 60.0));
         stores.push(queue);
     }
@@ -95,15 +95,15 @@
         }
         while let Some(entry) = out.first_entry().filter(|e| e.key().0 <= now) {
             let Sent { store, attempt, outcome, .. } = entry.remove();
-            stores[store].delivered(now, now as i64 * 10, attempt, outcome, None);
+            stores[store].attempt_ended(now, now as i64 * 10, attempt, outcome, None);
         }
         for (at, store) in stores.iter_mut().enumerate() {
             for _ in 0..8 {
                 store.tick(now, now as i64 * 10);
-                for effect in store.take() {
+                for effect in store.take_effects() {
                     match effect {
-                        Effect::Disk { ticket, .. } => store.kept(now, ticket, true),
-                        Effect::Deliver { attempt, key, to, .. } => {
+                        Effect::Persist { ticket, .. } => store.write_completed(now, ticket, true),
+                        Effect::StartAttempt { attempt, key, to, .. } => {
                             let id = store.message(key).unwrap().id.clone();
                             let executor = usize::from(to.ip().octets()[3]);
                             let before = tried.entry(id.clone()).or_default();
@@ -111,7 +111,7 @@
                             let held = out.values().filter(|s| s.executor == executor).count();
                             let number = id[2..].parse().unwrap();
                             let (ms, mut outcome) = does(now, executor, number, held);
-                            let ran = !matches!(outcome, Outcome::Full | Outcome::NotConnected);
+                            let ran = !matches!(outcome, Outcome::ExecutorFull | Outcome::NotConnected);
                             match again {
                                 false => day.first += 1,
                                 true => {
@@ -119,12 +119,12 @@
                                     day.at[executor] += 1;
                                     day.back_to_it +=
                                         usize::from(before.last().is_some_and(|l| l.0 == executor));
-                                    let fails = ran && !matches!(outcome, Outcome::Done { .. });
+                                    let fails = ran && !matches!(outcome, Outcome::Completed { .. });
                                     day.failed_again += usize::from(fails);
                                 }
                             }
                             before.push((executor, ran));
-                            if let Outcome::Done { seal } = &mut outcome {
+                            if let Outcome::Completed { seal } = &mut outcome {
                                 *seal = id.clone();
                                 let took = now + ms - born[&id];
                                 (day.done, day.slowest) = (day.done + 1, day.slowest.max(took));
@@ -140,7 +140,7 @@
                 }
             }
         }
-        let timers = stores.iter().map(Queue::next).min().unwrap();
+        let timers = stores.iter().map(Queue::next_deadline).min().unwrap();
         let next = out.first_key_value().map_or(u64::MAX, |((at, _), _)| *at);
         let put = if next_put < length { next_put } else { u64::MAX };
         now = timers.min(next).min(put).max(now + 1);
@@ -152,7 +152,7 @@
 /// Each works on `SLOTS` at once, and on more the slower.
 fn works(held: usize) -> (u64, Outcome) {
     let ms = 60 * (1 + held.saturating_sub(SLOTS) as u64);
-    (ms, Outcome::Done { seal: String::new() })
+    (ms, Outcome::Completed { seal: String::new() })
 }
 
 /// One executor struggles for ten seconds: it fails seven attempts in ten, each in a way of its own.
@@ -168,7 +168,7 @@
 /// were in time had to wait 1.5 s.
 #[test]
 fn a_repeat_goes_to_another_executor_than_the_one_that_failed_it() {
-    for outcome in [Outcome::Garbled, Outcome::Failed] {
+    for outcome in [Outcome::MalformedResponse, Outcome::Failed] {
         let day = struggles(3, 60, outcome);
         assert_eq!((day.back_to_it, day.at[4], day.failed_again), (0, 0, 0), "{day:?}");
         assert!(day.slowest < 400 && day.dead == 0, "{day:?}");
@@ -179,7 +179,7 @@
 #[test]
 fn a_whole_service_that_struggles_gets_a_part_of_repeats_and_then_all_of_them() {
     let day = play(8, 20_000, |now, _, _, held| match (4000..10_000).contains(&now) {
-        true => (30, Outcome::Broken),
+        true => (30, Outcome::ConnectionBroken),
         false => works(held),
     });
     // A part of the 750 first attempts of that time, some a second, and what was saved up.
--- a/crates/queue/tests/stage_labels.rs
+++ b/crates/queue/tests/stage_labels.rs
@@ -5,11 +5,11 @@
 #[test]
 fn every_stage_is_reported_by_its_documented_word() {
     let labels = [
-        (Stage::Landing, "landing"),
-        (Stage::Held, "held"),
+        (Stage::Persisting, "landing"),
+        (Stage::Suspended, "held"),
         (Stage::Waiting, "waiting"),
-        (Stage::Out, "out"),
-        (Stage::Copy, "copy"),
+        (Stage::InFlight, "out"),
+        (Stage::Replica, "copy"),
         (Stage::Ended, "ended"),
     ];
     for (stage, label) in labels {
--- a/crates/queue/tests/words.rs
+++ b/crates/queue/tests/words.rs
@@ -25,22 +25,22 @@
 
 impl One {
     fn new(ledger: Ledger, losses: usize) -> One {
-        One::placed(ledger, losses, Bear { zones: 1, regions: 0 }, vec![0; 8])
+        One::placed(ledger, losses, ToleratedLosses { zones: 1, regions: 0 }, vec![0; 8])
     }
 
-    fn placed(ledger: Ledger, losses: usize, bear: Bear, regions: Vec<usize>) -> One {
+    fn placed(ledger: Ledger, losses: usize, bear: ToleratedLosses, regions: Vec<usize>) -> One {
         let terms = QueueSettings {
-            me: ME,
+            node: ME,
             zone: 0,
-            disk: 7,
-            first: 1,
-            begun: ledger.begun.clone(),
-            losses,
-            regions,
-            bear,
-            window_ms: 5000,
-            overrun: 1.1,
-            status_ms: 120_000,
+            disk_id: 7,
+            first_number: 1,
+            earlier_first_numbers: ledger.begun.clone(),
+            replica_count: losses,
+            region_of_zone: regions,
+            tolerated_losses: bear,
+            rate_window_ms: 5000,
+            rate_tolerance: 1.1,
+            status_retention_ms: 120_000,
             seed: 5,
         };
         let queue = Queue::new(terms, ledger, 0, WALL);
@@ -61,16 +61,16 @@
     }
 
     fn configure(&mut self, revision: u64) {
-        let server = Server {
+        let server = Executor {
             id: "e".into(),
             address: "10.0.0.1:80".parse().unwrap(),
             zone: 0,
             capacity: 8.0,
-            serving: true,
-            cold_left_ms: 0,
+            is_serving: true,
+            warm_up_left_ms: 0,
         };
         let (now, fine) = (self.now, self.now as i64 * 10);
-        self.queue.list(now, fine, HashMap::from([("works".to_string(), vec![server])]));
+        self.queue.set_executors(now, fine, HashMap::from([("works".to_string(), vec![server])]));
         self.queue.configure(now, fine, config(revision, "", 3, 60.0));
     }
 
@@ -80,8 +80,8 @@
         let mut all = Vec::new();
         loop {
             self.queue.tick(self.now, self.now as i64 * 10);
-            for effect in self.queue.take() {
-                if let Effect::Disk { ticket, records, sync } = effect {
+            for effect in self.queue.take_effects() {
+                if let Effect::Persist { ticket, records, sync } = effect {
                     self.waiting.push((ticket, sync));
                     self.records.extend(records.iter().map(|r| postcard::from_bytes::<Record>(r).unwrap()));
                 } else {
@@ -90,11 +90,11 @@
             }
             if !self.disk_silent && !self.waiting.is_empty() {
                 for (ticket, _) in std::mem::take(&mut self.waiting) {
-                    self.queue.kept(self.now, ticket, true);
+                    self.queue.write_completed(self.now, ticket, true);
                 }
                 continue;
             }
-            let next = self.queue.next().max(self.now + 1);
+            let next = self.queue.next_deadline().max(self.now + 1);
             if next > until {
                 self.now = until;
                 return all;
@@ -120,7 +120,7 @@
     }
 
     fn answered(&mut self, attempt: u64, outcome: Outcome) -> Vec<Effect> {
-        self.queue.delivered(self.now, self.now as i64 * 10, attempt, outcome, None);
+        self.queue.attempt_ended(self.now, self.now as i64 * 10, attempt, outcome, None);
         self.pass(0)
     }
 }
@@ -195,7 +195,8 @@
         (1, 1, 0, &[ZONE, REGION], &[NEAR]),
     ];
     for (losses, zones, regions, away, wanted) in rows {
-        let mut one = One::placed(Ledger::default(), losses, Bear { zones, regions }, vec![0, 0, 1]);
+        let mut one =
+            One::placed(Ledger::default(), losses, ToleratedLosses { zones, regions }, vec![0, 0, 1]);
         one.queue.members(0, &all);
         for (node, _) in all.iter().filter(|(node, _)| *node != ME && !away.contains(node)) {
             one.queue.up(0, *node);
@@ -227,7 +228,7 @@
 
 fn attempts(effects: &[Effect]) -> Vec<u64> {
     let attempt = |e: &Effect| match e {
-        Effect::Deliver { attempt, .. } => Some(*attempt),
+        Effect::StartAttempt { attempt, .. } => Some(*attempt),
         _ => None,
     };
     effects.iter().filter_map(attempt).collect()
@@ -236,7 +237,7 @@
 fn copies(effects: &[Effect]) -> Vec<(Key, Node)> {
     let mut all = Vec::new();
     for effect in effects {
-        if let Effect::Send { to, note: PeerMessage::Copy(some) } = effect {
+        if let Effect::Send { to, message: PeerMessage::Copy(some) } = effect {
             all.extend(some.iter().map(|s| (s.key, *to)));
         }
     }
@@ -244,7 +245,7 @@
 }
 
 fn said(effects: &[Effect], who: Node, what: impl Fn(&PeerMessage) -> bool) -> bool {
-    effects.iter().any(|e| matches!(e, Effect::Send { to, note } if *to == who && what(note)))
+    effects.iter().any(|e| matches!(e, Effect::Send { to, message: note } if *to == who && what(note)))
 }
 
 fn owned(key: Key, owner: Node, term: u32) -> PeerMessage {
@@ -270,10 +271,10 @@
     let copy = if copies(&one.put(2, message("gone")))[0].1 == B { C } else { B };
     one.note(copy, owned(key, copy, 1));
     one.note(copy, PeerMessage::Own(vec![Owned { key, owner: copy, term: 2, copies: vec![ME] }]));
-    let mut effects = one.answered(attempts(&effects)[0], Outcome::Done { seal: "s".into() });
+    let mut effects = one.answered(attempts(&effects)[0], Outcome::Completed { seal: "s".into() });
     effects.extend(one.pass(50));
     assert!(said(&effects, copy, |n| matches!(n, PeerMessage::Ends(all) if all[0].0 == key)), "{effects:?}");
-    assert!(!effects.iter().any(|e| matches!(e, Effect::Call { .. })), "the owner calls back");
+    assert!(!effects.iter().any(|e| matches!(e, Effect::CallBack { .. })), "the owner calls back");
 }
 
 #[test]
@@ -302,10 +303,10 @@
     let mut one = One::ready(ledger(&shared(B, vec![ME])));
     one.pass(61_600);
     let key = Key { origin: B, number: 99 };
-    one.queue.list(one.now, one.now as i64 * 10, HashMap::new());
+    one.queue.set_executors(one.now, one.now as i64 * 10, HashMap::new());
     one.note(B, PeerMessage::Handover(vec![Handed { key, term: 0, tries: 0 }]));
     one.pass(300);
-    assert_matches!(one.queue.find(key), Some((State::Failed, _)));
+    assert_matches!(one.queue.lookup(key), Some((MessageState::Failed, _)));
 }
 
 #[test]
@@ -328,10 +329,10 @@
     assert_eq!(copies(&effects), [(key, other)]);
     assert!(said(&effects, slow, |n| *n == PeerMessage::Drop(vec![key])));
     let effects = one.note(other, PeerMessage::Copied(vec![key]));
-    assert!(!effects.iter().any(|e| matches!(e, Effect::Taken { .. })), "not yet on disk who has it");
+    assert!(!effects.iter().any(|e| matches!(e, Effect::PutResult { .. })), "not yet on disk who has it");
     one.disk_silent = false;
     let effects = one.pass(1);
-    assert!(effects.iter().any(|e| matches!(e, Effect::Taken { result: Ok(_), .. })));
+    assert!(effects.iter().any(|e| matches!(e, Effect::PutResult { result: Ok(_), .. })));
 }
 
 #[test]
@@ -339,11 +340,11 @@
     let mut one = One::ready(Ledger::default());
     let (key, first) = copies(&one.put(1, message("plain")))[0];
     let effects = one.pass(395);
-    let refused = |e: &Effect| matches!(e, Effect::Taken { result: Err(Refusal::Uncertain), .. });
+    let refused = |e: &Effect| matches!(e, Effect::PutResult { result: Err(Refusal::Uncertain), .. });
     assert!(effects.iter().any(refused), "{effects:?}");
     assert!(said(&effects, first, |n| matches!(n, PeerMessage::Drop(all) if all.contains(&key))));
-    assert_eq!(one.queue.in_hand(), 0);
-    assert_eq!(one.queue.find(key), None);
+    assert_eq!(one.queue.unfinished_count(), 0);
+    assert_eq!(one.queue.lookup(key), None);
     assert!(one.records.contains(&Record::Drop { key }));
 }
 
@@ -357,10 +358,10 @@
     one.queue.leave(one.now);
     let effects = one.pass(400);
     assert!(said(&effects, copy, |n| matches!(n, PeerMessage::Handover(_))));
-    assert_eq!(one.queue.in_hand(), 1);
+    assert_eq!(one.queue.unfinished_count(), 1);
     one.queue.down(one.now, copy);
     one.pass(0);
-    assert_eq!(one.queue.in_hand(), 0);
+    assert_eq!(one.queue.unfinished_count(), 0);
     // Told once, however often the program says that it is to end.
     one.queue.leave(one.now);
     let effects = one.pass(10);
@@ -382,12 +383,12 @@
         let mut keys = Vec::new();
         for _ in 0..4 {
             let (key, effects) = one.taken(message("plain"));
-            let effects = one.answered(attempts(&effects)[0], Outcome::Done { seal: "s".into() });
-            assert!(effects.iter().any(|e| matches!(e, Effect::Call { .. })), "none in round {round}");
+            let effects = one.answered(attempts(&effects)[0], Outcome::Completed { seal: "s".into() });
+            assert!(effects.iter().any(|e| matches!(e, Effect::CallBack { .. })), "none in round {round}");
             keys.push(key);
         }
         one.note(B, PeerMessage::Called(keys.clone()));
-        keys.into_iter().for_each(|key| one.queue.called(one.now, key, true));
+        keys.into_iter().for_each(|key| one.queue.callback_ended(one.now, key, true));
     }
 }
 
@@ -396,7 +397,7 @@
     let mut one = One::ready(ledger(&shared(B, vec![ME])));
     let key = Key { origin: B, number: 99 };
     one.note(B, PeerMessage::Called(vec![key]));
-    assert_eq!(one.queue.find(key), Some((State::Waiting, Some(b"bytes".as_slice()))));
+    assert_eq!(one.queue.lookup(key), Some((MessageState::Waiting, Some(b"bytes".as_slice()))));
 }
 
 #[test]
@@ -422,13 +423,13 @@
 #[test]
 fn a_newer_copy_in_the_place_of_a_message_that_waits_is_not_run() {
     let mut one = One::ready(Ledger::default());
-    one.queue.list(one.now, 0, HashMap::new());
+    one.queue.set_executors(one.now, 0, HashMap::new());
     let (key, _) = one.taken(message("plain"));
     let newer = Shared { key, owner: B, term: 3, ..shared(B, vec![ME]) };
     one.note(B, PeerMessage::Copy(vec![newer]));
     one.configure(2);
     assert!(attempts(&one.pass(3000)).is_empty());
-    assert_eq!(one.queue.find(key), Some((State::Waiting, Some(b"bytes".as_slice()))));
+    assert_eq!(one.queue.lookup(key), Some((MessageState::Waiting, Some(b"bytes".as_slice()))));
 }
 
 #[test]
@@ -436,8 +437,8 @@
     let mut one = One::ready(Ledger::default());
     let (key, to) = copies(&one.put(1, message("plain")))[0];
     let effects = one.note(to, owned(key, to, 1));
-    assert!(effects.iter().any(|e| matches!(e, Effect::Taken { result: Err(Refusal::Uncertain), .. })));
-    assert_eq!(one.queue.in_hand(), 0);
+    assert!(effects.iter().any(|e| matches!(e, Effect::PutResult { result: Err(Refusal::Uncertain), .. })));
+    assert_eq!(one.queue.unfinished_count(), 0);
 }
 
 #[test]
@@ -448,9 +449,9 @@
     one.note(B, PeerMessage::Copy(vec![shared.clone()]));
     let ticket = one.waiting[0].0;
     one.note(B, PeerMessage::Handover(vec![Handed { key: shared.key, term: 0, tries: 1 }]));
-    one.queue.kept(one.now, ticket, false);
+    one.queue.write_completed(one.now, ticket, false);
     one.pass(0);
-    assert_matches!(one.queue.find(shared.key), Some((State::Waiting, Some(_))));
+    assert_matches!(one.queue.lookup(shared.key), Some((MessageState::Waiting, Some(_))));
 }
 
 #[test]
@@ -458,7 +459,7 @@
     let mut one = One::ready(ledger(&shared(B, vec![ME])));
     let key = Key { origin: B, number: 99 };
     one.pass(61_600 + 120_500);
-    assert_eq!(one.queue.find(key), None);
+    assert_eq!(one.queue.lookup(key), None);
     assert!(one.records.contains(&Record::Drop { key }));
 }
 
@@ -466,7 +467,7 @@
 #[test]
 fn what_another_store_keeps_is_dropped_here_wherever_it_stands() {
     let kept = Some(Key { origin: 9, number: 9 });
-    let dropped = |one: &One, key: Key| one.queue.find(key).is_none();
+    let dropped = |one: &One, key: Key| one.queue.lookup(key).is_none();
     // Not yet safe, waiting for its time, and a copy that is taken over later.
     let mut one = One::ready(Ledger::default());
     let (key, to) = copies(&one.put(1, message("plain")))[0];
@@ -506,9 +507,9 @@
     let again = Message { taken: first.taken + 700, ..first.clone() };
     let (key, _) = one.taken(again.clone());
     one.queue.superseded("m", first.print(), None);
-    assert!(one.queue.find(key).is_some(), "it was accepted");
+    assert!(one.queue.lookup(key).is_some(), "it was accepted");
     one.queue.superseded("m", again.print(), None);
-    assert!(one.queue.find(key).is_none());
+    assert!(one.queue.lookup(key).is_none());
 }
 
 /// It read what was sent to it before it stood still; the edge has gone elsewhere since.
@@ -518,7 +519,7 @@
     let (key, to) = copies(&one.put(4, message("plain")))[0];
     one.queue.abandoned(4);
     let effects = one.note(to, PeerMessage::Copied(vec![key]));
-    assert!(one.queue.find(key).is_none() && attempts(&effects).is_empty());
+    assert!(one.queue.lookup(key).is_none() && attempts(&effects).is_empty());
 }
 
 /// What it took would wait behind what the disk has: another store takes it in time.
@@ -529,7 +530,7 @@
     one.put(1, message("plain"));
     one.pass(150);
     let effects = one.put(2, Message { id: "n".into(), ..message("plain") });
-    let refused = |e: &Effect| matches!(e, Effect::Taken { ticket: 2, result: Err(Refusal::NotTaken) });
+    let refused = |e: &Effect| matches!(e, Effect::PutResult { ticket: 2, result: Err(Refusal::NotTaken) });
     assert!(effects.iter().any(refused));
     let effects = one.note(B, PeerMessage::Copy(vec![shared(B, vec![ME])]));
     assert!(said(&effects, B, |n| matches!(n, PeerMessage::NotCopied(_))));
@@ -562,7 +563,7 @@
     }
     sent.extend(attempts(&one.pass(100)));
     assert_eq!(sent.len(), 2);
-    let effects = one.answered(sent[0], Outcome::Done { seal: "s".into() });
+    let effects = one.answered(sent[0], Outcome::Completed { seal: "s".into() });
     assert_eq!(attempts(&effects).len(), 1);
 }
 
@@ -574,14 +575,14 @@
     let (key, to) = copies(&one.put(1, Message { delay_ms: 6000, ..message("plain") }))[0];
     one.note(to, PeerMessage::Copied(vec![key]));
     one.now += 7000;
-    one.queue.lapsed = true;
+    one.queue.session_may_have_lapsed = true;
     assert!(attempts(&one.pass(100)).is_empty());
     [B, C].into_iter().for_each(|other| one.queue.down(one.now, other));
-    one.queue.lapsed = false;
+    one.queue.session_may_have_lapsed = false;
     one.queue.up(one.now, B);
     assert!(attempts(&one.note(B, PeerMessage::Stood)).is_empty());
     assert!(attempts(&one.pass(200)).is_empty());
-    assert_eq!(one.queue.figures.fenced, 1);
+    assert_eq!(one.queue.metrics.fence_activations, 1);
     one.queue.up(one.now, C);
     assert_eq!(attempts(&one.note(C, PeerMessage::Stood)).len(), 1);
 }
@@ -593,14 +594,14 @@
     let (key, to) = copies(&one.put(1, message("paid")))[0];
     let effects = one.note(to, PeerMessage::Copied(vec![key]));
     let asked = |e: &Effect| match e {
-        Effect::Send { to, note: PeerMessage::TokensWanted { .. } } => Some(*to),
+        Effect::Send { to, message: PeerMessage::TokensWanted { .. } } => Some(*to),
         _ => None,
     };
     let holder = effects.iter().find_map(asked).expect("another store holds the duty");
     let former = if holder == B { C } else { B };
     let tokens = PeerMessage::Tokens { service: "point".into(), count: 1 };
     assert!(attempts(&one.note(former, tokens.clone())).is_empty());
-    assert_eq!(one.queue.figures.former, 1);
+    assert_eq!(one.queue.metrics.stale_claims, 1);
     assert_eq!(attempts(&one.note(holder, tokens)).len(), 1);
 }
 
@@ -616,10 +617,10 @@
         said(effects, B, |n| matches!(n, PeerMessage::Tokens { count: c, .. } if *c == count))
     };
     assert!(got(&one.note(B, wanted()), 1));
-    one.queue.lapsed = true;
+    one.queue.session_may_have_lapsed = true;
     one.pass(100);
     assert!(got(&one.note(B, wanted()), 0));
-    one.queue.lapsed = false;
+    one.queue.session_may_have_lapsed = false;
     one.pass(100);
     assert!(got(&one.note(B, wanted()), 1));
 }
@@ -639,6 +640,6 @@
     one.pass(5500);
     let live = vec![Stands { key, owner: ME, term: 0, ended: false }];
     one.note(B, PeerMessage::Standing { disk: 9, answer: false, ranges: Vec::new(), live });
-    let counted = one.queue.view(one.now, key).unwrap().copies;
+    let counted = one.queue.message_view(one.now, key).unwrap().replicas;
     assert!(counted.is_empty(), "{counted:?}");
 }
--- a/crates/queue/tests/world/emptied.rs
+++ b/crates/queue/tests/world/emptied.rs
@@ -1,7 +1,7 @@
 //! Stores that are emptied: days that a fault in it would not survive.
 
 use super::{Act, Does, Fault, Prepare, World};
-use stileroute_queue::State;
+use stileroute_queue::MessageState;
 
 /// Four stores of which one is to be emptied. Of store 3 the copies lie there, its own lie at store 1.
 const EMPTIED: usize = 0;
@@ -77,7 +77,8 @@
         }
         world.run(30_000);
         for n in 0..12 {
-            let state = world.ask(n).map(|(state, bytes)| (matches!(state, State::Failed), bytes.is_some()));
+            let state =
+                world.ask(n).map(|(state, bytes)| (matches!(state, MessageState::Failed), bytes.is_some()));
             assert_eq!(state, Some((n % 3 == 0, n % 3 == 0)), "{n} after {fault:?}");
         }
         world.check(true);
@@ -97,7 +98,8 @@
         world.act(13_000, Act::Gone(EMPTIED));
         world.run(20_000);
         for n in 0..12 {
-            let state = world.ask(n).map(|(state, bytes)| (matches!(state, State::Failed), bytes.is_some()));
+            let state =
+                world.ask(n).map(|(state, bytes)| (matches!(state, MessageState::Failed), bytes.is_some()));
             assert_eq!(state, Some((n % 3 == 0, n % 3 == 0)), "{n} after {first:?}");
         }
     }
--- a/crates/queue/tests/world/mod.rs
+++ b/crates/queue/tests/world/mod.rs
@@ -339,17 +339,17 @@
         let born = Record::Born { disk: store.disk_number, first };
         store.disk.push((postcard::to_stdvec(&born).unwrap(), true));
         let terms = QueueSettings {
-            me: store.node,
+            node: store.node,
             zone: at,
-            disk: store.disk_number,
-            first,
-            begun: ledger.begun.clone(),
-            losses,
-            regions: vec![0; 8],
-            bear: Bear { zones: 1, regions: 0 },
-            window_ms: 5000,
-            overrun: 1.1,
-            status_ms: 120_000,
+            disk_id: store.disk_number,
+            first_number: first,
+            earlier_first_numbers: ledger.begun.clone(),
+            replica_count: losses,
+            region_of_zone: vec![0; 8],
+            tolerated_losses: ToleratedLosses { zones: 1, regions: 0 },
+            rate_window_ms: 5000,
+            rate_tolerance: 1.1,
+            status_retention_ms: 120_000,
             seed: at as u64,
         };
         (store.life, store.began, store.leaving, store.flushed) = (store.life + 1, now, None, false);
@@ -461,7 +461,7 @@
                 continue;
             }
             if let Some((queue, now)) = self.queue(at) {
-                (queue.heard, queue.lapsed) = (true, false);
+                (queue.hears_control_group, queue.session_may_have_lapsed) = (true, false);
                 queue.members(now, &all);
             }
         }
@@ -469,17 +469,17 @@
 
     fn listen(&mut self, at: usize) {
         let config = Arc::clone(&self.config);
-        let servers = (0..3u8).map(|n| Server {
+        let servers = (0..3u8).map(|n| Executor {
             id: format!("e{n}"),
             address: format!("10.0.0.{n}:80").parse().unwrap(),
             zone: n as usize,
             capacity: 8.0,
-            serving: true,
-            cold_left_ms: 0,
+            is_serving: true,
+            warm_up_left_ms: 0,
         });
         let servers = HashMap::from([("works".to_string(), servers.collect::<Vec<_>>())]);
         if let Some((queue, now)) = self.queue(at) {
-            queue.list(now, now as i64 * 10, servers);
+            queue.set_executors(now, now as i64 * 10, servers);
             queue.configure(now, now as i64 * 10, config);
         }
     }
@@ -492,14 +492,14 @@
             queue.leave(now);
             self.carry_out(at);
             let Some((queue, _)) = self.queue(at) else { return };
-            let done = queue.in_hand() == 0 && self.now > since + 150;
+            let done = queue.unfinished_count() == 0 && self.now > since + 150;
             if done && !self.stores[at].flushed {
                 self.stores[at].flushed = true;
-                self.queue(at).unwrap().0.flush();
+                self.queue(at).unwrap().0.flush_ends();
                 self.carry_out(at);
             }
             let Some(queue) = &self.stores[at].queue else { return };
-            let done = queue.in_hand() == 0 && self.now > since + 150;
+            let done = queue.unfinished_count() == 0 && self.now > since + 150;
             if (done && self.now > since + 300) || self.now > since + GRACE {
                 self.stores[at].disk.iter_mut().for_each(|(_, synced)| *synced = true);
                 self.stop(at, 5);
@@ -514,7 +514,7 @@
         for _ in 0..8 {
             let Some((queue, now)) = self.queue(at) else { return };
             queue.tick(now, now as i64 * 10);
-            let effects = queue.take();
+            let effects = queue.take_effects();
             if effects.is_empty() {
                 return;
             }
@@ -534,7 +534,7 @@
     fn effect(&mut self, at: usize, effect: Effect) {
         let life = self.stores[at].life;
         match effect {
-            Effect::Disk { ticket, records, sync } => {
+            Effect::Persist { ticket, records, sync } => {
                 let store = &mut self.stores[at];
                 let (ok, wait) = (!(store.full && sync), if sync { store.disk_ms } else { 200 });
                 if ok {
@@ -543,7 +543,7 @@
                 let upto = store.disk.len();
                 self.at(wait, What::Kept { at, life, ticket, upto, ok });
             }
-            Effect::Send { to, note } => {
+            Effect::Send { to, message: note } => {
                 let Some(to) = self.stores.iter().position(|s| s.node == to) else { return };
                 let pair = (at.min(to), at.max(to));
                 let Some(link) = self.links.get(&pair).copied() else { return };
@@ -560,12 +560,12 @@
                 let note = postcard::from_bytes(&bytes).unwrap();
                 self.at(when - self.now, What::PeerMessage { from: at, to, link, note });
             }
-            Effect::Taken { ticket, result } => {
+            Effect::PutResult { ticket, result } => {
                 if let Some((sent, ticket)) = self.stores[at].askers.remove(&ticket) {
                     self.at(EDGE, What::Said { sent, from: at, ticket, result });
                 }
             }
-            Effect::Deliver { attempt, key, timeout_ms, .. } => {
+            Effect::StartAttempt { attempt, key, timeout_ms, .. } => {
                 let Some(message) = self.stores[at].queue.as_ref().and_then(|h| h.message(key)) else {
                     return;
                 };
@@ -577,7 +577,7 @@
                 let tries = self.runs.iter().filter(|r| r.id == id).count();
                 let does = *sent.does.get(tries).or(sent.does.last()).unwrap_or(&Does::Well);
                 let (mut wait, mut outcome) =
-                    (20 + self.random(30), Outcome::Done { seal: format!("s-{id}") });
+                    (20 + self.random(30), Outcome::Completed { seal: format!("s-{id}") });
                 if paid {
                     if !self.endpoint {
                         let outcome = Outcome::NotConnected;
@@ -592,8 +592,8 @@
                 }
                 match does {
                     Does::Fails => outcome = Outcome::Failed,
-                    Does::Refuses => outcome = Outcome::Refused,
-                    Does::Loses | Does::Silent => (wait, outcome) = (timeout_ms, Outcome::Late),
+                    Does::Refuses => outcome = Outcome::Rejected,
+                    Does::Loses | Does::Silent => (wait, outcome) = (timeout_ms, Outcome::NoResponse),
                     Does::Slow(ms) => wait = ms,
                     _ => {}
                 }
@@ -603,7 +603,7 @@
                 self.runs.push(Run { id: id.clone(), at: self.now, done, does, over, read: None });
                 self.at(wait, What::Done { at, life, attempt, id, outcome });
             }
-            Effect::Call { key, body, .. } => {
+            Effect::CallBack { key, body, .. } => {
                 let parsed = body.split('"').nth(3).unwrap_or_default().to_string();
                 let before = self.calls.iter().filter(|(id, _, _)| *id == parsed).count();
                 let taken = before >= self.receiver_fails && self.now >= self.receiver_down;
@@ -639,7 +639,7 @@
                 }
                 self.stores[at].disk[..upto].iter_mut().for_each(|(_, synced)| *synced = true);
                 let (queue, now) = self.queue(at).unwrap();
-                queue.kept(now, ticket, ok);
+                queue.write_completed(now, ticket, ok);
                 self.turn(at);
             }
             What::Send { sent } => {
@@ -694,18 +694,18 @@
                 if self.stores[at].life != life || self.stores[at].queue.is_none() {
                     return;
                 }
-                if matches!(outcome, Outcome::Done { .. }) {
+                if matches!(outcome, Outcome::Completed { .. }) {
                     let run = self.runs.iter_mut().rfind(|r| r.id == id && r.done == Some(now));
                     run.into_iter().for_each(|r| r.read = Some(now));
                 }
                 let (queue, now) = self.queue(at).unwrap();
-                queue.delivered(now, now as i64 * 10, attempt, outcome, None);
+                queue.attempt_ended(now, now as i64 * 10, attempt, outcome, None);
                 self.turn(at);
             }
             What::Called { at, life, key, taken } => {
                 if self.stores[at].life == life && self.stores[at].queue.is_some() {
                     let (queue, now) = self.queue(at).unwrap();
-                    queue.called(now, key, taken);
+                    queue.callback_ended(now, key, taken);
                     self.turn(at);
                 }
             }
@@ -746,14 +746,14 @@
             // Until the control nodes have been heard again it knows that it may be cut off.
             What::Thaw { at, life } => {
                 if let Some((queue, _)) = self.queue(at).filter(|_| life > 0) {
-                    (queue.heard, queue.lapsed) = (false, true);
+                    (queue.hears_control_group, queue.session_may_have_lapsed) = (false, true);
                     self.turn(at);
                 }
             }
             What::Deaf { at, life, lapsed } => {
                 let off = self.stores[at].life == life && self.stores[at].isolated;
                 if let Some((queue, _)) = self.queue(at).filter(|_| off) {
-                    (queue.lapsed, queue.heard) = (true, lapsed);
+                    (queue.session_may_have_lapsed, queue.hears_control_group) = (true, lapsed);
                     self.turn(at);
                 }
             }
@@ -872,7 +872,8 @@
 
     pub fn run(&mut self, until: u64) {
         loop {
-            let timer = |s: &Store| s.queue.as_ref().map(|h| s.began.saturating_add(h.next()).max(s.frozen));
+            let timer =
+                |s: &Store| s.queue.as_ref().map(|h| s.began.saturating_add(h.next_deadline()).max(s.frozen));
             let due = self.stores.iter().enumerate().filter_map(|(at, s)| Some((timer(s)?, at))).min();
             let event = self.queue.keys().next().copied();
             let due = due.map(|(when, at)| (when.max(self.now + 1), at));
@@ -902,15 +903,17 @@
     // ---- What must hold ----
 
     /// What an edge says to one who asks.
-    pub fn ask(&self, sent: usize) -> Option<(State, Option<Vec<u8>>)> {
+    pub fn ask(&self, sent: usize) -> Option<(MessageState, Option<Vec<u8>>)> {
         let (key, first) = Key::parse(self.messages[sent].name.as_deref()?)?;
         let mut waiting = None;
         let rank = |s: &&Store| first.iter().position(|n| *n == s.node).unwrap_or(usize::MAX);
         let mut stores: Vec<&Store> = self.stores.iter().filter(|s| s.queue.is_some()).collect();
         stores.sort_by_key(rank);
         for store in stores {
-            match store.queue.as_ref().unwrap().find(key) {
-                Some((State::Waiting, bytes)) => waiting = Some((State::Waiting, bytes.map(<[u8]>::to_vec))),
+            match store.queue.as_ref().unwrap().lookup(key) {
+                Some((MessageState::Waiting, bytes)) => {
+                    waiting = Some((MessageState::Waiting, bytes.map(<[u8]>::to_vec)))
+                }
                 Some((state, bytes)) => return Some((state, bytes.map(<[u8]>::to_vec))),
                 None => {}
             }
@@ -956,14 +959,14 @@
                 continue;
             };
             match &state {
-                State::Waiting => {
+                MessageState::Waiting => {
                     assert!(!ended, "{id} still waits: {sent:?} {runs:?}");
                     assert_eq!(bytes.as_ref(), Some(&sent.message.body), "{id}");
                 }
-                State::Complete { seal } => {
+                MessageState::Complete { seal } => {
                     assert!(runs.iter().any(|r| r.done.is_some()) && *seal == format!("s-{id}"), "{id}");
                 }
-                State::Failed => {
+                MessageState::Failed => {
                     let gone = sent.message.target.starts_with("/gone/");
                     let refused = runs.iter().any(|r| r.does == Does::Refuses);
                     let failed = runs.iter().filter(|r| r.does == Does::Fails).count();
@@ -973,7 +976,7 @@
                     assert_eq!(bytes.as_ref(), Some(&sent.message.body), "{id}: bytes of a dead one");
                 }
             }
-            let word = if matches!(state, State::Complete { .. }) { "complete" } else { "failed" };
+            let word = if matches!(state, MessageState::Complete { .. }) { "complete" } else { "failed" };
             if ended {
                 assert!(called.iter().any(|(_, body, _)| body.contains(word)), "{id}: no call-back {runs:?}");
             }
@@ -1019,7 +1022,7 @@
         let mut disks = self.disks(false);
         disks.iter_mut().enumerate().filter(|(at, _)| *at == gone).for_each(|(_, l)| *l = Ledger::default());
         for (n, sent) in self.messages.iter().enumerate() {
-            let Some((State::Waiting, _)) = self.ask(n) else { continue };
+            let Some((MessageState::Waiting, _)) = self.ask(n) else { continue };
             let key = Key::parse(sent.name.as_deref().unwrap()).unwrap().0;
             let lies = |l: &&Ledger| l.all.get(&key).is_some_and(|k| k.end.is_none() && k.shared.is_some());
             let copies = disks.iter().filter(lies).count();
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -14,7 +14,8 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 use stileroute_queue::{
-    first_number, Bear, Effect, Key, Ledger, Node, Outcome, Queue, QueueSettings, Record, Server, State,
+    first_number, Effect, Executor, Key, Ledger, MessageState, Node, Outcome, Queue, QueueSettings, Record,
+    ToleratedLosses,
 };
 use stileroute_wal::{Options, Trouble, Wal};
 
@@ -68,17 +69,17 @@
         let zone = common.boot.zones.keys().position(|zone| *zone == common.boot.zone).unwrap_or(0);
         let boot = &common.boot;
         let terms = QueueSettings {
-            me: common.links.me().node,
+            node: common.links.me().node,
             zone,
-            disk: number,
-            first,
-            begun: ledger.begun.clone(),
-            losses: boot.losses.copies(),
-            regions: boot.regions(),
-            bear: Bear { zones: boot.losses.zones, regions: boot.losses.regions },
-            window_ms: boot.bounds.ceiling_window_ms,
-            overrun: boot.bounds.origin_overrun,
-            status_ms: boot.bounds.status_ms,
+            disk_id: number,
+            first_number: first,
+            earlier_first_numbers: ledger.begun.clone(),
+            replica_count: boot.losses.copies(),
+            region_of_zone: boot.regions(),
+            tolerated_losses: ToleratedLosses { zones: boot.losses.zones, regions: boot.losses.regions },
+            rate_window_ms: boot.bounds.ceiling_window_ms,
+            rate_tolerance: boot.bounds.origin_overrun,
+            status_retention_ms: boot.bounds.status_ms,
             seed: lot(),
         };
         tracing::info!(messages = ledger.all.len(), disk = number, "disk read");
@@ -102,16 +103,17 @@
 
     pub fn run(mut self) -> miette::Result<()> {
         loop {
-            let (link_events, events) = self.common.turn(self.queue.next());
+            let (link_events, events) = self.common.turn(self.queue.next_deadline());
             link_events.into_iter().for_each(|link_event| self.link_event(link_event));
             events.into_iter().for_each(|event| self.event(event));
             self.inquiries();
             self.common.keep_session();
             self.connect();
-            self.queue.heard = self.common.fresh();
+            self.queue.hears_control_group = self.common.fresh();
             let now = self.common.net.now();
             // From the last answer on: the session stood then, and is counted for so long after its end.
-            self.queue.lapsed = now >= self.common.session.heard + stileroute_registry::GRACE;
+            self.queue.session_may_have_lapsed =
+                now >= self.common.session.heard + stileroute_registry::GRACE;
             if self.common.told_to_end() {
                 for edge in self.common.links.class(Class::Edge) {
                     self.common.links.say(&mut self.common.net, edge, &Signal::Leaving);
@@ -127,7 +129,7 @@
                 }
             });
             self.common.retires(retiring);
-            for line in self.queue.log() {
+            for line in self.queue.take_dispatch_log() {
                 tracing::debug!("{line}");
             }
             if self.may_end(now) {
@@ -141,11 +143,11 @@
     fn may_end(&mut self, now: Millis) -> bool {
         let Some(since) = self.common.leaving_since else { return false };
         let grace = self.common.boot.bounds.grace_ms.saturating_sub(1000);
-        let done = self.queue.in_hand() == 0 && now > since + 150;
+        let done = self.queue.unfinished_count() == 0 && now > since + 150;
         if done && !self.flushed {
             // The last ends go out before the process does: whoever took over must not run them again.
             self.flushed = true;
-            self.queue.flush();
+            self.queue.flush_ends();
             self.carry_out();
             return false;
         }
@@ -169,7 +171,7 @@
         let now = self.common.net.now();
         match link_event {
             LinkEvent::Up(hello) if hello.class == Class::Store => self.queue.up(now, hello.node),
-            LinkEvent::Up(hello) if hello.class == Class::Edge && self.queue.leaving => {
+            LinkEvent::Up(hello) if hello.class == Class::Edge && self.queue.is_draining => {
                 self.common.links.say(&mut self.common.net, hello.node, &Signal::Leaving);
             }
             LinkEvent::Up(_) => {}
@@ -221,7 +223,7 @@
                 }
                 let fine = self.common.net.fine();
                 if changed {
-                    self.queue.list(now, fine, self.listed());
+                    self.queue.set_executors(now, fine, self.listed());
                 }
                 if let Some(config) = config {
                     self.queue.configure(now, fine, config);
@@ -236,12 +238,12 @@
                 self.queue.put(now, self.next_ticket, message);
             }
             LinkEvent::Said(from, Class::Edge, Signal::Find { ticket, key, body }) => {
-                let found = self.queue.find(key).map(|(state, bytes)| {
+                let found = self.queue.lookup(key).map(|(state, bytes)| {
                     let bytes = bytes.filter(|_| body).map(<[u8]>::to_vec);
                     let found = match state {
-                        State::Waiting => Found::Waiting,
-                        State::Complete { seal } => Found::Complete { seal },
-                        State::Failed => Found::Failed,
+                        MessageState::Waiting => Found::Waiting,
+                        MessageState::Complete { seal } => Found::Complete { seal },
+                        MessageState::Failed => Found::Failed,
                     };
                     (found, bytes)
                 });
@@ -262,19 +264,19 @@
         }
     }
 
-    fn listed(&self) -> HashMap<String, Vec<Server>> {
-        let mut all: HashMap<String, Vec<Server>> = HashMap::new();
+    fn listed(&self) -> HashMap<String, Vec<Executor>> {
+        let mut all: HashMap<String, Vec<Executor>> = HashMap::new();
         let mut heartbeats: Vec<&Heartbeat> = self.servers.values().collect();
         heartbeats.sort_unstable_by(|a, b| a.id.cmp(&b.id));
         for heartbeat in heartbeats {
             let zone = self.common.boot.zones.keys().position(|zone| *zone == heartbeat.zone);
-            all.entry(heartbeat.backend.clone()).or_default().push(Server {
+            all.entry(heartbeat.backend.clone()).or_default().push(Executor {
                 id: heartbeat.id.clone(),
                 address: heartbeat.address,
                 zone: zone.unwrap_or(self.common.boot.zones.len()),
                 capacity: f64::from(heartbeat.capacity),
-                serving: heartbeat.standing == Standing::Serving,
-                cold_left_ms: heartbeat.cold_left_ms,
+                is_serving: heartbeat.standing == Standing::Serving,
+                warm_up_left_ms: heartbeat.cold_left_ms,
             });
         }
         all
@@ -292,7 +294,7 @@
                             Ok(()) => tracing::info!("disk takes again"),
                         }
                     }
-                    self.queue.kept(now, ticket, result.is_ok());
+                    self.queue.write_completed(now, ticket, result.is_ok());
                 }
             }
             Event::Replied { ticket, result } => self.replied(ticket, result),
@@ -309,10 +311,10 @@
                 let outcome = judge(&id, result);
                 self.tally.ended(&outcome);
                 let fine = self.common.net.fine();
-                self.queue.delivered(now, fine, attempt, outcome, load);
+                self.queue.attempt_ended(now, fine, attempt, outcome, load);
             }
             Some(Out::Call(key)) => {
-                self.queue.called(now, key, result.is_ok_and(|reply| reply.status == 200))
+                self.queue.callback_ended(now, key, result.is_ok_and(|reply| reply.status == 200))
             }
             None => {}
         }
@@ -322,7 +324,7 @@
         for _ in 0..8 {
             let (now, fine) = (self.common.net.now(), self.common.net.fine());
             self.queue.tick(now, fine);
-            let effects = self.queue.take();
+            let effects = self.queue.take_effects();
             if effects.is_empty() {
                 return;
             }
@@ -333,22 +335,29 @@
     fn effect(&mut self, effect: Effect) {
         let now = self.common.net.now();
         match effect {
-            Effect::Disk { ticket, records, sync } => {
+            Effect::Persist { ticket, records, sync } => {
                 self.disk.append(ticket, records, sync);
                 if planted(Planted::AnswerBeforeDisk) {
-                    self.queue.kept(now, ticket, true);
+                    self.queue.write_completed(now, ticket, true);
                 }
             }
-            Effect::Send { to, note } => {
+            Effect::Send { to, message: note } => {
                 self.common.links.say(&mut self.common.net, to, &Signal::PeerMessage(note));
             }
-            Effect::Taken { ticket, result } => {
+            Effect::PutResult { ticket, result } => {
                 if let Some((edge, ticket)) = self.askers.remove(&ticket) {
                     self.common.links.say(&mut self.common.net, edge, &Signal::Taken { ticket, result });
                 }
             }
-            Effect::Deliver { attempt, key, to, expect, timeout_ms, conns } => {
-                self.tally.began(self.queue.first_wait(now, key));
+            Effect::StartAttempt {
+                attempt,
+                key,
+                to,
+                expected_server: expect,
+                timeout_ms,
+                max_connections: conns,
+            } => {
+                self.tally.began(self.queue.first_attempt_delay_ms(now, key));
                 let Some(message) = self.queue.message(key) else { return };
                 let mut bytes = Vec::with_capacity(message.body.len() + 320);
                 let _ = write!(
@@ -376,12 +385,12 @@
                         let fine = self.common.net.fine();
                         let outcome = judge(&id, Err(failure));
                         self.tally.ended(&outcome);
-                        self.queue.delivered(now, fine, attempt, outcome, None);
+                        self.queue.attempt_ended(now, fine, attempt, outcome, None);
                     }
                 }
             }
-            Effect::Call { key, url: text, body } => {
-                let Some((to, path)) = url(&text) else { return self.queue.called(now, key, false) };
+            Effect::CallBack { key, url: text, body } => {
+                let Some((to, path)) = url(&text) else { return self.queue.callback_ended(now, key, false) };
                 let bytes = format!(
                     "POST {path} HTTP/1.1\r\nHost: {to}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
                     body.len()
@@ -391,7 +400,7 @@
                     Ok(()) => {
                         self.out.insert(self.next_ticket, Out::Call(key));
                     }
-                    Err(_) => self.queue.called(now, key, false),
+                    Err(_) => self.queue.callback_ended(now, key, false),
                 }
             }
         }
@@ -420,26 +429,26 @@
     let reply = match result {
         Ok(reply) => reply,
         Err(Failure::NotConnected) => return Outcome::NotConnected,
-        Err(Failure::NoRoom) => return Outcome::NoRoom,
-        Err(Failure::Broken) => return Outcome::Broken,
-        Err(Failure::Late) => return Outcome::Late,
-        Err(Failure::Garbled) => return Outcome::Garbled,
+        Err(Failure::NoRoom) => return Outcome::NoFreeConnection,
+        Err(Failure::Broken) => return Outcome::ConnectionBroken,
+        Err(Failure::Late) => return Outcome::NoResponse,
+        Err(Failure::Garbled) => return Outcome::MalformedResponse,
     };
     if reply.id.as_deref() != Some(id) {
-        return Outcome::Garbled;
+        return Outcome::MalformedResponse;
     }
     match (reply.status, reply.seal) {
-        (200..=299, Some(seal)) => Outcome::Done { seal },
-        (200..=299, None) => Outcome::Garbled,
-        (422, _) => Outcome::Refused,
-        (421, _) => Outcome::Wrong,
-        (409, _) => Outcome::Running,
-        (429, _) => Outcome::Over,
-        (503, _) => Outcome::Full,
-        (504, _) => Outcome::Stopped,
+        (200..=299, Some(seal)) => Outcome::Completed { seal },
+        (200..=299, None) => Outcome::MalformedResponse,
+        (422, _) => Outcome::Rejected,
+        (421, _) => Outcome::WrongServer,
+        (409, _) => Outcome::AlreadyRunning,
+        (429, _) => Outcome::RateLimited,
+        (503, _) => Outcome::ExecutorFull,
+        (504, _) => Outcome::TimedOut,
         (500, _) if !reply.not_run => Outcome::Failed,
         _ if reply.not_run => Outcome::NotRun,
-        _ => Outcome::Garbled,
+        _ => Outcome::MalformedResponse,
     }
 }
 
--- a/crates/server/src/store/report.rs
+++ b/crates/server/src/store/report.rs
@@ -20,20 +20,20 @@
 impl Tally {
     pub fn ended(&mut self, outcome: &Outcome) {
         let name = match outcome {
-            Outcome::Done { .. } => "done",
-            Outcome::Refused => "refused",
+            Outcome::Completed { .. } => "done",
+            Outcome::Rejected => "refused",
             Outcome::Failed => "failed",
-            Outcome::Full => "full",
-            Outcome::Over => "over",
-            Outcome::Running => "running",
-            Outcome::Wrong => "wrong",
+            Outcome::ExecutorFull => "full",
+            Outcome::RateLimited => "over",
+            Outcome::AlreadyRunning => "running",
+            Outcome::WrongServer => "wrong",
             Outcome::NotRun => "not_run",
-            Outcome::Stopped => "stopped",
+            Outcome::TimedOut => "stopped",
             Outcome::NotConnected => "not_connected",
-            Outcome::NoRoom => "no_room",
-            Outcome::Broken => "broken",
-            Outcome::Late => "late",
-            Outcome::Garbled => "garbled",
+            Outcome::NoFreeConnection => "no_room",
+            Outcome::ConnectionBroken => "broken",
+            Outcome::NoResponse => "late",
+            Outcome::MalformedResponse => "garbled",
         };
         *self.outcomes.entry(name).or_default() += 1;
     }
@@ -55,48 +55,48 @@
     fn report(&self) -> JsonValue {
         let now = self.common.net.now();
         let mut report = self.common.report();
-        let stages = self.queue.stages(now);
+        let stages = self.queue.stage_counts(now);
         report["messages"] = jzon::object! {
-            "landing" => stages.landing,
-            "held" => stages.held,
+            "landing" => stages.persisting,
+            "held" => stages.suspended,
             "waiting" => stages.waiting,
-            "out" => stages.out,
-            "copy" => stages.copy,
+            "out" => stages.in_flight,
+            "copy" => stages.replica,
             "ended" => stages.ended,
-            "owed" => stages.owed,
-            "oldest_ms" => stages.oldest_ms,
+            "owed" => stages.callbacks_pending,
+            "oldest_ms" => stages.oldest_overdue_ms,
         };
         report["disk_trouble"] = self.disk_trouble.into();
         let mut services = Vec::new();
-        for service in self.queue.services(now) {
+        for service in self.queue.service_views(now) {
             let executors: Vec<JsonValue> = service
-                .shares
+                .executor_shares
                 .into_iter()
                 .map(|(id, share, out)| jzon::object! { "id" => id, "share" => share, "out" => out })
                 .collect();
-            let ceiling = service.ceiling.map(|(rate, holder, here)| {
+            let ceiling = service.rate_limit.map(|(rate, holder, here)| {
                 jzon::object! { "rate_per_s" => rate, "holder" => self.common.name(holder), "here" => here }
             });
             services.push(jzon::object! {
                 "service" => service.name,
                 "waiting" => service.waiting,
-                "out" => service.out,
-                "oldest_ms" => service.oldest_ms,
+                "out" => service.in_flight,
+                "oldest_ms" => service.oldest_overdue_ms,
                 "ceiling" => ceiling,
                 "executors" => executors,
                 "repeats" => jzon::object! {
-                    "first" => service.repeats.first,
-                    "again" => service.repeats.again,
-                    "held_back" => service.repeats.held_back,
-                    "waiting" => service.repeats_waiting,
-                    "most_at_one" => service.repeats.most,
+                    "first" => service.retry_counts.first_attempts,
+                    "again" => service.retry_counts.retries,
+                    "held_back" => service.retry_counts.retries_delayed,
+                    "waiting" => service.retries_waiting,
+                    "most_at_one" => service.retry_counts.max_retries_per_executor,
                 },
             });
         }
         report["services"] = services.into();
         let stores: Vec<JsonValue> = self
             .queue
-            .stores()
+            .peer_views()
             .map(|(node, connected, listed, leaving)| {
                 jzon::object! {
                     "node" => self.common.name(node),
@@ -111,9 +111,9 @@
     }
 
     fn trace(&self, key: Key) -> JsonValue {
-        let Some(view) = self.queue.view(self.common.net.now(), key) else { return JsonValue::Null };
+        let Some(view) = self.queue.message_view(self.common.net.now(), key) else { return JsonValue::Null };
         let copies: Vec<JsonValue> =
-            view.copies.into_iter().map(|node| self.common.name(node).into()).collect();
+            view.replicas.into_iter().map(|node| self.common.name(node).into()).collect();
         let end = match view.end {
             None => JsonValue::Null,
             Some(End::Complete { seal }) => jzon::object! { "state" => "complete", "seal" => seal },
@@ -125,47 +125,53 @@
             "copies" => copies,
             "term" => view.term,
             "stage" => view.stage.label(),
-            "tries" => view.tries,
+            "tries" => view.failed_attempts,
             "due_in_ms" => view.due_in_ms,
             "expires_in_ms" => view.expires_in_ms,
-            "taken" => view.taken,
-            "config" => view.config,
+            "taken" => view.accepted_at_ms,
+            "config" => view.config_revision,
             "bytes" => view.bytes,
             "end" => end,
-            "callback_owed" => view.owed,
+            "callback_owed" => view.callback_pending,
         }
     }
 
     fn figures(&self, sheet: &mut Sheet) {
         let now = self.common.net.now();
         self.common.figures(sheet, |_| "none");
-        let stages = self.queue.stages(now);
+        let stages = self.queue.stage_counts(now);
         let by_stage = [
-            ("landing", stages.landing),
-            ("held", stages.held),
+            ("landing", stages.persisting),
+            ("held", stages.suspended),
             ("waiting", stages.waiting),
-            ("out", stages.out),
-            ("copy", stages.copy),
+            ("out", stages.in_flight),
+            ("copy", stages.replica),
             ("ended", stages.ended),
         ];
         for (stage, count) in by_stage {
             sheet.gauge("stileroute_messages", "Messages here, by stage.", &[("stage", stage)], count);
         }
-        sheet.gauge("stileroute_callbacks_owed", "Call-backs that have not been taken.", &[], stages.owed);
-        let oldest = stages.oldest_ms as f64 / 1000.0;
+        sheet.gauge(
+            "stileroute_callbacks_owed",
+            "Call-backs that have not been taken.",
+            &[],
+            stages.callbacks_pending,
+        );
+        let oldest = stages.oldest_overdue_ms as f64 / 1000.0;
         let help = "By how much the oldest own message that has not ended is past its due time.";
         sheet.gauge("stileroute_oldest_message_seconds", help, &[], oldest);
-        let services = self.queue.services(now);
+        let services = self.queue.service_views(now);
         for service in &services {
             let labels = [("service", service.name.as_str())];
             sheet.gauge("stileroute_queue", "Messages that wait for an executor.", &labels, service.waiting);
         }
         for service in &services {
             let labels = [("service", service.name.as_str())];
-            sheet.gauge("stileroute_out", "Requests that are out at executors.", &labels, service.out);
+            sheet.gauge("stileroute_out", "Requests that are out at executors.", &labels, service.in_flight);
         }
         for service in &services {
-            let of = [("first", service.repeats.first), ("repeat", service.repeats.again)];
+            let of =
+                [("first", service.retry_counts.first_attempts), ("repeat", service.retry_counts.retries)];
             for (attempt, count) in of {
                 let labels = [("service", service.name.as_str()), ("attempt", attempt)];
                 let help = "Deliveries that went out: first ones, and repeats of what ran or may have run.";
@@ -175,20 +181,30 @@
         for service in &services {
             let labels = [("service", service.name.as_str())];
             let help = "Repeats that had to wait for their part.";
-            sheet.count("stileroute_repeats_held_back_total", help, &labels, service.repeats.held_back);
+            sheet.count(
+                "stileroute_repeats_held_back_total",
+                help,
+                &labels,
+                service.retry_counts.retries_delayed,
+            );
         }
         for service in &services {
             let labels = [("service", service.name.as_str())];
             let help = "Repeats that wait, among the queue.";
-            sheet.gauge("stileroute_repeats_waiting", help, &labels, service.repeats_waiting);
+            sheet.gauge("stileroute_repeats_waiting", help, &labels, service.retries_waiting);
         }
         for service in &services {
             let labels = [("service", service.name.as_str())];
             let help = "Most repeats of this store that were out at one executor at once.";
-            sheet.gauge("stileroute_repeats_most_at_one", help, &labels, service.repeats.most);
+            sheet.gauge(
+                "stileroute_repeats_most_at_one",
+                help,
+                &labels,
+                service.retry_counts.max_retries_per_executor,
+            );
         }
-        for service in services.iter().filter(|s| s.ceiling.is_some()) {
-            let here = u8::from(service.ceiling.is_some_and(|(_, _, here)| here));
+        for service in services.iter().filter(|s| s.rate_limit.is_some()) {
+            let here = u8::from(service.rate_limit.is_some_and(|(_, _, here)| here));
             let help = "1: this store hands out the service's tokens.";
             sheet.gauge("stileroute_tokens_holder", help, &[("service", &service.name)], here);
         }
@@ -200,25 +216,25 @@
         sheet.count("stileroute_deliveries_unsure_total", help, &[], self.tally.unsure);
         let help = "From a message's due time to its first delivery.";
         sheet.histogram("stileroute_to_run_seconds", help, &self.tally.to_run);
-        let f = &self.queue.figures;
+        let f = &self.queue.metrics;
         let events = [
-            ("taken", f.taken),
-            ("refused", f.refused),
-            ("uncertain", f.uncertain),
-            ("done", f.done),
+            ("taken", f.accepted),
+            ("refused", f.rejected),
+            ("uncertain", f.outcome_unknown),
+            ("done", f.completed),
             ("failed", f.failed),
-            ("dropped", f.dropped),
+            ("dropped", f.failed_without_route),
             ("expired", f.expired),
             ("attempts", f.attempts),
-            ("again", f.again),
-            ("calls", f.calls),
-            ("called", f.called),
+            ("again", f.retries),
+            ("calls", f.callbacks_started),
+            ("called", f.callbacks_delivered),
             ("taken_over", f.taken_over),
             ("handed_over", f.handed_over),
-            ("copied_anew", f.copied_anew),
-            ("no_disk", f.no_disk),
-            ("former_refused", f.former),
-            ("fenced", f.fenced),
+            ("copied_anew", f.replicas_resent),
+            ("no_disk", f.failed_writes),
+            ("former_refused", f.stale_claims),
+            ("fenced", f.fence_activations),
         ];
         for (event, count) in events {
             sheet.count(
@@ -229,9 +245,9 @@
             );
         }
         let help = "Own messages that are on too few disks.";
-        sheet.gauge("stileroute_messages_thin", help, &[], f.thin);
+        sheet.gauge("stileroute_messages_thin", help, &[], f.under_replicated);
         let help = "How long some were on too few disks, the last time that this was so.";
-        sheet.gauge("stileroute_thin_seconds", help, &[], f.thin_ms as f64 / 1000.0);
+        sheet.gauge("stileroute_thin_seconds", help, &[], f.last_under_replication_ms as f64 / 1000.0);
         disk(sheet, self.disk.figures());
         let trouble = u8::from(self.disk_trouble);
         sheet.gauge("stileroute_disk_trouble", "1: the disk refused the last write.", &[], trouble);
