--- a/crates/queue/src/queue/types.rs
+++ b/crates/queue/src/queue/types.rs
@@ -1,7 +1,7 @@
 //! The types of the queue's interface: settings, entries, effects, outcomes and figures.
 
 use crate::message::{End, Key, Message, Millis, Node, PutError, ReplicatedMessage};
-use crate::peer_message::{Ownership, PeerMessage};
+use crate::peer_message::PeerMessage;
 use crate::service_queue::QueuePosition;
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
--- a/crates/server/src/store/tests.rs
+++ b/crates/server/src/store/tests.rs
@@ -86,20 +86,20 @@
 fn each_outcome_of_a_delivery_is_counted_under_its_label() {
     let mut lone = Lone::new("outcomes");
     let outcomes = [
-        (Outcome::Done { seal: String::new() }, "done"),
-        (Outcome::Refused, "refused"),
+        (Outcome::Completed { seal: String::new() }, "done"),
+        (Outcome::Rejected, "refused"),
         (Outcome::Failed, "failed"),
-        (Outcome::Full, "full"),
-        (Outcome::Over, "over"),
-        (Outcome::Running, "running"),
-        (Outcome::Wrong, "wrong"),
+        (Outcome::ExecutorFull, "full"),
+        (Outcome::RateLimited, "over"),
+        (Outcome::AlreadyRunning, "running"),
+        (Outcome::WrongServer, "wrong"),
         (Outcome::NotRun, "not_run"),
-        (Outcome::Stopped, "stopped"),
+        (Outcome::TimedOut, "stopped"),
         (Outcome::NotConnected, "not_connected"),
-        (Outcome::NoRoom, "no_room"),
-        (Outcome::Broken, "broken"),
-        (Outcome::Late, "late"),
-        (Outcome::Garbled, "garbled"),
+        (Outcome::NoFreeConnection, "no_room"),
+        (Outcome::ConnectionBroken, "broken"),
+        (Outcome::NoResponse, "late"),
+        (Outcome::MalformedResponse, "garbled"),
     ];
     outcomes.iter().for_each(|(outcome, _)| lone.store.tally.ended(outcome));
     let mut sheet = crate::figures::Sheet::default();
