--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -6,16 +6,17 @@
 mod copies;
 mod duplicates;
 mod ends;
+mod entry;
 mod ledger;
 mod message;
 mod ordering;
 mod planted;
 mod queue;
 mod repair;
-mod repeats;
 mod retire;
+mod retry_budget;
 mod service_queue;
-mod tokens;
+mod token_bucket;
 
 pub use ledger::Ledger;
 pub use message::{
--- a/crates/queue/src/queue.rs
+++ b/crates/queue/src/queue.rs
@@ -1,22 +1,24 @@
 //! The table of messages, with its one owner: what is known of each, and the indices kept in step with it.
 
-mod call_backs;
+mod callbacks;
 mod completion;
 mod configuration;
 mod delivery;
 mod intake;
-mod numbers;
+mod message_numbers;
 mod report;
 mod timers;
 mod token_holders;
-mod types;
 
-pub use numbers::first_number;
+pub(crate) use crate::entry::PendingWrite;
+pub use crate::entry::{
+    Effect, Entry, MessageState, Outcome, QueueMetrics, QueueSettings, Stage, ToleratedLosses,
+};
+pub use message_numbers::first_number;
 pub use report::{MessageView, ServiceView, StageCounts};
-pub(crate) use types::PendingWrite;
-pub use types::{Effect, Entry, MessageState, Outcome, QueueMetrics, QueueSettings, Stage, ToleratedLosses};
 
 use crate::copies::Peer;
+use crate::entry::CallbackReceiver;
 use crate::ledger::Ledger;
 use crate::message::{End, Key, Message, Millis, Node, Shared};
 #[cfg(feature = "planted")]
@@ -25,7 +27,6 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
 use stileroute_config::Config;
-use types::CallbackReceiver;
 
 /// Beyond the time that it may wait, for clients' clocks and first tries: one that has not ended must not be
 /// called failed.
