--- a/crates/model-check/src/queue/fleet/events.rs
+++ b/crates/model-check/src/queue/fleet/events.rs
@@ -3,7 +3,7 @@
 use super::edge::EDGE;
 use super::{Event, Fleet, Run, BEGIN};
 use crate::queue::stores::{Store, Writing, WALL};
-use stileroute_queue::{Effect, Key, Millis, Outcome, Queue};
+use stileroute_queue::{AttemptOutcome, Effect, Key, Millis, Queue};
 
 /// A record that is waited for is on disk after so long, another later.
 const DISK: Millis = 3;
@@ -79,7 +79,7 @@
             Event::PeerMessage { from, to, link } => self.arrive(from, to, link),
             Event::Synced { at, life, serial } => self.synced(at, life, serial),
             Event::Offer { sent } => {
-                self.messages[sent].message.taken = WALL + self.now;
+                self.messages[sent].message.accepted_at_ms = WALL + self.now;
                 self.offer(sent);
             }
             Event::Put { sent, to, asked } => self.put(sent, to, asked),
@@ -87,12 +87,12 @@
             Event::Impatient { sent, asked } => self.not_said(sent, asked),
             Event::Superseded { to, sent } => {
                 let m = &self.messages[sent];
-                let (id, print, kept) = (m.message.id.clone(), m.message.print(), m.key);
-                self.with(to, None, |queue, _| queue.superseded(&id, print, kept));
+                let (id, print, kept) = (m.message.id.clone(), m.message.fingerprint(), m.key);
+                self.with(to, None, |queue, _| queue.drop_superseded(&id, print, kept));
             }
             Event::Done { at, life, attempt, run, outcome } => {
                 let reads = self.stores[at].life == life && self.stores[at].queue.is_some();
-                if reads && matches!(outcome, Outcome::Completed { .. }) {
+                if reads && matches!(outcome, AttemptOutcome::Completed { .. }) {
                     self.runs[run].read = Some(self.now);
                 }
                 self.with(at, Some(life), |queue, now| {
@@ -110,7 +110,7 @@
             Event::Broken { a, b, link } => self.broken(a, b, link),
             Event::Down { at, other, life } => {
                 let other = self.stores[other].node;
-                self.with(at, Some(life), |queue, now| queue.down(now, other));
+                self.with(at, Some(life), |queue, now| queue.peer_disconnected(now, other));
             }
             // Until the control nodes have been heard again it knows that it may be cut off.
             Event::Thaw { at, life } => {
@@ -182,9 +182,9 @@
         let m = &self.messages[sent];
         let fails = m.fails_first && !seen;
         let (after, outcome) = match (fails, m.refuses) {
-            (true, _) => (FAILS_AFTER, Outcome::NoResponse),
-            (false, true) => (RUN, Outcome::Rejected),
-            (false, false) => (RUN, Outcome::Completed { seal: "s".to_string() }),
+            (true, _) => (FAILS_AFTER, AttemptOutcome::NoResponse),
+            (false, true) => (RUN, AttemptOutcome::Rejected),
+            (false, false) => (RUN, AttemptOutcome::Completed { seal: "s".to_string() }),
         };
         self.told(|| format!("{at} starts message {sent}: {outcome:?}"));
         self.runs.push(Run { sent, at: self.now, over: self.now + after, ends: !fails, read: None });
--- a/crates/queue/src/copies/placement.rs
+++ b/crates/queue/src/copies/placement.rs
@@ -1,9 +1,11 @@
 //! Where the copies of a message lie, and how they are made and confirmed.
 
 use super::COPY_WAIT;
-use crate::message::{Key, Millis, Node, PeerMessage, Record, Shared};
-use crate::planted::Planted;
+use crate::message::{Key, Millis, Node, ReplicatedMessage};
+use crate::peer_message::{EndNotice, PeerMessage};
+use crate::planted::PlantedFault;
 use crate::queue::{Effect, PendingWrite, Queue, Stage};
+use crate::record::Record;
 use std::collections::BTreeSet;
 
 /// One that is not safe by then is taken back: its edge gives up soon (400 ms) and asks another store, and a
@@ -58,20 +60,20 @@
         chosen
     }
 
-    pub(crate) fn copy_to(&mut self, to: Node, shared: Shared) {
+    pub(crate) fn copy_to(&mut self, to: Node, shared: ReplicatedMessage) {
         self.to(to).copy.push(shared);
     }
 
-    pub(crate) fn shared(&self, now: Millis, key: Key) -> Option<Shared> {
+    pub(crate) fn shared(&self, now: Millis, key: Key) -> Option<ReplicatedMessage> {
         let e = self.entries.get(&key)?;
-        Some(Shared {
+        Some(ReplicatedMessage {
             key,
             owner: e.owner,
             term: e.term,
-            copies: e.replicas.clone(),
-            due_in: e.due_at.saturating_sub(now),
-            waited: e.age_ms(now),
-            tries: e.failed_attempts,
+            replicas: e.replicas.clone(),
+            due_in_ms: e.due_at.saturating_sub(now),
+            waited_ms: e.age_ms(now),
+            attempts: e.failed_attempts,
             message: e.message.clone(),
         })
     }
@@ -88,7 +90,7 @@
             self.copy_to(to, shared);
         }
         if let Some(end) = end {
-            self.to(to).ends.push((key, end, owed));
+            self.to(to).ends.push(EndNotice { key, end, callback_pending: owed });
             self.flush_ends_at.get_or_insert(now + COPY_WAIT);
         }
     }
@@ -123,7 +125,7 @@
             // Nothing has been sent yet: whoever is gone by then is replaced at the next look.
             return;
         }
-        let list_stays = self.planted(Planted::OldCopyList);
+        let list_stays = self.planted(PlantedFault::OldCopyList);
         for from in slow {
             // Others get the copies of the next messages: each would wait here as long as this one has.
             self.peers.entry(from).or_default().full_until = now + SLOW;
@@ -137,10 +139,10 @@
             let (term, copies) = (entry.term, entry.replicas.clone());
             if !list_stays {
                 entry.unconfirmed.push(me);
-                self.record(&Record::Own { key, owner: me, term, copies }, true);
+                self.record(&Record::OwnerChanged { key, owner: me, term, replicas: copies }, true);
                 self.after_write(PendingWrite::Ownership(key));
             }
-            if !self.planted(Planted::DropUnsent) {
+            if !self.planted(PlantedFault::DropUnsent) {
                 self.to(from).drop.push(key);
             }
             if let Some(shared) = self.shared(now, key) {
@@ -149,7 +151,7 @@
         }
     }
 
-    pub(super) fn keep_copy(&mut self, now: Millis, from: Node, shared: Shared) {
+    pub(super) fn keep_copy(&mut self, now: Millis, from: Node, shared: ReplicatedMessage) {
         let key = shared.key;
         self.counted_on_by(from);
         if self.is_disk_stalled(now) && !self.entries.contains_key(&key) {
@@ -158,19 +160,19 @@
         let known = self.entries.get(&key).map(|e| (e.term, e.end.clone(), e.callback_pending));
         match known {
             Some((_, Some(end), owed)) => {
-                self.to(from).ends.push((key, end, owed));
+                self.to(from).ends.push(EndNotice { key, end, callback_pending: owed });
                 self.to(from).copied.push(key);
                 self.flush_ends_at.get_or_insert(now);
             }
             Some((term, None, _)) if (term, std::cmp::Reverse(self.owner(key))) > shared.rank() => {
                 self.metrics.stale_claims += 1;
                 if let Some(owned) = self.owned(key) {
-                    self.emit(Effect::Send { to: from, message: PeerMessage::Own(vec![owned]) });
+                    self.emit(Effect::Send { to: from, message: PeerMessage::OwnershipChanged(vec![owned]) });
                 }
             }
             _ => {
-                self.record(&Record::Put { shared: shared.clone() }, true);
-                if self.planted(Planted::CopyUnsynced) {
+                self.record(&Record::Put { replica: shared.clone() }, true);
+                if self.planted(PlantedFault::CopyUnsynced) {
                     self.to(from).copied.push(key);
                 } else {
                     self.after_write(PendingWrite::ReplicaFor(from, key));
--- a/crates/queue/src/queue.rs
+++ b/crates/queue/src/queue.rs
@@ -1,32 +1,34 @@
 //! The table of messages, with its one owner: what is known of each, and the indices kept in step with it.
 
-mod callbacks;
+mod call_backs;
 mod completion;
 mod configuration;
 mod delivery;
 mod intake;
-mod message_numbers;
+mod numbers;
 mod report;
 mod timers;
 mod token_holders;
+mod types;
 
-pub(crate) use crate::entry::PendingWrite;
-pub use crate::entry::{
-    Effect, Entry, MessageState, Outcome, QueueMetrics, QueueSettings, Stage, ToleratedLosses,
-};
-pub use message_numbers::first_number;
+pub use numbers::first_number;
 pub use report::{MessageView, ServiceView, StageCounts};
+pub(crate) use types::PendingWrite;
+pub use types::{
+    AttemptOutcome, Effect, Entry, MessageState, QueueMetrics, QueueSettings, Stage, ToleratedLosses,
+};
 
 use crate::copies::Peer;
-use crate::entry::CallbackReceiver;
-use crate::ledger::Ledger;
-use crate::message::{End, Key, Message, Millis, Node, Shared};
+use crate::message::{End, Key, Message, Millis, Node, ReplicatedMessage};
+use crate::peer_message::GroupPosition;
 #[cfg(feature = "planted")]
-use crate::planted::Planted;
+use crate::planted::PlantedFault;
 use crate::service_queue::{Executor, ServiceQueue};
+use crate::state_table::{StateTable, StoredEnd, StoredMessage};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
 use stileroute_config::Config;
+use types::CallbackReceiver;
 
 /// Beyond the time that it may wait, for clients' clocks and first tries: one that has not ended must not be
 /// called failed.
@@ -57,7 +59,7 @@
     /// Live, or with a call-back owed, by owner: what is compared with others and looked through when one is
     /// gone. All entries, with those that ended in the last minutes, are a hundred times as many.
     pub(crate) live_by_owner: BTreeSet<(Node, Key)>,
-    /// Owned here and on too few disks: when to see to each.
+    /// Ownership here and on too few disks: when to see to each.
     pub(crate) under_replicated: BTreeSet<(Millis, Key)>,
     pub(crate) under_replicated_since: Option<Millis>,
     pub(crate) repair_budget: crate::repair::Bytes,
@@ -102,13 +104,13 @@
     /// The members have been told: before that a store would take itself for the only one.
     pub(crate) knows_members: bool,
     #[cfg(feature = "planted")]
-    pub(crate) planted: Option<Planted>,
+    pub(crate) planted: Option<PlantedFault>,
     pub metrics: QueueMetrics,
 }
 
 impl Queue {
     /// Begins with what the disk holds. `wall` is the time of day in ms.
-    pub fn new(terms: QueueSettings, ledger: Ledger, now: Millis, wall: u64) -> Queue {
+    pub fn new(terms: QueueSettings, ledger: StateTable, now: Millis, wall: u64) -> Queue {
         let mut queue = Queue {
             // Numbers never come again: each life has a line of its own.
             next_number: terms.first_number,
@@ -149,8 +151,8 @@
             next_dispatch_at: 0,
             last_upkeep_at: now,
             is_draining: false,
-            is_retiring: ledger.retire,
-            is_retirement_durable: ledger.retire,
+            is_retiring: ledger.retirement_ordered,
+            is_retirement_durable: ledger.retirement_ordered,
             released_by: BTreeSet::new(),
             end_replication: Default::default(),
             hears_control_group: true,
@@ -162,29 +164,29 @@
             metrics: QueueMetrics::default(),
             settings: terms,
         };
-        for (key, kept) in ledger.all {
+        for (key, kept) in ledger.messages {
             queue.restore(key, kept, now, wall);
         }
-        if ledger.retire {
+        if ledger.retirement_ordered {
             queue.begin_retiring(now);
         }
         queue
     }
 
-    fn restore(&mut self, key: Key, kept: crate::ledger::Kept, now: Millis, wall: u64) {
-        let known = kept.shared.is_some();
-        let shared = kept.shared.unwrap_or_default();
+    fn restore(&mut self, key: Key, kept: StoredMessage, now: Millis, wall: u64) {
+        let known = kept.replica.is_some();
+        let shared = kept.replica.unwrap_or_default();
         let (end, owed) = match kept.end {
-            Some((end, owed, _)) => (Some(end), owed),
+            Some(StoredEnd { end, callback_pending, .. }) => (Some(end), callback_pending),
             None => (None, false),
         };
         if end.is_none() && shared.message.id.is_empty() && shared.message.method.is_empty() {
             return;
         }
-        let gone = wall.saturating_sub(shared.message.taken);
+        let gone = wall.saturating_sub(shared.message.accepted_at_ms);
         // Whoever owns it, or held a copy, may be gone for good: it is missed from now on all the same.
         for node in
-            shared.copies.iter().chain([&shared.owner]).filter(|node| known && **node != self.settings.node)
+            shared.replicas.iter().chain([&shared.owner]).filter(|node| known && **node != self.settings.node)
         {
             self.peers.entry(*node).or_insert_with(|| Peer::new(now));
         }
@@ -245,7 +247,7 @@
             Some(End::Complete { seal }) => MessageState::Complete { seal: seal.clone() },
             Some(End::Failed) => MessageState::Failed,
         };
-        let here = !matches!(state, MessageState::Complete { .. }) && entry.message.taken > 0;
+        let here = !matches!(state, MessageState::Complete { .. }) && entry.message.accepted_at_ms > 0;
         Some((state, here.then_some(entry.message.body.as_slice())))
     }
 
@@ -257,7 +259,7 @@
             entry.repair_at.map(|at| self.under_replicated.remove(&(at, key)));
             entry.indexed_owner.map(|owner| self.live_by_owner.remove(&(owner, key)));
             if let Some(row) = entry.order_slot {
-                self.ordering.leave(&row.0, (row.1, key), entry.is_announced);
+                self.ordering.leave(&row.0, GroupPosition { accepted_at_ms: row.1, key }, entry.is_announced);
             }
             self.unreleased.remove(&key);
             self.handovers.remove(&key);
@@ -274,14 +276,16 @@
             was.map(|owner| self.live_by_owner.remove(&(owner, key)));
             filed.map(|owner| self.live_by_owner.insert((owner, key)));
         }
-        let row = (entry.end.is_none()).then_some(&entry.message.order_key);
-        let row = row.and_then(|name| name.clone()).map(|name| Box::new((name, entry.message.taken)));
+        let row = (entry.end.is_none()).then_some(&entry.message.ordering_key);
+        let row =
+            row.and_then(|name| name.clone()).map(|name| Box::new((name, entry.message.accepted_at_ms)));
         if entry.order_slot != row {
             if let Some(old) = std::mem::replace(&mut entry.order_slot, row) {
-                self.ordering.leave(&old.0, (old.1, key), entry.is_announced && entry.end.is_some());
+                let position = GroupPosition { accepted_at_ms: old.1, key };
+                self.ordering.leave(&old.0, position, entry.is_announced && entry.end.is_some());
             }
             if let Some(new) = &entry.order_slot {
-                self.ordering.enter(&new.0, (new.1, key));
+                self.ordering.enter(&new.0, GroupPosition { accepted_at_ms: new.1, key });
             }
         }
         if filed != Some(self.settings.node) {
@@ -289,7 +293,7 @@
         }
     }
 
-    pub(crate) fn insert_replica_of(&mut self, now: Millis, shared: &Shared, stage: Stage) {
+    pub(crate) fn insert_replica_of(&mut self, now: Millis, shared: &ReplicatedMessage, stage: Stage) {
         let mut entry = Entry::from_shared(shared, now);
         entry.stage = stage;
         // It may wait, land or be out here: none of that may go on with what is put in its place.
--- a/crates/queue/src/queue/callbacks.rs
+++ b/crates/queue/src/queue/call_backs.rs
@@ -2,7 +2,8 @@
 
 use super::completion::TELL;
 use super::{Effect, Queue};
-use crate::message::{End, Key, Millis, Record};
+use crate::message::{End, Key, Millis};
+use crate::record::Record;
 
 /// Connections to one receiver of call-backs from here.
 const CALLS: usize = 4;
@@ -33,7 +34,9 @@
 
 impl Queue {
     pub(crate) fn queue_callback(&mut self, key: Key) {
-        let Some(url) = self.entries.get(&key).and_then(|e| e.message.callback.as_deref()) else { return };
+        let Some(url) = self.entries.get(&key).and_then(|e| e.message.callback_url.as_deref()) else {
+            return;
+        };
         let place = receiver(url);
         self.callback_receivers.entry(place).or_default().queue.push_back(key);
     }
@@ -65,7 +68,7 @@
                     }
                     End::Failed => format!("{{\"id\":{},\"state\":\"failed\",\"seal\":null}}", quoted(id)),
                 };
-                out.push((key, entry.message.callback.clone().unwrap_or_default(), body));
+                out.push((key, entry.message.callback_url.clone().unwrap_or_default(), body));
             }
         }
         self.metrics.callbacks_started += out.len() as u64;
@@ -91,7 +94,7 @@
         let copies = entry.replicas.clone();
         self.reindex(key);
         self.metrics.callbacks_delivered += 1;
-        self.record(&Record::Called { key }, false);
+        self.record(&Record::CallbackDelivered { key }, false);
         copies.into_iter().for_each(|to| self.to(to).called.push(key));
         self.flush_ends_at.get_or_insert(now + TELL);
     }
--- a/crates/queue/src/queue/delivery.rs
+++ b/crates/queue/src/queue/delivery.rs
@@ -1,9 +1,10 @@
 //! Delivery: when a message's turn comes, its attempts, and what the outcome of an attempt leads to.
 
 use super::token_holders::token_holder;
-use super::{Effect, Outcome, Queue, Stage, UPKEEP};
-use crate::message::{End, Key, Millis, PeerMessage};
-use crate::planted::Planted;
+use super::{AttemptOutcome, Effect, Queue, Stage, UPKEEP};
+use crate::message::{End, Key, Millis};
+use crate::peer_message::{GroupPosition, PeerMessage};
+use crate::planted::PlantedFault;
 use crate::service_queue::{Retry, Selection};
 use stileroute_dispatch::types::{Outcome as Judged, Time};
 
@@ -39,7 +40,7 @@
             return;
         };
         let Some(route) = config.route(&entry.message.host, &entry.message.target) else {
-            if entry.message.config > config.revision {
+            if entry.message.config_revision > config.revision {
                 self.awaiting_config.insert(key);
             } else {
                 self.metrics.failed_without_route += 1;
@@ -47,7 +48,7 @@
             }
             return;
         };
-        if entry.message.config > config.revision {
+        if entry.message.config_revision > config.revision {
             self.awaiting_config.insert(key);
             return;
         }
@@ -76,7 +77,7 @@
 
     /// Sends what can be sent.
     pub(super) fn start_attempts(&mut self, now: Millis, fine: Time) {
-        if self.is_draining || self.fenced_since.is_some() && !self.planted(Planted::FenceUnheeded) {
+        if self.is_draining || self.fenced_since.is_some() && !self.planted(PlantedFault::FenceUnheeded) {
             self.next_dispatch_at = now + UPKEEP;
             return;
         }
@@ -93,8 +94,8 @@
                     continue;
                 };
                 // An earlier one of its row has come to light since: it waits again.
-                let spot = (entry.message.taken, key);
-                if entry.message.order_key.as_ref().is_some_and(|row| !self.ordering.is_first(row, spot)) {
+                let spot = GroupPosition { accepted_at_ms: entry.message.accepted_at_ms, key };
+                if entry.message.ordering_key.as_ref().is_some_and(|row| !self.ordering.is_first(row, spot)) {
                     entry.queue_position = None;
                     self.service_queues[at].leave(&turn);
                     continue;
@@ -124,7 +125,7 @@
                         let wanted = (service_queue.ready.len() + service_queue.retries.len()).min(4) as u32;
                         if bucket.ask(now) {
                             let holder = token_holder(&service_queue.name, self.settings.node, &self.peers);
-                            let note = PeerMessage::TokensWanted {
+                            let note = PeerMessage::RequestTokens {
                                 service: service_queue.name.clone(),
                                 count: wanted,
                             };
@@ -187,21 +188,22 @@
         now: Millis,
         fine: Time,
         attempt: u64,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         load: Option<[f64; 3]>,
     ) {
         let judged = match &outcome {
-            Outcome::Completed { .. } => Judged::Acked,
-            Outcome::Rejected | Outcome::Failed => Judged::Unfit,
-            Outcome::ExecutorFull => Judged::Full,
-            Outcome::RateLimited | Outcome::AlreadyRunning | Outcome::NotRun | Outcome::NoFreeConnection => {
-                Judged::Moot
-            }
-            Outcome::WrongServer => Judged::Error,
-            Outcome::NotConnected => Judged::NotConnected,
-            Outcome::ConnectionBroken => Judged::Reset,
-            Outcome::TimedOut | Outcome::NoResponse => Judged::TimedOut,
-            Outcome::MalformedResponse => Judged::Broken,
+            AttemptOutcome::Completed { .. } => Judged::Acked,
+            AttemptOutcome::Rejected | AttemptOutcome::Failed => Judged::Unfit,
+            AttemptOutcome::ExecutorFull => Judged::Full,
+            AttemptOutcome::RateLimited
+            | AttemptOutcome::AlreadyRunning
+            | AttemptOutcome::NotRun
+            | AttemptOutcome::NoFreeConnection => Judged::Moot,
+            AttemptOutcome::WrongServer => Judged::Error,
+            AttemptOutcome::NotConnected => Judged::NotConnected,
+            AttemptOutcome::ConnectionBroken => Judged::Reset,
+            AttemptOutcome::TimedOut | AttemptOutcome::NoResponse => Judged::TimedOut,
+            AttemptOutcome::MalformedResponse => Judged::Broken,
         };
         let Some(at) = self
             .service_queues
@@ -213,15 +215,15 @@
         // What was stopped at its time, too: the work was done in vain.
         let ran = matches!(
             outcome,
-            Outcome::Failed
-                | Outcome::TimedOut
-                | Outcome::ConnectionBroken
-                | Outcome::NoResponse
-                | Outcome::MalformedResponse
+            AttemptOutcome::Failed
+                | AttemptOutcome::TimedOut
+                | AttemptOutcome::ConnectionBroken
+                | AttemptOutcome::NoResponse
+                | AttemptOutcome::MalformedResponse
         );
         let settled = self.service_queues[at].settle(fine, now, attempt, judged, ran, load);
         let Some((key, executor)) = settled else { return };
-        if outcome == Outcome::RateLimited {
+        if outcome == AttemptOutcome::RateLimited {
             self.service_queues[at].paused_until = now + 200;
         }
         self.next_dispatch_at = 0;
@@ -229,13 +231,13 @@
         if entry.end.is_some() {
             return;
         }
-        if ran || outcome == Outcome::AlreadyRunning {
+        if ran || outcome == AttemptOutcome::AlreadyRunning {
             (entry.has_run, entry.last_failed_on) = (true, Some((at, executor)));
         }
         match outcome {
-            Outcome::Completed { seal } => return self.finish(now, key, End::Complete { seal }),
-            Outcome::Rejected => return self.finish(now, key, End::Failed),
-            Outcome::Failed => entry.failed_attempts += 1,
+            AttemptOutcome::Completed { seal } => return self.finish(now, key, End::Complete { seal }),
+            AttemptOutcome::Rejected => return self.finish(now, key, End::Failed),
+            AttemptOutcome::Failed => entry.failed_attempts += 1,
             _ => {}
         }
         if entry.stage != Stage::InFlight {
@@ -257,11 +259,11 @@
         // longer.
         entry.backoff_steps += 1;
         let pause = match outcome {
-            Outcome::ExecutorFull
-            | Outcome::NoFreeConnection
-            | Outcome::WrongServer
-            | Outcome::NotConnected => (AGAIN.0 / 4) << (entry.backoff_steps / 4).min(5),
-            Outcome::AlreadyRunning => 100,
+            AttemptOutcome::ExecutorFull
+            | AttemptOutcome::NoFreeConnection
+            | AttemptOutcome::WrongServer
+            | AttemptOutcome::NotConnected => (AGAIN.0 / 4) << (entry.backoff_steps / 4).min(5),
+            AttemptOutcome::AlreadyRunning => 100,
             _ => (AGAIN.0 << entry.backoff_steps.min(8)).min(AGAIN.1),
         };
         entry.not_before = now + pause;
--- a/crates/queue/src/queue/intake.rs
+++ b/crates/queue/src/queue/intake.rs
@@ -1,8 +1,10 @@
 //! Taking a message: its copies are chosen, and it is answered for once all of its disks have it.
 
 use super::{Effect, Entry, PendingWrite, Queue, Stage};
-use crate::message::{Key, Message, Millis, Node, Record, Refusal, Shared};
-use crate::planted::Planted;
+use crate::message::{Key, Message, Millis, Node, PutError, ReplicatedMessage};
+use crate::peer_message::AcceptedHandover;
+use crate::planted::PlantedFault;
+use crate::record::Record;
 
 /// Messages that are kept for others to pick up at the most.
 const MOST: usize = 400_000;
@@ -20,19 +22,19 @@
             || self.entries.len() >= MOST
         {
             self.metrics.rejected += 1;
-            self.effects.push(Effect::PutResult { ticket, result: Err(Refusal::NotTaken) });
+            self.effects.push(Effect::PutResult { ticket, result: Err(PutError::Rejected) });
             return;
         }
         self.next_number += 1;
         let key = Key { origin: self.settings.node, number: self.next_number };
         let due_in = message.delay_ms;
-        let shared = Shared {
+        let shared = ReplicatedMessage {
             key,
             owner: self.settings.node,
-            copies: copies.clone(),
-            due_in,
+            replicas: copies.clone(),
+            due_in_ms: due_in,
             message,
-            ..Shared::default()
+            ..ReplicatedMessage::default()
         };
         let mut entry = Entry::from_shared(&shared, now);
         entry.stage = Stage::Persisting;
@@ -77,7 +79,7 @@
                     self.metrics.failed_writes += 1;
                     // Only what it wrote for the sender: it may own the message by now.
                     if self.entries.get(&key).is_some_and(|e| e.stage == Stage::Replica && e.owner == from) {
-                        self.record(&Record::Drop { key }, false);
+                        self.record(&Record::Dropped { key }, false);
                         self.remove(key);
                         self.to(from).not_copied.push(key);
                     }
@@ -90,7 +92,7 @@
                     let term =
                         self.entries.get(&key).filter(|e| e.owner == self.settings.node).map(|e| e.term);
                     if let Some(term) = term {
-                        self.to(from).handed.push((key, term));
+                        self.to(from).handed.push(AcceptedHandover { key, term });
                     }
                 }
             }
@@ -101,14 +103,14 @@
     pub(crate) fn roll_back(&mut self, key: Key) {
         let Some(entry) = self.entries.get(&key).filter(|e| e.stage == Stage::Persisting) else { return };
         let (ticket, copies) = (entry.ticket, entry.replicas.clone());
-        self.record(&Record::Drop { key }, false);
+        self.record(&Record::Dropped { key }, false);
         copies.into_iter().for_each(|to| self.to(to).drop.push(key));
         self.remove(key);
         self.report_unknown_outcome(ticket);
     }
 
     pub(crate) fn confirm_persisted(&mut self, now: Millis, key: Key, node: Node) {
-        let early = self.planted(Planted::EarlyAnswer) && node == self.settings.node;
+        let early = self.planted(PlantedFault::EarlyAnswer) && node == self.settings.node;
         let Some(entry) = self.entries.get_mut(&key) else { return };
         let was = entry.unconfirmed.len();
         entry.unconfirmed.retain(|missing| *missing != node && !early);
@@ -125,7 +127,7 @@
         look.map(|at| self.persisting.remove(&(at, key)));
         if let Some(ticket) = ticket {
             self.metrics.accepted += 1;
-            self.effects.push(Effect::PutResult { ticket, result: Ok(key.name(copy)) });
+            self.effects.push(Effect::PutResult { ticket, result: Ok(key.to_text(copy)) });
         }
         self.schedule(now, key);
     }
@@ -134,7 +136,7 @@
     pub(crate) fn report_unknown_outcome(&mut self, ticket: Option<u64>) {
         if let Some(ticket) = ticket {
             self.metrics.outcome_unknown += 1;
-            self.effects.push(Effect::PutResult { ticket, result: Err(Refusal::Uncertain) });
+            self.effects.push(Effect::PutResult { ticket, result: Err(PutError::Uncertain) });
         }
     }
 }
--- a/crates/queue/src/entry.rs
+++ b/crates/queue/src/queue/types.rs
@@ -1,6 +1,7 @@
 //! The types of the queue's interface: settings, entries, effects, outcomes and figures.
 
-use crate::message::{End, Key, Message, Millis, Node, PeerMessage, Refusal, Shared};
+use crate::message::{End, Key, Message, Millis, Node, PutError, ReplicatedMessage};
+use crate::peer_message::PeerMessage;
 use crate::service_queue::QueuePosition;
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
@@ -71,15 +72,15 @@
     /// After a failed attempt: not before then. Its place among those that wait stays that of `due`.
     pub(crate) not_before: Millis,
     /// Where it stands in `delayed`.
-    pub(crate) delayed_until: Option<Millis>,
+    pub(super) delayed_until: Option<Millis>,
     /// When it was taken, on this process's clock: before its start if it is less than nought.
-    pub(crate) accepted_at: i64,
+    pub(super) accepted_at: i64,
     pub expires_at: Millis,
     pub failed_attempts: u32,
-    pub(crate) backoff_steps: u32,
+    pub(super) backoff_steps: u32,
     /// It ran, or may have: the next attempt is a repeat. And who failed it last, at which service.
-    pub(crate) has_run: bool,
-    pub(crate) last_failed_on: Option<(usize, usize)>,
+    pub(super) has_run: bool,
+    pub(super) last_failed_on: Option<(usize, usize)>,
     pub end: Option<End>,
     pub callback_pending: bool,
     /// Where it has still to become safe, and who waits for that.
@@ -90,14 +91,14 @@
     /// Where it stands in `thin`.
     pub(crate) repair_at: Option<Millis>,
     /// By which owner it stands in `live`.
-    pub(crate) indexed_owner: Option<Node>,
+    pub(super) indexed_owner: Option<Node>,
     /// Its row, and where it stands there; whether others were told of it, whether they have been asked, and
     /// whether it is kept only after that.
-    pub(crate) order_slot: Option<Box<(String, u64)>>,
+    pub(super) order_slot: Option<Box<(String, u64)>>,
     pub(crate) is_announced: bool,
     pub(crate) is_order_confirmed: bool,
     pub(crate) awaits_order_answers: bool,
-    pub(crate) queue_position: Option<(usize, QueuePosition)>,
+    pub(super) queue_position: Option<(usize, QueuePosition)>,
 }
 
 /// What the program is to do.
@@ -114,7 +115,7 @@
     },
     PutResult {
         ticket: u64,
-        result: Result<String, Refusal>,
+        result: Result<String, PutError>,
     },
     StartAttempt {
         attempt: u64,
@@ -133,7 +134,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     Completed {
         seal: String,
     },
@@ -187,7 +188,7 @@
     /// Words of those that held a duty before, refused; times that nothing was started here for others might have taken over.
     pub stale_claims: u64,
     pub fence_activations: u64,
-    /// Owned here and on too few disks, as of now; how long it took until none was, the last time.
+    /// Ownership here and on too few disks, as of now; how long it took until none was, the last time.
     pub under_replicated: usize,
     pub last_under_replication_ms: u64,
     pub repaired: u64,
@@ -198,11 +199,11 @@
 }
 
 #[derive(Default)]
-pub(crate) struct CallbackReceiver {
-    pub(crate) in_flight: usize,
-    pub(crate) consecutive_failures: u32,
+pub(super) struct CallbackReceiver {
+    pub(super) in_flight: usize,
+    pub(super) consecutive_failures: u32,
     pub(crate) not_before: Millis,
-    pub(crate) queue: VecDeque<Key>,
+    pub(super) queue: VecDeque<Key>,
 }
 
 /// What waits for the disk.
@@ -216,21 +217,21 @@
 }
 
 impl Entry {
-    pub(crate) fn from_shared(shared: &Shared, now: Millis) -> Entry {
+    pub(crate) fn from_shared(shared: &ReplicatedMessage, now: Millis) -> Entry {
         Entry {
             message: shared.message.clone(),
             owner: shared.owner,
             term: shared.term,
-            replicas: shared.copies.clone(),
+            replicas: shared.replicas.clone(),
             stage: Stage::Replica,
-            due_at: now + shared.due_in,
+            due_at: now + shared.due_in_ms,
             not_before: 0,
             delayed_until: None,
-            accepted_at: now as i64 - shared.waited as i64,
+            accepted_at: now as i64 - shared.waited_ms as i64,
             expires_at: Millis::MAX,
-            failed_attempts: shared.tries,
+            failed_attempts: shared.attempts,
             backoff_steps: 0,
-            has_run: shared.tries > 0,
+            has_run: shared.attempts > 0,
             last_failed_on: None,
             end: None,
             callback_pending: false,
@@ -251,11 +252,12 @@
     pub(crate) fn discard_content(&mut self) {
         let message = std::mem::take(&mut self.message);
         if self.callback_pending {
-            self.message = Message { id: message.id, callback: message.callback, ..Message::default() };
+            self.message =
+                Message { id: message.id, callback_url: message.callback_url, ..Message::default() };
         }
         if matches!(self.end, Some(End::Failed)) {
             // Dead ones are asked for their bytes.
-            (self.message.body, self.message.taken) = (message.body, message.taken);
+            (self.message.body, self.message.accepted_at_ms) = (message.body, message.accepted_at_ms);
         }
     }
 
--- a/crates/queue/tests/repeats.rs
+++ b/crates/queue/tests/repeats.rs
@@ -18,7 +18,7 @@
     attempt: u64,
     executor: usize,
     again: bool,
-    outcome: Outcome,
+    outcome: AttemptOutcome,
 }
 
 /// What a day came to; what was over all stores at one executor is counted there.
@@ -40,7 +40,7 @@
 
 /// One message each `gap` ms for `length` ms, `does` says how the executor treats the
 /// message of this number, with so many others there, and after how long.
-fn play(gap: u64, length: u64, does: impl Fn(u64, usize, usize, usize) -> (u64, Outcome)) -> Day {
+fn play(gap: u64, length: u64, does: impl Fn(u64, usize, usize, usize) -> (u64, AttemptOutcome)) -> Day {
     let mut stores = Vec::new();
     let members: Vec<(Node, usize)> = (0..STORES).map(|at| (10 + at as Node, at)).collect();
     for at in 0..STORES {
@@ -58,9 +58,12 @@
             status_retention_ms: 120_000,
             seed: at as u64,
         };
-        let mut queue = Queue::new(terms, Ledger::default(), 0, WALL);
-        queue.members(0, &members);
-        members.iter().filter(|(node, _)| *node != members[at].0).for_each(|(node, _)| queue.up(0, *node));
+        let mut queue = Queue::new(terms, StateTable::default(), 0, WALL);
+        queue.set_members(0, &members);
+        members
+            .iter()
+            .filter(|(node, _)| *node != members[at].0)
+            .for_each(|(node, _)| queue.peer_connected(0, *node));
         let servers = (0..EXECUTORS).map(|n| Executor {
             id: format!("e{n}"),
             address: format!("10.0.0.{n}:80").parse().unwrap(),
@@ -86,7 +89,7 @@
                 host: "h".into(),
                 method: "POST".into(),
                 target: format!("/plain/{n}"),
-                taken: WALL + now,
+                accepted_at_ms: WALL + now,
                 ..Message::default()
             };
             born.insert(id, now);
@@ -111,7 +114,10 @@
                             let held = out.values().filter(|s| s.executor == executor).count();
                             let number = id[2..].parse().unwrap();
                             let (ms, mut outcome) = does(now, executor, number, held);
-                            let ran = !matches!(outcome, Outcome::ExecutorFull | Outcome::NotConnected);
+                            let ran = !matches!(
+                                outcome,
+                                AttemptOutcome::ExecutorFull | AttemptOutcome::NotConnected
+                            );
                             match again {
                                 false => day.first += 1,
                                 true => {
@@ -119,12 +125,12 @@
                                     day.at[executor] += 1;
                                     day.back_to_it +=
                                         usize::from(before.last().is_some_and(|l| l.0 == executor));
-                                    let fails = ran && !matches!(outcome, Outcome::Completed { .. });
+                                    let fails = ran && !matches!(outcome, AttemptOutcome::Completed { .. });
                                     day.failed_again += usize::from(fails);
                                 }
                             }
                             before.push((executor, ran));
-                            if let Outcome::Completed { seal } = &mut outcome {
+                            if let AttemptOutcome::Completed { seal } = &mut outcome {
                                 *seal = id.clone();
                                 let took = now + ms - born[&id];
                                 (day.done, day.slowest) = (day.done + 1, day.slowest.max(took));
@@ -150,13 +156,13 @@
 }
 
 /// Each works on `SLOTS` at once, and on more the slower.
-fn works(held: usize) -> (u64, Outcome) {
+fn works(held: usize) -> (u64, AttemptOutcome) {
     let ms = 60 * (1 + held.saturating_sub(SLOTS) as u64);
-    (ms, Outcome::Completed { seal: String::new() })
+    (ms, AttemptOutcome::Completed { seal: String::new() })
 }
 
 /// One executor struggles for ten seconds: it fails seven attempts in ten, each in a way of its own.
-fn struggles(gap: u64, ms: u64, outcome: Outcome) -> Day {
+fn struggles(gap: u64, ms: u64, outcome: AttemptOutcome) -> Day {
     let turn = std::cell::Cell::new(0);
     play(gap, 20_000, |now, executor, _, held| match executor {
         4 if (4000..14_000).contains(&now) && turn.replace(turn.get() + 1) % 10 < 7 => (ms, outcome.clone()),
@@ -168,7 +174,7 @@
 /// were in time had to wait 1.5 s.
 #[test]
 fn a_repeat_goes_to_another_executor_than_the_one_that_failed_it() {
-    for outcome in [Outcome::MalformedResponse, Outcome::Failed] {
+    for outcome in [AttemptOutcome::MalformedResponse, AttemptOutcome::Failed] {
         let day = struggles(3, 60, outcome);
         assert_eq!((day.back_to_it, day.at[4], day.failed_again), (0, 0, 0), "{day:?}");
         assert!(day.slowest < 400 && day.dead == 0, "{day:?}");
@@ -179,7 +185,7 @@
 #[test]
 fn a_whole_service_that_struggles_gets_a_part_of_repeats_and_then_all_of_them() {
     let day = play(8, 20_000, |now, _, _, held| match (4000..10_000).contains(&now) {
-        true => (30, Outcome::ConnectionBroken),
+        true => (30, AttemptOutcome::ConnectionBroken),
         false => works(held),
     });
     // A part of the 750 first attempts of that time, some a second, and what was saved up.
@@ -193,7 +199,7 @@
 #[test]
 fn what_always_fails_ends_and_holds_up_nobody() {
     let day = play(8, 20_000, |_, _, n, held| match n % 20 {
-        0 => (30, Outcome::Failed),
+        0 => (30, AttemptOutcome::Failed),
         _ => works(held),
     });
     assert_eq!((day.done + day.dead, day.dead), (2250, 113), "{day:?}");
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -7,15 +7,15 @@
 use crate::net::{Event, Failure, Millis, Reply};
 use crate::node::{lot, wall, Common};
 use crate::report::Told;
-use crate::signals::{Class, Found, Heartbeat, Retiring, Signal, Standing};
+use crate::signals::{ExecutorState, Found, Heartbeat, NodeRole, RetirementState, Signal};
 use std::collections::HashMap;
 use std::io::Write;
 use std::net::SocketAddrV4;
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 use stileroute_queue::{
-    first_number, Effect, Executor, Key, Ledger, MessageState, Node, Outcome, Queue, QueueSettings, Record,
-    ToleratedLosses,
+    first_number, AttemptOutcome, Effect, Executor, Key, MessageState, Node, Queue, QueueSettings, Record,
+    StateTable, ToleratedLosses,
 };
 use stileroute_wal::{Options, Trouble, Wal};
 
@@ -61,10 +61,12 @@
         };
         let room = common.boot.means.disk_mb << 20;
         let options = Options { room, lazy_sync: Duration::from_millis(200), ..Options::new("hold") };
-        let (disk, ledger) = Wal::open::<Ledger>(&dir, options, done)
+        let (disk, ledger) = Wal::open::<StateTable>(&dir, options, done)
             .map_err(|e| miette::miette!("{}: {e}", dir.display()))?;
-        let (number, first) = (ledger.disk.unwrap_or_else(lot), first_number(lot()));
-        let record = postcard::to_stdvec(&Record::Born { disk: number, first }).unwrap_or_default();
+        let (number, first) = (ledger.disk_id.unwrap_or_else(lot), first_number(lot()));
+        let record =
+            postcard::to_stdvec(&Record::IncarnationStarted { disk_id: number, first_number: first })
+                .unwrap_or_default();
         disk.append(0, vec![record], true);
         let zone = common.boot.zones.keys().position(|zone| *zone == common.boot.zone).unwrap_or(0);
         let boot = &common.boot;
@@ -73,7 +75,7 @@
             zone,
             disk_id: number,
             first_number: first,
-            earlier_first_numbers: ledger.begun.clone(),
+            earlier_first_numbers: ledger.incarnation_first_numbers.clone(),
             replica_count: boot.losses.copies(),
             region_of_zone: boot.regions(),
             tolerated_losses: ToleratedLosses { zones: boot.losses.zones, regions: boot.losses.regions },
@@ -82,7 +84,7 @@
             status_retention_ms: boot.bounds.status_ms,
             seed: lot(),
         };
-        tracing::info!(messages = ledger.all.len(), disk = number, "disk read");
+        tracing::info!(messages = ledger.messages.len(), disk = number, "disk read");
         // Both clocks after the disk was read: with the steady one from before, delayed messages would run early.
         let (now, wall) = (common.net.look(), wall());
         let queue = Queue::new(terms, ledger, now, wall);
@@ -113,22 +115,20 @@
             let now = self.common.net.now();
             // From the last answer on: the session stood then, and is counted for so long after its end.
             self.queue.session_may_have_lapsed =
-                now >= self.common.session.heard + stileroute_registry::GRACE;
+                now >= self.common.session.heard + stileroute_registry::SESSION_GRACE;
             if self.common.told_to_end() {
-                for edge in self.common.links.class(Class::Edge) {
+                for edge in self.common.links.class(NodeRole::Edge) {
                     self.common.links.say(&mut self.common.net, edge, &Signal::Leaving);
                 }
-                self.queue.leave(now);
+                self.queue.begin_draining(now);
             }
             self.carry_out();
-            let retiring = self.queue.retired().map_or(Retiring::No, |empty| {
-                if empty {
-                    Retiring::Complete
-                } else {
-                    Retiring::Rolling
-                }
-            });
-            self.common.retires(retiring);
+            let retirement = match self.queue.retirement_state() {
+                stileroute_queue::RetirementState::NotOrdered => RetirementState::NotRetiring,
+                stileroute_queue::RetirementState::InProgress => RetirementState::Draining,
+                stileroute_queue::RetirementState::Empty => RetirementState::Complete,
+            };
+            self.common.retires(retirement);
             for line in self.queue.take_dispatch_log() {
                 tracing::debug!("{line}");
             }
@@ -161,8 +161,8 @@
         }
         let mut wanted = self.common.cores();
         let me = self.common.boot.ip;
-        let stores = self.common.session.members.iter().filter(|m| m.class == Class::Store && m.ip > me);
-        wanted.extend(stores.map(|m| self.common.links.address(m.ip, Class::Store)));
+        let stores = self.common.session.members.iter().filter(|m| m.role == NodeRole::Store && m.ip > me);
+        wanted.extend(stores.map(|m| self.common.links.address(m.ip, NodeRole::Store)));
         let now = self.common.net.now();
         self.common.links.want(now, wanted);
     }
@@ -170,13 +170,15 @@
     fn link_event(&mut self, link_event: LinkEvent) {
         let now = self.common.net.now();
         match link_event {
-            LinkEvent::Up(hello) if hello.class == Class::Store => self.queue.up(now, hello.node),
-            LinkEvent::Up(hello) if hello.class == Class::Edge && self.queue.is_draining => {
+            LinkEvent::Up(hello) if hello.class == NodeRole::Store => {
+                self.queue.peer_connected(now, hello.node)
+            }
+            LinkEvent::Up(hello) if hello.class == NodeRole::Edge && self.queue.is_draining => {
                 self.common.links.say(&mut self.common.net, hello.node, &Signal::Leaving);
             }
             LinkEvent::Up(_) => {}
-            LinkEvent::Down(node, Class::Store) => self.queue.down(now, node),
-            LinkEvent::Down(node, Class::Edge) => {
+            LinkEvent::Down(node, NodeRole::Store) => self.queue.peer_disconnected(now, node),
+            LinkEvent::Down(node, NodeRole::Edge) => {
                 let lost: Vec<u64> = self
                     .askers
                     .iter()
@@ -185,11 +187,11 @@
                     .collect();
                 for ticket in lost {
                     self.askers.remove(&ticket);
-                    self.queue.abandoned(ticket);
+                    self.queue.drop_abandoned(ticket);
                 }
             }
             LinkEvent::Down(..) => {}
-            LinkEvent::Said(from, Class::Core, Signal::News(news)) => {
+            LinkEvent::Said(from, NodeRole::Control, Signal::News(news)) => {
                 let config = self.common.heard_news(from, &news);
                 if news.members.is_some() {
                     let zone = |name: &str| {
@@ -200,18 +202,18 @@
                         .session
                         .members
                         .iter()
-                        .filter(|m| m.class == Class::Store)
+                        .filter(|m| m.role == NodeRole::Store)
                         .map(|m| (m.node, zone(&m.zone)))
                         .collect();
-                    self.queue.members(now, &stores);
+                    self.queue.set_members(now, &stores);
                 }
-                if news.whole {
+                if news.is_complete {
                     self.servers.clear();
                 }
-                let changed = news.whole || !news.servers.is_empty();
-                for heartbeat in news.servers {
-                    match heartbeat.standing {
-                        Standing::Gone => {
+                let changed = news.is_complete || !news.executors.is_empty();
+                for heartbeat in news.executors {
+                    match heartbeat.state {
+                        ExecutorState::Offline => {
                             if let Some(old) = self.servers.remove(&heartbeat.id) {
                                 self.common.net.forget(old.address);
                             }
@@ -229,15 +231,15 @@
                     self.queue.configure(now, fine, config);
                 }
             }
-            LinkEvent::Said(_, Class::Edge, Signal::Superseded { id, print, kept }) => {
-                self.queue.superseded(&id, print, kept);
+            LinkEvent::Said(_, NodeRole::Edge, Signal::Superseded { id, print, kept }) => {
+                self.queue.drop_superseded(&id, print, kept);
             }
-            LinkEvent::Said(from, Class::Edge, Signal::Put { ticket, message }) => {
+            LinkEvent::Said(from, NodeRole::Edge, Signal::Put { ticket, message }) => {
                 self.next_ticket += 1;
                 self.askers.insert(self.next_ticket, (from, ticket));
                 self.queue.put(now, self.next_ticket, message);
             }
-            LinkEvent::Said(from, Class::Edge, Signal::Find { ticket, key, body }) => {
+            LinkEvent::Said(from, NodeRole::Edge, Signal::Find { ticket, key, body }) => {
                 let found = self.queue.lookup(key).map(|(state, bytes)| {
                     let bytes = bytes.filter(|_| body).map(<[u8]>::to_vec);
                     let found = match state {
@@ -249,14 +251,14 @@
                 });
                 self.common.links.say(&mut self.common.net, from, &Signal::Found { ticket, found });
             }
-            LinkEvent::Said(from, Class::Store, Signal::PeerMessage(note)) => {
-                self.queue.note(now, from, note)
+            LinkEvent::Said(from, NodeRole::Store, Signal::PeerMessage(note)) => {
+                self.queue.handle_peer_message(now, from, note)
             }
-            LinkEvent::Said(_, Class::Core, Signal::Retire { node })
+            LinkEvent::Said(_, NodeRole::Control, Signal::Retire { node })
                 if node == self.common.links.me().node =>
             {
                 self.queue.retire(now);
-                for edge in self.common.links.class(Class::Edge) {
+                for edge in self.common.links.class(NodeRole::Edge) {
                     self.common.links.say(&mut self.common.net, edge, &Signal::Leaving);
                 }
             }
@@ -275,8 +277,8 @@
                 address: heartbeat.address,
                 zone: zone.unwrap_or(self.common.boot.zones.len()),
                 capacity: f64::from(heartbeat.capacity),
-                is_serving: heartbeat.standing == Standing::Serving,
-                warm_up_left_ms: heartbeat.cold_left_ms,
+                is_serving: heartbeat.state == ExecutorState::Serving,
+                warm_up_left_ms: heartbeat.warmup_left_ms,
             });
         }
         all
@@ -425,30 +427,30 @@
 }
 
 /// What an answer says of the attempt. One that names another request, or no seal, is no success.
-fn judge(id: &str, result: Result<Reply, Failure>) -> Outcome {
+fn judge(id: &str, result: Result<Reply, Failure>) -> AttemptOutcome {
     let reply = match result {
         Ok(reply) => reply,
-        Err(Failure::NotConnected) => return Outcome::NotConnected,
-        Err(Failure::NoRoom) => return Outcome::NoFreeConnection,
-        Err(Failure::Broken) => return Outcome::ConnectionBroken,
-        Err(Failure::Late) => return Outcome::NoResponse,
-        Err(Failure::Garbled) => return Outcome::MalformedResponse,
+        Err(Failure::NotConnected) => return AttemptOutcome::NotConnected,
+        Err(Failure::NoRoom) => return AttemptOutcome::NoFreeConnection,
+        Err(Failure::Broken) => return AttemptOutcome::ConnectionBroken,
+        Err(Failure::Late) => return AttemptOutcome::NoResponse,
+        Err(Failure::Garbled) => return AttemptOutcome::MalformedResponse,
     };
     if reply.id.as_deref() != Some(id) {
-        return Outcome::MalformedResponse;
+        return AttemptOutcome::MalformedResponse;
     }
     match (reply.status, reply.seal) {
-        (200..=299, Some(seal)) => Outcome::Completed { seal },
-        (200..=299, None) => Outcome::MalformedResponse,
-        (422, _) => Outcome::Rejected,
-        (421, _) => Outcome::WrongServer,
-        (409, _) => Outcome::AlreadyRunning,
-        (429, _) => Outcome::RateLimited,
-        (503, _) => Outcome::ExecutorFull,
-        (504, _) => Outcome::TimedOut,
-        (500, _) if !reply.not_run => Outcome::Failed,
-        _ if reply.not_run => Outcome::NotRun,
-        _ => Outcome::MalformedResponse,
+        (200..=299, Some(seal)) => AttemptOutcome::Completed { seal },
+        (200..=299, None) => AttemptOutcome::MalformedResponse,
+        (422, _) => AttemptOutcome::Rejected,
+        (421, _) => AttemptOutcome::WrongServer,
+        (409, _) => AttemptOutcome::AlreadyRunning,
+        (429, _) => AttemptOutcome::RateLimited,
+        (503, _) => AttemptOutcome::ExecutorFull,
+        (504, _) => AttemptOutcome::TimedOut,
+        (500, _) if !reply.not_run => AttemptOutcome::Failed,
+        _ if reply.not_run => AttemptOutcome::NotRun,
+        _ => AttemptOutcome::MalformedResponse,
     }
 }
 
--- a/crates/server/src/store/report.rs
+++ b/crates/server/src/store/report.rs
@@ -7,7 +7,7 @@
 use crate::report::Told;
 use jzon::JsonValue;
 use std::collections::BTreeMap;
-use stileroute_queue::{End, Key, Outcome};
+use stileroute_queue::{AttemptOutcome, End, Key};
 
 /// Deliveries.
 #[derive(Default)]
@@ -18,22 +18,22 @@
 }
 
 impl Tally {
-    pub fn ended(&mut self, outcome: &Outcome) {
+    pub fn ended(&mut self, outcome: &AttemptOutcome) {
         let name = match outcome {
-            Outcome::Completed { .. } => "done",
-            Outcome::Rejected => "refused",
-            Outcome::Failed => "failed",
-            Outcome::ExecutorFull => "full",
-            Outcome::RateLimited => "over",
-            Outcome::AlreadyRunning => "running",
-            Outcome::WrongServer => "wrong",
-            Outcome::NotRun => "not_run",
-            Outcome::TimedOut => "stopped",
-            Outcome::NotConnected => "not_connected",
-            Outcome::NoFreeConnection => "no_room",
-            Outcome::ConnectionBroken => "broken",
-            Outcome::NoResponse => "late",
-            Outcome::MalformedResponse => "garbled",
+            AttemptOutcome::Completed { .. } => "done",
+            AttemptOutcome::Rejected => "refused",
+            AttemptOutcome::Failed => "failed",
+            AttemptOutcome::ExecutorFull => "full",
+            AttemptOutcome::RateLimited => "over",
+            AttemptOutcome::AlreadyRunning => "running",
+            AttemptOutcome::WrongServer => "wrong",
+            AttemptOutcome::NotRun => "not_run",
+            AttemptOutcome::TimedOut => "stopped",
+            AttemptOutcome::NotConnected => "not_connected",
+            AttemptOutcome::NoFreeConnection => "no_room",
+            AttemptOutcome::ConnectionBroken => "broken",
+            AttemptOutcome::NoResponse => "late",
+            AttemptOutcome::MalformedResponse => "garbled",
         };
         *self.outcomes.entry(name).or_default() += 1;
     }
