--- a/crates/capacity/src/message.rs
+++ b/crates/capacity/src/message.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use stileroute_config::Config;
 use stileroute_queue::{
-    first_number, Effect, Executor, Message, Millis, Node, Outcome, PeerMessage, Queue, QueueSettings,
+    first_number, AttemptOutcome, Effect, Executor, Message, Millis, Node, PeerMessage, Queue, QueueSettings,
     StateTable, ToleratedLosses,
 };
 
@@ -161,7 +161,7 @@
     pub fn complete(&mut self) {
         let fine = self.now as i64 * FINE;
         for (at, attempt) in std::mem::take(&mut self.attempts) {
-            let outcome = Outcome::Completed { seal: "3e1b.07.5a2.600.0.c9f2a4d1".into() };
+            let outcome = AttemptOutcome::Completed { seal: "3e1b.07.5a2.600.0.c9f2a4d1".into() };
             self.queues[at].attempt_ended(self.now, fine, attempt, outcome, None);
         }
         self.settle();
--- a/crates/model-check/src/queue/fleet/events.rs
+++ b/crates/model-check/src/queue/fleet/events.rs
@@ -3,7 +3,7 @@
 use super::edge::EDGE;
 use super::{Event, Fleet, Run, BEGIN};
 use crate::queue::stores::{Store, Writing, WALL};
-use stileroute_queue::{Effect, Key, Millis, Outcome, Queue};
+use stileroute_queue::{AttemptOutcome, Effect, Key, Millis, Queue};
 
 /// A record that is waited for is on disk after so long, another later.
 const DISK: Millis = 3;
@@ -92,7 +92,7 @@
             }
             Event::Done { at, life, attempt, run, outcome } => {
                 let reads = self.stores[at].life == life && self.stores[at].queue.is_some();
-                if reads && matches!(outcome, Outcome::Completed { .. }) {
+                if reads && matches!(outcome, AttemptOutcome::Completed { .. }) {
                     self.runs[run].read = Some(self.now);
                 }
                 self.with(at, Some(life), |queue, now| {
@@ -182,9 +182,9 @@
         let m = &self.messages[sent];
         let fails = m.fails_first && !seen;
         let (after, outcome) = match (fails, m.refuses) {
-            (true, _) => (FAILS_AFTER, Outcome::NoResponse),
-            (false, true) => (RUN, Outcome::Rejected),
-            (false, false) => (RUN, Outcome::Completed { seal: "s".to_string() }),
+            (true, _) => (FAILS_AFTER, AttemptOutcome::NoResponse),
+            (false, true) => (RUN, AttemptOutcome::Rejected),
+            (false, false) => (RUN, AttemptOutcome::Completed { seal: "s".to_string() }),
         };
         self.told(|| format!("{at} starts message {sent}: {outcome:?}"));
         self.runs.push(Run { sent, at: self.now, over: self.now + after, ends: !fails, read: None });
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -28,7 +28,7 @@
 #[cfg(feature = "planted")]
 pub use planted::PlantedFault;
 pub use queue::{
-    first_number, Effect, Entry, MessageState, Outcome, Queue, QueueMetrics, QueueSettings, Stage,
+    first_number, AttemptOutcome, Effect, Entry, MessageState, Queue, QueueMetrics, QueueSettings, Stage,
     ToleratedLosses,
 };
 pub use queue::{MessageView, ServiceView, StageCounts};
--- a/crates/queue/src/queue.rs
+++ b/crates/queue/src/queue.rs
@@ -14,7 +14,9 @@
 pub use numbers::first_number;
 pub use report::{MessageView, ServiceView, StageCounts};
 pub(crate) use types::PendingWrite;
-pub use types::{Effect, Entry, MessageState, Outcome, QueueMetrics, QueueSettings, Stage, ToleratedLosses};
+pub use types::{
+    AttemptOutcome, Effect, Entry, MessageState, QueueMetrics, QueueSettings, Stage, ToleratedLosses,
+};
 
 use crate::copies::Peer;
 use crate::message::{End, Key, Message, Millis, Node, ReplicatedMessage};
--- a/crates/queue/src/queue/delivery.rs
+++ b/crates/queue/src/queue/delivery.rs
@@ -1,7 +1,7 @@
 //! Delivery: when a message's turn comes, its attempts, and what the outcome of an attempt leads to.
 
 use super::token_holders::token_holder;
-use super::{Effect, Outcome, Queue, Stage, UPKEEP};
+use super::{AttemptOutcome, Effect, Queue, Stage, UPKEEP};
 use crate::message::{End, Key, Millis};
 use crate::peer_message::{GroupPosition, PeerMessage};
 use crate::planted::PlantedFault;
@@ -188,21 +188,22 @@
         now: Millis,
         fine: Time,
         attempt: u64,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         load: Option<[f64; 3]>,
     ) {
         let judged = match &outcome {
-            Outcome::Completed { .. } => Judged::Acked,
-            Outcome::Rejected | Outcome::Failed => Judged::Unfit,
-            Outcome::ExecutorFull => Judged::Full,
-            Outcome::RateLimited | Outcome::AlreadyRunning | Outcome::NotRun | Outcome::NoFreeConnection => {
-                Judged::Moot
-            }
-            Outcome::WrongServer => Judged::Error,
-            Outcome::NotConnected => Judged::NotConnected,
-            Outcome::ConnectionBroken => Judged::Reset,
-            Outcome::TimedOut | Outcome::NoResponse => Judged::TimedOut,
-            Outcome::MalformedResponse => Judged::Broken,
+            AttemptOutcome::Completed { .. } => Judged::Acked,
+            AttemptOutcome::Rejected | AttemptOutcome::Failed => Judged::Unfit,
+            AttemptOutcome::ExecutorFull => Judged::Full,
+            AttemptOutcome::RateLimited
+            | AttemptOutcome::AlreadyRunning
+            | AttemptOutcome::NotRun
+            | AttemptOutcome::NoFreeConnection => Judged::Moot,
+            AttemptOutcome::WrongServer => Judged::Error,
+            AttemptOutcome::NotConnected => Judged::NotConnected,
+            AttemptOutcome::ConnectionBroken => Judged::Reset,
+            AttemptOutcome::TimedOut | AttemptOutcome::NoResponse => Judged::TimedOut,
+            AttemptOutcome::MalformedResponse => Judged::Broken,
         };
         let Some(at) = self
             .service_queues
@@ -214,15 +215,15 @@
         // What was stopped at its time, too: the work was done in vain.
         let ran = matches!(
             outcome,
-            Outcome::Failed
-                | Outcome::TimedOut
-                | Outcome::ConnectionBroken
-                | Outcome::NoResponse
-                | Outcome::MalformedResponse
+            AttemptOutcome::Failed
+                | AttemptOutcome::TimedOut
+                | AttemptOutcome::ConnectionBroken
+                | AttemptOutcome::NoResponse
+                | AttemptOutcome::MalformedResponse
         );
         let settled = self.service_queues[at].settle(fine, now, attempt, judged, ran, load);
         let Some((key, executor)) = settled else { return };
-        if outcome == Outcome::RateLimited {
+        if outcome == AttemptOutcome::RateLimited {
             self.service_queues[at].paused_until = now + 200;
         }
         self.next_dispatch_at = 0;
@@ -230,13 +231,13 @@
         if entry.end.is_some() {
             return;
         }
-        if ran || outcome == Outcome::AlreadyRunning {
+        if ran || outcome == AttemptOutcome::AlreadyRunning {
             (entry.has_run, entry.last_failed_on) = (true, Some((at, executor)));
         }
         match outcome {
-            Outcome::Completed { seal } => return self.finish(now, key, End::Complete { seal }),
-            Outcome::Rejected => return self.finish(now, key, End::Failed),
-            Outcome::Failed => entry.failed_attempts += 1,
+            AttemptOutcome::Completed { seal } => return self.finish(now, key, End::Complete { seal }),
+            AttemptOutcome::Rejected => return self.finish(now, key, End::Failed),
+            AttemptOutcome::Failed => entry.failed_attempts += 1,
             _ => {}
         }
         if entry.stage != Stage::InFlight {
@@ -258,11 +259,11 @@
         // longer.
         entry.backoff_steps += 1;
         let pause = match outcome {
-            Outcome::ExecutorFull
-            | Outcome::NoFreeConnection
-            | Outcome::WrongServer
-            | Outcome::NotConnected => (AGAIN.0 / 4) << (entry.backoff_steps / 4).min(5),
-            Outcome::AlreadyRunning => 100,
+            AttemptOutcome::ExecutorFull
+            | AttemptOutcome::NoFreeConnection
+            | AttemptOutcome::WrongServer
+            | AttemptOutcome::NotConnected => (AGAIN.0 / 4) << (entry.backoff_steps / 4).min(5),
+            AttemptOutcome::AlreadyRunning => 100,
             _ => (AGAIN.0 << entry.backoff_steps.min(8)).min(AGAIN.1),
         };
         entry.not_before = now + pause;
--- a/crates/queue/src/queue/types.rs
+++ b/crates/queue/src/queue/types.rs
@@ -134,7 +134,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     Completed {
         seal: String,
     },
--- a/crates/queue/tests/words.rs
+++ b/crates/queue/tests/words.rs
@@ -119,7 +119,7 @@
         (key, self.note(to, PeerMessage::Replicated(vec![key])))
     }
 
-    fn answered(&mut self, attempt: u64, outcome: Outcome) -> Vec<Effect> {
+    fn answered(&mut self, attempt: u64, outcome: AttemptOutcome) -> Vec<Effect> {
         self.queue.attempt_ended(self.now, self.now as i64 * 10, attempt, outcome, None);
         self.pass(0)
     }
@@ -285,7 +285,7 @@
     let (key, effects) = one.taken(message("plain"));
     let attempt = attempts(&effects)[0];
     one.note(B, owned(key, B, 1));
-    let mut effects = one.answered(attempt, Outcome::Failed);
+    let mut effects = one.answered(attempt, AttemptOutcome::Failed);
     effects.extend(one.pass(3000));
     assert!(attempts(&effects).is_empty());
 }
@@ -301,7 +301,7 @@
         copy,
         PeerMessage::OwnershipChanged(vec![Ownership { key, owner: copy, term: 2, replicas: vec![ME] }]),
     );
-    let mut effects = one.answered(attempts(&effects)[0], Outcome::Completed { seal: "s".into() });
+    let mut effects = one.answered(attempts(&effects)[0], AttemptOutcome::Completed { seal: "s".into() });
     effects.extend(one.pass(50));
     assert!(
         said(&effects, copy, |n| matches!(n, PeerMessage::Ended(all) if all[0].key == key)),
@@ -416,7 +416,7 @@
         let mut keys = Vec::new();
         for _ in 0..4 {
             let (key, effects) = one.taken(message("plain"));
-            let effects = one.answered(attempts(&effects)[0], Outcome::Completed { seal: "s".into() });
+            let effects = one.answered(attempts(&effects)[0], AttemptOutcome::Completed { seal: "s".into() });
             assert!(effects.iter().any(|e| matches!(e, Effect::CallBack { .. })), "none in round {round}");
             keys.push(key);
         }
@@ -447,7 +447,7 @@
 fn a_changed_configuration_leaves_the_pause_after_a_failure() {
     let mut one = One::ready(StateTable::default());
     let (_, effects) = one.taken(message("plain"));
-    one.answered(attempts(&effects)[0], Outcome::Failed);
+    one.answered(attempts(&effects)[0], AttemptOutcome::Failed);
     one.configure(2);
     assert!(attempts(&one.pass(70)).is_empty());
     assert_eq!(attempts(&one.pass(30)).len(), 1);
@@ -596,7 +596,7 @@
     }
     sent.extend(attempts(&one.pass(100)));
     assert_eq!(sent.len(), 2);
-    let effects = one.answered(sent[0], Outcome::Completed { seal: "s".into() });
+    let effects = one.answered(sent[0], AttemptOutcome::Completed { seal: "s".into() });
     assert_eq!(attempts(&effects).len(), 1);
 }
 
--- a/crates/queue/tests/world/mod.rs
+++ b/crates/queue/tests/world/mod.rs
@@ -54,7 +54,7 @@
     Put { sent: usize, to: usize, ticket: u64 },
     Said { sent: usize, from: usize, ticket: u64, result: Result<String, PutError> },
     Impatient { sent: usize, ticket: u64 },
-    Done { at: usize, life: u64, attempt: u64, id: String, outcome: Outcome },
+    Done { at: usize, life: u64, attempt: u64, id: String, outcome: AttemptOutcome },
     Called { at: usize, life: u64, key: Key, taken: bool },
     Start { at: usize },
     Link { a: usize, b: usize },
@@ -577,23 +577,23 @@
                 let tries = self.runs.iter().filter(|r| r.id == id).count();
                 let does = *sent.does.get(tries).or(sent.does.last()).unwrap_or(&Does::Well);
                 let (mut wait, mut outcome) =
-                    (20 + self.random(30), Outcome::Completed { seal: format!("s-{id}") });
+                    (20 + self.random(30), AttemptOutcome::Completed { seal: format!("s-{id}") });
                 if paid {
                     if !self.endpoint {
-                        let outcome = Outcome::NotConnected;
+                        let outcome = AttemptOutcome::NotConnected;
                         return self.at(2, What::Done { at, life, attempt, id, outcome });
                     }
                     self.arrivals.push(self.now);
                 }
                 if does == Does::Down {
                     // Nobody began anything: such a try is no run, and is not counted as one.
-                    let outcome = Outcome::NotConnected;
+                    let outcome = AttemptOutcome::NotConnected;
                     return self.at(2, What::Done { at, life, attempt, id, outcome });
                 }
                 match does {
-                    Does::Fails => outcome = Outcome::Failed,
-                    Does::Refuses => outcome = Outcome::Rejected,
-                    Does::Loses | Does::Silent => (wait, outcome) = (timeout_ms, Outcome::NoResponse),
+                    Does::Fails => outcome = AttemptOutcome::Failed,
+                    Does::Refuses => outcome = AttemptOutcome::Rejected,
+                    Does::Loses | Does::Silent => (wait, outcome) = (timeout_ms, AttemptOutcome::NoResponse),
                     Does::Slow(ms) => wait = ms,
                     _ => {}
                 }
@@ -694,7 +694,7 @@
                 if self.stores[at].life != life || self.stores[at].queue.is_none() {
                     return;
                 }
-                if matches!(outcome, Outcome::Completed { .. }) {
+                if matches!(outcome, AttemptOutcome::Completed { .. }) {
                     let run = self.runs.iter_mut().rfind(|r| r.id == id && r.done == Some(now));
                     run.into_iter().for_each(|r| r.read = Some(now));
                 }
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -14,7 +14,7 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 use stileroute_queue::{
-    first_number, Effect, Executor, Key, MessageState, Node, Outcome, Queue, QueueSettings, Record,
+    first_number, AttemptOutcome, Effect, Executor, Key, MessageState, Node, Queue, QueueSettings, Record,
     StateTable, ToleratedLosses,
 };
 use stileroute_wal::{Options, Trouble, Wal};
@@ -428,30 +428,30 @@
 }
 
 /// What an answer says of the attempt. One that names another request, or no seal, is no success.
-fn judge(id: &str, result: Result<Reply, Failure>) -> Outcome {
+fn judge(id: &str, result: Result<Reply, Failure>) -> AttemptOutcome {
     let reply = match result {
         Ok(reply) => reply,
-        Err(Failure::NotConnected) => return Outcome::NotConnected,
-        Err(Failure::NoRoom) => return Outcome::NoFreeConnection,
-        Err(Failure::Broken) => return Outcome::ConnectionBroken,
-        Err(Failure::Late) => return Outcome::NoResponse,
-        Err(Failure::Garbled) => return Outcome::MalformedResponse,
+        Err(Failure::NotConnected) => return AttemptOutcome::NotConnected,
+        Err(Failure::NoRoom) => return AttemptOutcome::NoFreeConnection,
+        Err(Failure::Broken) => return AttemptOutcome::ConnectionBroken,
+        Err(Failure::Late) => return AttemptOutcome::NoResponse,
+        Err(Failure::Garbled) => return AttemptOutcome::MalformedResponse,
     };
     if reply.id.as_deref() != Some(id) {
-        return Outcome::MalformedResponse;
+        return AttemptOutcome::MalformedResponse;
     }
     match (reply.status, reply.seal) {
-        (200..=299, Some(seal)) => Outcome::Completed { seal },
-        (200..=299, None) => Outcome::MalformedResponse,
-        (422, _) => Outcome::Rejected,
-        (421, _) => Outcome::WrongServer,
-        (409, _) => Outcome::AlreadyRunning,
-        (429, _) => Outcome::RateLimited,
-        (503, _) => Outcome::ExecutorFull,
-        (504, _) => Outcome::TimedOut,
-        (500, _) if !reply.not_run => Outcome::Failed,
-        _ if reply.not_run => Outcome::NotRun,
-        _ => Outcome::MalformedResponse,
+        (200..=299, Some(seal)) => AttemptOutcome::Completed { seal },
+        (200..=299, None) => AttemptOutcome::MalformedResponse,
+        (422, _) => AttemptOutcome::Rejected,
+        (421, _) => AttemptOutcome::WrongServer,
+        (409, _) => AttemptOutcome::AlreadyRunning,
+        (429, _) => AttemptOutcome::RateLimited,
+        (503, _) => AttemptOutcome::ExecutorFull,
+        (504, _) => AttemptOutcome::TimedOut,
+        (500, _) if !reply.not_run => AttemptOutcome::Failed,
+        _ if reply.not_run => AttemptOutcome::NotRun,
+        _ => AttemptOutcome::MalformedResponse,
     }
 }
 
