--- a/crates/capacity/src/control_node.rs
+++ b/crates/capacity/src/control_node.rs
@@ -1,4 +1,4 @@
-//! A control node: the real registry and the real control group, joined as `crates/server/src/core.rs` joins them.
+//! A control node: the real registry and the real control group, joined as `crates/server/src/control_node.rs` joins them.
 
 use crate::layout::Layout;
 use crate::links::{LinkEvent, Links};
--- /dev/null
+++ b/crates/server/src/cli.rs
@@ -0,0 +1,6 @@
+//! The command line.
+
+pub mod args;
+pub mod orders;
+pub mod status;
+pub mod verify;
--- a/crates/server/src/args.rs
+++ b/crates/server/src/cli/args.rs
@@ -1,8 +1,9 @@
 //! The command line.
 
-use crate::operate::{self, Asked};
+use crate::cli::orders::{self, Asked};
+use crate::cli::{status, verify};
+use crate::settings;
 use crate::signals::Class;
-use crate::{settings, state, status};
 use gumdrop::Options;
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
@@ -185,17 +186,17 @@
             Some(CheckCommand::Boot(args)) => settings::check_boot(&args.file, args.json),
         },
         Some(Command::Status(args)) => status::status(args.at.as_deref(), boot, args.json),
-        Some(Command::Apply(args)) => operate::apply(&args.file, &asked(&args.at, boot, args.json)),
-        Some(Command::Read(args)) => operate::read(&asked(&args.at, boot, args.json)),
-        Some(Command::Diff(args)) => operate::diff(&args.file, &asked(&args.at, boot, args.json)),
+        Some(Command::Apply(args)) => orders::apply(&args.file, &asked(&args.at, boot, args.json)),
+        Some(Command::Read(args)) => orders::read(&asked(&args.at, boot, args.json)),
+        Some(Command::Diff(args)) => orders::diff(&args.file, &asked(&args.at, boot, args.json)),
         Some(Command::Retire(args)) => {
-            operate::retire(&args.name, args.status, &asked(&args.at, boot, args.json))
+            orders::retire(&args.name, args.status, &asked(&args.at, boot, args.json))
         }
         Some(Command::Message(args)) => status::message(&args.id, args.at.as_deref(), boot, args.json),
         Some(Command::Figures(args)) => status::figures(args.at.as_deref(), boot, args.json),
         Some(Command::State(args)) => match &args.command {
             None => usage(StateCommand::usage()),
-            Some(StateCommand::Verify(args)) => state::verify(&args.file, args.json),
+            Some(StateCommand::Verify(args)) => verify::verify(&args.file, args.json),
         },
         Some(Command::Version(args)) => {
             let (program, protocol) = (env!("CARGO_PKG_VERSION"), crate::signals::PROTOCOL);
--- a/crates/server/src/operate.rs
+++ b/crates/server/src/cli/orders.rs
@@ -1,9 +1,9 @@
 //! An operator's orders from the command line: a configuration is applied, read or compared, a store is retired. Each is sent
 //! to one control node after another until one has a clear answer, and what is in force is read back before it is said.
 
-use crate::args::{say, UNUSABLE};
 use crate::calls::content_digest;
-use crate::status::control_addresses;
+use crate::cli::args::{say, UNUSABLE};
+use crate::cli::status::control_addresses;
 use jzon::JsonValue;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
--- a/crates/server/src/status.rs
+++ b/crates/server/src/cli/status.rs
@@ -1,6 +1,6 @@
 //! Questions to a running system, over the protocol of its own processes, by one who is none of them.
 
-use crate::args::{say, UNUSABLE};
+use crate::cli::args::{say, UNUSABLE};
 use crate::links;
 use crate::node::lot;
 use crate::signals::{Class, Hello, Signal, PROTOCOL};
--- a/crates/server/src/state.rs
+++ b/crates/server/src/cli/verify.rs
@@ -1,6 +1,6 @@
 //! What is on the disk of a machine whose process is stopped: read through, with no change to it.
 
-use crate::args::{say, UNUSABLE};
+use crate::cli::args::{say, UNUSABLE};
 use jzon::JsonValue;
 use std::collections::BTreeMap;
 use std::path::Path;
--- a/crates/server/src/core.rs
+++ b/crates/server/src/control_node.rs
@@ -1,9 +1,9 @@
 //! The control node: executors' and operators' calls, sessions of nodes, the configuration with the others, and news.
 
-mod in_hand;
-mod ledger;
+mod disk_records;
+mod pending_calls;
 mod report;
-mod retire;
+mod retirement;
 #[cfg(test)]
 mod tests;
 
@@ -16,8 +16,8 @@
 use crate::node::{lot, Common};
 use crate::report::Told;
 use crate::signals::{Class, Heartbeat, Hello, Member, Passed, PassedKind, Retiring, Signal, Standing};
-use in_hand::{InHand, Origin};
-use ledger::Ledger;
+use disk_records::Ledger;
+use pending_calls::{InHand, Origin};
 use std::net::SocketAddrV4;
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
@@ -34,7 +34,7 @@
     disk_said: Receiver<(u64, Result<(), Trouble>)>,
     registry: Registry,
     in_hand: InHand,
-    told: retire::Told,
+    told: retirement::Told,
     released: Option<Millis>,
     heard_at: Millis,
 }
@@ -83,7 +83,7 @@
             disk_said,
             registry,
             in_hand: InHand::new(lot()),
-            told: retire::Told::default(),
+            told: retirement::Told::default(),
             released: None,
             heard_at: 0,
             common,
@@ -305,7 +305,7 @@
                 }
             }
             Effect::Persist { ticket, record } => {
-                self.disk.append(ticket, vec![ledger::bytes(&record)], true);
+                self.disk.append(ticket, vec![disk_records::bytes(&record)], true);
             }
             Effect::Answer { ticket, verdict } => self.answered(ticket, verdict),
             Effect::ControlState { ticket, state } => {
--- a/crates/server/src/core/tests.rs
+++ b/crates/server/src/control_node/tests.rs
@@ -1,8 +1,8 @@
 //! Calls in hand and retirements, without I/O.
 
-use super::in_hand::{InHand, Origin};
-use super::ledger::{bytes, Ledger};
-use super::retire::{judge, standing, Judgement, Told};
+use super::disk_records::{bytes, Ledger};
+use super::pending_calls::{InHand, Origin};
+use super::retirement::{judge, standing, Judgement, Told};
 use crate::calls::{Retired, LARGEST_CONFIGURATION};
 use crate::node::number;
 use crate::signals::{Class, Member, Passed, PassedKind, Retiring};
--- a/crates/server/src/edge.rs
+++ b/crates/server/src/edge.rs
@@ -1,9 +1,9 @@
 //! The edge: takes messages from clients, has a store keep them, and answers; asks stores what became of one.
 
-mod asking;
+mod pending;
 mod report;
 
-use asking::{Find, Heard, Put, Refused};
+use pending::{Find, Heard, Put, Refused};
 
 use crate::links::LinkEvent;
 use crate::net::{Answer, Bounds, ConnId, Event, Millis, Request};
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -4,23 +4,20 @@
 // Not finished yet: what these lints name is still to be documented or divided.
 #![allow(clippy::struct_excessive_bools)]
 
-mod args;
 mod calls;
-mod core;
+mod cli;
+mod control_node;
 mod edge;
 mod figures;
 mod links;
 mod net;
 mod node;
-mod operate;
 mod report;
 mod settings;
 mod signals;
-mod state;
-mod status;
 mod store;
 
-use args::{Args, Task, UNUSABLE};
+use cli::args::{Args, Task, UNUSABLE};
 use gumdrop::Options;
 use node::Common;
 use signals::Class;
@@ -30,7 +27,7 @@
 
 fn main() -> ExitCode {
     let args = Args::parse_args_default_or_exit();
-    match args::task(&args) {
+    match cli::args::task(&args) {
         Task::Done(code) => ExitCode::from(code),
         Task::Run(class) => start(args, class),
     }
@@ -42,7 +39,7 @@
         eprintln!("{reason}");
         ExitCode::from(UNUSABLE)
     };
-    let level = match args::level(&args) {
+    let level = match cli::args::level(&args) {
         Ok(level) => level,
         Err(reason) => return unusable(reason),
     };
@@ -73,7 +70,7 @@
     match class {
         Class::Edge => edge::Edge::new(common)?.run(),
         Class::Store => store::Store::new(common)?.run(),
-        Class::Core => core::Core::new(common)?.run(),
+        Class::Core => control_node::Core::new(common)?.run(),
         Class::Visitor => Ok(()),
     }
 }
--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -3,8 +3,8 @@
 //! Refused is only what the program cannot work with: a process that does not start is worse than one with an odd
 //! figure. What it works with, but not as one may expect, is warned of.
 
-use crate::args::{say, UNUSABLE};
 use crate::calls::LARGEST_CONFIGURATION;
+use crate::cli::args::{say, UNUSABLE};
 use crate::signals::Class;
 use jzon::JsonValue;
 use std::path::Path;
