--- a/crates/server/src/cli/args.rs
+++ b/crates/server/src/cli/args.rs
@@ -1,111 +1,129 @@
-//! The command line.
+//! The options and commands that the command line knows. Types and variants have plain comments: `gumdrop` would print doc
+//! comments as part of the help.
 
-use crate::cli::orders::{self, Asked};
-use crate::cli::{status, verify};
-use crate::settings;
+use super::discovery::EntryPoint;
+use super::orders::RetireRequest;
+use super::output::OutputFormat;
+use super::CommandError;
 use crate::signals::Class;
 use gumdrop::Options;
 use std::net::SocketAddrV4;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use tracing::Level;
 
-/// Settings or words that can't be used; nothing has been started.
-pub const UNUSABLE: u8 = 2;
+/// Names the settings file where no option does.
+const SETTINGS_VARIABLE: &str = "STILEROUTE_BOOT";
+/// Says how much is logged where no option does.
+const LOG_VARIABLE: &str = "STILEROUTE_LOG";
 
+// The options of the program itself, before its command.
 #[derive(Debug, Options)]
 pub struct Args {
     #[options(help = "show this")]
     help: bool,
+    /// `--boot`: the settings file.
     #[options(help = "settings file, instead of the one that STILEROUTE_BOOT names", meta = "FILE")]
     pub boot: Option<PathBuf>,
+    /// `--log`: how much is logged.
     #[options(
         no_short,
         help = "error, warn, info or debug; else what STILEROUTE_LOG says, else info",
         meta = "LEVEL"
     )]
     pub log: Option<String>,
+    /// `--figures`: where the counters are served.
     #[options(
         no_short,
         help = "serve the counters at this loopback address, under /metrics",
         meta = "IP:PORT"
     )]
     pub figures: Option<SocketAddrV4>,
+    /// The command.
     #[options(command)]
     pub command: Option<Command>,
 }
 
+// The commands; the first three are the roles of a process.
 #[derive(Debug, Options)]
 pub enum Command {
     #[options(help = "take messages from clients")]
-    Edge(NoArgs),
+    Edge(RoleOptions),
     #[options(help = "keep and deliver messages")]
-    Store(NoArgs),
+    Store(RoleOptions),
     #[options(help = "know who is there, and keep the configuration")]
-    Core(NoArgs),
+    Core(RoleOptions),
     #[options(help = "say all that is wrong with a file, before anything reads it")]
-    Check(CheckArgs),
+    Check(CheckOptions),
     #[options(help = "a running system: nodes, control duty, executors, queues, ceilings")]
-    Status(FleetArgs),
+    Status(FleetOptions),
     #[options(help = "send a configuration, and say whether it is in force")]
-    Apply(OrderArgs),
+    Apply(ConfigurationOptions),
     #[options(help = "the configuration that is in force")]
-    Read(FleetArgs),
+    Read(FleetOptions),
     #[options(help = "whether a configuration is in force, and what differs")]
-    Diff(OrderArgs),
+    Diff(ConfigurationOptions),
     #[options(help = "empty a store, so that it can be taken away")]
-    Retire(RetireArgs),
+    Retire(RetireOptions),
     #[options(help = "what the stores know of one message")]
-    Message(MessageArgs),
+    Message(MessageOptions),
     #[options(help = "the counters of one process")]
-    Figures(FleetArgs),
+    Figures(FleetOptions),
     #[options(help = "what is on the disk of a machine that is stopped")]
-    State(StateArgs),
+    State(StateOptions),
     #[options(help = "version of this program, and of what its processes speak")]
-    Version(JsonArgs),
+    Version(VersionOptions),
 }
 
+// Options of a role.
 #[derive(Debug, Options)]
-pub struct NoArgs {
+pub struct RoleOptions {
     #[options(help = "show this")]
     help: bool,
 }
 
+// Options of `version`.
 #[derive(Debug, Options)]
-pub struct JsonArgs {
+pub struct VersionOptions {
     #[options(help = "show this")]
     help: bool,
     #[options(no_short, help = "as JSON")]
     json: bool,
 }
 
+// Options of `check`.
 #[derive(Debug, Options)]
-pub struct CheckArgs {
+pub struct CheckOptions {
     #[options(help = "show this")]
     help: bool,
+    /// Which kind of file is checked.
     #[options(command)]
-    command: Option<CheckCommand>,
+    pub command: Option<CheckCommand>,
 }
 
+// The kinds of files that can be checked.
 #[derive(Debug, Options)]
 pub enum CheckCommand {
     #[options(help = "an operator's configuration")]
-    Config(FileArgs),
+    Config(FileOptions),
     #[options(help = "a settings file")]
-    Boot(FileArgs),
+    Boot(FileOptions),
 }
 
+// Options of a command that reads one file or folder.
 #[derive(Debug, Options)]
-pub struct FileArgs {
+pub struct FileOptions {
     #[options(help = "show this")]
     help: bool,
     #[options(no_short, help = "as JSON")]
     json: bool,
+    /// The file or folder.
     #[options(free, required, help = "the file")]
-    file: PathBuf,
+    pub file: PathBuf,
 }
 
+// Options of a command that asks the running system.
 #[derive(Debug, Options)]
-pub struct FleetArgs {
+pub struct FleetOptions {
     #[options(help = "show this")]
     help: bool,
     #[options(no_short, help = "internal address of a process, or a settings file", meta = "IP:PORT|FILE")]
@@ -114,20 +132,23 @@
     json: bool,
 }
 
+// Options of a command that sends or compares a configuration.
 #[derive(Debug, Options)]
-pub struct OrderArgs {
+pub struct ConfigurationOptions {
     #[options(help = "show this")]
     help: bool,
     #[options(no_short, help = "internal address of a process, or a settings file", meta = "IP:PORT|FILE")]
     at: Option<String>,
     #[options(no_short, help = "as JSON")]
     json: bool,
+    /// The file with the configuration.
     #[options(free, required, help = "the configuration")]
-    file: PathBuf,
+    pub file: PathBuf,
 }
 
+// Options of `retire`.
 #[derive(Debug, Options)]
-pub struct RetireArgs {
+pub struct RetireOptions {
     #[options(help = "show this")]
     help: bool,
     #[options(no_short, help = "internal address of a process, or a settings file", meta = "IP:PORT|FILE")]
@@ -136,109 +157,150 @@
     json: bool,
     #[options(no_short, help = "only say how far it is")]
     status: bool,
+    /// The node name of the store.
     #[options(free, required, help = "the store's name")]
-    name: String,
+    pub name: String,
 }
 
+// Options of `message`.
 #[derive(Debug, Options)]
-pub struct MessageArgs {
+pub struct MessageOptions {
     #[options(help = "show this")]
     help: bool,
     #[options(no_short, help = "internal address of a process, or a settings file", meta = "IP:PORT|FILE")]
     at: Option<String>,
     #[options(no_short, help = "as JSON")]
     json: bool,
+    /// The message's id.
     #[options(free, required, help = "as X-Queue-Message-Id told it")]
-    id: String,
+    pub id: String,
 }
 
+// Options of `state`.
 #[derive(Debug, Options)]
-pub struct StateArgs {
+pub struct StateOptions {
     #[options(help = "show this")]
     help: bool,
+    /// What is done with the folder.
     #[options(command)]
-    command: Option<StateCommand>,
+    pub command: Option<StateCommand>,
 }
 
+// What can be done with a data folder.
 #[derive(Debug, Options)]
 pub enum StateCommand {
     #[options(help = "read a data folder through, and change nothing")]
-    Verify(FileArgs),
-}
-
-/// What is to be done: a role to be run, or something that has been done.
-pub enum Task {
-    Run(Class),
-    Done(u8),
-}
-
-/// Does what the words ask; what they lack is told with the usage.
-pub fn task(args: &Args) -> Task {
-    let boot = args.boot.as_deref();
-    let done = match &args.command {
-        None => usage(Args::usage()),
-        Some(Command::Edge(_)) => return Task::Run(Class::Edge),
-        Some(Command::Store(_)) => return Task::Run(Class::Store),
-        Some(Command::Core(_)) => return Task::Run(Class::Core),
-        Some(Command::Check(args)) => match &args.command {
-            None => usage(CheckCommand::usage()),
-            Some(CheckCommand::Config(args)) => settings::check_config(&args.file, args.json),
-            Some(CheckCommand::Boot(args)) => settings::check_boot(&args.file, args.json),
-        },
-        Some(Command::Status(args)) => status::status(args.at.as_deref(), boot, args.json),
-        Some(Command::Apply(args)) => orders::apply(&args.file, &asked(&args.at, boot, args.json)),
-        Some(Command::Read(args)) => orders::read(&asked(&args.at, boot, args.json)),
-        Some(Command::Diff(args)) => orders::diff(&args.file, &asked(&args.at, boot, args.json)),
-        Some(Command::Retire(args)) => {
-            orders::retire(&args.name, args.status, &asked(&args.at, boot, args.json))
+    Verify(FileOptions),
+}
+
+impl Args {
+    /// The role that the process is to run, if the command is one.
+    pub fn role(&self) -> Option<Class> {
+        match &self.command {
+            Some(Command::Edge(_)) => Some(Class::Edge),
+            Some(Command::Store(_)) => Some(Class::Store),
+            Some(Command::Core(_)) => Some(Class::Core),
+            _ => None,
         }
-        Some(Command::Message(args)) => status::message(&args.id, args.at.as_deref(), boot, args.json),
-        Some(Command::Figures(args)) => status::figures(args.at.as_deref(), boot, args.json),
-        Some(Command::State(args)) => match &args.command {
-            None => usage(StateCommand::usage()),
-            Some(StateCommand::Verify(args)) => verify::verify(&args.file, args.json),
-        },
-        Some(Command::Version(args)) => {
-            let (program, protocol) = (env!("CARGO_PKG_VERSION"), crate::signals::PROTOCOL);
-            match args.json {
-                true => say(&jzon::object! { "program" => program, "protocol" => protocol }.pretty(2)),
-                false => say(&format!("stilerouted {program}, protocol {protocol}")),
-            }
-            0
+    }
+
+    /// The settings file of a role.
+    ///
+    /// # Errors
+    ///
+    /// [`CommandError::NoSettingsFile`] where neither `--boot` nor the environment names one.
+    pub fn settings_file(&self) -> Result<PathBuf, CommandError> {
+        let file = self.boot.clone().or_else(settings_file_of_environment);
+        file.ok_or(CommandError::NoSettingsFile { option: "--boot" })
+    }
+
+    /// How much is logged: by `--log`, else by the environment, else [`Level::INFO`].
+    ///
+    /// # Errors
+    ///
+    /// [`CommandError::UnknownLogLevel`] for a level that does not exist.
+    pub fn log_level(&self) -> Result<Level, CommandError> {
+        let (option, level) = match (&self.log, std::env::var(LOG_VARIABLE)) {
+            (Some(level), _) => ("--log", level.clone()),
+            (None, Ok(level)) if !level.is_empty() => (LOG_VARIABLE, level),
+            (None, _) => return Ok(Level::INFO),
+        };
+        match level.as_str() {
+            "error" => Ok(Level::ERROR),
+            "warn" => Ok(Level::WARN),
+            "info" => Ok(Level::INFO),
+            "debug" => Ok(Level::DEBUG),
+            _ => Err(CommandError::UnknownLogLevel { option, level }),
         }
-    };
-    Task::Done(done)
+    }
 }
 
-fn asked<'a>(at: &'a Option<String>, boot: Option<&'a std::path::Path>, json: bool) -> Asked<'a> {
-    Asked { at: at.as_deref(), boot, json }
+/// The settings file that the environment names.
+pub fn settings_file_of_environment() -> Option<PathBuf> {
+    std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from)
 }
 
-fn usage(text: &str) -> u8 {
-    eprintln!("{text}");
-    UNUSABLE
+/// Where a command begins to look for the running system, and how it prints what it finds.
+#[derive(Clone, Copy, Debug)]
+pub struct Query<'a> {
+    /// Where to begin.
+    pub entry: EntryPoint<'a>,
+    /// How the result is printed.
+    pub format: OutputFormat,
 }
 
-/// To standard output; a reader that has gone is no fault.
-pub fn say(text: &str) {
-    use std::io::Write;
-    let _ = writeln!(std::io::stdout(), "{}", text.trim_end());
+fn query<'a>(at: &'a Option<String>, json: bool, settings: Option<&'a Path>) -> Query<'a> {
+    let entry = EntryPoint { at: at.as_deref(), settings };
+    Query { entry, format: OutputFormat::from_json_flag(json) }
+}
+
+impl FleetOptions {
+    /// The query that these options make, with the settings file that `--boot` names.
+    pub fn query<'a>(&'a self, settings: Option<&'a Path>) -> Query<'a> {
+        query(&self.at, self.json, settings)
+    }
+}
+
+impl ConfigurationOptions {
+    /// The query that these options make, with the settings file that `--boot` names.
+    pub fn query<'a>(&'a self, settings: Option<&'a Path>) -> Query<'a> {
+        query(&self.at, self.json, settings)
+    }
+}
+
+impl RetireOptions {
+    /// The query that these options make, with the settings file that `--boot` names.
+    pub fn query<'a>(&'a self, settings: Option<&'a Path>) -> Query<'a> {
+        query(&self.at, self.json, settings)
+    }
+
+    /// Whether the retirement is ordered, or only looked at.
+    pub fn request(&self) -> RetireRequest {
+        if self.status {
+            RetireRequest::Status
+        } else {
+            RetireRequest::Begin
+        }
+    }
+}
+
+impl MessageOptions {
+    /// The query that these options make, with the settings file that `--boot` names.
+    pub fn query<'a>(&'a self, settings: Option<&'a Path>) -> Query<'a> {
+        query(&self.at, self.json, settings)
+    }
+}
+
+impl FileOptions {
+    /// How the result is printed.
+    pub fn format(&self) -> OutputFormat {
+        OutputFormat::from_json_flag(self.json)
+    }
 }
 
-/// How much is logged, by the words or else by STILEROUTE_LOG.
-pub fn level(args: &Args) -> Result<Level, String> {
-    let (key, text) = match &args.log {
-        Some(text) => ("--log", text.clone()),
-        None => match std::env::var("STILEROUTE_LOG") {
-            Ok(text) if !text.is_empty() => ("STILEROUTE_LOG", text),
-            _ => return Ok(Level::INFO),
-        },
-    };
-    match text.as_str() {
-        "error" => Ok(Level::ERROR),
-        "warn" => Ok(Level::WARN),
-        "info" => Ok(Level::INFO),
-        "debug" => Ok(Level::DEBUG),
-        other => Err(format!("command line: {key}: {other:?} is none of error, warn, info, debug")),
+impl VersionOptions {
+    /// How the version is printed.
+    pub fn format(&self) -> OutputFormat {
+        OutputFormat::from_json_flag(self.json)
     }
 }
--- /dev/null
+++ b/crates/server/src/cli/control_api.rs
@@ -0,0 +1,151 @@
+//! A client of the calls that control nodes take from operators. A call is sent to one control node after another until one
+//! gives a clear answer; sent twice, none of them does harm.
+
+use super::discovery::{EntryPoint, Fleet};
+use super::orders::OrderError;
+use super::CommandError;
+use jzon::JsonValue;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, SocketAddrV4, TcpStream};
+use std::time::{Duration, Instant};
+
+/// For connecting to one control node, and for each read and write.
+const IO_TIMEOUT: Duration = Duration::from_millis(3000);
+/// For all calls of one command together.
+const TOTAL_TIMEOUT: Duration = Duration::from_secs(15);
+/// Between two rounds of all control nodes.
+const ROUND_PAUSE: Duration = Duration::from_millis(300);
+/// Length of the longest answer that is read, in bytes.
+const MAX_ANSWER_BYTES: u64 = 16 << 20;
+/// Headers of an answer that are read at most.
+const MAX_HEADERS: usize = 32;
+
+/// Why a control node gave no answer.
+#[derive(Debug, thiserror::Error)]
+pub enum CallError {
+    /// The connection could not be opened, or it broke.
+    #[error("{address}: {source}")]
+    Io {
+        /// The control node that was called.
+        address: SocketAddrV4,
+        /// What the system said.
+        source: std::io::Error,
+    },
+    /// The connection ended before the answer did.
+    #[error("{address}: no whole answer")]
+    Incomplete {
+        /// The control node that was called.
+        address: SocketAddrV4,
+    },
+}
+
+/// What a control node answered.
+pub struct Reply {
+    /// The HTTP status.
+    pub status: u16,
+    /// The body as it came.
+    pub body: Vec<u8>,
+}
+
+impl Reply {
+    /// The body, or null where it is no JSON.
+    pub fn json(&self) -> JsonValue {
+        let text = String::from_utf8_lossy(&self.body);
+        jzon::parse(&text).unwrap_or(JsonValue::Null)
+    }
+
+    /// The status, and the reason where one is given.
+    pub fn reason(&self) -> String {
+        let reason = self.json()["error"].as_str().map(str::to_string);
+        format!("{} {}", self.status, reason.unwrap_or_default())
+    }
+
+    /// Whether it settles the call; otherwise another control node is asked.
+    fn is_clear(&self) -> bool {
+        self.status < 500 && ![408, 429].contains(&self.status)
+    }
+
+    /// An answer that is complete, or none: a connection may break in the midst of it.
+    pub fn parse(bytes: &[u8]) -> Option<Reply> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut head = httparse::Response::new(&mut headers);
+        let httparse::Status::Complete(body_start) = head.parse(bytes).ok()? else { return None };
+        let length = head.headers.iter().find(|header| header.name.eq_ignore_ascii_case("content-length"))?;
+        let length: usize = std::str::from_utf8(length.value).ok()?.parse().ok()?;
+        let body = bytes.get(body_start..body_start.checked_add(length)?)?.to_vec();
+        Some(Reply { status: head.code?, body })
+    }
+}
+
+/// The control nodes of a running system, called in turn.
+pub struct ControlApi {
+    addresses: Vec<SocketAddrV4>,
+    deadline: Instant,
+}
+
+impl ControlApi {
+    /// Finds the control nodes that answer. There may be none: then every call is unclear.
+    ///
+    /// # Errors
+    ///
+    /// Where the entry point can't be used, or no process answers.
+    pub fn find(entry: &EntryPoint<'_>) -> Result<ControlApi, CommandError> {
+        let addresses = Fleet::discover(entry)?.control_addresses();
+        Ok(ControlApi { addresses, deadline: Instant::now() + TOTAL_TIMEOUT })
+    }
+
+    /// The first clear answer.
+    ///
+    /// # Errors
+    ///
+    /// [`OrderError::NoControlNode`] or [`OrderError::NoClearAnswer`]: the call may have been carried out or not.
+    pub fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<Reply, OrderError> {
+        if self.addresses.is_empty() {
+            return Err(OrderError::NoControlNode);
+        }
+        let mut last = String::new();
+        while Instant::now() < self.deadline {
+            for address in &self.addresses {
+                match call_one(*address, method, path, body) {
+                    Ok(reply) if reply.is_clear() => return Ok(reply),
+                    Ok(reply) => last = format!("{address}: {}", reply.reason()),
+                    Err(error) => last = error.to_string(),
+                }
+            }
+            std::thread::park_timeout(ROUND_PAUSE);
+        }
+        Err(OrderError::NoClearAnswer { last })
+    }
+
+    /// The configuration that is in force, as it was sent.
+    ///
+    /// # Errors
+    ///
+    /// [`OrderError::NothingInForce`] where there is none yet, and those of [`ControlApi::call`].
+    pub fn configuration_in_force(&self) -> Result<Vec<u8>, OrderError> {
+        let reply = self.call("GET", "/v1/settings/read", b"")?;
+        match reply.status {
+            200 => Ok(reply.body),
+            404 => Err(OrderError::NothingInForce),
+            _ => Err(OrderError::Unclear { reason: reply.reason() }),
+        }
+    }
+}
+
+/// One call to one control node, on a connection of its own.
+fn call_one(address: SocketAddrV4, method: &str, path: &str, body: &[u8]) -> Result<Reply, CallError> {
+    let io_error = |source| CallError::Io { address, source };
+    let mut stream = TcpStream::connect_timeout(&SocketAddr::V4(address), IO_TIMEOUT).map_err(io_error)?;
+    stream.set_read_timeout(Some(IO_TIMEOUT)).map_err(io_error)?;
+    stream.set_write_timeout(Some(IO_TIMEOUT)).map_err(io_error)?;
+    let head = format!(
+        "{method} {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\nContent-Type: application/json\r\n\
+         Content-Length: {}\r\n\r\n",
+        body.len()
+    );
+    stream.write_all(head.as_bytes()).map_err(io_error)?;
+    stream.write_all(body).map_err(io_error)?;
+    let mut bytes = Vec::new();
+    stream.take(MAX_ANSWER_BYTES).read_to_end(&mut bytes).map_err(io_error)?;
+    Reply::parse(&bytes).ok_or(CallError::Incomplete { address })
+}
--- /dev/null
+++ b/crates/server/src/cli/discovery.rs
@@ -0,0 +1,221 @@
+//! Finds all processes of a running system, from one of them or from a settings file.
+
+use super::args::settings_file_of_environment;
+use super::internal_client::{ask_for_json, AskError};
+use super::CommandError;
+use crate::links;
+use crate::signals::{Class, Signal};
+use jzon::JsonValue;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
+use std::net::SocketAddrV4;
+use std::path::{Path, PathBuf};
+use stileroute_config::Boot;
+
+/// Processes that are asked at the same time, each by a thread.
+const PARALLEL_REQUESTS: usize = 32;
+/// Processes that are asked at most.
+const MAX_PROCESSES: usize = 5000;
+
+/// Where a search for the running system begins.
+#[derive(Clone, Copy, Debug)]
+pub struct EntryPoint<'a> {
+    /// What `--at` says: the internal address of a process, or a settings file.
+    pub at: Option<&'a str>,
+    /// The settings file that `--boot` names.
+    pub settings: Option<&'a Path>,
+}
+
+/// Which processes a settings file leads to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SettingsScope {
+    /// Those of its own machine.
+    Machine,
+    /// Those of its own machine, and the seeds.
+    MachineAndSeeds,
+}
+
+impl EntryPoint<'_> {
+    /// Internal addresses at which the search begins; at some of them there may be no process.
+    ///
+    /// # Errors
+    ///
+    /// Where no settings file is named, or the one that is can't be used.
+    pub fn addresses(&self, scope: SettingsScope) -> Result<Vec<SocketAddrV4>, CommandError> {
+        if let Some(address) = self.at.and_then(|at| at.parse().ok()) {
+            return Ok(vec![address]);
+        }
+        let file = self.at.map(PathBuf::from).or_else(|| self.settings.map(Path::to_path_buf));
+        let file = file.or_else(settings_file_of_environment);
+        let file = file.ok_or(CommandError::NoSettingsFile { option: "--at" })?;
+        let boot = Boot::read(&file).map_err(CommandError::Settings)?;
+        let address = |ip, class| links::address(boot.internal_ports, ip, class);
+        let classes = [Class::Edge, Class::Store, Class::Core];
+        let mut addresses = classes.map(|class| address(boot.ip, class)).to_vec();
+        if scope == SettingsScope::MachineAndSeeds {
+            addresses.extend(boot.seeds.iter().map(|seed| address(*seed.ip(), Class::Core)));
+        }
+        Ok(addresses)
+    }
+}
+
+/// What a process answered.
+pub struct ProcessReport {
+    /// Its internal address.
+    pub address: SocketAddrV4,
+    /// What it reports of itself: `Common::report` and what its role adds.
+    pub report: JsonValue,
+}
+
+/// A process that did not answer.
+pub struct SilentProcess {
+    /// Its node name, where another process names it.
+    name: Option<String>,
+    error: AskError,
+}
+
+impl fmt::Display for SilentProcess {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match &self.name {
+            Some(name) => write!(formatter, "{name}: {}", self.error),
+            None => write!(formatter, "{}", self.error),
+        }
+    }
+}
+
+/// The processes of a running system.
+#[derive(Default)]
+pub struct Fleet {
+    /// What each process reports, by its node name.
+    pub reports: BTreeMap<String, ProcessReport>,
+    /// Those that a report names and that do not answer; where nobody answers, all that were asked.
+    pub silent: BTreeMap<SocketAddrV4, SilentProcess>,
+}
+
+impl Fleet {
+    /// Asks the processes at the entry point, then all that these name, and so on.
+    ///
+    /// # Errors
+    ///
+    /// Where the entry point can't be used, or no process answers.
+    pub fn discover(entry: &EntryPoint<'_>) -> Result<Fleet, CommandError> {
+        let mut search = Search::default();
+        search.run(entry.addresses(SettingsScope::MachineAndSeeds)?);
+        let fleet = search.into_fleet();
+        if fleet.reports.is_empty() {
+            let reasons = fleet.silent.values().map(SilentProcess::to_string).collect();
+            return Err(CommandError::NoAnswer { reasons });
+        }
+        Ok(fleet)
+    }
+
+    /// The reports of the processes of one class.
+    pub fn reports_of(&self, class: Class) -> impl Iterator<Item = &JsonValue> {
+        let class = class.to_string();
+        let reports = self.reports.values().map(|process| &process.report);
+        reports.filter(move |report| report["class"].as_str() == Some(&class))
+    }
+
+    /// Of the reports of the control nodes the one that counts: of the leader, or else of the highest epoch.
+    pub fn leading_control_report(&self) -> Option<&JsonValue> {
+        let rank = |report: &&JsonValue| {
+            (report["duty"]["leads"] == true, report["duty"]["epoch"].as_u64().unwrap_or(0))
+        };
+        self.reports_of(Class::Core).max_by_key(rank)
+    }
+
+    /// Where the control nodes that answer take the calls of operators, the leader first.
+    pub fn control_addresses(&self) -> Vec<SocketAddrV4> {
+        let mut reports: Vec<&JsonValue> = self.reports_of(Class::Core).collect();
+        reports.sort_by_key(|report| report["duty"]["leads"] != true);
+        reports.iter().filter_map(|report| report["duty"]["control"].as_str()?.parse().ok()).collect()
+    }
+}
+
+/// The search as it goes on.
+#[derive(Default)]
+struct Search {
+    fleet: Fleet,
+    asked: BTreeSet<SocketAddrV4>,
+    /// Node names of the processes that reports name.
+    names: BTreeMap<SocketAddrV4, String>,
+}
+
+impl Search {
+    fn run(&mut self, first: Vec<SocketAddrV4>) {
+        let first: BTreeSet<SocketAddrV4> = first.into_iter().collect();
+        let mut next: Vec<SocketAddrV4> = first.into_iter().collect();
+        while !next.is_empty() && self.asked.len() < MAX_PROCESSES {
+            self.asked.extend(next.iter().copied());
+            let answers: Vec<_> = next.chunks(PARALLEL_REQUESTS).flat_map(ask_all).collect();
+            next.clear();
+            for (address, answer) in answers {
+                self.add_answer(address, answer, &mut next);
+            }
+        }
+    }
+
+    fn add_answer(
+        &mut self,
+        address: SocketAddrV4,
+        answer: Result<JsonValue, AskError>,
+        next: &mut Vec<SocketAddrV4>,
+    ) {
+        let report = match answer {
+            Ok(report) => report,
+            Err(error) => {
+                self.fleet.silent.insert(address, SilentProcess { name: None, error });
+                return;
+            }
+        };
+        for (name, named) in named_processes(&report) {
+            self.names.insert(named, name);
+            if !self.asked.contains(&named) && !next.contains(&named) {
+                next.push(named);
+            }
+        }
+        let name = report["node"].as_str().unwrap_or_default().to_string();
+        self.fleet.reports.insert(name, ProcessReport { address, report });
+    }
+
+    fn into_fleet(mut self) -> Fleet {
+        // At an address of the settings file there may be no process: only those that somebody names count as silent.
+        if !self.fleet.reports.is_empty() {
+            self.fleet.silent.retain(|address, _| self.names.contains_key(address));
+        }
+        for (address, silent) in &mut self.fleet.silent {
+            silent.name = self.names.get(address).cloned();
+        }
+        self.fleet
+    }
+}
+
+/// Asks some processes for their reports, all at the same time.
+fn ask_all(addresses: &[SocketAddrV4]) -> Vec<(SocketAddrV4, Result<JsonValue, AskError>)> {
+    std::thread::scope(|scope| {
+        let threads: Vec<_> = addresses
+            .iter()
+            .map(|address| (*address, scope.spawn(|| ask_for_json(*address, &Signal::Report { ticket: 1 }))))
+            .collect();
+        threads
+            .into_iter()
+            .map(|(address, thread)| (address, thread.join().unwrap_or(Err(AskError::Panicked))))
+            .collect()
+    })
+}
+
+/// Node names and internal addresses of the processes that a report names.
+fn named_processes(report: &JsonValue) -> Vec<(String, SocketAddrV4)> {
+    let port = |index: usize| report["ports"][index].as_u16().unwrap_or(0);
+    let ports = (port(0), port(1));
+    let process = |member: &JsonValue| {
+        let class = class_by_name(member["class"].as_str()?)?;
+        let ip = member["ip"].as_str()?.parse().ok()?;
+        Some((member["node"].as_str()?.to_string(), links::address(ports, ip, class)))
+    };
+    report["known"].members().chain(report["links"].members()).filter_map(process).collect()
+}
+
+fn class_by_name(name: &str) -> Option<Class> {
+    [Class::Core, Class::Store, Class::Edge].into_iter().find(|class| class.to_string() == name)
+}
--- /dev/null
+++ b/crates/server/src/cli/figures.rs
@@ -0,0 +1,41 @@
+//! `stilerouted figures`: the counters of one process.
+
+use super::args::Query;
+use super::discovery::SettingsScope;
+use super::internal_client::ask;
+use super::output::{print, ExitStatus, OutputFormat};
+use super::CommandError;
+use crate::signals::Signal;
+use jzon::JsonValue;
+
+/// Shows the counters of the first process at the entry point that answers.
+///
+/// # Errors
+///
+/// Where the entry point can't be used, or no process answers.
+pub fn figures(query: &Query<'_>) -> Result<ExitStatus, CommandError> {
+    let mut reasons = Vec::new();
+    for address in query.entry.addresses(SettingsScope::Machine)? {
+        match ask(address, &Signal::Count { ticket: 1 }) {
+            Ok(text) => {
+                match query.format {
+                    OutputFormat::Json => print(&samples_as_json(&text).pretty(2)),
+                    OutputFormat::Text => print(&text),
+                }
+                return Ok(ExitStatus::Success);
+            }
+            Err(error) => reasons.push(error.to_string()),
+        }
+    }
+    Err(CommandError::NoAnswer { reasons })
+}
+
+/// One member for each sample: its name with its labels, and its value.
+fn samples_as_json(text: &str) -> JsonValue {
+    let mut object = JsonValue::new_object();
+    for line in text.lines().filter(|line| !line.starts_with('#')) {
+        let Some((name, value)) = line.rsplit_once(' ') else { continue };
+        object[name] = value.parse::<f64>().map_or(JsonValue::Null, JsonValue::from);
+    }
+    object
+}
--- a/crates/server/src/cli/orders.rs
+++ b/crates/server/src/cli/orders.rs
@@ -1,311 +1,266 @@
-//! An operator's orders from the command line: a configuration is applied, read or compared, a store is retired. Each is sent
-//! to one control node after another until one has a clear answer, and what is in force is read back before it is said.
+//! The orders of operators: a configuration is applied, read or compared, a store is retired. What is in force is read back
+//! before a command says that it is.
 
+mod differences;
+
+use super::args::Query;
+use super::control_api::{ControlApi, Reply};
+use super::output::{print, ExitStatus, OutputFormat};
+use super::CommandError;
 use crate::calls::content_digest;
-use crate::cli::args::{say, UNUSABLE};
-use crate::cli::status::control_addresses;
+use differences::differences;
 use jzon::JsonValue;
-use std::io::{Read, Write};
-use std::net::{SocketAddr, SocketAddrV4, TcpStream};
 use std::path::Path;
-use std::time::{Duration, Instant};
 use stileroute_config::Config;
 
-/// Another content is in force; an order was refused; a retirement is not complete.
-const NOT_SO: u8 = 3;
-/// Nobody gave a clear answer in time.
-const UNCLEAR: u8 = 4;
-
-/// How long one control node may take, and all together.
-const PATIENCE: Duration = Duration::from_millis(3000);
-const ALTOGETHER: Duration = Duration::from_secs(15);
-/// Between two rounds of all control nodes.
-const PAUSE: Duration = Duration::from_millis(300);
-const LONGEST_ANSWER: u64 = 16 << 20;
+/// Why an order has no result.
+#[derive(Debug, thiserror::Error)]
+pub enum OrderError {
+    /// Processes answer, but no control node among them.
+    #[error("unclear: no control node is known")]
+    NoControlNode,
+    /// No control node gave a clear answer in time.
+    #[error("unclear, send it again: {last}")]
+    NoClearAnswer {
+        /// What the last one said, or why it said nothing.
+        last: String,
+    },
+    /// A control node answered what this command does not expect.
+    #[error("unclear: {reason}")]
+    Unclear {
+        /// Status and reason of the answer.
+        reason: String,
+    },
+    /// There is nothing to read yet.
+    #[error("no configuration is in force yet")]
+    NothingInForce,
+    /// The configuration can't be used as it is.
+    #[error("refused: {reason}")]
+    ConfigurationRejected {
+        /// Status and reason of the answer.
+        reason: String,
+    },
+    /// The store may not be retired.
+    #[error("refused: {reason}")]
+    RetirementRejected {
+        /// Status and reason of the answer.
+        reason: String,
+    },
+    /// There is no such store, or it is not to be retired.
+    #[error("{name}: {reason}")]
+    UnknownStore {
+        /// The name that was given.
+        name: String,
+        /// Status and reason of the answer.
+        reason: String,
+    },
+}
 
-/// Where to begin, and how it is said.
-pub struct Asked<'a> {
-    pub at: Option<&'a str>,
-    pub boot: Option<&'a Path>,
-    pub json: bool,
+impl OrderError {
+    fn exit_status(&self) -> ExitStatus {
+        match self {
+            OrderError::NoControlNode | OrderError::NoClearAnswer { .. } | OrderError::Unclear { .. } => {
+                ExitStatus::Unclear
+            }
+            OrderError::NothingInForce | OrderError::RetirementRejected { .. } => ExitStatus::Differs,
+            OrderError::ConfigurationRejected { .. } | OrderError::UnknownStore { .. } => {
+                ExitStatus::Unusable
+            }
+        }
+    }
 }
 
-/// How a command ended, as it is said and as an exit code.
+/// How an order ended.
+#[derive(Debug)]
 struct Outcome {
-    code: u8,
+    status: ExitStatus,
+    /// For a reader.
     text: String,
-    more: JsonValue,
+    /// What the JSON has beside the text: an object.
+    details: JsonValue,
 }
 
 impl Outcome {
-    fn new(code: u8, text: impl Into<String>) -> Outcome {
-        Outcome { code, text: text.into(), more: JsonValue::new_object() }
+    fn new(status: ExitStatus, text: impl Into<String>) -> Outcome {
+        Outcome { status, text: text.into(), details: JsonValue::new_object() }
     }
-    fn with(mut self, key: &str, value: impl Into<JsonValue>) -> Outcome {
-        self.more[key] = value.into();
+
+    fn with_detail(mut self, key: &str, value: impl Into<JsonValue>) -> Outcome {
+        self.details[key] = value.into();
         self
     }
-    fn tell(self, json: bool) -> u8 {
-        if json {
-            let mut object = jzon::object! { "ok" => self.code == 0, "outcome" => self.text };
-            self.more.entries().for_each(|(key, value)| object[key] = value.clone());
-            say(&object.pretty(2));
-        } else {
-            say(&self.text);
+
+    fn print(self, format: OutputFormat) -> ExitStatus {
+        match format {
+            OutputFormat::Json => {
+                let is_success = self.status == ExitStatus::Success;
+                let mut object = jzon::object! { "ok" => is_success, "outcome" => self.text };
+                self.details.entries().for_each(|(key, value)| object[key] = value.clone());
+                print(&object.pretty(2));
+            }
+            OutputFormat::Text => print(&self.text),
         }
-        self.code
+        self.status
     }
 }
 
-struct Reply {
-    status: u16,
-    body: Vec<u8>,
-}
-
-impl Reply {
-    fn json(&self) -> JsonValue {
-        let text = String::from_utf8_lossy(&self.body);
-        jzon::parse(&text).unwrap_or(JsonValue::Null)
+impl From<OrderError> for Outcome {
+    fn from(error: OrderError) -> Outcome {
+        Outcome::new(error.exit_status(), error.to_string())
     }
-    fn reason(&self) -> String {
-        let said = self.json()["error"].as_str().map(str::to_string);
-        format!("{} {}", self.status, said.unwrap_or_default())
-    }
-}
-
-/// One call to one control node.
-fn call(at: SocketAddrV4, method: &str, path: &str, body: &[u8]) -> Result<Reply, String> {
-    let failed = |error: std::io::Error| format!("{at}: {error}");
-    let mut stream = TcpStream::connect_timeout(&SocketAddr::V4(at), PATIENCE).map_err(failed)?;
-    stream.set_read_timeout(Some(PATIENCE)).map_err(failed)?;
-    stream.set_write_timeout(Some(PATIENCE)).map_err(failed)?;
-    let head = format!(
-        "{method} {path} HTTP/1.1\r\nHost: {at}\r\nConnection: close\r\nContent-Type: application/json\r\n\
-         Content-Length: {}\r\n\r\n",
-        body.len()
-    );
-    stream.write_all(head.as_bytes()).map_err(failed)?;
-    stream.write_all(body).map_err(failed)?;
-    let mut bytes = Vec::new();
-    stream.take(LONGEST_ANSWER).read_to_end(&mut bytes).map_err(failed)?;
-    reply(&bytes).ok_or_else(|| format!("{at}: no whole answer"))
 }
 
-/// A whole answer, or none: a connection may break in the midst of it.
-fn reply(bytes: &[u8]) -> Option<Reply> {
-    let mut headers = [httparse::EMPTY_HEADER; 32];
-    let mut head = httparse::Response::new(&mut headers);
-    let httparse::Status::Complete(end) = head.parse(bytes).ok()? else { return None };
-    let length = head.headers.iter().find(|h| h.name.eq_ignore_ascii_case("content-length"))?;
-    let length: usize = std::str::from_utf8(length.value).ok()?.parse().ok()?;
-    let body = bytes.get(end..end.checked_add(length)?)?.to_vec();
-    Some(Reply { status: head.code?, body })
+fn print_result(result: Result<Outcome, OrderError>, format: OutputFormat) -> ExitStatus {
+    result.unwrap_or_else(Outcome::from).print(format)
 }
 
-/// The control nodes, asked by turns.
-struct Control {
-    all: Vec<SocketAddrV4>,
-    until: Instant,
+/// A configuration file that can be sent.
+struct ConfigurationFile {
+    body: Vec<u8>,
+    revision: u64,
 }
 
-impl Control {
-    fn find(asked: &Asked) -> Result<Control, u8> {
-        let all = control_addresses(asked.at, asked.boot)?;
-        if all.is_empty() {
-            return Err(Outcome::new(UNCLEAR, "unclear: no control node is known").tell(asked.json));
-        }
-        Ok(Control { all, until: Instant::now() + ALTOGETHER })
-    }
-
-    /// The first clear answer. One that is none, the same call may be sent again to any node after: it does no harm.
-    fn ask(&self, method: &str, path: &str, body: &[u8]) -> Result<Reply, Outcome> {
-        let mut last = String::new();
-        while Instant::now() < self.until {
-            for at in &self.all {
-                match call(*at, method, path, body) {
-                    Ok(reply) if reply.status < 500 && ![408, 429].contains(&reply.status) => {
-                        return Ok(reply)
-                    }
-                    Ok(reply) => last = format!("{at}: {}", reply.reason()),
-                    Err(reason) => last = reason,
-                }
-            }
-            std::thread::park_timeout(PAUSE);
+impl ConfigurationFile {
+    fn read(path: &Path) -> Result<ConfigurationFile, CommandError> {
+        let file = || path.to_path_buf();
+        let body =
+            std::fs::read(path).map_err(|source| CommandError::UnreadableFile { file: file(), source })?;
+        match Config::read(&body) {
+            Ok(config) => Ok(ConfigurationFile { body, revision: config.revision }),
+            Err(faults) => Err(CommandError::Configuration { file: file(), faults }),
         }
-        Err(Outcome::new(UNCLEAR, format!("unclear, send it again: {last}")))
     }
 
-    /// What is in force.
-    fn read(&self) -> Result<Vec<u8>, Outcome> {
-        let reply = self.ask("GET", "/v1/settings/read", b"")?;
-        match reply.status {
-            200 => Ok(reply.body),
-            404 => Err(Outcome::new(NOT_SO, "no configuration is in force yet")),
-            _ => Err(Outcome::new(UNCLEAR, format!("unclear: {}", reply.reason()))),
-        }
-    }
-}
-
-/// A file that can be sent, and its revision; all that is wrong with it is said otherwise.
-fn usable(path: &Path) -> Result<(Vec<u8>, u64), u8> {
-    let file = path.display();
-    let body = std::fs::read(path).map_err(|error| {
-        eprintln!("{file}: cannot be read: {error}");
-        UNUSABLE
-    })?;
-    match Config::read(&body) {
-        Ok(config) => Ok((body, config.revision)),
-        Err(faults) => {
-            eprintln!("{file}: {faults}");
-            Err(UNUSABLE)
-        }
+    /// How this file relates to what is in force.
+    fn compare(&self, in_force: &[u8]) -> Outcome {
+        let (own, other) = (self.revision, revision_of(in_force));
+        let outcome = if self.body == in_force {
+            Outcome::new(ExitStatus::Success, format!("revision {own} is in force"))
+        } else if own == other {
+            let text = "CONFLICT: another content is in force under this number; read it, and send yours under a higher one";
+            Outcome::new(ExitStatus::Differs, format!("{text} (revision {own})"))
+        } else {
+            Outcome::new(ExitStatus::Differs, format!("revision {other} is in force, not {own}"))
+        };
+        outcome
+            .with_detail("revision", other)
+            .with_detail("digest", content_digest(in_force))
+            .with_detail("sent", content_digest(&self.body))
     }
 }
 
-fn revision(body: &[u8]) -> u64 {
+/// The revision of a configuration; 0 where it can't be read.
+fn revision_of(body: &[u8]) -> u64 {
     Config::read(body).map_or(0, |config| config.revision)
 }
 
-/// What is in force, beside what was meant to be.
-fn compared(sent: &[u8], number: u64, held: &[u8]) -> Outcome {
-    let other = revision(held);
-    let outcome = if sent == held {
-        Outcome::new(0, format!("revision {number} is in force"))
-    } else if number == other {
-        let text = "CONFLICT: another content is in force under this number; read it, and send yours under a higher one";
-        Outcome::new(NOT_SO, format!("{text} (revision {number})"))
-    } else {
-        Outcome::new(NOT_SO, format!("revision {other} is in force, not {number}"))
-    };
-    outcome.with("revision", other).with("digest", content_digest(held)).with("sent", content_digest(sent))
-}
-
-fn done(outcome: Result<Outcome, Outcome>, json: bool) -> u8 {
-    outcome.unwrap_or_else(|outcome| outcome).tell(json)
+/// Sends a configuration, and says whether it is in force.
+///
+/// # Errors
+///
+/// Where the file or the entry point can't be used, or no process answers.
+pub fn apply(path: &Path, query: &Query<'_>) -> Result<ExitStatus, CommandError> {
+    let file = ConfigurationFile::read(path)?;
+    let control = ControlApi::find(&query.entry)?;
+    Ok(print_result(send(&file, &control), query.format))
 }
 
-/// Sends a configuration, and says whether it is in force.
-pub fn apply(path: &Path, asked: &Asked) -> u8 {
-    let (body, number) = match usable(path) {
-        Ok(usable) => usable,
-        Err(code) => return code,
-    };
-    let control = match Control::find(asked) {
-        Ok(control) => control,
-        Err(code) => return code,
-    };
-    let applied = || {
-        let reply = control.ask("POST", "/v1/settings/replace", &body)?;
-        if reply.status != 200 {
-            return Err(Outcome::new(UNUSABLE, format!("refused: {}", reply.reason())));
-        }
-        // The answer tells of one moment: another may have sent a newer one since.
-        Ok(compared(&body, number, &control.read()?))
-    };
-    done(applied(), asked.json)
+fn send(file: &ConfigurationFile, control: &ControlApi) -> Result<Outcome, OrderError> {
+    let reply = control.call("POST", "/v1/settings/replace", &file.body)?;
+    if reply.status != 200 {
+        return Err(OrderError::ConfigurationRejected { reason: reply.reason() });
+    }
+    // The answer is of one moment: since then another operator may have sent a newer one.
+    Ok(file.compare(&control.configuration_in_force()?))
 }
 
-/// The configuration that is in force, as it was sent.
-pub fn read(asked: &Asked) -> u8 {
-    let control = match Control::find(asked) {
-        Ok(control) => control,
-        Err(code) => return code,
+/// Shows the configuration that is in force, as it was sent.
+///
+/// # Errors
+///
+/// Where the entry point can't be used, or no process answers.
+pub fn read(query: &Query<'_>) -> Result<ExitStatus, CommandError> {
+    let control = ControlApi::find(&query.entry)?;
+    let body = match control.configuration_in_force() {
+        Ok(body) => body,
+        Err(error) => return Ok(Outcome::from(error).print(query.format)),
     };
-    match control.read() {
-        Err(outcome) => outcome.tell(asked.json),
-        Ok(body) => {
-            let text = String::from_utf8_lossy(&body);
-            if asked.json {
-                let configuration = jzon::parse(&text).unwrap_or(JsonValue::Null);
-                let (revision, digest) = (revision(&body), content_digest(&body));
-                let object = jzon::object! {
-                    "revision" => revision, "digest" => digest, "configuration" => configuration
-                };
-                say(&object.pretty(2));
-            } else {
-                say(&text);
-            }
-            0
+    let text = String::from_utf8_lossy(&body);
+    match query.format {
+        OutputFormat::Json => {
+            let object = jzon::object! {
+                "revision" => revision_of(&body),
+                "digest" => content_digest(&body),
+                "configuration" => jzon::parse(&text).unwrap_or(JsonValue::Null),
+            };
+            print(&object.pretty(2));
         }
+        OutputFormat::Text => print(&text),
     }
+    Ok(ExitStatus::Success)
 }
 
-/// Whether a file is what is in force, and else what differs.
-pub fn diff(path: &Path, asked: &Asked) -> u8 {
-    let (body, number) = match usable(path) {
-        Ok(usable) => usable,
-        Err(code) => return code,
-    };
-    let control = match Control::find(asked) {
-        Ok(control) => control,
-        Err(code) => return code,
-    };
-    let compare = || {
-        let held = control.read()?;
-        let mut outcome = compared(&body, number, &held);
-        let parts = differences(&held, &body);
-        for part in &parts {
-            outcome.text += &format!("\n  {part}");
-        }
-        let list: Vec<JsonValue> = parts.into_iter().map(JsonValue::from).collect();
-        Ok(outcome.with("differences", list))
-    };
-    done(compare(), asked.json)
+/// Says whether a file is what is in force, and else what differs.
+///
+/// # Errors
+///
+/// Where the file or the entry point can't be used, or no process answers.
+pub fn diff(path: &Path, query: &Query<'_>) -> Result<ExitStatus, CommandError> {
+    let file = ConfigurationFile::read(path)?;
+    let control = ControlApi::find(&query.entry)?;
+    Ok(print_result(compare_parts(&file, &control), query.format))
 }
 
-/// Routes and services by their names, and the limits: what a file adds to, lacks of and changes in what is in force.
-pub(crate) fn differences(held: &[u8], file: &[u8]) -> Vec<String> {
-    let parse = |bytes: &[u8]| jzon::parse(&String::from_utf8_lossy(bytes)).unwrap_or(JsonValue::Null);
-    let (held, file) = (parse(held), parse(file));
-    let mut all = Vec::new();
-    for (key, kind) in [("routes", "route"), ("backends", "service")] {
-        let find = |list: &JsonValue, name: &JsonValue| {
-            list[key].members().find(|one| one["name"] == *name).cloned()
-        };
-        for one in file[key].members() {
-            match find(&held, &one["name"]) {
-                None => all.push(format!("{kind} {}: only in the file", one["name"])),
-                Some(other) if other != *one => all.push(format!("{kind} {}: differs", one["name"])),
-                Some(_) => {}
-            }
-        }
-        for one in held[key].members().filter(|one| find(&file, &one["name"]).is_none()) {
-            all.push(format!("{kind} {}: only in force", one["name"]));
-        }
-    }
-    if held["limits"] != file["limits"] {
-        all.push("limits: differ".to_string());
+fn compare_parts(file: &ConfigurationFile, control: &ControlApi) -> Result<Outcome, OrderError> {
+    let in_force = control.configuration_in_force()?;
+    let mut outcome = file.compare(&in_force);
+    let parts = differences(&in_force, &file.body);
+    for part in &parts {
+        outcome.text += &format!("\n  {part}");
     }
-    all
+    Ok(outcome.with_detail("differences", parts))
+}
+
+/// What `retire` asks for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RetireRequest {
+    /// The store is to be emptied.
+    Begin,
+    /// Only how far it is.
+    Status,
 }
 
 /// Orders a store to be emptied, or says how far it is.
-pub fn retire(name: &str, status: bool, asked: &Asked) -> u8 {
-    let sound = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
-    if name.is_empty() || !name.chars().all(sound) {
-        eprintln!("command line: NAME: {name:?} is no node's name");
-        return UNUSABLE;
+///
+/// # Errors
+///
+/// Where the name or the entry point can't be used, or no process answers.
+pub fn retire(name: &str, request: RetireRequest, query: &Query<'_>) -> Result<ExitStatus, CommandError> {
+    let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
+    if name.is_empty() || !name.chars().all(is_allowed) {
+        return Err(CommandError::InvalidNodeName(name.to_string()));
     }
-    let control = match Control::find(asked) {
-        Ok(control) => control,
-        Err(code) => return code,
+    let control = ControlApi::find(&query.entry)?;
+    let reply = match request {
+        RetireRequest::Status => control.call("GET", &format!("/v1/retire/{name}/read"), b""),
+        RetireRequest::Begin => control.call("POST", &format!("/v1/retire/{name}/begin"), b"{}"),
     };
-    let told = || {
-        let reply = match status {
-            true => control.ask("GET", &format!("/v1/retire/{name}/read"), b"")?,
-            false => control.ask("POST", &format!("/v1/retire/{name}/begin"), b"{}")?,
-        };
-        let state = reply.json()["state"].as_str().unwrap_or("ordered").to_string();
-        let outcome = match (reply.status, state.as_str()) {
-            (200, "complete") => Outcome::new(0, format!("{name} is empty: take it away with its disk")),
-            (200, "rolling") => Outcome::new(NOT_SO, format!("{name} is being emptied: leave it running")),
-            (200, _) => Outcome::new(0, format!("{name} has the order: ask with --status until it is empty")),
-            (404, _) => return Err(Outcome::new(UNUSABLE, format!("{name}: {}", reply.reason()))),
-            _ => return Err(Outcome::new(NOT_SO, format!("refused: {}", reply.reason()))),
-        };
-        Ok(outcome.with("state", state))
+    Ok(print_result(reply.and_then(|reply| retirement(name, &reply)), query.format))
+}
+
+/// What an answer says of a retirement.
+fn retirement(name: &str, reply: &Reply) -> Result<Outcome, OrderError> {
+    let state = reply.json()["state"].as_str().unwrap_or("ordered").to_string();
+    let (status, text) = match (reply.status, state.as_str()) {
+        (200, "complete") => (ExitStatus::Success, format!("{name} is empty: take it away with its disk")),
+        (200, "rolling") => (ExitStatus::Differs, format!("{name} is being emptied: leave it running")),
+        (200, _) => {
+            (ExitStatus::Success, format!("{name} has the order: ask with --status until it is empty"))
+        }
+        (404, _) => return Err(OrderError::UnknownStore { name: name.to_string(), reason: reply.reason() }),
+        _ => return Err(OrderError::RetirementRejected { reason: reply.reason() }),
     };
-    done(told(), asked.json)
+    Ok(Outcome::new(status, text).with_detail("state", state))
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/server/src/cli/services.rs
@@ -0,0 +1,119 @@
+//! Each service over all stores: its queue, the requests in flight, its executors and its rate limit.
+
+use super::discovery::Fleet;
+use crate::signals::Class;
+use jzon::JsonValue;
+use std::collections::BTreeMap;
+
+/// Counters of retries (the key `repeats`), summed over the stores.
+const RETRY_COUNTERS: [&str; 5] = ["first", "again", "held_back", "waiting", "most_at_one"];
+
+/// An object with one member for each service.
+pub fn services(fleet: &Fleet) -> JsonValue {
+    let executors = executors_by_id(fleet);
+    let mut services: BTreeMap<String, JsonValue> = BTreeMap::new();
+    for store in fleet.reports_of(Class::Store) {
+        let store_name = store["node"].to_string();
+        for part in store["services"].members() {
+            let total = services.entry(part["service"].to_string()).or_insert_with(empty_service);
+            add_counters(total, part);
+            add_rate_limit(total, part, &store_name);
+            total["stores"][&*store_name] =
+                jzon::object! { "waiting" => part["waiting"].clone(), "out" => part["out"].clone() };
+            for executor in part["executors"].members() {
+                add_executor(&mut total["executors"], executor, &store_name, &executors);
+            }
+        }
+    }
+    add_unlisted_executors(&mut services, executors);
+    let mut object = JsonValue::new_object();
+    services.into_iter().for_each(|(name, service)| object[&*name] = service);
+    object
+}
+
+/// What the control nodes know of each executor; of several that know it the first.
+fn executors_by_id(fleet: &Fleet) -> BTreeMap<String, JsonValue> {
+    let mut executors = BTreeMap::new();
+    for report in fleet.reports_of(Class::Core) {
+        for executor in report["executors"].members() {
+            executors.entry(executor["id"].to_string()).or_insert_with(|| executor.clone());
+        }
+    }
+    executors
+}
+
+fn empty_service() -> JsonValue {
+    let mut retries = JsonValue::new_object();
+    RETRY_COUNTERS.iter().for_each(|counter| retries[*counter] = 0.into());
+    jzon::object! {
+        "waiting" => 0,
+        "out" => 0,
+        "oldest_ms" => 0,
+        "ceiling" => JsonValue::Null,
+        "repeats" => retries,
+        "stores" => JsonValue::new_object(),
+        "executors" => JsonValue::new_object(),
+    }
+}
+
+fn sum(one: &JsonValue, other: &JsonValue) -> JsonValue {
+    (one.as_u64().unwrap_or(0) + other.as_u64().unwrap_or(0)).into()
+}
+
+fn add_counters(total: &mut JsonValue, part: &JsonValue) {
+    total["waiting"] = sum(&total["waiting"], &part["waiting"]);
+    total["out"] = sum(&total["out"], &part["out"]);
+    for counter in RETRY_COUNTERS {
+        total["repeats"][counter] = sum(&total["repeats"][counter], &part["repeats"][counter]);
+    }
+    total["oldest_ms"] = total["oldest_ms"].as_u64().max(part["oldest_ms"].as_u64()).into();
+}
+
+fn add_rate_limit(total: &mut JsonValue, part: &JsonValue, store_name: &str) {
+    let rate_limit = &part["ceiling"];
+    if rate_limit.is_null() {
+        return;
+    }
+    if total["ceiling"].is_null() {
+        let rate = rate_limit["rate_per_s"].clone();
+        total["ceiling"] = jzon::object! { "rate_per_s" => rate, "holders" => jzon::array![] };
+    }
+    if rate_limit["here"] == true {
+        // It was made a list just above, so that this can't fail.
+        let _ = total["ceiling"]["holders"].push(store_name);
+    }
+}
+
+fn add_executor(
+    executors: &mut JsonValue,
+    part: &JsonValue,
+    store_name: &str,
+    executors_by_id: &BTreeMap<String, JsonValue>,
+) {
+    let id = part["id"].to_string();
+    let executor = &mut executors[&*id];
+    if executor.is_null() {
+        *executor = executors_by_id.get(&id).cloned().unwrap_or_else(JsonValue::new_object);
+        executor["out"] = 0.into();
+        executor["shares"] = JsonValue::new_object();
+    }
+    executor["out"] = sum(&executor["out"], &part["out"]);
+    executor["shares"][store_name] = part["share"].clone();
+}
+
+/// Executors that no store lists: of a service that no configuration names, or known only just now.
+fn add_unlisted_executors(
+    services: &mut BTreeMap<String, JsonValue>,
+    executors: BTreeMap<String, JsonValue>,
+) {
+    for (id, executor) in executors {
+        let service = services.entry(executor["service"].to_string()).or_insert_with(|| {
+            jzon::object! {
+                "waiting" => 0, "out" => 0, "oldest_ms" => 0, "executors" => JsonValue::new_object()
+            }
+        });
+        if service["executors"][&*id].is_null() {
+            service["executors"][&*id] = executor;
+        }
+    }
+}
--- a/crates/server/src/cli/verify.rs
+++ b/crates/server/src/cli/verify.rs
@@ -1,164 +1,190 @@
-//! What is on the disk of a machine whose process is stopped: read through, with no change to it.
+//! `stilerouted state verify`: reads the data folder of a machine whose process is stopped, and changes nothing in it.
 
-use crate::cli::args::{say, UNUSABLE};
+use super::output::{print, ExitStatus, OutputFormat};
 use jzon::JsonValue;
 use std::collections::BTreeMap;
 use std::path::Path;
 use stileroute_config::Config;
-use stileroute_control_group::{Persisted, Record as Watching};
-use stileroute_queue::{End, Ledger, Record};
-use stileroute_wal::{verify as read, State, Trouble};
+use stileroute_control_group::{Persisted, Record as ControlRecord};
+use stileroute_queue::{End, Ledger, Record as MessageRecord};
+use stileroute_wal::{Report, State, Trouble};
 
-/// Damage was found.
-const DAMAGED: u8 = 1;
+/// Where a store has its log, in its data folder.
+const STORE_FOLDER: &str = "hold";
+/// Where a control node has its log, in its data folder.
+const CONTROL_FOLDER: &str = "watch";
+/// Under this kind records are counted that can't be decoded.
+const UNREADABLE_KIND: &str = "unread";
 
+/// How many records there are of each kind.
 #[derive(Default)]
-struct Kinds(BTreeMap<&'static str, u64>);
+struct KindCounts(BTreeMap<&'static str, u64>);
 
-impl Kinds {
+impl KindCounts {
     fn add(&mut self, kind: &'static str) {
         *self.0.entry(kind).or_default() += 1;
     }
-    fn json(&self) -> JsonValue {
+
+    fn as_json(&self) -> JsonValue {
         let mut object = JsonValue::new_object();
         self.0.iter().for_each(|(kind, count)| object[*kind] = (*count).into());
         object
     }
 }
 
-fn hold(dir: &Path) -> Result<JsonValue, Trouble> {
-    let (mut ledger, mut kinds) = (Ledger::default(), Kinds::default());
-    let report = read(dir, &mut |bytes| match postcard::from_bytes::<Record>(bytes) {
-        Ok(record) => {
-            kinds.add(match &record {
-                Record::Born { .. } => "born",
-                Record::Put { .. } => "put",
-                Record::End { .. } => "end",
-                Record::Called { .. } => "called",
-                Record::Own { .. } => "own",
-                Record::Drop { .. } => "drop",
-                Record::Retire => "retire",
-            });
-            ledger.enter(record);
-        }
-        Err(_) => kinds.add("unread"),
-    })?;
-    let ends = |test: fn(&End) -> bool| {
+/// Reads the log of a store, and says what its records amount to.
+fn verify_store(folder: &Path) -> Result<JsonValue, Trouble> {
+    let (mut ledger, mut kinds) = (Ledger::default(), KindCounts::default());
+    let report =
+        stileroute_wal::verify(folder, &mut |bytes| match postcard::from_bytes::<MessageRecord>(bytes) {
+            Ok(record) => {
+                kinds.add(message_record_kind(&record));
+                ledger.enter(record);
+            }
+            Err(_) => kinds.add(UNREADABLE_KIND),
+        })?;
+    let count_ends = |test: fn(&End) -> bool| {
         ledger.all.values().filter(|kept| kept.end.as_ref().is_some_and(|(end, _, _)| test(end))).count()
     };
     let live = ledger.all.values().filter(|kept| kept.end.is_none()).count();
-    let owed = ledger.all.values().filter(|kept| kept.end.as_ref().is_some_and(|(_, owed, _)| *owed)).count();
-    let mut object = files(&report);
+    let callbacks_owed =
+        ledger.all.values().filter(|kept| kept.end.as_ref().is_some_and(|(_, owed, _)| *owed)).count();
+    let mut object = files_as_json(&report);
     object["disk"] = ledger.disk.map(|disk| format!("{disk:016x}")).into();
-    object["records_by_kind"] = kinds.json();
+    object["records_by_kind"] = kinds.as_json();
     object["live"] = live.into();
-    object["complete"] = ends(|end| matches!(end, End::Complete { .. })).into();
-    object["failed"] = ends(|end| *end == End::Failed).into();
-    object["callbacks_owed"] = owed.into();
+    object["complete"] = count_ends(|end| matches!(end, End::Complete { .. })).into();
+    object["failed"] = count_ends(|end| *end == End::Failed).into();
+    object["callbacks_owed"] = callbacks_owed.into();
     Ok(object)
 }
 
-fn watch(dir: &Path) -> Result<JsonValue, Trouble> {
-    let (mut kept, mut kinds) = (Persisted::default(), Kinds::default());
-    let report = read(dir, &mut |bytes| match postcard::from_bytes::<Watching>(bytes) {
-        Ok(record) => {
-            kinds.add(match &record {
-                Watching::View(_) => "watch",
-                Watching::ControlState(_) => "state",
-                Watching::Unnumbered(_) => "state of an older build",
-                Watching::Vote { .. } => "lent",
-            });
-            kept.apply(record);
-        }
-        Err(_) => kinds.add("unread"),
-    })?;
-    let mut object = files(&report);
-    object["records_by_kind"] = kinds.json();
-    object["epoch"] = kept.view.as_ref().map_or(0, |w| w.epoch).into();
-    object["primary"] = kept.view.as_ref().map(|w| w.primary.to_string()).into();
-    let version = kept.state.as_ref().map_or(0, |state| state.version);
-    object["version"] = version.into();
-    let reads = kept.state.as_ref().is_none_or(|state| Config::read(&state.body).is_ok());
-    object["configuration_reads"] = reads.into();
-    Ok(object)
+fn message_record_kind(record: &MessageRecord) -> &'static str {
+    match record {
+        MessageRecord::Born { .. } => "born",
+        MessageRecord::Put { .. } => "put",
+        MessageRecord::End { .. } => "end",
+        MessageRecord::Called { .. } => "called",
+        MessageRecord::Own { .. } => "own",
+        MessageRecord::Drop { .. } => "drop",
+        MessageRecord::Retire => "retire",
+    }
 }
 
-fn files(report: &stileroute_wal::Report) -> JsonValue {
-    let files: Vec<JsonValue> = report
-        .files
-        .iter()
-        .map(|file| {
-            let state = match &file.state {
-                State::Whole => "whole".to_string(),
-                State::Torn { at, reason } => {
-                    format!("torn at byte {at}, cut off at the next start: {reason}")
-                }
-                State::Damaged(reason) => format!("damaged: {reason}"),
-                State::Left => "left over".to_string(),
-                State::Foreign => "foreign".to_string(),
-            };
-            jzon::object! {
-                "name" => file.name.clone(),
-                "records" => file.records,
-                "bytes" => file.bytes,
-                "state" => state,
+/// Reads the log of a control node, and says what its records amount to.
+fn verify_control_node(folder: &Path) -> Result<JsonValue, Trouble> {
+    let (mut persisted, mut kinds) = (Persisted::default(), KindCounts::default());
+    let report =
+        stileroute_wal::verify(folder, &mut |bytes| match postcard::from_bytes::<ControlRecord>(bytes) {
+            Ok(record) => {
+                kinds.add(control_record_kind(&record));
+                persisted.apply(record);
             }
-        })
-        .collect();
+            Err(_) => kinds.add(UNREADABLE_KIND),
+        })?;
+    let (view, state) = (persisted.view.as_ref(), persisted.state.as_ref());
+    let configuration_reads = state.is_none_or(|state| Config::read(&state.body).is_ok());
+    let mut object = files_as_json(&report);
+    object["records_by_kind"] = kinds.as_json();
+    object["epoch"] = view.map_or(0, |view| view.epoch).into();
+    object["primary"] = view.map(|view| view.primary.to_string()).into();
+    object["version"] = state.map_or(0, |state| state.version).into();
+    object["configuration_reads"] = configuration_reads.into();
+    Ok(object)
+}
+
+fn control_record_kind(record: &ControlRecord) -> &'static str {
+    match record {
+        ControlRecord::View(_) => "watch",
+        ControlRecord::ControlState(_) => "state",
+        ControlRecord::Unnumbered(_) => "state of an older build",
+        ControlRecord::Vote { .. } => "lent",
+    }
+}
+
+fn files_as_json(report: &Report) -> JsonValue {
+    let file_as_json = |file: &stileroute_wal::FileReport| {
+        jzon::object! {
+            "name" => file.name.clone(),
+            "records" => file.records,
+            "bytes" => file.bytes,
+            "state" => file_state_as_text(&file.state),
+        }
+    };
     jzon::object! {
         "opens" => report.opens(),
         "identity" => report.identity.clone(),
         "records" => report.records,
         "bytes" => report.bytes,
-        "files" => files,
+        "files" => report.files.iter().map(file_as_json).collect::<Vec<_>>(),
+    }
+}
+
+fn file_state_as_text(state: &State) -> String {
+    match state {
+        State::Whole => "whole".to_string(),
+        State::Torn { at, reason } => format!("torn at byte {at}, cut off at the next start: {reason}"),
+        State::Damaged(reason) => format!("damaged: {reason}"),
+        State::Left => "left over".to_string(),
+        State::Foreign => "foreign".to_string(),
     }
 }
 
-fn lines(name: &str, part: &JsonValue) -> String {
+/// A line for each value, then one for each file.
+fn folder_as_text(name: &str, folder: &JsonValue) -> String {
     let mut text = format!("{name}:");
-    for (key, value) in part.entries().filter(|(key, _)| *key != "files") {
-        let value = match value {
-            JsonValue::Object(kinds) => {
-                kinds.iter().map(|(kind, count)| format!("{kind} {count}")).collect::<Vec<_>>().join(", ")
-            }
-            other => other.as_str().map_or_else(|| other.dump(), str::to_string),
-        };
-        text += &format!("\n  {}: {value}", key.replace('_', " "));
+    for (key, value) in folder.entries().filter(|(key, _)| *key != "files") {
+        text += &format!("\n  {}: {}", key.replace('_', " "), value_as_text(value));
     }
-    for file in part["files"].members() {
+    for file in folder["files"].members() {
         let (name, state) = (&file["name"], &file["state"]);
         text += &format!("\n  {name}: {} records, {} bytes, {state}", file["records"], file["bytes"]);
     }
     text
 }
 
-/// 0: all of it opens; 1: something is damaged; 2: nothing of this program is there.
-pub fn verify(dir: &Path, json: bool) -> u8 {
-    type Part = (&'static str, fn(&Path) -> Result<JsonValue, Trouble>);
-    let parts: [Part; 2] = [("hold", hold), ("watch", watch)];
-    let (mut all, mut code) = (JsonValue::new_object(), UNUSABLE);
-    for (name, read) in parts {
-        let at = dir.join(name);
-        if !at.is_dir() {
-            continue;
+fn value_as_text(value: &JsonValue) -> String {
+    match value {
+        JsonValue::Object(kinds) => {
+            let kinds: Vec<String> = kinds.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
+            kinds.join(", ")
+        }
+        other => other.as_str().map_or_else(|| other.dump(), str::to_string),
+    }
+}
+
+fn is_sound(folder: &JsonValue) -> bool {
+    let has_unreadable = folder["records_by_kind"][UNREADABLE_KIND].as_u64().unwrap_or(0) > 0;
+    folder["opens"] == true && !has_unreadable && folder["configuration_reads"] != false
+}
+
+/// Reads a data folder through. [`ExitStatus::Failure`] says that something is damaged, [`ExitStatus::Unusable`] that no role
+/// has its log there.
+pub fn verify(data_dir: &Path, format: OutputFormat) -> ExitStatus {
+    type Verify = fn(&Path) -> Result<JsonValue, Trouble>;
+    let roles: [(&str, Verify); 2] = [(STORE_FOLDER, verify_store), (CONTROL_FOLDER, verify_control_node)];
+    let mut folders = JsonValue::new_object();
+    for (name, verify_folder) in roles {
+        let folder = data_dir.join(name);
+        if folder.is_dir() {
+            folders[name] = verify_folder(&folder).unwrap_or_else(|error| {
+                jzon::object! { "opens" => false, "trouble" => error.to_string() }
+            });
         }
-        code = if code == UNUSABLE { 0 } else { code };
-        let part = read(&at).unwrap_or_else(|trouble| {
-            jzon::object! { "opens" => false, "trouble" => trouble.to_string() }
-        });
-        let unread = part["records_by_kind"]["unread"].as_u64().unwrap_or(0) > 0;
-        let sound = part["opens"] == true && !unread && part["configuration_reads"] != false;
-        if !sound {
-            code = DAMAGED;
+    }
+    if folders.is_empty() {
+        eprintln!("{}: all: holds neither hold nor watch", data_dir.display());
+        return ExitStatus::Unusable;
+    }
+    match format {
+        OutputFormat::Json => print(&folders.pretty(2)),
+        OutputFormat::Text => {
+            folders.entries().for_each(|(name, folder)| print(&folder_as_text(name, folder)));
         }
-        all[name] = part;
     }
-    if code == UNUSABLE {
-        eprintln!("{}: all: holds neither hold nor watch", dir.display());
-    } else if json {
-        say(&all.pretty(2));
+    if folders.entries().all(|(_, folder)| is_sound(folder)) {
+        ExitStatus::Success
     } else {
-        all.entries().for_each(|(name, part)| say(&lines(name, part)));
+        ExitStatus::Failure
     }
-    code
 }
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -17,51 +17,48 @@
 mod signals;
 mod store;
 
-use cli::args::{Args, Task, UNUSABLE};
+use cli::args::Args;
+use cli::output::ExitStatus;
+use cli::CommandError;
 use gumdrop::Options;
 use node::Common;
 use signals::Class;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::process::ExitCode;
 use stileroute_config::Boot;
 
 fn main() -> ExitCode {
     let args = Args::parse_args_default_or_exit();
-    match cli::args::task(&args) {
-        Task::Done(code) => ExitCode::from(code),
-        Task::Run(class) => start(args, class),
+    let result = match args.role() {
+        Some(class) => start(&args, class),
+        None => cli::execute(&args),
+    };
+    let status = result.unwrap_or_else(|error| {
+        eprintln!("{error}");
+        error.exit_status()
+    });
+    ExitCode::from(status)
+}
+
+/// Runs a role until the process is told to end.
+fn start(args: &Args, class: Class) -> Result<ExitStatus, CommandError> {
+    start_logging(args.log_level()?);
+    let path = args.settings_file()?;
+    if args.figures.is_some_and(|address| !address.ip().is_loopback()) {
+        return Err(CommandError::FiguresNotLoopback);
+    }
+    let boot = settings::read(&path, class).map_err(CommandError::Settings)?;
+    let boot = Boot { figures: args.figures.or(boot.figures), ..boot };
+    match run(boot, &path, class) {
+        Ok(()) => Ok(ExitStatus::Success),
+        Err(report) => Err(CommandError::Role { settings: path, report }),
     }
 }
 
-/// Runs a role. Settings that can't be used end it with 2 and one line for each fault; anything else with 1.
-fn start(args: Args, class: Class) -> ExitCode {
-    let unusable = |reason: String| {
-        eprintln!("{reason}");
-        ExitCode::from(UNUSABLE)
-    };
-    let level = match cli::args::level(&args) {
-        Ok(level) => level,
-        Err(reason) => return unusable(reason),
-    };
+/// Logs to standard error, without colours and without the names of modules.
+fn start_logging(level: tracing::Level) {
     let log = tracing_subscriber::fmt().with_max_level(level).with_ansi(false).with_target(false);
     log.with_writer(std::io::stderr).init();
-    let path = args.boot.clone().or_else(|| std::env::var_os("STILEROUTE_BOOT").map(PathBuf::from));
-    let Some(path) = path else {
-        return unusable("command line: --boot: missing, and STILEROUTE_BOOT is not set".to_string());
-    };
-    if args.figures.is_some_and(|at| !at.ip().is_loopback()) {
-        return unusable("command line: --figures: must be a loopback address".to_string());
-    }
-    match settings::read(&path, class) {
-        Err(faults) => unusable(faults.to_string()),
-        Ok(boot) => match run(Boot { figures: args.figures.or(boot.figures), ..boot }, &path, class) {
-            Ok(()) => ExitCode::SUCCESS,
-            Err(report) => {
-                eprintln!("{}: {report}", path.display());
-                ExitCode::FAILURE
-            }
-        },
-    }
 }
 
 fn run(boot: Boot, path: &Path, class: Class) -> miette::Result<()> {
--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -1,204 +1,178 @@
-//! Checks of settings that need to know what the program does with them, and the commands that check files.
+//! Checks of settings that need to know what the program does with them.
 //!
-//! Refused is only what the program cannot work with: a process that does not start is worse than one with an odd
-//! figure. What it works with, but not as one may expect, is warned of.
+//! Faults are only what the program cannot work with: a process that does not start is worse than one with an odd value. What
+//! it works with, but perhaps not as one expects, is a warning.
 
-use crate::calls::LARGEST_CONFIGURATION;
-use crate::cli::args::{say, UNUSABLE};
 use crate::signals::Class;
-use jzon::JsonValue;
+use std::net::SocketAddrV4;
 use std::path::Path;
-use stileroute_config::{Boot, Config, Fault, Faults};
+use stileroute_config::{Boot, Fault, Faults};
 
-/// More would be copied to more stores than any deployment has.
-const LOSSES: usize = 8;
-/// Descriptors that a process needs at the least.
-const FILES: u64 = 324;
-/// The least disk in which a snapshot and a log have room side by side, in MB, and the most, a sixteenth of an EB.
-const DISK: (u64, u64) = (8, 1 << 36);
-const DAY: u64 = 86_400_000;
+/// Machines that may be lost at once, at most: for more, each message would go to more stores than any deployment has.
+const MAX_MACHINE_LOSSES: usize = 8;
+/// File descriptors that a process needs at least.
+const MIN_OPEN_FILES: u64 = 324;
+/// The least disk in which a snapshot and a log fit side by side, in MB.
+const MIN_DISK_MB: u64 = 8;
+/// The largest disk that can be set, in MB: a sixteenth of an exabyte.
+const MAX_DISK_MB: u64 = 1 << 36;
+const DAY_MS: u64 = 86_400_000;
+/// What an edge needs to end in order: it still takes new connections for a while, and then finishes its requests.
+const MIN_USUAL_GRACE_MS: u64 = 3500;
+/// Milliseconds between heartbeats that can be set.
+const HEARTBEAT_INTERVALS_MS: std::ops::RangeInclusive<u64> = 10..=600_000;
+/// The largest factor that `bounds.origin_overrun` can set.
+const MAX_ORIGIN_OVERRUN: f64 = 100.0;
 
+/// What a check found.
+#[derive(Debug, Default)]
+pub struct Findings {
+    /// What the program cannot work with.
+    pub faults: Vec<Fault>,
+    /// What may surprise.
+    pub warnings: Vec<Fault>,
+}
+
+/// Collects what is found in one file.
 struct Check<'a> {
     file: &'a str,
-    faults: Vec<Fault>,
-    warnings: Vec<Fault>,
+    boot: &'a Boot,
+    findings: Findings,
 }
 
 impl Check<'_> {
     fn fault(&self, key: &str, reason: impl Into<String>) -> Fault {
         Fault { file: self.file.to_string(), key: key.to_string(), reason: reason.into() }
     }
-    fn must(&mut self, holds: bool, key: &str, reason: impl Into<String>) {
+
+    /// A fault, unless the condition holds.
+    fn require(&mut self, holds: bool, key: &str, reason: impl Into<String>) {
         if !holds {
-            self.faults.push(self.fault(key, reason));
+            self.findings.faults.push(self.fault(key, reason));
         }
     }
-    fn should(&mut self, holds: bool, key: &str, reason: impl Into<String>) {
+
+    /// A warning, unless the condition holds.
+    fn expect(&mut self, holds: bool, key: &str, reason: impl Into<String>) {
         if !holds {
-            self.warnings.push(self.fault(key, reason));
+            self.findings.warnings.push(self.fault(key, reason));
         }
     }
-}
 
-/// What is wrong with the settings for these roles, and what is odd.
-pub fn check(file: &str, boot: &Boot, classes: &[Class]) -> (Vec<Fault>, Vec<Fault>) {
-    let mut c = Check { file, faults: Vec::new(), warnings: Vec::new() };
-    let (first, last) = boot.internal_ports;
-    c.must(
-        last >= first.saturating_add(2),
-        "internal_ports",
-        "must span three ports at least, one for each role",
-    );
-    c.must(!boot.seeds.is_empty(), "seed_nodes", "must name one control node at least");
-    c.must(!boot.ip.is_unspecified(), "ip", "must be the machine's own address");
-    let addresses = [
-        ("bind_addresses.front", boot.front),
-        ("bind_addresses.readiness", boot.readiness),
-        ("bind_addresses.control", boot.control),
-        ("bind_addresses.figures", boot.figures),
-    ];
-    for (at, (key, address)) in addresses.iter().enumerate() {
-        let Some(address) = address else { continue };
-        let inside = (first..=last).contains(&address.port()) && *address.ip() == boot.ip;
-        c.must(!inside, key, "must not lie in internal_ports");
-        let same = addresses[..at].iter().find(|(_, other)| *other == Some(*address));
-        c.must(same.is_none(), key, format!("is {} too", same.map_or("", |s| s.0)));
+    fn check_all_roles(&mut self) {
+        let boot = self.boot;
+        let (first, last) = boot.internal_ports;
+        let reason = "must span three ports at least, one for each role";
+        self.require(last >= first.saturating_add(2), "internal_ports", reason);
+        self.require(!boot.seeds.is_empty(), "seed_nodes", "must name one control node at least");
+        self.require(!boot.ip.is_unspecified(), "ip", "must be the machine's own address");
+        self.check_bind_addresses();
+        let is_usual = HEARTBEAT_INTERVALS_MS.contains(&boot.beat_interval_ms);
+        self.require(is_usual, "beat_interval_ms", "must be from 10 to 600000");
+        self.check_limits();
     }
-    let loopback = boot.figures.is_none_or(|at| at.ip().is_loopback());
-    c.must(
-        loopback,
-        "bind_addresses.figures",
-        "must be a loopback address: anyone who reaches it may read it",
-    );
-    c.must((10..=600_000).contains(&boot.beat_interval_ms), "beat_interval_ms", "must be from 10 to 600000");
-    c.must(boot.means.max_open_files >= FILES, "limits.max_open_files", format!("must be {FILES} or more"));
-    c.must(boot.losses.machines <= LOSSES, "tolerate.machine_losses", format!("must be {LOSSES} or less"));
-    let zones = boot.zones.len();
-    c.must(boot.losses.zones < zones, "tolerate.zones", format!("must be less than the {zones} there are"));
-    c.must(boot.bounds.grace_ms <= DAY, "bounds.grace_s", "must be a day or less");
-    c.should(boot.bounds.grace_ms >= 3500, "bounds.grace_s", "an edge needs 3.5 s to end in order");
-    for class in classes {
-        role(&mut c, boot, *class);
-    }
-    (c.faults, c.warnings)
-}
 
-fn role(c: &mut Check, boot: &Boot, class: Class) {
-    match class {
-        Class::Edge => {
-            c.must(boot.front.is_some(), "bind_addresses.front", "missing, and an edge needs it");
-            c.must(boot.readiness.is_some(), "bind_addresses.readiness", "missing, and an edge needs it");
-        }
-        Class::Store => {
-            c.must(boot.bounds.status_ms <= DAY, "bounds.status_s", "must be a day or less");
-            let window = boot.bounds.ceiling_window_ms;
-            c.must(
-                (1..=DAY).contains(&window),
-                "bounds.ceiling_window_s",
-                "must be above 0 and a day or less",
-            );
-            c.must(boot.bounds.origin_overrun <= 100.0, "bounds.origin_overrun", "must be 100 or less");
-            c.should(boot.bounds.origin_overrun >= 1.0, "bounds.origin_overrun", "below 1 counts as 1");
+    fn check_bind_addresses(&mut self) {
+        let boot = self.boot;
+        let (first, last) = boot.internal_ports;
+        let addresses: [(&str, Option<SocketAddrV4>); 4] = [
+            ("bind_addresses.front", boot.front),
+            ("bind_addresses.readiness", boot.readiness),
+            ("bind_addresses.control", boot.control),
+            ("bind_addresses.figures", boot.figures),
+        ];
+        for (index, (key, address)) in addresses.iter().enumerate() {
+            let Some(address) = address else { continue };
+            let is_internal = (first..=last).contains(&address.port()) && *address.ip() == boot.ip;
+            self.require(!is_internal, key, "must not lie in internal_ports");
+            let same = addresses[..index].iter().find(|(_, other)| *other == Some(*address));
+            self.require(same.is_none(), key, format!("is {} too", same.map_or("", |(key, _)| key)));
         }
-        Class::Core => {
-            c.must(boot.control.is_some(), "bind_addresses.control", "missing, and a control node needs it");
-            let enough = boot.seeds.len() > 2 * boot.losses.machines;
-            let reason = "the seeds are too few to have a majority after so many losses";
-            c.should(enough, "tolerate.machine_losses", reason);
-        }
-        Class::Visitor => {}
-    }
-    if matches!(class, Class::Store | Class::Core) {
-        c.must(boot.data_dir.is_some(), "data_dir", format!("missing, and a {class} needs it"));
-        let disk = boot.means.disk_mb;
-        let fits = disk == 0 || (DISK.0..=DISK.1).contains(&disk);
-        c.must(fits, "limits.disk_mb", format!("must be 0 (unknown) or from {} to {}", DISK.0, DISK.1));
+        let is_loopback = boot.figures.is_none_or(|address| address.ip().is_loopback());
+        let reason = "must be a loopback address: anyone who reaches it may read it";
+        self.require(is_loopback, "bind_addresses.figures", reason);
     }
-}
 
-/// The settings of a role that is to run, or all that is wrong with them.
-pub fn read(path: &Path, class: Class) -> Result<Boot, Faults> {
-    let boot = Boot::read(path)?;
-    let (faults, warnings) = check(&path.display().to_string(), &boot, &[class]);
-    for warning in warnings {
-        tracing::warn!("{warning}");
+    fn check_limits(&mut self) {
+        let boot = self.boot;
+        let reason = format!("must be {MIN_OPEN_FILES} or more");
+        self.require(boot.means.max_open_files >= MIN_OPEN_FILES, "limits.max_open_files", reason);
+        let reason = format!("must be {MAX_MACHINE_LOSSES} or less");
+        self.require(boot.losses.machines <= MAX_MACHINE_LOSSES, "tolerate.machine_losses", reason);
+        let zones = boot.zones.len();
+        let reason = format!("must be less than the {zones} there are");
+        self.require(boot.losses.zones < zones, "tolerate.zones", reason);
+        self.require(boot.bounds.grace_ms <= DAY_MS, "bounds.grace_s", "must be a day or less");
+        let is_usual = boot.bounds.grace_ms >= MIN_USUAL_GRACE_MS;
+        self.expect(is_usual, "bounds.grace_s", "an edge needs 3.5 s to end in order");
     }
-    if faults.is_empty() {
-        Ok(boot)
-    } else {
-        Err(Faults(faults))
+
+    fn check_edge(&mut self) {
+        let boot = self.boot;
+        self.require(boot.front.is_some(), "bind_addresses.front", "missing, and an edge needs it");
+        self.require(boot.readiness.is_some(), "bind_addresses.readiness", "missing, and an edge needs it");
     }
-}
 
-fn told(fault: &Fault) -> JsonValue {
-    jzon::object! { "file" => fault.file.clone(), "key" => fault.key.clone(), "reason" => fault.reason.clone() }
-}
+    fn check_store(&mut self) {
+        let bounds = &self.boot.bounds;
+        self.require(bounds.status_ms <= DAY_MS, "bounds.status_s", "must be a day or less");
+        let reason = "must be above 0 and a day or less";
+        self.require((1..=DAY_MS).contains(&bounds.ceiling_window_ms), "bounds.ceiling_window_s", reason);
+        let overrun = bounds.origin_overrun;
+        self.require(overrun <= MAX_ORIGIN_OVERRUN, "bounds.origin_overrun", "must be 100 or less");
+        self.expect(overrun >= 1.0, "bounds.origin_overrun", "below 1 counts as 1");
+        self.check_disk(Class::Store);
+    }
 
-/// Says what is wrong and gives the exit code.
-fn verdict(what: &str, faults: &[Fault], warnings: &[Fault], json: bool) -> u8 {
-    if json {
-        let list = |faults: &[Fault]| -> JsonValue { faults.iter().map(told).collect::<Vec<_>>().into() };
-        let object = jzon::object! { "ok" => faults.is_empty(), "faults" => list(faults), "warnings" => list(warnings) };
-        say(&object.pretty(2));
-    } else {
-        faults.iter().for_each(|fault| say(&fault.to_string()));
-        warnings.iter().for_each(|fault| say(&format!("warning: {fault}")));
-        if faults.is_empty() {
-            say(what);
-        }
+    fn check_control_node(&mut self) {
+        let boot = self.boot;
+        let reason = "missing, and a control node needs it";
+        self.require(boot.control.is_some(), "bind_addresses.control", reason);
+        let has_majority = boot.seeds.len() > 2 * boot.losses.machines;
+        let reason = "the seeds are too few to have a majority after so many losses";
+        self.expect(has_majority, "tolerate.machine_losses", reason);
+        self.check_disk(Class::Core);
     }
-    if faults.is_empty() {
-        0
-    } else {
-        UNUSABLE
+
+    fn check_disk(&mut self, class: Class) {
+        let has_folder = self.boot.data_dir.is_some();
+        self.require(has_folder, "data_dir", format!("missing, and a {class} needs it"));
+        let disk_mb = self.boot.means.disk_mb;
+        let is_usable = disk_mb == 0 || (MIN_DISK_MB..=MAX_DISK_MB).contains(&disk_mb);
+        let reason = format!("must be 0 (unknown) or from {MIN_DISK_MB} to {MAX_DISK_MB}");
+        self.require(is_usable, "limits.disk_mb", reason);
     }
 }
 
-pub fn check_config(path: &Path, json: bool) -> u8 {
-    let file = path.display().to_string();
-    let read = match std::fs::read(path) {
-        // Control nodes refuse it with 413 before they read it.
-        Ok(body) if body.len() > LARGEST_CONFIGURATION => {
-            let reason = format!("{} bytes; at most {LARGEST_CONFIGURATION} can be sent", body.len());
-            Err(vec![Fault { file: file.clone(), key: String::new(), reason }])
-        }
-        Ok(body) => Config::read(&body).map_err(|faults| faults.0),
-        Err(e) => {
-            let reason = format!("cannot be read: {e}");
-            Err(vec![Fault { file: file.clone(), key: String::new(), reason }])
-        }
-    };
-    match read {
-        Ok(c) => {
-            let (version, routes, services) = (c.revision, c.routes.len(), c.services.len());
-            let what =
-                format!("{file}: version {version}, {routes} routes, {services} services: can be sent");
-            verdict(&what, &[], &[], json)
-        }
-        Err(faults) => {
-            let named: Vec<Fault> = faults.into_iter().map(|f| Fault { file: file.clone(), ..f }).collect();
-            verdict("", &named, &[], json)
+/// Checks settings for the given roles. `file` is the name that faults and warnings give.
+pub fn check(file: &str, boot: &Boot, classes: &[Class]) -> Findings {
+    let mut check = Check { file, boot, findings: Findings::default() };
+    check.check_all_roles();
+    for class in classes {
+        match class {
+            Class::Edge => check.check_edge(),
+            Class::Store => check.check_store(),
+            Class::Core => check.check_control_node(),
+            Class::Visitor => {}
         }
     }
+    check.findings
 }
 
-/// For the roles that the file's `serves` names.
-pub fn check_boot(path: &Path, json: bool) -> u8 {
-    let file = path.display().to_string();
-    match Boot::read(path) {
-        Err(faults) => verdict("", &faults.0, &[], json),
-        Ok(boot) => {
-            let class = |serves: &String| match serves.as_str() {
-                "edge" => Some(Class::Edge),
-                "storage" => Some(Class::Store),
-                "control" => Some(Class::Core),
-                _ => None,
-            };
-            let classes: Vec<Class> = boot.serves.iter().filter_map(class).collect();
-            let (faults, warnings) = check(&file, &boot, &classes);
-            let names: Vec<String> = classes.iter().map(Class::to_string).collect();
-            let what = format!("{file}: {} can run as {}", boot.node_name, names.join(", "));
-            verdict(&what, &faults, &warnings, json)
-        }
+/// Reads the settings of a role that is to run. Warnings are logged.
+///
+/// # Errors
+///
+/// All that is wrong with them.
+pub fn read(path: &Path, class: Class) -> Result<Boot, Faults> {
+    let boot = Boot::read(path)?;
+    let findings = check(&path.display().to_string(), &boot, &[class]);
+    for warning in findings.warnings {
+        tracing::warn!("{warning}");
+    }
+    if findings.faults.is_empty() {
+        Ok(boot)
+    } else {
+        Err(Faults(findings.faults))
     }
 }
