--- a/crates/server/src/cli/args.rs
+++ b/crates/server/src/cli/args.rs
@@ -5,7 +5,7 @@
 use super::orders::RetireRequest;
 use super::output::OutputFormat;
 use super::CommandError;
-use crate::signals::Class;
+use crate::signals::NodeRole;
 use gumdrop::Options;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
@@ -195,11 +195,11 @@
 
 impl Args {
     /// The role that the process is to run, if the command is one.
-    pub fn role(&self) -> Option<Class> {
+    pub fn role(&self) -> Option<NodeRole> {
         match &self.command {
-            Some(Command::Edge(_)) => Some(Class::Edge),
-            Some(Command::Store(_)) => Some(Class::Store),
-            Some(Command::Core(_)) => Some(Class::Core),
+            Some(Command::Edge(_)) => Some(NodeRole::Edge),
+            Some(Command::Store(_)) => Some(NodeRole::Store),
+            Some(Command::Core(_)) => Some(NodeRole::Control),
             _ => None,
         }
     }
--- a/crates/server/src/cli/check.rs
+++ b/crates/server/src/cli/check.rs
@@ -3,7 +3,7 @@
 use super::output::{print, ExitStatus, OutputFormat};
 use crate::calls::LARGEST_CONFIGURATION;
 use crate::settings::{self, Findings};
-use crate::signals::Class;
+use crate::signals::NodeRole;
 use jzon::JsonValue;
 use std::path::Path;
 use stileroute_config::{Boot, Config, Fault};
@@ -46,18 +46,18 @@
         }
     };
     let file = path.display().to_string();
-    let classes: Vec<Class> = boot.serves.iter().filter_map(|name| class_served(name)).collect();
-    let roles: Vec<String> = classes.iter().map(Class::to_string).collect();
+    let classes: Vec<NodeRole> = boot.serves.iter().filter_map(|name| class_served(name)).collect();
+    let roles: Vec<String> = classes.iter().map(NodeRole::to_string).collect();
     let summary = format!("{file}: {} can run as {}", boot.node_name, roles.join(", "));
     print_findings(&summary, &settings::check(&file, &boot, &classes), format)
 }
 
 /// The class of process that a word of the settings key `serves` names.
-fn class_served(name: &str) -> Option<Class> {
+fn class_served(name: &str) -> Option<NodeRole> {
     match name {
-        "edge" => Some(Class::Edge),
-        "storage" => Some(Class::Store),
-        "control" => Some(Class::Core),
+        "edge" => Some(NodeRole::Edge),
+        "storage" => Some(NodeRole::Store),
+        "control" => Some(NodeRole::Control),
         _ => None,
     }
 }
--- a/crates/server/src/cli/discovery.rs
+++ b/crates/server/src/cli/discovery.rs
@@ -4,7 +4,7 @@
 use super::internal_client::{ask_for_json, AskError};
 use super::CommandError;
 use crate::links;
-use crate::signals::{Class, Signal};
+use crate::signals::{NodeRole, Signal};
 use jzon::JsonValue;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -50,10 +50,10 @@
         let file = file.ok_or(CommandError::NoSettingsFile { option: "--at" })?;
         let boot = Boot::read(&file).map_err(CommandError::Settings)?;
         let address = |ip, class| links::address(boot.internal_ports, ip, class);
-        let classes = [Class::Edge, Class::Store, Class::Core];
+        let classes = [NodeRole::Edge, NodeRole::Store, NodeRole::Control];
         let mut addresses = classes.map(|class| address(boot.ip, class)).to_vec();
         if scope == SettingsScope::MachineAndSeeds {
-            addresses.extend(boot.seeds.iter().map(|seed| address(*seed.ip(), Class::Core)));
+            addresses.extend(boot.seeds.iter().map(|seed| address(*seed.ip(), NodeRole::Control)));
         }
         Ok(addresses)
     }
@@ -110,7 +110,7 @@
     }
 
     /// The reports of the processes of one class.
-    pub fn reports_of(&self, class: Class) -> impl Iterator<Item = &JsonValue> {
+    pub fn reports_of(&self, class: NodeRole) -> impl Iterator<Item = &JsonValue> {
         let class = class.to_string();
         let reports = self.reports.values().map(|process| &process.report);
         reports.filter(move |report| report["class"].as_str() == Some(&class))
@@ -121,12 +121,12 @@
         let rank = |report: &&JsonValue| {
             (report["duty"]["leads"] == true, report["duty"]["epoch"].as_u64().unwrap_or(0))
         };
-        self.reports_of(Class::Core).max_by_key(rank)
+        self.reports_of(NodeRole::Control).max_by_key(rank)
     }
 
     /// Where the control nodes that answer take the calls of operators, the leader first.
     pub fn control_addresses(&self) -> Vec<SocketAddrV4> {
-        let mut reports: Vec<&JsonValue> = self.reports_of(Class::Core).collect();
+        let mut reports: Vec<&JsonValue> = self.reports_of(NodeRole::Control).collect();
         reports.sort_by_key(|report| report["duty"]["leads"] != true);
         reports.iter().filter_map(|report| report["duty"]["control"].as_str()?.parse().ok()).collect()
     }
@@ -216,6 +216,6 @@
     report["known"].members().chain(report["links"].members()).filter_map(process).collect()
 }
 
-fn class_by_name(name: &str) -> Option<Class> {
-    [Class::Core, Class::Store, Class::Edge].into_iter().find(|class| class.to_string() == name)
+fn class_by_name(name: &str) -> Option<NodeRole> {
+    [NodeRole::Control, NodeRole::Store, NodeRole::Edge].into_iter().find(|class| class.to_string() == name)
 }
--- a/crates/server/src/cli/internal_client.rs
+++ b/crates/server/src/cli/internal_client.rs
@@ -1,7 +1,7 @@
 //! A client of the protocol between the system's own processes: asks one process one thing over a connection of its own.
 
 use crate::node::lot;
-use crate::signals::{Class, Hello, Signal, PROTOCOL};
+use crate::signals::{Hello, NodeRole, Signal, PROTOCOL};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpStream};
 use std::time::Duration;
@@ -98,7 +98,7 @@
         // Random: a fixed one would end the connection of another who asks at the same time.
         node: lot() as u32,
         name: "visitor".to_string(),
-        class: Class::Visitor,
+        class: NodeRole::CommandLine,
         zone: String::new(),
         ip: Ipv4Addr::UNSPECIFIED,
         life: lot(),
--- a/crates/server/src/cli/services.rs
+++ b/crates/server/src/cli/services.rs
@@ -1,7 +1,7 @@
 //! Each service over all stores: its queue, the requests in flight, its executors and its rate limit.
 
 use super::discovery::Fleet;
-use crate::signals::Class;
+use crate::signals::NodeRole;
 use jzon::JsonValue;
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 pub fn services(fleet: &Fleet) -> JsonValue {
     let executors = executors_by_id(fleet);
     let mut services: BTreeMap<String, JsonValue> = BTreeMap::new();
-    for store in fleet.reports_of(Class::Store) {
+    for store in fleet.reports_of(NodeRole::Store) {
         let store_name = store["node"].to_string();
         for part in store["services"].members() {
             let total = services.entry(part["service"].to_string()).or_insert_with(empty_service);
@@ -34,7 +34,7 @@
 /// What the control nodes know of each executor; of several that know it the first.
 fn executors_by_id(fleet: &Fleet) -> BTreeMap<String, JsonValue> {
     let mut executors = BTreeMap::new();
-    for report in fleet.reports_of(Class::Core) {
+    for report in fleet.reports_of(NodeRole::Control) {
         for executor in report["executors"].members() {
             executors.entry(executor["id"].to_string()).or_insert_with(|| executor.clone());
         }
--- a/crates/server/src/cli/status.rs
+++ b/crates/server/src/cli/status.rs
@@ -5,7 +5,7 @@
 use super::output::{print, ExitStatus, OutputFormat};
 use super::services::services;
 use super::CommandError;
-use crate::signals::Class;
+use crate::signals::NodeRole;
 use jzon::JsonValue;
 
 /// Parts of a report that are shown elsewhere, or only needed to find the other processes.
@@ -61,12 +61,12 @@
         return "control: no control node answers\n".to_string();
     };
     let control = &report["duty"];
-    let leader = fleet.reports_of(Class::Core).find(|report| report["duty"]["leads"] == true);
+    let leader = fleet.reports_of(NodeRole::Control).find(|report| report["duty"]["leads"] == true);
     let leader = leader.map_or("nobody leads now".to_string(), |report| format!("{} leads", report["node"]));
     let mut text = format!("control: epoch {}, primary {}, {leader}\n", control["epoch"], control["primary"]);
     let (replicas, voters) = (joined(&control["copies"]), joined(&control["voters"]));
     text += &format!("  copies: {replicas}\n  voters: {voters}\n");
-    for report in fleet.reports_of(Class::Core).filter(|report| report["duty"]["blank"] == true) {
+    for report in fleet.reports_of(NodeRole::Control).filter(|report| report["duty"]["blank"] == true) {
         text += &format!("  blank: {}\n", report["node"]);
     }
     text
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -22,7 +22,7 @@
 use cli::CommandError;
 use gumdrop::Options;
 use node::Common;
-use signals::Class;
+use signals::NodeRole;
 use std::path::Path;
 use std::process::ExitCode;
 use stileroute_config::Boot;
@@ -41,7 +41,7 @@
 }
 
 /// Runs a role until the process is told to end.
-fn start(args: &Args, class: Class) -> Result<ExitStatus, CommandError> {
+fn start(args: &Args, class: NodeRole) -> Result<ExitStatus, CommandError> {
     start_logging(args.log_level()?);
     let path = args.settings_file()?;
     if args.figures.is_some_and(|address| !address.ip().is_loopback()) {
@@ -61,13 +61,13 @@
     log.with_writer(std::io::stderr).init();
 }
 
-fn run(boot: Boot, path: &Path, class: Class) -> miette::Result<()> {
+fn run(boot: Boot, path: &Path, class: NodeRole) -> miette::Result<()> {
     tracing::info!(node = boot.node_name, role = %class, first = boot.first_start, "starts");
     let common = Common::start(boot, path, class)?;
     match class {
-        Class::Edge => edge::Edge::new(common)?.run(),
-        Class::Store => store::Store::new(common)?.run(),
-        Class::Core => control_node::Core::new(common)?.run(),
-        Class::Visitor => Ok(()),
+        NodeRole::Edge => edge::Edge::new(common)?.run(),
+        NodeRole::Store => store::Store::new(common)?.run(),
+        NodeRole::Control => control_node::Core::new(common)?.run(),
+        NodeRole::CommandLine => Ok(()),
     }
 }
--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -3,7 +3,7 @@
 //! Faults are only what the program cannot work with: a process that does not start is worse than one with an odd value. What
 //! it works with, but perhaps not as one expects, is a warning.
 
-use crate::signals::Class;
+use crate::signals::NodeRole;
 use std::net::SocketAddrV4;
 use std::path::Path;
 use stileroute_config::{Boot, Fault, Faults};
@@ -121,7 +121,7 @@
         let overrun = bounds.origin_overrun;
         self.require(overrun <= MAX_ORIGIN_OVERRUN, "bounds.origin_overrun", "must be 100 or less");
         self.expect(overrun >= 1.0, "bounds.origin_overrun", "below 1 counts as 1");
-        self.check_disk(Class::Store);
+        self.check_disk(NodeRole::Store);
     }
 
     fn check_control_node(&mut self) {
@@ -131,10 +131,10 @@
         let has_majority = boot.seeds.len() > 2 * boot.losses.machines;
         let reason = "the seeds are too few to have a majority after so many losses";
         self.expect(has_majority, "tolerate.machine_losses", reason);
-        self.check_disk(Class::Core);
+        self.check_disk(NodeRole::Control);
     }
 
-    fn check_disk(&mut self, class: Class) {
+    fn check_disk(&mut self, class: NodeRole) {
         let has_folder = self.boot.data_dir.is_some();
         self.require(has_folder, "data_dir", format!("missing, and a {class} needs it"));
         let disk_mb = self.boot.means.disk_mb;
@@ -145,15 +145,15 @@
 }
 
 /// Checks settings for the given roles. `file` is the name that faults and warnings give.
-pub fn check(file: &str, boot: &Boot, classes: &[Class]) -> Findings {
+pub fn check(file: &str, boot: &Boot, classes: &[NodeRole]) -> Findings {
     let mut check = Check { file, boot, findings: Findings::default() };
     check.check_all_roles();
     for class in classes {
         match class {
-            Class::Edge => check.check_edge(),
-            Class::Store => check.check_store(),
-            Class::Core => check.check_control_node(),
-            Class::Visitor => {}
+            NodeRole::Edge => check.check_edge(),
+            NodeRole::Store => check.check_store(),
+            NodeRole::Control => check.check_control_node(),
+            NodeRole::CommandLine => {}
         }
     }
     check.findings
@@ -164,7 +164,7 @@
 /// # Errors
 ///
 /// All that is wrong with them.
-pub fn read(path: &Path, class: Class) -> Result<Boot, Faults> {
+pub fn read(path: &Path, class: NodeRole) -> Result<Boot, Faults> {
     let boot = Boot::read(path)?;
     let findings = check(&path.display().to_string(), &boot, &[class]);
     for warning in findings.warnings {
