--- a/crates/server/src/cli/verify.rs
+++ b/crates/server/src/cli/verify.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 use stileroute_config::Config;
-use stileroute_control_group::{Persisted, Record as ControlRecord};
+use stileroute_control_group::{PersistedState, Record as ControlRecord};
 use stileroute_queue::{End, Ledger, Record as MessageRecord};
 use stileroute_wal::{Report, State, Trouble};
 
@@ -73,7 +73,7 @@
 
 /// Reads the log of a control node, and says what its records amount to.
 fn verify_control_node(folder: &Path) -> Result<JsonValue, Trouble> {
-    let (mut persisted, mut kinds) = (Persisted::default(), KindCounts::default());
+    let (mut persisted, mut kinds) = (PersistedState::default(), KindCounts::default());
     let report =
         stileroute_wal::verify(folder, &mut |bytes| match postcard::from_bytes::<ControlRecord>(bytes) {
             Ok(record) => {
@@ -97,8 +97,8 @@
     match record {
         ControlRecord::View(_) => "watch",
         ControlRecord::ControlState(_) => "state",
-        ControlRecord::Unnumbered(_) => "state of an older build",
-        ControlRecord::Vote { .. } => "lent",
+        ControlRecord::LegacyConfiguration(_) => "state of an older build",
+        ControlRecord::Vote(_) => "lent",
     }
 }
 
