--- a/crates/server/src/cli/verify.rs
+++ b/crates/server/src/cli/verify.rs
@@ -7,7 +7,7 @@
 use stileroute_config::Config;
 use stileroute_control_group::{PersistedState, Record as ControlRecord};
 use stileroute_queue::{End, Ledger, Record as MessageRecord};
-use stileroute_wal::{Report, State, Trouble};
+use stileroute_wal::{FileState, Report, Trouble};
 
 /// Where a store has its log, in its data folder.
 const STORE_FOLDER: &str = "hold";
@@ -120,13 +120,15 @@
     }
 }
 
-fn file_state_as_text(state: &State) -> String {
+fn file_state_as_text(state: &FileState) -> String {
     match state {
-        State::Whole => "whole".to_string(),
-        State::Torn { at, reason } => format!("torn at byte {at}, cut off at the next start: {reason}"),
-        State::Damaged(reason) => format!("damaged: {reason}"),
-        State::Left => "left over".to_string(),
-        State::Foreign => "foreign".to_string(),
+        FileState::Complete => "whole".to_string(),
+        FileState::TornTail { offset, reason } => {
+            format!("torn at byte {offset}, cut off at the next start: {reason}")
+        }
+        FileState::Corrupted(reason) => format!("damaged: {reason}"),
+        FileState::Obsolete => "left over".to_string(),
+        FileState::Unrecognized => "foreign".to_string(),
     }
 }
 
--- a/crates/server/src/control_node/report.rs
+++ b/crates/server/src/control_node/report.rs
@@ -99,6 +99,6 @@
             &[],
             self.in_hand.len(),
         );
-        crate::store::report::disk(sheet, self.disk.figures());
+        crate::store::report::disk(sheet, self.disk.statistics());
     }
 }
