--- a/crates/server/src/cli/message.rs
+++ b/crates/server/src/cli/message.rs
@@ -8,7 +8,7 @@
 use super::CommandError;
 use crate::signals::Signal;
 use jzon::JsonValue;
-use stileroute_queue::Key;
+use stileroute_queue::{Key, KeyLocation};
 
 /// Shows what each store knows of the message; ends with [`ExitStatus::Failure`] where none knows it.
 ///
@@ -16,7 +16,8 @@
 ///
 /// Where the id can't be one, the entry point can't be used, or no process answers.
 pub fn message(id: &str, query: &Query<'_>) -> Result<ExitStatus, CommandError> {
-    let (key, _) = Key::parse(id).ok_or_else(|| CommandError::InvalidMessageId(id.to_string()))?;
+    let KeyLocation { key, .. } =
+        Key::parse(id).ok_or_else(|| CommandError::InvalidMessageId(id.to_string()))?;
     let fleet = Fleet::discover(&query.entry)?;
     let mut stores = JsonValue::new_object();
     let mut silent: Vec<String> = fleet.silent.values().map(ToString::to_string).collect();
--- a/crates/server/src/cli/verify.rs
+++ b/crates/server/src/cli/verify.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use stileroute_config::Config;
 use stileroute_control_group::{PersistedState, Record as ControlRecord};
-use stileroute_queue::{End, Ledger, Record as MessageRecord};
+use stileroute_queue::{End, Record as MessageRecord, StateTable};
 use stileroute_wal::{FileState, Report, Trouble};
 
 /// Where a store has its log, in its data folder.
@@ -34,40 +34,39 @@
 
 /// Reads the log of a store, and says what its records amount to.
 fn verify_store(folder: &Path) -> Result<JsonValue, Trouble> {
-    let (mut ledger, mut kinds) = (Ledger::default(), KindCounts::default());
+    let (mut table, mut kinds) = (StateTable::default(), KindCounts::default());
     let report =
         stileroute_wal::verify(folder, &mut |bytes| match postcard::from_bytes::<MessageRecord>(bytes) {
             Ok(record) => {
                 kinds.add(message_record_kind(&record));
-                ledger.enter(record);
+                table.apply_record(record);
             }
             Err(_) => kinds.add(UNREADABLE_KIND),
         })?;
-    let count_ends = |test: fn(&End) -> bool| {
-        ledger.all.values().filter(|kept| kept.end.as_ref().is_some_and(|(end, _, _)| test(end))).count()
-    };
-    let live = ledger.all.values().filter(|kept| kept.end.is_none()).count();
-    let callbacks_owed =
-        ledger.all.values().filter(|kept| kept.end.as_ref().is_some_and(|(_, owed, _)| *owed)).count();
+    let ends = || table.messages.values().filter_map(|message| message.end.as_ref());
+    let live = table.messages.values().filter(|message| message.end.is_none()).count();
+    let complete = ends().filter(|stored| matches!(stored.end, End::Complete { .. })).count();
+    let failed = ends().filter(|stored| stored.end == End::Failed).count();
+    let callbacks_owed = ends().filter(|stored| stored.callback_pending).count();
     let mut object = files_as_json(&report);
-    object["disk"] = ledger.disk.map(|disk| format!("{disk:016x}")).into();
+    object["disk"] = table.disk_id.map(|disk| format!("{disk:016x}")).into();
     object["records_by_kind"] = kinds.as_json();
     object["live"] = live.into();
-    object["complete"] = count_ends(|end| matches!(end, End::Complete { .. })).into();
-    object["failed"] = count_ends(|end| *end == End::Failed).into();
+    object["complete"] = complete.into();
+    object["failed"] = failed.into();
     object["callbacks_owed"] = callbacks_owed.into();
     Ok(object)
 }
 
 fn message_record_kind(record: &MessageRecord) -> &'static str {
     match record {
-        MessageRecord::Born { .. } => "born",
+        MessageRecord::IncarnationStarted { .. } => "born",
         MessageRecord::Put { .. } => "put",
-        MessageRecord::End { .. } => "end",
-        MessageRecord::Called { .. } => "called",
-        MessageRecord::Own { .. } => "own",
-        MessageRecord::Drop { .. } => "drop",
-        MessageRecord::Retire => "retire",
+        MessageRecord::Ended { .. } => "end",
+        MessageRecord::CallbackDelivered { .. } => "called",
+        MessageRecord::OwnerChanged { .. } => "own",
+        MessageRecord::Dropped { .. } => "drop",
+        MessageRecord::RetirementOrdered => "retire",
     }
 }
 
