--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -58,12 +58,9 @@
             let _ = said.send((ticket, result));
             let _ = waker.wake();
         };
-        let room = common.boot.means.disk_mb << 20;
-        let options = Options {
-            capacity_bytes: room,
-            max_sync_delay: Duration::from_millis(200),
-            ..Options::new("hold")
-        };
+        let capacity_bytes = common.boot.means.disk_mb << 20;
+        let options =
+            Options { capacity_bytes, max_sync_delay: Duration::from_millis(200), ..Options::new("hold") };
         let (disk, ledger) = Wal::open::<StateTable>(&dir, options, done)
             .map_err(|e| miette::miette!("{}: {e}", dir.display()))?;
         let (number, first) = (ledger.disk_id.unwrap_or_else(lot), first_number(lot()));
@@ -125,12 +122,12 @@
                 self.queue.begin_draining(now);
             }
             self.carry_out();
-            let retiring = match self.queue.retirement_state() {
+            let retirement = match self.queue.retirement_state() {
                 stileroute_queue::RetirementState::NotOrdered => RetirementState::NotRetiring,
                 stileroute_queue::RetirementState::InProgress => RetirementState::Draining,
                 stileroute_queue::RetirementState::Empty => RetirementState::Complete,
             };
-            self.common.retires(retiring);
+            self.common.retires(retirement);
             for line in self.queue.log() {
                 tracing::debug!("{line}");
             }
