--- a/crates/system-test/src/fleet.rs
+++ b/crates/system-test/src/fleet.rs
@@ -424,7 +424,8 @@
         for at in self.here(Role::Core) {
             let log = self.home.join(self.name(Role::Core, at)).join("log");
             let text = fs::read_to_string(log).unwrap_or_default();
-            for line in text.lines().filter(|line| line.contains("what=\"leads\"")) {
+            let became_primary = |line: &&str| BECAME_PRIMARY.iter().any(|words| line.contains(words));
+            for line in text.lines().filter(became_primary) {
                 let epoch = line.split("epoch=").nth(1).and_then(|rest| rest.split(' ').next());
                 let epoch = epoch.and_then(|text| text.parse().ok()).unwrap_or(0);
                 found = found.max(Some((epoch, at)));
@@ -434,6 +435,9 @@
     }
 }
 
+/// What a control node's log says when it becomes primary: by this program, and by those before it, from which a fleet is upgraded.
+const BECAME_PRIMARY: [&str; 2] = ["what=\"became primary\"", "what=\"leads\""];
+
 fn address(net: u8, role: Role, at: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, net, role.number(), at as u8 + 1)
 }
