--- a/crates/capacity/src/control_node.rs
+++ b/crates/capacity/src/control_node.rs
@@ -3,7 +3,7 @@
 use crate::layout::Layout;
 use crate::links::{LinkEvent, Links};
 use crate::net::{Millis, Net};
-use crate::signals::{Class, Heartbeat, Hello, Member, Retiring, Signal};
+use crate::protocol::{Class, Heartbeat, Hello, Member, Retiring, Signal};
 use std::net::SocketAddrV4;
 use stileroute_control_group::{ControlGroup, Effect, GroupSettings, Persisted};
 use stileroute_queue::Node;
--- a/crates/capacity/src/heartbeat.rs
+++ b/crates/capacity/src/heartbeat.rs
@@ -2,7 +2,7 @@
 
 use crate::layout::zone_name;
 use crate::net::Millis;
-use crate::signals::{Heartbeat, Standing};
+use crate::protocol::{Heartbeat, Standing};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 /// How often an executor calls, as on the operators' sites.
--- a/crates/capacity/src/layout.rs
+++ b/crates/capacity/src/layout.rs
@@ -1,7 +1,7 @@
 //! Which nodes, zones and executors a fleet of a given size has.
 
 use crate::links::address;
-use crate::signals::{Class, Hello, PROTOCOL};
+use crate::protocol::{Class, Hello, PROTOCOL};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use stileroute_queue::Node;
 
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Many nodes share one process and one simulated clock. Each of them runs the system's own state machines
 //! (`registry`, `control-group`) and its own connection handling (`crates/server/src/links.rs`), and speaks its own frames
-//! (`crates/server/src/signals.rs`). `stilerouted` is a program without a library, so these two files are compiled here a
+//! (`crates/server/src/protocol.rs`). `stilerouted` is a program without a library, so these two files are compiled here a
 //! second time by `#[path]`, against the simulated network of [`net`]; nothing of `stilerouted` is moved or changed.
 //!
 //! As a unit test this crate is empty: its tests lie in `tests/`, and those of `stilerouted`'s files belong to `stilerouted`.
@@ -27,7 +27,7 @@
 pub mod report;
 pub mod run;
 #[rustfmt::skip] // As above.
-#[path = "../../server/src/signals.rs"]
-pub mod signals;
+#[path = "../../server/src/protocol.rs"]
+pub mod protocol;
 pub mod simulation;
 pub mod traffic;
--- a/crates/capacity/src/member_node.rs
+++ b/crates/capacity/src/member_node.rs
@@ -4,7 +4,7 @@
 use crate::layout::{distance, zone_number, Layout, Place};
 use crate::links::{LinkEvent, Links};
 use crate::net::{Millis, Net};
-use crate::signals::{Class, Heartbeat, Member, News, Retiring, Signal, Standing};
+use crate::protocol::{Class, Heartbeat, Member, News, Retiring, Signal, Standing};
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 use stileroute_queue::Node;
--- a/crates/capacity/src/message.rs
+++ b/crates/capacity/src/message.rs
@@ -2,7 +2,7 @@
 //! stores: real `hold` state machines, joined without a network or a disk.
 
 use crate::allocation::{heap_of, live_bytes};
-use crate::signals::Signal;
+use crate::protocol::Signal;
 use crate::simulation::thread_cpu_ns;
 use crate::traffic::Volume;
 use std::collections::{BTreeMap, HashMap, VecDeque};
--- a/crates/capacity/src/run.rs
+++ b/crates/capacity/src/run.rs
@@ -2,7 +2,7 @@
 
 use crate::layout::{Distance, Layout};
 use crate::net::Millis;
-use crate::signals::Class;
+use crate::protocol::Class;
 use crate::simulation::Simulation;
 use crate::traffic::{Role, Traffic, Volume};
 use std::collections::BTreeMap;
--- a/crates/capacity/src/simulation.rs
+++ b/crates/capacity/src/simulation.rs
@@ -7,7 +7,7 @@
 use crate::links::Links;
 use crate::member_node::MemberNode;
 use crate::net::{Action, ConnId, Event, Millis, Net};
-use crate::signals::{Class, Heartbeat, Signal};
+use crate::protocol::{Class, Heartbeat, Signal};
 use crate::traffic::{Flow, Role, Traffic};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddrV4;
--- a/crates/capacity/src/traffic.rs
+++ b/crates/capacity/src/traffic.rs
@@ -1,7 +1,7 @@
 //! What was sent, by the sender's role, by kind of message and by how far it went.
 
 use crate::layout::Distance;
-use crate::signals::Class;
+use crate::protocol::Class;
 use std::collections::BTreeMap;
 use std::ops::AddAssign;
 
--- a/crates/server/src/args.rs
+++ b/crates/server/src/args.rs
@@ -1,7 +1,7 @@
 //! The command line.
 
 use crate::operate::{self, Asked};
-use crate::signals::Class;
+use crate::protocol::Class;
 use crate::{settings, state, status};
 use gumdrop::Options;
 use std::net::SocketAddrV4;
@@ -198,7 +198,7 @@
             Some(StateCommand::Verify(args)) => state::verify(&args.file, args.json),
         },
         Some(Command::Version(args)) => {
-            let (program, protocol) = (env!("CARGO_PKG_VERSION"), crate::signals::PROTOCOL);
+            let (program, protocol) = (env!("CARGO_PKG_VERSION"), crate::protocol::PROTOCOL);
             match args.json {
                 true => say(&jzon::object! { "program" => program, "protocol" => protocol }.pretty(2)),
                 false => say(&format!("stilerouted {program}, protocol {protocol}")),
--- a/crates/server/src/core.rs
+++ b/crates/server/src/core.rs
@@ -14,8 +14,8 @@
 use crate::links::LinkEvent;
 use crate::net::{Answer, Bounds, ConnId, Event, Millis, Request};
 use crate::node::{lot, Common};
+use crate::protocol::{Class, Heartbeat, Hello, Member, Passed, PassedKind, Retiring, Signal, Standing};
 use crate::report::Told;
-use crate::signals::{Class, Heartbeat, Hello, Member, Passed, PassedKind, Retiring, Signal, Standing};
 use in_hand::{InHand, Origin};
 use ledger::Ledger;
 use std::net::SocketAddrV4;
--- a/crates/server/src/core/in_hand.rs
+++ b/crates/server/src/core/in_hand.rs
@@ -3,7 +3,7 @@
 
 use crate::calls::{Replaced, Retire, Retired, Settings};
 use crate::net::{Answer, ConnId, Millis};
-use crate::signals::{Passed, PassedKind};
+use crate::protocol::{Passed, PassedKind};
 use std::collections::HashMap;
 use stileroute_queue::Node;
 
--- a/crates/server/src/core/report.rs
+++ b/crates/server/src/core/report.rs
@@ -1,10 +1,10 @@
 //! What a control node tells operators.
 
 use super::Core;
-use crate::figures::Sheet;
+use crate::metrics::Sheet;
 use crate::node::Common;
+use crate::protocol::{Class, Standing};
 use crate::report::{member, Told};
-use crate::signals::{Class, Standing};
 use jzon::JsonValue;
 use std::collections::BTreeMap;
 
--- a/crates/server/src/core/retire.rs
+++ b/crates/server/src/core/retire.rs
@@ -5,7 +5,7 @@
 use crate::calls::{CallHandler, Retire, RetireBegin, RetireRead, Retired};
 use crate::net::Millis;
 use crate::node::number;
-use crate::signals::{Class, Passed, Retiring, Signal};
+use crate::protocol::{Class, Passed, Retiring, Signal};
 use std::collections::BTreeMap;
 use stileroute_control_group::{ControlState, Stage};
 use stileroute_queue::Node;
--- a/crates/server/src/core/tests.rs
+++ b/crates/server/src/core/tests.rs
@@ -5,7 +5,7 @@
 use super::retire::{judge, standing, Judgement, Told};
 use crate::calls::{Retired, LARGEST_CONFIGURATION};
 use crate::node::number;
-use crate::signals::{Class, Member, Passed, PassedKind, Retiring};
+use crate::protocol::{Class, Member, Passed, PassedKind, Retiring};
 use assert_matches::assert_matches;
 use std::net::Ipv4Addr;
 use stileroute_control_group::{ControlState, Record, Retirement, Stage, RETIREMENTS};
--- a/crates/server/src/edge/asking.rs
+++ b/crates/server/src/edge/asking.rs
@@ -4,7 +4,7 @@
 //! counts, but it ends no wait but its own.
 
 use crate::net::{ConnId, Millis};
-use crate::signals::Found;
+use crate::protocol::Found;
 use stileroute_queue::{Key, Message, Node, Refusal};
 
 /// A message that is offered to stores until one has taken it.
--- a/crates/server/src/edge/report.rs
+++ b/crates/server/src/edge/report.rs
@@ -1,7 +1,7 @@
 //! What an edge tells operators.
 
 use super::Edge;
-use crate::figures::Sheet;
+use crate::metrics::Sheet;
 use crate::node::Common;
 use crate::report::Told;
 use jzon::JsonValue;
--- a/crates/server/src/links.rs
+++ b/crates/server/src/links.rs
@@ -1,7 +1,7 @@
 //! Connections between the system's own processes: opened again when they break, given up when nothing is heard.
 
 use crate::net::{ConnId, Event, Millis, Net};
-use crate::signals::{Class, Hello, Signal, PROTOCOL};
+use crate::protocol::{Class, Hello, Signal, PROTOCOL};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use stileroute_queue::Node;
--- a/crates/server/src/net/client.rs
+++ b/crates/server/src/net/client.rs
@@ -1,8 +1,10 @@
 //! Requests that go out, each on a connection that carries nothing else meanwhile: which connection takes one, and when it
-//! is given up. What bytes on it mean is told by `exchange`.
+//! is given up. What bytes on it mean is told by `connection`.
+
+pub(super) mod connection;
 
-use super::exchange::{Call, Exchange, Failure, Step};
 use super::{ConnId, Event, Millis, Net, Side, CONNECT};
+use connection::{Call, Exchange, Failure, Step};
 use mio::net::TcpStream;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, SocketAddrV4};
--- a/crates/server/src/net/exchange.rs
+++ b/crates/server/src/net/client/connection.rs
@@ -3,8 +3,8 @@
 //! A connection carries one request at a time. Its answer is tied to it by the connection and, where the other side
 //! repeats it, by the request's id. Once the tie is lost the connection is not used again.
 
-use super::planted::{planted, Planted};
-use super::Millis;
+use super::super::fault_injection::{planted, Planted};
+use super::super::Millis;
 use httparse::Status;
 use std::collections::VecDeque;
 use stileroute_dispatch::types::mark;
@@ -43,7 +43,7 @@
 }
 
 /// A call that is under way.
-pub(super) struct Call {
+pub(in crate::net) struct Call {
     pub ticket: u64,
     pub deadline: Millis,
     /// The request's id, where its answer has to repeat it.
@@ -54,7 +54,7 @@
 
 /// What came of bytes or of an end.
 #[derive(Debug)]
-pub(super) enum Step {
+pub(in crate::net) enum Step {
     Wait,
     /// Nothing is under way, and the connection can't be used again.
     Close,
@@ -67,7 +67,7 @@
 }
 
 #[derive(Default)]
-pub(super) struct Exchange {
+pub(in crate::net) struct Exchange {
     call: Option<Call>,
     /// Marks of the requests that this connection has carried, the last first.
     carried: VecDeque<u64>,
@@ -76,7 +76,7 @@
 }
 
 /// Most of one answer's bytes.
-pub(super) const MOST: usize = 1 << 20;
+pub(in crate::net) const MOST: usize = 1 << 20;
 /// An idle connection is given up so long before the other side would close it, and after so long where it says nothing.
 const MARGIN: Millis = 400;
 const IDLE: Millis = 4000;
--- a/crates/server/src/net/exchange/generated.rs
+++ b/crates/server/src/net/client/connection/generated.rs
@@ -1,8 +1,8 @@
 //! Connections to executors played by chance: every split of bytes, early and late ends, second answers, answers to others.
 //! What is right is known from how the bytes were made.
 
-use super::super::generator::Generator;
-use super::super::planted::{with, Planted};
+use super::super::super::fault_injection::{with, Planted};
+use super::super::super::random::Generator;
 use super::*;
 
 const CONNECTIONS: u64 = 20_000;
--- a/crates/server/src/net/frames/tests.rs
+++ b/crates/server/src/net/framing/tests.rs
@@ -1,4 +1,4 @@
-use super::super::generator::Generator;
+use super::super::random::Generator;
 use super::*;
 
 #[test]
--- a/crates/server/src/net/mod.rs
+++ b/crates/server/src/net/mod.rs
@@ -4,18 +4,16 @@
 //! calls are charged on the small machines this runs on.
 
 mod client;
-mod dialogue;
-mod exchange;
-mod frames;
+pub mod fault_injection;
+mod framing;
 #[cfg(test)]
-mod generator;
-pub mod planted;
+mod random;
 mod server;
 
-pub use dialogue::{Answer, Bounds, Request};
-pub use exchange::{Failure, Reply};
+pub use client::connection::{Failure, Reply};
+pub use server::connection::{Answer, Bounds, Request};
 
-use crate::figures::Histogram;
+use crate::metrics::Histogram;
 use client::{Outward, Pool, PoolKey};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
@@ -330,7 +328,7 @@
             self.close(id);
             return;
         }
-        frames::append(&mut conn.out, frame);
+        framing::append(&mut conn.out, frame);
         self.soil(id);
     }
 
@@ -439,9 +437,9 @@
                         _ => (conn.input.len(), None),
                     };
                     let most = match (&conn.side, port) {
-                        (Side::Peer, _) => frames::LONGEST + 8,
+                        (Side::Peer, _) => framing::LONGEST + 8,
                         (_, Some(port)) => self.bounds(port).most().max(1 << 20),
-                        _ => exchange::MOST,
+                        _ => client::connection::MOST,
                     };
                     if length > most {
                         match self.get(id).map(|conn| &conn.side) {
@@ -499,7 +497,7 @@
 
     fn take_frames(&mut self, id: ConnId) {
         let Some(conn) = self.get(id) else { return };
-        let (frames, end) = frames::take(&mut conn.input);
+        let (frames, end) = framing::take(&mut conn.input);
         if conn.input.is_empty() && conn.input.capacity() > KEEP {
             conn.input = Vec::new();
         }
--- a/crates/server/src/net/server.rs
+++ b/crates/server/src/net/server.rs
@@ -1,8 +1,10 @@
 //! Requests that come in: when one is waited for no longer, and what is done once a connection has its last answer. What
-//! bytes mean is told by `dialogue`.
+//! bytes mean is told by `connection`.
+
+pub(super) mod connection;
 
-use super::dialogue::{Answer, Bounds, Dialogue, Read, CONTINUE};
 use super::{ConnId, Event, Millis, Net, Side};
+use connection::{Answer, Bounds, Dialogue, Read, CONTINUE};
 
 pub(super) struct Inward {
     pub port: usize,
--- a/crates/server/src/net/dialogue.rs
+++ b/crates/server/src/net/server/connection.rs
@@ -3,7 +3,7 @@
 //! One request at a time is with the role, and the next is read only when that is answered: an answer belongs to the one
 //! request that is in hand. After a request that can't be read nothing more is read.
 
-use super::Millis;
+use super::super::Millis;
 use httparse::Status;
 use std::io::Write;
 use stileroute_http1::{self as http1, framing, has_token, header, Chunks, Framing};
@@ -63,7 +63,7 @@
 
 /// What came of the bytes so far.
 #[derive(Debug)]
-pub(super) enum Read {
+pub(in crate::net) enum Read {
     Nothing,
     /// Part of a request. `first`: its first bytes; `expects`: its sender waits for `CONTINUE` before it sends the body.
     Part {
@@ -76,10 +76,10 @@
 }
 
 /// What a sender that asked for it is told before it sends a body.
-pub(super) const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+pub(in crate::net) const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 #[derive(Default)]
-pub(super) struct Dialogue {
+pub(in crate::net) struct Dialogue {
     /// A request is with the role; the next waits in the buffer.
     busy: bool,
     /// Bytes of a request have come, and not all of it.
--- a/crates/server/src/net/dialogue/generated.rs
+++ b/crates/server/src/net/server/connection/generated.rs
@@ -1,6 +1,6 @@
 //! Connections of clients played by chance: requests one behind the other, split anywhere, cut short, or malformed.
 
-use super::super::generator::Generator;
+use super::super::super::random::Generator;
 use super::*;
 
 const CONNECTIONS: u64 = 20_000;
--- a/crates/server/src/node.rs
+++ b/crates/server/src/node.rs
@@ -2,9 +2,9 @@
 
 use crate::links::{LinkEvent, Links};
 use crate::net::{Bounds, Event, Millis, Net};
+use crate::protocol::{Class, Hello, Member, News, Retiring, Signal, PROTOCOL};
 use crate::report::Inquiry;
 use crate::settings;
-use crate::signals::{Class, Hello, Member, News, Retiring, Signal, PROTOCOL};
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/server/src/report.rs
+++ b/crates/server/src/report.rs
@@ -1,10 +1,10 @@
 //! What a process tells of itself: to the command line over the internal protocol, and as figures.
 
-use crate::figures::Sheet;
 use crate::links::LinkEvent;
+use crate::metrics::Sheet;
 use crate::net::{Answer, ConnId, Event};
 use crate::node::Common;
-use crate::signals::{Class, Signal, PROTOCOL};
+use crate::protocol::{Class, Signal, PROTOCOL};
 use jzon::JsonValue;
 use stileroute_queue::{Key, Node};
 
@@ -181,7 +181,7 @@
     }
 }
 
-pub fn member(member: &crate::signals::Member) -> JsonValue {
+pub fn member(member: &crate::protocol::Member) -> JsonValue {
     jzon::object! {
         "node" => member.name.clone(),
         "class" => member.class.to_string(),
--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -5,7 +5,7 @@
 
 use crate::args::{say, UNUSABLE};
 use crate::calls::LARGEST_CONFIGURATION;
-use crate::signals::Class;
+use crate::protocol::Class;
 use jzon::JsonValue;
 use std::path::Path;
 use stileroute_config::{Boot, Config, Fault, Faults};
--- a/crates/server/src/status.rs
+++ b/crates/server/src/status.rs
@@ -3,7 +3,7 @@
 use crate::args::{say, UNUSABLE};
 use crate::links;
 use crate::node::lot;
-use crate::signals::{Class, Hello, Signal, PROTOCOL};
+use crate::protocol::{Class, Hello, Signal, PROTOCOL};
 use jzon::JsonValue;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -3,11 +3,11 @@
 pub mod report;
 
 use crate::links::LinkEvent;
-use crate::net::planted::{planted, Planted};
+use crate::net::fault_injection::{planted, Planted};
 use crate::net::{Event, Failure, Millis, Reply};
 use crate::node::{lot, wall, Common};
+use crate::protocol::{Class, Found, Heartbeat, Retiring, Signal, Standing};
 use crate::report::Told;
-use crate::signals::{Class, Found, Heartbeat, Retiring, Signal, Standing};
 use std::collections::HashMap;
 use std::io::Write;
 use std::net::SocketAddrV4;
--- a/crates/server/src/store/report.rs
+++ b/crates/server/src/store/report.rs
@@ -1,7 +1,7 @@
 //! What a store tells operators.
 
 use super::Store;
-use crate::figures::{Histogram, Sheet};
+use crate::metrics::{Histogram, Sheet};
 use crate::net::Failure;
 use crate::node::Common;
 use crate::report::Told;
--- a/crates/server/src/store/tests.rs
+++ b/crates/server/src/store/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::net::planted;
+use crate::net::fault_injection;
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -78,6 +78,9 @@
 #[test]
 fn a_message_is_answered_when_the_disk_has_it() {
     assert!(!answered_before_the_disk("kept"));
-    let fault = Some(planted::Planted::AnswerBeforeDisk);
-    assert!(planted::with(fault, || answered_before_the_disk("planted")), "the planted fault is not found");
+    let fault = Some(fault_injection::Planted::AnswerBeforeDisk);
+    assert!(
+        fault_injection::with(fault, || answered_before_the_disk("planted")),
+        "the planted fault is not found"
+    );
 }
