--- a/crates/capacity/src/control_node.rs
+++ b/crates/capacity/src/control_node.rs
@@ -3,7 +3,7 @@
 use crate::layout::Layout;
 use crate::links::{LinkEvent, Links};
 use crate::net::{Millis, Net};
-use crate::protocol::{Heartbeat, Hello, Member, NodeRole, RetirementState, Signal};
+use crate::protocol::{Frame, Heartbeat, Member, NodeRole, PeerInfo, RetirementState};
 use std::net::SocketAddrV4;
 use stileroute_control_group::{ControlGroup, Effect, GroupSettings, Persisted};
 use stileroute_queue::Node;
@@ -27,15 +27,15 @@
     disk: Persisted,
 }
 
-fn member_of(hello: &Hello, config: u64) -> Member {
+fn member_of(hello: &PeerInfo, config: u64) -> Member {
     Member {
         node: hello.node,
         name: hello.name.clone(),
-        role: hello.class,
+        role: hello.role,
         zone: hello.zone.clone(),
         ip: hello.ip,
-        incarnation: hello.life,
-        control_address: hello.control,
+        incarnation: hello.incarnation,
+        control_address: hello.control_address,
         config_version: config,
         retirement: RetirementState::NotRetiring,
     }
@@ -43,13 +43,13 @@
 
 impl ControlNode {
     /// `disk`: what an earlier life has kept; none at the first start.
-    pub fn new(hello: &Hello, layout: &Layout, disk: Option<Persisted>, now: Millis) -> ControlNode {
+    pub fn new(hello: &PeerInfo, layout: &Layout, disk: Option<Persisted>, now: Millis) -> ControlNode {
         let seeds = layout.seeds();
-        let me = hello.control.unwrap_or(SocketAddrV4::new(hello.ip, 0));
-        let settings = GroupSettings::new(me, seeds.clone(), disk.is_none(), LOSSES, hello.life);
+        let me = hello.control_address.unwrap_or(SocketAddrV4::new(hello.ip, 0));
+        let settings = GroupSettings::new(me, seeds.clone(), disk.is_none(), LOSSES, hello.incarnation);
         let disk = disk.unwrap_or_default();
         ControlNode {
-            registry: Registry::new(member_of(hello, 0), hello.life, crate::heartbeat::INTERVAL, now),
+            registry: Registry::new(member_of(hello, 0), hello.incarnation, crate::heartbeat::INTERVAL, now),
             group: ControlGroup::new(settings, disk.clone(), now),
             seeds,
             writing: Vec::new(),
@@ -84,8 +84,8 @@
 
     pub fn link_event(&mut self, links: &Links, now: Millis, link_event: LinkEvent) {
         match link_event {
-            LinkEvent::Up(hello) if hello.class == NodeRole::Control => {
-                if let Some(control) = hello.control {
+            LinkEvent::Up(hello) if hello.role == NodeRole::Control => {
+                if let Some(control) = hello.control_address {
                     self.group.link(now, control, true);
                     self.group.learn(control);
                 }
@@ -101,25 +101,33 @@
                 self.registry.peer_disconnected(node);
             }
             LinkEvent::Down(node, _) => self.registry.session_disconnected(now, node),
-            LinkEvent::Said(from, class, signal) => self.said(links, now, from, class, signal),
+            LinkEvent::Received(from, class, signal) => self.said(links, now, from, class, signal),
         }
     }
 
-    fn said(&mut self, links: &Links, now: Millis, from: Node, class: NodeRole, signal: Signal) {
+    fn said(&mut self, links: &Links, now: Millis, from: Node, class: NodeRole, signal: Frame) {
         match (class, signal) {
-            (NodeRole::Control, Signal::Control(signal)) => {
-                if let Some(voter) = links.hello(from).and_then(|hello| hello.control) {
+            (NodeRole::Control, Frame::ControlGroup(signal)) => {
+                if let Some(voter) = links.peer(from).and_then(|hello| hello.control_address) {
                     self.group.signal(now, voter, signal);
                 }
             }
-            (NodeRole::Control, Signal::Sessions(members)) => {
+            (NodeRole::Control, Frame::Sessions(members)) => {
                 self.registry.record_peer_sessions(now, from, members)
             }
-            (NodeRole::Control, Signal::Heartbeats(heartbeats)) => {
+            (NodeRole::Control, Frame::Heartbeats(heartbeats)) => {
                 self.registry.merge_peer_heartbeats(now, heartbeats)
             }
-            (_, Signal::Ask { life, version, config, retiring }) if class != NodeRole::Control => {
-                if let Some(hello) = links.hello(from) {
+            (
+                _,
+                Frame::UpdateRequest {
+                    incarnation: life,
+                    version,
+                    config_version: config,
+                    retirement: retiring,
+                },
+            ) if class != NodeRole::Control => {
+                if let Some(hello) = links.peer(from) {
                     let member = Member { retirement: retiring, ..member_of(hello, config) };
                     self.registry.record_poll(now, member, life, version);
                 }
@@ -150,8 +158,8 @@
             for effect in effects {
                 match effect {
                     Effect::Send { to, signal } => {
-                        if let Some(node) = links.by_control(to) {
-                            links.say(net, node, &Signal::Control(signal));
+                        if let Some(node) = links.node_at_control_address(to) {
+                            links.send(net, node, &Frame::ControlGroup(signal));
                         }
                     }
                     Effect::Persist { ticket, record } => {
@@ -166,17 +174,17 @@
 
     /// Of two control nodes the one with the lower address opens the connection; one that is no seed opens all.
     fn connect(&mut self, links: &mut Links, now: Millis) {
-        let me = links.me().ip;
+        let me = links.local().ip;
         let mut all: Vec<std::net::Ipv4Addr> = self.seeds.iter().map(|seed| *seed.ip()).collect();
         all.extend(self.group.view().iter().flat_map(|watch| watch.voters.iter().map(|voter| *voter.ip())));
         all.extend(self.registry.members.iter().filter(|m| m.role == NodeRole::Control).map(|m| m.ip));
         let seed = self.seeds.iter().any(|seed| *seed.ip() == me);
         let opens = |ip: &std::net::Ipv4Addr| {
-            *ip > me || (!seed && *ip != me && links.hellos(NodeRole::Control).all(|hello| hello.ip != *ip))
+            *ip > me || (!seed && *ip != me && links.peers(NodeRole::Control).all(|hello| hello.ip != *ip))
         };
         let wanted: Vec<SocketAddrV4> =
-            all.into_iter().filter(opens).map(|ip| links.address(ip, NodeRole::Control)).collect();
-        links.want(now, wanted);
+            all.into_iter().filter(opens).map(|ip| links.listen_address(ip, NodeRole::Control)).collect();
+        links.set_dial_targets(now, wanted);
     }
 
     /// Who is there, and who is told of it.
@@ -185,8 +193,8 @@
         let in_touch = self.group.in_touch(now);
         if now >= self.heard_at {
             self.heard_at = now + HEARD_EVERY;
-            for core in links.class(NodeRole::Control) {
-                if let Some(at) = links.heard(core) {
+            for core in links.nodes_with_role(NodeRole::Control) {
+                if let Some(at) = links.last_heard_at(core) {
                     self.registry.peer_heard(core, at);
                 }
             }
@@ -195,19 +203,19 @@
         self.registry.tick(now, in_touch, committed);
         for notice in self.registry.take_effects() {
             let (to, signal) = match notice {
-                RegistryEffect::SendUpdate { to, update } => (vec![to], Signal::News(update)),
+                RegistryEffect::SendUpdate { to, update } => (vec![to], Frame::Update(update)),
                 RegistryEffect::SendHeartbeats { to, heartbeats } => {
-                    (vec![to], Signal::Heartbeats(heartbeats))
+                    (vec![to], Frame::Heartbeats(heartbeats))
                 }
                 RegistryEffect::BroadcastHeartbeats(heartbeats) => {
-                    (links.class(NodeRole::Control), Signal::Heartbeats(heartbeats))
+                    (links.nodes_with_role(NodeRole::Control), Frame::Heartbeats(heartbeats))
                 }
                 RegistryEffect::BroadcastSessions(all) => {
-                    (links.class(NodeRole::Control), Signal::Sessions(all))
+                    (links.nodes_with_role(NodeRole::Control), Frame::Sessions(all))
                 }
             };
             for node in to {
-                links.say(net, node, &signal);
+                links.send(net, node, &signal);
             }
         }
     }
--- a/crates/capacity/src/layout.rs
+++ b/crates/capacity/src/layout.rs
@@ -1,7 +1,7 @@
 //! Which nodes, zones and executors a fleet of a given size has.
 
-use crate::links::address;
-use crate::protocol::{Hello, NodeRole, PROTOCOL};
+use crate::links::listen_address;
+use crate::protocol::{NodeRole, PeerInfo, PROTOCOL_VERSION};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use stileroute_queue::Node;
 
@@ -78,19 +78,19 @@
     }
 
     pub fn listens_at(&self) -> SocketAddrV4 {
-        address(INTERNAL_PORTS, self.ip, self.class)
+        listen_address(INTERNAL_PORTS, self.ip, self.class)
     }
 
-    pub fn hello(&self, life: u64) -> Hello {
-        Hello {
-            protocol: PROTOCOL,
+    pub fn peer_info(&self, incarnation: u64) -> PeerInfo {
+        PeerInfo {
+            protocol_version: PROTOCOL_VERSION,
             node: self.node(),
             name: self.name.clone(),
-            class: self.class,
+            role: self.class,
             zone: zone_name(self.zone),
             ip: self.ip,
-            life,
-            control: self.control(),
+            incarnation,
+            control_address: self.control(),
         }
     }
 }
--- a/crates/capacity/src/member_node.rs
+++ b/crates/capacity/src/member_node.rs
@@ -4,9 +4,7 @@
 use crate::layout::{distance, zone_number, Layout, Place};
 use crate::links::{LinkEvent, Links};
 use crate::net::{Millis, Net};
-use crate::protocol::{
-    ExecutorState, Heartbeat, Member, MembershipUpdate, NodeRole, RetirementState, Signal,
-};
+use crate::protocol::{ExecutorState, Frame, Heartbeat, Member, MembershipUpdate, NodeRole, RetirementState};
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 use stileroute_queue::Node;
@@ -67,10 +65,10 @@
     pub fn link_event(&mut self, links: &mut Links, net: &mut Net, link_event: LinkEvent) {
         match link_event {
             LinkEvent::Up(_) | LinkEvent::Down(..) => self.stirred = true,
-            LinkEvent::Said(from, NodeRole::Control, Signal::News(news)) => {
+            LinkEvent::Received(from, NodeRole::Control, Frame::Update(news)) => {
                 self.heard(links, net, from, news)
             }
-            LinkEvent::Said(..) => {}
+            LinkEvent::Received(..) => {}
         }
     }
 
@@ -85,9 +83,9 @@
             (self.session, self.asked) = (None, None);
         }
         if self.session.is_none() {
-            let turn = links.me().node & 31;
+            let turn = links.local().node & 31;
             let near = |zone: &str| zone_number(zone).map(|zone| distance(self.zone, zone));
-            let known = links.hellos(NodeRole::Control);
+            let known = links.peers(NodeRole::Control);
             let first = known.map(|h| (near(&h.zone), h.node.rotate_left(turn), h.node)).min();
             self.session = first.map(|(.., node)| node);
             self.ask(links, net);
@@ -96,13 +94,13 @@
 
     fn ask(&mut self, links: &mut Links, net: &mut Net) {
         let Some(with) = self.session else { return };
-        let ask = Signal::Ask {
-            life: self.life,
+        let ask = Frame::UpdateRequest {
+            incarnation: self.life,
             version: self.version,
-            config: self.config,
-            retiring: RetirementState::NotRetiring,
+            config_version: self.config,
+            retirement: RetirementState::NotRetiring,
         };
-        if links.say(net, with, &ask) {
+        if links.send(net, with, &ask) {
             self.asked = Some(net.now());
         }
     }
@@ -150,10 +148,10 @@
     fn cores(&self, links: &Links) -> Vec<SocketAddrV4> {
         let near = self.controls.iter().filter(|(_, zone)| *zone == Some(self.zone)).map(|(c, _)| *c);
         let near: Vec<SocketAddrV4> = near.collect();
-        let near_up = near.iter().any(|control| links.by_control(*control).is_some());
+        let near_up = near.iter().any(|control| links.node_at_control_address(*control).is_some());
         let all = || self.controls.iter().map(|(control, _)| *control).collect();
         let chosen = if near_up { near } else { all() };
-        chosen.into_iter().map(|control| links.address(*control.ip(), NodeRole::Control)).collect()
+        chosen.into_iter().map(|control| links.listen_address(*control.ip(), NodeRole::Control)).collect()
     }
 
     /// An edge opens connections with all stores; of two stores the one with the lower address opens it.
@@ -163,9 +161,9 @@
         }
         self.stirred_at = now + AROUND;
         let mut wanted = self.cores(links);
-        let me = links.me().ip;
+        let me = links.local().ip;
         let dials = |m: &&Member| m.role == NodeRole::Store && (self.class == NodeRole::Edge || m.ip > me);
-        wanted.extend(self.members.iter().filter(dials).map(|m| links.address(m.ip, NodeRole::Store)));
-        links.want(now, wanted);
+        wanted.extend(self.members.iter().filter(dials).map(|m| links.listen_address(m.ip, NodeRole::Store)));
+        links.set_dial_targets(now, wanted);
     }
 }
--- a/crates/capacity/src/message.rs
+++ b/crates/capacity/src/message.rs
@@ -2,7 +2,7 @@
 //! stores: real `hold` state machines, joined without a network or a disk.
 
 use crate::allocation::{heap_of, live_bytes};
-use crate::protocol::Signal;
+use crate::protocol::Frame;
 use crate::simulation::thread_cpu_ns;
 use crate::traffic::Volume;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -201,10 +201,10 @@
                 self.queues[at].kept(self.now, ticket, true);
             }
             Effect::Send { to, note } => {
-                let signal = Signal::PeerMessage(note);
-                let bytes = postcard::to_stdvec(&signal).map_or(0, |bytes| bytes.len() + FRAME_HEAD) as u64;
-                *self.frames.entry(signal.about()).or_default() += Volume { messages: 1, bytes };
-                if let Signal::PeerMessage(note) = signal {
+                let frame = Frame::Queue(note);
+                let bytes = postcard::to_stdvec(&frame).map_or(0, |bytes| bytes.len() + FRAME_HEAD) as u64;
+                *self.frames.entry(frame.category()).or_default() += Volume { messages: 1, bytes };
+                if let Frame::Queue(note) = frame {
                     notes.push_back((to as usize - 1, at as Node + 1, note));
                 }
             }
--- a/crates/capacity/src/net.rs
+++ b/crates/capacity/src/net.rs
@@ -3,45 +3,45 @@
 use std::net::SocketAddrV4;
 
 /// A connection, numbered over all nodes of the simulation.
-pub type ConnId = u64;
+pub type ConnectionId = u64;
 /// Milliseconds on the simulated clock.
 pub type Millis = u64;
 
 /// What the network tells a node.
 #[derive(Debug)]
 pub enum Event {
-    PeerUp {
-        conn: ConnId,
+    PeerConnected {
+        connection: ConnectionId,
     },
-    PeerDown {
-        conn: ConnId,
+    PeerDisconnected {
+        connection: ConnectionId,
     },
-    Frame {
-        conn: ConnId,
+    PeerFrame {
+        connection: ConnectionId,
         bytes: Vec<u8>,
     },
     /// Never sent here: the real network has events that are not of links.
-    Woken,
+    WakeUp,
 }
 
 /// What a node has told the network to do in one turn.
 #[derive(Debug)]
 pub enum Action {
-    Dial { conn: ConnId, to: SocketAddrV4 },
-    Send { conn: ConnId, bytes: Vec<u8> },
-    Close { conn: ConnId },
+    Dial { conn: ConnectionId, to: SocketAddrV4 },
+    Send { conn: ConnectionId, bytes: Vec<u8> },
+    Close { conn: ConnectionId },
 }
 
 /// Collects what one node does; the simulation carries it out after the node's turn.
 pub struct Net {
     now: Millis,
-    next_conn: ConnId,
+    next_conn: ConnectionId,
     actions: Vec<Action>,
 }
 
 impl Net {
     /// `first_conn`: connections that this node opens are numbered from here on.
-    pub fn new(now: Millis, first_conn: ConnId) -> Net {
+    pub fn new(now: Millis, first_conn: ConnectionId) -> Net {
         Net { now, next_conn: first_conn, actions: Vec::new() }
     }
 
@@ -57,22 +57,22 @@
         std::mem::take(&mut self.actions)
     }
 
-    pub fn dial(&mut self, to: SocketAddrV4) -> Option<ConnId> {
+    pub fn dial(&mut self, to: SocketAddrV4) -> Option<ConnectionId> {
         self.next_conn += 1;
         self.actions.push(Action::Dial { conn: self.next_conn, to });
         Some(self.next_conn)
     }
 
-    pub fn send(&mut self, conn: ConnId, frame: &[u8]) {
+    pub fn send(&mut self, conn: ConnectionId, frame: &[u8]) {
         self.actions.push(Action::Send { conn, bytes: frame.to_vec() });
     }
 
-    pub fn close(&mut self, conn: ConnId) {
+    pub fn close(&mut self, conn: ConnectionId) {
         self.actions.push(Action::Close { conn });
     }
 
     /// The real network cuts a connection on which something unreadable came.
-    pub fn garble(&mut self, conn: ConnId) {
+    pub fn close_malformed(&mut self, conn: ConnectionId) {
         self.close(conn);
     }
 }
--- a/crates/capacity/src/simulation.rs
+++ b/crates/capacity/src/simulation.rs
@@ -6,8 +6,8 @@
 use crate::layout::{distance, Distance, Layout, INTERNAL_PORTS};
 use crate::links::Links;
 use crate::member_node::MemberNode;
-use crate::net::{Action, ConnId, Event, Millis, Net};
-use crate::protocol::{Heartbeat, NodeRole, Signal};
+use crate::net::{Action, ConnectionId, Event, Millis, Net};
+use crate::protocol::{Frame, Heartbeat, NodeRole};
 use crate::traffic::{Flow, Role, Traffic};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddrV4;
@@ -16,7 +16,7 @@
 /// Each frame is preceded by its length.
 const FRAME_HEAD: usize = 4;
 /// Numbers of connections that one life of a node opens.
-const CONNS_OF_A_LIFE: ConnId = 1 << 24;
+const CONNS_OF_A_LIFE: ConnectionId = 1 << 24;
 /// All processes begin within so long of each other.
 const START_SPREAD: Millis = 300;
 /// Bytes of a configuration in which its version stands.
@@ -76,8 +76,8 @@
     disks: Vec<Option<Persisted>>,
     by_address: HashMap<SocketAddrV4, usize>,
     /// The other end of each connection, and whose it is.
-    ends: HashMap<ConnId, (usize, ConnId)>,
-    conns_of: Vec<BTreeSet<ConnId>>,
+    ends: HashMap<ConnectionId, (usize, ConnectionId)>,
+    conns_of: Vec<BTreeSet<ConnectionId>>,
     deliveries: BTreeMap<Millis, Vec<(usize, Delivery)>>,
     wakes: BTreeSet<(Millis, usize)>,
     starts: BTreeSet<(Millis, usize)>,
@@ -86,7 +86,7 @@
     pub traffic: Traffic,
     pub costs: Vec<Cost>,
     lives: u64,
-    accepted: ConnId,
+    accepted: ConnectionId,
     seed: u64,
 }
 
@@ -230,7 +230,7 @@
         let before = live_bytes();
         self.lives += 1;
         let place = &self.layout.places[at];
-        let hello = place.hello(self.seed ^ (self.lives << 32));
+        let hello = place.peer_info(self.seed ^ (self.lives << 32));
         let part = match place.class {
             NodeRole::Control => {
                 let disk = self.disks[at].take();
@@ -297,10 +297,14 @@
         }
     }
 
-    fn dial(&mut self, at: usize, conn: ConnId, to: SocketAddrV4) {
+    fn dial(&mut self, at: usize, conn: ConnectionId, to: SocketAddrV4) {
         let other = self.by_address.get(&to).copied().filter(|other| self.nodes[*other].is_some());
         let Some(other) = other else {
-            return self.deliver(self.now + 1, at, Delivery::Link(Event::PeerDown { conn }));
+            return self.deliver(
+                self.now + 1,
+                at,
+                Delivery::Link(Event::PeerDisconnected { connection: conn }),
+            );
         };
         self.accepted += 1;
         let accepted = self.accepted;
@@ -309,37 +313,37 @@
         self.conns_of[at].insert(conn);
         self.conns_of[other].insert(accepted);
         let way = delay(self.far(at, other));
-        self.deliver(self.now + 2 * way, at, Delivery::Link(Event::PeerUp { conn }));
-        self.deliver(self.now + way, other, Delivery::Link(Event::PeerUp { conn: accepted }));
+        self.deliver(self.now + 2 * way, at, Delivery::Link(Event::PeerConnected { connection: conn }));
+        self.deliver(self.now + way, other, Delivery::Link(Event::PeerConnected { connection: accepted }));
     }
 
     fn far(&self, from: usize, to: usize) -> Distance {
         distance(self.layout.places[from].zone, self.layout.places[to].zone)
     }
 
-    fn send(&mut self, at: usize, conn: ConnId, bytes: Vec<u8>) {
+    fn send(&mut self, at: usize, conn: ConnectionId, bytes: Vec<u8>) {
         let Some((other, there)) = self.ends.get(&conn).copied() else { return };
         let far = self.far(at, other);
         let sender = Role::from(self.layout.places[at].class);
-        let kind = postcard::from_bytes::<Signal>(&bytes).map_or("unread", |signal| signal.about());
+        let kind = postcard::from_bytes::<Frame>(&bytes).map_or("unread", |frame| frame.category());
         let flow = Flow { sender, kind, distance: far };
         self.traffic.count(flow, bytes.len() + FRAME_HEAD, Some(at), Some(other));
-        let event = Event::Frame { conn: there, bytes };
+        let event = Event::PeerFrame { connection: there, bytes };
         self.deliver(self.now + delay(far), other, Delivery::Link(event));
     }
 
-    fn cut(&mut self, at: usize, conn: ConnId) {
+    fn cut(&mut self, at: usize, conn: ConnectionId) {
         let Some((other, there)) = self.ends.remove(&conn) else { return };
         self.ends.remove(&there);
         self.conns_of[other].remove(&there);
         let way = delay(self.far(at, other));
-        self.deliver(self.now + way, other, Delivery::Link(Event::PeerDown { conn: there }));
+        self.deliver(self.now + way, other, Delivery::Link(Event::PeerDisconnected { connection: there }));
     }
 }
 
 fn heap_bytes(delivery: &Delivery) -> i64 {
     match delivery {
-        Delivery::Link(Event::Frame { bytes, .. }) => bytes.capacity() as i64,
+        Delivery::Link(Event::PeerFrame { bytes, .. }) => bytes.capacity() as i64,
         Delivery::Link(_) => 0,
         Delivery::Heartbeat(heartbeat) => {
             (heartbeat.id.capacity() + heartbeat.backend.capacity() + heartbeat.zone.capacity()) as i64
--- a/crates/server/src/args.rs
+++ b/crates/server/src/args.rs
@@ -198,7 +198,7 @@
             Some(StateCommand::Verify(args)) => state::verify(&args.file, args.json),
         },
         Some(Command::Version(args)) => {
-            let (program, protocol) = (env!("CARGO_PKG_VERSION"), crate::protocol::PROTOCOL);
+            let (program, protocol) = (env!("CARGO_PKG_VERSION"), crate::protocol::PROTOCOL_VERSION);
             match args.json {
                 true => say(&jzon::object! { "program" => program, "protocol" => protocol }.pretty(2)),
                 false => say(&format!("stilerouted {program}, protocol {protocol}")),
--- a/crates/server/src/calls.rs
+++ b/crates/server/src/calls.rs
@@ -1,324 +1,447 @@
-//! The calls of executors and operators: each a pair of types, its call and its answer, behind one handler.
+//! The HTTP calls of executors and operators to a control node: what each one accepts, and the answers it can have.
+//!
+//! A call is a type that implements [`Call`]; its answers are an enum that converts into a [`Response`]. The exact texts,
+//! statuses and accepted bodies are pinned by the unit tests.
 
-use crate::net::{Answer, Request};
+use crate::net::{Request, Response};
 use jzon::JsonValue;
+use std::fmt::Display;
 use std::net::SocketAddrV4;
 
-/// A call that can be read from a request.
+/// Longest JSON body of a call; only a configuration may be longer.
+const MAX_JSON_BODY_BYTES: usize = 64 << 10;
+/// Longest identifier of an executor.
+const MAX_EXECUTOR_ID_BYTES: usize = 128;
+/// Most requests that an executor may say it works on at once.
+const MAX_EXECUTOR_CAPACITY: u64 = 100_000;
+/// Numbers in a body have to be below this, so that they are exact as `f64`.
+const NUMBER_LIMIT: f64 = 1e15;
+
+/// Why the body of a call is rejected. Its text is the answer's `error`, and begins with the key that is at fault.
+#[derive(Debug, thiserror::Error)]
+pub enum CallError {
+    /// The body is longer than any JSON body of a call may be.
+    #[error("body: over 64 KiB")]
+    TooLong,
+    /// The body is no text.
+    #[error("body: not UTF-8")]
+    NotUtf8,
+    /// The body is no JSON.
+    #[error("body: {0}")]
+    NotJson(#[from] jzon::Error),
+    /// The body is JSON, but no object.
+    #[error("body: no object")]
+    NotAnObject,
+    /// A key that must hold a string is missing or holds something else.
+    #[error("{key}: no text")]
+    NotText {
+        /// The key.
+        key: &'static str,
+    },
+    /// A key holds something other than a number that is not negative and below 10^15.
+    #[error("{key}: no number")]
+    NotNumber {
+        /// The key.
+        key: &'static str,
+    },
+    /// The executor's identifier is too long.
+    #[error("id: over 128 letters")]
+    ExecutorIdTooLong,
+    /// The executor's address is not of the form `10.0.0.4:8080`.
+    #[error("address: {0:?} is no IPv4 address and port")]
+    InvalidAddress(String),
+    /// The executor's state has no meaning.
+    #[error("state: {0:?} is neither serving nor draining")]
+    UnknownState(String),
+    /// The body is no valid configuration; the text has one line for each fault.
+    #[error("{0}")]
+    InvalidConfig(stileroute_config::Faults),
+}
+
+/// A call that can be parsed from a request.
 pub trait Call: Sized {
-    type Answer: Into<Answer>;
+    /// What the call can be answered with.
+    type Reply: Into<Response>;
+    /// The HTTP method.
     const METHOD: &'static str;
-    /// The path with `*` for the part that names something.
+    /// The path, with `*` for the one segment that names an executor or a store.
     const PATH: &'static str;
-    /// Longest body; a longer one is refused by name.
-    const BODY: usize = usize::MAX;
-    fn read(name: &str, body: &[u8]) -> Result<Self, String>;
+    /// Longest body; a longer one is answered with 413.
+    const MAX_BODY_BYTES: usize = usize::MAX;
+    /// Parses the call. `name` is the path's segment at the `*`, or empty if the path has none.
+    ///
+    /// # Errors
+    ///
+    /// The first fault of the body.
+    fn parse(name: &str, body: &[u8]) -> Result<Self, CallError>;
 }
 
-/// Who settles a call; without an answer it comes later, to the place.
+/// Who decides a call.
 pub trait CallHandler<C: Call> {
-    fn settle(&mut self, place: u64, call: C) -> Option<C::Answer>;
+    /// Decides the call. `None`: the answer follows later, and is then given under `call_id`.
+    fn handle_call(&mut self, call_id: u64, call: C) -> Option<C::Reply>;
+}
+
+/// What [`dispatch`] made of a request.
+#[derive(Debug)]
+pub enum Dispatched {
+    /// The answer is known.
+    Answered(Response),
+    /// The handler has the call, and answers later.
+    Pending,
 }
 
-/// Whether the request is a call of this kind, and if so what is said at once.
-pub fn handle<C: Call, D: CallHandler<C>>(
-    handler: &mut D,
-    place: u64,
+/// Hands the request to the handler if it is a call of the type `C`. `None`: it is another call, or none.
+pub fn dispatch<C: Call, H: CallHandler<C>>(
+    handler: &mut H,
+    call_id: u64,
     request: &Request,
-) -> Option<Option<Answer>> {
-    let name = part(C::PATH, &request.target)?;
+) -> Option<Dispatched> {
+    let name = match_path(C::PATH, &request.target)?;
     if request.method != C::METHOD {
         return None;
     }
-    if request.body.len() > C::BODY {
-        return Some(Some(fault(413, &format!("body: over {} bytes", C::BODY))));
+    if request.body.len() > C::MAX_BODY_BYTES {
+        let error = format!("body: over {} bytes", C::MAX_BODY_BYTES);
+        return Some(Dispatched::Answered(error_response(413, error)));
     }
-    Some(match C::read(name, &request.body) {
-        Ok(call) => handler.settle(place, call).map(Into::into),
-        Err(reason) => Some(fault(400, &reason)),
+    let call = match C::parse(name, &request.body) {
+        Ok(call) => call,
+        Err(error) => return Some(Dispatched::Answered(error_response(400, error))),
+    };
+    Some(match handler.handle_call(call_id, call) {
+        Some(reply) => Dispatched::Answered(reply.into()),
+        None => Dispatched::Pending,
     })
 }
 
-fn part<'a>(pattern: &str, target: &'a str) -> Option<&'a str> {
+/// Compares a request's target, without its query, with a pattern. Gives the segment at the `*`, or an empty text if the
+/// pattern has none; `None` if they do not match.
+fn match_path<'a>(pattern: &str, target: &'a str) -> Option<&'a str> {
     let path = target.split('?').next().unwrap_or_default();
-    match pattern.split_once('*') {
-        None => (path == pattern).then_some(""),
-        Some((before, after)) => {
-            let name = path.strip_prefix(before)?.strip_suffix(after)?;
-            (!name.is_empty() && !name.contains('/')).then_some(name)
-        }
-    }
+    let Some((before, after)) = pattern.split_once('*') else {
+        return (path == pattern).then_some("");
+    };
+    let name = path.strip_prefix(before)?.strip_suffix(after)?;
+    (!name.is_empty() && !name.contains('/')).then_some(name)
 }
 
-pub fn fault(status: u16, reason: &str) -> Answer {
-    Answer::json(status, jzon::object! { "error" => reason }.dump())
+/// An answer whose body is `{"error": ...}`.
+pub fn error_response(status: u16, error: impl Display) -> Response {
+    Response::json(status, jzon::object! { "error" => error.to_string() }.dump())
 }
 
-fn object(body: &[u8]) -> Result<JsonValue, String> {
-    if body.len() > 64 << 10 {
-        return Err("body: over 64 KiB".to_string());
+/// A 503 for what may succeed a second later.
+fn unavailable(error: &str) -> Response {
+    Response { headers: vec![("Retry-After", "1".to_string())], ..error_response(503, error) }
+}
+
+fn parse_object(body: &[u8]) -> Result<JsonValue, CallError> {
+    if body.len() > MAX_JSON_BODY_BYTES {
+        return Err(CallError::TooLong);
     }
-    let text = std::str::from_utf8(body).map_err(|_| "body: not UTF-8".to_string())?;
-    let value = jzon::parse(text).map_err(|error| format!("body: {error}"))?;
+    let text = std::str::from_utf8(body).map_err(|_| CallError::NotUtf8)?;
+    let value = jzon::parse(text)?;
     if value.is_object() {
         Ok(value)
     } else {
-        Err("body: no object".to_string())
+        Err(CallError::NotAnObject)
     }
 }
 
-fn text(value: &JsonValue, key: &str) -> Result<String, String> {
-    value[key].as_str().map(str::to_string).ok_or_else(|| format!("{key}: no text"))
+fn text_at(object: &JsonValue, key: &'static str) -> Result<String, CallError> {
+    object[key].as_str().map(str::to_string).ok_or(CallError::NotText { key })
 }
 
-fn number(value: &JsonValue, key: &str) -> Result<u64, String> {
-    match &value[key] {
-        JsonValue::Null => Ok(0),
-        other => other
-            .as_f64()
-            .filter(|n| *n >= 0.0 && *n < 1e15)
-            .map(|n| n as u64)
-            .ok_or_else(|| format!("{key}: no number")),
+/// The number at a key, rounded down; 0 if the key is missing.
+fn number_at(object: &JsonValue, key: &'static str) -> Result<u64, CallError> {
+    let value = &object[key];
+    if value.is_null() {
+        return Ok(0);
     }
+    let number = value.as_f64().filter(|number| *number >= 0.0 && *number < NUMBER_LIMIT);
+    number.map(|number| number as u64).ok_or(CallError::NotNumber { key })
 }
 
-/// An empty 200.
-pub struct Done;
-impl From<Done> for Answer {
-    fn from(_: Done) -> Answer {
-        Answer::json(200, "{}".to_string())
+/// The answer to a call that has nothing to say but that it was accepted: 200 with an empty object.
+pub struct Acknowledged;
+impl From<Acknowledged> for Response {
+    fn from(_: Acknowledged) -> Response {
+        Response::json(200, "{}".to_string())
     }
 }
 
+/// An executor's heartbeat.
 #[derive(Debug)]
 pub struct HeartbeatCall {
+    /// Unique to one start of the executor.
     pub id: String,
+    /// The service that it executes requests of.
     pub backend: String,
+    /// Where it takes requests.
     pub address: SocketAddrV4,
+    /// The failure domain that it runs in; empty if it did not say.
     pub zone: String,
+    /// Requests that it works on at once: from 1 to 100,000.
     pub capacity: u32,
-    pub draining: bool,
-    pub cold_left_ms: u64,
-    pub call_count: u64,
+    /// It finishes what it has and takes nothing new.
+    pub is_draining: bool,
+    /// For so long it is still warming up (`cold_left_ms` in the body).
+    pub warmup_left_ms: u64,
+    /// Rises with each heartbeat of this executor (`call_count` in the body).
+    pub sequence: u64,
 }
 
-pub struct Heard {
-    pub beat_url: Option<String>,
-    /// The others can be told of it.
-    pub told: bool,
-}
-impl From<Heard> for Answer {
-    fn from(heard: Heard) -> Answer {
-        if !heard.told {
-            return fault(503, "cut off from the other control nodes");
-        }
-        match heard.beat_url {
-            Some(url) => Answer::json(200, jzon::object! { "beat_url" => url }.dump()),
-            None => Answer::json(200, "{}".to_string()),
+/// The answer to a heartbeat.
+pub enum HeartbeatReply {
+    /// It is recorded, and the other control nodes learn of it.
+    Recorded {
+        /// A control node in the executor's own zone, as address and port, if it should send its heartbeats there.
+        heartbeat_url: Option<String>,
+    },
+    /// This control node can't tell the others: the executor is to send its heartbeat to another one as well.
+    Partitioned,
+}
+impl From<HeartbeatReply> for Response {
+    fn from(reply: HeartbeatReply) -> Response {
+        match reply {
+            HeartbeatReply::Partitioned => error_response(503, "cut off from the other control nodes"),
+            HeartbeatReply::Recorded { heartbeat_url: Some(url) } => {
+                Response::json(200, jzon::object! { "beat_url" => url }.dump())
+            }
+            HeartbeatReply::Recorded { heartbeat_url: None } => Acknowledged.into(),
         }
     }
 }
 
 impl Call for HeartbeatCall {
-    type Answer = Heard;
+    type Reply = HeartbeatReply;
     const METHOD: &'static str = "POST";
     const PATH: &'static str = "/v1/servers/*/heartbeat";
-    fn read(name: &str, body: &[u8]) -> Result<HeartbeatCall, String> {
-        let value = object(body)?;
-        let address = text(&value, "address")?;
-        let state = text(&value, "state")?;
-        if name.len() > 128 {
-            return Err("id: over 128 letters".to_string());
+    fn parse(name: &str, body: &[u8]) -> Result<HeartbeatCall, CallError> {
+        let object = parse_object(body)?;
+        // In this order: a body with several faults is answered with the same one as ever.
+        let address = text_at(&object, "address")?;
+        let state = text_at(&object, "state")?;
+        if name.len() > MAX_EXECUTOR_ID_BYTES {
+            return Err(CallError::ExecutorIdTooLong);
         }
+        let backend = text_at(&object, "backend")?;
+        let address = address.parse().map_err(|_| CallError::InvalidAddress(address))?;
+        let capacity = number_at(&object, "capacity")?.clamp(1, MAX_EXECUTOR_CAPACITY) as u32;
+        let is_draining = match state.as_str() {
+            "serving" => false,
+            "draining" => true,
+            _ => return Err(CallError::UnknownState(state)),
+        };
         Ok(HeartbeatCall {
             id: name.to_string(),
-            backend: text(&value, "backend")?,
-            address: address
-                .parse()
-                .map_err(|_| format!("address: {address:?} is no IPv4 address and port"))?,
-            zone: value["zone"].as_str().unwrap_or_default().to_string(),
-            capacity: number(&value, "capacity")?.clamp(1, 100_000) as u32,
-            draining: match state.as_str() {
-                "serving" => false,
-                "draining" => true,
-                other => return Err(format!("state: {other:?} is neither serving nor draining")),
-            },
-            cold_left_ms: number(&value, "cold_left_ms")?,
-            call_count: number(&value, "call_count")?,
+            backend,
+            address,
+            zone: object["zone"].as_str().unwrap_or_default().to_string(),
+            capacity,
+            is_draining,
+            warmup_left_ms: number_at(&object, "cold_left_ms")?,
+            sequence: number_at(&object, "call_count")?,
         })
     }
 }
 
+/// An executor says that it shuts down.
 #[derive(Debug)]
-pub struct Leave {
+pub struct LeaveCall {
+    /// The executor.
     pub id: String,
 }
-impl Call for Leave {
-    type Answer = Done;
+impl Call for LeaveCall {
+    type Reply = Acknowledged;
     const METHOD: &'static str = "POST";
     const PATH: &'static str = "/v1/servers/*/leave";
-    fn read(name: &str, _: &[u8]) -> Result<Leave, String> {
-        Ok(Leave { id: name.to_string() })
+    fn parse(name: &str, _: &[u8]) -> Result<LeaveCall, CallError> {
+        Ok(LeaveCall { id: name.to_string() })
     }
 }
 
-/// Some 16,000 routes. It is copied to all control nodes, and to each edge and store, in one piece: well below what the disk
-/// takes as one record, and what goes to another process as one frame.
+/// Longest configuration in bytes: some 16,000 routes. It is copied in one piece to all control nodes and to each edge and
+/// store, so this is well below the longest record on disk and the longest frame between processes.
 pub const LARGEST_CONFIGURATION: usize = 4 << 20;
 
+/// Operators put another configuration in force.
 #[derive(Debug)]
-pub struct Replace {
+pub struct ReplaceConfig {
+    /// The configuration, as it was sent; it is valid.
     pub body: Vec<u8>,
+    /// The revision that it names.
     pub version: u64,
 }
-/// The configuration that is in force, as a change is acknowledged.
+
+/// The configuration in force at the time when a change is acknowledged.
 #[derive(Clone, Debug, PartialEq)]
-pub struct InForce {
+pub struct ActiveConfig {
+    /// The revision that it names.
     pub revision: u64,
-    /// Of the whole body, as it was sent.
+    /// The [`content_digest`] of the whole body, as it was sent.
     pub digest: String,
-    /// It is the one that was sent, byte for byte: another may stand under the same number.
-    pub applied: bool,
+    /// It is the one that was sent, byte for byte: another one may be in force under the same revision.
+    pub is_requested_one: bool,
 }
-impl InForce {
-    pub fn new(revision: u64, body: &[u8], applied: bool) -> InForce {
-        InForce { revision, digest: content_digest(body), applied }
+impl ActiveConfig {
+    /// Describes the configuration `body`.
+    pub fn new(revision: u64, body: &[u8], is_requested_one: bool) -> ActiveConfig {
+        ActiveConfig { revision, digest: content_digest(body), is_requested_one }
     }
 }
 
-/// Names a configuration's content, for operators to compare: BLAKE3, in hexadecimal.
+/// Identifies a configuration's content, for operators to compare: BLAKE3, in hexadecimal.
 pub fn content_digest(body: &[u8]) -> String {
     blake3::hash(body).to_hex().to_string()
 }
 
-/// How a change of the configuration ended.
-pub enum Replaced {
-    InForce(InForce),
-    /// It may be in force: sent again, it does no harm.
+/// The answer to [`ReplaceConfig`].
+pub enum ReplaceOutcome {
+    /// The call is decided: this configuration is in force.
+    Active(ActiveConfig),
+    /// The new configuration may be in force or come in force; to send it again is harmless.
     Uncertain,
-    NotNow,
-}
-impl From<Replaced> for Answer {
-    fn from(replaced: Replaced) -> Answer {
-        match replaced {
-            Replaced::InForce(InForce { revision, digest, applied }) => Answer::json(
-                200,
-                jzon::object! { "revision" => revision, "digest" => digest, "applied" => applied }.dump(),
-            ),
-            Replaced::Uncertain => fault(504, "it may be in force or come in force: send it again"),
-            Replaced::NotNow => Answer {
-                headers: vec![("Retry-After", "1".to_string())],
-                ..fault(503, "no primary can settle it now")
-            },
+    /// No primary can decide it now; nothing has changed.
+    Unavailable,
+}
+impl From<ReplaceOutcome> for Response {
+    fn from(outcome: ReplaceOutcome) -> Response {
+        match outcome {
+            ReplaceOutcome::Active(ActiveConfig { revision, digest, is_requested_one }) => {
+                let body = jzon::object! {
+                    "revision" => revision,
+                    "digest" => digest,
+                    "applied" => is_requested_one,
+                };
+                Response::json(200, body.dump())
+            }
+            ReplaceOutcome::Uncertain => {
+                error_response(504, "it may be in force or come in force: send it again")
+            }
+            ReplaceOutcome::Unavailable => unavailable("no primary can settle it now"),
         }
     }
 }
-impl Call for Replace {
-    type Answer = Replaced;
+impl Call for ReplaceConfig {
+    type Reply = ReplaceOutcome;
     const METHOD: &'static str = "POST";
     const PATH: &'static str = "/v1/settings/replace";
-    const BODY: usize = LARGEST_CONFIGURATION;
-    fn read(_: &str, body: &[u8]) -> Result<Replace, String> {
-        match stileroute_config::Config::read(body) {
-            Ok(config) => Ok(Replace { body: body.to_vec(), version: config.revision }),
-            Err(faults) => Err(faults.to_string()),
-        }
+    const MAX_BODY_BYTES: usize = LARGEST_CONFIGURATION;
+    fn parse(_: &str, body: &[u8]) -> Result<ReplaceConfig, CallError> {
+        let config = stileroute_config::Config::read(body).map_err(CallError::InvalidConfig)?;
+        Ok(ReplaceConfig { body: body.to_vec(), version: config.revision })
     }
 }
 
+/// Operators read the configuration in force.
 #[derive(Debug)]
-pub struct ReadSettings;
-pub enum Settings {
-    Whole(Vec<u8>),
-    None,
-    NotNow,
-}
-impl From<Settings> for Answer {
-    fn from(settings: Settings) -> Answer {
-        match settings {
-            Settings::Whole(body) => Answer { status: 200, json: true, body, ..Answer::default() },
-            Settings::None => fault(404, "no configuration has come yet"),
-            Settings::NotNow => Answer {
-                headers: vec![("Retry-After", "1".to_string())],
-                ..fault(503, "no primary can answer now")
-            },
+pub struct ReadConfig;
+
+/// The answer to [`ReadConfig`].
+pub enum ReadConfigReply {
+    /// The configuration in force, as it was sent.
+    Active(Vec<u8>),
+    /// There is no configuration yet.
+    Missing,
+    /// No primary can answer now.
+    Unavailable,
+}
+impl From<ReadConfigReply> for Response {
+    fn from(reply: ReadConfigReply) -> Response {
+        match reply {
+            ReadConfigReply::Active(body) => {
+                Response { status: 200, is_json: true, body, ..Response::default() }
+            }
+            ReadConfigReply::Missing => error_response(404, "no configuration has come yet"),
+            ReadConfigReply::Unavailable => unavailable("no primary can answer now"),
         }
     }
 }
-impl Call for ReadSettings {
-    type Answer = Settings;
+impl Call for ReadConfig {
+    type Reply = ReadConfigReply;
     const METHOD: &'static str = "GET";
     const PATH: &'static str = "/v1/settings/read";
-    fn read(_: &str, _: &[u8]) -> Result<ReadSettings, String> {
-        Ok(ReadSettings)
+    fn parse(_: &str, _: &[u8]) -> Result<ReadConfig, CallError> {
+        Ok(ReadConfig)
     }
 }
 
+/// Operators order the retirement of a store.
 #[derive(Debug)]
-pub struct RetireBegin {
+pub struct BeginRetirement {
+    /// The store's name.
     pub node: String,
 }
-pub enum Retire {
-    Unknown,
-    TooFew,
+
+/// The answer to [`BeginRetirement`].
+pub enum BeginRetirementReply {
+    /// No store of this name is a member.
+    UnknownStore,
+    /// The stores that stay could not bear the losses that the settings name.
+    TooFewStores,
     /// The store has the order on its disk.
-    Taken,
-    NotNow,
-}
-impl From<Retire> for Answer {
-    fn from(retire: Retire) -> Answer {
-        match retire {
-            Retire::Unknown => fault(404, "no such machine"),
-            Retire::TooFew => fault(409, "too few would be left"),
-            Retire::Taken => Answer::json(200, "{}".to_string()),
-            Retire::NotNow => Answer {
-                headers: vec![("Retry-After", "1".to_string())],
-                ..fault(503, "it has not confirmed")
-            },
+    Accepted,
+    /// No primary can decide it now, or the store has not confirmed it; to send it again is harmless.
+    Unavailable,
+}
+impl From<BeginRetirementReply> for Response {
+    fn from(reply: BeginRetirementReply) -> Response {
+        match reply {
+            BeginRetirementReply::UnknownStore => error_response(404, "no such machine"),
+            BeginRetirementReply::TooFewStores => error_response(409, "too few would be left"),
+            BeginRetirementReply::Accepted => Acknowledged.into(),
+            BeginRetirementReply::Unavailable => unavailable("it has not confirmed"),
         }
     }
 }
-impl Call for RetireBegin {
-    type Answer = Retire;
+impl Call for BeginRetirement {
+    type Reply = BeginRetirementReply;
     const METHOD: &'static str = "POST";
     const PATH: &'static str = "/v1/retire/*/begin";
-    fn read(name: &str, _: &[u8]) -> Result<RetireBegin, String> {
-        Ok(RetireBegin { node: name.to_string() })
+    fn parse(name: &str, _: &[u8]) -> Result<BeginRetirement, CallError> {
+        Ok(BeginRetirement { node: name.to_string() })
     }
 }
 
-pub struct RetireRead {
+/// Operators ask how far the retirement of a store has come.
+pub struct ReadRetirement {
+    /// The store's name.
     pub node: String,
 }
+
+/// The answer to [`ReadRetirement`].
 #[derive(Debug)]
-pub enum Retired {
-    Unknown,
-    Rolling,
+pub enum RetirementProgress {
+    /// There is no such store, or no order to retire it.
+    UnknownStore,
+    /// The store is handing its messages to others.
+    Draining,
+    /// The store holds nothing any more and may be switched off.
     Complete,
-    NotNow,
-}
-impl From<Retired> for Answer {
-    fn from(retired: Retired) -> Answer {
-        let state = match retired {
-            Retired::Unknown => return fault(404, "no such machine, or it is not to be emptied"),
-            Retired::NotNow => {
-                return Answer {
-                    headers: vec![("Retry-After", "1".to_string())],
-                    ..fault(503, "no primary can answer now")
-                }
+    /// No primary can answer now.
+    Unavailable,
+}
+impl From<RetirementProgress> for Response {
+    fn from(progress: RetirementProgress) -> Response {
+        let state = match progress {
+            RetirementProgress::UnknownStore => {
+                return error_response(404, "no such machine, or it is not to be emptied")
             }
-            Retired::Rolling => "rolling",
-            Retired::Complete => "complete",
+            RetirementProgress::Unavailable => return unavailable("no primary can answer now"),
+            RetirementProgress::Draining => "rolling",
+            RetirementProgress::Complete => "complete",
         };
-        Answer::json(200, jzon::object! { "state" => state }.dump())
+        Response::json(200, jzon::object! { "state" => state }.dump())
     }
 }
-impl Call for RetireRead {
-    type Answer = Retired;
+impl Call for ReadRetirement {
+    type Reply = RetirementProgress;
     const METHOD: &'static str = "GET";
     const PATH: &'static str = "/v1/retire/*/read";
-    fn read(name: &str, _: &[u8]) -> Result<RetireRead, String> {
-        Ok(RetireRead { node: name.to_string() })
+    fn parse(name: &str, _: &[u8]) -> Result<ReadRetirement, CallError> {
+        Ok(ReadRetirement { node: name.to_string() })
     }
 }
 
--- a/crates/server/src/calls/tests.rs
+++ b/crates/server/src/calls/tests.rs
@@ -8,13 +8,13 @@
 #[derive(Default)]
 struct TestHandler(Vec<String>);
 impl CallHandler<HeartbeatCall> for TestHandler {
-    fn settle(&mut self, place: u64, call: HeartbeatCall) -> Option<Heard> {
+    fn handle_call(&mut self, place: u64, call: HeartbeatCall) -> Option<HeartbeatReply> {
         self.0.push(format!("{place} {call:?}"));
-        Some(Heard { beat_url: Some("10.0.0.1:1".to_string()), told: true })
+        Some(HeartbeatReply::Recorded { heartbeat_url: Some("10.0.0.1:1".to_string()) })
     }
 }
-impl CallHandler<Leave> for TestHandler {
-    fn settle(&mut self, _: u64, call: Leave) -> Option<Done> {
+impl CallHandler<LeaveCall> for TestHandler {
+    fn handle_call(&mut self, _: u64, call: LeaveCall) -> Option<Acknowledged> {
         self.0.push(call.id);
         None
     }
@@ -27,9 +27,9 @@
 
 #[test]
 fn a_heartbeat_is_read_or_refused_by_its_key() {
-    assert_matches!(HeartbeatCall::read("i-1", BEAT.as_bytes()), Ok(heartbeat) => {
+    assert_matches!(HeartbeatCall::parse("i-1", BEAT.as_bytes()), Ok(heartbeat) => {
         assert_eq!((heartbeat.id.as_str(), heartbeat.backend.as_str(), heartbeat.zone.as_str()), ("i-1", "crane", "z"));
-        assert_eq!((heartbeat.capacity, heartbeat.draining, heartbeat.cold_left_ms, heartbeat.call_count), (4, true, 70, 9));
+        assert_eq!((heartbeat.capacity, heartbeat.is_draining, heartbeat.warmup_left_ms, heartbeat.sequence), (4, true, 70, 9));
     });
     let rows = [
         ("\"backend\":\"crane\",", "", "backend: no text"),
@@ -48,45 +48,45 @@
     for (of, with, told) in rows {
         assert!(BEAT.contains(of), "{of}");
         let body = BEAT.replacen(of, with, 1);
-        assert_matches!(HeartbeatCall::read("i-1", body.as_bytes()), Err(e) if e.starts_with(told), "{body}");
+        assert_matches!(HeartbeatCall::parse("i-1", body.as_bytes()), Err(e) if e.to_string().starts_with(told), "{body}");
     }
     for cut in 0..BEAT.len() {
-        assert_matches!(HeartbeatCall::read("i-1", &BEAT.as_bytes()[..cut]), Err(_), "{cut}");
+        assert_matches!(HeartbeatCall::parse("i-1", &BEAT.as_bytes()[..cut]), Err(_), "{cut}");
     }
-    assert_matches!(HeartbeatCall::read(&"i".repeat(129), BEAT.as_bytes()), Err(e) if e.starts_with("id: "));
-    assert_matches!(HeartbeatCall::read("i", &[b' '; 65 << 10]), Err(e) if e.starts_with("body: over"));
-    assert_matches!(HeartbeatCall::read("i", b"\xff"), Err(e) if e == "body: not UTF-8");
+    assert_matches!(HeartbeatCall::parse(&"i".repeat(129), BEAT.as_bytes()), Err(e) if e.to_string().starts_with("id: "));
+    assert_matches!(HeartbeatCall::parse("i", &[b' '; 65 << 10]), Err(e) if e.to_string().starts_with("body: over"));
+    assert_matches!(HeartbeatCall::parse("i", b"\xff"), Err(e) if e.to_string() == "body: not UTF-8");
     // A capacity that is left out or nought is one slot.
     let none = BEAT.replace("\"capacity\":4,", "");
-    assert_matches!(HeartbeatCall::read("i", none.as_bytes()), Ok(HeartbeatCall { capacity: 1, .. }));
+    assert_matches!(HeartbeatCall::parse("i", none.as_bytes()), Ok(HeartbeatCall { capacity: 1, .. }));
 }
 
 #[test]
 fn the_other_calls_are_read() {
-    assert_matches!(Leave::read("i-1", b"anything"), Ok(Leave { id }) if id == "i-1");
-    assert_matches!(RetireBegin::read("s-1", b""), Ok(RetireBegin { node }) if node == "s-1");
-    assert_matches!(ReadSettings::read("", b""), Ok(ReadSettings));
+    assert_matches!(LeaveCall::parse("i-1", b"anything"), Ok(LeaveCall { id }) if id == "i-1");
+    assert_matches!(BeginRetirement::parse("s-1", b""), Ok(BeginRetirement { node }) if node == "s-1");
+    assert_matches!(ReadConfig::parse("", b""), Ok(ReadConfig));
     let body = br#"{"revision":7,"routes":[],"backends":[]}"#;
-    assert_matches!(Replace::read("", body), Ok(Replace { version: 7, body: kept }) if kept == body);
+    assert_matches!(ReplaceConfig::parse("", body), Ok(ReplaceConfig { version: 7, body: kept }) if kept == body);
     let twice = br#"{"routes":7,"backends":[]}"#;
-    assert_matches!(Replace::read("", twice).err(), Some(e) if e.lines().count() == 2, "each fault is told");
+    assert_matches!(ReplaceConfig::parse("", twice).err(), Some(e) if e.to_string().lines().count() == 2, "each fault is told");
 }
 
 #[test]
 fn a_request_finds_its_call_by_method_and_path() {
     let mut handler = TestHandler::default();
     let heartbeat = request("POST", "/v1/servers/i-1/heartbeat?x", BEAT);
-    assert_matches!(handle::<HeartbeatCall, _>(&mut handler, 5, &heartbeat), Some(Some(Answer { status: 200, body, .. })) => {
+    assert_matches!(dispatch::<HeartbeatCall, _>(&mut handler, 5, &heartbeat), Some(Dispatched::Answered(Response { status: 200, body, .. })) => {
         assert_eq!(body, br#"{"beat_url":"10.0.0.1:1"}"#);
     });
     let bad = request("POST", "/v1/servers/i-1/heartbeat", "{}");
     assert_matches!(
-        handle::<HeartbeatCall, _>(&mut handler, 5, &bad),
-        Some(Some(Answer { status: 400, .. }))
+        dispatch::<HeartbeatCall, _>(&mut handler, 5, &bad),
+        Some(Dispatched::Answered(Response { status: 400, .. }))
     );
     assert_matches!(
-        handle::<Leave, _>(&mut handler, 5, &request("POST", "/v1/servers/i-2/leave", "")),
-        Some(None)
+        dispatch::<LeaveCall, _>(&mut handler, 5, &request("POST", "/v1/servers/i-2/leave", "")),
+        Some(Dispatched::Pending)
     );
     assert_eq!((handler.0.len(), handler.0[1].as_str()), (2, "i-2"));
     for (method, target) in [
@@ -97,18 +97,18 @@
         ("POST", "/v1/servers/i-1/heartbeats"),
         ("POST", ""),
     ] {
-        let answer = handle::<HeartbeatCall, _>(&mut handler, 5, &request(method, target, BEAT));
+        let answer = dispatch::<HeartbeatCall, _>(&mut handler, 5, &request(method, target, BEAT));
         assert_matches!(answer, None, "{method} {target}");
     }
-    let cut_off = Heard { beat_url: None, told: false };
-    let answers: [(Answer, u16); 7] = [
+    let cut_off = HeartbeatReply::Partitioned;
+    let answers: [(Response, u16); 7] = [
         (cut_off.into(), 503),
-        (Replaced::InForce(InForce::new(7, b"seven", true)).into(), 200),
-        (Replaced::Uncertain.into(), 504),
-        (Replaced::NotNow.into(), 503),
-        (Settings::None.into(), 404),
-        (Retire::Unknown.into(), 404),
-        (Retire::TooFew.into(), 409),
+        (ReplaceOutcome::Active(ActiveConfig::new(7, b"seven", true)).into(), 200),
+        (ReplaceOutcome::Uncertain.into(), 504),
+        (ReplaceOutcome::Unavailable.into(), 503),
+        (ReadConfigReply::Missing.into(), 404),
+        (BeginRetirementReply::UnknownStore.into(), 404),
+        (BeginRetirementReply::TooFewStores.into(), 409),
     ];
     for (answer, status) in answers {
         assert_eq!((answer.status, answer.body.is_empty()), (status, false));
@@ -116,59 +116,69 @@
 }
 
 /// An answer as it goes out: status, headers of its own, whether it is marked as JSON, whether it ends the connection, body.
-fn told(answer: impl Into<Answer>) -> String {
-    let Answer { status, headers, json, body, close } = answer.into();
+fn told(answer: impl Into<Response>) -> String {
+    let Response { status, headers, is_json, body, close_connection } = answer.into();
     let headers: Vec<String> = headers.iter().map(|(name, value)| format!("{name}: {value}")).collect();
-    format!("{status} {headers:?} {json} {close} {}", String::from_utf8(body).unwrap())
+    format!("{status} {headers:?} {is_json} {close_connection} {}", String::from_utf8(body).unwrap())
 }
 
 #[test]
 fn every_answer_has_the_status_and_the_text_of_earlier_releases() {
-    let heard = |beat_url: Option<&str>, told| Heard { beat_url: beat_url.map(str::to_string), told };
+    let recorded = |url: Option<&str>| HeartbeatReply::Recorded { heartbeat_url: url.map(str::to_string) };
     let rows = [
-        (told(Done), r#"200 [] true false {}"#),
-        (told(heard(None, true)), r#"200 [] true false {}"#),
-        (told(heard(Some("10.0.0.1:1"), true)), r#"200 [] true false {"beat_url":"10.0.0.1:1"}"#),
+        (told(Acknowledged), r#"200 [] true false {}"#),
+        (told(recorded(None)), r#"200 [] true false {}"#),
+        (told(recorded(Some("10.0.0.1:1"))), r#"200 [] true false {"beat_url":"10.0.0.1:1"}"#),
         (
-            told(heard(Some("10.0.0.1:1"), false)),
+            told(HeartbeatReply::Partitioned),
             r#"503 [] true false {"error":"cut off from the other control nodes"}"#,
         ),
         (
-            told(Replaced::InForce(InForce::new(7, b"seven", true))),
+            told(ReplaceOutcome::Active(ActiveConfig::new(7, b"seven", true))),
             r#"200 [] true false {"revision":7,"digest":"35be53c2695dda5b7930ee5d191760eaa2e7f0e8b5fdb7174c4b9d36874f06ee","applied":true}"#,
         ),
         (
-            told(Replaced::InForce(InForce { revision: 0, digest: "d".to_string(), applied: false })),
+            told(ReplaceOutcome::Active(ActiveConfig {
+                revision: 0,
+                digest: "d".to_string(),
+                is_requested_one: false,
+            })),
             r#"200 [] true false {"revision":0,"digest":"d","applied":false}"#,
         ),
         (
-            told(Replaced::Uncertain),
+            told(ReplaceOutcome::Uncertain),
             r#"504 [] true false {"error":"it may be in force or come in force: send it again"}"#,
         ),
         (
-            told(Replaced::NotNow),
+            told(ReplaceOutcome::Unavailable),
             r#"503 ["Retry-After: 1"] true false {"error":"no primary can settle it now"}"#,
         ),
-        (told(Settings::Whole(b"{\"a\": 1}\n".to_vec())), "200 [] true false {\"a\": 1}\n"),
-        (told(Settings::None), r#"404 [] true false {"error":"no configuration has come yet"}"#),
+        (told(ReadConfigReply::Active(b"{\"a\": 1}\n".to_vec())), "200 [] true false {\"a\": 1}\n"),
+        (told(ReadConfigReply::Missing), r#"404 [] true false {"error":"no configuration has come yet"}"#),
         (
-            told(Settings::NotNow),
+            told(ReadConfigReply::Unavailable),
             r#"503 ["Retry-After: 1"] true false {"error":"no primary can answer now"}"#,
         ),
-        (told(Retire::Unknown), r#"404 [] true false {"error":"no such machine"}"#),
-        (told(Retire::TooFew), r#"409 [] true false {"error":"too few would be left"}"#),
-        (told(Retire::Taken), r#"200 [] true false {}"#),
-        (told(Retire::NotNow), r#"503 ["Retry-After: 1"] true false {"error":"it has not confirmed"}"#),
+        (told(BeginRetirementReply::UnknownStore), r#"404 [] true false {"error":"no such machine"}"#),
+        (told(BeginRetirementReply::TooFewStores), r#"409 [] true false {"error":"too few would be left"}"#),
+        (told(BeginRetirementReply::Accepted), r#"200 [] true false {}"#),
         (
-            told(Retired::Unknown),
+            told(BeginRetirementReply::Unavailable),
+            r#"503 ["Retry-After: 1"] true false {"error":"it has not confirmed"}"#,
+        ),
+        (
+            told(RetirementProgress::UnknownStore),
             r#"404 [] true false {"error":"no such machine, or it is not to be emptied"}"#,
         ),
-        (told(Retired::Rolling), r#"200 [] true false {"state":"rolling"}"#),
-        (told(Retired::Complete), r#"200 [] true false {"state":"complete"}"#),
-        (told(Retired::NotNow), r#"503 ["Retry-After: 1"] true false {"error":"no primary can answer now"}"#),
-        (told(fault(418, "a \"b\"\n")), r#"418 [] true false {"error":"a \"b\"\n"}"#),
-        (told(Answer::bare(204)), r#"204 [] false false "#),
-        (told(Answer::come_back(503, 2)), r#"503 ["Retry-After: 2"] false false "#),
+        (told(RetirementProgress::Draining), r#"200 [] true false {"state":"rolling"}"#),
+        (told(RetirementProgress::Complete), r#"200 [] true false {"state":"complete"}"#),
+        (
+            told(RetirementProgress::Unavailable),
+            r#"503 ["Retry-After: 1"] true false {"error":"no primary can answer now"}"#,
+        ),
+        (told(error_response(418, "a \"b\"\n")), r#"418 [] true false {"error":"a \"b\"\n"}"#),
+        (told(Response::empty(204)), r#"204 [] false false "#),
+        (told(Response::retry_after(503, 2)), r#"503 ["Retry-After: 2"] false false "#),
     ];
     for (seen, pinned) in rows {
         assert_eq!(seen, pinned);
@@ -181,13 +191,16 @@
     AnyCall: CallHandler<C>,
 {
     let request = Request { body: body.to_vec(), ..request(method, target, "") };
-    handle::<C, _>(&mut AnyCall, 1, &request).map(|answer| answer.map_or("taken".to_string(), told))
+    dispatch::<C, _>(&mut AnyCall, 1, &request).map(|dispatched| match dispatched {
+        Dispatched::Answered(response) => told(response),
+        Dispatched::Pending => "taken".to_string(),
+    })
 }
 
 /// Takes any call and settles none.
 struct AnyCall;
 impl<C: Call> CallHandler<C> for AnyCall {
-    fn settle(&mut self, _: u64, _: C) -> Option<C::Answer> {
+    fn handle_call(&mut self, _: u64, _: C) -> Option<C::Reply> {
         None
     }
 }
@@ -231,19 +244,19 @@
 #[test]
 fn every_call_has_the_method_the_path_and_the_longest_body_of_earlier_releases() {
     fn row<C: Call>() -> (&'static str, &'static str, usize) {
-        (C::METHOD, C::PATH, C::BODY)
+        (C::METHOD, C::PATH, C::MAX_BODY_BYTES)
     }
     assert_eq!(row::<HeartbeatCall>(), ("POST", "/v1/servers/*/heartbeat", usize::MAX));
-    assert_eq!(row::<Leave>(), ("POST", "/v1/servers/*/leave", usize::MAX));
-    assert_eq!(row::<Replace>(), ("POST", "/v1/settings/replace", 4 << 20));
-    assert_eq!(row::<ReadSettings>(), ("GET", "/v1/settings/read", usize::MAX));
-    assert_eq!(row::<RetireBegin>(), ("POST", "/v1/retire/*/begin", usize::MAX));
-    assert_eq!(row::<RetireRead>(), ("GET", "/v1/retire/*/read", usize::MAX));
+    assert_eq!(row::<LeaveCall>(), ("POST", "/v1/servers/*/leave", usize::MAX));
+    assert_eq!(row::<ReplaceConfig>(), ("POST", "/v1/settings/replace", 4 << 20));
+    assert_eq!(row::<ReadConfig>(), ("GET", "/v1/settings/read", usize::MAX));
+    assert_eq!(row::<BeginRetirement>(), ("POST", "/v1/retire/*/begin", usize::MAX));
+    assert_eq!(row::<ReadRetirement>(), ("GET", "/v1/retire/*/read", usize::MAX));
 }
 
 #[test]
 fn a_configuration_is_refused_by_its_size_before_its_faults() {
-    let replace = |body: &[u8]| refused::<Replace>("POST", "/v1/settings/replace", body);
+    let replace = |body: &[u8]| refused::<ReplaceConfig>("POST", "/v1/settings/replace", body);
     let taken = br#"{"revision":7,"routes":[],"backends":[]}"#;
     assert_eq!(replace(taken).as_deref(), Some("taken"));
     let long = vec![b' '; LARGEST_CONFIGURATION + 1];
@@ -251,10 +264,14 @@
     assert_eq!(replace(&long).as_deref(), Some(pinned));
     let pinned = r#"400 [] true false {"error":"configuration: revision: missing\nconfiguration: routes: must be a list, is 7.0"}"#;
     assert_eq!(replace(br#"{"routes":7,"backends":[]}"#).as_deref(), Some(pinned));
-    assert_eq!(refused::<Replace>("GET", "/v1/settings/replace", taken), None, "another method is no call");
+    assert_eq!(
+        refused::<ReplaceConfig>("GET", "/v1/settings/replace", taken),
+        None,
+        "another method is no call"
+    );
     // Nothing of these is read but the path, whatever the body.
-    assert_eq!(refused::<Leave>("POST", "/v1/servers/i/leave", b"\xff").as_deref(), Some("taken"));
-    assert_eq!(refused::<RetireBegin>("POST", "/v1/retire/s-1/begin", b"\xff").as_deref(), Some("taken"));
-    assert_eq!(refused::<RetireRead>("GET", "/v1/retire/s-1/read?x=y", b"").as_deref(), Some("taken"));
-    assert_eq!(refused::<ReadSettings>("GET", "/v1/settings/read", b"[").as_deref(), Some("taken"));
+    assert_eq!(refused::<LeaveCall>("POST", "/v1/servers/i/leave", b"\xff").as_deref(), Some("taken"));
+    assert_eq!(refused::<BeginRetirement>("POST", "/v1/retire/s-1/begin", b"\xff").as_deref(), Some("taken"));
+    assert_eq!(refused::<ReadRetirement>("GET", "/v1/retire/s-1/read?x=y", b"").as_deref(), Some("taken"));
+    assert_eq!(refused::<ReadConfig>("GET", "/v1/settings/read", b"[").as_deref(), Some("taken"));
 }
--- a/crates/server/src/core.rs
+++ b/crates/server/src/core.rs
@@ -8,14 +8,15 @@
 mod tests;
 
 use crate::calls::{
-    self, Call, CallHandler, Done, Heard, HeartbeatCall, InForce, Leave, ReadSettings, Replace, Replaced,
-    RetireBegin, RetireRead, Settings,
+    self, Acknowledged, ActiveConfig, BeginRetirement, Call, CallHandler, Dispatched, HeartbeatCall,
+    HeartbeatReply, LeaveCall, ReadConfig, ReadConfigReply, ReadRetirement, ReplaceConfig, ReplaceOutcome,
 };
 use crate::links::LinkEvent;
-use crate::net::{Answer, Bounds, ConnId, Event, Millis, Request};
-use crate::node::{lot, Common};
+use crate::net::{ConnectionId, Event, Millis, Request, RequestLimits, Response};
+use crate::node::{random_seed, NodeRuntime};
 use crate::protocol::{
-    ExecutorState, Heartbeat, Hello, Member, NodeRole, Passed, PassedKind, RetirementState, Signal,
+    ExecutorState, ForwardedCall, ForwardedCallKind, Frame, Heartbeat, Member, NodeRole, PeerInfo,
+    RetirementState,
 };
 use crate::report::Told;
 use in_hand::{InHand, Origin};
@@ -29,7 +30,7 @@
 use stileroute_wal::{Options, Trouble, Wal};
 
 pub struct Core {
-    common: Common,
+    common: NodeRuntime,
     control: usize,
     group: ControlGroup,
     disk: Wal,
@@ -42,7 +43,7 @@
 }
 
 impl Core {
-    pub fn new(mut common: Common) -> miette::Result<Core> {
+    pub fn new(mut common: NodeRuntime) -> miette::Result<Core> {
         let boot = &common.boot;
         let at = boot
             .control
@@ -68,14 +69,14 @@
         let (disk, ledger) = Wal::open::<Ledger>(&dir, options, done)
             .map_err(|e| miette::miette!("{}: {e}", dir.display()))?;
         let losses = boot.losses.machines;
-        let settings = GroupSettings::new(at, boot.seeds.clone(), boot.first_start, losses, lot());
+        let settings = GroupSettings::new(at, boot.seeds.clone(), boot.first_start, losses, random_seed());
         let settings = GroupSettings { places: boot.losses.places(), ..settings };
-        let bounds = Bounds { body: LARGEST_BODY, ..Bounds::default() };
+        let bounds = RequestLimits { max_body_bytes: LARGEST_BODY, ..RequestLimits::default() };
         let control =
             common.net.listen(at, Some(bounds)).map_err(|e| miette::miette!("control address: {e}"))?;
         let now = common.net.now();
-        let me = member_of(common.links.me(), 0);
-        let registry = Registry::new(me, lot(), common.boot.beat_interval_ms, now);
+        let me = member_of(common.links.local(), 0);
+        let registry = Registry::new(me, random_seed(), common.boot.beat_interval_ms, now);
         let group = ControlGroup::new(settings, ledger.0, now);
         tracing::info!(blank = group.blank(), epoch = group.view().map_or(0, |w| w.epoch), "disk read");
         Ok(Core {
@@ -84,7 +85,7 @@
             disk,
             disk_said,
             registry,
-            in_hand: InHand::new(lot()),
+            in_hand: InHand::new(random_seed()),
             told: retire::Told::default(),
             released: None,
             heard_at: 0,
@@ -96,7 +97,7 @@
         loop {
             let now = self.common.net.now();
             let until = self.group.next(now).min(self.registry.next_deadline());
-            let (link_events, events) = self.common.turn(until);
+            let (link_events, events) = self.common.poll(until);
             link_events.into_iter().for_each(|link_event| self.link_event(link_event));
             events.into_iter().for_each(|event| self.event(event));
             self.inquiries();
@@ -107,12 +108,12 @@
             self.tell(now);
             self.look_after_retirements(now);
             self.give_up_overdue(now);
-            if self.common.told_to_end() {
+            if self.common.take_shutdown_request() {
                 self.group.release(now);
                 self.carry_out();
             }
             if self.may_end(now) {
-                self.common.net.flush_all();
+                self.common.net.flush();
                 self.disk.stop();
                 return Ok(());
             }
@@ -121,18 +122,18 @@
 
     /// The duty is with another, and calls that are in hand have been answered.
     fn may_end(&mut self, now: Millis) -> bool {
-        let Some(since) = self.common.leaving_since else { return false };
+        let Some(since) = self.common.draining_since else { return false };
         let released = self.released.is_some_and(|at| now > at + 400);
         if now > since + 300 {
             self.common.net.stop_listening(self.control);
         }
-        (released && self.common.net.in_hand() == 0 && self.in_hand.len() == 0)
+        (released && self.common.net.requests_in_flight() == 0 && self.in_hand.len() == 0)
             || now > since + self.common.boot.bounds.grace_ms.saturating_sub(1500)
     }
 
     /// Of two control nodes the one with the lower address opens the connection.
     fn connect(&mut self) {
-        if !self.common.stirred() {
+        if !self.common.take_topology_change() {
             return;
         }
         let me = self.common.boot.ip;
@@ -145,14 +146,12 @@
             .into_iter()
             .filter(|ip| {
                 *ip > me
-                    || (!seed
-                        && *ip != me
-                        && self.common.links.hellos(NodeRole::Control).all(|h| h.ip != *ip))
+                    || (!seed && *ip != me && self.common.links.peers(NodeRole::Control).all(|h| h.ip != *ip))
             })
-            .map(|ip| self.common.links.address(ip, NodeRole::Control))
+            .map(|ip| self.common.links.listen_address(ip, NodeRole::Control))
             .collect();
         let now = self.common.net.now();
-        self.common.links.want(now, wanted);
+        self.common.links.set_dial_targets(now, wanted);
     }
 
     // ---- What is said ----
@@ -160,8 +159,8 @@
     fn link_event(&mut self, link_event: LinkEvent) {
         let now = self.common.net.now();
         match link_event {
-            LinkEvent::Up(hello) if hello.class == NodeRole::Control => {
-                if let Some(control) = hello.control {
+            LinkEvent::Up(hello) if hello.role == NodeRole::Control => {
+                if let Some(control) = hello.control_address {
                     self.group.link(now, control, true);
                     self.group.learn(control);
                 }
@@ -181,45 +180,57 @@
                 self.registry.peer_disconnected(node);
             }
             LinkEvent::Down(node, _) => self.registry.session_disconnected(now, node),
-            LinkEvent::Said(from, class, Signal::Ask { life, version, config, retiring })
-                if class != NodeRole::Control =>
-            {
-                if let Some(hello) = self.common.links.hello(from) {
+            LinkEvent::Received(
+                from,
+                class,
+                Frame::UpdateRequest {
+                    incarnation: life,
+                    version,
+                    config_version: config,
+                    retirement: retiring,
+                },
+            ) if class != NodeRole::Control => {
+                if let Some(hello) = self.common.links.peer(from) {
                     let member = Member { retirement: retiring, ..member_of(hello, config) };
                     self.registry.record_poll(now, member, life, version);
                 }
             }
-            LinkEvent::Said(from, NodeRole::Control, Signal::Control(signal)) => {
-                if let Some(voter) = self.common.links.hello(from).and_then(|h| h.control) {
+            LinkEvent::Received(from, NodeRole::Control, Frame::ControlGroup(signal)) => {
+                if let Some(voter) = self.common.links.peer(from).and_then(|h| h.control_address) {
                     self.group.signal(now, voter, signal);
                 }
             }
-            LinkEvent::Said(from, NodeRole::Control, Signal::Sessions(members)) => {
+            LinkEvent::Received(from, NodeRole::Control, Frame::Sessions(members)) => {
                 self.registry.record_peer_sessions(now, from, members)
             }
-            LinkEvent::Said(_, NodeRole::Control, Signal::Heartbeats(heartbeats)) => {
+            LinkEvent::Received(_, NodeRole::Control, Frame::Heartbeats(heartbeats)) => {
                 self.registry.merge_peer_heartbeats(now, heartbeats)
             }
-            LinkEvent::Said(from, NodeRole::Control, Signal::Pass { ticket, call }) => {
+            LinkEvent::Received(from, NodeRole::Control, Frame::Forward { request_id: ticket, call }) => {
                 let place = self.in_hand.open(now, Origin::Core(from, ticket));
                 if let Some(answer) = self.settle_passed(place, call) {
                     self.said(place, answer);
                 }
             }
-            LinkEvent::Said(from, NodeRole::Control, Signal::Settled { ticket, status, body })
-                if self.in_hand.waits_for(ticket, from) =>
-            {
+            LinkEvent::Received(
+                from,
+                NodeRole::Control,
+                Frame::ForwardResult { request_id: ticket, status, body },
+            ) if self.in_hand.waits_for(ticket, from) => {
                 let retry = if status == 503 { vec![("Retry-After", "1".to_string())] } else { Vec::new() };
-                self.said(ticket, Answer { status, json: true, body, headers: retry, close: false });
+                self.said(
+                    ticket,
+                    Response { status, is_json: true, body, headers: retry, close_connection: false },
+                );
             }
-            LinkEvent::Said(..) => {}
+            LinkEvent::Received(..) => {}
         }
     }
 
     fn event(&mut self, event: Event) {
         let now = self.common.net.now();
         match event {
-            Event::Woken => {
+            Event::WakeUp => {
                 while let Ok((ticket, result)) = self.disk_said.try_recv() {
                     if let Err(error) = &result {
                         tracing::error!(%error, "disk refuses");
@@ -227,48 +238,53 @@
                     self.group.persisted(now, ticket, result.is_ok());
                 }
             }
-            Event::Request { conn, request, .. } => self.request(conn, &request),
+            Event::Request { connection: conn, request, .. } => self.request(conn, &request),
             _ => {}
         }
     }
 
-    fn request(&mut self, conn: ConnId, request: &Request) {
+    fn request(&mut self, conn: ConnectionId, request: &Request) {
         let place = self.in_hand.open(self.common.net.now(), Origin::Client(conn));
-        let answer = calls::handle::<HeartbeatCall, _>(self, place, request)
-            .or_else(|| calls::handle::<Leave, _>(self, place, request))
-            .or_else(|| calls::handle::<Replace, _>(self, place, request))
-            .or_else(|| calls::handle::<ReadSettings, _>(self, place, request))
-            .or_else(|| calls::handle::<RetireBegin, _>(self, place, request))
-            .or_else(|| calls::handle::<RetireRead, _>(self, place, request));
+        let answer = calls::dispatch::<HeartbeatCall, _>(self, place, request)
+            .or_else(|| calls::dispatch::<LeaveCall, _>(self, place, request))
+            .or_else(|| calls::dispatch::<ReplaceConfig, _>(self, place, request))
+            .or_else(|| calls::dispatch::<ReadConfig, _>(self, place, request))
+            .or_else(|| calls::dispatch::<BeginRetirement, _>(self, place, request))
+            .or_else(|| calls::dispatch::<ReadRetirement, _>(self, place, request));
         match answer {
-            Some(Some(answer)) => self.said(place, answer),
-            Some(None) => {}
-            None => self.said(place, Answer::bare(404)),
+            Some(Dispatched::Answered(answer)) => self.said(place, answer),
+            Some(Dispatched::Pending) => {}
+            None => self.said(place, Response::empty(404)),
         }
     }
 
     /// A call that another control node passed on.
-    fn settle_passed(&mut self, place: u64, call: Passed) -> Option<Answer> {
+    fn settle_passed(&mut self, place: u64, call: ForwardedCall) -> Option<Response> {
         match call {
-            Passed::Replace { body, .. } => match Replace::read("", &body) {
-                Ok(call) => self.settle(place, call).map(Answer::from),
-                Err(reason) => Some(calls::fault(400, &reason)),
+            ForwardedCall::ReplaceConfig { body, .. } => match ReplaceConfig::parse("", &body) {
+                Ok(call) => self.handle_call(place, call).map(Response::from),
+                Err(reason) => Some(calls::error_response(400, &reason)),
             },
-            Passed::Read => self.settle(place, ReadSettings).map(Answer::from),
-            Passed::RetireBegin { node } => self.settle(place, RetireBegin { node }).map(Answer::from),
-            Passed::RetireRead { node } => self.settle(place, RetireRead { node }).map(Answer::from),
+            ForwardedCall::ReadConfig => self.handle_call(place, ReadConfig).map(Response::from),
+            ForwardedCall::BeginRetirement { node } => {
+                self.handle_call(place, BeginRetirement { node }).map(Response::from)
+            }
+            ForwardedCall::ReadRetirement { node } => {
+                self.handle_call(place, ReadRetirement { node }).map(Response::from)
+            }
         }
     }
 
-    fn said(&mut self, place: u64, answer: Answer) {
+    fn said(&mut self, place: u64, answer: Response) {
         match self.in_hand.close(place) {
             Some(Origin::Client(conn)) => {
-                let close = self.common.leaving_since.is_some();
-                self.common.net.answer(conn, Answer { close, ..answer });
+                let close = self.common.draining_since.is_some();
+                self.common.net.respond(conn, Response { close_connection: close, ..answer });
             }
             Some(Origin::Core(node, ticket)) => {
-                let signal = Signal::Settled { ticket, status: answer.status, body: answer.body };
-                self.common.links.say(&mut self.common.net, node, &signal);
+                let signal =
+                    Frame::ForwardResult { request_id: ticket, status: answer.status, body: answer.body };
+                self.common.links.send(&mut self.common.net, node, &signal);
             }
             None => {}
         }
@@ -276,10 +292,10 @@
 
     /// What this node can't settle goes to the one that can, if it is known and there.
     fn pass(&mut self, place: u64, primary: Option<SocketAddrV4>) {
-        let to = primary.and_then(|p| self.common.links.by_control(p));
+        let to = primary.and_then(|p| self.common.links.node_at_control_address(p));
         let call = to.and_then(|to| self.in_hand.pass(place, to));
         let sent = to.zip(call).is_some_and(|(to, call)| {
-            self.common.links.say(&mut self.common.net, to, &Signal::Pass { ticket: place, call })
+            self.common.links.send(&mut self.common.net, to, &Frame::Forward { request_id: place, call })
         });
         if let Some(kind) = self.in_hand.kind(place).filter(|_| !sent) {
             self.said(place, kind.not_now());
@@ -306,8 +322,8 @@
     fn effect(&mut self, effect: Effect) {
         match effect {
             Effect::Send { to, signal } => {
-                if let Some(node) = self.common.links.by_control(to) {
-                    self.common.links.say(&mut self.common.net, node, &Signal::Control(signal));
+                if let Some(node) = self.common.links.node_at_control_address(to) {
+                    self.common.links.send(&mut self.common.net, node, &Frame::ControlGroup(signal));
                 }
             }
             Effect::Persist { ticket, record } => {
@@ -315,7 +331,8 @@
             }
             Effect::Answer { ticket, verdict } => self.answered(ticket, verdict),
             Effect::ControlState { ticket, state } => {
-                let settings = state.map_or(Settings::None, |state| Settings::Whole(state.body));
+                let settings =
+                    state.map_or(ReadConfigReply::Missing, |state| ReadConfigReply::Active(state.body));
                 self.said(ticket, settings.into());
             }
             Effect::Committed { .. } => self.committed(),
@@ -331,24 +348,25 @@
             Verdict::NotPrimary { primary } => self.pass(place, primary),
             Verdict::Uncertain => self.said(place, kind.uncertain()),
             Verdict::NotDone => self.said(place, kind.not_now()),
-            Verdict::Accepted | Verdict::Unchanged if kind == PassedKind::RetireBegin => {
+            Verdict::Accepted | Verdict::Unchanged if kind == ForwardedCallKind::BeginRetirement => {
                 self.in_hand.await_store(place);
             }
             Verdict::Accepted | Verdict::Unchanged => {
-                let answer = self.acknowledged(place, verdict).map_or_else(|| kind.uncertain(), Answer::from);
+                let answer =
+                    self.acknowledged(place, verdict).map_or_else(|| kind.uncertain(), Response::from);
                 self.said(place, answer);
             }
         }
     }
 
     /// What is in force as a change is acknowledged: the one that was sent, or the one by which it was found to be none.
-    fn acknowledged(&self, place: u64, verdict: Verdict) -> Option<Replaced> {
+    fn acknowledged(&self, place: u64, verdict: Verdict) -> Option<ReplaceOutcome> {
         let (version, body) = self.in_hand.configuration(place)?;
         if verdict == Verdict::Accepted {
-            return Some(Replaced::InForce(InForce::new(version, body, true)));
+            return Some(ReplaceOutcome::Active(ActiveConfig::new(version, body, true)));
         }
         let held = self.group.held();
-        Some(Replaced::InForce(InForce::new(held.version, &held.body, body == held.body)))
+        Some(ReplaceOutcome::Active(ActiveConfig::new(held.version, &held.body, body == held.body)))
     }
 
     /// The replicated value changed: the configuration may have, or which stores are retired.
@@ -367,8 +385,8 @@
         if self.common.boot.zone == zone {
             return None;
         }
-        let near = self.common.links.hellos(NodeRole::Control).find(|h| h.zone == zone)?;
-        near.control.map(|at| at.to_string())
+        let near = self.common.links.peers(NodeRole::Control).find(|h| h.zone == zone)?;
+        near.control_address.map(|at| at.to_string())
     }
 
     /// Who is there, and who is told of it.
@@ -376,8 +394,8 @@
         let in_touch = self.group.in_touch(now);
         if now >= self.heard_at {
             self.heard_at = now + HEARD;
-            for core in self.common.links.class(NodeRole::Control) {
-                if let Some(at) = self.common.links.heard(core) {
+            for core in self.common.links.nodes_with_role(NodeRole::Control) {
+                if let Some(at) = self.common.links.last_heard_at(core) {
                     self.registry.peer_heard(core, at);
                 }
             }
@@ -387,19 +405,19 @@
         self.registry.tick(now, in_touch, force);
         for effect in self.registry.take_effects() {
             let (to, signal) = match effect {
-                RegistryEffect::SendUpdate { to, update } => (vec![to], Signal::News(update)),
+                RegistryEffect::SendUpdate { to, update } => (vec![to], Frame::Update(update)),
                 RegistryEffect::SendHeartbeats { to, heartbeats } => {
-                    (vec![to], Signal::Heartbeats(heartbeats))
+                    (vec![to], Frame::Heartbeats(heartbeats))
                 }
                 RegistryEffect::BroadcastHeartbeats(heartbeats) => {
-                    (self.common.links.class(NodeRole::Control), Signal::Heartbeats(heartbeats))
+                    (self.common.links.nodes_with_role(NodeRole::Control), Frame::Heartbeats(heartbeats))
                 }
                 RegistryEffect::BroadcastSessions(all) => {
-                    (self.common.links.class(NodeRole::Control), Signal::Sessions(all))
+                    (self.common.links.nodes_with_role(NodeRole::Control), Frame::Sessions(all))
                 }
             };
             for node in to {
-                self.common.links.say(&mut self.common.net, node, &signal);
+                self.common.links.send(&mut self.common.net, node, &signal);
             }
         }
     }
@@ -410,24 +428,24 @@
 /// How often it is looked when other control nodes were heard.
 const HEARD: Millis = 200;
 
-fn member_of(hello: &Hello, config: u64) -> Member {
+fn member_of(hello: &PeerInfo, config: u64) -> Member {
     Member {
         node: hello.node,
         name: hello.name.clone(),
-        role: hello.class,
+        role: hello.role,
         zone: hello.zone.clone(),
         ip: hello.ip,
-        incarnation: hello.life,
-        control_address: hello.control,
+        incarnation: hello.incarnation,
+        control_address: hello.control_address,
         config_version: config,
         retirement: RetirementState::NotRetiring,
     }
 }
 
 impl CallHandler<HeartbeatCall> for Core {
-    fn settle(&mut self, _: u64, call: HeartbeatCall) -> Option<Heard> {
+    fn handle_call(&mut self, _: u64, call: HeartbeatCall) -> Option<HeartbeatReply> {
         let now = self.common.net.now();
-        let beat_url = self.near_core(&call.zone);
+        let heartbeat_url = self.near_core(&call.zone);
         self.registry.record_heartbeat(
             now,
             Heartbeat {
@@ -436,38 +454,44 @@
                 address: call.address,
                 zone: call.zone,
                 capacity: call.capacity,
-                state: if call.draining { ExecutorState::Draining } else { ExecutorState::Serving },
-                warmup_left_ms: call.cold_left_ms,
-                sequence: call.call_count,
+                state: if call.is_draining { ExecutorState::Draining } else { ExecutorState::Serving },
+                warmup_left_ms: call.warmup_left_ms,
+                sequence: call.sequence,
                 age_ms: 0,
             },
         );
         // Cut off from the others it could not tell them: the executor is to tell another as well.
-        Some(Heard { beat_url, told: self.group.in_touch(now) || !self.registry.is_ready })
+        let is_recorded = self.group.in_touch(now) || !self.registry.is_ready;
+        Some(if is_recorded {
+            HeartbeatReply::Recorded { heartbeat_url }
+        } else {
+            HeartbeatReply::Partitioned
+        })
     }
 }
 
-impl CallHandler<Leave> for Core {
-    fn settle(&mut self, _: u64, call: Leave) -> Option<Done> {
+impl CallHandler<LeaveCall> for Core {
+    fn handle_call(&mut self, _: u64, call: LeaveCall) -> Option<Acknowledged> {
         self.registry.deregister_executor(&call.id);
-        Some(Done)
+        Some(Acknowledged)
     }
 }
 
-impl CallHandler<Replace> for Core {
-    fn settle(&mut self, place: u64, call: Replace) -> Option<Replaced> {
+impl CallHandler<ReplaceConfig> for Core {
+    fn handle_call(&mut self, place: u64, call: ReplaceConfig) -> Option<ReplaceOutcome> {
         let now = self.common.net.now();
-        self.in_hand.keep(place, Passed::Replace { version: call.version, body: call.body.clone() });
+        self.in_hand
+            .keep(place, ForwardedCall::ReplaceConfig { version: call.version, body: call.body.clone() });
         self.group.replace(now, place, call.version, call.body);
         self.carry_out();
         None
     }
 }
 
-impl CallHandler<ReadSettings> for Core {
-    fn settle(&mut self, place: u64, _: ReadSettings) -> Option<Settings> {
+impl CallHandler<ReadConfig> for Core {
+    fn handle_call(&mut self, place: u64, _: ReadConfig) -> Option<ReadConfigReply> {
         let now = self.common.net.now();
-        self.in_hand.keep(place, Passed::Read);
+        self.in_hand.keep(place, ForwardedCall::ReadConfig);
         self.group.read(now, place);
         self.carry_out();
         None
--- a/crates/server/src/core/in_hand.rs
+++ b/crates/server/src/core/in_hand.rs
@@ -1,9 +1,9 @@
 //! Calls that have no answer yet: where each came from, and who settles it. One table, without I/O: a call is entered once
 //! and leaves it with its answer, so none is answered twice and none by somebody who was not asked.
 
-use crate::calls::{Replaced, Retire, Retired, Settings};
-use crate::net::{Answer, ConnId, Millis};
-use crate::protocol::{Passed, PassedKind};
+use crate::calls::{BeginRetirementReply, ReadConfigReply, ReplaceOutcome, RetirementProgress};
+use crate::net::{ConnectionId, Millis, Response};
+use crate::protocol::{ForwardedCall, ForwardedCallKind};
 use std::collections::HashMap;
 use stileroute_queue::Node;
 
@@ -13,7 +13,7 @@
 /// Where a call came from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Origin {
-    Client(ConnId),
+    Client(ConnectionId),
     /// Another control node passed it on, under its ticket.
     Core(Node, u64),
 }
@@ -30,8 +30,8 @@
 
 struct Open {
     origin: Origin,
-    call: Option<Passed>,
-    kind: Option<PassedKind>,
+    call: Option<ForwardedCall>,
+    kind: Option<ForwardedCallKind>,
     settler: Settler,
     since: Millis,
 }
@@ -60,21 +60,21 @@
     }
 
     /// What it asks for, where it can't be answered at once.
-    pub fn keep(&mut self, place: u64, call: Passed) {
+    pub fn keep(&mut self, place: u64, call: ForwardedCall) {
         if let Some(open) = self.open.get_mut(&place) {
-            open.kind = Some(PassedKind::from(&call));
+            open.kind = Some(ForwardedCallKind::from(&call));
             open.call = Some(call);
         }
     }
 
-    pub fn kind(&self, place: u64) -> Option<PassedKind> {
+    pub fn kind(&self, place: u64) -> Option<ForwardedCallKind> {
         self.open.get(&place)?.kind
     }
 
     /// The configuration that a call brought, and its version.
     pub fn configuration(&self, place: u64) -> Option<(u64, &[u8])> {
         match self.open.get(&place)?.call.as_ref()? {
-            Passed::Replace { version, body } => Some((*version, body)),
+            ForwardedCall::ReplaceConfig { version, body } => Some((*version, body)),
             _ => None,
         }
     }
@@ -85,7 +85,7 @@
     }
 
     /// Another control node is to settle it: a call goes on once, not round and round.
-    pub fn pass(&mut self, place: u64, to: Node) -> Option<Passed> {
+    pub fn pass(&mut self, place: u64, to: Node) -> Option<ForwardedCall> {
         let open = self.open.get_mut(&place)?;
         if !matches!((open.origin, &open.settler), (Origin::Client(_), Settler::Here)) {
             return None;
@@ -102,17 +102,17 @@
 
     /// A control node is gone: nobody waits for what it passed here. Those that were passed to it are given back, for it may
     /// have settled them.
-    pub fn lost(&mut self, node: Node) -> Vec<(u64, PassedKind)> {
+    pub fn lost(&mut self, node: Node) -> Vec<(u64, ForwardedCallKind)> {
         self.open.retain(|_, open| !matches!(open.origin, Origin::Core(from, _) if from == node));
         self.unsettled(|open| open.settler == Settler::Core(node))
     }
 
     /// Those that were passed on and got no answer.
-    pub fn overdue(&self, now: Millis) -> Vec<(u64, PassedKind)> {
+    pub fn overdue(&self, now: Millis) -> Vec<(u64, ForwardedCallKind)> {
         self.unsettled(|open| matches!(open.settler, Settler::Core(_)) && now > open.since + PASSED)
     }
 
-    fn unsettled(&self, test: impl Fn(&Open) -> bool) -> Vec<(u64, PassedKind)> {
+    fn unsettled(&self, test: impl Fn(&Open) -> bool) -> Vec<(u64, ForwardedCallKind)> {
         let those = self.open.iter().filter(|(_, open)| test(open));
         those.filter_map(|(place, open)| Some((*place, open.kind?))).collect()
     }
@@ -120,7 +120,7 @@
     /// The order to retire a store is agreed on: it is acknowledged when the store has it.
     pub fn await_store(&mut self, place: u64) {
         let Some(open) = self.open.get_mut(&place) else { return };
-        if let Some(Passed::RetireBegin { node }) = &open.call {
+        if let Some(ForwardedCall::BeginRetirement { node }) = &open.call {
             open.settler = Settler::Store(node.clone());
         }
     }
@@ -135,20 +135,20 @@
     }
 }
 
-impl PassedKind {
+impl ForwardedCallKind {
     /// Nobody can settle it now, and it has not been done.
-    pub fn not_now(self) -> Answer {
+    pub fn not_now(self) -> Response {
         match self {
-            PassedKind::Replace => Replaced::NotNow.into(),
-            PassedKind::Read => Settings::NotNow.into(),
-            PassedKind::RetireBegin => Retire::NotNow.into(),
-            PassedKind::RetireRead => Retired::NotNow.into(),
+            ForwardedCallKind::ReplaceConfig => ReplaceOutcome::Unavailable.into(),
+            ForwardedCallKind::ReadConfig => ReadConfigReply::Unavailable.into(),
+            ForwardedCallKind::BeginRetirement => BeginRetirementReply::Unavailable.into(),
+            ForwardedCallKind::ReadRetirement => RetirementProgress::Unavailable.into(),
         }
     }
     /// Whether it has been done is not known.
-    pub fn uncertain(self) -> Answer {
+    pub fn uncertain(self) -> Response {
         match self {
-            PassedKind::Replace => Replaced::Uncertain.into(),
+            ForwardedCallKind::ReplaceConfig => ReplaceOutcome::Uncertain.into(),
             other => other.not_now(),
         }
     }
--- a/crates/server/src/core/report.rs
+++ b/crates/server/src/core/report.rs
@@ -1,8 +1,8 @@
 //! What a control node tells operators.
 
 use super::Core;
-use crate::metrics::Sheet;
-use crate::node::Common;
+use crate::metrics::Exposition;
+use crate::node::NodeRuntime;
 use crate::protocol::{ExecutorState, NodeRole};
 use crate::report::{member, Told};
 use jzon::JsonValue;
@@ -15,7 +15,7 @@
 }
 
 impl Told for Core {
-    fn common(&mut self) -> &mut Common {
+    fn common(&mut self) -> &mut NodeRuntime {
         &mut self.common
     }
 
@@ -66,7 +66,7 @@
         report
     }
 
-    fn figures(&self, sheet: &mut Sheet) {
+    fn figures(&self, sheet: &mut Exposition) {
         let now = self.common.net.now();
         self.common.figures(sheet, |_| "control");
         sheet.gauge(
--- a/crates/server/src/core/retire.rs
+++ b/crates/server/src/core/retire.rs
@@ -2,10 +2,10 @@
 //! is only what has been told.
 
 use super::Core;
-use crate::calls::{CallHandler, Retire, RetireBegin, RetireRead, Retired};
+use crate::calls::{BeginRetirement, BeginRetirementReply, CallHandler, ReadRetirement, RetirementProgress};
 use crate::net::Millis;
-use crate::node::number;
-use crate::protocol::{NodeRole, Passed, RetirementState, Signal};
+use crate::node::node_id;
+use crate::protocol::{ForwardedCall, Frame, NodeRole, RetirementState};
 use std::collections::BTreeMap;
 use stileroute_control_group::{ControlState, Stage};
 use stileroute_queue::Node;
@@ -37,7 +37,7 @@
     registry: &Registry,
     suffice: impl Fn(&[&str]) -> bool,
 ) -> Judgement {
-    let node = number(name);
+    let node = node_id(name);
     if held.retirement(node).is_some() {
         return Judgement::Known;
     }
@@ -65,12 +65,16 @@
 
 /// What is said of a retirement, by the agreed value and by what the store itself says. It is complete only when both say so:
 /// a new machine of the same name, which is told to retire as well, may hold something.
-pub fn standing(name: &str, agreed: Option<&ControlState>, registry: &Registry) -> Option<Retired> {
-    let stage = agreed.and_then(|state| state.retirement(number(name))).map(|retirement| retirement.stage);
+pub fn standing(
+    name: &str,
+    agreed: Option<&ControlState>,
+    registry: &Registry,
+) -> Option<RetirementProgress> {
+    let stage = agreed.and_then(|state| state.retirement(node_id(name))).map(|retirement| retirement.stage);
     let says = registry.store_named(name).map(|store| store.retirement);
     match (stage, says) {
-        (Some(Stage::Complete), None | Some(RetirementState::Complete)) => Some(Retired::Complete),
-        (Some(_), _) => Some(Retired::Rolling),
+        (Some(Stage::Complete), None | Some(RetirementState::Complete)) => Some(RetirementProgress::Complete),
+        (Some(_), _) => Some(RetirementProgress::Draining),
         (None, _) => None,
     }
 }
@@ -117,7 +121,7 @@
     fn tell_stores(&mut self, now: Millis) {
         let Some(agreed) = self.group.committed() else { return };
         for node in self.told.due(now, agreed, &self.registry) {
-            self.common.links.say(&mut self.common.net, node, &Signal::Retire { node });
+            self.common.links.send(&mut self.common.net, node, &Frame::RetireStore { node });
         }
     }
 
@@ -142,16 +146,16 @@
     fn confirm(&mut self, now: Millis) {
         for (place, name, since) in self.in_hand.awaiting_stores() {
             if self.confirmed(&name) {
-                self.said(place, Retire::Taken.into());
+                self.said(place, BeginRetirementReply::Accepted.into());
             } else if now > since + CONFIRMED {
-                self.said(place, Retire::NotNow.into());
+                self.said(place, BeginRetirementReply::Unavailable.into());
             }
         }
     }
 
     /// The store has said that it has the order, now or before.
     fn confirmed(&self, name: &str) -> bool {
-        let agreed = self.group.committed().and_then(|state| state.retirement(number(name)));
+        let agreed = self.group.committed().and_then(|state| state.retirement(node_id(name)));
         let says = self
             .registry
             .store_named(name)
@@ -167,24 +171,28 @@
     }
 }
 
-impl CallHandler<RetireBegin> for Core {
-    fn settle(&mut self, place: u64, RetireBegin { node: name }: RetireBegin) -> Option<Retire> {
+impl CallHandler<BeginRetirement> for Core {
+    fn handle_call(
+        &mut self,
+        place: u64,
+        BeginRetirement { node: name }: BeginRetirement,
+    ) -> Option<BeginRetirementReply> {
         let now = self.common.net.now();
         if self.confirmed(&name) {
-            return Some(Retire::Taken);
+            return Some(BeginRetirementReply::Accepted);
         }
-        self.in_hand.keep(place, Passed::RetireBegin { node: name.clone() });
+        self.in_hand.keep(place, ForwardedCall::BeginRetirement { node: name.clone() });
         let Some(judgement) = self.judge(now, &name) else {
             self.pass(place, self.group.primary());
             return None;
         };
         match judgement {
-            Judgement::Unknown => return Some(Retire::Unknown),
-            Judgement::TooFew => return Some(Retire::TooFew),
-            Judgement::NotNow => return Some(Retire::NotNow),
+            Judgement::Unknown => return Some(BeginRetirementReply::UnknownStore),
+            Judgement::TooFew => return Some(BeginRetirementReply::TooFewStores),
+            Judgement::NotNow => return Some(BeginRetirementReply::Unavailable),
             Judgement::Known => self.in_hand.await_store(place),
             Judgement::Take => {
-                self.group.retire(now, place, number(&name), name);
+                self.group.retire(now, place, node_id(&name), name);
                 self.carry_out();
             }
         }
@@ -192,13 +200,17 @@
     }
 }
 
-impl CallHandler<RetireRead> for Core {
-    fn settle(&mut self, place: u64, RetireRead { node: name }: RetireRead) -> Option<Retired> {
+impl CallHandler<ReadRetirement> for Core {
+    fn handle_call(
+        &mut self,
+        place: u64,
+        ReadRetirement { node: name }: ReadRetirement,
+    ) -> Option<RetirementProgress> {
         let now = self.common.net.now();
         if let Some(standing) = standing(&name, self.group.committed(), &self.registry) {
             return Some(standing);
         }
-        self.in_hand.keep(place, Passed::RetireRead { node: name.clone() });
+        self.in_hand.keep(place, ForwardedCall::ReadRetirement { node: name.clone() });
         // Only who decides can say that there is no such order.
         if self.group.settled(now).is_none() {
             self.pass(place, self.group.primary());
@@ -206,10 +218,10 @@
         }
         let says = self.registry.store_named(&name).and_then(|store| stage(store.retirement));
         Some(match says {
-            Some(Stage::Complete) => Retired::Complete,
-            Some(_) => Retired::Rolling,
-            None if self.registry.is_ready => Retired::Unknown,
-            None => Retired::NotNow,
+            Some(Stage::Complete) => RetirementProgress::Complete,
+            Some(_) => RetirementProgress::Draining,
+            None if self.registry.is_ready => RetirementProgress::UnknownStore,
+            None => RetirementProgress::Unavailable,
         })
     }
 }
--- a/crates/server/src/core/tests.rs
+++ b/crates/server/src/core/tests.rs
@@ -3,9 +3,9 @@
 use super::in_hand::{InHand, Origin};
 use super::ledger::{bytes, Ledger};
 use super::retire::{judge, standing, Judgement, Told};
-use crate::calls::{Retired, LARGEST_CONFIGURATION};
-use crate::node::number;
-use crate::protocol::{Member, NodeRole, Passed, PassedKind, RetirementState};
+use crate::calls::{RetirementProgress, LARGEST_CONFIGURATION};
+use crate::node::node_id;
+use crate::protocol::{ForwardedCall, ForwardedCallKind, Member, NodeRole, RetirementState};
 use assert_matches::assert_matches;
 use std::net::Ipv4Addr;
 use stileroute_control_group::{ControlState, Record, Retirement, Stage, RETIREMENTS};
@@ -14,16 +14,16 @@
 
 const CLIENT: Origin = Origin::Client(9);
 
-fn begin(name: &str) -> Passed {
-    Passed::RetireBegin { node: name.to_string() }
+fn begin(name: &str) -> ForwardedCall {
+    ForwardedCall::BeginRetirement { node: name.to_string() }
 }
 
 /// A call of a client that was passed to the control node 2.
 fn passed() -> (InHand, u64) {
     let mut in_hand = InHand::new(100);
     let place = in_hand.open(0, CLIENT);
-    in_hand.keep(place, Passed::Read);
-    assert_eq!(in_hand.pass(place, 2), Some(Passed::Read));
+    in_hand.keep(place, ForwardedCall::ReadConfig);
+    assert_eq!(in_hand.pass(place, 2), Some(ForwardedCall::ReadConfig));
     (in_hand, place)
 }
 
@@ -44,7 +44,7 @@
 fn a_call_that_this_node_settles_itself_takes_no_answer_from_others() {
     let mut in_hand = InHand::new(100);
     let place = in_hand.open(0, CLIENT);
-    in_hand.keep(place, Passed::Read);
+    in_hand.keep(place, ForwardedCall::ReadConfig);
     assert!(!in_hand.waits_for(place, 2));
 }
 
@@ -53,21 +53,21 @@
     let (mut in_hand, place) = passed();
     assert_eq!(in_hand.pass(place, 3), None);
     let from_core = in_hand.open(0, Origin::Core(5, 1));
-    in_hand.keep(from_core, Passed::Read);
+    in_hand.keep(from_core, ForwardedCall::ReadConfig);
     assert_eq!(in_hand.pass(from_core, 3), None, "it was passed on already");
-    assert_eq!(in_hand.kind(from_core), Some(PassedKind::Read));
+    assert_eq!(in_hand.kind(from_core), Some(ForwardedCallKind::ReadConfig));
 }
 
 #[test]
 fn each_call_that_waits_for_a_lost_node_is_given_back_and_nothing_is_left_of_those_it_passed() {
     let (mut in_hand, place) = passed();
     let elsewhere = in_hand.open(0, CLIENT);
-    in_hand.keep(elsewhere, Passed::Read);
+    in_hand.keep(elsewhere, ForwardedCall::ReadConfig);
     in_hand.pass(elsewhere, 3);
     let from_lost = in_hand.open(0, Origin::Core(2, 1));
     in_hand.keep(from_lost, begin("s-1"));
     in_hand.await_store(from_lost);
-    assert_eq!(in_hand.lost(2), [(place, PassedKind::Read)]);
+    assert_eq!(in_hand.lost(2), [(place, ForwardedCallKind::ReadConfig)]);
     assert_eq!(in_hand.close(from_lost), None);
     assert!(in_hand.awaiting_stores().is_empty());
     in_hand.close(place);
@@ -78,24 +78,29 @@
 fn a_call_that_was_passed_on_and_is_not_answered_is_given_up() {
     let (mut in_hand, place) = passed();
     let own = in_hand.open(0, CLIENT);
-    in_hand.keep(own, Passed::Read);
+    in_hand.keep(own, ForwardedCall::ReadConfig);
     assert!(in_hand.overdue(4000).is_empty());
-    assert_eq!(in_hand.overdue(4001), [(place, PassedKind::Read)]);
+    assert_eq!(in_hand.overdue(4001), [(place, ForwardedCallKind::ReadConfig)]);
 }
 
 #[test]
 fn answers_of_a_node_that_can_not_know_end_no_operators_call() {
-    let kinds = [PassedKind::Replace, PassedKind::Read, PassedKind::RetireBegin, PassedKind::RetireRead];
+    let kinds = [
+        ForwardedCallKind::ReplaceConfig,
+        ForwardedCallKind::ReadConfig,
+        ForwardedCallKind::BeginRetirement,
+        ForwardedCallKind::ReadRetirement,
+    ];
     for kind in kinds {
         assert_eq!(kind.not_now().status, 503, "{kind:?}");
         assert!(kind.uncertain().status >= 500, "{kind:?}");
     }
-    assert_eq!(PassedKind::Replace.uncertain().status, 504);
+    assert_eq!(ForwardedCallKind::ReplaceConfig.uncertain().status, 504);
 }
 
 fn store(name: &str, retiring: RetirementState) -> Member {
     Member {
-        node: number(name),
+        node: node_id(name),
         name: name.to_string(),
         role: NodeRole::Store,
         zone: "z".to_string(),
@@ -126,7 +131,7 @@
 
 fn held(retirements: &[(&str, Stage)]) -> ControlState {
     let one = |(name, stage): &(&str, Stage)| Retirement {
-        node: number(name),
+        node: node_id(name),
         name: name.to_string(),
         stage: *stage,
     };
@@ -135,7 +140,7 @@
 
 /// Two have to stay.
 fn judged(name: &str, held: &ControlState, soon: &[&str], registry: &Registry) -> Judgement {
-    let soon: Vec<u32> = soon.iter().map(|name| number(name)).collect();
+    let soon: Vec<u32> = soon.iter().map(|name| node_id(name)).collect();
     judge(name, held, &soon, registry, |zones| zones.len() >= 2)
 }
 
@@ -188,14 +193,14 @@
     let says = |retiring| registry(&[("s-1", retiring)], true);
     let gone = registry(&[], true);
     let of = |state, registry: &Registry| standing("s-1", Some(state), registry);
-    assert_matches!(of(&complete, &gone), Some(Retired::Complete));
-    assert_matches!(of(&complete, &says(RetirementState::Complete)), Some(Retired::Complete));
+    assert_matches!(of(&complete, &gone), Some(RetirementProgress::Complete));
+    assert_matches!(of(&complete, &says(RetirementState::Complete)), Some(RetirementProgress::Complete));
     // It is restarting: nobody has said that it is empty.
-    assert_matches!(of(&rolling, &gone), Some(Retired::Rolling));
+    assert_matches!(of(&rolling, &gone), Some(RetirementProgress::Draining));
     // It has said so to one node, and the value does not: whoever restarts would have forgotten it.
-    assert_matches!(of(&rolling, &says(RetirementState::Complete)), Some(Retired::Rolling));
+    assert_matches!(of(&rolling, &says(RetirementState::Complete)), Some(RetirementProgress::Draining));
     // A new machine of the name.
-    assert_matches!(of(&complete, &says(RetirementState::NotRetiring)), Some(Retired::Rolling));
+    assert_matches!(of(&complete, &says(RetirementState::NotRetiring)), Some(RetirementProgress::Draining));
     assert_matches!(of(&held(&[]), &says(RetirementState::Complete)), None);
     assert_matches!(standing("s-1", None, &gone), None);
 }
@@ -205,7 +210,7 @@
     let agreed = held(&[("s-1", Stage::Ordered), ("s-2", Stage::Rolling), ("s-9", Stage::Ordered)]);
     let mut here = registry(&FOUR, true);
     let mut told = Told::default();
-    let (first, second) = (number("s-1"), number("s-2"));
+    let (first, second) = (node_id("s-1"), node_id("s-2"));
     // The second has lost its disk, or is another machine of its name.
     assert_eq!(told.due(3000, &agreed, &here), [first, second]);
     assert!(told.due(3499, &agreed, &here).is_empty());
--- a/crates/server/src/edge.rs
+++ b/crates/server/src/edge.rs
@@ -6,9 +6,9 @@
 use asking::{Find, Heard, Put, Refused};
 
 use crate::links::LinkEvent;
-use crate::net::{Answer, Bounds, ConnId, Event, Millis, Request};
-use crate::node::{wall, Common};
-use crate::protocol::{Found, NodeRole, Signal};
+use crate::net::{ConnectionId, Event, Millis, Request, RequestLimits, Response};
+use crate::node::{wall_clock_ms, NodeRuntime};
+use crate::protocol::{Frame, KnownMessage, MessageState, NodeRole};
 use crate::report::Told;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -41,7 +41,7 @@
 }
 
 pub struct Edge {
-    common: Common,
+    common: NodeRuntime,
     front: usize,
     readiness: usize,
     puts: HashMap<u64, Put>,
@@ -52,18 +52,18 @@
     shunned: HashMap<Node, Millis>,
     leaving: HashSet<Node>,
     /// Messages offered to several stores, and which one is kept: told again to each store that is back.
-    superseded: VecDeque<(Millis, Signal)>,
+    superseded: VecDeque<(Millis, Frame)>,
     next_ticket: u64,
     next_store: usize,
     figures: Figures,
 }
 
 impl Edge {
-    pub fn new(mut common: Common) -> miette::Result<Edge> {
+    pub fn new(mut common: NodeRuntime) -> miette::Result<Edge> {
         let missing = |what: &str| miette::miette!("settings: bind_addresses.{what}: missing for this role");
         let front: SocketAddrV4 = common.boot.front.ok_or_else(|| missing("front"))?;
         let ready: SocketAddrV4 = common.boot.readiness.ok_or_else(|| missing("readiness"))?;
-        let listen = |net: &mut crate::net::Net, at| net.listen(at, Some(Bounds::default()));
+        let listen = |net: &mut crate::net::Net, at| net.listen(at, Some(RequestLimits::default()));
         let front = listen(&mut common.net, front).map_err(|e| miette::miette!("front address: {e}"))?;
         let readiness =
             listen(&mut common.net, ready).map_err(|e| miette::miette!("readiness address: {e}"))?;
@@ -86,101 +86,105 @@
     pub fn run(mut self) -> miette::Result<()> {
         loop {
             let until = self.waits.keys().next().map_or(Millis::MAX, |(at, _)| *at);
-            let (link_events, events) = self.common.turn(until);
+            let (link_events, events) = self.common.poll(until);
             link_events.into_iter().for_each(|link_event| self.link_event(link_event));
             events.into_iter().for_each(|event| self.event(event));
             self.inquiries();
             self.look_after();
-            self.common.keep_session();
+            self.common.maintain_session();
             self.connect();
-            self.common.told_to_end();
+            self.common.take_shutdown_request();
             if self.may_end() {
-                self.common.net.flush_all();
+                self.common.net.flush();
                 return Ok(());
             }
         }
     }
 
     fn connect(&mut self) {
-        if !self.common.stirred() {
+        if !self.common.take_topology_change() {
             return;
         }
-        let mut wanted = self.common.cores();
+        let mut wanted = self.common.control_dial_targets();
         let stores = self.common.session.members.iter().filter(|m| m.role == NodeRole::Store);
-        wanted.extend(stores.map(|m| self.common.links.address(m.ip, NodeRole::Store)));
+        wanted.extend(stores.map(|m| self.common.links.listen_address(m.ip, NodeRole::Store)));
         let now = self.common.net.now();
-        self.common.links.want(now, wanted);
+        self.common.links.set_dial_targets(now, wanted);
     }
 
     /// In order: no new connections after a while, each answer closes its connection, and what is in hand is finished.
     fn may_end(&mut self) -> bool {
-        let Some(since) = self.common.leaving_since else { return false };
+        let Some(since) = self.common.draining_since else { return false };
         let now = self.common.net.now();
         if now < since + LINGER {
             return false;
         }
         self.common.net.stop_listening(self.front);
-        let quiet = self.common.net.in_hand() == 0;
+        let quiet = self.common.net.requests_in_flight() == 0;
         if quiet {
-            self.common.net.close_idle(self.front);
+            self.common.net.close_idle_connections(self.front);
         }
         quiet || now > since + self.common.boot.bounds.grace_ms.saturating_sub(1000)
     }
 
     fn ready(&self) -> bool {
-        self.common.leaving_since.is_none()
+        self.common.draining_since.is_none()
             && self.common.config.is_some()
-            && self.common.links.hellos(NodeRole::Store).any(|h| !self.leaving.contains(&h.node))
+            && self.common.links.peers(NodeRole::Store).any(|h| !self.leaving.contains(&h.node))
     }
 
     fn link_event(&mut self, link_event: LinkEvent) {
         match link_event {
-            LinkEvent::Up(hello) if hello.class == NodeRole::Store => {
+            LinkEvent::Up(hello) if hello.role == NodeRole::Store => {
                 self.leaving.remove(&hello.node);
                 self.shunned.remove(&hello.node);
                 for (_, signal) in &self.superseded {
-                    self.common.links.say(&mut self.common.net, hello.node, signal);
+                    self.common.links.send(&mut self.common.net, hello.node, signal);
                 }
             }
             LinkEvent::Up(_) => {}
             LinkEvent::Down(node, NodeRole::Store) => self.store_lost(node),
             LinkEvent::Down(..) => {}
-            LinkEvent::Said(from, NodeRole::Control, Signal::News(news)) => {
-                if let Some(config) = self.common.heard_news(from, &news) {
+            LinkEvent::Received(from, NodeRole::Control, Frame::Update(news)) => {
+                if let Some(config) = self.common.apply_update(from, &news) {
                     let limits = &config.limits;
-                    let bounds = Bounds {
-                        head: limits.max_header_bytes,
-                        body: limits.max_body_bytes,
-                        head_ms: limits.header_timeout_ms,
-                        idle_ms: limits.idle_timeout_ms,
+                    let bounds = RequestLimits {
+                        max_head_bytes: limits.max_header_bytes,
+                        max_body_bytes: limits.max_body_bytes,
+                        request_timeout_ms: limits.header_timeout_ms,
+                        idle_timeout_ms: limits.idle_timeout_ms,
                     };
-                    self.common.net.bound(self.front, bounds);
+                    self.common.net.set_limits(self.front, bounds);
                 }
             }
-            LinkEvent::Said(from, NodeRole::Store, Signal::Taken { ticket, result }) => {
-                self.taken(from, ticket, result)
-            }
-            LinkEvent::Said(from, NodeRole::Store, Signal::Found { ticket, found }) => {
-                self.found(from, ticket, found)
-            }
-            LinkEvent::Said(from, NodeRole::Store, Signal::Leaving) => {
+            LinkEvent::Received(
+                from,
+                NodeRole::Store,
+                Frame::SubmitResult { request_id: ticket, result },
+            ) => self.taken(from, ticket, result),
+            LinkEvent::Received(
+                from,
+                NodeRole::Store,
+                Frame::LookupResult { request_id: ticket, result: found },
+            ) => self.found(from, ticket, found),
+            LinkEvent::Received(from, NodeRole::Store, Frame::Draining) => {
                 self.leaving.insert(from);
             }
-            LinkEvent::Said(..) => {}
+            LinkEvent::Received(..) => {}
         }
     }
 
     fn event(&mut self, event: Event) {
-        let Event::Request { conn, port, request } = event else { return };
+        let Event::Request { connection: conn, listener: port, request } = event else { return };
         if port == self.readiness {
             let known = request.target.split('?').next() == Some("/v1/readiness");
             let ready = self.ready();
-            let status = match (known, self.common.says_ready(ready)) {
+            let status = match (known, self.common.set_ready(ready)) {
                 (false, _) => 404,
                 (true, true) => 200,
                 (true, false) => 503,
             };
-            return self.common.net.answer(conn, Answer::bare(status));
+            return self.common.net.respond(conn, Response::empty(status));
         }
         let asks = |prefix: &str| request.target.strip_prefix(prefix).filter(|_| request.method == "GET");
         if let Some(name) = asks("/v1/message/") {
@@ -192,9 +196,9 @@
         }
     }
 
-    fn answer(&mut self, conn: ConnId, answer: Answer) {
-        let close = answer.close || self.common.leaving_since.is_some();
-        self.common.net.answer(conn, Answer { close, ..answer });
+    fn answer(&mut self, conn: ConnectionId, answer: Response) {
+        let close = answer.close_connection || self.common.draining_since.is_some();
+        self.common.net.respond(conn, Response { close_connection: close, ..answer });
     }
 
     fn ticket(&mut self) -> u64 {
@@ -204,39 +208,39 @@
 
     // ---- Taking ----
 
-    fn take(&mut self, conn: ConnId, request: Request) {
+    fn take(&mut self, conn: ConnectionId, request: Request) {
         let Some(config) = self.common.config.clone() else {
             self.figures.refused += 1;
-            return self.answer(conn, Answer::come_back(503, 1));
+            return self.answer(conn, Response::retry_after(503, 1));
         };
         let route = config.route(&request.host, &request.target).map(|at| &config.routes[at]);
         let Some(route) = route.filter(|r| r.kind == RouteKind::Deferred) else {
             self.figures.no_route += 1;
-            return self.answer(conn, Answer::bare(404));
+            return self.answer(conn, Response::empty(404));
         };
-        let bad_url = request.callback.as_deref().is_some_and(|url| crate::store::url(url).is_none());
-        if request.id.is_empty() || request.id.len() > 256 || bad_url {
-            return self.answer(conn, Answer::bare(400));
+        let bad_url = request.callback_url.as_deref().is_some_and(|url| crate::store::url(url).is_none());
+        if request.request_id.is_empty() || request.request_id.len() > 256 || bad_url {
+            return self.answer(conn, Response::empty(400));
         }
         if self.puts.len() >= MOST {
             self.figures.refused += 1;
-            return self.answer(conn, Answer::come_back(503, 1));
+            return self.answer(conn, Response::retry_after(503, 1));
         }
         let now = self.common.net.now();
-        let until = now + request.left_ms.unwrap_or(4000).clamp(50, 10_000);
+        let until = now + request.time_left_ms.unwrap_or(4000).clamp(50, 10_000);
         let message = Message {
-            id: request.id,
+            id: request.request_id,
             host: request.host,
             method: request.method,
             target: request.target,
             content_type: request.content_type,
-            callback: request.callback.filter(|_| route.callback),
+            callback: request.callback_url.filter(|_| route.callback),
             order_key: request
                 .order_key
                 .filter(|_| route.in_order)
                 .map(|key| format!("{}\0{key}", route.name)),
             delay_ms: request.delay_ms.unwrap_or(0),
-            taken: wall(),
+            taken: wall_clock_ms(),
             config: config.revision,
             body: request.body,
         };
@@ -248,7 +252,7 @@
     /// Nothing has been heard of it since it did not answer: what is sent there now would only be uncertain later.
     fn gone(&self, node: Node) -> bool {
         let since = self.shunned.get(&node);
-        since.is_some_and(|since| self.common.links.heard(node).is_none_or(|heard| heard <= *since))
+        since.is_some_and(|since| self.common.links.last_heard_at(node).is_none_or(|heard| heard <= *since))
     }
 
     /// The stores to choose from: of the own zone first, then of the region, in turn; of a row always the same one, as long as it is there.
@@ -258,7 +262,7 @@
         let mut all: Vec<(bool, u8, Node)> = self
             .common
             .links
-            .hellos(NodeRole::Store)
+            .peers(NodeRole::Store)
             .filter(|h| !not.contains(&h.node) && !self.leaving.contains(&h.node))
             .filter(|h| !self.gone(h.node))
             .map(|h| {
@@ -283,19 +287,19 @@
                 put.tried.push(store);
                 put.sent = now;
                 self.figures.again += u64::from(put.tried.len() > 1);
-                let signal = Signal::Put { ticket, message: put.message.clone() };
-                self.common.links.say(&mut self.common.net, store, &signal);
+                let signal = Frame::Submit { request_id: ticket, message: put.message.clone() };
+                self.common.links.send(&mut self.common.net, store, &signal);
                 self.waits.insert(((now + SILENCE).min(put.until), ticket), ());
                 self.puts.insert(ticket, put);
             }
             // Nobody has it: that is a promise, and the client may come back. Else nothing is promised.
             None if !put.uncertain => {
                 self.figures.refused += 1;
-                self.answer(put.conn, Answer::come_back(503, 1));
+                self.answer(put.conn, Response::retry_after(503, 1));
             }
             None => {
                 self.figures.uncertain += 1;
-                self.answer(put.conn, Answer::bare(502));
+                self.answer(put.conn, Response::empty(502));
                 self.supersede(&put, None);
             }
         }
@@ -304,9 +308,10 @@
     /// Tells all stores which of several is kept.
     fn supersede(&mut self, put: &Put, kept: Option<Key>) {
         let now = self.common.net.now();
-        let signal = Signal::Superseded { id: put.message.id.clone(), print: put.message.print(), kept };
-        for store in self.common.links.class(NodeRole::Store) {
-            self.common.links.say(&mut self.common.net, store, &signal);
+        let signal =
+            Frame::Superseded { message_id: put.message.id.clone(), fingerprint: put.message.print(), kept };
+        for store in self.common.links.nodes_with_role(NodeRole::Store) {
+            self.common.links.send(&mut self.common.net, store, &signal);
         }
         self.superseded.push_back((now, signal));
         while self.superseded.front().is_some_and(|(at, _)| now > at + TELL) || self.superseded.len() > MOST {
@@ -323,7 +328,7 @@
                     self.supersede(&put, Key::parse(&name).map(|(key, _)| key));
                 }
                 let headers = vec![("X-Queue-Message-Id", name)];
-                self.answer(put.conn, Answer { status: 202, headers, ..Answer::default() });
+                self.answer(put.conn, Response { status: 202, headers, ..Response::default() });
             }
             Err(refusal) => {
                 let Some(put) = self.puts.get_mut(&ticket) else { return };
@@ -370,7 +375,8 @@
                 continue;
             }
             let Some(put) = self.puts.get(&ticket) else { continue };
-            let heard = |node: &Node| self.common.links.heard(*node).is_some_and(|heard| heard > put.sent);
+            let heard =
+                |node: &Node| self.common.links.last_heard_at(*node).is_some_and(|heard| heard > put.sent);
             let speaks = put.tried.last().is_some_and(heard);
             if now < put.until && now < put.sent + if speaks { PATIENCE } else { SILENCE } {
                 self.waits.insert(((put.sent + PATIENCE).min(put.until), ticket), ());
@@ -384,7 +390,7 @@
             put.uncertain = true;
             if now >= put.until {
                 self.figures.uncertain += 1;
-                self.answer(put.conn, Answer::bare(504));
+                self.answer(put.conn, Response::empty(504));
                 self.supersede(&put, None);
             } else {
                 self.send(ticket, put);
@@ -394,11 +400,11 @@
 
     // ---- Asking ----
 
-    fn find(&mut self, conn: ConnId, name: &str, body: bool) {
+    fn find(&mut self, conn: ConnectionId, name: &str, body: bool) {
         self.figures.asked += 1;
         let now = self.common.net.now();
-        let Some((key, first)) = Key::parse(name) else { return self.answer(conn, Answer::bare(404)) };
-        let up = self.common.links.class(NodeRole::Store);
+        let Some((key, first)) = Key::parse(name) else { return self.answer(conn, Response::empty(404)) };
+        let up = self.common.links.nodes_with_role(NodeRole::Store);
         let mut left: Vec<Node> = first.into_iter().filter(|n| up.contains(n)).collect();
         left.extend(up.iter().filter(|n| !left.contains(n)).copied().collect::<Vec<_>>());
         left.dedup();
@@ -427,9 +433,9 @@
         match find.left.pop().filter(|_| now < find.until) {
             Some(store) => {
                 (find.asked, find.sent) = (store, now);
-                let signal = Signal::Find { ticket, key: find.key, body: find.body };
+                let signal = Frame::Lookup { request_id: ticket, key: find.key, include_body: find.body };
                 self.waits.insert((now + PATIENCE, ticket), ());
-                if !self.common.links.say(&mut self.common.net, store, &signal) {
+                if !self.common.links.send(&mut self.common.net, store, &signal) {
                     self.ask_next(ticket);
                 }
             }
@@ -439,8 +445,8 @@
                     // accepted message would be taken for lost.
                     let answer = match find.waiting {
                         Some(found) => said(found, find.body),
-                        None if find.unsure || now >= find.until => Answer::come_back(503, 1),
-                        None => Answer::bare(404),
+                        None if find.unsure || now >= find.until => Response::retry_after(503, 1),
+                        None => Response::empty(404),
                     };
                     self.answer(find.conn, answer);
                 }
@@ -448,7 +454,7 @@
         }
     }
 
-    fn found(&mut self, from: Node, ticket: u64, found: Option<(Found, Option<Vec<u8>>)>) {
+    fn found(&mut self, from: Node, ticket: u64, found: Option<KnownMessage>) {
         let Some(find) = self.finds.get_mut(&ticket) else { return };
         match find.heard(from, found) {
             Heard::Answer(found) => {
@@ -462,17 +468,17 @@
     }
 }
 
-fn said((found, bytes): (Found, Option<Vec<u8>>), body: bool) -> Answer {
+fn said(found: KnownMessage, body: bool) -> Response {
     if body {
-        return match bytes {
-            Some(bytes) => Answer { status: 200, body: bytes, ..Answer::default() },
-            None => Answer::bare(404),
+        return match found.body {
+            Some(bytes) => Response { status: 200, body: bytes, ..Response::default() },
+            None => Response::empty(404),
         };
     }
-    let object = match found {
-        Found::Waiting => jzon::object! { "state" => "waiting" },
-        Found::Complete { seal } => jzon::object! { "state" => "complete", "seal" => seal },
-        Found::Failed => jzon::object! { "state" => "failed" },
+    let object = match found.state {
+        MessageState::Pending => jzon::object! { "state" => "waiting" },
+        MessageState::Complete { seal } => jzon::object! { "state" => "complete", "seal" => seal },
+        MessageState::Failed => jzon::object! { "state" => "failed" },
     };
-    Answer::json(200, object.dump())
+    Response::json(200, object.dump())
 }
--- a/crates/server/src/edge/asking.rs
+++ b/crates/server/src/edge/asking.rs
@@ -3,13 +3,13 @@
 //! An answer is tied to its question by the ticket. It may come when another store has been asked meanwhile: what it says
 //! counts, but it ends no wait but its own.
 
-use crate::net::{ConnId, Millis};
-use crate::protocol::Found;
+use crate::net::{ConnectionId, Millis};
+use crate::protocol::{KnownMessage, MessageState};
 use stileroute_queue::{Key, Message, Node, Refusal};
 
 /// A message that is offered to stores until one has taken it.
 pub struct Put {
-    pub conn: ConnId,
+    pub conn: ConnectionId,
     pub message: Message,
     pub tried: Vec<Node>,
     pub sent: Millis,
@@ -37,12 +37,9 @@
     }
 }
 
-/// What is known of a message: its state, and its bytes where they were asked for.
-pub type Known = (Found, Option<Vec<u8>>);
-
 /// A question what became of a message.
 pub struct Find {
-    pub conn: ConnId,
+    pub conn: ConnectionId,
     pub key: Key,
     pub body: bool,
     pub left: Vec<Node>,
@@ -50,7 +47,7 @@
     pub sent: Millis,
     pub until: Millis,
     /// One said that it never ended: any other answer is better.
-    pub waiting: Option<Known>,
+    pub waiting: Option<KnownMessage>,
     /// A store that may know it could not be asked, or has not answered.
     pub unsure: bool,
 }
@@ -58,16 +55,16 @@
 /// What a store's word leads to.
 #[derive(Debug, PartialEq)]
 pub enum Heard {
-    Answer(Known),
+    Answer(KnownMessage),
     Next,
     Wait,
 }
 
 impl Find {
-    pub fn heard(&mut self, from: Node, found: Option<Known>) -> Heard {
+    pub fn heard(&mut self, from: Node, found: Option<KnownMessage>) -> Heard {
         let next = if self.asked == from { Heard::Next } else { Heard::Wait };
         match found {
-            Some(found @ (Found::Waiting, _)) if from != self.key.origin => {
+            Some(found @ KnownMessage { state: MessageState::Pending, .. }) if from != self.key.origin => {
                 self.waiting = Some(found);
                 next
             }
--- a/crates/server/src/edge/asking/tests.rs
+++ b/crates/server/src/edge/asking/tests.rs
@@ -30,17 +30,23 @@
         waiting: None,
         unsure: false,
     };
-    let waits = || Some((Found::Waiting, None));
+    let waits = || Some(KnownMessage { state: MessageState::Pending, body: None });
     // The first was given up, and the second, asked since, knows the end.
     let mut find = asks(SECOND);
     assert_eq!(find.heard(FIRST, waits()), Heard::Wait);
     assert_eq!(find.waiting, waits());
     assert_eq!(find.heard(FIRST, None), Heard::Wait);
-    let end = Some((Found::Failed, None));
-    assert_matches!(find.heard(SECOND, end), Heard::Answer((Found::Failed, None)));
+    let end = Some(KnownMessage { state: MessageState::Failed, body: None });
+    assert_matches!(
+        find.heard(SECOND, end),
+        Heard::Answer(KnownMessage { state: MessageState::Failed, body: None })
+    );
     // The one that is asked leads on to the next, and the owner is believed at once.
     assert_eq!(asks(FIRST).heard(FIRST, waits()), Heard::Next);
     assert_eq!(asks(FIRST).heard(FIRST, None), Heard::Next);
     assert_matches!(asks(SECOND).heard(ORIGIN, waits()), Heard::Answer(_));
-    assert_matches!(asks(SECOND).heard(FIRST, Some((Found::Failed, None))), Heard::Answer(_));
+    assert_matches!(
+        asks(SECOND).heard(FIRST, Some(KnownMessage { state: MessageState::Failed, body: None })),
+        Heard::Answer(_)
+    );
 }
--- a/crates/server/src/edge/report.rs
+++ b/crates/server/src/edge/report.rs
@@ -1,13 +1,13 @@
 //! What an edge tells operators.
 
 use super::Edge;
-use crate::metrics::Sheet;
-use crate::node::Common;
+use crate::metrics::Exposition;
+use crate::node::NodeRuntime;
 use crate::report::Told;
 use jzon::JsonValue;
 
 impl Told for Edge {
-    fn common(&mut self) -> &mut Common {
+    fn common(&mut self) -> &mut NodeRuntime {
         &mut self.common
     }
 
@@ -19,7 +19,7 @@
         report
     }
 
-    fn figures(&self, sheet: &mut Sheet) {
+    fn figures(&self, sheet: &mut Exposition) {
         let door = |port| if port == self.front { "front" } else { "readiness" };
         self.common.figures(sheet, door);
         sheet.gauge("stileroute_ready", "1: says that it is ready.", &[], u8::from(self.ready()));
@@ -34,10 +34,10 @@
         ];
         for (result, count) in results {
             let help = "Messages by what became of taking them; again: another store was asked.";
-            sheet.count("stileroute_messages_total", help, &[("result", result)], count);
+            sheet.counter("stileroute_messages_total", help, &[("result", result)], count);
         }
-        sheet.count("stileroute_asked_total", "Questions after a message.", &[], f.asked);
+        sheet.counter("stileroute_asked_total", "Questions after a message.", &[], f.asked);
         let help = "From the whole request to its 202.";
-        sheet.histogram("stileroute_accept_seconds", help, &self.common.net.accepted);
+        sheet.histogram("stileroute_accept_seconds", help, &self.common.net.accept_latency);
     }
 }
--- a/crates/server/src/links.rs
+++ b/crates/server/src/links.rs
@@ -1,7 +1,7 @@
 //! Connections between the system's own processes: opened again when they break, given up when nothing is heard.
 
-use crate::net::{ConnId, Event, Millis, Net};
-use crate::protocol::{Hello, NodeRole, Signal, PROTOCOL};
+use crate::net::{ConnectionId, Event, Millis, Net};
+use crate::protocol::{Frame, NodeRole, PeerInfo, PROTOCOL_VERSION};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use stileroute_queue::Node;
@@ -63,8 +63,17 @@
     }
 }
 
+/// Frames and their bytes, with their length prefixes.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct FrameVolume {
+    /// How many frames.
+    pub frames: u64,
+    /// How many bytes.
+    pub bytes: u64,
+}
+
 struct Link {
-    hello: Option<Hello>,
+    hello: Option<PeerInfo>,
     dialled: Option<SocketAddrV4>,
     keepalive: Keepalive,
 }
@@ -81,13 +90,13 @@
 
 /// What a role is told.
 pub enum LinkEvent {
-    Up(Hello),
+    Up(PeerInfo),
     Down(Node, NodeRole),
-    Said(Node, NodeRole, Signal),
+    Received(Node, NodeRole, Frame),
 }
 
 /// Where a process of a class listens for others: the first three of the ports.
-pub fn address(ports: (u16, u16), ip: Ipv4Addr, class: NodeRole) -> SocketAddrV4 {
+pub fn listen_address(ports: (u16, u16), ip: Ipv4Addr, class: NodeRole) -> SocketAddrV4 {
     let step = match class {
         NodeRole::Control => 0,
         NodeRole::Store => 1,
@@ -97,9 +106,9 @@
 }
 
 pub struct Links {
-    me: Hello,
-    links: HashMap<ConnId, Link>,
-    by_node: HashMap<Node, ConnId>,
+    me: PeerInfo,
+    links: HashMap<ConnectionId, Link>,
+    by_node: HashMap<Node, ConnectionId>,
     /// Who is connected: to find a control node nobody goes through all edges.
     by_class: [BTreeSet<Node>; 4],
     /// Addresses to be connected with, and when to try again.
@@ -111,15 +120,15 @@
     /// When words are said next.
     word_at: Millis,
     ports: (u16, u16),
-    pub unread: u64,
+    pub undecodable_frames: u64,
     /// What was said, by what it is about and whether to another zone: frames and bytes.
-    pub told: BTreeMap<(&'static str, bool), (u64, u64)>,
+    pub sent: BTreeMap<(&'static str, bool), FrameVolume>,
     /// How often all connections were gone through.
     pub looks: u64,
 }
 
 impl Links {
-    pub fn new(me: Hello, ports: (u16, u16)) -> Links {
+    pub fn new(me: PeerInfo, ports: (u16, u16)) -> Links {
         Links {
             me,
             links: HashMap::new(),
@@ -130,19 +139,19 @@
             look_at: 0,
             word_at: 0,
             ports,
-            unread: 0,
-            told: BTreeMap::new(),
+            undecodable_frames: 0,
+            sent: BTreeMap::new(),
             looks: 0,
         }
     }
 
-    pub fn me(&self) -> &Hello {
+    pub fn local(&self) -> &PeerInfo {
         &self.me
     }
 
     /// Where a process of a class listens for others: roles on one machine share its ports.
-    pub fn address(&self, ip: Ipv4Addr, class: NodeRole) -> SocketAddrV4 {
-        address(self.ports, ip, class)
+    pub fn listen_address(&self, ip: Ipv4Addr, class: NodeRole) -> SocketAddrV4 {
+        listen_address(self.ports, ip, class)
     }
 
     pub fn ports(&self) -> (u16, u16) {
@@ -150,7 +159,7 @@
     }
 
     /// Is to be connected with these, and dials no others.
-    pub fn want(&mut self, now: Millis, all: impl IntoIterator<Item = SocketAddrV4>) {
+    pub fn set_dial_targets(&mut self, now: Millis, all: impl IntoIterator<Item = SocketAddrV4>) {
         let old = std::mem::take(&mut self.wanted);
         for address in all {
             let at = old.get(&address).copied().unwrap_or(now);
@@ -165,34 +174,34 @@
         self.by_node.contains_key(&node)
     }
     /// When anything was last heard of it.
-    pub fn heard(&self, node: Node) -> Option<Millis> {
+    pub fn last_heard_at(&self, node: Node) -> Option<Millis> {
         self.by_node.get(&node).and_then(|conn| self.links.get(conn)).map(|link| link.keepalive.heard)
     }
-    pub fn hello(&self, node: Node) -> Option<&Hello> {
+    pub fn peer(&self, node: Node) -> Option<&PeerInfo> {
         self.links.get(self.by_node.get(&node)?)?.hello.as_ref()
     }
-    pub fn up(&self) -> impl Iterator<Item = &Hello> {
+    pub fn all_peers(&self) -> impl Iterator<Item = &PeerInfo> {
         self.by_node.values().filter_map(|conn| self.links.get(conn)?.hello.as_ref())
     }
     /// Who is connected, of one class.
-    pub fn class(&self, class: NodeRole) -> Vec<Node> {
+    pub fn nodes_with_role(&self, class: NodeRole) -> Vec<Node> {
         self.by_class[class as usize].iter().copied().collect()
     }
     /// What those of one class that are connected have said of themselves.
-    pub fn hellos(&self, class: NodeRole) -> impl Iterator<Item = &Hello> {
-        self.by_class[class as usize].iter().filter_map(|node| self.hello(*node))
+    pub fn peers(&self, class: NodeRole) -> impl Iterator<Item = &PeerInfo> {
+        self.by_class[class as usize].iter().filter_map(|node| self.peer(*node))
     }
-    pub fn by_control(&self, control: SocketAddrV4) -> Option<Node> {
-        self.hellos(NodeRole::Control).find(|h| h.control == Some(control)).map(|h| h.node)
+    pub fn node_at_control_address(&self, control: SocketAddrV4) -> Option<Node> {
+        self.peers(NodeRole::Control).find(|h| h.control_address == Some(control)).map(|h| h.node)
     }
 
-    pub fn say(&mut self, net: &mut Net, to: Node, signal: &Signal) -> bool {
+    pub fn send(&mut self, net: &mut Net, to: Node, signal: &Frame) -> bool {
         let Some(conn) = self.by_node.get(&to).copied() else { return false };
         self.say_on(net, conn, signal);
         true
     }
 
-    fn say_on(&mut self, net: &mut Net, conn: ConnId, signal: &Signal) {
+    fn say_on(&mut self, net: &mut Net, conn: ConnectionId, signal: &Frame) {
         let mut far = false;
         if let Some(link) = self.links.get_mut(&conn) {
             link.keepalive.says(net.now());
@@ -200,8 +209,9 @@
         }
         match postcard::to_stdvec(signal) {
             Ok(bytes) => {
-                let told = self.told.entry((signal.about(), far)).or_default();
-                *told = (told.0 + 1, told.1 + bytes.len() as u64 + 4);
+                let volume = self.sent.entry((signal.category(), far)).or_default();
+                volume.frames += 1;
+                volume.bytes += bytes.len() as u64 + 4;
                 net.send(conn, &bytes);
             }
             Err(error) => tracing::error!(%error, "a signal that can't be written"),
@@ -232,11 +242,11 @@
         if now >= self.word_at {
             self.word_at = now + WORD;
             let due = |l: &Link| l.hello.is_some() && l.keepalive.due(now);
-            let quiet: Vec<ConnId> =
+            let quiet: Vec<ConnectionId> =
                 self.links.iter().filter(|(_, l)| due(l)).map(|(conn, _)| *conn).collect();
-            quiet.into_iter().for_each(|conn| self.say_on(net, conn, &Signal::Ping));
+            quiet.into_iter().for_each(|conn| self.say_on(net, conn, &Frame::Ping));
         }
-        let gone: Vec<ConnId> =
+        let gone: Vec<ConnectionId> =
             self.links.iter().filter(|(_, l)| now >= l.silent()).map(|(conn, _)| *conn).collect();
         for conn in gone {
             words.extend(self.lost(now, conn));
@@ -253,7 +263,7 @@
         self.look_at
     }
 
-    fn lost(&mut self, now: Millis, conn: ConnId) -> Option<LinkEvent> {
+    fn lost(&mut self, now: Millis, conn: ConnectionId) -> Option<LinkEvent> {
         let link = self.links.remove(&conn)?;
         if let Some(address) = link.dialled {
             self.dialled.remove(&address);
@@ -265,45 +275,45 @@
             return None;
         }
         self.by_node.remove(&hello.node);
-        self.by_class[hello.class as usize].remove(&hello.node);
-        if hello.class != NodeRole::CommandLine {
+        self.by_class[hello.role as usize].remove(&hello.node);
+        if hello.role != NodeRole::CommandLine {
             tracing::info!(node = hello.name, "link down");
         }
-        Some(LinkEvent::Down(hello.node, hello.class))
+        Some(LinkEvent::Down(hello.node, hello.role))
     }
 
     /// Who says this of itself may be talked to on a connection that was opened to `dialled`, if it was opened from here.
-    fn is_welcome(&self, dialled: Option<SocketAddrV4>, hello: &Hello) -> bool {
-        let is_at = |ip| dialled.is_none_or(|dialled| self.address(ip, hello.class) == dialled);
+    fn is_welcome(&self, dialled: Option<SocketAddrV4>, hello: &PeerInfo) -> bool {
+        let is_at = |ip| dialled.is_none_or(|dialled| self.listen_address(ip, hello.role) == dialled);
         // Another process may have the address by now: what is meant for the one would be said to the other.
-        let is_dialled = is_at(hello.ip) || hello.control.is_some_and(|control| is_at(*control.ip()));
-        let is_other = |held: &Hello| held.name != hello.name;
-        let is_new = hello.node != self.me.node && !self.hello(hello.node).is_some_and(is_other);
-        hello.protocol == PROTOCOL && is_dialled && is_new
+        let is_dialled = is_at(hello.ip) || hello.control_address.is_some_and(|control| is_at(*control.ip()));
+        let is_other = |held: &PeerInfo| held.name != hello.name;
+        let is_new = hello.node != self.me.node && !self.peer(hello.node).is_some_and(is_other);
+        hello.protocol_version == PROTOCOL_VERSION && is_dialled && is_new
     }
 
     /// What an event of the net means here; events that are not of links come back.
     pub fn event(&mut self, net: &mut Net, event: Event, words: &mut Vec<LinkEvent>) -> Option<Event> {
         let now = net.now();
         match event {
-            Event::PeerUp { conn } => {
+            Event::PeerConnected { connection: conn } => {
                 let link = self.links.entry(conn).or_insert(Link::new(now, None));
                 link.keepalive.hears(now);
                 self.look_at = self.look_at.min(now + SILENCE);
-                let hello = Signal::Hello(self.me.clone());
+                let hello = Frame::Hello(self.me.clone());
                 self.say_on(net, conn, &hello);
             }
-            Event::PeerDown { conn } => words.extend(self.lost(now, conn)),
-            Event::Frame { conn, bytes } => {
+            Event::PeerDisconnected { connection: conn } => words.extend(self.lost(now, conn)),
+            Event::PeerFrame { connection: conn, bytes } => {
                 let link = self.links.get_mut(&conn)?;
                 link.keepalive.hears(now);
-                let (known, dialled) = (link.hello.as_ref().map(|h| (h.node, h.class)), link.dialled);
+                let (known, dialled) = (link.hello.as_ref().map(|h| (h.node, h.role)), link.dialled);
                 let answers = link.keepalive.answers(now);
                 match (postcard::from_bytes(&bytes), known) {
-                    (Ok(Signal::Hello(hello)), None) if self.is_welcome(dialled, &hello) => {
+                    (Ok(Frame::Hello(hello)), None) if self.is_welcome(dialled, &hello) => {
                         let link = self.links.get_mut(&conn)?;
                         link.hello = Some(hello.clone());
-                        self.by_class[hello.class as usize].insert(hello.node);
+                        self.by_class[hello.role as usize].insert(hello.node);
                         // A newer connection of the same node: the old one is dead, though nothing has said so.
                         if let Some(old) = self.by_node.insert(hello.node, conn) {
                             // (Not `lost`: the node has its new connection already.)
@@ -312,25 +322,25 @@
                                 self.look_at = now;
                             }
                             net.close(old);
-                            words.push(LinkEvent::Down(hello.node, hello.class));
+                            words.push(LinkEvent::Down(hello.node, hello.role));
                         }
-                        if hello.class != NodeRole::CommandLine {
+                        if hello.role != NodeRole::CommandLine {
                             tracing::debug!(node = hello.name, "link up");
                         }
                         words.push(LinkEvent::Up(hello));
                     }
-                    (Ok(Signal::Ping), Some(_)) => {
+                    (Ok(Frame::Ping), Some(_)) => {
                         if answers {
-                            self.say_on(net, conn, &Signal::Ping);
+                            self.say_on(net, conn, &Frame::Ping);
                         }
                     }
-                    (Ok(signal), Some((node, class))) if !matches!(signal, Signal::Hello(_)) => {
-                        words.push(LinkEvent::Said(node, class, signal));
+                    (Ok(signal), Some((node, class))) if !matches!(signal, Frame::Hello(_)) => {
+                        words.push(LinkEvent::Received(node, class, signal));
                     }
                     _ => {
-                        self.unread += 1;
+                        self.undecodable_frames += 1;
                         words.extend(self.lost(now, conn));
-                        net.garble(conn);
+                        net.close_malformed(conn);
                     }
                 }
             }
--- a/crates/server/src/links/tests.rs
+++ b/crates/server/src/links/tests.rs
@@ -69,9 +69,18 @@
 
 const STORE: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 2);
 
-fn hello(node: Node, name: &str, class: NodeRole, ip: Ipv4Addr) -> Hello {
+fn hello(node: Node, name: &str, role: NodeRole, ip: Ipv4Addr) -> PeerInfo {
     let (name, zone) = (name.to_string(), String::new());
-    Hello { protocol: PROTOCOL, node, name, class, zone, ip, life: 1, control: None }
+    PeerInfo {
+        protocol_version: PROTOCOL_VERSION,
+        node,
+        name,
+        role,
+        zone,
+        ip,
+        incarnation: 1,
+        control_address: None,
+    }
 }
 
 /// An edge that has a connection, and what it makes of the first thing that is said on it.
@@ -86,12 +95,12 @@
         End { net: Net::new(16).unwrap().0, links: Links::new(me, (7300, 7309)) }
     }
 
-    fn hears(&mut self, dialled: Option<SocketAddrV4>, first: &Signal) -> Vec<LinkEvent> {
+    fn hears(&mut self, dialled: Option<SocketAddrV4>, first: &Frame) -> Vec<LinkEvent> {
         let conn = self.net.dial(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 9)).unwrap();
         let now = self.net.now();
         self.links.links.insert(conn, Link::new(now, dialled));
         let (bytes, mut words) = (postcard::to_stdvec(first).unwrap(), Vec::new());
-        self.links.event(&mut self.net, Event::Frame { conn, bytes }, &mut words);
+        self.links.event(&mut self.net, Event::PeerFrame { connection: conn, bytes }, &mut words);
         words
     }
 }
@@ -99,10 +108,10 @@
 #[test]
 fn who_answers_at_an_address_has_to_be_of_it() {
     let at = SocketAddrV4::new(STORE, 7301);
-    let is_taken = |dialled, said: &Hello| {
+    let is_taken = |dialled, said: &PeerInfo| {
         let mut end = End::new();
-        let words = end.hears(dialled, &Signal::Hello(said.clone()));
-        assert_eq!(words.is_empty(), end.links.unread == 1);
+        let words = end.hears(dialled, &Frame::Hello(said.clone()));
+        assert_eq!(words.is_empty(), end.links.undecodable_frames == 1);
         !words.is_empty()
     };
     let store = hello(2, "store", NodeRole::Store, STORE);
@@ -112,20 +121,20 @@
     assert!(!is_taken(Some(at), &hello(3, "other", NodeRole::Store, Ipv4Addr::new(10, 0, 0, 3))));
     // A control node is dialled at the address of its listener for calls, as the seeds tell it.
     let elsewhere = hello(4, "core", NodeRole::Control, Ipv4Addr::new(10, 0, 0, 4));
-    let core = Hello { control: Some(SocketAddrV4::new(STORE, 80)), ..elsewhere.clone() };
+    let core = PeerInfo { control_address: Some(SocketAddrV4::new(STORE, 80)), ..elsewhere.clone() };
     let at = SocketAddrV4::new(STORE, 7300);
     assert!(is_taken(Some(at), &core) && !is_taken(Some(at), &elsewhere));
-    assert!(!is_taken(None, &Hello { protocol: PROTOCOL + 1, ..store.clone() }));
+    assert!(!is_taken(None, &PeerInfo { protocol_version: PROTOCOL_VERSION + 1, ..store.clone() }));
     assert!(!is_taken(None, &hello(1, "edge", NodeRole::Edge, STORE)), "its own number");
 }
 
 #[test]
 fn a_number_belongs_to_one_name() {
     let mut end = End::new();
-    let store = Signal::Hello(hello(2, "store", NodeRole::Store, STORE));
+    let store = Frame::Hello(hello(2, "store", NodeRole::Store, STORE));
     assert_eq!(end.hears(None, &store).len(), 1);
     // A visitor draws its number; were it taken for the store, the store's connection would end.
-    let visitor = Signal::Hello(hello(2, "visitor", NodeRole::CommandLine, Ipv4Addr::UNSPECIFIED));
+    let visitor = Frame::Hello(hello(2, "visitor", NodeRole::CommandLine, Ipv4Addr::UNSPECIFIED));
     assert!(end.hears(None, &visitor).is_empty());
     assert!(end.links.is_up(2));
     // The same name again is the same node, started anew.
@@ -134,5 +143,5 @@
 
 #[test]
 fn before_it_has_said_who_it_is_nothing_is_heard() {
-    assert!(End::new().hears(None, &Signal::Leaving).is_empty());
+    assert!(End::new().hears(None, &Frame::Draining).is_empty());
 }
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -22,7 +22,7 @@
 
 use args::{Args, Task, UNUSABLE};
 use gumdrop::Options;
-use node::Common;
+use node::NodeRuntime;
 use protocol::NodeRole;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -69,7 +69,7 @@
 
 fn run(boot: Boot, path: &Path, class: NodeRole) -> miette::Result<()> {
     tracing::info!(node = boot.node_name, role = %class, first = boot.first_start, "starts");
-    let common = Common::start(boot, path, class)?;
+    let common = NodeRuntime::start(boot, path, class)?;
     match class {
         NodeRole::Edge => edge::Edge::new(common)?.run(),
         NodeRole::Store => store::Store::new(common)?.run(),
--- a/crates/server/src/metrics.rs
+++ b/crates/server/src/metrics.rs
@@ -13,7 +13,7 @@
 }
 
 impl Histogram {
-    pub fn add(&mut self, ms: u64) {
+    pub fn record(&mut self, ms: u64) {
         if let Some(at) = BUCKETS.iter().position(|bound| ms <= *bound) {
             self.buckets[at] += 1;
         }
@@ -26,12 +26,12 @@
 
 /// The text as it grows; figures of one name have to follow one another.
 #[derive(Default)]
-pub struct Sheet {
+pub struct Exposition {
     pub text: String,
     last: String,
 }
 
-impl Sheet {
+impl Exposition {
     fn head(&mut self, name: &str, kind: &str, help: &str) {
         if self.last != name {
             self.last = name.to_string();
@@ -49,7 +49,7 @@
     }
 
     /// Rises only, until the process ends.
-    pub fn count(&mut self, name: &str, help: &str, labels: Labels, value: u64) {
+    pub fn counter(&mut self, name: &str, help: &str, labels: Labels, value: u64) {
         self.head(name, "counter", help);
         self.line(name, labels, value);
     }
--- a/crates/server/src/metrics/tests.rs
+++ b/crates/server/src/metrics/tests.rs
@@ -2,11 +2,11 @@
 
 #[test]
 fn a_sheet_is_the_usual_text() {
-    let mut sheet = Sheet::default();
-    sheet.count("a_total", "As.", &[("of", "x\"y\\")], 3);
-    sheet.count("a_total", "As.", &[("of", "z")], 4);
+    let mut sheet = Exposition::default();
+    sheet.counter("a_total", "As.", &[("of", "x\"y\\")], 3);
+    sheet.counter("a_total", "As.", &[("of", "z")], 4);
     let mut times = Histogram::default();
-    [5, 6, 20_000].into_iter().for_each(|ms| times.add(ms));
+    [5, 6, 20_000].into_iter().for_each(|ms| times.record(ms));
     sheet.histogram("t_seconds", "Ts.", &times);
     let begin =
         "# HELP a_total As.\n# TYPE a_total counter\na_total{of=\"x\\\"y\\\\\"} 3\na_total{of=\"z\"} 4\n";
--- a/crates/server/src/net/client.rs
+++ b/crates/server/src/net/client.rs
@@ -3,8 +3,8 @@
 
 pub(super) mod connection;
 
-use super::{ConnId, Event, Millis, Net, Side, CONNECT};
-use connection::{Call, Exchange, Failure, Step};
+use super::{ConnectionId, Event, Millis, Net, Side, CONNECT};
+use connection::{Call, CallError, Exchange, Step};
 use mio::net::TcpStream;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -29,7 +29,7 @@
 #[derive(Default)]
 pub(super) struct Pool {
     open: usize,
-    idle: Vec<ConnId>,
+    idle: Vec<ConnectionId>,
     rest: Option<Rest>,
     /// As many as may be open, as was said last.
     most: usize,
@@ -73,7 +73,7 @@
         deadline: Millis,
         most: usize,
         id: Option<&str>,
-    ) -> Result<(), Failure> {
+    ) -> Result<(), CallError> {
         let now = self.now;
         let (key, most) = (PoolKey { to, tied: id.is_some() }, most.max(1));
         let (conn, rested) = match self.idle(key, most, id) {
@@ -97,7 +97,7 @@
 
     /// An idle connection that may carry this request. Where none is left to be opened, one that has carried the same
     /// request before is closed for it.
-    fn idle(&mut self, key: PoolKey, most: usize, id: Option<&str>) -> Option<ConnId> {
+    fn idle(&mut self, key: PoolKey, most: usize, id: Option<&str>) -> Option<ConnectionId> {
         let now = self.now;
         let mut passed_over = Vec::new();
         let found = loop {
@@ -122,33 +122,33 @@
         found
     }
 
-    fn has_carried(&mut self, conn: ConnId, id: &str) -> bool {
+    fn has_carried(&mut self, conn: ConnectionId, id: &str) -> bool {
         matches!(self.get(conn).map(|conn| &conn.side), Some(Side::Outward(o)) if o.exchange.has_carried(id))
     }
 
     /// Neither bytes nor an end wait on it. What came since it fell idle would be taken for the next answer.
-    fn is_quiet(&mut self, conn: ConnId) -> bool {
+    fn is_quiet(&mut self, conn: ConnectionId) -> bool {
         let Some(conn) = self.get(conn) else { return false };
         let mut byte = [0];
         matches!(conn.stream.peek(&mut byte), Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 
-    fn open_outward(&mut self, key: PoolKey, most: usize) -> Result<ConnId, Failure> {
+    fn open_outward(&mut self, key: PoolKey, most: usize) -> Result<ConnectionId, CallError> {
         if self.pools.get(&key).is_some_and(|pool| pool.open >= most) {
-            return Err(Failure::NoRoom);
+            return Err(CallError::NoCapacity);
         }
-        let stream = TcpStream::connect(SocketAddr::V4(key.to)).map_err(|_| Failure::NotConnected)?;
+        let stream = TcpStream::connect(SocketAddr::V4(key.to)).map_err(|_| CallError::NotConnected)?;
         let exchange = Exchange::default();
         let side = Side::Outward(Outward { pool: key, exchange, idle_since: self.now, rested: None });
-        let id = self.enter(stream, side, false, Millis::MAX).ok_or(Failure::NoRoom)?;
+        let id = self.enter(stream, side, false, Millis::MAX).ok_or(CallError::NoCapacity)?;
         let pool = self.pools.entry(key).or_default();
         (pool.open, pool.most) = (pool.open + 1, most);
-        self.opened += 1;
+        self.connections_opened += 1;
         Ok(id)
     }
 
     /// For how long a connection has been idle.
-    fn rests(&mut self, id: ConnId) -> Millis {
+    fn rests(&mut self, id: ConnectionId) -> Millis {
         let now = self.now;
         match self.get(id).map(|conn| &conn.side) {
             Some(Side::Outward(outward)) => now.saturating_sub(outward.idle_since),
@@ -157,16 +157,16 @@
     }
 
     /// No byte of an answer came on a connection that had carried others.
-    fn lost_at_rest(&mut self, id: ConnId) {
+    fn lost_at_rest(&mut self, id: ConnectionId) {
         let now = self.now;
         let Some(conn) = self.get(id).filter(|conn| conn.input.is_empty()) else { return };
         let Side::Outward(Outward { pool, rested: Some(rested), .. }) = conn.side else { return };
-        self.lost_at_rest += 1;
+        self.idle_connections_lost += 1;
         let pool = self.pools.entry(pool).or_default();
         pool.rest = Rest::lost(pool.rest, now, rested);
     }
 
-    pub(super) fn take_reply(&mut self, id: ConnId) {
+    pub(super) fn take_reply(&mut self, id: ConnectionId) {
         let Some(conn) = self.get(id) else { return };
         let Side::Outward(outward) = &mut conn.side else { return };
         let written = conn.out.is_empty();
@@ -177,7 +177,7 @@
         self.carry_out(id, step);
     }
 
-    pub(super) fn reply_to_end(&mut self, id: ConnId) {
+    pub(super) fn reply_to_end(&mut self, id: ConnectionId) {
         let Some(conn) = self.get(id) else { return };
         let Side::Outward(outward) = &mut conn.side else { return };
         let busy = outward.exchange.call().is_some();
@@ -188,7 +188,7 @@
         self.carry_out(id, step);
     }
 
-    pub(super) fn broke(&mut self, id: ConnId) {
+    pub(super) fn broke(&mut self, id: ConnectionId) {
         let Some(conn) = self.get(id) else { return };
         let Side::Outward(outward) = &mut conn.side else { return };
         let busy = outward.exchange.call().is_some();
@@ -199,7 +199,7 @@
         self.carry_out(id, step);
     }
 
-    pub(super) fn late(&mut self, id: ConnId) {
+    pub(super) fn late(&mut self, id: ConnectionId) {
         let now = self.now;
         let Some(conn) = self.get(id) else { return };
         let open = conn.open;
@@ -216,12 +216,12 @@
         }
     }
 
-    fn carry_out(&mut self, id: ConnId, step: Step) {
+    fn carry_out(&mut self, id: ConnectionId, step: Step) {
         match step {
             Step::Wait => {}
             Step::Close => self.close(id),
             Step::Done { ticket, result, keep } => {
-                self.happened.push_back(Event::Replied { ticket, result });
+                self.happened.push_back(Event::CallCompleted { call_id: ticket, result });
                 match keep {
                     Some(keep) => self.rest(id, keep),
                     None => self.close(id),
@@ -231,7 +231,7 @@
     }
 
     /// Keeps a connection for the next call, if there is room for it.
-    fn rest(&mut self, id: ConnId, keep: Millis) {
+    fn rest(&mut self, id: ConnectionId, keep: Millis) {
         let (now, until) = (self.now, self.now + keep);
         let Some(conn) = self.get(id) else { return };
         let Side::Outward(outward) = &mut conn.side else { return };
@@ -247,7 +247,7 @@
         self.pools.entry(key).or_default().idle.push(id);
     }
 
-    pub(super) fn left(&mut self, id: ConnId, key: PoolKey) {
+    pub(super) fn left(&mut self, id: ConnectionId, key: PoolKey) {
         let now = self.now;
         if let Some(pool) = self.pools.get_mut(&key) {
             pool.open = pool.open.saturating_sub(1);
@@ -259,7 +259,7 @@
     }
 
     /// Closes what is idle to an address where nobody is asked any more.
-    pub fn forget(&mut self, to: SocketAddrV4) {
+    pub fn close_idle_calls_to(&mut self, to: SocketAddrV4) {
         let pool = self.pools.get_mut(&PoolKey { to, tied: true });
         let idle = pool.map(|pool| std::mem::take(&mut pool.idle)).unwrap_or_default();
         idle.into_iter().for_each(|id| self.close(id));
--- a/crates/server/src/net/client/connection.rs
+++ b/crates/server/src/net/client/connection.rs
@@ -3,7 +3,7 @@
 //! A connection carries one request at a time. Its answer is tied to it by the connection and, where the other side
 //! repeats it, by the request's id. Once the tie is lost the connection is not used again.
 
-use super::super::fault_injection::{planted, Planted};
+use super::super::fault_injection::{is_injected, InjectedFault};
 use super::super::Millis;
 use httparse::Status;
 use std::collections::VecDeque;
@@ -12,33 +12,33 @@
 
 /// An answer, whole.
 #[derive(Clone, Debug, Default)]
-pub struct Reply {
+pub struct CallReply {
     pub status: u16,
     pub seal: Option<String>,
-    pub not_run: bool,
-    pub load: Option<String>,
+    pub was_not_run: bool,
+    pub server_load: Option<String>,
     /// Which request it says it answers.
-    pub id: Option<String>,
+    pub request_id: Option<String>,
 }
 
 /// No answer: the verdict says whether the request may have run.
 #[derive(Clone, Copy, Debug, PartialEq, strum::Display)]
-pub enum Failure {
+pub enum CallError {
     /// The connection never opened: it did not run.
     NotConnected,
     /// All connections that the executor takes from here are in use: it was not sent.
-    NoRoom,
+    NoCapacity,
     /// Reset or closed before an answer: it may have run.
-    Broken,
+    ConnectionLost,
     /// Silence up to the deadline: it may have run.
-    Late,
+    TimedOut,
     /// What came is no answer, or another's: it may have run.
-    Garbled,
+    InvalidReply,
 }
 
-impl Failure {
+impl CallError {
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Failure::NotConnected | Failure::NoRoom)
+        !matches!(self, CallError::NotConnected | CallError::NoCapacity)
     }
 }
 
@@ -61,7 +61,7 @@
     /// The call's outcome, and for how long the connection may rest until it carries another; `None`: not at all.
     Done {
         ticket: u64,
-        result: Result<Reply, Failure>,
+        result: Result<CallReply, CallError>,
         keep: Option<Millis>,
     },
 }
@@ -106,12 +106,15 @@
         self.carried.contains(&mark(id))
     }
 
-    fn whose(&self, reply: &Reply) -> Whose {
+    fn whose(&self, reply: &CallReply) -> Whose {
         let wanted = self.call.as_ref().and_then(|call| call.id.as_deref());
-        if wanted.is_none() || wanted == reply.id.as_deref() || planted(Planted::TiedByOrder) {
+        if wanted.is_none()
+            || wanted == reply.request_id.as_deref()
+            || is_injected(InjectedFault::TiedByOrder)
+        {
             return Whose::Awaited;
         }
-        match &reply.id {
+        match &reply.request_id {
             Some(id) if self.has_carried(id) => Whose::Earlier,
             _ => Whose::Unknown,
         }
@@ -124,7 +127,7 @@
                 return Step::Wait;
             }
             let Some(call) = &self.call else {
-                if planted(Planted::StrayKept) {
+                if is_injected(InjectedFault::StrayKept) {
                     input.clear();
                     return Step::Wait;
                 }
@@ -134,24 +137,25 @@
             let (tied, bodiless) = (call.id.is_some(), call.bodiless);
             let (reply, used, keep) = match parse(input, bodiless) {
                 Found::More | Found::ToEnd { .. } => return Step::Wait,
-                Found::Garbled => return self.done(Err(Failure::Garbled), None),
+                Found::InvalidReply => return self.done(Err(CallError::InvalidReply), None),
                 Found::Whole { reply, used, keep } => (reply, used, keep),
             };
             input.drain(..used);
             match self.whose(&reply) {
                 // Without an id only what comes behind the whole request can be its answer.
-                Whose::Awaited if !written && !tied => return self.done(Err(Failure::Garbled), None),
+                Whose::Awaited if !written && !tied => return self.done(Err(CallError::InvalidReply), None),
                 Whose::Awaited => {
                     // A request that was answered before it was out whole would go on as the next one.
                     let lost = !input.is_empty() || ended || self.strayed || !written;
-                    return self.done(Ok(reply), keep.filter(|_| !lost || planted(Planted::StrayKept)));
+                    return self
+                        .done(Ok(reply), keep.filter(|_| !lost || is_injected(InjectedFault::StrayKept)));
                 }
                 // The one that is waited for comes behind it. Taken for it, or with the connection given up, a message
                 // that is running would run again.
                 Whose::Earlier => self.strayed = true,
                 // Kept, this connection would hand each request the answer to the one before, for as long as it is used:
                 // seconds after the executor is well again each of them would run twice.
-                Whose::Unknown => return self.done(Err(Failure::Garbled), None),
+                Whose::Unknown => return self.done(Err(CallError::InvalidReply), None),
             }
         }
     }
@@ -160,38 +164,38 @@
     pub fn end(&mut self, input: &[u8], written: bool) -> Step {
         let Some(call) = &self.call else { return Step::Close };
         let found = match parse(input, call.bodiless) {
-            Found::More if planted(Planted::HalfTaken) => half(input),
+            Found::More if is_injected(InjectedFault::HalfTaken) => half(input),
             found => found,
         };
         let result = match found {
             Found::ToEnd { reply } => match self.whose(&reply) {
                 Whose::Awaited if written => Ok(reply),
-                _ => Err(Failure::Garbled),
+                _ => Err(CallError::InvalidReply),
             },
-            _ => Err(Failure::Broken),
+            _ => Err(CallError::ConnectionLost),
         };
         self.done(result, None)
     }
 
     /// The connection broke. `open`: it had been open, so that the request may have gone out.
     pub fn broke(&mut self, open: bool) -> Step {
-        self.fail(if open { Failure::Broken } else { Failure::NotConnected })
+        self.fail(if open { CallError::ConnectionLost } else { CallError::NotConnected })
     }
 
     /// Its deadline has come.
     pub fn late(&mut self, open: bool) -> Step {
-        let sent = open && !planted(Planted::SilenceNotSent);
-        self.fail(if sent { Failure::Late } else { Failure::NotConnected })
+        let sent = open && !is_injected(InjectedFault::SilenceNotSent);
+        self.fail(if sent { CallError::TimedOut } else { CallError::NotConnected })
     }
 
-    fn fail(&mut self, failure: Failure) -> Step {
+    fn fail(&mut self, failure: CallError) -> Step {
         match self.call {
             Some(_) => self.done(Err(failure), None),
             None => Step::Close,
         }
     }
 
-    fn done(&mut self, result: Result<Reply, Failure>, keep: Option<Millis>) -> Step {
+    fn done(&mut self, result: Result<CallReply, CallError>, keep: Option<Millis>) -> Step {
         let Some(call) = self.call.take() else { return Step::Close };
         self.carried.truncate(CARRIED - 1);
         call.id.iter().for_each(|id| self.carried.push_front(mark(id)));
@@ -203,15 +207,15 @@
 enum Found {
     More,
     Whole {
-        reply: Reply,
+        reply: CallReply,
         used: usize,
         keep: Option<Millis>,
     },
     /// Whole when the connection ends.
     ToEnd {
-        reply: Reply,
+        reply: CallReply,
     },
-    Garbled,
+    InvalidReply,
 }
 
 /// The head of an answer of which the rest is missing, taken as whole: for a planted fault.
@@ -238,14 +242,14 @@
         let mut head = httparse::Response::new(&mut headers);
         let end = match head.parse(&bytes[from..]) {
             Ok(Status::Complete(end)) => from + end,
-            Ok(Status::Partial) if bytes.len() > MOST => return Found::Garbled,
+            Ok(Status::Partial) if bytes.len() > MOST => return Found::InvalidReply,
             Ok(Status::Partial) => return Found::More,
-            Err(_) => return Found::Garbled,
+            Err(_) => return Found::InvalidReply,
         };
         let status = head.code.unwrap_or(0);
         // Nobody asked for another protocol: what follows would not be HTTP.
         if status == 101 {
-            return Found::Garbled;
+            return Found::InvalidReply;
         }
         if (100..200).contains(&status) {
             from = end;
@@ -253,28 +257,28 @@
         }
         let headers = &*head.headers;
         if SINGLE.iter().any(|name| repeated(headers, name)) {
-            return Found::Garbled;
+            return Found::InvalidReply;
         }
         let text = |name| header(headers, name).map(str::to_string);
-        let reply = Reply {
+        let reply = CallReply {
             status,
             seal: text("X-Server-Seal"),
-            not_run: header(headers, "X-Not-Run").is_some(),
-            load: text("X-Server-Load"),
-            id: text("X-Request-Id"),
+            was_not_run: header(headers, "X-Not-Run").is_some(),
+            server_load: text("X-Server-Load"),
+            request_id: text("X-Request-Id"),
         };
-        let Some(framing) = framing(headers, head.version) else { return Found::Garbled };
+        let Some(framing) = framing(headers, head.version) else { return Found::InvalidReply };
         let used = match framing {
             _ if bodiless || without_body(status) => end,
             None | Some(Framing::ToEnd) => return Found::ToEnd { reply },
-            Some(Framing::Length(length)) if length > MOST => return Found::Garbled,
+            Some(Framing::Length(length)) if length > MOST => return Found::InvalidReply,
             Some(Framing::Length(length)) if bytes.len() - end < length => return Found::More,
             Some(Framing::Length(length)) => end + length,
             Some(Framing::Chunked) => {
                 let mut chunks = Chunks::default();
-                let Ok(used) = chunks.feed(&bytes[end..], |_| {}) else { return Found::Garbled };
+                let Ok(used) = chunks.feed(&bytes[end..], |_| {}) else { return Found::InvalidReply };
                 if !chunks.done() {
-                    return if bytes.len() > MOST { Found::Garbled } else { Found::More };
+                    return if bytes.len() > MOST { Found::InvalidReply } else { Found::More };
                 }
                 end + used
             }
--- a/crates/server/src/net/client/connection/generated.rs
+++ b/crates/server/src/net/client/connection/generated.rs
@@ -1,7 +1,7 @@
 //! Connections to executors played by chance: every split of bytes, early and late ends, second answers, answers to others.
 //! What is right is known from how the bytes were made.
 
-use super::super::super::fault_injection::{with, Planted};
+use super::super::super::fault_injection::{with_fault, InjectedFault};
 use super::super::super::random::Generator;
 use super::*;
 
@@ -135,7 +135,7 @@
 /// How a call ended, and what had come by then.
 struct Outcome {
     ticket: u64,
-    result: Result<Reply, Failure>,
+    result: Result<CallReply, CallError>,
     keep: Option<Millis>,
     /// Bytes that had come, and whether the request was out whole.
     fed: usize,
@@ -274,9 +274,14 @@
 
 #[test]
 fn each_planted_fault_is_found() {
-    let faults = [Planted::TiedByOrder, Planted::SilenceNotSent, Planted::StrayKept, Planted::HalfTaken];
+    let faults = [
+        InjectedFault::TiedByOrder,
+        InjectedFault::SilenceNotSent,
+        InjectedFault::StrayKept,
+        InjectedFault::HalfTaken,
+    ];
     for fault in faults {
-        let found = with(Some(fault), || (0..CONNECTIONS).find_map(|seed| play(seed).err()));
+        let found = with_fault(Some(fault), || (0..CONNECTIONS).find_map(|seed| play(seed).err()));
         assert!(found.is_some(), "{fault:?} is not found");
     }
 }
--- a/crates/server/src/net/client/connection/tests.rs
+++ b/crates/server/src/net/client/connection/tests.rs
@@ -22,13 +22,13 @@
         for (text, used) in [(&text, text.len()), (&second, text.len())] {
             assert_matches!(parse(text.as_bytes(), false), Found::Whole { reply, used: u, keep } => {
                 assert_eq!((reply.status, u, keep), (200, used, keeps), "{text:?}");
-                assert_eq!((reply.seal.as_deref(), reply.id.as_deref()), (Some("s"), Some("i")));
+                assert_eq!((reply.seal.as_deref(), reply.request_id.as_deref()), (Some("s"), Some("i")));
             });
         }
     }
     let busy = "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\nX-Server-Load: 1,2,3\r\nContent-Length: 0\r\n\r\n";
     assert_matches!(parse(busy.as_bytes(), false), Found::Whole { reply, .. } => {
-        assert_eq!((reply.status, reply.not_run, reply.load.as_deref()), (503, true, Some("1,2,3")));
+        assert_eq!((reply.status, reply.was_not_run, reply.server_load.as_deref()), (503, true, Some("1,2,3")));
     });
     assert_matches!(parse(b"HTTP/1.1 204 None\r\n\r\n", false), Found::Whole { .. });
     assert_matches!(parse(b"HTTP/1.1 200 OK\r\n\r\nto the end", false), Found::ToEnd { .. });
@@ -51,14 +51,14 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
     ];
     for text in rows {
-        assert_matches!(parse(text.as_bytes(), false), Found::Garbled, "{text:?}");
+        assert_matches!(parse(text.as_bytes(), false), Found::InvalidReply, "{text:?}");
     }
     let endless = b"HTTP/1.1 200 ".iter().copied().chain(std::iter::repeat_n(b'a', MOST)).collect::<Vec<_>>();
-    assert_matches!(parse(&endless, false), Found::Garbled);
-    for failure in [Failure::NotConnected, Failure::NoRoom] {
+    assert_matches!(parse(&endless, false), Found::InvalidReply);
+    for failure in [CallError::NotConnected, CallError::NoCapacity] {
         assert!(!failure.may_have_run());
     }
-    for failure in [Failure::Broken, Failure::Late, Failure::Garbled] {
+    for failure in [CallError::ConnectionLost, CallError::TimedOut, CallError::InvalidReply] {
         assert!(failure.may_have_run());
     }
 }
--- a/crates/server/src/net/client/tests.rs
+++ b/crates/server/src/net/client/tests.rs
@@ -1,4 +1,4 @@
-use super::super::Reply;
+use super::super::CallReply;
 use super::*;
 use assert_matches::assert_matches;
 
@@ -17,7 +17,7 @@
     }
 
     /// One request, and these answers to it on the connection by which it came.
-    fn ask(&mut self, id: &str, answers: &[&str]) -> (usize, Result<Reply, Failure>) {
+    fn ask(&mut self, id: &str, answers: &[&str]) -> (usize, Result<CallReply, CallError>) {
         self.call(Some(id), id, answers, 8)
     }
 
@@ -27,15 +27,15 @@
         id: &str,
         answers: &[&str],
         most: usize,
-    ) -> (usize, Result<Reply, Failure>) {
+    ) -> (usize, Result<CallReply, CallError>) {
         let SocketAddr::V4(to) = self.socket.local_addr().unwrap() else { panic!("no IPv4") };
         let text = format!("POST / HTTP/1.1\r\nX-Request-Id: {id}\r\n\r\n");
-        let deadline = self.net.look() + 5000;
+        let deadline = self.net.refresh_now() + 5000;
         self.net.call(to, text.as_bytes(), 7, deadline, most, tie).unwrap();
         let mut from = None;
         loop {
-            for event in self.net.turn(deadline.min(self.net.now() + 20)) {
-                if let Event::Replied { result, .. } = event {
+            for event in self.net.poll(deadline.min(self.net.now() + 20)) {
+                if let Event::CallCompleted { result, .. } = event {
                     return (from.unwrap_or_else(|| panic!("{id}: {result:?}")), result);
                 }
             }
@@ -60,7 +60,7 @@
     }
 }
 
-fn seal(result: Result<Reply, Failure>) -> String {
+fn seal(result: Result<CallReply, CallError>) -> String {
     result.unwrap().seal.unwrap()
 }
 
@@ -80,7 +80,7 @@
 fn after_the_answer_to_another_request_a_connection_is_used_no_more() {
     let mut peer = Peer::new();
     let (first, result) = peer.ask("a", &["stranger"]);
-    assert_eq!(result.err(), Some(Failure::Garbled));
+    assert_eq!(result.err(), Some(CallError::InvalidReply));
     let (other, result) = peer.ask("b", &["b"]);
     assert_eq!((other, seal(result).as_str()), (first + 1, "of-b"));
 }
--- a/crates/server/src/net/fault_injection.rs
+++ b/crates/server/src/net/fault_injection.rs
@@ -3,7 +3,7 @@
 
 /// A fault. Each undoes one rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
+pub enum InjectedFault {
     /// A message is answered before the disk has it.
     AnswerBeforeDisk,
     /// Whatever answer comes next is taken for that of the call under way.
@@ -18,23 +18,23 @@
 
 #[cfg(not(test))]
 #[inline(always)]
-pub const fn planted(_: Planted) -> bool {
+pub const fn is_injected(_: InjectedFault) -> bool {
     false
 }
 
 #[cfg(test)]
 thread_local! {
-    static FAULT: std::cell::Cell<Option<Planted>> = const { std::cell::Cell::new(None) };
+    static FAULT: std::cell::Cell<Option<InjectedFault>> = const { std::cell::Cell::new(None) };
 }
 
 #[cfg(test)]
-pub fn planted(fault: Planted) -> bool {
+pub fn is_injected(fault: InjectedFault) -> bool {
     FAULT.get() == Some(fault)
 }
 
 /// Runs something with a fault planted, on this thread alone.
 #[cfg(test)]
-pub fn with<T>(fault: Option<Planted>, run: impl FnOnce() -> T) -> T {
+pub fn with_fault<T>(fault: Option<InjectedFault>, run: impl FnOnce() -> T) -> T {
     let before = FAULT.replace(fault);
     let result = run();
     FAULT.set(before);
--- a/crates/server/src/net/mod.rs
+++ b/crates/server/src/net/mod.rs
@@ -10,8 +10,8 @@
 mod random;
 mod server;
 
-pub use client::connection::{Failure, Reply};
-pub use server::connection::{Answer, Bounds, Request};
+pub use client::connection::{CallError, CallReply};
+pub use server::connection::{Request, RequestLimits, Response};
 
 use crate::metrics::Histogram;
 use client::{Outward, Pool, PoolKey};
@@ -26,7 +26,7 @@
 use std::time::{Duration, Instant};
 
 /// A connection: its place, and which in that place.
-pub type ConnId = u64;
+pub type ConnectionId = u64;
 /// Milliseconds on this process's steady clock.
 pub type Millis = u64;
 
@@ -46,28 +46,28 @@
 pub enum Event {
     /// A whole request; it wants one `answer`.
     Request {
-        conn: ConnId,
-        port: usize,
+        connection: ConnectionId,
+        listener: usize,
         request: Request,
     },
     /// How a `call` ended.
-    Replied {
-        ticket: u64,
-        result: Result<Reply, Failure>,
+    CallCompleted {
+        call_id: u64,
+        result: Result<CallReply, CallError>,
     },
     /// A connection between own processes is open.
-    PeerUp {
-        conn: ConnId,
+    PeerConnected {
+        connection: ConnectionId,
     },
-    PeerDown {
-        conn: ConnId,
+    PeerDisconnected {
+        connection: ConnectionId,
     },
-    Frame {
-        conn: ConnId,
+    PeerFrame {
+        connection: ConnectionId,
         bytes: Vec<u8>,
     },
     /// Another thread has something for the loop.
-    Woken,
+    WakeUp,
 }
 
 enum Side {
@@ -94,7 +94,7 @@
 struct Listener {
     socket: TcpListener,
     /// Requests, or frames of own processes.
-    http: Option<Bounds>,
+    http: Option<RequestLimits>,
 }
 
 pub struct Net {
@@ -104,21 +104,21 @@
     free: Vec<usize>,
     listeners: Vec<Option<Listener>>,
     pools: HashMap<PoolKey, Pool>,
-    timers: BinaryHeap<Reverse<(Millis, ConnId)>>,
+    timers: BinaryHeap<Reverse<(Millis, ConnectionId)>>,
     happened: VecDeque<Event>,
-    dirty: Vec<ConnId>,
+    dirty: Vec<ConnectionId>,
     most: usize,
     start: Instant,
     now: Millis,
     scratch: Vec<u8>,
-    pub turns: u64,
-    pub lost_at_rest: u64,
-    pub opened: u64,
-    pub refused: u64,
-    pub garbled: u64,
+    pub poll_count: u64,
+    pub idle_connections_lost: u64,
+    pub connections_opened: u64,
+    pub connections_rejected: u64,
+    pub malformed_inputs: u64,
     /// Answers by listener and status, and how long the 202s took.
-    pub answers: BTreeMap<(usize, u16), u64>,
-    pub accepted: Histogram,
+    pub responses: BTreeMap<(usize, u16), u64>,
+    pub accept_latency: Histogram,
 }
 
 impl Net {
@@ -139,19 +139,19 @@
             start: Instant::now(),
             now: 0,
             scratch: vec![0; 64 << 10],
-            turns: 0,
-            lost_at_rest: 0,
-            opened: 0,
-            refused: 0,
-            garbled: 0,
-            answers: BTreeMap::new(),
-            accepted: Histogram::default(),
+            poll_count: 0,
+            idle_connections_lost: 0,
+            connections_opened: 0,
+            connections_rejected: 0,
+            malformed_inputs: 0,
+            responses: BTreeMap::new(),
+            accept_latency: Histogram::default(),
         };
         Ok((net, waker))
     }
 
     /// Listens for requests (with their bounds) or for own processes. Gives the listener's number.
-    pub fn listen(&mut self, at: SocketAddrV4, http: Option<Bounds>) -> std::io::Result<usize> {
+    pub fn listen(&mut self, at: SocketAddrV4, http: Option<RequestLimits>) -> std::io::Result<usize> {
         let mut socket = TcpListener::bind(SocketAddr::V4(at))?;
         let number = self.listeners.len();
         self.poll.registry().register(&mut socket, Token(LISTENERS + number), Interest::READABLE)?;
@@ -166,13 +166,13 @@
     }
 
     /// New bounds for the requests of one listener.
-    pub fn bound(&mut self, number: usize, bounds: Bounds) {
+    pub fn set_limits(&mut self, number: usize, bounds: RequestLimits) {
         if let Some(Some(listener)) = self.listeners.get_mut(number) {
             listener.http = Some(bounds);
         }
     }
 
-    fn bounds(&self, number: usize) -> Bounds {
+    fn bounds(&self, number: usize) -> RequestLimits {
         self.listeners.get(number).and_then(Option::as_ref).and_then(|l| l.http).unwrap_or_default()
     }
 
@@ -180,11 +180,11 @@
         self.now
     }
     /// Tenths of a millisecond, as the module counts.
-    pub fn fine(&self) -> i64 {
+    pub fn now_tenths_ms(&self) -> i64 {
         (self.start.elapsed().as_micros() / 100) as i64
     }
     /// The time now, and not that of the last turn: after work that took long.
-    pub fn look(&mut self) -> Millis {
+    pub fn refresh_now(&mut self) -> Millis {
         self.look_at_clock();
         self.now
     }
@@ -193,9 +193,9 @@
     }
 
     /// Waits until something happens or `until` has come; writes out first what the turn before left.
-    pub fn turn(&mut self, until: Millis) -> VecDeque<Event> {
+    pub fn poll(&mut self, until: Millis) -> VecDeque<Event> {
         self.flush();
-        self.turns += 1;
+        self.poll_count += 1;
         if self.happened.is_empty() {
             self.look_at_clock();
             let timer = self.timers.peek().map_or(u64::MAX, |t| t.0 .0);
@@ -210,7 +210,7 @@
             self.look_at_clock();
             for event in events.iter() {
                 match event.token() {
-                    WAKE => self.happened.push_back(Event::Woken),
+                    WAKE => self.happened.push_back(Event::WakeUp),
                     Token(at) if at >= LISTENERS => self.accept(at - LISTENERS),
                     Token(at) => {
                         self.ready(at, event.is_readable() || event.is_read_closed(), event.is_writable())
@@ -223,11 +223,11 @@
         std::mem::take(&mut self.happened)
     }
 
-    fn id(&self, at: usize) -> ConnId {
+    fn id(&self, at: usize) -> ConnectionId {
         (u64::from(self.conns[at].0) << 32) | at as u64
     }
 
-    fn get(&mut self, id: ConnId) -> Option<&mut Conn> {
+    fn get(&mut self, id: ConnectionId) -> Option<&mut Conn> {
         let (life, conn) = self.conns.get_mut((id & 0xFFFF_FFFF) as usize)?;
         if *life == (id >> 32) as u32 {
             conn.as_mut()
@@ -236,11 +236,17 @@
         }
     }
 
-    fn enter(&mut self, mut stream: TcpStream, side: Side, open: bool, deadline: Millis) -> Option<ConnId> {
+    fn enter(
+        &mut self,
+        mut stream: TcpStream,
+        side: Side,
+        open: bool,
+        deadline: Millis,
+    ) -> Option<ConnectionId> {
         let at = self.free.pop().unwrap_or(self.conns.len());
         if at >= self.most {
             self.free.push(at);
-            self.refused += 1;
+            self.connections_rejected += 1;
             return None;
         }
         let _ = stream.set_nodelay(true);
@@ -273,7 +279,7 @@
     }
 
     /// Has the connection looked at when its deadline comes.
-    fn watch(&mut self, id: ConnId, deadline: Millis) {
+    fn watch(&mut self, id: ConnectionId, deadline: Millis) {
         if deadline != Millis::MAX {
             self.timers.push(Reverse((deadline, id)));
         }
@@ -286,27 +292,29 @@
             match listener.socket.accept() {
                 Ok((stream, _)) => {
                     let (side, deadline) = match http {
-                        Some(bounds) => (Side::Inward(Inward::new(number)), self.now + bounds.idle_ms),
+                        Some(bounds) => {
+                            (Side::Inward(Inward::new(number)), self.now + bounds.idle_timeout_ms)
+                        }
                         None => (Side::Peer, Millis::MAX),
                     };
                     let peer = matches!(side, Side::Peer);
                     if let Some(conn) = self.enter(stream, side, true, deadline).filter(|_| peer) {
                         self.silence_bound(conn);
-                        self.happened.push_back(Event::PeerUp { conn });
+                        self.happened.push_back(Event::PeerConnected { connection: conn });
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => {
                     // A connection that ended before it was taken, or no descriptor left: the next may do.
-                    self.refused += 1;
+                    self.connections_rejected += 1;
                 }
             }
         }
     }
 
     /// A machine without power says nothing: what was sent and not confirmed ends the connection.
-    fn silence_bound(&mut self, id: ConnId) {
+    fn silence_bound(&mut self, id: ConnectionId) {
         if let Some(conn) = self.get(id) {
             let socket = socket2::SockRef::from(&conn.stream);
             let _ = socket.set_tcp_user_timeout(Some(Duration::from_millis(1500)));
@@ -314,7 +322,7 @@
     }
 
     /// Opens a connection to another process of the system.
-    pub fn dial(&mut self, to: SocketAddrV4) -> Option<ConnId> {
+    pub fn dial(&mut self, to: SocketAddrV4) -> Option<ConnectionId> {
         let stream = TcpStream::connect(SocketAddr::V4(to)).ok()?;
         let id = self.enter(stream, Side::Peer, false, self.now + DIAL)?;
         self.silence_bound(id);
@@ -322,7 +330,7 @@
     }
 
     /// Puts a frame into a peer's queue.
-    pub fn send(&mut self, id: ConnId, frame: &[u8]) {
+    pub fn send(&mut self, id: ConnectionId, frame: &[u8]) {
         let Some(conn) = self.get(id) else { return };
         if conn.out.len() + frame.len() > BACKLOG {
             self.close(id);
@@ -332,7 +340,7 @@
         self.soil(id);
     }
 
-    fn soil(&mut self, id: ConnId) {
+    fn soil(&mut self, id: ConnectionId) {
         if let Some(conn) = self.get(id) {
             if !std::mem::replace(&mut conn.dirty, true) {
                 self.dirty.push(id);
@@ -340,18 +348,14 @@
         }
     }
 
-    fn flush(&mut self) {
+    /// Writes out all that is waiting now; for a process that is about to end.
+    pub fn flush(&mut self) {
         for id in std::mem::take(&mut self.dirty) {
             self.write(id);
         }
     }
 
-    /// Writes out all that is waiting now; for a process that is about to end.
-    pub fn flush_all(&mut self) {
-        self.flush();
-    }
-
-    fn write(&mut self, id: ConnId) {
+    fn write(&mut self, id: ConnectionId) {
         let Some(conn) = self.get(id) else { return };
         conn.dirty = false;
         if !conn.open {
@@ -400,7 +404,7 @@
                 conn.open = true;
                 if let Side::Peer = conn.side {
                     conn.deadline = Millis::MAX;
-                    self.happened.push_back(Event::PeerUp { conn: id });
+                    self.happened.push_back(Event::PeerConnected { connection: id });
                 }
                 self.write(id);
             } else if !conn.out.is_empty() {
@@ -412,7 +416,7 @@
         }
     }
 
-    fn read(&mut self, id: ConnId) {
+    fn read(&mut self, id: ConnectionId) {
         let mut scratch = std::mem::take(&mut self.scratch);
         let mut broken = false;
         while let Some(conn) = self.get(id) {
@@ -471,7 +475,7 @@
     }
 
     /// Looks at what has been read.
-    fn digest(&mut self, id: ConnId) {
+    fn digest(&mut self, id: ConnectionId) {
         match self.get(id).map(|conn| &conn.side) {
             Some(Side::Peer) => self.take_frames(id),
             Some(Side::Inward(_)) => self.take_request(id),
@@ -481,7 +485,7 @@
     }
 
     /// The other side will send no more.
-    fn end_of_input(&mut self, id: ConnId) {
+    fn end_of_input(&mut self, id: ConnectionId) {
         let Some(conn) = self.get(id) else { return };
         match &conn.side {
             // It may still read the answer it waits for.
@@ -495,26 +499,26 @@
         }
     }
 
-    fn take_frames(&mut self, id: ConnId) {
+    fn take_frames(&mut self, id: ConnectionId) {
         let Some(conn) = self.get(id) else { return };
         let (frames, end) = framing::take(&mut conn.input);
         if conn.input.is_empty() && conn.input.capacity() > KEEP {
             conn.input = Vec::new();
         }
-        self.happened.extend(frames.into_iter().map(|bytes| Event::Frame { conn: id, bytes }));
+        self.happened.extend(frames.into_iter().map(|bytes| Event::PeerFrame { connection: id, bytes }));
         if end.is_err() {
-            self.garble(id);
+            self.close_malformed(id);
         }
     }
 
     /// A peer says what can't be read: its connection ends, and that is counted.
-    pub fn garble(&mut self, id: ConnId) {
-        self.garbled += 1;
+    pub fn close_malformed(&mut self, id: ConnectionId) {
+        self.malformed_inputs += 1;
         self.close(id);
     }
 
     /// The connection broke.
-    fn fail(&mut self, id: ConnId) {
+    fn fail(&mut self, id: ConnectionId) {
         match self.get(id).map(|conn| &conn.side) {
             Some(Side::Outward(_)) => self.broke(id),
             Some(_) => self.close(id),
@@ -522,7 +526,7 @@
         }
     }
 
-    pub fn close(&mut self, id: ConnId) {
+    pub fn close(&mut self, id: ConnectionId) {
         if self.get(id).is_none() {
             return;
         }
@@ -532,7 +536,7 @@
             self.free.push(at);
             let _ = self.poll.registry().deregister(&mut conn.stream);
             match conn.side {
-                Side::Peer => self.happened.push_back(Event::PeerDown { conn: id }),
+                Side::Peer => self.happened.push_back(Event::PeerDisconnected { connection: id }),
                 Side::Outward(outward) => self.left(id, outward.pool),
                 Side::Inward(_) | Side::Lingering => {}
             }
@@ -559,12 +563,12 @@
         }
     }
 
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.conns.len() - self.free.len()
     }
 
     /// Requests that are being read or answered.
-    pub fn in_hand(&self) -> usize {
+    pub fn requests_in_flight(&self) -> usize {
         let busy = |conn: &Conn| match &conn.side {
             Side::Inward(inward) => {
                 inward.dialogue.is_busy() || !conn.out.is_empty() || !conn.input.is_empty()
--- a/crates/server/src/net/server.rs
+++ b/crates/server/src/net/server.rs
@@ -3,8 +3,8 @@
 
 pub(super) mod connection;
 
-use super::{ConnId, Event, Millis, Net, Side};
-use connection::{Answer, Bounds, Dialogue, Read, CONTINUE};
+use super::{ConnectionId, Event, Millis, Net, Side};
+use connection::{Dialogue, Read, RequestLimits, Response, CONTINUE};
 
 pub(super) struct Inward {
     pub port: usize,
@@ -19,15 +19,15 @@
     }
 }
 
-impl Bounds {
+impl RequestLimits {
     /// Bytes that one request may take with its framing; chunks of a few bytes each are worth nobody's memory.
     pub fn most(&self) -> usize {
-        self.head + 2 * self.body + (64 << 10)
+        self.max_head_bytes + 2 * self.max_body_bytes + (64 << 10)
     }
 }
 
 impl Net {
-    pub(super) fn take_request(&mut self, id: ConnId) {
+    pub(super) fn take_request(&mut self, id: ConnectionId) {
         let now = self.now;
         let Some(Side::Inward(inward)) = self.get(id).map(|conn| &conn.side) else { return };
         let port = inward.port;
@@ -42,7 +42,7 @@
                     self.soil(id);
                 }
                 if first {
-                    self.put_off(id, now + bounds.head_ms);
+                    self.put_off(id, now + bounds.request_timeout_ms);
                 }
             }
             Read::Request(request) => {
@@ -51,18 +51,18 @@
                     conn.input = Vec::new();
                 }
                 conn.deadline = Millis::MAX;
-                self.happened.push_back(Event::Request { conn: id, port, request: *request });
+                self.happened.push_back(Event::Request { connection: id, listener: port, request: *request });
             }
             Read::Refused(status) => {
                 inward.since = now;
-                self.garbled += u64::from(status == 400);
-                self.answer(id, Answer::bare(status));
+                self.malformed_inputs += u64::from(status == 400);
+                self.respond(id, Response::empty(status));
             }
         }
     }
 
     /// More bytes have come than any request may have: whole requests are taken, and anything else is refused.
-    pub(super) fn too_much(&mut self, id: ConnId) {
+    pub(super) fn too_much(&mut self, id: ConnectionId) {
         self.take_request(id);
         let Some(conn) = self.get(id).filter(|conn| !conn.close_after) else { return };
         let Side::Inward(inward) = &conn.side else { return };
@@ -71,34 +71,34 @@
         }
     }
 
-    fn refuse(&mut self, id: ConnId, status: u16) {
+    fn refuse(&mut self, id: ConnectionId, status: u16) {
         let now = self.now;
         let Some(conn) = self.get(id) else { return };
         let Side::Inward(inward) = &mut conn.side else { return };
         inward.since = now;
         inward.dialogue.refuse(status);
-        self.answer(id, Answer::bare(status));
+        self.respond(id, Response::empty(status));
     }
 
     /// Answers the request that the connection waits on.
-    pub fn answer(&mut self, id: ConnId, answer: Answer) {
+    pub fn respond(&mut self, id: ConnectionId, answer: Response) {
         let now = self.now;
         let Some(conn) = self.get(id) else { return };
         let Side::Inward(inward) = &mut conn.side else { return };
         let Some(close) = inward.dialogue.answer(&answer, conn.ended, &mut conn.out) else { return };
         let (port, since) = (inward.port, inward.since);
         conn.close_after |= close;
-        *self.answers.entry((port, answer.status)).or_default() += 1;
+        *self.responses.entry((port, answer.status)).or_default() += 1;
         if answer.status == 202 {
-            self.accepted.add(now.saturating_sub(since));
+            self.accept_latency.record(now.saturating_sub(since));
         }
         self.soil(id);
-        let idle_ms = self.bounds(port).idle_ms;
+        let idle_ms = self.bounds(port).idle_timeout_ms;
         self.put_off(id, now + idle_ms);
         self.take_request(id);
     }
 
-    fn put_off(&mut self, id: ConnId, deadline: Millis) {
+    fn put_off(&mut self, id: ConnectionId, deadline: Millis) {
         if let Some(conn) = self.get(id) {
             conn.deadline = deadline;
         }
@@ -106,7 +106,7 @@
     }
 
     /// A request that did not come whole in time, or a connection on which none comes.
-    pub(super) fn slow_request(&mut self, id: ConnId) {
+    pub(super) fn slow_request(&mut self, id: ConnectionId) {
         let Some(conn) = self.get(id) else { return };
         let Side::Inward(inward) = &conn.side else { return };
         if inward.dialogue.has_begun() {
@@ -117,8 +117,8 @@
     }
 
     /// Closes connections on which nothing is under way.
-    pub fn close_idle(&mut self, port: usize) {
-        let idle: Vec<ConnId> = (0..self.conns.len())
+    pub fn close_idle_connections(&mut self, port: usize) {
+        let idle: Vec<ConnectionId> = (0..self.conns.len())
             .filter(|at| {
                 self.conns[*at].1.as_ref().is_some_and(|conn| {
                     let quiet = conn.input.is_empty() && conn.out.is_empty();
