--- a/crates/server/src/net/server/connection.rs
+++ b/crates/server/src/net/server/connection.rs
@@ -10,16 +10,21 @@
 
 /// What a request may be, and how long it may take to come.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    pub head: usize,
-    pub body: usize,
-    pub head_ms: Millis,
-    pub idle_ms: Millis,
+pub struct RequestLimits {
+    pub max_head_bytes: usize,
+    pub max_body_bytes: usize,
+    pub request_timeout_ms: Millis,
+    pub idle_timeout_ms: Millis,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds { head: 16 << 10, body: 256 << 10, head_ms: 3000, idle_ms: 15_000 }
+impl Default for RequestLimits {
+    fn default() -> RequestLimits {
+        RequestLimits {
+            max_head_bytes: 16 << 10,
+            max_body_bytes: 256 << 10,
+            request_timeout_ms: 3000,
+            idle_timeout_ms: 15_000,
+        }
     }
 }
 
@@ -29,35 +34,35 @@
     pub method: String,
     pub target: String,
     pub host: String,
-    pub id: String,
+    pub request_id: String,
     pub content_type: Option<String>,
     pub delay_ms: Option<u64>,
-    pub left_ms: Option<u64>,
-    pub callback: Option<String>,
+    pub time_left_ms: Option<u64>,
+    pub callback_url: Option<String>,
     pub order_key: Option<String>,
     pub body: Vec<u8>,
 }
 
 /// What is said to one.
 #[derive(Clone, Debug, Default)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub headers: Vec<(&'static str, String)>,
-    pub json: bool,
+    pub is_json: bool,
     pub body: Vec<u8>,
-    pub close: bool,
+    pub close_connection: bool,
 }
 
-impl Answer {
-    pub fn bare(status: u16) -> Answer {
-        Answer { status, ..Answer::default() }
+impl Response {
+    pub fn empty(status: u16) -> Response {
+        Response { status, ..Response::default() }
     }
-    pub fn json(status: u16, body: String) -> Answer {
-        Answer { status, json: true, body: body.into_bytes(), ..Answer::default() }
+    pub fn json(status: u16, body: String) -> Response {
+        Response { status, is_json: true, body: body.into_bytes(), ..Response::default() }
     }
     /// Not taken, and never will be: trying again is harmless, after so long.
-    pub fn come_back(status: u16, seconds: u64) -> Answer {
-        Answer { status, headers: vec![("Retry-After", seconds.to_string())], ..Answer::default() }
+    pub fn retry_after(status: u16, seconds: u64) -> Response {
+        Response { status, headers: vec![("Retry-After", seconds.to_string())], ..Response::default() }
     }
 }
 
@@ -104,11 +109,11 @@
     }
 
     /// Looks at what has been read, unless a request is in hand.
-    pub fn read(&mut self, input: &mut Vec<u8>, bounds: &Bounds) -> Read {
+    pub fn read(&mut self, input: &mut Vec<u8>, limits: &RequestLimits) -> Read {
         if self.busy || self.over || input.is_empty() {
             return Read::Nothing;
         }
-        match parse(input, bounds) {
+        match parse(input, limits) {
             Found::More { expects } => {
                 let first = !std::mem::replace(&mut self.begun, true);
                 let expects = expects && !std::mem::replace(&mut self.continued, true);
@@ -134,16 +139,16 @@
 
     /// Writes the answer to the request in hand; tells whether the connection ends after it. `None`: no request is in hand,
     /// and nothing is written.
-    pub fn answer(&mut self, answer: &Answer, ended: bool, out: &mut Vec<u8>) -> Option<bool> {
+    pub fn answer(&mut self, answer: &Response, ended: bool, out: &mut Vec<u8>) -> Option<bool> {
         if !std::mem::take(&mut self.busy) {
             return None;
         }
-        self.over = answer.close || self.close || ended;
+        self.over = answer.close_connection || self.close || ended;
         let _ = write!(out, "HTTP/1.1 {} {}\r\n", answer.status, reason(answer.status));
         for (name, value) in &answer.headers {
             let _ = write!(out, "{name}: {value}\r\n");
         }
-        if answer.json {
+        if answer.is_json {
             let _ = write!(out, "Content-Type: application/json\r\n");
         }
         if self.over {
@@ -185,13 +190,13 @@
     Fault(u16),
 }
 
-fn parse(bytes: &[u8], bounds: &Bounds) -> Found {
+fn parse(bytes: &[u8], limits: &RequestLimits) -> Found {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Request::new(&mut headers);
     let end = match head.parse(bytes) {
-        Ok(Status::Complete(end)) if end > bounds.head => return Found::Fault(431),
+        Ok(Status::Complete(end)) if end > limits.max_head_bytes => return Found::Fault(431),
         Ok(Status::Complete(end)) => end,
-        Ok(Status::Partial) if bytes.len() > bounds.head => return Found::Fault(431),
+        Ok(Status::Partial) if bytes.len() > limits.max_head_bytes => return Found::Fault(431),
         Ok(Status::Partial) => return Found::More { expects: false },
         Err(httparse::Error::TooManyHeaders) => return Found::Fault(431),
         Err(_) => return Found::Fault(400),
@@ -215,7 +220,7 @@
     let rest = &bytes[end..];
     let (body, used) = match framing {
         None => (Vec::new(), end),
-        Some(Framing::Length(length)) if length > bounds.body => return Found::Fault(413),
+        Some(Framing::Length(length)) if length > limits.max_body_bytes => return Found::Fault(413),
         Some(Framing::Length(length)) => match rest.get(..length) {
             Some(body) => (body.to_vec(), end + length),
             None => return Found::More { expects: has_token(headers, "Expect", "100-continue") },
@@ -225,7 +230,7 @@
             let Ok(used) = chunks.feed(rest, |part| body.extend_from_slice(part)) else {
                 return Found::Fault(400);
             };
-            if body.len() > bounds.body {
+            if body.len() > limits.max_body_bytes {
                 return Found::Fault(413);
             }
             if !chunks.done() {
@@ -235,18 +240,18 @@
         }
         Some(Framing::ToEnd) => return Found::Fault(400),
     };
-    let (Ok(delay_ms), Ok(left_ms)) = (number("X-Delay-Ms"), number("X-Time-Left-Ms")) else {
+    let (Ok(delay_ms), Ok(time_left_ms)) = (number("X-Delay-Ms"), number("X-Time-Left-Ms")) else {
         return Found::Fault(400);
     };
     let request = Box::new(Request {
         method: head.method.unwrap_or_default().to_string(),
         target: head.path.unwrap_or_default().to_string(),
         host: text("Host").unwrap_or_default(),
-        id: text("X-Request-Id").unwrap_or_default(),
+        request_id: text("X-Request-Id").unwrap_or_default(),
         content_type: text("Content-Type"),
         delay_ms,
-        left_ms,
-        callback: text("X-Callback-Url"),
+        time_left_ms,
+        callback_url: text("X-Callback-Url"),
         order_key: text("X-Order-Key"),
         body,
     });
--- a/crates/server/src/net/server/connection/generated.rs
+++ b/crates/server/src/net/server/connection/generated.rs
@@ -4,7 +4,8 @@
 use super::*;
 
 const CONNECTIONS: u64 = 20_000;
-const BOUNDS: Bounds = Bounds { head: 600, body: 200, head_ms: 0, idle_ms: 0 };
+const BOUNDS: RequestLimits =
+    RequestLimits { max_head_bytes: 600, max_body_bytes: 200, request_timeout_ms: 0, idle_timeout_ms: 0 };
 /// A request in the body of another.
 const HIDDEN: &str = "GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n";
 
@@ -96,7 +97,7 @@
             }
             Read::Refused(status) => {
                 self.refused = Some(status);
-                let over = self.dialogue.answer(&Answer::bare(status), false, &mut self.out);
+                let over = self.dialogue.answer(&Response::empty(status), false, &mut self.out);
                 assert_eq!(over, Some(true), "who can't be understood is not listened to any longer");
                 self.over = true;
             }
@@ -107,8 +108,8 @@
         if !std::mem::take(&mut self.waiting) {
             return;
         }
-        let body = self.seen.last().map_or(String::new(), |request| request.id.clone());
-        let answer = Answer::json(200, body);
+        let body = self.seen.last().map_or(String::new(), |request| request.request_id.clone());
+        let answer = Response::json(200, body);
         self.over = self.dialogue.answer(&answer, false, &mut self.out).unwrap();
         assert_eq!(self.dialogue.answer(&answer, false, &mut self.out), None, "one answer to a request");
         self.look();
@@ -152,7 +153,7 @@
             break;
         }
     }
-    let ids: Vec<&str> = server.seen.iter().map(|request| request.id.as_str()).collect();
+    let ids: Vec<&str> = server.seen.iter().map(|request| request.request_id.as_str()).collect();
     assert_eq!(ids, due.iter().map(|(id, _)| id.as_str()).collect::<Vec<_>>(), "seed {seed}");
     for (request, (id, sent)) in server.seen.iter().zip(&due) {
         assert_eq!((&request.body, &*request.target), (&sent.body, &*format!("/{id}")), "seed {seed}");
--- a/crates/server/src/net/server/connection/tests.rs
+++ b/crates/server/src/net/server/connection/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use assert_matches::assert_matches;
 
-const BOUNDS: Bounds = Bounds { head: 400, body: 10, head_ms: 0, idle_ms: 0 };
+const BOUNDS: RequestLimits =
+    RequestLimits { max_head_bytes: 400, max_body_bytes: 10, request_timeout_ms: 0, idle_timeout_ms: 0 };
 
 fn read(text: &str) -> Found {
     parse(text.as_bytes(), &BOUNDS)
@@ -65,12 +66,12 @@
         assert_matches!(read(&piped), Found::Whole { request, used, close: false } => {
             assert_eq!((used, request.body.as_slice()), (whole.len(), &b"abc"[..]));
             assert_eq!((request.method.as_str(), request.target.as_str()), ("POST", "/a?b"));
-            assert_eq!((request.host.as_str(), request.id.as_str()), ("h", "i"));
+            assert_eq!((request.host.as_str(), request.request_id.as_str()), ("h", "i"));
         });
     }
     assert_matches!(read(&plain), Found::Whole { request, .. } => {
-        assert_eq!((request.delay_ms, request.left_ms, request.order_key), (Some(1500), None, None));
-        assert_eq!(request.callback.as_deref(), Some("http://1.2.3.4:5/d"));
+        assert_eq!((request.delay_ms, request.time_left_ms, request.order_key), (Some(1500), None, None));
+        assert_eq!(request.callback_url.as_deref(), Some("http://1.2.3.4:5/d"));
     });
     let expects = head("Content-Length: 3\r\nExpect: 100-continue\r\n");
     assert_matches!(read(&expects), Found::More { expects: true });
--- a/crates/server/src/protocol/tests.rs
+++ b/crates/server/src/protocol/tests.rs
@@ -7,16 +7,16 @@
 const CONTROL: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 2), 443);
 const KEY: Key = Key { origin: 0x0102_0304, number: 300 };
 
-fn hello(class: NodeRole, control: Option<SocketAddrV4>) -> Hello {
-    Hello {
-        protocol: PROTOCOL,
+fn peer_info(role: NodeRole, control_address: Option<SocketAddrV4>) -> PeerInfo {
+    PeerInfo {
+        protocol_version: PROTOCOL_VERSION,
         node: 0xDEAD_BEEF,
         name: "edge-1".to_string(),
-        class,
+        role,
         zone: "z1".to_string(),
         ip: EDGE_IP,
-        life: 0x0123_4567_89AB_CDEF,
-        control,
+        incarnation: 0x0123_4567_89AB_CDEF,
+        control_address,
     }
 }
 
@@ -64,17 +64,18 @@
     }
 }
 
-fn ask(retiring: RetirementState) -> Signal {
-    Signal::Ask { life: 1, version: 128, config: 3, retiring }
+fn update_request(retirement: RetirementState) -> Frame {
+    Frame::UpdateRequest { incarnation: 1, version: 128, config_version: 3, retirement }
 }
 
-fn found(found: Option<(Found, Option<Vec<u8>>)>) -> Signal {
-    Signal::Found { ticket: 1, found }
+fn lookup_result(known: Option<(MessageState, Option<Vec<u8>>)>) -> Frame {
+    let result = known.map(|(state, body)| KnownMessage { state, body });
+    Frame::LookupResult { request_id: 1, result }
 }
 
 /// Every variant of every type that a frame is made of, but for those that the packages of the queue and of the control group
 /// pin themselves: of these one each.
-fn signals() -> Vec<Signal> {
+fn frames() -> Vec<Frame> {
     let full_news = MembershipUpdate {
         incarnation: 5,
         version: 6,
@@ -94,46 +95,49 @@
         ],
     };
     vec![
-        Signal::Hello(hello(NodeRole::Edge, None)),
-        Signal::Hello(hello(NodeRole::Store, None)),
-        Signal::Hello(hello(NodeRole::Control, Some(CONTROL))),
-        Signal::Hello(hello(NodeRole::CommandLine, None)),
-        Signal::Ping,
-        ask(RetirementState::NotRetiring),
-        ask(RetirementState::Draining),
-        ask(RetirementState::Complete),
-        Signal::News(MembershipUpdate::default()),
-        Signal::News(full_news),
-        Signal::Put { ticket: 300, message: message() },
-        Signal::Taken { ticket: 1, result: Ok("name".to_string()) },
-        Signal::Taken { ticket: 1, result: Err(Refusal::NotTaken) },
-        Signal::Taken { ticket: 1, result: Err(Refusal::Uncertain) },
-        Signal::Leaving,
-        Signal::Find { ticket: 2, key: KEY, body: true },
-        found(None),
-        found(Some((Found::Waiting, None))),
-        found(Some((Found::Complete { seal: "s".to_string() }, Some(vec![1, 2])))),
-        found(Some((Found::Failed, None))),
-        Signal::PeerMessage(PeerMessage::Copied(vec![KEY])),
-        Signal::Control(group::Signal::Stored { epoch: 1, serial: 2 }),
-        Signal::Sessions(vec![member(NodeRole::Store, None, RetirementState::NotRetiring)]),
-        Signal::Heartbeats(vec![heartbeat(ExecutorState::Serving)]),
-        Signal::Pass { ticket: 4, call: Passed::Replace { version: 7, body: b"{}".to_vec() } },
-        Signal::Pass { ticket: 4, call: Passed::Read },
-        Signal::Pass { ticket: 4, call: Passed::RetireBegin { node: "s-1".to_string() } },
-        Signal::Pass { ticket: 4, call: Passed::RetireRead { node: "s-1".to_string() } },
-        Signal::Settled { ticket: 5, status: 503, body: b"{}".to_vec() },
-        Signal::Report { ticket: 6 },
-        Signal::Reported { ticket: 6, text: "{}".to_string() },
-        Signal::Trace { ticket: 7, key: KEY },
-        Signal::Count { ticket: 8 },
-        Signal::Retire { node: 0xDEAD_BEEF },
-        Signal::Superseded { id: "id".to_string(), print: u64::MAX, kept: None },
-        Signal::Superseded { id: "id".to_string(), print: 1, kept: Some(KEY) },
+        Frame::Hello(peer_info(NodeRole::Edge, None)),
+        Frame::Hello(peer_info(NodeRole::Store, None)),
+        Frame::Hello(peer_info(NodeRole::Control, Some(CONTROL))),
+        Frame::Hello(peer_info(NodeRole::CommandLine, None)),
+        Frame::Ping,
+        update_request(RetirementState::NotRetiring),
+        update_request(RetirementState::Draining),
+        update_request(RetirementState::Complete),
+        Frame::Update(MembershipUpdate::default()),
+        Frame::Update(full_news),
+        Frame::Submit { request_id: 300, message: message() },
+        Frame::SubmitResult { request_id: 1, result: Ok("name".to_string()) },
+        Frame::SubmitResult { request_id: 1, result: Err(Refusal::NotTaken) },
+        Frame::SubmitResult { request_id: 1, result: Err(Refusal::Uncertain) },
+        Frame::Draining,
+        Frame::Lookup { request_id: 2, key: KEY, include_body: true },
+        lookup_result(None),
+        lookup_result(Some((MessageState::Pending, None))),
+        lookup_result(Some((MessageState::Complete { seal: "s".to_string() }, Some(vec![1, 2])))),
+        lookup_result(Some((MessageState::Failed, None))),
+        Frame::Queue(PeerMessage::Copied(vec![KEY])),
+        Frame::ControlGroup(group::Signal::Stored { epoch: 1, serial: 2 }),
+        Frame::Sessions(vec![member(NodeRole::Store, None, RetirementState::NotRetiring)]),
+        Frame::Heartbeats(vec![heartbeat(ExecutorState::Serving)]),
+        Frame::Forward {
+            request_id: 4,
+            call: ForwardedCall::ReplaceConfig { version: 7, body: b"{}".to_vec() },
+        },
+        Frame::Forward { request_id: 4, call: ForwardedCall::ReadConfig },
+        Frame::Forward { request_id: 4, call: ForwardedCall::BeginRetirement { node: "s-1".to_string() } },
+        Frame::Forward { request_id: 4, call: ForwardedCall::ReadRetirement { node: "s-1".to_string() } },
+        Frame::ForwardResult { request_id: 5, status: 503, body: b"{}".to_vec() },
+        Frame::ReportRequest { request_id: 6 },
+        Frame::InspectionReply { request_id: 6, text: "{}".to_string() },
+        Frame::TraceRequest { request_id: 7, key: KEY },
+        Frame::MetricsRequest { request_id: 8 },
+        Frame::RetireStore { node: 0xDEAD_BEEF },
+        Frame::Superseded { message_id: "id".to_string(), fingerprint: u64::MAX, kept: None },
+        Frame::Superseded { message_id: "id".to_string(), fingerprint: 1, kept: Some(KEY) },
     ]
 }
 
-/// The counters' name of each signal above, and its bytes.
+/// The counters' name of each frame above, and its bytes.
 const PINNED: [(&str, &str); 36] = [
     ("link", "0001effdb6f50d06656467652d3100027a310a000001ef9bafcdf8acd1910100"),
     ("link", "0001effdb6f50d06656467652d3101027a310a000001ef9bafcdf8acd1910100"),
@@ -174,30 +178,30 @@
 ];
 
 #[test]
-fn every_signal_has_the_bytes_and_the_counter_of_earlier_releases() {
-    let signals = signals();
-    let seen: Vec<(&str, String)> = signals
+fn every_frame_has_the_bytes_and_the_counter_of_earlier_releases() {
+    let frames = frames();
+    let seen: Vec<(&str, String)> = frames
         .iter()
-        .map(|signal| {
-            let bytes = postcard::to_stdvec(signal).unwrap();
+        .map(|frame| {
+            let bytes = postcard::to_stdvec(frame).unwrap();
             let hex = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-            assert_eq!(postcard::from_bytes::<Signal>(&bytes).as_ref(), Ok(signal));
-            (signal.about(), hex)
+            assert_eq!(postcard::from_bytes::<Frame>(&bytes).as_ref(), Ok(frame));
+            (frame.category(), hex)
         })
         .collect();
-    let seen: Vec<(&str, &str)> = seen.iter().map(|(about, hex)| (*about, hex.as_str())).collect();
+    let seen: Vec<(&str, &str)> = seen.iter().map(|(category, hex)| (*category, hex.as_str())).collect();
     assert_eq!(seen, PINNED);
 }
 
 #[test]
 fn a_passed_call_has_the_kind_of_its_name() {
     let calls = [
-        (Passed::Replace { version: 7, body: Vec::new() }, PassedKind::Replace),
-        (Passed::Read, PassedKind::Read),
-        (Passed::RetireBegin { node: String::new() }, PassedKind::RetireBegin),
-        (Passed::RetireRead { node: String::new() }, PassedKind::RetireRead),
+        (ForwardedCall::ReplaceConfig { version: 7, body: Vec::new() }, ForwardedCallKind::ReplaceConfig),
+        (ForwardedCall::ReadConfig, ForwardedCallKind::ReadConfig),
+        (ForwardedCall::BeginRetirement { node: String::new() }, ForwardedCallKind::BeginRetirement),
+        (ForwardedCall::ReadRetirement { node: String::new() }, ForwardedCallKind::ReadRetirement),
     ];
     for (call, kind) in calls {
-        assert_eq!(PassedKind::from(&call), kind);
+        assert_eq!(ForwardedCallKind::from(&call), kind);
     }
 }
--- a/crates/server/src/status.rs
+++ b/crates/server/src/status.rs
@@ -2,8 +2,8 @@
 
 use crate::args::{say, UNUSABLE};
 use crate::links;
-use crate::node::lot;
-use crate::protocol::{Hello, NodeRole, Signal, PROTOCOL};
+use crate::node::random_seed;
+use crate::protocol::{Frame, NodeRole, PeerInfo, PROTOCOL_VERSION};
 use jzon::JsonValue;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
@@ -24,23 +24,23 @@
 const SILENT: u8 = 1;
 
 /// Asks one process one thing.
-fn ask(at: SocketAddrV4, what: &Signal) -> Result<String, String> {
+fn ask(at: SocketAddrV4, what: &Frame) -> Result<String, String> {
     let io = |e: std::io::Error| format!("{at}: {e}");
     let mut stream = TcpStream::connect_timeout(&SocketAddr::V4(at), PATIENCE).map_err(io)?;
     stream.set_read_timeout(Some(PATIENCE)).map_err(io)?;
     stream.set_write_timeout(Some(PATIENCE)).map_err(io)?;
-    let hello = Hello {
-        protocol: PROTOCOL,
+    let hello = PeerInfo {
+        protocol_version: PROTOCOL_VERSION,
         // Drawn: a fixed one would end the connection of another who asks at the same time.
-        node: lot() as u32,
+        node: random_seed() as u32,
         name: "visitor".to_string(),
-        class: NodeRole::CommandLine,
+        role: NodeRole::CommandLine,
         zone: String::new(),
         ip: Ipv4Addr::UNSPECIFIED,
-        life: lot(),
-        control: None,
+        incarnation: random_seed(),
+        control_address: None,
     };
-    for signal in [&Signal::Hello(hello), what] {
+    for signal in [&Frame::Hello(hello), what] {
         let bytes = postcard::to_stdvec(signal).map_err(|e| format!("{at}: {e}"))?;
         stream.write_all(&(bytes.len() as u32).to_le_bytes()).map_err(io)?;
         stream.write_all(&bytes).map_err(io)?;
@@ -60,7 +60,7 @@
         let mut frame = vec![0; size];
         stream.read_exact(&mut frame).map_err(io)?;
         match postcard::from_bytes(&frame) {
-            Ok(Signal::Reported { text, .. }) => return Ok(text),
+            Ok(Frame::InspectionReply { text, .. }) => return Ok(text),
             Ok(_) => {}
             Err(_) => return Err(format!("{at}: speaks another protocol")),
         }
@@ -76,7 +76,7 @@
     let file = file.or_else(|| std::env::var_os("STILEROUTE_BOOT").map(PathBuf::from));
     let file = file.ok_or("command line: --at: missing, and STILEROUTE_BOOT is not set")?;
     let boot = Boot::read(&file).map_err(|faults| faults.to_string())?;
-    let place = |ip, class| links::address(boot.internal_ports, ip, class);
+    let place = |ip, class| links::listen_address(boot.internal_ports, ip, class);
     let mut all =
         [NodeRole::Edge, NodeRole::Store, NodeRole::Control].map(|class| place(boot.ip, class)).to_vec();
     all.extend(boot.seeds.iter().filter(|_| seeds).map(|seed| place(*seed.ip(), NodeRole::Control)));
@@ -95,7 +95,7 @@
     members
         .filter_map(|m| {
             let (class, ip) = (class_of(m["class"].as_str()?)?, m["ip"].as_str()?.parse().ok()?);
-            Some((m["node"].as_str()?.to_string(), links::address(ports, ip, class)))
+            Some((m["node"].as_str()?.to_string(), links::listen_address(ports, ip, class)))
         })
         .collect()
 }
@@ -119,8 +119,10 @@
         let mut found = Vec::new();
         for some in next.chunks(AT_ONCE) {
             let answers: Vec<_> = std::thread::scope(|scope| {
-                let asks: Vec<_> =
-                    some.iter().map(|at| scope.spawn(|| ask(*at, &Signal::Report { ticket: 1 }))).collect();
+                let asks: Vec<_> = some
+                    .iter()
+                    .map(|at| scope.spawn(|| ask(*at, &Frame::ReportRequest { request_id: 1 })))
+                    .collect();
                 asks.into_iter().map(|ask| ask.join().unwrap_or_else(|_| Err("broke off".into()))).collect()
             });
             found.extend(some.iter().copied().zip(answers));
@@ -401,7 +403,7 @@
         if report["class"] != "store" {
             continue;
         }
-        let answer = ask(*at, &Signal::Trace { ticket: 1, key });
+        let answer = ask(*at, &Frame::TraceRequest { request_id: 1, key });
         match answer.and_then(|text| jzon::parse(&text).map_err(|e| format!("{at}: {e}"))) {
             Ok(trace) => stores[&**name] = trace,
             Err(reason) => silent.push(reason.into()),
@@ -463,7 +465,7 @@
     };
     let mut reasons = Vec::new();
     for door in doors {
-        match ask(door, &Signal::Count { ticket: 1 }) {
+        match ask(door, &Frame::MetricsRequest { request_id: 1 }) {
             Ok(text) if json => {
                 let mut object = JsonValue::new_object();
                 for line in text.lines().filter(|line| !line.starts_with('#')) {
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -3,10 +3,12 @@
 pub mod report;
 
 use crate::links::LinkEvent;
-use crate::net::fault_injection::{planted, Planted};
-use crate::net::{Event, Failure, Millis, Reply};
-use crate::node::{lot, wall, Common};
-use crate::protocol::{ExecutorState, Found, Heartbeat, NodeRole, RetirementState, Signal};
+use crate::net::fault_injection::{is_injected, InjectedFault};
+use crate::net::{CallError, CallReply, Event, Millis};
+use crate::node::{random_seed, wall_clock_ms, NodeRuntime};
+use crate::protocol::{
+    ExecutorState, Frame, Heartbeat, KnownMessage, MessageState, NodeRole, RetirementState,
+};
 use crate::report::Told;
 use std::collections::HashMap;
 use std::io::Write;
@@ -29,7 +31,7 @@
 }
 
 pub struct Store {
-    common: Common,
+    common: NodeRuntime,
     queue: Queue,
     disk: Wal,
     disk_said: Receiver<(u64, Result<(), Trouble>)>,
@@ -44,7 +46,7 @@
 }
 
 impl Store {
-    pub fn new(mut common: Common) -> miette::Result<Store> {
+    pub fn new(mut common: NodeRuntime) -> miette::Result<Store> {
         let dir = common
             .boot
             .data_dir
@@ -62,13 +64,13 @@
         let options = Options { room, lazy_sync: Duration::from_millis(200), ..Options::new("hold") };
         let (disk, ledger) = Wal::open::<Ledger>(&dir, options, done)
             .map_err(|e| miette::miette!("{}: {e}", dir.display()))?;
-        let (number, first) = (ledger.disk.unwrap_or_else(lot), first_number(lot()));
+        let (number, first) = (ledger.disk.unwrap_or_else(random_seed), first_number(random_seed()));
         let record = postcard::to_stdvec(&Record::Born { disk: number, first }).unwrap_or_default();
         disk.append(0, vec![record], true);
         let zone = common.boot.zones.keys().position(|zone| *zone == common.boot.zone).unwrap_or(0);
         let boot = &common.boot;
         let terms = QueueSettings {
-            me: common.links.me().node,
+            me: common.links.local().node,
             zone,
             disk: number,
             first,
@@ -79,11 +81,11 @@
             window_ms: boot.bounds.ceiling_window_ms,
             overrun: boot.bounds.origin_overrun,
             status_ms: boot.bounds.status_ms,
-            seed: lot(),
+            seed: random_seed(),
         };
         tracing::info!(messages = ledger.all.len(), disk = number, "disk read");
         // Both clocks after the disk was read: with the steady one from before, delayed messages would run early.
-        let (now, wall) = (common.net.look(), wall());
+        let (now, wall) = (common.net.refresh_now(), wall_clock_ms());
         let queue = Queue::new(terms, ledger, now, wall);
         Ok(Store {
             common,
@@ -102,19 +104,20 @@
 
     pub fn run(mut self) -> miette::Result<()> {
         loop {
-            let (link_events, events) = self.common.turn(self.queue.next());
+            let (link_events, events) = self.common.poll(self.queue.next());
             link_events.into_iter().for_each(|link_event| self.link_event(link_event));
             events.into_iter().for_each(|event| self.event(event));
             self.inquiries();
-            self.common.keep_session();
+            self.common.maintain_session();
             self.connect();
-            self.queue.heard = self.common.fresh();
+            self.queue.heard = self.common.has_fresh_session();
             let now = self.common.net.now();
             // From the last answer on: the session stood then, and is counted for so long after its end.
-            self.queue.lapsed = now >= self.common.session.heard + stileroute_registry::SESSION_GRACE;
-            if self.common.told_to_end() {
-                for edge in self.common.links.class(NodeRole::Edge) {
-                    self.common.links.say(&mut self.common.net, edge, &Signal::Leaving);
+            self.queue.lapsed =
+                now >= self.common.session.last_update_at + stileroute_registry::SESSION_GRACE;
+            if self.common.take_shutdown_request() {
+                for edge in self.common.links.nodes_with_role(NodeRole::Edge) {
+                    self.common.links.send(&mut self.common.net, edge, &Frame::Draining);
                 }
                 self.queue.leave(now);
             }
@@ -126,12 +129,12 @@
                     RetirementState::Draining
                 }
             });
-            self.common.retires(retiring);
+            self.common.report_retirement(retiring);
             for line in self.queue.log() {
                 tracing::debug!("{line}");
             }
             if self.may_end(now) {
-                self.common.net.flush_all();
+                self.common.net.flush();
                 self.disk.stop();
                 return Ok(());
             }
@@ -139,7 +142,7 @@
     }
 
     fn may_end(&mut self, now: Millis) -> bool {
-        let Some(since) = self.common.leaving_since else { return false };
+        let Some(since) = self.common.draining_since else { return false };
         let grace = self.common.boot.bounds.grace_ms.saturating_sub(1000);
         let done = self.queue.in_hand() == 0 && now > since + 150;
         if done && !self.flushed {
@@ -154,23 +157,23 @@
 
     /// Of two stores the one with the lower address opens the connection.
     fn connect(&mut self) {
-        if !self.common.stirred() {
+        if !self.common.take_topology_change() {
             return;
         }
-        let mut wanted = self.common.cores();
+        let mut wanted = self.common.control_dial_targets();
         let me = self.common.boot.ip;
         let stores = self.common.session.members.iter().filter(|m| m.role == NodeRole::Store && m.ip > me);
-        wanted.extend(stores.map(|m| self.common.links.address(m.ip, NodeRole::Store)));
+        wanted.extend(stores.map(|m| self.common.links.listen_address(m.ip, NodeRole::Store)));
         let now = self.common.net.now();
-        self.common.links.want(now, wanted);
+        self.common.links.set_dial_targets(now, wanted);
     }
 
     fn link_event(&mut self, link_event: LinkEvent) {
         let now = self.common.net.now();
         match link_event {
-            LinkEvent::Up(hello) if hello.class == NodeRole::Store => self.queue.up(now, hello.node),
-            LinkEvent::Up(hello) if hello.class == NodeRole::Edge && self.queue.leaving => {
-                self.common.links.say(&mut self.common.net, hello.node, &Signal::Leaving);
+            LinkEvent::Up(hello) if hello.role == NodeRole::Store => self.queue.up(now, hello.node),
+            LinkEvent::Up(hello) if hello.role == NodeRole::Edge && self.queue.leaving => {
+                self.common.links.send(&mut self.common.net, hello.node, &Frame::Draining);
             }
             LinkEvent::Up(_) => {}
             LinkEvent::Down(node, NodeRole::Store) => self.queue.down(now, node),
@@ -187,8 +190,8 @@
                 }
             }
             LinkEvent::Down(..) => {}
-            LinkEvent::Said(from, NodeRole::Control, Signal::News(news)) => {
-                let config = self.common.heard_news(from, &news);
+            LinkEvent::Received(from, NodeRole::Control, Frame::Update(news)) => {
+                let config = self.common.apply_update(from, &news);
                 if news.members.is_some() {
                     let zone = |name: &str| {
                         self.common.boot.zones.keys().position(|z| z == name).unwrap_or(usize::MAX >> 1)
@@ -211,7 +214,7 @@
                     match heartbeat.state {
                         ExecutorState::Offline => {
                             if let Some(old) = self.servers.remove(&heartbeat.id) {
-                                self.common.net.forget(old.address);
+                                self.common.net.close_idle_calls_to(old.address);
                             }
                         }
                         _ => {
@@ -219,7 +222,7 @@
                         }
                     }
                 }
-                let fine = self.common.net.fine();
+                let fine = self.common.net.now_tenths_ms();
                 if changed {
                     self.queue.list(now, fine, self.listed());
                 }
@@ -227,38 +230,50 @@
                     self.queue.configure(now, fine, config);
                 }
             }
-            LinkEvent::Said(_, NodeRole::Edge, Signal::Superseded { id, print, kept }) => {
+            LinkEvent::Received(
+                _,
+                NodeRole::Edge,
+                Frame::Superseded { message_id: id, fingerprint: print, kept },
+            ) => {
                 self.queue.superseded(&id, print, kept);
             }
-            LinkEvent::Said(from, NodeRole::Edge, Signal::Put { ticket, message }) => {
+            LinkEvent::Received(from, NodeRole::Edge, Frame::Submit { request_id: ticket, message }) => {
                 self.next_ticket += 1;
                 self.askers.insert(self.next_ticket, (from, ticket));
                 self.queue.put(now, self.next_ticket, message);
             }
-            LinkEvent::Said(from, NodeRole::Edge, Signal::Find { ticket, key, body }) => {
+            LinkEvent::Received(
+                from,
+                NodeRole::Edge,
+                Frame::Lookup { request_id: ticket, key, include_body: body },
+            ) => {
                 let found = self.queue.find(key).map(|(state, bytes)| {
-                    let bytes = bytes.filter(|_| body).map(<[u8]>::to_vec);
-                    let found = match state {
-                        State::Waiting => Found::Waiting,
-                        State::Complete { seal } => Found::Complete { seal },
-                        State::Failed => Found::Failed,
+                    let body = bytes.filter(|_| body).map(<[u8]>::to_vec);
+                    let state = match state {
+                        State::Waiting => MessageState::Pending,
+                        State::Complete { seal } => MessageState::Complete { seal },
+                        State::Failed => MessageState::Failed,
                     };
-                    (found, bytes)
+                    KnownMessage { state, body }
                 });
-                self.common.links.say(&mut self.common.net, from, &Signal::Found { ticket, found });
+                self.common.links.send(
+                    &mut self.common.net,
+                    from,
+                    &Frame::LookupResult { request_id: ticket, result: found },
+                );
             }
-            LinkEvent::Said(from, NodeRole::Store, Signal::PeerMessage(note)) => {
+            LinkEvent::Received(from, NodeRole::Store, Frame::Queue(note)) => {
                 self.queue.note(now, from, note)
             }
-            LinkEvent::Said(_, NodeRole::Control, Signal::Retire { node })
-                if node == self.common.links.me().node =>
+            LinkEvent::Received(_, NodeRole::Control, Frame::RetireStore { node })
+                if node == self.common.links.local().node =>
             {
                 self.queue.retire(now);
-                for edge in self.common.links.class(NodeRole::Edge) {
-                    self.common.links.say(&mut self.common.net, edge, &Signal::Leaving);
+                for edge in self.common.links.nodes_with_role(NodeRole::Edge) {
+                    self.common.links.send(&mut self.common.net, edge, &Frame::Draining);
                 }
             }
-            LinkEvent::Said(..) => {}
+            LinkEvent::Received(..) => {}
         }
     }
 
@@ -283,7 +298,7 @@
     fn event(&mut self, event: Event) {
         let now = self.common.net.now();
         match event {
-            Event::Woken => {
+            Event::WakeUp => {
                 while let Ok((ticket, result)) = self.disk_said.try_recv() {
                     let trouble = result.is_err();
                     if std::mem::replace(&mut self.disk_trouble, trouble) != trouble {
@@ -295,20 +310,20 @@
                     self.queue.kept(now, ticket, result.is_ok());
                 }
             }
-            Event::Replied { ticket, result } => self.replied(ticket, result),
+            Event::CallCompleted { call_id: ticket, result } => self.replied(ticket, result),
             _ => {}
         }
     }
 
-    fn replied(&mut self, ticket: u64, result: Result<Reply, Failure>) {
+    fn replied(&mut self, ticket: u64, result: Result<CallReply, CallError>) {
         let now = self.common.net.now();
         match self.out.remove(&ticket) {
             Some(Out::Attempt { attempt, id }) => {
-                let load = result.as_ref().ok().and_then(|reply| load(reply.load.as_deref()?));
+                let load = result.as_ref().ok().and_then(|reply| load(reply.server_load.as_deref()?));
                 self.tally.failed(result.as_ref().err());
                 let outcome = judge(&id, result);
                 self.tally.ended(&outcome);
-                let fine = self.common.net.fine();
+                let fine = self.common.net.now_tenths_ms();
                 self.queue.delivered(now, fine, attempt, outcome, load);
             }
             Some(Out::Call(key)) => {
@@ -320,7 +335,7 @@
 
     fn carry_out(&mut self) {
         for _ in 0..8 {
-            let (now, fine) = (self.common.net.now(), self.common.net.fine());
+            let (now, fine) = (self.common.net.now(), self.common.net.now_tenths_ms());
             self.queue.tick(now, fine);
             let effects = self.queue.take();
             if effects.is_empty() {
@@ -335,16 +350,20 @@
         match effect {
             Effect::Disk { ticket, records, sync } => {
                 self.disk.append(ticket, records, sync);
-                if planted(Planted::AnswerBeforeDisk) {
+                if is_injected(InjectedFault::AnswerBeforeDisk) {
                     self.queue.kept(now, ticket, true);
                 }
             }
             Effect::Send { to, note } => {
-                self.common.links.say(&mut self.common.net, to, &Signal::PeerMessage(note));
+                self.common.links.send(&mut self.common.net, to, &Frame::Queue(note));
             }
             Effect::Taken { ticket, result } => {
                 if let Some((edge, ticket)) = self.askers.remove(&ticket) {
-                    self.common.links.say(&mut self.common.net, edge, &Signal::Taken { ticket, result });
+                    self.common.links.send(
+                        &mut self.common.net,
+                        edge,
+                        &Frame::SubmitResult { request_id: ticket, result },
+                    );
                 }
             }
             Effect::Deliver { attempt, key, to, expect, timeout_ms, conns } => {
@@ -373,7 +392,7 @@
                         self.out.insert(self.next_ticket, Out::Attempt { attempt, id });
                     }
                     Err(failure) => {
-                        let fine = self.common.net.fine();
+                        let fine = self.common.net.now_tenths_ms();
                         let outcome = judge(&id, Err(failure));
                         self.tally.ended(&outcome);
                         self.queue.delivered(now, fine, attempt, outcome, None);
@@ -416,16 +435,16 @@
 }
 
 /// What an answer says of the attempt. One that names another request, or no seal, is no success.
-fn judge(id: &str, result: Result<Reply, Failure>) -> Outcome {
+fn judge(id: &str, result: Result<CallReply, CallError>) -> Outcome {
     let reply = match result {
         Ok(reply) => reply,
-        Err(Failure::NotConnected) => return Outcome::NotConnected,
-        Err(Failure::NoRoom) => return Outcome::NoRoom,
-        Err(Failure::Broken) => return Outcome::Broken,
-        Err(Failure::Late) => return Outcome::Late,
-        Err(Failure::Garbled) => return Outcome::Garbled,
+        Err(CallError::NotConnected) => return Outcome::NotConnected,
+        Err(CallError::NoCapacity) => return Outcome::NoRoom,
+        Err(CallError::ConnectionLost) => return Outcome::Broken,
+        Err(CallError::TimedOut) => return Outcome::Late,
+        Err(CallError::InvalidReply) => return Outcome::Garbled,
     };
-    if reply.id.as_deref() != Some(id) {
+    if reply.request_id.as_deref() != Some(id) {
         return Outcome::Garbled;
     }
     match (reply.status, reply.seal) {
@@ -437,8 +456,8 @@
         (429, _) => Outcome::Over,
         (503, _) => Outcome::Full,
         (504, _) => Outcome::Stopped,
-        (500, _) if !reply.not_run => Outcome::Failed,
-        _ if reply.not_run => Outcome::NotRun,
+        (500, _) if !reply.was_not_run => Outcome::Failed,
+        _ if reply.was_not_run => Outcome::NotRun,
         _ => Outcome::Garbled,
     }
 }
--- a/crates/server/src/store/report.rs
+++ b/crates/server/src/store/report.rs
@@ -1,9 +1,9 @@
 //! What a store tells operators.
 
 use super::Store;
-use crate::metrics::{Histogram, Sheet};
-use crate::net::Failure;
-use crate::node::Common;
+use crate::metrics::{Exposition, Histogram};
+use crate::net::CallError;
+use crate::node::NodeRuntime;
 use crate::report::Told;
 use jzon::JsonValue;
 use std::collections::BTreeMap;
@@ -38,17 +38,17 @@
         *self.outcomes.entry(name).or_default() += 1;
     }
 
-    pub fn failed(&mut self, failure: Option<&Failure>) {
+    pub fn failed(&mut self, failure: Option<&CallError>) {
         self.unsure += u64::from(failure.is_some_and(|failure| failure.may_have_run()));
     }
 
     pub fn began(&mut self, first_wait: Option<u64>) {
-        first_wait.into_iter().for_each(|ms| self.to_run.add(ms));
+        first_wait.into_iter().for_each(|ms| self.to_run.record(ms));
     }
 }
 
 impl Told for Store {
-    fn common(&mut self) -> &mut Common {
+    fn common(&mut self) -> &mut NodeRuntime {
         &mut self.common
     }
 
@@ -136,7 +136,7 @@
         }
     }
 
-    fn figures(&self, sheet: &mut Sheet) {
+    fn figures(&self, sheet: &mut Exposition) {
         let now = self.common.net.now();
         self.common.figures(sheet, |_| "none");
         let stages = self.queue.stages(now);
@@ -169,13 +169,13 @@
             for (attempt, count) in of {
                 let labels = [("service", service.name.as_str()), ("attempt", attempt)];
                 let help = "Deliveries that went out: first ones, and repeats of what ran or may have run.";
-                sheet.count("stileroute_attempts_total", help, &labels, count);
+                sheet.counter("stileroute_attempts_total", help, &labels, count);
             }
         }
         for service in &services {
             let labels = [("service", service.name.as_str())];
             let help = "Repeats that had to wait for their part.";
-            sheet.count("stileroute_repeats_held_back_total", help, &labels, service.repeats.held_back);
+            sheet.counter("stileroute_repeats_held_back_total", help, &labels, service.repeats.held_back);
         }
         for service in &services {
             let labels = [("service", service.name.as_str())];
@@ -194,10 +194,10 @@
         }
         for (outcome, count) in &self.tally.outcomes {
             let labels = [("outcome", *outcome)];
-            sheet.count("stileroute_deliveries_total", "Deliveries by how they ended.", &labels, *count);
+            sheet.counter("stileroute_deliveries_total", "Deliveries by how they ended.", &labels, *count);
         }
         let help = "Deliveries without an answer that may have run.";
-        sheet.count("stileroute_deliveries_unsure_total", help, &[], self.tally.unsure);
+        sheet.counter("stileroute_deliveries_unsure_total", help, &[], self.tally.unsure);
         let help = "From a message's due time to its first delivery.";
         sheet.histogram("stileroute_to_run_seconds", help, &self.tally.to_run);
         let f = &self.queue.figures;
@@ -221,7 +221,7 @@
             ("fenced", f.fenced),
         ];
         for (event, count) in events {
-            sheet.count(
+            sheet.counter(
                 "stileroute_queue_events_total",
                 "What happened to messages.",
                 &[("event", event)],
@@ -238,7 +238,7 @@
     }
 }
 
-pub fn disk(sheet: &mut Sheet, f: stileroute_wal::Figures) {
+pub fn disk(sheet: &mut Exposition, f: stileroute_wal::Figures) {
     let all = [
         ("records", f.records),
         ("bytes", f.bytes),
@@ -247,6 +247,6 @@
         ("checkpoints", f.checkpoints),
     ];
     for (what, count) in all {
-        sheet.count("stileroute_disk_total", "What was done on the disk.", &[("what", what)], count);
+        sheet.counter("stileroute_disk_total", "What was done on the disk.", &[("what", what)], count);
     }
 }
--- a/crates/server/src/store/tests.rs
+++ b/crates/server/src/store/tests.rs
@@ -39,8 +39,9 @@
         std::fs::write(&file, text).unwrap();
         let mut boot = Boot::read(&file).unwrap();
         (boot.ip, boot.internal_ports) = (Ipv4Addr::LOCALHOST, (0, 0));
-        let mut store = Store::new(Common::start(boot, Path::new(""), NodeRole::Store).unwrap()).unwrap();
-        let (now, fine) = (store.common.net.now(), store.common.net.fine());
+        let mut store =
+            Store::new(NodeRuntime::start(boot, Path::new(""), NodeRole::Store).unwrap()).unwrap();
+        let (now, fine) = (store.common.net.now(), store.common.net.now_tenths_ms());
         store.queue.configure(now, fine, Arc::new(Config::read(CONFIG).unwrap()));
         store.carry_out();
         Lone { store, dir }
@@ -49,8 +50,12 @@
     fn takes(&mut self) {
         let (id, host) = ("m".to_string(), "quay.example".to_string());
         let (method, target) = ("POST".to_string(), "/in/x".to_string());
-        let message = Message { id, host, method, target, taken: wall(), ..Message::default() };
-        self.store.link_event(LinkEvent::Said(EDGE, NodeRole::Edge, Signal::Put { ticket: 5, message }));
+        let message = Message { id, host, method, target, taken: wall_clock_ms(), ..Message::default() };
+        self.store.link_event(LinkEvent::Received(
+            EDGE,
+            NodeRole::Edge,
+            Frame::Submit { request_id: 5, message },
+        ));
         self.store.carry_out();
     }
 
@@ -67,7 +72,7 @@
     let before = !lone.waits();
     let given_up = Instant::now() + Duration::from_secs(20);
     while lone.waits() && Instant::now() < given_up {
-        lone.store.event(Event::Woken);
+        lone.store.event(Event::WakeUp);
         lone.store.carry_out();
         std::thread::yield_now();
     }
@@ -78,9 +83,9 @@
 #[test]
 fn a_message_is_answered_when_the_disk_has_it() {
     assert!(!answered_before_the_disk("kept"));
-    let fault = Some(fault_injection::Planted::AnswerBeforeDisk);
+    let fault = Some(fault_injection::InjectedFault::AnswerBeforeDisk);
     assert!(
-        fault_injection::with(fault, || answered_before_the_disk("planted")),
+        fault_injection::with_fault(fault, || answered_before_the_disk("planted")),
         "the planted fault is not found"
     );
 }
