--- a/crates/capacity/src/control_node.rs
+++ b/crates/capacity/src/control_node.rs
@@ -5,7 +5,7 @@
 use crate::net::{Millis, Net};
 use crate::protocol::{Frame, Heartbeat, Member, NodeRole, PeerInfo, RetirementState};
 use std::net::SocketAddrV4;
-use stileroute_control_group::{ControlGroup, Effect, GroupSettings, Persisted};
+use stileroute_control_group::{ControlGroup, Effect, GroupSettings, PersistedState};
 use stileroute_queue::Node;
 use stileroute_registry::{Registry, RegistryEffect};
 
@@ -24,7 +24,7 @@
     writing: Vec<(Millis, u64)>,
     heard_at: Millis,
     next_ticket: u64,
-    disk: Persisted,
+    disk: PersistedState,
 }
 
 fn member_of(hello: &PeerInfo, config: u64) -> Member {
@@ -43,7 +43,7 @@
 
 impl ControlNode {
     /// `disk`: what an earlier life has kept; none at the first start.
-    pub fn new(hello: &PeerInfo, layout: &Layout, disk: Option<Persisted>, now: Millis) -> ControlNode {
+    pub fn new(hello: &PeerInfo, layout: &Layout, disk: Option<PersistedState>, now: Millis) -> ControlNode {
         let seeds = layout.seeds();
         let me = hello.control_address.unwrap_or(SocketAddrV4::new(hello.ip, 0));
         let settings = GroupSettings::new(me, seeds.clone(), disk.is_none(), LOSSES, hello.incarnation);
@@ -59,7 +59,7 @@
         }
     }
 
-    pub fn disk(self) -> Persisted {
+    pub fn disk(self) -> PersistedState {
         self.disk
     }
 
@@ -70,7 +70,7 @@
     /// An operator's configuration.
     pub fn replace(&mut self, now: Millis, version: u64, body: Vec<u8>) {
         self.next_ticket += 1;
-        self.group.replace(now, self.next_ticket, version, body);
+        self.group.replace_configuration(now, self.next_ticket, version, body);
     }
 
     pub fn heartbeat(&mut self, now: Millis, heartbeat: Heartbeat) {
@@ -79,15 +79,15 @@
 
     pub fn next(&self, now: Millis) -> Millis {
         let disk = self.writing.iter().map(|(at, _)| *at).min().unwrap_or(Millis::MAX);
-        self.group.next(now).min(self.registry.next_deadline()).min(disk)
+        self.group.next_tick(now).min(self.registry.next_deadline()).min(disk)
     }
 
     pub fn link_event(&mut self, links: &Links, now: Millis, link_event: LinkEvent) {
         match link_event {
             LinkEvent::Up(hello) if hello.role == NodeRole::Control => {
                 if let Some(control) = hello.control_address {
-                    self.group.link(now, control, true);
-                    self.group.learn(control);
+                    self.group.peer_connected(now, control);
+                    self.group.add_learner(control);
                 }
                 self.registry.peer_connected(now, member_of(&hello, 0));
             }
@@ -96,7 +96,7 @@
                 let control =
                     self.registry.members.iter().find(|m| m.node == node).and_then(|m| m.control_address);
                 if let Some(control) = control {
-                    self.group.link(now, control, false);
+                    self.group.peer_disconnected(now, control);
                 }
                 self.registry.peer_disconnected(node);
             }
@@ -109,7 +109,7 @@
         match (class, signal) {
             (NodeRole::Control, Frame::ControlGroup(signal)) => {
                 if let Some(voter) = links.peer(from).and_then(|hello| hello.control_address) {
-                    self.group.signal(now, voter, signal);
+                    self.group.handle_message(now, voter, signal);
                 }
             }
             (NodeRole::Control, Frame::Sessions(members)) => {
@@ -151,15 +151,15 @@
 
     fn carry_out(&mut self, links: &mut Links, net: &mut Net) {
         loop {
-            let effects = self.group.take();
+            let effects = self.group.take_effects();
             if effects.is_empty() {
                 return;
             }
             for effect in effects {
                 match effect {
-                    Effect::Send { to, signal } => {
+                    Effect::Send { to, message } => {
                         if let Some(node) = links.node_at_control_address(to) {
-                            links.send(net, node, &Frame::ControlGroup(signal));
+                            links.send(net, node, &Frame::ControlGroup(message));
                         }
                     }
                     Effect::Persist { ticket, record } => {
@@ -190,7 +190,7 @@
     /// Who is there, and who is told of it.
     fn tell(&mut self, links: &mut Links, net: &mut Net) {
         let now = net.now();
-        let in_touch = self.group.in_touch(now);
+        let in_touch = self.group.is_in_contact(now);
         if now >= self.heard_at {
             self.heard_at = now + HEARD_EVERY;
             for core in links.nodes_with_role(NodeRole::Control) {
--- a/crates/server/src/core.rs
+++ b/crates/server/src/core.rs
@@ -70,7 +70,7 @@
             .map_err(|e| miette::miette!("{}: {e}", dir.display()))?;
         let losses = boot.losses.machines;
         let settings = GroupSettings::new(at, boot.seeds.clone(), boot.first_start, losses, random_seed());
-        let settings = GroupSettings { places: boot.losses.places(), ..settings };
+        let settings = GroupSettings { survives_domain_loss: boot.losses.places(), ..settings };
         let bounds = RequestLimits { max_body_bytes: LARGEST_BODY, ..RequestLimits::default() };
         let control =
             common.net.listen(at, Some(bounds)).map_err(|e| miette::miette!("control address: {e}"))?;
@@ -78,7 +78,11 @@
         let me = member_of(common.links.local(), 0);
         let registry = Registry::new(me, random_seed(), common.boot.beat_interval_ms, now);
         let group = ControlGroup::new(settings, ledger.0, now);
-        tracing::info!(blank = group.blank(), epoch = group.view().map_or(0, |w| w.epoch), "disk read");
+        tracing::info!(
+            blank = group.is_awaiting_view(),
+            epoch = group.view().map_or(0, |w| w.epoch),
+            "disk read"
+        );
         Ok(Core {
             control,
             group,
@@ -96,7 +100,7 @@
     pub fn run(mut self) -> miette::Result<()> {
         loop {
             let now = self.common.net.now();
-            let until = self.group.next(now).min(self.registry.next_deadline());
+            let until = self.group.next_tick(now).min(self.registry.next_deadline());
             let (link_events, events) = self.common.poll(until);
             link_events.into_iter().for_each(|link_event| self.link_event(link_event));
             events.into_iter().for_each(|event| self.event(event));
@@ -109,7 +113,7 @@
             self.look_after_retirements(now);
             self.give_up_overdue(now);
             if self.common.take_shutdown_request() {
-                self.group.release(now);
+                self.group.shut_down(now);
                 self.carry_out();
             }
             if self.may_end(now) {
@@ -161,8 +165,8 @@
         match link_event {
             LinkEvent::Up(hello) if hello.role == NodeRole::Control => {
                 if let Some(control) = hello.control_address {
-                    self.group.link(now, control, true);
-                    self.group.learn(control);
+                    self.group.peer_connected(now, control);
+                    self.group.add_learner(control);
                 }
                 self.registry.peer_connected(now, member_of(&hello, 0));
             }
@@ -171,7 +175,7 @@
                 let control =
                     self.registry.members.iter().find(|m| m.node == node).and_then(|m| m.control_address);
                 if let Some(control) = control {
-                    self.group.link(now, control, false);
+                    self.group.peer_disconnected(now, control);
                 }
                 // It may have settled what was passed to it.
                 for (place, kind) in self.in_hand.lost(node) {
@@ -197,7 +201,7 @@
             }
             LinkEvent::Received(from, NodeRole::Control, Frame::ControlGroup(signal)) => {
                 if let Some(voter) = self.common.links.peer(from).and_then(|h| h.control_address) {
-                    self.group.signal(now, voter, signal);
+                    self.group.handle_message(now, voter, signal);
                 }
             }
             LinkEvent::Received(from, NodeRole::Control, Frame::Sessions(members)) => {
@@ -311,7 +315,7 @@
 
     fn carry_out(&mut self) {
         loop {
-            let effects = self.group.take();
+            let effects = self.group.take_effects();
             if effects.is_empty() {
                 return;
             }
@@ -321,23 +325,25 @@
 
     fn effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Send { to, signal } => {
+            Effect::Send { to, message } => {
                 if let Some(node) = self.common.links.node_at_control_address(to) {
-                    self.common.links.send(&mut self.common.net, node, &Frame::ControlGroup(signal));
+                    self.common.links.send(&mut self.common.net, node, &Frame::ControlGroup(message));
                 }
             }
             Effect::Persist { ticket, record } => {
                 self.disk.append(ticket, vec![ledger::bytes(&record)], true);
             }
             Effect::Answer { ticket, verdict } => self.answered(ticket, verdict),
-            Effect::ControlState { ticket, state } => {
+            Effect::ReadAnswer { ticket, state } => {
                 let settings =
                     state.map_or(ReadConfigReply::Missing, |state| ReadConfigReply::Active(state.body));
                 self.said(ticket, settings.into());
             }
             Effect::Committed { .. } => self.committed(),
-            Effect::RoleChanged { epoch, what } => tracing::info!(epoch, what, "control duty"),
-            Effect::Released => self.released = Some(self.common.net.now()),
+            Effect::RoleChanged { epoch, change } => {
+                tracing::info!(epoch, what = change.as_str(), "control duty")
+            }
+            Effect::ReadyToExit => self.released = Some(self.common.net.now()),
         }
     }
 
@@ -347,7 +353,7 @@
         match verdict {
             Verdict::NotPrimary { primary } => self.pass(place, primary),
             Verdict::Uncertain => self.said(place, kind.uncertain()),
-            Verdict::NotDone => self.said(place, kind.not_now()),
+            Verdict::NotCommitted => self.said(place, kind.not_now()),
             Verdict::Accepted | Verdict::Unchanged if kind == ForwardedCallKind::BeginRetirement => {
                 self.in_hand.await_store(place);
             }
@@ -365,7 +371,7 @@
         if verdict == Verdict::Accepted {
             return Some(ReplaceOutcome::Active(ActiveConfig::new(version, body, true)));
         }
-        let held = self.group.held();
+        let held = self.group.state();
         Some(ReplaceOutcome::Active(ActiveConfig::new(held.version, &held.body, body == held.body)))
     }
 
@@ -391,7 +397,7 @@
 
     /// Who is there, and who is told of it.
     fn tell(&mut self, now: Millis) {
-        let in_touch = self.group.in_touch(now);
+        let in_touch = self.group.is_in_contact(now);
         if now >= self.heard_at {
             self.heard_at = now + HEARD;
             for core in self.common.links.nodes_with_role(NodeRole::Control) {
@@ -461,7 +467,7 @@
             },
         );
         // Cut off from the others it could not tell them: the executor is to tell another as well.
-        let is_recorded = self.group.in_touch(now) || !self.registry.is_ready;
+        let is_recorded = self.group.is_in_contact(now) || !self.registry.is_ready;
         Some(if is_recorded {
             HeartbeatReply::Recorded { heartbeat_url }
         } else {
@@ -482,7 +488,7 @@
         let now = self.common.net.now();
         self.in_hand
             .keep(place, ForwardedCall::ReplaceConfig { version: call.version, body: call.body.clone() });
-        self.group.replace(now, place, call.version, call.body);
+        self.group.replace_configuration(now, place, call.version, call.body);
         self.carry_out();
         None
     }
@@ -492,7 +498,7 @@
     fn handle_call(&mut self, place: u64, _: ReadConfig) -> Option<ReadConfigReply> {
         let now = self.common.net.now();
         self.in_hand.keep(place, ForwardedCall::ReadConfig);
-        self.group.read(now, place);
+        self.group.read_configuration(now, place);
         self.carry_out();
         None
     }
--- a/crates/server/src/core/retire.rs
+++ b/crates/server/src/core/retire.rs
@@ -7,7 +7,7 @@
 use crate::node::node_id;
 use crate::protocol::{ForwardedCall, Frame, NodeRole, RetirementState};
 use std::collections::BTreeMap;
-use stileroute_control_group::{ControlState, Stage};
+use stileroute_control_group::{ControlState, RetirementStage};
 use stileroute_queue::Node;
 use stileroute_registry::Registry;
 
@@ -73,17 +73,19 @@
     let stage = agreed.and_then(|state| state.retirement(node_id(name))).map(|retirement| retirement.stage);
     let says = registry.store_named(name).map(|store| store.retirement);
     match (stage, says) {
-        (Some(Stage::Complete), None | Some(RetirementState::Complete)) => Some(RetirementProgress::Complete),
+        (Some(RetirementStage::Complete), None | Some(RetirementState::Complete)) => {
+            Some(RetirementProgress::Complete)
+        }
         (Some(_), _) => Some(RetirementProgress::Draining),
         (None, _) => None,
     }
 }
 
-fn stage(retiring: RetirementState) -> Option<Stage> {
+fn stage(retiring: RetirementState) -> Option<RetirementStage> {
     match retiring {
         RetirementState::NotRetiring => None,
-        RetirementState::Draining => Some(Stage::Rolling),
-        RetirementState::Complete => Some(Stage::Complete),
+        RetirementState::Draining => Some(RetirementStage::Draining),
+        RetirementState::Complete => Some(RetirementStage::Complete),
     }
 }
 
@@ -127,17 +129,19 @@
 
     /// At the primary.
     fn note_stages(&mut self, now: Millis) {
-        let Some(held) = self.group.settled(now).filter(|held| !held.retirements.is_empty()) else { return };
+        let Some(held) = self.group.readable_state(now).filter(|held| !held.retirements.is_empty()) else {
+            return;
+        };
         let further = |retirement: &stileroute_control_group::Retirement| {
             let says = stage(self.registry.store_named(&retirement.name)?.retirement)?;
             (says > retirement.stage).then_some((retirement.node, says))
         };
-        let steps: Vec<(Node, Stage)> = held.retirements.iter().filter_map(further).collect();
+        let steps: Vec<(Node, RetirementStage)> = held.retirements.iter().filter_map(further).collect();
         if steps.is_empty() {
             return;
         }
         for (node, stage) in steps {
-            self.group.advance(now, node, stage);
+            self.group.advance_retirement(now, node, stage);
         }
         self.carry_out();
     }
@@ -160,12 +164,12 @@
             .registry
             .store_named(name)
             .is_some_and(|store| store.retirement != RetirementState::NotRetiring);
-        agreed.is_some_and(|retirement| says || retirement.stage != Stage::Ordered)
+        agreed.is_some_and(|retirement| says || retirement.stage != RetirementStage::Ordered)
     }
 
     fn judge(&self, now: Millis, name: &str) -> Option<Judgement> {
-        let held = self.group.settled(now)?;
-        let soon: Vec<Node> = self.group.retiring_soon().collect();
+        let held = self.group.readable_state(now)?;
+        let soon: Vec<Node> = self.group.pending_retirements().collect();
         let suffice = |zones: &[&str]| self.common.boot.suffice(zones.iter().copied());
         Some(judge(name, held, &soon, &self.registry, suffice))
     }
@@ -192,7 +196,7 @@
             Judgement::NotNow => return Some(BeginRetirementReply::Unavailable),
             Judgement::Known => self.in_hand.await_store(place),
             Judgement::Take => {
-                self.group.retire(now, place, node_id(&name), name);
+                self.group.retire_store(now, place, node_id(&name), name);
                 self.carry_out();
             }
         }
@@ -212,13 +216,13 @@
         }
         self.in_hand.keep(place, ForwardedCall::ReadRetirement { node: name.clone() });
         // Only who decides can say that there is no such order.
-        if self.group.settled(now).is_none() {
+        if self.group.readable_state(now).is_none() {
             self.pass(place, self.group.primary());
             return None;
         }
         let says = self.registry.store_named(&name).and_then(|store| stage(store.retirement));
         Some(match says {
-            Some(Stage::Complete) => RetirementProgress::Complete,
+            Some(RetirementStage::Complete) => RetirementProgress::Complete,
             Some(_) => RetirementProgress::Draining,
             None if self.registry.is_ready => RetirementProgress::UnknownStore,
             None => RetirementProgress::Unavailable,
--- a/crates/server/src/protocol.rs
+++ b/crates/server/src/protocol.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
-use stileroute_queue::{Key, Message, Node, PeerMessage, Refusal};
+use stileroute_queue::{Key, Message, Node, PeerMessage, PutError};
 pub use stileroute_registry::{
     ExecutorState, Heartbeat, Member, MembershipUpdate, NodeRole, RetirementState,
 };
@@ -91,7 +91,7 @@
         /// That of the `Submit`.
         request_id: u64,
         /// The name under which the message is stored, or why it was rejected.
-        result: Result<String, Refusal>,
+        result: Result<String, PutError>,
     },
     /// The store is shutting down or retiring: it takes no new messages.
     Draining,
@@ -114,7 +114,7 @@
     /// Between two stores: replication and ownership of messages.
     Queue(PeerMessage),
     /// Between two control nodes: leases and the replicated configuration.
-    ControlGroup(stileroute_control_group::Signal),
+    ControlGroup(stileroute_control_group::Message),
     /// Between control nodes: the members with a session at the sender.
     Sessions(Vec<Member>),
     /// Between control nodes: executors that sent heartbeats.
@@ -201,22 +201,29 @@
 /// The category of what one store sends to another.
 fn queue_category(message: &PeerMessage) -> &'static str {
     match message {
-        PeerMessage::Copy(_) | PeerMessage::Copied(_) | PeerMessage::NotCopied(_) => "copies",
-        PeerMessage::Ends(_)
-        | PeerMessage::Called(_)
-        | PeerMessage::KnownEnds(_)
-        | PeerMessage::EndsKept(_) => "ends",
+        PeerMessage::Replicate(_) | PeerMessage::Replicated(_) | PeerMessage::ReplicationRejected(_) => {
+            "copies"
+        }
+        PeerMessage::Ended(_)
+        | PeerMessage::CallbacksDelivered(_)
+        | PeerMessage::TransferEnds(_)
+        | PeerMessage::EndsStored(_) => "ends",
         PeerMessage::Digests { .. }
-        | PeerMessage::Disk(_)
-        | PeerMessage::Standing { .. }
-        | PeerMessage::Stood => "comparing",
-        PeerMessage::Own(_) | PeerMessage::Drop(_) | PeerMessage::Lost(_) | PeerMessage::Want(_) => "owners",
-        PeerMessage::Handover(_) | PeerMessage::HandoverTaken(_) | PeerMessage::HandoverRefused(_) => {
+        | PeerMessage::DiskId(_)
+        | PeerMessage::RangeContents { .. }
+        | PeerMessage::Reconciled => "comparing",
+        PeerMessage::OwnershipChanged(_)
+        | PeerMessage::Drop(_)
+        | PeerMessage::LostWithDisk(_)
+        | PeerMessage::RequestReplicas(_) => "owners",
+        PeerMessage::Handover(_) | PeerMessage::HandoverAccepted(_) | PeerMessage::HandoverRejected(_) => {
             "handover"
         }
-        PeerMessage::RowAsk { .. } | PeerMessage::RowLive { .. } | PeerMessage::RowDone(_) => "rows",
-        PeerMessage::TokensWanted { .. } | PeerMessage::Tokens { .. } => "tokens",
-        PeerMessage::Leaving | PeerMessage::Retiring | PeerMessage::Relieved => "leaving",
+        PeerMessage::GroupQuery { .. }
+        | PeerMessage::GroupQueryReply { .. }
+        | PeerMessage::GroupMessagesEnded(_) => "rows",
+        PeerMessage::RequestTokens { .. } | PeerMessage::GrantTokens { .. } => "tokens",
+        PeerMessage::Draining | PeerMessage::Retiring | PeerMessage::NoReplicasNeeded => "leaving",
     }
 }
 
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -16,7 +16,7 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 use stileroute_queue::{
-    first_number, Bear, Effect, Key, Ledger, Node, Outcome, Queue, QueueSettings, Record, Server, State,
+    first_number, Bear, Effect, Key, Node, Outcome, Queue, QueueSettings, Record, Server, State, StateTable,
 };
 use stileroute_wal::{Options, Trouble, Wal};
 
@@ -62,10 +62,12 @@
         };
         let room = common.boot.means.disk_mb << 20;
         let options = Options { room, lazy_sync: Duration::from_millis(200), ..Options::new("hold") };
-        let (disk, ledger) = Wal::open::<Ledger>(&dir, options, done)
+        let (disk, ledger) = Wal::open::<StateTable>(&dir, options, done)
             .map_err(|e| miette::miette!("{}: {e}", dir.display()))?;
-        let (number, first) = (ledger.disk.unwrap_or_else(random_seed), first_number(random_seed()));
-        let record = postcard::to_stdvec(&Record::Born { disk: number, first }).unwrap_or_default();
+        let (number, first) = (ledger.disk_id.unwrap_or_else(random_seed), first_number(random_seed()));
+        let record =
+            postcard::to_stdvec(&Record::IncarnationStarted { disk_id: number, first_number: first })
+                .unwrap_or_default();
         disk.append(0, vec![record], true);
         let zone = common.boot.zones.keys().position(|zone| *zone == common.boot.zone).unwrap_or(0);
         let boot = &common.boot;
@@ -74,7 +76,7 @@
             zone,
             disk: number,
             first,
-            begun: ledger.begun.clone(),
+            begun: ledger.incarnation_first_numbers.clone(),
             losses: boot.losses.copies(),
             regions: boot.regions(),
             bear: Bear { zones: boot.losses.zones, regions: boot.losses.regions },
@@ -83,7 +85,7 @@
             status_ms: boot.bounds.status_ms,
             seed: random_seed(),
         };
-        tracing::info!(messages = ledger.all.len(), disk = number, "disk read");
+        tracing::info!(messages = ledger.messages.len(), disk = number, "disk read");
         // Both clocks after the disk was read: with the steady one from before, delayed messages would run early.
         let (now, wall) = (common.net.refresh_now(), wall_clock_ms());
         let queue = Queue::new(terms, ledger, now, wall);
@@ -119,16 +121,14 @@
                 for edge in self.common.links.nodes_with_role(NodeRole::Edge) {
                     self.common.links.send(&mut self.common.net, edge, &Frame::Draining);
                 }
-                self.queue.leave(now);
+                self.queue.begin_draining(now);
             }
             self.carry_out();
-            let retiring = self.queue.retired().map_or(RetirementState::NotRetiring, |empty| {
-                if empty {
-                    RetirementState::Complete
-                } else {
-                    RetirementState::Draining
-                }
-            });
+            let retiring = match self.queue.retirement_state() {
+                stileroute_queue::RetirementState::NotOrdered => RetirementState::NotRetiring,
+                stileroute_queue::RetirementState::InProgress => RetirementState::Draining,
+                stileroute_queue::RetirementState::Empty => RetirementState::Complete,
+            };
             self.common.report_retirement(retiring);
             for line in self.queue.log() {
                 tracing::debug!("{line}");
@@ -171,12 +171,14 @@
     fn link_event(&mut self, link_event: LinkEvent) {
         let now = self.common.net.now();
         match link_event {
-            LinkEvent::Up(hello) if hello.role == NodeRole::Store => self.queue.up(now, hello.node),
+            LinkEvent::Up(hello) if hello.role == NodeRole::Store => {
+                self.queue.peer_connected(now, hello.node)
+            }
             LinkEvent::Up(hello) if hello.role == NodeRole::Edge && self.queue.leaving => {
                 self.common.links.send(&mut self.common.net, hello.node, &Frame::Draining);
             }
             LinkEvent::Up(_) => {}
-            LinkEvent::Down(node, NodeRole::Store) => self.queue.down(now, node),
+            LinkEvent::Down(node, NodeRole::Store) => self.queue.peer_disconnected(now, node),
             LinkEvent::Down(node, NodeRole::Edge) => {
                 let lost: Vec<u64> = self
                     .askers
@@ -186,7 +188,7 @@
                     .collect();
                 for ticket in lost {
                     self.askers.remove(&ticket);
-                    self.queue.abandoned(ticket);
+                    self.queue.drop_abandoned(ticket);
                 }
             }
             LinkEvent::Down(..) => {}
@@ -204,7 +206,7 @@
                         .filter(|m| m.role == NodeRole::Store)
                         .map(|m| (m.node, zone(&m.zone)))
                         .collect();
-                    self.queue.members(now, &stores);
+                    self.queue.set_members(now, &stores);
                 }
                 if news.is_complete {
                     self.servers.clear();
@@ -235,7 +237,7 @@
                 NodeRole::Edge,
                 Frame::Superseded { message_id: id, fingerprint: print, kept },
             ) => {
-                self.queue.superseded(&id, print, kept);
+                self.queue.drop_superseded(&id, print, kept);
             }
             LinkEvent::Received(from, NodeRole::Edge, Frame::Submit { request_id: ticket, message }) => {
                 self.next_ticket += 1;
@@ -263,7 +265,7 @@
                 );
             }
             LinkEvent::Received(from, NodeRole::Store, Frame::Queue(note)) => {
-                self.queue.note(now, from, note)
+                self.queue.handle_peer_message(now, from, note)
             }
             LinkEvent::Received(_, NodeRole::Control, Frame::RetireStore { node })
                 if node == self.common.links.local().node =>
--- a/crates/server/src/store/tests.rs
+++ b/crates/server/src/store/tests.rs
@@ -50,7 +50,8 @@
     fn takes(&mut self) {
         let (id, host) = ("m".to_string(), "quay.example".to_string());
         let (method, target) = ("POST".to_string(), "/in/x".to_string());
-        let message = Message { id, host, method, target, taken: wall_clock_ms(), ..Message::default() };
+        let message =
+            Message { id, host, method, target, accepted_at_ms: wall_clock_ms(), ..Message::default() };
         self.store.link_event(LinkEvent::Received(
             EDGE,
             NodeRole::Edge,
@@ -89,3 +90,31 @@
         "the planted fault is not found"
     );
 }
+
+#[test]
+fn each_outcome_of_a_delivery_is_counted_under_its_label() {
+    let mut lone = Lone::new("outcomes");
+    let outcomes = [
+        (Outcome::Done { seal: String::new() }, "done"),
+        (Outcome::Refused, "refused"),
+        (Outcome::Failed, "failed"),
+        (Outcome::Full, "full"),
+        (Outcome::Over, "over"),
+        (Outcome::Running, "running"),
+        (Outcome::Wrong, "wrong"),
+        (Outcome::NotRun, "not_run"),
+        (Outcome::Stopped, "stopped"),
+        (Outcome::NotConnected, "not_connected"),
+        (Outcome::NoRoom, "no_room"),
+        (Outcome::Broken, "broken"),
+        (Outcome::Late, "late"),
+        (Outcome::Garbled, "garbled"),
+    ];
+    outcomes.iter().for_each(|(outcome, _)| lone.store.tally.ended(outcome));
+    let mut sheet = crate::metrics::Exposition::default();
+    lone.store.figures(&mut sheet);
+    for (outcome, label) in &outcomes {
+        let line = format!("stileroute_deliveries_total{{outcome=\"{label}\"}} 1");
+        assert!(sheet.text.lines().any(|shown| shown == line), "{outcome:?}: {line}");
+    }
+}
