--- a/crates/config/tests/fault_texts.rs
+++ b/crates/config/tests/fault_texts.rs
@@ -16,9 +16,8 @@
     Config::read(body.as_bytes()).map(|_| String::new()).unwrap_or_else(|faults| faults.to_string())
 }
 
-#[test]
-fn each_wrong_setting_is_named_with_its_reason() {
-    let cases = [
+/// A key with a value that is refused, and the whole text of the fault.
+const WRONG_SETTINGS: &[(&str, &str)] = &[
         (r#""node_name":"""#, r#"node.json: node_name: must be text that is not empty, is """#),
         (r#""role":7"#, "node.json: role: must be text that is not empty, is 7.0"),
         (r#""machine_class":null"#, "node.json: machine_class: must be text that is not empty, is null"),
@@ -94,9 +93,12 @@
             r#""bounds":{"origin_overrun":[]}"#,
             "node.json: bounds.origin_overrun: must be a finite number from 0 up, is a list",
         ),
-    ];
-    for (more, expected) in cases {
-        assert_eq!(settings_with(more), expected, "{more}");
+];
+
+#[test]
+fn each_wrong_setting_is_named_with_its_reason() {
+    for (more, expected) in WRONG_SETTINGS {
+        assert_eq!(settings_with(more), *expected, "{more}");
     }
     let spans = [
         "seed_lag_s",
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -60,8 +60,9 @@
             let _ = said.send((ticket, result));
             let _ = waker.wake();
         };
-        let room = common.boot.means.disk_mb << 20;
-        let options = Options { room, lazy_sync: Duration::from_millis(200), ..Options::new("hold") };
+        let capacity_bytes = common.boot.means.disk_mb << 20;
+        let options =
+            Options { capacity_bytes, max_sync_delay: Duration::from_millis(200), ..Options::new("hold") };
         let (disk, ledger) = Wal::open::<StateTable>(&dir, options, done)
             .map_err(|e| miette::miette!("{}: {e}", dir.display()))?;
         let (number, first) = (ledger.disk_id.unwrap_or_else(random_seed), first_number(random_seed()));
@@ -124,18 +125,18 @@
                 self.queue.begin_draining(now);
             }
             self.carry_out();
-            let retiring = match self.queue.retirement_state() {
+            let retirement = match self.queue.retirement_state() {
                 stileroute_queue::RetirementState::NotOrdered => RetirementState::NotRetiring,
                 stileroute_queue::RetirementState::InProgress => RetirementState::Draining,
                 stileroute_queue::RetirementState::Empty => RetirementState::Complete,
             };
-            self.common.report_retirement(retiring);
+            self.common.report_retirement(retirement);
             for line in self.queue.log() {
                 tracing::debug!("{line}");
             }
             if self.may_end(now) {
                 self.common.net.flush();
-                self.disk.stop();
+                self.disk.close();
                 return Ok(());
             }
         }
