--- a/crates/server/src/cli/figures.rs
+++ b/crates/server/src/cli/figures.rs
@@ -5,7 +5,7 @@
 use super::internal_client::ask;
 use super::output::{print, ExitStatus, OutputFormat};
 use super::CommandError;
-use crate::signals::Signal;
+use crate::protocol::Frame;
 use jzon::JsonValue;
 
 /// Shows the counters of the first process at the entry point that answers.
@@ -16,7 +16,7 @@
 pub fn figures(query: &Query<'_>) -> Result<ExitStatus, CommandError> {
     let mut reasons = Vec::new();
     for address in query.entry.addresses(SettingsScope::Machine)? {
-        match ask(address, &Signal::Count { ticket: 1 }) {
+        match ask(address, &Frame::MetricsRequest { request_id: 1 }) {
             Ok(text) => {
                 match query.format {
                     OutputFormat::Json => print(&samples_as_json(&text).pretty(2)),
--- a/crates/server/src/cli/internal_client.rs
+++ b/crates/server/src/cli/internal_client.rs
@@ -1,7 +1,7 @@
 //! A client of the protocol between the system's own processes: asks one process one thing over a connection of its own.
 
-use crate::node::lot;
-use crate::signals::{Hello, NodeRole, Signal, PROTOCOL};
+use crate::node::random_seed;
+use crate::protocol::{Frame, NodeRole, PeerInfo, PROTOCOL_VERSION};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpStream};
 use std::time::Duration;
@@ -60,12 +60,12 @@
 /// # Errors
 ///
 /// Where it could not be reached, or did not answer in this protocol.
-pub fn ask(address: SocketAddrV4, request: &Signal) -> Result<String, AskError> {
+pub fn ask(address: SocketAddrV4, request: &Frame) -> Result<String, AskError> {
     let io_error = |source| AskError::Io { address, source };
     let mut stream = TcpStream::connect_timeout(&SocketAddr::V4(address), IO_TIMEOUT).map_err(io_error)?;
     stream.set_read_timeout(Some(IO_TIMEOUT)).map_err(io_error)?;
     stream.set_write_timeout(Some(IO_TIMEOUT)).map_err(io_error)?;
-    for signal in [&Signal::Hello(visitor_hello()), request] {
+    for signal in [&Frame::Hello(visitor_hello()), request] {
         let frame = postcard::to_stdvec(signal).map_err(|source| AskError::Encode { address, source })?;
         stream.write_all(&(frame.len() as u32).to_le_bytes()).map_err(io_error)?;
         stream.write_all(&frame).map_err(io_error)?;
@@ -73,7 +73,7 @@
     loop {
         let frame = read_frame(&mut stream, address)?;
         match postcard::from_bytes(&frame) {
-            Ok(Signal::Reported { text, .. }) => return Ok(text),
+            Ok(Frame::InspectionReply { text, .. }) => return Ok(text),
             // Its own hello and keep-alives come in between.
             Ok(_) => {}
             Err(_) => return Err(AskError::OtherProtocol { address }),
@@ -86,23 +86,23 @@
 /// # Errors
 ///
 /// As [`ask`], and where the answer is no JSON.
-pub fn ask_for_json(address: SocketAddrV4, request: &Signal) -> Result<jzon::JsonValue, AskError> {
+pub fn ask_for_json(address: SocketAddrV4, request: &Frame) -> Result<jzon::JsonValue, AskError> {
     let text = ask(address, request)?;
     jzon::parse(&text).map_err(|source| AskError::Json { address, source })
 }
 
 /// What this program says of itself: it is no node of the system.
-fn visitor_hello() -> Hello {
-    Hello {
-        protocol: PROTOCOL,
+fn visitor_hello() -> PeerInfo {
+    PeerInfo {
+        protocol_version: PROTOCOL_VERSION,
         // Random: a fixed one would end the connection of another who asks at the same time.
-        node: lot() as u32,
+        node: random_seed() as u32,
         name: "visitor".to_string(),
-        class: NodeRole::CommandLine,
+        role: NodeRole::CommandLine,
         zone: String::new(),
         ip: Ipv4Addr::UNSPECIFIED,
-        life: lot(),
-        control: None,
+        incarnation: random_seed(),
+        control_address: None,
     }
 }
 
--- a/crates/server/src/cli/services.rs
+++ b/crates/server/src/cli/services.rs
@@ -1,7 +1,7 @@
 //! Each service over all stores: its queue, the requests in flight, its executors and its rate limit.
 
 use super::discovery::Fleet;
-use crate::signals::NodeRole;
+use crate::protocol::NodeRole;
 use jzon::JsonValue;
 use std::collections::BTreeMap;
 
--- a/crates/server/src/cli/verify.rs
+++ b/crates/server/src/cli/verify.rs
@@ -7,7 +7,7 @@
 use stileroute_config::Config;
 use stileroute_control_group::{PersistedState, Record as ControlRecord};
 use stileroute_queue::{End, Record as MessageRecord, StateTable};
-use stileroute_wal::{FileState, Report, Trouble};
+use stileroute_wal::{FileState, ReadError, Report};
 
 /// Where a store has its log, in its data folder.
 const STORE_FOLDER: &str = "hold";
@@ -33,7 +33,7 @@
 }
 
 /// Reads the log of a store, and says what its records amount to.
-fn verify_store(folder: &Path) -> Result<JsonValue, Trouble> {
+fn verify_store(folder: &Path) -> Result<JsonValue, ReadError> {
     let (mut table, mut kinds) = (StateTable::default(), KindCounts::default());
     let report =
         stileroute_wal::verify(folder, &mut |bytes| match postcard::from_bytes::<MessageRecord>(bytes) {
@@ -71,7 +71,7 @@
 }
 
 /// Reads the log of a control node, and says what its records amount to.
-fn verify_control_node(folder: &Path) -> Result<JsonValue, Trouble> {
+fn verify_control_node(folder: &Path) -> Result<JsonValue, ReadError> {
     let (mut persisted, mut kinds) = (PersistedState::default(), KindCounts::default());
     let report =
         stileroute_wal::verify(folder, &mut |bytes| match postcard::from_bytes::<ControlRecord>(bytes) {
@@ -162,7 +162,7 @@
 /// Reads a data folder through. [`ExitStatus::Failure`] says that something is damaged, [`ExitStatus::Unusable`] that no role
 /// has its log there.
 pub fn verify(data_dir: &Path, format: OutputFormat) -> ExitStatus {
-    type Verify = fn(&Path) -> Result<JsonValue, Trouble>;
+    type Verify = fn(&Path) -> Result<JsonValue, ReadError>;
     let roles: [(&str, Verify); 2] = [(STORE_FOLDER, verify_store), (CONTROL_FOLDER, verify_control_node)];
     let mut folders = JsonValue::new_object();
     for (name, verify_folder) in roles {
