--- a/crates/server/src/cli.rs
+++ b/crates/server/src/cli.rs
@@ -14,7 +14,7 @@
 mod status;
 mod verify;
 
-use crate::signals::PROTOCOL;
+use crate::protocol::PROTOCOL_VERSION;
 use args::{Args, CheckCommand, CheckOptions, Command, StateCommand, StateOptions};
 pub use error::CommandError;
 use gumdrop::Options;
@@ -70,9 +70,9 @@
     let program = env!("CARGO_PKG_VERSION");
     match format {
         OutputFormat::Json => {
-            print(&jzon::object! { "program" => program, "protocol" => PROTOCOL }.pretty(2));
+            print(&jzon::object! { "program" => program, "protocol" => PROTOCOL_VERSION }.pretty(2));
         }
-        OutputFormat::Text => print(&format!("stilerouted {program}, protocol {PROTOCOL}")),
+        OutputFormat::Text => print(&format!("stilerouted {program}, protocol {PROTOCOL_VERSION}")),
     }
     ExitStatus::Success
 }
--- a/crates/server/src/cli/args.rs
+++ b/crates/server/src/cli/args.rs
@@ -5,7 +5,7 @@
 use super::orders::RetireRequest;
 use super::output::OutputFormat;
 use super::CommandError;
-use crate::signals::NodeRole;
+use crate::protocol::NodeRole;
 use gumdrop::Options;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
--- a/crates/server/src/cli/check.rs
+++ b/crates/server/src/cli/check.rs
@@ -2,8 +2,8 @@
 
 use super::output::{print, ExitStatus, OutputFormat};
 use crate::calls::LARGEST_CONFIGURATION;
+use crate::protocol::NodeRole;
 use crate::settings::{self, Findings};
-use crate::signals::NodeRole;
 use jzon::JsonValue;
 use std::path::Path;
 use stileroute_config::{Boot, Config, Fault};
--- a/crates/server/src/cli/discovery.rs
+++ b/crates/server/src/cli/discovery.rs
@@ -4,7 +4,7 @@
 use super::internal_client::{ask_for_json, AskError};
 use super::CommandError;
 use crate::links;
-use crate::signals::{NodeRole, Signal};
+use crate::protocol::{Frame, NodeRole};
 use jzon::JsonValue;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -49,7 +49,7 @@
         let file = file.or_else(settings_file_of_environment);
         let file = file.ok_or(CommandError::NoSettingsFile { option: "--at" })?;
         let boot = Boot::read(&file).map_err(CommandError::Settings)?;
-        let address = |ip, class| links::address(boot.internal_ports, ip, class);
+        let address = |ip, class| links::listen_address(boot.internal_ports, ip, class);
         let classes = [NodeRole::Edge, NodeRole::Store, NodeRole::Control];
         let mut addresses = classes.map(|class| address(boot.ip, class)).to_vec();
         if scope == SettingsScope::MachineAndSeeds {
@@ -195,7 +195,9 @@
     std::thread::scope(|scope| {
         let threads: Vec<_> = addresses
             .iter()
-            .map(|address| (*address, scope.spawn(|| ask_for_json(*address, &Signal::Report { ticket: 1 }))))
+            .map(|address| {
+                (*address, scope.spawn(|| ask_for_json(*address, &Frame::ReportRequest { request_id: 1 })))
+            })
             .collect();
         threads
             .into_iter()
@@ -211,7 +213,7 @@
     let process = |member: &JsonValue| {
         let class = class_by_name(member["class"].as_str()?)?;
         let ip = member["ip"].as_str()?.parse().ok()?;
-        Some((member["node"].as_str()?.to_string(), links::address(ports, ip, class)))
+        Some((member["node"].as_str()?.to_string(), links::listen_address(ports, ip, class)))
     };
     report["known"].members().chain(report["links"].members()).filter_map(process).collect()
 }
--- a/crates/server/src/cli/message.rs
+++ b/crates/server/src/cli/message.rs
@@ -6,7 +6,7 @@
 use super::output::{print, ExitStatus, OutputFormat};
 use super::status::joined;
 use super::CommandError;
-use crate::signals::Signal;
+use crate::protocol::Frame;
 use jzon::JsonValue;
 use stileroute_queue::{Key, KeyLocation};
 
@@ -25,7 +25,7 @@
         if process.report["class"] != "store" {
             continue;
         }
-        match ask_for_json(process.address, &Signal::Trace { ticket: 1, key }) {
+        match ask_for_json(process.address, &Frame::TraceRequest { request_id: 1, key }) {
             Ok(trace) => stores[&**name] = trace,
             Err(error) => silent.push(error.to_string()),
         }
--- a/crates/server/src/cli/status.rs
+++ b/crates/server/src/cli/status.rs
@@ -5,7 +5,7 @@
 use super::output::{print, ExitStatus, OutputFormat};
 use super::services::services;
 use super::CommandError;
-use crate::signals::NodeRole;
+use crate::protocol::NodeRole;
 use jzon::JsonValue;
 
 /// Parts of a report that are shown elsewhere, or only needed to find the other processes.
