--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,9 +1,10 @@
 //! Measures how the cost of the system grows with the fleet.
 //!
 //! Many nodes share one process and one simulated clock. Each of them runs the system's own state machines
-//! (`registry`, `control-group`) and its own connection handling (`crates/server/src/links.rs`), and speaks its own frames
-//! (`crates/server/src/protocol.rs`). `stilerouted` is a program without a library, so these two files are compiled here a
-//! second time by `#[path]`, against the simulated network of [`net`]; nothing of `stilerouted` is moved or changed.
+//! (`registry`, `control-group`) with its own driver of the two (`crates/server/src/control_plane.rs`) and its own connection
+//! handling (`crates/server/src/links.rs`), and speaks its own frames (`crates/server/src/protocol.rs`). `stilerouted` is a
+//! program without a library, so these three files are compiled here a second time by `#[path]`, against the simulated network
+//! of [`net`]; nothing of `stilerouted` is moved or changed.
 //!
 //! As a unit test this crate is empty: its tests lie in `tests/`, and those of `stilerouted`'s files belong to `stilerouted`.
 //!
@@ -15,6 +16,9 @@
 
 pub mod allocation;
 pub mod control_node;
+#[rustfmt::skip] // Formatted where it belongs.
+#[path = "../../server/src/control_plane.rs"]
+pub mod control_plane;
 pub mod fit;
 pub mod heartbeat;
 pub mod layout;
--- a/crates/capacity/src/simulation.rs
+++ b/crates/capacity/src/simulation.rs
@@ -152,7 +152,7 @@
     pub fn stop(&mut self, at: usize) {
         if let Some(running) = self.nodes[at].take() {
             if let Part::Control(node) = running.part {
-                self.disks[at] = Some(node.disk());
+                self.disks[at] = Some(node.into_disk());
             }
         }
         for conn in std::mem::take(&mut self.conns_of[at]) {
@@ -169,7 +169,7 @@
     pub fn configure(&mut self, version: u64, bytes: usize) {
         let now = self.now;
         if let Some(Running { part: Part::Control(node), .. }) = &mut self.nodes[0] {
-            node.replace(now, version, configuration(version, bytes));
+            node.replace_configuration(now, version, configuration(version, bytes));
         }
         self.wakes.insert((now, 0));
     }
@@ -368,7 +368,7 @@
             (Delivery::Link(event), _) => {
                 links.event(net, event, &mut link_events);
             }
-            (Delivery::Heartbeat(heartbeat), Part::Control(node)) => node.heartbeat(now, heartbeat),
+            (Delivery::Heartbeat(heartbeat), Part::Control(node)) => node.record_heartbeat(now, heartbeat),
             (Delivery::Heartbeat(_), Part::Member(_)) => {}
         }
     }
@@ -388,7 +388,7 @@
 
 fn next(running: &Running, now: Millis) -> Millis {
     let own = match &running.part {
-        Part::Control(node) => node.next(now),
+        Part::Control(node) => node.next_deadline(now),
         Part::Member(node) => node.next(now),
     };
     own.min(running.links.next())
--- a/crates/capacity/tests/slopes.rs
+++ b/crates/capacity/tests/slopes.rs
@@ -54,7 +54,7 @@
     let mut simulation = Simulation::new(layout, 1);
     // All have called once, and all control nodes have told each other.
     simulation.run_until(3000);
-    let kept: Vec<usize> = simulation.controls().map(|node| node.registry.executors().count()).collect();
+    let kept: Vec<usize> = simulation.controls().map(|node| node.registry().executors().count()).collect();
     assert!(kept.iter().all(|kept| *kept < all && *kept >= all / 2), "{kept:?} of {all}");
     assert!(!is_complete(&simulation, 0));
 }
--- a/crates/server/src/control_node/report.rs
+++ b/crates/server/src/control_node/report.rs
@@ -1,104 +1,109 @@
-//! What a control node tells operators.
+//! What a control node tells operators: its report and its metrics.
 
-use super::Core;
+use super::ControlNode;
+use crate::inspection::Inspect;
 use crate::metrics::Exposition;
 use crate::node::NodeRuntime;
 use crate::protocol::{ExecutorState, NodeRole};
-use crate::report::{member, Told};
+use crate::report::{disk_metrics, member_as_json};
 use jzon::JsonValue;
 use std::collections::BTreeMap;
+use std::net::SocketAddrV4;
 
-impl Core {
-    fn force(&self) -> u64 {
-        self.group.committed().map_or(0, |state| state.version)
+impl ControlNode {
+    /// Version of the configuration in force here; 0 where there is none.
+    fn config_version(&self) -> u64 {
+        self.plane.group.committed().map_or(0, |state| state.version)
+    }
+
+    /// All nodes that this one knows, by name.
+    fn members_as_json(&self) -> JsonValue {
+        let registry = &self.plane.registry;
+        let control_nodes = registry.members.iter().filter(|member| member.role == NodeRole::Control);
+        let of_peers = registry.peer_sessions.values().flat_map(|(_, members)| members);
+        let own = registry.sessions.values().filter(|session| session.is_connected);
+        let own = own.map(|session| &session.member);
+        // Own sessions last: what others said of a node may be from before it came here.
+        let members = control_nodes.chain(of_peers).chain(own);
+        let by_name: BTreeMap<String, JsonValue> =
+            members.map(|member| (member.name.clone(), member_as_json(member))).collect();
+        by_name.into_values().collect::<Vec<_>>().into()
+    }
+
+    /// The control group as this node sees it.
+    fn group_as_json(&self) -> JsonValue {
+        let (group, now) = (&self.plane.group, self.runtime.net.now());
+        let view = group.view();
+        let addresses = |nodes: &[SocketAddrV4]| -> JsonValue {
+            nodes.iter().map(|node| JsonValue::from(node.to_string())).collect::<Vec<_>>().into()
+        };
+        jzon::object! {
+            "control" => self.runtime.boot.control.map(|address| address.to_string()),
+            "epoch" => view.map_or(0, |view| view.epoch),
+            "primary" => group.primary().map(|primary| primary.to_string()),
+            "copies" => view.map_or(JsonValue::Null, |view| addresses(&view.replicas)),
+            "voters" => view.map_or(JsonValue::Null, |view| addresses(&view.voters)),
+            "leads" => group.holds_lease(now),
+            "blank" => group.is_awaiting_view(),
+        }
+    }
+
+    fn executors_as_json(&self) -> JsonValue {
+        let now = self.runtime.net.now();
+        let executors = self.plane.registry.executors();
+        let listed = executors.filter(|executor| executor.heartbeat.state != ExecutorState::Offline);
+        let as_json = listed.map(|executor| {
+            jzon::object! {
+                "id" => executor.heartbeat.id.clone(),
+                "service" => executor.heartbeat.backend.clone(),
+                "address" => executor.heartbeat.address.to_string(),
+                "zone" => executor.heartbeat.zone.clone(),
+                "standing" => executor.heartbeat.state.to_string(),
+                "capacity" => executor.heartbeat.capacity,
+                "beat_ms" => now.saturating_sub(executor.last_heard),
+            }
+        });
+        as_json.collect::<Vec<_>>().into()
     }
 }
 
-impl Told for Core {
-    fn common(&mut self) -> &mut NodeRuntime {
-        &mut self.common
+impl Inspect for ControlNode {
+    fn runtime(&mut self) -> &mut NodeRuntime {
+        &mut self.runtime
     }
 
     fn report(&self) -> JsonValue {
-        let now = self.common.net.now();
-        let mut report = self.common.report();
-        report["version"] = self.force().into();
-        // Its own sessions last: what others told of a node may be from before it came here.
-        let told = self.registry.peer_sessions.values().flat_map(|(_, members)| members);
-        let own = self.registry.sessions.values().filter(|s| s.is_connected).map(|s| &s.member);
-        let mut known = BTreeMap::new();
-        for one in self.registry.members.iter().filter(|m| m.role == NodeRole::Control).chain(told).chain(own)
-        {
-            known.insert(one.name.clone(), member(one));
-        }
-        let known: Vec<JsonValue> = known.into_values().collect();
-        report["known"] = known.into();
-        report["ready"] = self.registry.is_ready.into();
-        let list = |voters: &[std::net::SocketAddrV4]| -> JsonValue {
-            voters.iter().map(|v| JsonValue::from(v.to_string())).collect::<Vec<_>>().into()
-        };
-        report["duty"] = jzon::object! {
-            "control" => self.common.boot.control.map(|at| at.to_string()),
-            "epoch" => self.group.view().map_or(0, |w| w.epoch),
-            "primary" => self.group.primary().map(|p| p.to_string()),
-            "copies" => self.group.view().map_or(JsonValue::Null, |w| list(&w.replicas)),
-            "voters" => self.group.view().map_or(JsonValue::Null, |w| list(&w.voters)),
-            "leads" => self.group.holds_lease(now),
-            "blank" => self.group.is_awaiting_view(),
-        };
-        let executors: Vec<JsonValue> = self
-            .registry
-            .executors()
-            .filter(|known| known.heartbeat.state != ExecutorState::Offline)
-            .map(|known| {
-                jzon::object! {
-                    "id" => known.heartbeat.id.clone(),
-                    "service" => known.heartbeat.backend.clone(),
-                    "address" => known.heartbeat.address.to_string(),
-                    "zone" => known.heartbeat.zone.clone(),
-                    "standing" => known.heartbeat.state.to_string(),
-                    "capacity" => known.heartbeat.capacity,
-                    "beat_ms" => now.saturating_sub(known.last_heard),
-                }
-            })
-            .collect();
-        report["executors"] = executors.into();
+        let mut report = self.runtime.report();
+        report["version"] = self.config_version().into();
+        report["known"] = self.members_as_json();
+        report["ready"] = self.plane.registry.is_ready.into();
+        report["duty"] = self.group_as_json();
+        report["executors"] = self.executors_as_json();
         report
     }
 
-    fn figures(&self, sheet: &mut Exposition) {
-        let now = self.common.net.now();
-        self.common.figures(sheet, |_| "control");
-        sheet.gauge(
-            "stileroute_control_version",
-            "Version that this node holds in force.",
-            &[],
-            self.force(),
-        );
-        let epoch = self.group.view().map_or(0, |w| w.epoch);
-        sheet.gauge("stileroute_control_epoch", "Epoch of the control duty.", &[], epoch);
-        let leads = u8::from(self.group.holds_lease(now));
-        sheet.gauge("stileroute_control_leads", "1: this node decides, and its lease holds.", &[], leads);
-        let blank = u8::from(self.group.is_awaiting_view());
-        sheet.gauge(
-            "stileroute_control_blank",
-            "1: it has lost its disk and has not learned yet.",
-            &[],
-            blank,
-        );
-        let sessions = self.registry.sessions.values().filter(|s| s.is_connected).count();
-        sheet.gauge("stileroute_sessions", "Sessions of edges and stores with this node.", &[], sessions);
-        for standing in [ExecutorState::Serving, ExecutorState::Draining] {
-            let count = self.registry.executors().filter(|k| k.heartbeat.state == standing).count();
-            let labels = [("standing", &*standing.to_string())];
-            sheet.gauge("stileroute_executors", "Executors known, by standing.", &labels, count);
+    fn write_metrics(&self, metrics: &mut Exposition) {
+        let (group, registry) = (&self.plane.group, &self.plane.registry);
+        self.runtime.write_metrics(metrics, |_| "control");
+        let help = "Version that this node holds in force.";
+        metrics.gauge("stileroute_control_version", help, &[], self.config_version());
+        let epoch = group.view().map_or(0, |view| view.epoch);
+        metrics.gauge("stileroute_control_epoch", "Epoch of the control duty.", &[], epoch);
+        let leads = u8::from(group.holds_lease(self.runtime.net.now()));
+        let help = "1: this node decides, and its lease holds.";
+        metrics.gauge("stileroute_control_leads", help, &[], leads);
+        let help = "1: it has lost its disk and has not learned yet.";
+        metrics.gauge("stileroute_control_blank", help, &[], u8::from(group.is_awaiting_view()));
+        let sessions = registry.sessions.values().filter(|session| session.is_connected).count();
+        let help = "Sessions of edges and stores with this node.";
+        metrics.gauge("stileroute_sessions", help, &[], sessions);
+        for state in [ExecutorState::Serving, ExecutorState::Draining] {
+            let count = registry.executors().filter(|executor| executor.heartbeat.state == state).count();
+            let labels = [("standing", &*state.to_string())];
+            metrics.gauge("stileroute_executors", "Executors known, by standing.", &labels, count);
         }
-        sheet.gauge(
-            "stileroute_calls_in_hand",
-            "Calls that have not been answered.",
-            &[],
-            self.in_hand.len(),
-        );
-        crate::store::report::disk(sheet, self.disk.statistics());
+        let help = "Calls that have not been answered.";
+        metrics.gauge("stileroute_calls_in_hand", help, &[], self.calls.len());
+        disk_metrics(metrics, &self.disk.statistics());
     }
 }
--- a/crates/server/src/control_node/retirement.rs
+++ b/crates/server/src/control_node/retirement.rs
@@ -1,230 +1,233 @@
-//! Retirements: which orders are taken, which stores are told, and what is said of one. The agreed value remembers them; here
-//! is only what has been told.
+//! Retirements: which orders are accepted, which stores are notified, and how far each one is. The replicated state remembers
+//! them; this node remembers only whom it has notified.
 
-use super::Core;
+use super::ControlNode;
 use crate::calls::{BeginRetirement, BeginRetirementReply, CallHandler, ReadRetirement, RetirementProgress};
 use crate::net::Millis;
 use crate::node::node_id;
 use crate::protocol::{ForwardedCall, Frame, NodeRole, RetirementState};
 use std::collections::BTreeMap;
-use stileroute_control_group::{ControlState, RetirementStage};
+use stileroute_control_group::{ControlState, Retirement, RetirementStage};
 use stileroute_queue::Node;
 use stileroute_registry::Registry;
 
-/// An order to retire a store is confirmed by then, or the operator sends it again: he goes elsewhere after a second of silence.
-const CONFIRMED: Millis = 900;
-/// A store that has not said that it retires is told again after so long.
-const AGAIN: Millis = 500;
+/// An order that its store has not confirmed by then is answered with 503, in ms: an operator turns to another control node
+/// after a second without an answer.
+const CONFIRMATION_TIMEOUT_MS: Millis = 900;
+/// A store that has not said that it retires is notified again after so long, in ms.
+const NOTICE_INTERVAL_MS: Millis = 500;
 
-/// What becomes of an order at the primary.
+/// What the primary decides on an order to retire a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judgement {
-    /// It is written down.
-    Take,
-    /// It was before: only the store is waited for.
-    Known,
-    Unknown,
-    TooFew,
+pub enum OrderDecision {
+    /// The order is proposed to the control group.
+    Propose,
+    /// It was committed before: only the store's confirmation is awaited.
+    AlreadyCommitted,
+    /// There is no such store.
+    UnknownStore,
+    /// Too few stores would remain to bear the losses that the settings name.
+    TooFewRemaining,
+    /// It can't be decided yet.
     NotNow,
 }
 
-/// `held` is the agreed value; `soon` are the stores whose orders are being written; `suffice` says whether the stores that
-/// stay, by their zones, bear the losses that are named.
-pub fn judge(
+/// Decides on an order to retire the store of this name.
+///
+/// `pending` are the stores whose orders are being committed; `suffices` says whether stores in these zones bear the losses that
+/// the settings name.
+pub fn decide(
     name: &str,
-    held: &ControlState,
-    soon: &[Node],
+    state: &ControlState,
+    pending: &[Node],
     registry: &Registry,
-    suffice: impl Fn(&[&str]) -> bool,
-) -> Judgement {
+    suffices: impl Fn(&[&str]) -> bool,
+) -> OrderDecision {
     let node = node_id(name);
-    if held.retirement(node).is_some() {
-        return Judgement::Known;
+    if state.retirement(node).is_some() {
+        return OrderDecision::AlreadyCommitted;
     }
-    // While it does not know yet who is there, none is refused for good.
-    let refused = |judgement| if registry.is_ready { judgement } else { Judgement::NotNow };
-    let Some(store) = registry.store_named(name) else { return refused(Judgement::Unknown) };
+    // A node that does not know all members yet must not reject an order for good.
+    let reject = |decision| if registry.is_ready { decision } else { OrderDecision::NotNow };
+    let Some(store) = registry.store_named(name) else { return reject(OrderDecision::UnknownStore) };
     if store.retirement != RetirementState::NotRetiring {
-        return Judgement::Take;
+        return OrderDecision::Propose;
     }
-    let agreed = |other: Node| other == node || held.retirement(other).is_some();
-    let zones = |goes: &dyn Fn(Node) -> bool| {
-        let stay = registry.stores_remaining_without(goes);
-        suffice(&stay.map(|member| member.zone.as_str()).collect::<Vec<_>>())
+    let is_committed = |other: Node| other == node || state.retirement(other).is_some();
+    let suffices_without = |retires: &dyn Fn(Node) -> bool| {
+        let remaining = registry.stores_remaining_without(retires);
+        suffices(&remaining.map(|member| member.zone.as_str()).collect::<Vec<_>>())
     };
-    // Every message lies on so many stores. With just as many left none can be taken while one is away.
-    if !zones(&agreed) {
-        return refused(Judgement::TooFew);
+    // Every message lies on so many stores: with just as many left, none could be accepted while one of them is away.
+    if !suffices_without(&is_committed) {
+        return reject(OrderDecision::TooFewRemaining);
     }
-    // Those that are being written may yet come to nothing.
-    if !zones(&|other| agreed(other) || soon.contains(&other)) {
-        return Judgement::NotNow;
+    // Orders that are being committed may yet fail.
+    if !suffices_without(&|other| is_committed(other) || pending.contains(&other)) {
+        return OrderDecision::NotNow;
     }
-    Judgement::Take
+    OrderDecision::Propose
 }
 
-/// What is said of a retirement, by the agreed value and by what the store itself says. It is complete only when both say so:
-/// a new machine of the same name, which is told to retire as well, may hold something.
-pub fn standing(
+/// How far a retirement is, by the replicated state and by what the store itself says. It is complete only when both say so: a
+/// new machine of the same name, which is told to retire as well, may hold messages.
+pub fn progress(
     name: &str,
-    agreed: Option<&ControlState>,
+    committed: Option<&ControlState>,
     registry: &Registry,
 ) -> Option<RetirementProgress> {
-    let stage = agreed.and_then(|state| state.retirement(node_id(name))).map(|retirement| retirement.stage);
-    let says = registry.store_named(name).map(|store| store.retirement);
-    match (stage, says) {
-        (Some(RetirementStage::Complete), None | Some(RetirementState::Complete)) => {
-            Some(RetirementProgress::Complete)
-        }
-        (Some(_), _) => Some(RetirementProgress::Draining),
-        (None, _) => None,
-    }
+    let retirement = committed.and_then(|state| state.retirement(node_id(name)))?;
+    let reported = registry.store_named(name).map(|store| store.retirement);
+    Some(match (retirement.stage, reported) {
+        (RetirementStage::Complete, None | Some(RetirementState::Complete)) => RetirementProgress::Complete,
+        _ => RetirementProgress::Draining,
+    })
 }
 
-fn stage(retiring: RetirementState) -> Option<RetirementStage> {
-    match retiring {
+/// The stage that a store's own word stands for.
+fn reported_stage(reported: RetirementState) -> Option<RetirementStage> {
+    match reported {
         RetirementState::NotRetiring => None,
         RetirementState::Draining => Some(RetirementStage::Draining),
         RetirementState::Complete => Some(RetirementStage::Complete),
     }
 }
 
-/// When each store was last told.
+/// When each store was last notified of its retirement.
 #[derive(Default)]
-pub struct Told(BTreeMap<Node, Millis>);
-
-impl Told {
-    /// Stores with sessions here that are to retire, have not said that they do, and were not told just now.
-    pub fn due(&mut self, now: Millis, agreed: &ControlState, registry: &Registry) -> Vec<Node> {
-        self.0.retain(|node, _| agreed.retirement(*node).is_some());
-        let lacks = |node: &Node| {
+pub struct RetirementNotices(BTreeMap<Node, Millis>);
+
+impl RetirementNotices {
+    /// Stores to notify now: they have sessions here, are to retire, have not said that they do, and were not notified just
+    /// before.
+    pub fn due(&mut self, now: Millis, committed: &ControlState, registry: &Registry) -> Vec<Node> {
+        self.0.retain(|node, _| committed.retirement(*node).is_some());
+        let is_unaware = |node: &Node| {
             let session = registry.sessions.get(node).filter(|session| session.is_connected);
-            session.is_some_and(|s| {
-                s.member.role == NodeRole::Store && s.member.retirement == RetirementState::NotRetiring
+            session.is_some_and(|session| {
+                session.member.role == NodeRole::Store
+                    && session.member.retirement == RetirementState::NotRetiring
             })
         };
-        let mut due: Vec<Node> = agreed.retirements.iter().map(|r| r.node).filter(lacks).collect();
-        due.retain(|node| self.0.get(node).is_none_or(|at| now >= at + AGAIN));
-        due.iter().for_each(|node| {
-            self.0.insert(*node, now);
-        });
+        let nodes = committed.retirements.iter().map(|retirement| retirement.node);
+        let mut due: Vec<Node> = nodes.filter(is_unaware).collect();
+        due.retain(|node| self.0.get(node).is_none_or(|at| now >= at + NOTICE_INTERVAL_MS));
+        self.0.extend(due.iter().map(|node| (*node, now)));
         due
     }
 }
 
-impl Core {
-    /// Tells stores, writes down how far they have come, and answers orders that they have confirmed.
-    pub(super) fn look_after_retirements(&mut self, now: Millis) {
-        self.tell_stores(now);
-        self.note_stages(now);
-        self.confirm(now);
+impl ControlNode {
+    /// Notifies stores, records how far they are, and answers orders that they have confirmed.
+    pub(super) fn advance_retirements(&mut self, now: Millis) {
+        self.notify_stores(now);
+        self.record_stages(now);
+        self.answer_orders(now);
     }
 
-    fn tell_stores(&mut self, now: Millis) {
-        let Some(agreed) = self.group.committed() else { return };
-        for node in self.told.due(now, agreed, &self.registry) {
-            self.common.links.send(&mut self.common.net, node, &Frame::RetireStore { node });
+    fn notify_stores(&mut self, now: Millis) {
+        let Some(committed) = self.plane.group.committed() else { return };
+        for node in self.notices.due(now, committed, &self.plane.registry) {
+            self.runtime.links.send(&mut self.runtime.net, node, &Frame::RetireStore { node });
         }
     }
 
-    /// At the primary.
-    fn note_stages(&mut self, now: Millis) {
-        let Some(held) = self.group.readable_state(now).filter(|held| !held.retirements.is_empty()) else {
-            return;
-        };
-        let further = |retirement: &stileroute_control_group::Retirement| {
-            let says = stage(self.registry.store_named(&retirement.name)?.retirement)?;
-            (says > retirement.stage).then_some((retirement.node, says))
+    /// At the primary: what stores say goes into the replicated state.
+    fn record_stages(&mut self, now: Millis) {
+        let Some(state) = self.plane.group.readable_state(now) else { return };
+        let advanced = |retirement: &Retirement| {
+            let store = self.plane.registry.store_named(&retirement.name)?;
+            let stage = reported_stage(store.retirement)?;
+            (stage > retirement.stage).then_some((retirement.node, stage))
         };
-        let steps: Vec<(Node, RetirementStage)> = held.retirements.iter().filter_map(further).collect();
+        let steps: Vec<(Node, RetirementStage)> = state.retirements.iter().filter_map(advanced).collect();
         if steps.is_empty() {
             return;
         }
         for (node, stage) in steps {
-            self.group.advance_retirement(now, node, stage);
+            self.plane.group.advance_retirement(now, node, stage);
         }
-        self.carry_out();
+        self.apply_group_effects();
     }
 
     /// Orders are acknowledged when the store has them on its disk.
-    fn confirm(&mut self, now: Millis) {
-        for (place, name, since) in self.in_hand.awaiting_stores() {
-            if self.confirmed(&name) {
-                self.said(place, BeginRetirementReply::Accepted.into());
-            } else if now > since + CONFIRMED {
-                self.said(place, BeginRetirementReply::Unavailable.into());
+    fn answer_orders(&mut self, now: Millis) {
+        for order in self.calls.unconfirmed_orders() {
+            if self.is_confirmed(&order.store) {
+                self.answer_call(order.call_id, BeginRetirementReply::Accepted.into());
+            } else if now > order.since + CONFIRMATION_TIMEOUT_MS {
+                self.answer_call(order.call_id, BeginRetirementReply::Unavailable.into());
             }
         }
     }
 
-    /// The store has said that it has the order, now or before.
-    fn confirmed(&self, name: &str) -> bool {
-        let agreed = self.group.committed().and_then(|state| state.retirement(node_id(name)));
-        let says = self
-            .registry
-            .store_named(name)
-            .is_some_and(|store| store.retirement != RetirementState::NotRetiring);
-        agreed.is_some_and(|retirement| says || retirement.stage != RetirementStage::Ordered)
+    /// Whether the store has said that it has the order, now or before.
+    fn is_confirmed(&self, name: &str) -> bool {
+        let committed = self.plane.group.committed().and_then(|state| state.retirement(node_id(name)));
+        let store = self.plane.registry.store_named(name);
+        let is_retiring = store.is_some_and(|store| store.retirement != RetirementState::NotRetiring);
+        committed.is_some_and(|retirement| is_retiring || retirement.stage != RetirementStage::Ordered)
     }
 
-    fn judge(&self, now: Millis, name: &str) -> Option<Judgement> {
-        let held = self.group.readable_state(now)?;
-        let soon: Vec<Node> = self.group.pending_retirements().collect();
-        let suffice = |zones: &[&str]| self.common.boot.suffice(zones.iter().copied());
-        Some(judge(name, held, &soon, &self.registry, suffice))
+    /// `None` where this node is not the primary.
+    fn decide_order(&self, now: Millis, name: &str) -> Option<OrderDecision> {
+        let state = self.plane.group.readable_state(now)?;
+        let pending: Vec<Node> = self.plane.group.pending_retirements().collect();
+        let suffices = |zones: &[&str]| self.runtime.boot.suffice(zones.iter().copied());
+        Some(decide(name, state, &pending, &self.plane.registry, suffices))
     }
 }
 
-impl CallHandler<BeginRetirement> for Core {
+impl CallHandler<BeginRetirement> for ControlNode {
     fn handle_call(
         &mut self,
-        place: u64,
+        call_id: u64,
         BeginRetirement { node: name }: BeginRetirement,
     ) -> Option<BeginRetirementReply> {
-        let now = self.common.net.now();
-        if self.confirmed(&name) {
+        let now = self.runtime.net.now();
+        if self.is_confirmed(&name) {
             return Some(BeginRetirementReply::Accepted);
         }
-        self.in_hand.keep(place, ForwardedCall::BeginRetirement { node: name.clone() });
-        let Some(judgement) = self.judge(now, &name) else {
-            self.pass(place, self.group.primary());
+        self.calls.set_content(call_id, ForwardedCall::BeginRetirement { node: name.clone() });
+        let Some(decision) = self.decide_order(now, &name) else {
+            self.forward(call_id, self.plane.group.primary());
             return None;
         };
-        match judgement {
-            Judgement::Unknown => return Some(BeginRetirementReply::UnknownStore),
-            Judgement::TooFew => return Some(BeginRetirementReply::TooFewStores),
-            Judgement::NotNow => return Some(BeginRetirementReply::Unavailable),
-            Judgement::Known => self.in_hand.await_store(place),
-            Judgement::Take => {
-                self.group.retire_store(now, place, node_id(&name), name);
-                self.carry_out();
+        match decision {
+            OrderDecision::UnknownStore => return Some(BeginRetirementReply::UnknownStore),
+            OrderDecision::TooFewRemaining => return Some(BeginRetirementReply::TooFewStores),
+            OrderDecision::NotNow => return Some(BeginRetirementReply::Unavailable),
+            OrderDecision::AlreadyCommitted => self.calls.await_store(call_id),
+            OrderDecision::Propose => {
+                self.plane.group.retire_store(now, call_id, node_id(&name), name);
+                self.apply_group_effects();
             }
         }
         None
     }
 }
 
-impl CallHandler<ReadRetirement> for Core {
+impl CallHandler<ReadRetirement> for ControlNode {
     fn handle_call(
         &mut self,
-        place: u64,
+        call_id: u64,
         ReadRetirement { node: name }: ReadRetirement,
     ) -> Option<RetirementProgress> {
-        let now = self.common.net.now();
-        if let Some(standing) = standing(&name, self.group.committed(), &self.registry) {
-            return Some(standing);
+        let now = self.runtime.net.now();
+        if let Some(progress) = progress(&name, self.plane.group.committed(), &self.plane.registry) {
+            return Some(progress);
         }
-        self.in_hand.keep(place, ForwardedCall::ReadRetirement { node: name.clone() });
-        // Only who decides can say that there is no such order.
-        if self.group.readable_state(now).is_none() {
-            self.pass(place, self.group.primary());
+        self.calls.set_content(call_id, ForwardedCall::ReadRetirement { node: name.clone() });
+        // Only the primary can say that there is no such order.
+        if self.plane.group.readable_state(now).is_none() {
+            self.forward(call_id, self.plane.group.primary());
             return None;
         }
-        let says = self.registry.store_named(&name).and_then(|store| stage(store.retirement));
-        Some(match says {
+        let store = self.plane.registry.store_named(&name);
+        Some(match store.and_then(|store| reported_stage(store.retirement)) {
             Some(RetirementStage::Complete) => RetirementProgress::Complete,
             Some(_) => RetirementProgress::Draining,
-            None if self.registry.is_ready => RetirementProgress::UnknownStore,
+            None if self.plane.registry.is_ready => RetirementProgress::UnknownStore,
             None => RetirementProgress::Unavailable,
         })
     }
--- a/crates/server/src/control_node/tests.rs
+++ b/crates/server/src/control_node/tests.rs
@@ -1,8 +1,8 @@
-//! Calls in hand and retirements, without I/O.
+//! Pending calls, retirements and records on disk, without I/O.
 
-use super::disk_records::{bytes, Ledger};
-use super::pending_calls::{InHand, Origin};
-use super::retirement::{judge, standing, Judgement, Told};
+use super::disk_records::{encode, DiskRecords};
+use super::pending_calls::{Origin, PendingCalls};
+use super::retirement::{decide, progress, OrderDecision, RetirementNotices};
 use crate::calls::{RetirementProgress, LARGEST_CONFIGURATION};
 use crate::node::node_id;
 use crate::protocol::{ForwardedCall, ForwardedCallKind, Member, NodeRole, RetirementState};
@@ -19,72 +19,72 @@
 }
 
 /// A call of a client that was passed to the control node 2.
-fn passed() -> (InHand, u64) {
-    let mut in_hand = InHand::new(100);
-    let place = in_hand.open(0, CLIENT);
-    in_hand.keep(place, ForwardedCall::ReadConfig);
-    assert_eq!(in_hand.pass(place, 2), Some(ForwardedCall::ReadConfig));
-    (in_hand, place)
+fn forwarded() -> (PendingCalls, u64) {
+    let mut calls = PendingCalls::new(100);
+    let call_id = calls.insert(0, CLIENT);
+    calls.set_content(call_id, ForwardedCall::ReadConfig);
+    assert_eq!(calls.forward(call_id, 2), Some(ForwardedCall::ReadConfig));
+    (calls, call_id)
 }
 
 #[test]
-fn only_the_node_that_was_asked_settles_a_call_and_only_once() {
-    let (mut in_hand, place) = passed();
-    assert!(in_hand.waits_for(place, 2));
-    assert!(!in_hand.waits_for(place, 3), "it was not asked");
-    assert!(!in_hand.waits_for(place + 1, 2), "no such call");
-    assert_eq!(in_hand.close(place), Some(CLIENT));
-    // It comes again, late: the place is nobody else's by now.
-    let next = in_hand.open(1, Origin::Client(10));
-    assert!(!in_hand.waits_for(place, 2) && !in_hand.waits_for(next, 2));
-    assert_eq!((in_hand.close(place), in_hand.close(next)), (None, Some(Origin::Client(10))));
+fn only_the_node_that_was_asked_answers_a_call_and_only_once() {
+    let (mut calls, call_id) = forwarded();
+    assert!(calls.is_forwarded_to(call_id, 2));
+    assert!(!calls.is_forwarded_to(call_id, 3), "it was not asked");
+    assert!(!calls.is_forwarded_to(call_id + 1, 2), "no such call");
+    assert_eq!(calls.remove(call_id), Some(CLIENT));
+    // It comes again, late: the call_id is nobody else's by now.
+    let next = calls.insert(1, Origin::Client(10));
+    assert!(!calls.is_forwarded_to(call_id, 2) && !calls.is_forwarded_to(next, 2));
+    assert_eq!((calls.remove(call_id), calls.remove(next)), (None, Some(Origin::Client(10))));
 }
 
 #[test]
-fn a_call_that_this_node_settles_itself_takes_no_answer_from_others() {
-    let mut in_hand = InHand::new(100);
-    let place = in_hand.open(0, CLIENT);
-    in_hand.keep(place, ForwardedCall::ReadConfig);
-    assert!(!in_hand.waits_for(place, 2));
+fn a_call_that_was_not_forwarded_takes_no_answer_from_others() {
+    let mut calls = PendingCalls::new(100);
+    let call_id = calls.insert(0, CLIENT);
+    calls.set_content(call_id, ForwardedCall::ReadConfig);
+    assert!(!calls.is_forwarded_to(call_id, 2));
 }
 
 #[test]
-fn a_call_goes_on_once() {
-    let (mut in_hand, place) = passed();
-    assert_eq!(in_hand.pass(place, 3), None);
-    let from_core = in_hand.open(0, Origin::Core(5, 1));
-    in_hand.keep(from_core, ForwardedCall::ReadConfig);
-    assert_eq!(in_hand.pass(from_core, 3), None, "it was passed on already");
-    assert_eq!(in_hand.kind(from_core), Some(ForwardedCallKind::ReadConfig));
+fn a_call_is_forwarded_once() {
+    let (mut calls, call_id) = forwarded();
+    assert_eq!(calls.forward(call_id, 3), None);
+    let from_core = calls.insert(0, Origin::ControlNode { node: 5, request_id: 1 });
+    calls.set_content(from_core, ForwardedCall::ReadConfig);
+    assert_eq!(calls.forward(from_core, 3), None, "it was passed on already");
+    assert_eq!(calls.kind(from_core), Some(ForwardedCallKind::ReadConfig));
 }
 
 #[test]
-fn each_call_that_waits_for_a_lost_node_is_given_back_and_nothing_is_left_of_those_it_passed() {
-    let (mut in_hand, place) = passed();
-    let elsewhere = in_hand.open(0, CLIENT);
-    in_hand.keep(elsewhere, ForwardedCall::ReadConfig);
-    in_hand.pass(elsewhere, 3);
-    let from_lost = in_hand.open(0, Origin::Core(2, 1));
-    in_hand.keep(from_lost, begin("s-1"));
-    in_hand.await_store(from_lost);
-    assert_eq!(in_hand.lost(2), [(place, ForwardedCallKind::ReadConfig)]);
-    assert_eq!(in_hand.close(from_lost), None);
-    assert!(in_hand.awaiting_stores().is_empty());
-    in_hand.close(place);
-    assert_eq!(in_hand.len(), 1, "the one that another settles");
+fn calls_forwarded_to_a_lost_node_are_given_back_and_those_it_forwarded_are_forgotten() {
+    let (mut calls, call_id) = forwarded();
+    let elsewhere = calls.insert(0, CLIENT);
+    calls.set_content(elsewhere, ForwardedCall::ReadConfig);
+    calls.forward(elsewhere, 3);
+    let from_lost = calls.insert(0, Origin::ControlNode { node: 2, request_id: 1 });
+    calls.set_content(from_lost, begin("s-1"));
+    calls.await_store(from_lost);
+    assert_eq!(calls.control_node_lost(2), [(call_id, ForwardedCallKind::ReadConfig)]);
+    assert_eq!(calls.remove(from_lost), None);
+    assert!(calls.unconfirmed_orders().is_empty());
+    calls.remove(call_id);
+    assert_eq!(calls.len(), 1, "the one that another settles");
 }
 
 #[test]
-fn a_call_that_was_passed_on_and_is_not_answered_is_given_up() {
-    let (mut in_hand, place) = passed();
-    let own = in_hand.open(0, CLIENT);
-    in_hand.keep(own, ForwardedCall::ReadConfig);
-    assert!(in_hand.overdue(4000).is_empty());
-    assert_eq!(in_hand.overdue(4001), [(place, ForwardedCallKind::ReadConfig)]);
+fn a_forwarded_call_without_an_answer_is_overdue_after_four_seconds() {
+    let (mut calls, call_id) = forwarded();
+    let own = calls.insert(0, CLIENT);
+    calls.set_content(own, ForwardedCall::ReadConfig);
+    assert!(calls.overdue(4000).is_empty());
+    assert_eq!(calls.overdue(4001), [(call_id, ForwardedCallKind::ReadConfig)]);
 }
 
 #[test]
-fn answers_of_a_node_that_can_not_know_end_no_operators_call() {
+fn answers_without_a_decision_have_a_server_error_status() {
     let kinds = [
         ForwardedCallKind::ReplaceConfig,
         ForwardedCallKind::ReadConfig,
@@ -92,10 +92,10 @@
         ForwardedCallKind::ReadRetirement,
     ];
     for kind in kinds {
-        assert_eq!(kind.not_now().status, 503, "{kind:?}");
-        assert!(kind.uncertain().status >= 500, "{kind:?}");
+        assert_eq!(kind.unavailable().status, 503, "{kind:?}");
+        assert!(kind.outcome_unknown().status >= 500, "{kind:?}");
     }
-    assert_eq!(ForwardedCallKind::ReplaceConfig.uncertain().status, 504);
+    assert_eq!(ForwardedCallKind::ReplaceConfig.outcome_unknown().status, 504);
 }
 
 fn store(name: &str, retiring: RetirementState) -> Member {
@@ -139,9 +139,9 @@
 }
 
 /// Two have to stay.
-fn judged(name: &str, held: &ControlState, soon: &[&str], registry: &Registry) -> Judgement {
+fn decision(name: &str, held: &ControlState, soon: &[&str], registry: &Registry) -> OrderDecision {
     let soon: Vec<u32> = soon.iter().map(|name| node_id(name)).collect();
-    judge(name, held, &soon, registry, |zones| zones.len() >= 2)
+    decide(name, held, &soon, registry, |zones| zones.len() >= 2)
 }
 
 const FOUR: [(&str, RetirementState); 4] = [
@@ -152,47 +152,50 @@
 ];
 
 #[test]
-fn two_orders_at_one_moment_never_leave_too_few() {
+fn simultaneous_retirement_orders_never_leave_too_few_stores() {
     let registry = registry(&FOUR, true);
     let none = held(&[]);
-    assert_eq!(judged("s-1", &none, &[], &registry), Judgement::Take);
+    assert_eq!(decision("s-1", &none, &[], &registry), OrderDecision::Propose);
     // The first is being written: two would stay, and then one.
-    assert_eq!(judged("s-2", &none, &["s-1"], &registry), Judgement::Take);
+    assert_eq!(decision("s-2", &none, &["s-1"], &registry), OrderDecision::Propose);
     assert_eq!(
-        judged("s-3", &none, &["s-1", "s-2"], &registry),
-        Judgement::NotNow,
+        decision("s-3", &none, &["s-1", "s-2"], &registry),
+        OrderDecision::NotNow,
         "they may come to nothing"
     );
     // They are agreed on, and no store has said so yet.
     let agreed = held(&[("s-1", RetirementStage::Ordered), ("s-2", RetirementStage::Ordered)]);
-    assert_eq!(judged("s-3", &agreed, &[], &registry), Judgement::TooFew);
+    assert_eq!(decision("s-3", &agreed, &[], &registry), OrderDecision::TooFewRemaining);
     // One that was said to be empty is gone by now, and one that never was a member counts for none.
-    assert_eq!(judged("s-1", &held(&[("s-9", RetirementStage::Complete)]), &[], &registry), Judgement::Take);
-    assert_eq!(judged("s-9", &none, &[], &registry), Judgement::Unknown);
+    assert_eq!(
+        decision("s-1", &held(&[("s-9", RetirementStage::Complete)]), &[], &registry),
+        OrderDecision::Propose
+    );
+    assert_eq!(decision("s-9", &none, &[], &registry), OrderDecision::UnknownStore);
 }
 
 #[test]
-fn an_order_sent_again_is_never_refused_also_when_the_machine_is_gone() {
+fn a_repeated_order_is_never_rejected_even_when_the_store_is_gone() {
     let left = registry(&FOUR[1..3], true);
     for stage in [RetirementStage::Ordered, RetirementStage::Draining, RetirementStage::Complete] {
-        assert_eq!(judged("s-1", &held(&[("s-1", stage)]), &[], &left), Judgement::Known);
+        assert_eq!(decision("s-1", &held(&[("s-1", stage)]), &[], &left), OrderDecision::AlreadyCommitted);
     }
 }
 
 #[test]
-fn a_control_node_that_does_not_know_yet_who_is_there_refuses_nothing_for_good() {
+fn a_control_node_that_is_not_ready_rejects_no_order_for_good() {
     let young = registry(&FOUR[..2], false);
-    assert_eq!(judged("s-9", &held(&[]), &[], &young), Judgement::NotNow);
-    assert_eq!(judged("s-1", &held(&[]), &[], &young), Judgement::NotNow);
+    assert_eq!(decision("s-9", &held(&[]), &[], &young), OrderDecision::NotNow);
+    assert_eq!(decision("s-1", &held(&[]), &[], &young), OrderDecision::NotNow);
 }
 
 #[test]
-fn complete_is_what_the_store_has_said_and_no_other_machine_of_its_name_contradicts() {
+fn a_retirement_is_complete_when_state_and_store_both_say_so() {
     let complete = held(&[("s-1", RetirementStage::Complete)]);
     let rolling = held(&[("s-1", RetirementStage::Draining)]);
     let says = |retiring| registry(&[("s-1", retiring)], true);
     let gone = registry(&[], true);
-    let of = |state, registry: &Registry| standing("s-1", Some(state), registry);
+    let of = |state, registry: &Registry| progress("s-1", Some(state), registry);
     assert_matches!(of(&complete, &gone), Some(RetirementProgress::Complete));
     assert_matches!(of(&complete, &says(RetirementState::Complete)), Some(RetirementProgress::Complete));
     // It is restarting: nobody has said that it is empty.
@@ -202,28 +205,28 @@
     // A new machine of the name.
     assert_matches!(of(&complete, &says(RetirementState::NotRetiring)), Some(RetirementProgress::Draining));
     assert_matches!(of(&held(&[]), &says(RetirementState::Complete)), None);
-    assert_matches!(standing("s-1", None, &gone), None);
+    assert_matches!(progress("s-1", None, &gone), None);
 }
 
 #[test]
-fn a_store_is_told_where_its_session_is_until_it_says_that_it_retires() {
+fn a_store_with_a_session_here_is_notified_until_it_says_that_it_retires() {
     let agreed = held(&[
         ("s-1", RetirementStage::Ordered),
         ("s-2", RetirementStage::Draining),
         ("s-9", RetirementStage::Ordered),
     ]);
     let mut here = registry(&FOUR, true);
-    let mut told = Told::default();
+    let mut notices = RetirementNotices::default();
     let (first, second) = (node_id("s-1"), node_id("s-2"));
     // The second has lost its disk, or is another machine of its name.
-    assert_eq!(told.due(3000, &agreed, &here), [first, second]);
-    assert!(told.due(3499, &agreed, &here).is_empty());
-    assert_eq!(told.due(3500, &agreed, &here), [first, second]);
+    assert_eq!(notices.due(3000, &agreed, &here), [first, second]);
+    assert!(notices.due(3499, &agreed, &here).is_empty());
+    assert_eq!(notices.due(3500, &agreed, &here), [first, second]);
     here.record_poll(3600, store("s-1", RetirementState::Draining), 0, 0);
     here.session_disconnected(3600, second);
-    assert!(told.due(9000, &agreed, &here).is_empty());
+    assert!(notices.due(9000, &agreed, &here).is_empty());
     here.record_poll(9100, store("s-2", RetirementState::NotRetiring), 0, 0);
-    assert_eq!(told.due(9100, &agreed, &here), [second]);
+    assert_eq!(notices.due(9100, &agreed, &here), [second]);
 }
 
 /// The largest there is, with as many retirements as are remembered, of the longest names that are read.
@@ -235,20 +238,20 @@
 }
 
 #[test]
-fn the_largest_value_that_is_taken_is_also_taken_by_the_disk() {
-    let record = bytes(&Record::ControlState(largest()));
+fn the_largest_state_fits_into_one_record_and_survives_a_snapshot() {
+    let record = encode(&Record::ControlState(largest()));
     assert!(record.len() <= MAX_RECORD_BYTES);
-    let mut ledger = Ledger::default();
-    ledger.apply(&record);
-    assert_eq!(ledger.0.state, Some(largest()));
+    let mut records = DiskRecords::default();
+    records.apply(&record);
+    assert_eq!(records.0.state, Some(largest()));
     // A checkpoint holds the same.
-    let mut again = Ledger::default();
-    ledger.snapshot(&mut |record| again.apply(record));
-    assert_eq!(again.0, ledger.0);
+    let mut restored = DiskRecords::default();
+    records.snapshot(&mut |record| restored.apply(record));
+    assert_eq!(restored.0, records.0);
 }
 
 #[test]
-fn an_older_builds_record_is_read() {
+fn a_record_of_an_older_build_is_read() {
     #[derive(serde::Serialize)]
     enum Older {
         #[allow(dead_code)]
@@ -259,8 +262,8 @@
         },
     }
     let older = postcard::to_stdvec(&Older::ControlState { version: 7, body: b"seven".to_vec() }).unwrap();
-    let mut ledger = Ledger::default();
-    ledger.apply(&older);
+    let mut records = DiskRecords::default();
+    records.apply(&older);
     let read = ControlState { serial: 7, version: 7, body: b"seven".to_vec(), retirements: Vec::new() };
-    assert_eq!(ledger.0.state, Some(read));
+    assert_eq!(records.0.state, Some(read));
 }
--- /dev/null
+++ b/crates/server/src/control_plane.rs
@@ -0,0 +1,158 @@
+//! Joins the control group and the registry of one control node with its links: what peers send goes into the two state
+//! machines, and what these want sent goes out.
+//!
+//! `crates/capacity` compiles this file as well, against its simulated network.
+
+use crate::links::{LinkEvent, Links};
+use crate::net::{Millis, Net};
+use crate::protocol::{Frame, Member, NodeRole, PeerInfo, RetirementState};
+use std::net::{Ipv4Addr, SocketAddrV4};
+use stileroute_control_group::{ControlGroup, Effect};
+use stileroute_queue::Node;
+use stileroute_registry::{Registry, RegistryEffect};
+
+/// How often the registry learns when the other control nodes were last heard, in ms.
+const PEER_CONTACT_INTERVAL: Millis = 200;
+
+/// The state machines of one control node.
+pub struct ControlPlane {
+    /// The replicated configuration and retirements, and who decides on them.
+    pub group: ControlGroup,
+    /// Which nodes and executors there are.
+    pub registry: Registry,
+    seeds: Vec<SocketAddrV4>,
+    next_contact_check: Millis,
+}
+
+impl ControlPlane {
+    /// `seeds` are the control addresses that the settings name.
+    pub fn new(group: ControlGroup, registry: Registry, seeds: Vec<SocketAddrV4>) -> ControlPlane {
+        ControlPlane { group, registry, seeds, next_contact_check: 0 }
+    }
+
+    /// When one of the two has something to do at the latest, if nothing happens before.
+    pub fn next_deadline(&self, now: Millis) -> Millis {
+        self.group.next_tick(now).min(self.registry.next_deadline())
+    }
+
+    /// Takes in what happened on a link. Frames that are for neither of the two are left alone.
+    pub fn link_event(&mut self, links: &Links, now: Millis, link_event: LinkEvent) {
+        match link_event {
+            LinkEvent::Up(peer) if peer.role == NodeRole::Control => {
+                if let Some(address) = peer.control_address {
+                    self.group.peer_connected(now, address);
+                    self.group.add_learner(address);
+                }
+                self.registry.peer_connected(now, member_of(&peer, 0));
+            }
+            LinkEvent::Up(_) => {}
+            LinkEvent::Down(node, NodeRole::Control) => {
+                let member = self.registry.members.iter().find(|member| member.node == node);
+                if let Some(address) = member.and_then(|member| member.control_address) {
+                    self.group.peer_disconnected(now, address);
+                }
+                self.registry.peer_disconnected(node);
+            }
+            LinkEvent::Down(node, _) => self.registry.session_disconnected(now, node),
+            LinkEvent::Received(from, NodeRole::Control, frame) => {
+                self.frame_from_control_node(links, now, from, frame);
+            }
+            LinkEvent::Received(from, _, frame) => self.frame_from_member(links, now, from, frame),
+        }
+    }
+
+    fn frame_from_control_node(&mut self, links: &Links, now: Millis, from: Node, frame: Frame) {
+        match frame {
+            Frame::ControlGroup(message) => {
+                if let Some(address) = links.peer(from).and_then(|peer| peer.control_address) {
+                    self.group.handle_message(now, address, message);
+                }
+            }
+            Frame::Sessions(members) => self.registry.record_peer_sessions(now, from, members),
+            Frame::Heartbeats(heartbeats) => self.registry.merge_peer_heartbeats(now, heartbeats),
+            _ => {}
+        }
+    }
+
+    /// Edges and stores poll for updates, and say in what state they are.
+    fn frame_from_member(&mut self, links: &Links, now: Millis, from: Node, frame: Frame) {
+        let Frame::UpdateRequest { incarnation, version, config_version, retirement } = frame else { return };
+        if let Some(peer) = links.peer(from) {
+            let member = Member { retirement, ..member_of(peer, config_version) };
+            self.registry.record_poll(now, member, incarnation, version);
+        }
+    }
+
+    /// Sends what an effect of the control group has for another control node; any other effect comes back.
+    pub fn send(&self, links: &mut Links, net: &mut Net, effect: Effect) -> Option<Effect> {
+        let Effect::Send { to, message } = effect else { return Some(effect) };
+        if let Some(node) = links.node_at_control_address(to) {
+            links.send(net, node, &Frame::ControlGroup(message));
+        }
+        None
+    }
+
+    /// Says with which control nodes connections are to be opened from here: of two, the one with the lower address opens it.
+    pub fn set_dial_targets(&self, links: &mut Links, now: Millis) {
+        let own_ip = links.local().ip;
+        let mut peers: Vec<Ipv4Addr> = self.seeds.iter().map(|seed| *seed.ip()).collect();
+        peers.extend(self.group.view().iter().flat_map(|view| view.voters.iter().map(|voter| *voter.ip())));
+        let members = self.registry.members.iter().filter(|member| member.role == NodeRole::Control);
+        peers.extend(members.map(|member| member.ip));
+        let is_seed = self.seeds.iter().any(|seed| *seed.ip() == own_ip);
+        let is_connected = |ip: &Ipv4Addr| links.peers(NodeRole::Control).any(|peer| peer.ip == *ip);
+        // The others do not know a node that is no seed: it opens all connections itself.
+        let dials = |ip: &Ipv4Addr| *ip > own_ip || (!is_seed && *ip != own_ip && !is_connected(ip));
+        let targets: Vec<SocketAddrV4> =
+            peers.into_iter().filter(dials).map(|ip| links.listen_address(ip, NodeRole::Control)).collect();
+        links.set_dial_targets(now, targets);
+    }
+
+    /// Lets the registry do what is due, and sends what it has for other nodes.
+    pub fn publish(&mut self, links: &mut Links, net: &mut Net, now: Millis) {
+        let is_in_contact = self.group.is_in_contact(now);
+        if now >= self.next_contact_check {
+            self.next_contact_check = now + PEER_CONTACT_INTERVAL;
+            for node in links.nodes_with_role(NodeRole::Control) {
+                if let Some(heard_at) = links.last_heard_at(node) {
+                    self.registry.peer_heard(node, heard_at);
+                }
+            }
+        }
+        let in_force = self.group.committed().filter(|state| state.version > 0);
+        let in_force = in_force.map(|state| (state.version, state.body.as_slice()));
+        self.registry.tick(now, is_in_contact, in_force);
+        for effect in self.registry.take_effects() {
+            let (receivers, frame) = match effect {
+                RegistryEffect::SendUpdate { to, update } => (vec![to], Frame::Update(update)),
+                RegistryEffect::SendHeartbeats { to, heartbeats } => {
+                    (vec![to], Frame::Heartbeats(heartbeats))
+                }
+                RegistryEffect::BroadcastHeartbeats(heartbeats) => {
+                    (links.nodes_with_role(NodeRole::Control), Frame::Heartbeats(heartbeats))
+                }
+                RegistryEffect::BroadcastSessions(members) => {
+                    (links.nodes_with_role(NodeRole::Control), Frame::Sessions(members))
+                }
+            };
+            for node in receivers {
+                links.send(net, node, &frame);
+            }
+        }
+    }
+}
+
+/// What a peer says of itself, as a member that has the given version of the configuration.
+pub fn member_of(peer: &PeerInfo, config_version: u64) -> Member {
+    Member {
+        node: peer.node,
+        name: peer.name.clone(),
+        role: peer.role,
+        zone: peer.zone.clone(),
+        ip: peer.ip,
+        incarnation: peer.incarnation,
+        control_address: peer.control_address,
+        config_version,
+        retirement: RetirementState::NotRetiring,
+    }
+}
--- /dev/null
+++ b/crates/server/src/edge/lookups.rs
@@ -0,0 +1,132 @@
+//! What became of a message: one store after another is asked until one knows it.
+
+use super::pending::{AfterReply, PendingLookup};
+use super::{Edge, STORE_REPLY_TIMEOUT_MS};
+use crate::net::{ConnectionId, Millis, Response};
+use crate::protocol::{Frame, KnownMessage, MessageState, NodeRole};
+use stileroute_queue::{Key, KeyLocation, Node};
+
+/// For all stores together, in ms: a client waits two seconds.
+const LOOKUP_TIMEOUT_MS: Millis = 1800;
+/// A client whose question could not be answered may come back after so long.
+const RETRY_AFTER_S: u64 = 1;
+
+impl Edge {
+    /// A client asks for the state of a message, or for its body.
+    pub(super) fn start_lookup(&mut self, connection: ConnectionId, message_id: &str, include_body: bool) {
+        self.counts.lookups += 1;
+        let now = self.runtime.net.now();
+        let Some(KeyLocation { key, stores: likely_stores }) = Key::parse(message_id) else {
+            return self.answer(connection, Response::empty(404));
+        };
+        let connected = self.runtime.links.nodes_with_role(NodeRole::Store);
+        let mut remaining_stores: Vec<Node> =
+            likely_stores.into_iter().filter(|store| connected.contains(store)).collect();
+        let others: Vec<Node> =
+            connected.iter().filter(|store| !remaining_stores.contains(store)).copied().collect();
+        remaining_stores.extend(others);
+        remaining_stores.dedup();
+        // The next one is taken from the end.
+        remaining_stores.reverse();
+        let members = self.runtime.session.members.iter();
+        let mut stores = members.filter(|member| member.role == NodeRole::Store);
+        // The store that accepted the message may be so new that it is no member here yet.
+        let is_store_missing =
+            !connected.contains(&key.origin) || stores.any(|store| !connected.contains(&store.node));
+        let lookup = PendingLookup {
+            connection,
+            key,
+            include_body,
+            remaining_stores,
+            asked_store: 0,
+            sent_at: now,
+            deadline: now + LOOKUP_TIMEOUT_MS,
+            known_as_pending: None,
+            is_inconclusive: is_store_missing,
+        };
+        let request_id = self.next_request_id();
+        self.lookups.insert(request_id, lookup);
+        self.ask_next_store(request_id);
+    }
+
+    /// The store that was asked is gone or silent: it may know the message.
+    fn store_gave_no_answer(&mut self, request_id: u64) {
+        if let Some(lookup) = self.lookups.get_mut(&request_id) {
+            lookup.is_inconclusive = true;
+        }
+        self.ask_next_store(request_id);
+    }
+
+    fn ask_next_store(&mut self, request_id: u64) {
+        let now = self.runtime.net.now();
+        let Some(lookup) = self.lookups.get_mut(&request_id) else { return };
+        let Some(store) = lookup.remaining_stores.pop().filter(|_| now < lookup.deadline) else {
+            return self.finish_lookup(request_id);
+        };
+        (lookup.asked_store, lookup.sent_at) = (store, now);
+        let frame = Frame::Lookup { request_id, key: lookup.key, include_body: lookup.include_body };
+        self.timeouts.insert((now + STORE_REPLY_TIMEOUT_MS, request_id));
+        if !self.runtime.links.send(&mut self.runtime.net, store, &frame) {
+            self.ask_next_store(request_id);
+        }
+    }
+
+    /// No store is left to be asked, or there is no more time.
+    fn finish_lookup(&mut self, request_id: u64) {
+        let Some(lookup) = self.lookups.remove(&request_id) else { return };
+        let is_late = self.runtime.net.now() >= lookup.deadline;
+        let response = match lookup.known_as_pending {
+            Some(known) => response_to(known, lookup.include_body),
+            // A store that knows nothing of a message says so. One that could not be asked may know it: with a 404, an accepted
+            // message would be taken for lost.
+            None if lookup.is_inconclusive || is_late => Response::retry_after(503, RETRY_AFTER_S),
+            None => Response::empty(404),
+        };
+        self.answer(lookup.connection, response);
+    }
+
+    /// A store says what it knows of a message.
+    pub(super) fn lookup_answered(&mut self, store: Node, request_id: u64, result: Option<KnownMessage>) {
+        let Some(lookup) = self.lookups.get_mut(&request_id) else { return };
+        match lookup.replied(store, result) {
+            AfterReply::Answer(known) => {
+                if let Some(lookup) = self.lookups.remove(&request_id) {
+                    self.answer(lookup.connection, response_to(known, lookup.include_body));
+                }
+            }
+            AfterReply::AskNextStore => self.ask_next_store(request_id),
+            AfterReply::KeepWaiting => {}
+        }
+    }
+
+    /// A store is gone: what it was asked last, the next one is asked.
+    pub(super) fn look_up_after_loss(&mut self, lost: Node) {
+        let affected = self.lookups.iter().filter(|(_, lookup)| lookup.asked_store == lost);
+        let request_ids: Vec<u64> = affected.map(|(request_id, _)| *request_id).collect();
+        request_ids.into_iter().for_each(|request_id| self.store_gave_no_answer(request_id));
+    }
+
+    pub(super) fn lookup_timeout(&mut self, request_id: u64) {
+        let now = self.runtime.net.now();
+        let Some(lookup) = self.lookups.get(&request_id) else { return };
+        // Otherwise it is the time-out of a store that was asked before: the one that is asked now has its own.
+        if now >= lookup.sent_at + STORE_REPLY_TIMEOUT_MS || now >= lookup.deadline {
+            self.store_gave_no_answer(request_id);
+        }
+    }
+}
+
+fn response_to(known: KnownMessage, include_body: bool) -> Response {
+    if include_body {
+        return match known.body {
+            Some(body) => Response { status: 200, body, ..Response::default() },
+            None => Response::empty(404),
+        };
+    }
+    let object = match known.state {
+        MessageState::Pending => jzon::object! { "state" => "waiting" },
+        MessageState::Complete { seal } => jzon::object! { "state" => "complete", "seal" => seal },
+        MessageState::Failed => jzon::object! { "state" => "failed" },
+    };
+    Response::json(200, object.dump())
+}
--- a/crates/server/src/edge/pending.rs
+++ b/crates/server/src/edge/pending.rs
@@ -1,74 +1,93 @@
-//! What an edge asks stores for its clients, one store after the other, and what their answers lead to. No I/O.
+//! Requests of clients for which an edge asks stores, one after another, and what the stores' answers lead to. No I/O.
 //!
-//! An answer is tied to its question by the ticket. It may come when another store has been asked meanwhile: what it says
-//! counts, but it ends no wait but its own.
+//! An answer belongs to its request by the request id. It may come when another store has been asked meanwhile: what it says
+//! counts, but only the store that was asked last is waited for.
 
 use crate::net::{ConnectionId, Millis};
 use crate::protocol::{KnownMessage, MessageState};
 use stileroute_queue::{Key, Message, Node, PutError};
 
-/// A message that is offered to stores until one has taken it.
-pub struct Put {
-    pub conn: ConnectionId,
+/// A message that is offered to stores until one has accepted it.
+pub struct PendingSubmission {
+    /// The client's connection.
+    pub connection: ConnectionId,
+    /// The message.
     pub message: Message,
-    pub tried: Vec<Node>,
-    pub sent: Millis,
-    pub until: Millis,
-    /// A store that was asked may have it.
-    pub uncertain: bool,
+    /// The stores that it was sent to, in that order.
+    pub tried_stores: Vec<Node>,
+    /// When it was sent to the last of them.
+    pub sent_at: Millis,
+    /// When the client gives up.
+    pub deadline: Millis,
+    /// A store that did not say that it rejects it may have it.
+    pub may_be_kept: bool,
 }
 
-/// What a refusal leads to.
+/// What a store's rejection leads to.
 #[derive(Debug, PartialEq)]
-pub enum Refused {
-    /// Another store is asked.
-    Next,
-    /// Another has been asked already, and is waited for.
-    Wait,
+pub enum AfterRejection {
+    /// Another store gets the message.
+    TryNextStore,
+    /// Another has got it already, and is waited for.
+    KeepWaiting,
 }
 
-impl Put {
-    pub fn refused(&mut self, from: Node, refusal: PutError) -> Refused {
-        self.uncertain |= refusal == PutError::Uncertain;
-        match self.tried.last() == Some(&from) {
-            true => Refused::Next,
-            false => Refused::Wait,
+impl PendingSubmission {
+    /// A store has not accepted the message.
+    pub fn rejected(&mut self, store: Node, error: PutError) -> AfterRejection {
+        self.may_be_kept |= error == PutError::Uncertain;
+        if self.tried_stores.last() == Some(&store) {
+            AfterRejection::TryNextStore
+        } else {
+            AfterRejection::KeepWaiting
         }
     }
 }
 
-/// A question what became of a message.
-pub struct Find {
-    pub conn: ConnectionId,
+/// A client's question what became of a message.
+pub struct PendingLookup {
+    /// The client's connection.
+    pub connection: ConnectionId,
+    /// The message.
     pub key: Key,
-    pub body: bool,
-    pub left: Vec<Node>,
-    pub asked: Node,
-    pub sent: Millis,
-    pub until: Millis,
-    /// One said that it never ended: any other answer is better.
-    pub waiting: Option<KnownMessage>,
-    /// A store that may know it could not be asked, or has not answered.
-    pub unsure: bool,
+    /// Whether its body is asked for, and not its state.
+    pub include_body: bool,
+    /// The stores that have not been asked, the next one last.
+    pub remaining_stores: Vec<Node>,
+    /// The store that was asked last.
+    pub asked_store: Node,
+    /// When it was asked.
+    pub sent_at: Millis,
+    /// When the client is answered at the latest.
+    pub deadline: Millis,
+    /// What a store said that has the message as one without an end: any other answer is better.
+    pub known_as_pending: Option<KnownMessage>,
+    /// A store that may know the message could not be asked, or has not answered.
+    pub is_inconclusive: bool,
 }
 
-/// What a store's word leads to.
+/// What a store's answer leads to.
 #[derive(Debug, PartialEq)]
-pub enum Heard {
+pub enum AfterReply {
+    /// This goes to the client.
     Answer(KnownMessage),
-    Next,
-    Wait,
+    /// Another store is asked.
+    AskNextStore,
+    /// Another has been asked already, and is waited for.
+    KeepWaiting,
 }
 
-impl Find {
-    pub fn heard(&mut self, from: Node, found: Option<KnownMessage>) -> Heard {
-        let next = if self.asked == from { Heard::Next } else { Heard::Wait };
-        match found {
-            Some(found @ KnownMessage { state: MessageState::Pending, .. }) if from != self.key.origin => {
-                self.waiting = Some(found);
+impl PendingLookup {
+    /// A store says what it knows of the message.
+    pub fn replied(&mut self, store: Node, result: Option<KnownMessage>) -> AfterReply {
+        let next = if self.asked_store == store { AfterReply::AskNextStore } else { AfterReply::KeepWaiting };
+        match result {
+            // Only the store that accepted the message is believed that it has not ended: others may not have heard of the end.
+            Some(known @ KnownMessage { state: MessageState::Pending, .. }) if store != self.key.origin => {
+                self.known_as_pending = Some(known);
                 next
             }
-            Some(found) => Heard::Answer(found),
+            Some(known) => AfterReply::Answer(known),
             None => next,
         }
     }
--- a/crates/server/src/edge/pending/tests.rs
+++ b/crates/server/src/edge/pending/tests.rs
@@ -6,47 +6,54 @@
 const SECOND: Node = 3;
 
 #[test]
-fn a_late_refusal_does_not_end_the_wait_for_the_store_asked_since() {
+fn a_late_rejection_does_not_end_the_wait_for_the_store_tried_since() {
     let message = Message::default();
-    let mut put = Put { conn: 0, message, tried: vec![FIRST, SECOND], sent: 0, until: 0, uncertain: false };
-    assert_eq!(put.refused(FIRST, PutError::Rejected), Refused::Wait);
-    assert!(!put.uncertain);
-    assert_eq!(put.refused(FIRST, PutError::Uncertain), Refused::Wait);
-    assert!(put.uncertain, "what it says counts all the same");
-    assert_eq!(put.refused(SECOND, PutError::Rejected), Refused::Next);
+    let mut submission = PendingSubmission {
+        connection: 0,
+        message,
+        tried_stores: vec![FIRST, SECOND],
+        sent_at: 0,
+        deadline: 0,
+        may_be_kept: false,
+    };
+    assert_eq!(submission.rejected(FIRST, PutError::Rejected), AfterRejection::KeepWaiting);
+    assert!(!submission.may_be_kept);
+    assert_eq!(submission.rejected(FIRST, PutError::Uncertain), AfterRejection::KeepWaiting);
+    assert!(submission.may_be_kept, "what it says counts all the same");
+    assert_eq!(submission.rejected(SECOND, PutError::Rejected), AfterRejection::TryNextStore);
 }
 
 #[test]
-fn a_late_word_that_a_message_waits_does_not_hide_its_end() {
+fn a_late_reply_that_a_message_is_pending_does_not_hide_its_end() {
     let key = Key { origin: ORIGIN, number: 1 };
-    let asks = |asked| Find {
-        conn: 0,
+    let asks = |asked| PendingLookup {
+        connection: 0,
         key,
-        body: false,
-        left: Vec::new(),
-        asked,
-        sent: 0,
-        until: 0,
-        waiting: None,
-        unsure: false,
+        include_body: false,
+        remaining_stores: Vec::new(),
+        asked_store: asked,
+        sent_at: 0,
+        deadline: 0,
+        known_as_pending: None,
+        is_inconclusive: false,
     };
     let waits = || Some(KnownMessage { state: MessageState::Pending, body: None });
     // The first was given up, and the second, asked since, knows the end.
-    let mut find = asks(SECOND);
-    assert_eq!(find.heard(FIRST, waits()), Heard::Wait);
-    assert_eq!(find.waiting, waits());
-    assert_eq!(find.heard(FIRST, None), Heard::Wait);
+    let mut lookup = asks(SECOND);
+    assert_eq!(lookup.replied(FIRST, waits()), AfterReply::KeepWaiting);
+    assert_eq!(lookup.known_as_pending, waits());
+    assert_eq!(lookup.replied(FIRST, None), AfterReply::KeepWaiting);
     let end = Some(KnownMessage { state: MessageState::Failed, body: None });
     assert_matches!(
-        find.heard(SECOND, end),
-        Heard::Answer(KnownMessage { state: MessageState::Failed, body: None })
+        lookup.replied(SECOND, end),
+        AfterReply::Answer(KnownMessage { state: MessageState::Failed, body: None })
     );
     // The one that is asked leads on to the next, and the owner is believed at once.
-    assert_eq!(asks(FIRST).heard(FIRST, waits()), Heard::Next);
-    assert_eq!(asks(FIRST).heard(FIRST, None), Heard::Next);
-    assert_matches!(asks(SECOND).heard(ORIGIN, waits()), Heard::Answer(_));
+    assert_eq!(asks(FIRST).replied(FIRST, waits()), AfterReply::AskNextStore);
+    assert_eq!(asks(FIRST).replied(FIRST, None), AfterReply::AskNextStore);
+    assert_matches!(asks(SECOND).replied(ORIGIN, waits()), AfterReply::Answer(_));
     assert_matches!(
-        asks(SECOND).heard(FIRST, Some(KnownMessage { state: MessageState::Failed, body: None })),
-        Heard::Answer(_)
+        asks(SECOND).replied(FIRST, Some(KnownMessage { state: MessageState::Failed, body: None })),
+        AfterReply::Answer(_)
     );
 }
--- a/crates/server/src/edge/report.rs
+++ b/crates/server/src/edge/report.rs
@@ -1,43 +1,45 @@
-//! What an edge tells operators.
+//! What an edge tells operators: its report and its metrics.
 
 use super::Edge;
+use crate::inspection::Inspect;
 use crate::metrics::Exposition;
 use crate::node::NodeRuntime;
-use crate::report::Told;
 use jzon::JsonValue;
 
-impl Told for Edge {
-    fn common(&mut self) -> &mut NodeRuntime {
-        &mut self.common
+impl Inspect for Edge {
+    fn runtime(&mut self) -> &mut NodeRuntime {
+        &mut self.runtime
     }
 
     fn report(&self) -> JsonValue {
-        let mut report = self.common.report();
-        report["ready"] = self.ready().into();
-        report["taking"] = self.puts.len().into();
-        report["asking"] = self.finds.len().into();
+        let mut report = self.runtime.report();
+        report["ready"] = self.is_ready().into();
+        report["taking"] = self.submissions.len().into();
+        report["asking"] = self.lookups.len().into();
         report
     }
 
-    fn figures(&self, sheet: &mut Exposition) {
-        let door = |port| if port == self.front { "front" } else { "readiness" };
-        self.common.figures(sheet, door);
-        sheet.gauge("stileroute_ready", "1: says that it is ready.", &[], u8::from(self.ready()));
-        sheet.gauge("stileroute_taking", "Messages that wait for a store.", &[], self.puts.len());
-        let f = &self.figures;
+    fn write_metrics(&self, metrics: &mut Exposition) {
+        let listener_name = |listener| if listener == self.front_listener { "front" } else { "readiness" };
+        self.runtime.write_metrics(metrics, listener_name);
+        let help = "1: says that it is ready.";
+        metrics.gauge("stileroute_ready", help, &[], u8::from(self.is_ready()));
+        let help = "Messages that wait for a store.";
+        metrics.gauge("stileroute_taking", help, &[], self.submissions.len());
         let results = [
-            ("taken", f.taken),
-            ("no_route", f.no_route),
-            ("refused", f.refused),
-            ("uncertain", f.uncertain),
-            ("again", f.again),
+            ("taken", self.counts.accepted),
+            ("no_route", self.counts.without_route),
+            ("refused", self.counts.rejected),
+            ("uncertain", self.counts.outcome_unknown),
+            ("again", self.counts.resubmitted),
         ];
         for (result, count) in results {
             let help = "Messages by what became of taking them; again: another store was asked.";
-            sheet.counter("stileroute_messages_total", help, &[("result", result)], count);
+            metrics.counter("stileroute_messages_total", help, &[("result", result)], count);
         }
-        sheet.counter("stileroute_asked_total", "Questions after a message.", &[], f.asked);
+        let help = "Questions after a message.";
+        metrics.counter("stileroute_asked_total", help, &[], self.counts.lookups);
         let help = "From the whole request to its 202.";
-        sheet.histogram("stileroute_accept_seconds", help, &self.common.net.accept_latency);
+        metrics.histogram("stileroute_accept_seconds", help, &self.runtime.net.accept_latency);
     }
 }
--- /dev/null
+++ b/crates/server/src/edge/submissions.rs
@@ -0,0 +1,239 @@
+//! Accepting messages: each is offered to one store after another until one has it, and only then its client is told so.
+
+use super::pending::{AfterRejection, PendingSubmission};
+use super::{Edge, SupersededNotice, STORE_REPLY_TIMEOUT_MS, STORE_SILENCE_LIMIT_MS};
+use crate::callback_url::parse_callback_url;
+use crate::net::{ConnectionId, Millis, Request, Response};
+use crate::node::wall_clock_ms;
+use crate::protocol::{Frame, NodeRole};
+use stileroute_config::{Config, Route, RouteKind};
+use stileroute_queue::{preferred_store, Key, Message, Node, PutError};
+
+/// A store that did not answer gets messages only after the others for so long, in ms, and none before it is heard again.
+const UNRESPONSIVE_PENALTY_MS: Millis = 1500;
+/// A store that comes back within so long, in ms, learns which messages other stores keep in its place.
+const SUPERSEDED_NOTICE_LIFETIME_MS: Millis = 120_000;
+/// Messages that wait for a store at most; and notices that are kept at most.
+const MAX_PENDING_SUBMISSIONS: usize = 4000;
+/// Longest request id, in bytes.
+const MAX_REQUEST_ID_BYTES: usize = 256;
+/// How long a client waits that does not say so, in ms.
+const DEFAULT_CLIENT_TIMEOUT_MS: Millis = 4000;
+/// What a client may say of that is limited to this, in ms.
+const CLIENT_TIMEOUTS_MS: (Millis, Millis) = (50, 10_000);
+/// A client whose message was not accepted may come back after so long.
+const RETRY_AFTER_S: u64 = 1;
+
+impl Edge {
+    /// A request of a client that is to become a message.
+    pub(super) fn accept(&mut self, connection: ConnectionId, request: Request) {
+        let Some(config) = self.runtime.config.clone() else {
+            self.counts.rejected += 1;
+            return self.answer(connection, Response::retry_after(503, RETRY_AFTER_S));
+        };
+        let route = config.route(&request.host, &request.target).map(|index| &config.routes[index]);
+        let Some(route) = route.filter(|route| route.kind == RouteKind::Deferred) else {
+            self.counts.without_route += 1;
+            return self.answer(connection, Response::empty(404));
+        };
+        if !is_valid(&request) {
+            return self.answer(connection, Response::empty(400));
+        }
+        if self.submissions.len() >= MAX_PENDING_SUBMISSIONS {
+            self.counts.rejected += 1;
+            return self.answer(connection, Response::retry_after(503, RETRY_AFTER_S));
+        }
+        let now = self.runtime.net.now();
+        let (shortest, longest) = CLIENT_TIMEOUTS_MS;
+        let timeout_ms = request.time_left_ms.unwrap_or(DEFAULT_CLIENT_TIMEOUT_MS).clamp(shortest, longest);
+        let submission = PendingSubmission {
+            connection,
+            message: message_of(request, route, &config),
+            tried_stores: Vec::new(),
+            sent_at: now,
+            deadline: now + timeout_ms,
+            may_be_kept: false,
+        };
+        let request_id = self.next_request_id();
+        self.submit(request_id, submission);
+    }
+
+    /// Offers a message to the next store. Where there is none left, the client is answered.
+    fn submit(&mut self, request_id: u64, mut submission: PendingSubmission) {
+        let now = self.runtime.net.now();
+        let ordering_key = submission.message.ordering_key.as_deref();
+        match self.choose_store(&submission.tried_stores, ordering_key) {
+            Some(store) => {
+                submission.tried_stores.push(store);
+                submission.sent_at = now;
+                self.counts.resubmitted += u64::from(submission.tried_stores.len() > 1);
+                let frame = Frame::Submit { request_id, message: submission.message.clone() };
+                self.runtime.links.send(&mut self.runtime.net, store, &frame);
+                let timeout_at = (now + STORE_SILENCE_LIMIT_MS).min(submission.deadline);
+                self.timeouts.insert((timeout_at, request_id));
+                self.submissions.insert(request_id, submission);
+            }
+            // No store has it: with a 503 the client may rely on that, and come back.
+            None if !submission.may_be_kept => {
+                self.counts.rejected += 1;
+                self.answer(submission.connection, Response::retry_after(503, RETRY_AFTER_S));
+            }
+            None => {
+                self.counts.outcome_unknown += 1;
+                self.answer(submission.connection, Response::empty(502));
+                self.announce_kept(&submission, None);
+            }
+        }
+    }
+
+    /// The next store for a message: of the own zone before the region before others, those that answer before those that did
+    /// not. Stores that are alike take turns; messages of one ordering key go to the same store while it is there.
+    fn choose_store(&mut self, tried: &[Node], ordering_key: Option<&str>) -> Option<Node> {
+        let now = self.runtime.net.now();
+        let boot = &self.runtime.boot;
+        let mut stores: Vec<(bool, u8, Node)> = self
+            .runtime
+            .links
+            .peers(NodeRole::Store)
+            .filter(|store| !tried.contains(&store.node) && !self.draining_stores.contains(&store.node))
+            .filter(|store| !self.is_silent(store.node))
+            .map(|store| {
+                let since = self.unresponsive_since.get(&store.node);
+                let is_penalised = since.is_some_and(|since| now < since + UNRESPONSIVE_PENALTY_MS);
+                (is_penalised, boot.far(&store.zone), store.node)
+            })
+            .collect();
+        stores.sort_unstable();
+        let (is_penalised, distance, _) = *stores.first()?;
+        if let Some(ordering_key) = ordering_key {
+            let alike = stores.iter().filter(|store| store.0 == is_penalised).map(|store| store.2);
+            return preferred_store(ordering_key, alike);
+        }
+        let alike = stores.iter().take_while(|store| (store.0, store.1) == (is_penalised, distance)).count();
+        self.round_robin = self.round_robin.wrapping_add(1);
+        Some(stores[self.round_robin % alike].2)
+    }
+
+    /// Whether nothing has been heard of a store since it did not answer: what is sent there now would only be in doubt later.
+    fn is_silent(&self, store: Node) -> bool {
+        let last_heard_at = self.runtime.links.last_heard_at(store);
+        self.unresponsive_since
+            .get(&store)
+            .is_some_and(|since| last_heard_at.is_none_or(|heard_at| heard_at <= *since))
+    }
+
+    /// Tells all stores which of several copies of a message is kept, or that none is.
+    fn announce_kept(&mut self, submission: &PendingSubmission, kept: Option<Key>) {
+        let now = self.runtime.net.now();
+        let message = &submission.message;
+        let (message_id, fingerprint) = (message.id.clone(), message.fingerprint());
+        let frame = Frame::Superseded { message_id, fingerprint, kept };
+        for store in self.runtime.links.nodes_with_role(NodeRole::Store) {
+            self.runtime.links.send(&mut self.runtime.net, store, &frame);
+        }
+        let notices = &mut self.superseded_notices;
+        notices.push_back(SupersededNotice { since: now, frame });
+        let is_over = |notice: &SupersededNotice| now > notice.since + SUPERSEDED_NOTICE_LIFETIME_MS;
+        while notices.front().is_some_and(is_over) || notices.len() > MAX_PENDING_SUBMISSIONS {
+            notices.pop_front();
+        }
+    }
+
+    /// A store has accepted a message or not.
+    pub(super) fn submission_answered(
+        &mut self,
+        store: Node,
+        request_id: u64,
+        result: Result<String, PutError>,
+    ) {
+        match result {
+            Ok(message_id) => self.submission_accepted(request_id, message_id),
+            Err(error) => {
+                let Some(submission) = self.submissions.get_mut(&request_id) else { return };
+                if submission.rejected(store, error) == AfterRejection::TryNextStore {
+                    self.resubmit(request_id);
+                }
+            }
+        }
+    }
+
+    fn submission_accepted(&mut self, request_id: u64, message_id: String) {
+        let Some(submission) = self.submissions.remove(&request_id) else { return };
+        self.counts.accepted += 1;
+        if submission.tried_stores.len() > 1 {
+            self.announce_kept(&submission, Key::parse(&message_id).map(|location| location.key));
+        }
+        let headers = vec![("X-Queue-Message-Id", message_id)];
+        self.answer(submission.connection, Response { status: 202, headers, ..Response::default() });
+    }
+
+    fn resubmit(&mut self, request_id: u64) {
+        if let Some(submission) = self.submissions.remove(&request_id) {
+            self.submit(request_id, submission);
+        }
+    }
+
+    /// A store is gone: what was sent to it last goes to the next one.
+    pub(super) fn resubmit_after_loss(&mut self, lost: Node) {
+        let submissions = self.submissions.iter();
+        let affected = submissions.filter(|(_, submission)| submission.tried_stores.last() == Some(&lost));
+        let request_ids: Vec<u64> = affected.map(|(request_id, _)| *request_id).collect();
+        for request_id in request_ids {
+            if let Some(mut submission) = self.submissions.remove(&request_id) {
+                submission.may_be_kept = true;
+                self.submit(request_id, submission);
+            }
+        }
+    }
+
+    /// A store may have been given too little time yet, for it has been heard since; else the next store gets the message.
+    pub(super) fn submission_timeout(&mut self, request_id: u64) {
+        let now = self.runtime.net.now();
+        let Some(submission) = self.submissions.get(&request_id) else { return };
+        let (sent_at, deadline) = (submission.sent_at, submission.deadline);
+        let store = submission.tried_stores.last().copied();
+        let last_heard_at = store.and_then(|store| self.runtime.links.last_heard_at(store));
+        let is_heard = last_heard_at.is_some_and(|heard_at| heard_at > sent_at);
+        let patience_ms = if is_heard { STORE_REPLY_TIMEOUT_MS } else { STORE_SILENCE_LIMIT_MS };
+        if now < deadline && now < sent_at + patience_ms {
+            self.timeouts.insert(((sent_at + STORE_REPLY_TIMEOUT_MS).min(deadline), request_id));
+            return;
+        }
+        let Some(mut submission) = self.submissions.remove(&request_id) else { return };
+        if let Some(store) = store {
+            // Silent since the message was sent: then anything heard since counts.
+            self.unresponsive_since.insert(store, if is_heard { now } else { sent_at });
+        }
+        submission.may_be_kept = true;
+        if now < deadline {
+            return self.submit(request_id, submission);
+        }
+        self.counts.outcome_unknown += 1;
+        self.answer(submission.connection, Response::empty(504));
+        self.announce_kept(&submission, None);
+    }
+}
+
+/// Whether a request has what a message needs.
+fn is_valid(request: &Request) -> bool {
+    let id_length = request.request_id.len();
+    let has_valid_url = request.callback_url.as_deref().is_none_or(|url| parse_callback_url(url).is_some());
+    (1..=MAX_REQUEST_ID_BYTES).contains(&id_length) && has_valid_url
+}
+
+fn message_of(request: Request, route: &Route, config: &Config) -> Message {
+    let ordering_key = request.order_key.filter(|_| route.in_order);
+    Message {
+        id: request.request_id,
+        host: request.host,
+        method: request.method,
+        target: request.target,
+        content_type: request.content_type,
+        callback_url: request.callback_url.filter(|_| route.callback),
+        ordering_key: ordering_key.map(|key| format!("{}\0{key}", route.name)),
+        delay_ms: request.delay_ms.unwrap_or(0),
+        accepted_at_ms: wall_clock_ms(),
+        config_revision: config.revision,
+        body: request.body,
+    }
+}
--- /dev/null
+++ b/crates/server/src/inspection.rs
@@ -0,0 +1,135 @@
+//! The questions of operators to one process: from the command line over the internal protocol, and from whoever collects
+//! metrics.
+
+use crate::links::LinkEvent;
+use crate::metrics::Exposition;
+use crate::net::{ConnectionId, Event, Response};
+use crate::node::NodeRuntime;
+use crate::protocol::{Frame, NodeRole};
+use jzon::JsonValue;
+use stileroute_queue::{Key, Node};
+
+/// Path of the metrics on the listener for them.
+const METRICS_PATH: &str = "/metrics";
+
+/// What somebody wants to know.
+pub enum Inquiry {
+    /// A question of a command line, which is answered under `request_id`.
+    FromCommandLine {
+        /// The visitor's node id.
+        from: Node,
+        /// The id that the answer carries.
+        request_id: u64,
+        /// What is asked.
+        question: Question,
+    },
+    /// A request to the listener for metrics.
+    FromCollector {
+        /// Its connection.
+        connection: ConnectionId,
+        /// Whether it asks for the metrics, and not for anything else.
+        is_for_metrics: bool,
+    },
+}
+
+/// What a command line asks.
+pub enum Question {
+    /// All that the process reports of itself.
+    Report,
+    /// What it knows of one message.
+    Trace(Key),
+    /// Its metrics.
+    Metrics,
+}
+
+/// The question in a frame of a command line, and the id for the answer.
+fn question_of(frame: &Frame) -> Option<(u64, Question)> {
+    match frame {
+        Frame::ReportRequest { request_id } => Some((*request_id, Question::Report)),
+        Frame::TraceRequest { request_id, key } => Some((*request_id, Question::Trace(*key))),
+        Frame::MetricsRequest { request_id } => Some((*request_id, Question::Metrics)),
+        _ => None,
+    }
+}
+
+impl NodeRuntime {
+    /// Takes the questions of operators out of what happened. A role learns nothing of the command lines that connect.
+    pub fn extract_inquiries(&mut self, link_events: &mut Vec<LinkEvent>, events: &mut Vec<Event>) {
+        let inquiries = &mut self.inquiries;
+        link_events.retain(|link_event| match link_event {
+            LinkEvent::Received(from, NodeRole::CommandLine, frame) => {
+                let question = question_of(frame);
+                inquiries.extend(question.map(|(request_id, question)| Inquiry::FromCommandLine {
+                    from: *from,
+                    request_id,
+                    question,
+                }));
+                false
+            }
+            LinkEvent::Received(..) => true,
+            LinkEvent::Down(_, role) => *role != NodeRole::CommandLine,
+            LinkEvent::Up(peer) => peer.role != NodeRole::CommandLine,
+        });
+        let Some(metrics_listener) = self.metrics_listener else { return };
+        events.retain(|event| match event {
+            Event::Request { connection, listener, request } if *listener == metrics_listener => {
+                let is_for_metrics = request.method == "GET" && request.target == METRICS_PATH;
+                inquiries.push(Inquiry::FromCollector { connection: *connection, is_for_metrics });
+                false
+            }
+            _ => true,
+        });
+    }
+}
+
+/// A role that operators can ask.
+pub trait Inspect {
+    /// What the role shares with the others.
+    fn runtime(&mut self) -> &mut NodeRuntime;
+
+    /// All that the process reports of itself.
+    fn report(&self) -> JsonValue;
+
+    /// Writes all metrics.
+    fn write_metrics(&self, metrics: &mut Exposition);
+
+    /// What is known here of a message; null where nothing is.
+    fn trace(&self, _: Key) -> JsonValue {
+        JsonValue::Null
+    }
+
+    /// All metrics as text.
+    fn metrics_text(&self) -> String {
+        let mut metrics = Exposition::default();
+        self.write_metrics(&mut metrics);
+        metrics.text
+    }
+
+    /// Answers what was asked in this turn of the loop.
+    fn answer_inquiries(&mut self) {
+        for inquiry in std::mem::take(&mut self.runtime().inquiries) {
+            match inquiry {
+                Inquiry::FromCommandLine { from, request_id, question } => {
+                    let text = match question {
+                        Question::Report => self.report().dump(),
+                        Question::Trace(key) => self.trace(key).dump(),
+                        Question::Metrics => self.metrics_text(),
+                    };
+                    let runtime = self.runtime();
+                    let frame = Frame::InspectionReply { request_id, text };
+                    runtime.links.send(&mut runtime.net, from, &frame);
+                }
+                Inquiry::FromCollector { connection, is_for_metrics } => {
+                    let (status, body) = if is_for_metrics {
+                        (200, self.metrics_text().into_bytes())
+                    } else {
+                        (404, Vec::new())
+                    };
+                    let headers = vec![("Content-Type", "text/plain; version=0.0.4".to_string())];
+                    let response = Response { status, headers, body, ..Response::default() };
+                    self.runtime().net.respond(connection, response);
+                }
+            }
+        }
+    }
+}
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,13 +1,17 @@
 //! `stilerouted`: the whole ingest and dispatch service in one program; the first word is the role. See docs/system.md for
 //! its design and docs/server.md for running it.
 
-// Not finished yet: what these lints name is still to be documented or divided.
+// Left: the flags of a connection in `net` (`Conn`, and `Dialogue` of the server).
 #![allow(clippy::struct_excessive_bools)]
 
+mod callback_url;
 mod calls;
 mod cli;
 mod control_node;
+mod control_plane;
+mod disk;
 mod edge;
+mod inspection;
 mod links;
 mod metrics;
 mod net;
@@ -15,6 +19,8 @@
 mod protocol;
 mod report;
 mod settings;
+mod shutdown;
+mod start_error;
 mod store;
 
 use cli::args::Args;
@@ -63,11 +69,12 @@
 
 fn run(boot: Boot, path: &Path, class: NodeRole) -> miette::Result<()> {
     tracing::info!(node = boot.node_name, role = %class, first = boot.first_start, "starts");
-    let common = NodeRuntime::start(boot, path, class)?;
+    let runtime = NodeRuntime::start(boot, path, class)?;
     match class {
-        NodeRole::Edge => edge::Edge::new(common)?.run(),
-        NodeRole::Store => store::Store::new(common)?.run(),
-        NodeRole::Control => control_node::Core::new(common)?.run(),
-        NodeRole::CommandLine => Ok(()),
+        NodeRole::Edge => edge::Edge::new(runtime)?.run(),
+        NodeRole::Store => store::Store::new(runtime)?.run(),
+        NodeRole::Control => control_node::ControlNode::new(runtime)?.run(),
+        NodeRole::CommandLine => {}
     }
+    Ok(())
 }
--- a/crates/server/src/node.rs
+++ b/crates/server/src/node.rs
@@ -1,11 +1,11 @@
 //! What every role has: its settings, its loop, its links, its session with a control node, and how it is told to end.
 
+use crate::inspection::Inquiry;
 use crate::links::{LinkEvent, Links};
 use crate::net::{Event, Millis, Net, RequestLimits};
 use crate::protocol::{
     Frame, Member, MembershipUpdate, NodeRole, PeerInfo, RetirementState, PROTOCOL_VERSION,
 };
-use crate::report::Inquiry;
 use crate::settings;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
@@ -164,7 +164,7 @@
             )
         };
         self.stirred |= link_events.iter().any(moved);
-        self.sort_out(&mut link_events, &mut events);
+        self.extract_inquiries(&mut link_events, &mut events);
         if self.hup.swap(false, Ordering::Relaxed) {
             self.reread();
         }
--- a/crates/server/src/report.rs
+++ b/crates/server/src/report.rs
@@ -1,211 +1,153 @@
-//! What a process tells of itself: to the command line over the internal protocol, and as figures.
+//! What every process reports of itself, whatever its role: as JSON for the command line, and as metrics.
 
-use crate::links::LinkEvent;
 use crate::metrics::Exposition;
-use crate::net::{ConnectionId, Event, Response};
+use crate::net::Millis;
 use crate::node::NodeRuntime;
-use crate::protocol::{Frame, NodeRole, PROTOCOL_VERSION};
+use crate::protocol::{Member, NodeRole, PROTOCOL_VERSION};
 use jzon::JsonValue;
-use stileroute_queue::{Key, Node};
+use stileroute_queue::Node;
+use stileroute_wal::Statistics;
 
-/// What somebody wants to know.
-pub enum Inquiry {
-    Report(Node, u64),
-    Trace(Node, u64, Key),
-    Count(Node, u64),
-    /// Over the listener for figures.
-    Scrape(ConnectionId, bool),
+fn seconds(ms: Millis) -> f64 {
+    ms as f64 / 1000.0
 }
 
 impl NodeRuntime {
-    /// Takes out what is for operators; of visitors the role hears nothing.
-    pub fn sort_out(&mut self, link_events: &mut Vec<LinkEvent>, events: &mut Vec<Event>) {
-        let inquiries = &mut self.inquiries;
-        link_events.retain(|link_event| {
-            match link_event {
-                LinkEvent::Received(
-                    from,
-                    NodeRole::CommandLine,
-                    Frame::ReportRequest { request_id: ticket },
-                ) => {
-                    inquiries.push(Inquiry::Report(*from, *ticket));
-                }
-                LinkEvent::Received(
-                    from,
-                    NodeRole::CommandLine,
-                    Frame::TraceRequest { request_id: ticket, key },
-                ) => {
-                    inquiries.push(Inquiry::Trace(*from, *ticket, *key));
-                }
-                LinkEvent::Received(
-                    from,
-                    NodeRole::CommandLine,
-                    Frame::MetricsRequest { request_id: ticket },
-                ) => {
-                    inquiries.push(Inquiry::Count(*from, *ticket));
-                }
-                LinkEvent::Received(_, class, _) | LinkEvent::Down(_, class) => {
-                    return *class != NodeRole::CommandLine
-                }
-                LinkEvent::Up(hello) => return hello.role != NodeRole::CommandLine,
-            }
-            false
-        });
-        let Some(scraped) = self.metrics_listener else { return };
-        events.retain(|event| match event {
-            Event::Request { connection: conn, listener: port, request } if *port == scraped => {
-                let known = request.method == "GET" && request.target == "/metrics";
-                inquiries.push(Inquiry::Scrape(*conn, known));
-                false
-            }
-            _ => true,
-        });
-    }
-
-    pub fn name(&self, node: Node) -> String {
-        let members = self.session.members.iter().map(|m| (m.node, &m.name));
-        let up = self.links.all_peers().map(|h| (h.node, &h.name));
-        let me = self.links.local();
-        let mut all = members.chain(up).chain(std::iter::once((me.node, &me.name)));
-        all.find(|(n, _)| *n == node).map_or_else(|| format!("{node:x}"), |(_, name)| name.clone())
+    /// A node's name, or its id in hexadecimal where the name is not known.
+    pub fn node_name(&self, node: Node) -> String {
+        let local = self.links.local();
+        let members = self.session.members.iter().map(|member| (member.node, &member.name));
+        let peers = self.links.all_peers().map(|peer| (peer.node, &peer.name));
+        let mut names = members.chain(peers).chain(std::iter::once((local.node, &local.name)));
+        names.find(|(id, _)| *id == node).map_or_else(|| format!("{node:x}"), |(_, name)| name.clone())
     }
 
-    /// What all roles tell.
+    /// What the processes of all roles report.
     pub fn report(&self) -> JsonValue {
-        let (now, me) = (self.net.now(), self.links.local());
-        let since = |at: u64| if at == 0 { JsonValue::Null } else { now.saturating_sub(at).into() };
-        let known: Vec<JsonValue> = self.session.members.iter().map(member).collect();
-        let links: Vec<JsonValue> = self
-            .links
-            .all_peers()
-            .filter(|h| h.role != NodeRole::CommandLine)
-            .map(|h| {
-                let class = h.role.to_string();
-                jzon::object! { "node" => h.name.clone(), "class" => class, "ip" => h.ip.to_string() }
-            })
-            .collect();
-        let ports: Vec<JsonValue> = vec![self.links.ports().0.into(), self.links.ports().1.into()];
+        let local = self.links.local();
+        let (first_port, last_port) = self.links.ports();
+        let members: Vec<JsonValue> = self.session.members.iter().map(member_as_json).collect();
         jzon::object! {
-            "node" => me.name.clone(),
-            "class" => me.role.to_string(),
-            "zone" => me.zone.clone(),
-            "ip" => me.ip.to_string(),
-            "ports" => ports,
+            "node" => local.name.clone(),
+            "class" => local.role.to_string(),
+            "zone" => local.zone.clone(),
+            "ip" => local.ip.to_string(),
+            "ports" => vec![first_port, last_port],
             "program" => env!("CARGO_PKG_VERSION"),
             "protocol" => PROTOCOL_VERSION,
-            "up_ms" => now,
+            "up_ms" => self.net.now(),
             "leaving" => self.draining_since.is_some(),
-            "version" => self.config.as_ref().map_or(0, |c| c.revision),
-            "control" => jzon::object! {
-                "heard" => me.role == NodeRole::Control || self.has_fresh_session(),
-                "session" => self.session.control_node.map(|with| self.name(with)),
-                "session_ms" => since(self.session.established_at),
-                "news_ms" => since(self.session.last_update_at),
-            },
-            "links" => links,
-            "known" => known,
+            "version" => self.config_revision(),
+            "control" => self.session_as_json(),
+            "links" => self.links_as_json(),
+            "known" => members,
+        }
+    }
+
+    /// Revision of the configuration in force here; 0 where there is none.
+    fn config_revision(&self) -> u64 {
+        self.config.as_ref().map_or(0, |config| config.revision)
+    }
+
+    fn session_as_json(&self) -> JsonValue {
+        let now = self.net.now();
+        let since = |at: Millis| if at == 0 { JsonValue::Null } else { now.saturating_sub(at).into() };
+        jzon::object! {
+            "heard" => self.links.local().role == NodeRole::Control || self.has_fresh_session(),
+            "session" => self.session.control_node.map(|node| self.node_name(node)),
+            "session_ms" => since(self.session.established_at),
+            "news_ms" => since(self.session.last_update_at),
         }
     }
 
-    /// The counters that all roles have. `door` names the listeners for requests.
-    pub fn figures(&self, sheet: &mut Exposition, door: impl Fn(usize) -> &'static str) {
-        let (now, me) = (self.net.now(), self.links.local());
-        let seconds = |ms: u64| ms as f64 / 1000.0;
-        let class = me.role.to_string();
-        let labels = [("node", me.name.as_str()), ("class", &class), ("zone", &me.zone)];
-        sheet.gauge("stileroute_node", "Always 1: which process this is.", &labels, 1);
-        sheet.gauge("stileroute_up_seconds", "Since the process began.", &[], seconds(now));
-        let version = self.config.as_ref().map_or(0, |c| c.revision);
-        sheet.gauge("stileroute_config_version", "Version in force here; 0: none yet.", &[], version);
-        if me.role != NodeRole::Control {
-            let session =
-                if self.has_fresh_session() { now.saturating_sub(self.session.established_at) } else { 0 };
-            let heard = u8::from(self.has_fresh_session());
-            let news = if self.session.last_update_at == 0 {
-                now
-            } else {
-                now.saturating_sub(self.session.last_update_at)
-            };
-            sheet.gauge(
-                "stileroute_control_heard",
-                "1: control nodes answer; 0: nothing is heard.",
-                &[],
-                heard,
-            );
-            sheet.gauge(
-                "stileroute_session_seconds",
-                "Age of the session with a control node.",
-                &[],
-                seconds(session),
-            );
-            sheet.gauge("stileroute_news_age_seconds", "Since a control node answered.", &[], seconds(news));
-            let lost = self.session.losses;
-            sheet.counter("stileroute_sessions_lost_total", "Sessions that ended unasked.", &[], lost);
+    fn links_as_json(&self) -> JsonValue {
+        let peers = self.links.all_peers().filter(|peer| peer.role != NodeRole::CommandLine);
+        let links = peers.map(|peer| {
+            let class = peer.role.to_string();
+            jzon::object! { "node" => peer.name.clone(), "class" => class, "ip" => peer.ip.to_string() }
+        });
+        links.collect::<Vec<_>>().into()
+    }
+
+    /// Writes the metrics that all roles have. `listener_name` names the listeners for requests.
+    pub fn write_metrics(&self, metrics: &mut Exposition, listener_name: impl Fn(usize) -> &'static str) {
+        let local = self.links.local();
+        let class = local.role.to_string();
+        let labels = [("node", local.name.as_str()), ("class", &class), ("zone", &local.zone)];
+        metrics.gauge("stileroute_node", "Always 1: which process this is.", &labels, 1);
+        let up = seconds(self.net.now());
+        metrics.gauge("stileroute_up_seconds", "Since the process began.", &[], up);
+        let help = "Version in force here; 0: none yet.";
+        metrics.gauge("stileroute_config_version", help, &[], self.config_revision());
+        if local.role != NodeRole::Control {
+            self.write_session_metrics(metrics);
         }
-        for class in [NodeRole::Control, NodeRole::Store, NodeRole::Edge] {
-            let (name, count) = (class.to_string(), self.links.nodes_with_role(class).len());
-            sheet.gauge(
-                "stileroute_links",
-                "Connections with other processes, by class.",
-                &[("class", &name)],
-                count,
-            );
+        self.write_link_metrics(metrics);
+        self.write_connection_metrics(metrics);
+        for ((listener, status), count) in &self.net.responses {
+            let is_for_metrics = Some(*listener) == self.metrics_listener;
+            let door = if is_for_metrics { "figures" } else { listener_name(*listener) };
+            let labels = [("door", door), ("status", &*status.to_string())];
+            metrics.counter("stileroute_answers_total", "Answers by door and status.", &labels, *count);
         }
-        sheet.counter(
-            "stileroute_links_unread_total",
-            "Frames that could not be read.",
-            &[],
-            self.links.undecodable_frames,
-        );
-        let (frames, bytes) = ("stileroute_said_total", "stileroute_said_bytes_total");
-        for ((about, far), said) in &self.links.sent {
-            let labels = [("about", *about), ("zone", if *far { "other" } else { "own" })];
-            sheet.counter(frames, "Frames to other processes, by what they are about.", &labels, said.frames);
+    }
+
+    fn write_session_metrics(&self, metrics: &mut Exposition) {
+        let (now, session) = (self.net.now(), &self.session);
+        let is_fresh = self.has_fresh_session();
+        let session_age = if is_fresh { now.saturating_sub(session.established_at) } else { 0 };
+        // Where no update came yet, since the process began.
+        let update_age =
+            if session.last_update_at == 0 { now } else { now.saturating_sub(session.last_update_at) };
+        let help = "1: control nodes answer; 0: nothing is heard.";
+        metrics.gauge("stileroute_control_heard", help, &[], u8::from(is_fresh));
+        let help = "Age of the session with a control node.";
+        metrics.gauge("stileroute_session_seconds", help, &[], seconds(session_age));
+        let help = "Since a control node answered.";
+        metrics.gauge("stileroute_news_age_seconds", help, &[], seconds(update_age));
+        let help = "Sessions that ended unasked.";
+        metrics.counter("stileroute_sessions_lost_total", help, &[], session.losses);
+    }
+
+    fn write_link_metrics(&self, metrics: &mut Exposition) {
+        for role in [NodeRole::Control, NodeRole::Store, NodeRole::Edge] {
+            let (class, count) = (role.to_string(), self.links.nodes_with_role(role).len());
+            let help = "Connections with other processes, by class.";
+            metrics.gauge("stileroute_links", help, &[("class", &class)], count);
         }
-        for ((about, far), said) in &self.links.sent {
-            let labels = [("about", *about), ("zone", if *far { "other" } else { "own" })];
-            sheet.counter(bytes, "Bytes to other processes, by what they are about.", &labels, said.bytes);
+        let help = "Frames that could not be read.";
+        metrics.counter("stileroute_links_unread_total", help, &[], self.links.undecodable_frames);
+        let zone = |is_far: bool| if is_far { "other" } else { "own" };
+        for ((about, is_far), sent) in &self.links.sent {
+            let labels = [("about", *about), ("zone", zone(*is_far))];
+            let help = "Frames to other processes, by what they are about.";
+            metrics.counter("stileroute_said_total", help, &labels, sent.frames);
         }
-        sheet.counter("stileroute_turns_total", "Turns of the loop: wake-ups.", &[], self.net.poll_count);
-        sheet.gauge(
-            "stileroute_connections",
-            "Open connections of all kinds.",
-            &[],
-            self.net.open_connections(),
-        );
-        sheet.counter(
-            "stileroute_connections_opened_total",
-            "Connections opened to executors and receivers.",
-            &[],
-            self.net.connections_opened,
-        );
-        sheet.counter(
-            "stileroute_connections_lost_total",
-            "Requests lost on a connection that had been idle.",
-            &[],
-            self.net.idle_connections_lost,
-        );
-        sheet.counter(
-            "stileroute_connections_refused_total",
-            "Connections for which there was no room.",
-            &[],
-            self.net.connections_rejected,
-        );
-        sheet.counter(
-            "stileroute_garbled_total",
-            "Requests and frames that made no sense.",
-            &[],
-            self.net.malformed_inputs,
-        );
-        for ((port, status), count) in &self.net.responses {
-            let door = if Some(*port) == self.metrics_listener { "figures" } else { door(*port) };
-            let labels = [("door", door), ("status", &*status.to_string())];
-            sheet.counter("stileroute_answers_total", "Answers by door and status.", &labels, *count);
+        for ((about, is_far), sent) in &self.links.sent {
+            let labels = [("about", *about), ("zone", zone(*is_far))];
+            let help = "Bytes to other processes, by what they are about.";
+            metrics.counter("stileroute_said_bytes_total", help, &labels, sent.bytes);
         }
     }
+
+    fn write_connection_metrics(&self, metrics: &mut Exposition) {
+        let net = &self.net;
+        metrics.counter("stileroute_turns_total", "Turns of the loop: wake-ups.", &[], net.poll_count);
+        let help = "Open connections of all kinds.";
+        metrics.gauge("stileroute_connections", help, &[], net.open_connections());
+        let help = "Connections opened to executors and receivers.";
+        metrics.counter("stileroute_connections_opened_total", help, &[], net.connections_opened);
+        let help = "Requests lost on a connection that had been idle.";
+        metrics.counter("stileroute_connections_lost_total", help, &[], net.idle_connections_lost);
+        let help = "Connections for which there was no room.";
+        metrics.counter("stileroute_connections_refused_total", help, &[], net.connections_rejected);
+        let help = "Requests and frames that made no sense.";
+        metrics.counter("stileroute_garbled_total", help, &[], net.malformed_inputs);
+    }
 }
 
-pub fn member(member: &crate::protocol::Member) -> JsonValue {
+/// A member as reports name it.
+pub fn member_as_json(member: &Member) -> JsonValue {
     jzon::object! {
         "node" => member.name.clone(),
         "class" => member.role.to_string(),
@@ -215,38 +157,16 @@
     }
 }
 
-/// A role, asked by operators.
-pub trait Told {
-    fn common(&mut self) -> &mut NodeRuntime;
-    fn report(&self) -> JsonValue;
-    fn figures(&self, sheet: &mut Exposition);
-    /// What is known here of a message.
-    fn trace(&self, _: Key) -> JsonValue {
-        JsonValue::Null
-    }
-
-    fn inquiries(&mut self) {
-        for inquiry in std::mem::take(&mut self.common().inquiries) {
-            let sheet = |role: &Self| {
-                let mut sheet = Exposition::default();
-                role.figures(&mut sheet);
-                sheet.text
-            };
-            let (to, ticket, text) = match inquiry {
-                Inquiry::Report(to, ticket) => (to, ticket, self.report().dump()),
-                Inquiry::Trace(to, ticket, key) => (to, ticket, self.trace(key).dump()),
-                Inquiry::Count(to, ticket) => (to, ticket, sheet(self)),
-                Inquiry::Scrape(conn, known) => {
-                    let kind = ("Content-Type", "text/plain; version=0.0.4".to_string());
-                    let body = if known { sheet(self).into_bytes() } else { Vec::new() };
-                    let status = if known { 200 } else { 404 };
-                    let answer = Response { status, headers: vec![kind], body, ..Response::default() };
-                    self.common().net.respond(conn, answer);
-                    continue;
-                }
-            };
-            let common = self.common();
-            common.links.send(&mut common.net, to, &Frame::InspectionReply { request_id: ticket, text });
-        }
+/// Writes what was done on the disk of a role that has one.
+pub fn disk_metrics(metrics: &mut Exposition, statistics: &Statistics) {
+    let counts = [
+        ("records", statistics.records),
+        ("bytes", statistics.bytes),
+        ("syncs", statistics.syncs),
+        ("failures", statistics.failures),
+        ("checkpoints", statistics.checkpoints),
+    ];
+    for (what, count) in counts {
+        metrics.counter("stileroute_disk_total", "What was done on the disk.", &[("what", what)], count);
     }
 }
--- /dev/null
+++ b/crates/server/src/store/deliveries.rs
@@ -0,0 +1,146 @@
+//! What the queue asks for, carried out: writes, frames, deliveries to executors and call-backs; and how requests ended.
+
+use super::executor_http::{attempt_outcome, encode_attempt, parse_server_load};
+use super::{InFlight, Store};
+use crate::callback_url::parse_callback_url;
+use crate::net::fault_injection::{is_injected, InjectedFault};
+use crate::net::{CallError, CallReply, Millis};
+use crate::protocol::Frame;
+use std::net::SocketAddrV4;
+use stileroute_queue::{Effect, Key};
+
+/// A receiver of call-backs has so long to answer, in ms.
+const CALLBACK_TIMEOUT_MS: Millis = 3000;
+/// Connections to one receiver of call-backs at most.
+const MAX_CALLBACK_CONNECTIONS: usize = 6;
+/// What the queue asks for may lead to more; the rest of that is left for the next turn of the loop.
+const MAX_EFFECT_ROUNDS: usize = 8;
+
+/// A delivery that the queue asks for.
+struct Attempt {
+    /// The queue's number of it.
+    number: u64,
+    key: Key,
+    executor: SocketAddrV4,
+    /// Which executor is expected at that address.
+    expected_id: Option<String>,
+    timeout_ms: Millis,
+    max_connections: usize,
+}
+
+impl Store {
+    /// Lets the queue do what is due, and carries out what it asks for.
+    pub(super) fn apply_queue_effects(&mut self) {
+        for _ in 0..MAX_EFFECT_ROUNDS {
+            let (now, now_tenths_ms) = (self.runtime.net.now(), self.runtime.net.now_tenths_ms());
+            self.queue.tick(now, now_tenths_ms);
+            let effects = self.queue.take();
+            if effects.is_empty() {
+                return;
+            }
+            effects.into_iter().for_each(|effect| self.apply_queue_effect(effect));
+        }
+    }
+
+    fn apply_queue_effect(&mut self, effect: Effect) {
+        match effect {
+            Effect::Disk { ticket, records, sync } => {
+                self.disk.append(ticket, records, sync);
+                if is_injected(InjectedFault::AnswerBeforeDisk) {
+                    self.queue.kept(self.runtime.net.now(), ticket, true);
+                }
+            }
+            Effect::Send { to, note } => {
+                self.runtime.links.send(&mut self.runtime.net, to, &Frame::Queue(note));
+            }
+            Effect::Taken { ticket, result } => {
+                if let Some(submitter) = self.submitters.remove(&ticket) {
+                    let frame = Frame::SubmitResult { request_id: submitter.request_id, result };
+                    self.runtime.links.send(&mut self.runtime.net, submitter.edge, &frame);
+                }
+            }
+            Effect::Deliver { attempt, key, to, expect, timeout_ms, conns } => {
+                self.start_attempt(Attempt {
+                    number: attempt,
+                    key,
+                    executor: to,
+                    expected_id: expect,
+                    timeout_ms,
+                    max_connections: conns,
+                });
+            }
+            Effect::Call { key, url, body } => self.start_callback(key, &url, &body),
+        }
+    }
+
+    fn start_attempt(&mut self, attempt: Attempt) {
+        let now = self.runtime.net.now();
+        self.statistics.attempt_started(self.queue.first_wait(now, attempt.key));
+        let Some(message) = self.queue.message(attempt.key) else { return };
+        let bytes = encode_attempt(message, attempt.expected_id.as_deref(), attempt.timeout_ms);
+        let request_id = message.id.clone();
+        let call_id = self.next_id();
+        let deadline = now + attempt.timeout_ms;
+        let started = self.runtime.net.call(
+            attempt.executor,
+            &bytes,
+            call_id,
+            deadline,
+            attempt.max_connections,
+            Some(&request_id),
+        );
+        match started {
+            Ok(()) => {
+                let in_flight = InFlight::Attempt { attempt: attempt.number, request_id };
+                self.in_flight.insert(call_id, in_flight);
+            }
+            Err(error) => {
+                let outcome = attempt_outcome(&request_id, Err(error));
+                self.statistics.attempt_ended(&outcome);
+                let now_tenths_ms = self.runtime.net.now_tenths_ms();
+                self.queue.delivered(now, now_tenths_ms, attempt.number, outcome, None);
+            }
+        }
+    }
+
+    fn start_callback(&mut self, key: Key, url: &str, body: &str) {
+        let now = self.runtime.net.now();
+        let Some((receiver, path)) = parse_callback_url(url) else {
+            return self.queue.called(now, key, false);
+        };
+        let bytes = format!(
+            "POST {path} HTTP/1.1\r\nHost: {receiver}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
+        let call_id = self.next_id();
+        let deadline = now + CALLBACK_TIMEOUT_MS;
+        let net = &mut self.runtime.net;
+        match net.call(receiver, bytes.as_bytes(), call_id, deadline, MAX_CALLBACK_CONNECTIONS, None) {
+            Ok(()) => {
+                self.in_flight.insert(call_id, InFlight::Callback(key));
+            }
+            Err(_) => self.queue.called(now, key, false),
+        }
+    }
+
+    /// A delivery or a call-back has ended.
+    pub(super) fn call_completed(&mut self, call_id: u64, result: Result<CallReply, CallError>) {
+        let now = self.runtime.net.now();
+        match self.in_flight.remove(&call_id) {
+            Some(InFlight::Attempt { attempt, request_id }) => {
+                let reply = result.as_ref().ok();
+                let load = reply.and_then(|reply| parse_server_load(reply.server_load.as_deref()?));
+                self.statistics.attempt_failed(result.as_ref().err());
+                let outcome = attempt_outcome(&request_id, result);
+                self.statistics.attempt_ended(&outcome);
+                let now_tenths_ms = self.runtime.net.now_tenths_ms();
+                self.queue.delivered(now, now_tenths_ms, attempt, outcome, load);
+            }
+            Some(InFlight::Callback(key)) => {
+                let is_taken = result.is_ok_and(|reply| reply.status == 200);
+                self.queue.called(now, key, is_taken);
+            }
+            None => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/server/src/store/link_events.rs
@@ -0,0 +1,152 @@
+//! What links report to a store: frames of edges, other stores and control nodes, and connections that open and break.
+
+use super::{Store, Submitter};
+use crate::links::LinkEvent;
+use crate::protocol::{
+    ExecutorState, Frame, Heartbeat, KnownMessage, MembershipUpdate, MessageState, NodeRole,
+};
+use std::collections::HashMap;
+use stileroute_queue::{Key, Message, Node, Server, State};
+
+/// The number of a zone that the settings do not name, for members: none of those that they do name.
+const UNKNOWN_ZONE: usize = usize::MAX >> 1;
+
+impl Store {
+    pub(super) fn link_event(&mut self, link_event: LinkEvent) {
+        let now = self.runtime.net.now();
+        match link_event {
+            LinkEvent::Up(peer) if peer.role == NodeRole::Store => {
+                self.queue.peer_connected(now, peer.node);
+            }
+            LinkEvent::Up(peer) if peer.role == NodeRole::Edge && self.queue.leaving => {
+                self.runtime.links.send(&mut self.runtime.net, peer.node, &Frame::Draining);
+            }
+            LinkEvent::Up(_) => {}
+            LinkEvent::Down(node, NodeRole::Store) => self.queue.peer_disconnected(now, node),
+            LinkEvent::Down(node, NodeRole::Edge) => self.edge_lost(node),
+            LinkEvent::Down(..) => {}
+            LinkEvent::Received(from, NodeRole::Control, frame) => self.control_frame(from, frame),
+            LinkEvent::Received(from, NodeRole::Edge, frame) => self.edge_frame(from, frame),
+            LinkEvent::Received(from, NodeRole::Store, Frame::Queue(message)) => {
+                self.queue.handle_peer_message(now, from, message);
+            }
+            LinkEvent::Received(..) => {}
+        }
+    }
+
+    /// Nobody waits any more for the answers to an edge's submissions.
+    fn edge_lost(&mut self, edge: Node) {
+        let submissions = self.submitters.iter().filter(|(_, submitter)| submitter.edge == edge);
+        let abandoned: Vec<u64> = submissions.map(|(id, _)| *id).collect();
+        for id in abandoned {
+            self.submitters.remove(&id);
+            self.queue.drop_abandoned(id);
+        }
+    }
+
+    fn edge_frame(&mut self, edge: Node, frame: Frame) {
+        match frame {
+            Frame::Submit { request_id, message } => self.submitted(edge, request_id, message),
+            Frame::Lookup { request_id, key, include_body } => {
+                let result = self.look_up(key, include_body);
+                let frame = Frame::LookupResult { request_id, result };
+                self.runtime.links.send(&mut self.runtime.net, edge, &frame);
+            }
+            Frame::Superseded { message_id, fingerprint, kept } => {
+                self.queue.drop_superseded(&message_id, fingerprint, kept);
+            }
+            _ => {}
+        }
+    }
+
+    fn submitted(&mut self, edge: Node, request_id: u64, message: Message) {
+        let now = self.runtime.net.now();
+        let id = self.next_id();
+        self.submitters.insert(id, Submitter { edge, request_id });
+        self.queue.put(now, id, message);
+    }
+
+    /// What this store knows of a message.
+    fn look_up(&self, key: Key, include_body: bool) -> Option<KnownMessage> {
+        let (state, body) = self.queue.find(key)?;
+        let body = body.filter(|_| include_body).map(<[u8]>::to_vec);
+        let state = match state {
+            State::Waiting => MessageState::Pending,
+            State::Complete { seal } => MessageState::Complete { seal },
+            State::Failed => MessageState::Failed,
+        };
+        Some(KnownMessage { state, body })
+    }
+
+    fn control_frame(&mut self, from: Node, frame: Frame) {
+        match frame {
+            Frame::Update(update) => self.apply_update(from, update),
+            Frame::RetireStore { node } if node == self.runtime.links.local().node => {
+                self.queue.retire(self.runtime.net.now());
+                self.notify_edges_of_draining();
+            }
+            _ => {}
+        }
+    }
+
+    /// A control node's update: members, executors, perhaps a new configuration.
+    fn apply_update(&mut self, from: Node, update: MembershipUpdate) {
+        let now = self.runtime.net.now();
+        let new_config = self.runtime.apply_update(from, &update);
+        if update.members.is_some() {
+            let stores = self.stores_with_zones();
+            self.queue.set_members(now, &stores);
+        }
+        let has_changed = update.is_complete || !update.executors.is_empty();
+        if update.is_complete {
+            self.executors.clear();
+        }
+        update.executors.into_iter().for_each(|heartbeat| self.apply_heartbeat(heartbeat));
+        let now_tenths_ms = self.runtime.net.now_tenths_ms();
+        if has_changed {
+            self.queue.list(now, now_tenths_ms, self.executors_by_service());
+        }
+        if let Some(config) = new_config {
+            self.queue.configure(now, now_tenths_ms, config);
+        }
+    }
+
+    fn apply_heartbeat(&mut self, heartbeat: Heartbeat) {
+        if heartbeat.state != ExecutorState::Offline {
+            self.executors.insert(heartbeat.id.clone(), heartbeat);
+        } else if let Some(executor) = self.executors.remove(&heartbeat.id) {
+            self.runtime.net.close_idle_calls_to(executor.address);
+        }
+    }
+
+    /// All stores that are members, each with the number of its zone.
+    fn stores_with_zones(&self) -> Vec<(Node, usize)> {
+        let members = self.runtime.session.members.iter();
+        let stores = members.filter(|member| member.role == NodeRole::Store);
+        stores.map(|store| (store.node, self.zone_number(&store.zone).unwrap_or(UNKNOWN_ZONE))).collect()
+    }
+
+    /// A zone's place among those that the settings name.
+    fn zone_number(&self, zone: &str) -> Option<usize> {
+        self.runtime.boot.zones.keys().position(|name| name == zone)
+    }
+
+    /// The executors as the queue takes them, by service, in the order of their ids.
+    fn executors_by_service(&self) -> HashMap<String, Vec<Server>> {
+        let mut services: HashMap<String, Vec<Server>> = HashMap::new();
+        let mut heartbeats: Vec<&Heartbeat> = self.executors.values().collect();
+        heartbeats.sort_unstable_by(|one, other| one.id.cmp(&other.id));
+        for heartbeat in heartbeats {
+            let executor = Server {
+                id: heartbeat.id.clone(),
+                address: heartbeat.address,
+                zone: self.zone_number(&heartbeat.zone).unwrap_or(self.runtime.boot.zones.len()),
+                capacity: f64::from(heartbeat.capacity),
+                serving: heartbeat.state == ExecutorState::Serving,
+                cold_left_ms: heartbeat.warmup_left_ms,
+            };
+            services.entry(heartbeat.backend.clone()).or_default().push(executor);
+        }
+        services
+    }
+}
--- a/crates/server/src/store/report.rs
+++ b/crates/server/src/store/report.rs
@@ -1,62 +1,22 @@
-//! What a store tells operators.
+//! What a store tells operators: its report, what it knows of one message, and its metrics.
 
 use super::Store;
-use crate::metrics::{Exposition, Histogram};
-use crate::net::CallError;
+use crate::inspection::Inspect;
+use crate::metrics::Exposition;
+use crate::net::Millis;
 use crate::node::NodeRuntime;
-use crate::report::Told;
+use crate::report::disk_metrics;
 use jzon::JsonValue;
-use std::collections::BTreeMap;
-use stileroute_queue::{End, Key, Outcome};
-
-/// Deliveries.
-#[derive(Default)]
-pub struct Tally {
-    outcomes: BTreeMap<&'static str, u64>,
-    to_run: Histogram,
-    unsure: u64,
-}
-
-impl Tally {
-    pub fn ended(&mut self, outcome: &Outcome) {
-        let name = match outcome {
-            Outcome::Done { .. } => "done",
-            Outcome::Refused => "refused",
-            Outcome::Failed => "failed",
-            Outcome::Full => "full",
-            Outcome::Over => "over",
-            Outcome::Running => "running",
-            Outcome::Wrong => "wrong",
-            Outcome::NotRun => "not_run",
-            Outcome::Stopped => "stopped",
-            Outcome::NotConnected => "not_connected",
-            Outcome::NoRoom => "no_room",
-            Outcome::Broken => "broken",
-            Outcome::Late => "late",
-            Outcome::Garbled => "garbled",
-        };
-        *self.outcomes.entry(name).or_default() += 1;
-    }
-
-    pub fn failed(&mut self, failure: Option<&CallError>) {
-        self.unsure += u64::from(failure.is_some_and(|failure| failure.may_have_run()));
-    }
+use stileroute_queue::{End, Key, ServiceView, Stages};
 
-    pub fn began(&mut self, first_wait: Option<u64>) {
-        first_wait.into_iter().for_each(|ms| self.to_run.record(ms));
-    }
+fn seconds(ms: Millis) -> f64 {
+    ms as f64 / 1000.0
 }
 
-impl Told for Store {
-    fn common(&mut self) -> &mut NodeRuntime {
-        &mut self.common
-    }
-
-    fn report(&self) -> JsonValue {
-        let now = self.common.net.now();
-        let mut report = self.common.report();
-        let stages = self.queue.stages(now);
-        report["messages"] = jzon::object! {
+impl Store {
+    fn messages_as_json(&self) -> JsonValue {
+        let stages = self.queue.stages(self.runtime.net.now());
+        jzon::object! {
             "landing" => stages.landing,
             "held" => stages.held,
             "waiting" => stages.waiting,
@@ -65,55 +25,170 @@
             "ended" => stages.ended,
             "owed" => stages.owed,
             "oldest_ms" => stages.oldest_ms,
-        };
-        report["disk_trouble"] = self.disk_trouble.into();
-        let mut services = Vec::new();
-        for service in self.queue.services(now) {
-            let executors: Vec<JsonValue> = service
-                .shares
-                .into_iter()
-                .map(|(id, share, out)| jzon::object! { "id" => id, "share" => share, "out" => out })
-                .collect();
-            let ceiling = service.ceiling.map(|(rate, holder, here)| {
-                jzon::object! { "rate_per_s" => rate, "holder" => self.common.name(holder), "here" => here }
-            });
-            services.push(jzon::object! {
-                "service" => service.name,
-                "waiting" => service.waiting,
-                "out" => service.out,
-                "oldest_ms" => service.oldest_ms,
-                "ceiling" => ceiling,
-                "executors" => executors,
-                "repeats" => jzon::object! {
-                    "first" => service.repeats.first,
-                    "again" => service.repeats.again,
-                    "held_back" => service.repeats.held_back,
-                    "waiting" => service.repeats_waiting,
-                    "most_at_one" => service.repeats.most,
-                },
-            });
         }
-        report["services"] = services.into();
-        let stores: Vec<JsonValue> = self
-            .queue
-            .stores()
-            .map(|(node, connected, listed, leaving)| {
-                jzon::object! {
-                    "node" => self.common.name(node),
-                    "connected" => connected,
-                    "member" => listed,
-                    "leaving" => leaving,
-                }
-            })
-            .collect();
-        report["stores"] = stores.into();
+    }
+
+    fn service_as_json(&self, service: ServiceView) -> JsonValue {
+        let executors = service.shares.into_iter();
+        let executors =
+            executors.map(|(id, share, out)| jzon::object! { "id" => id, "share" => share, "out" => out });
+        let rate_limit = service.ceiling.map(|(rate, holder, is_here)| {
+            jzon::object! { "rate_per_s" => rate, "holder" => self.runtime.node_name(holder), "here" => is_here }
+        });
+        jzon::object! {
+            "service" => service.name,
+            "waiting" => service.waiting,
+            "out" => service.out,
+            "oldest_ms" => service.oldest_ms,
+            "ceiling" => rate_limit,
+            "executors" => executors.collect::<Vec<_>>(),
+            "repeats" => jzon::object! {
+                "first" => service.repeats.first,
+                "again" => service.repeats.again,
+                "held_back" => service.repeats.held_back,
+                "waiting" => service.repeats_waiting,
+                "most_at_one" => service.repeats.most,
+            },
+        }
+    }
+
+    fn services_as_json(&self) -> JsonValue {
+        let services = self.queue.services(self.runtime.net.now()).into_iter();
+        services.map(|service| self.service_as_json(service)).collect::<Vec<_>>().into()
+    }
+
+    /// The other stores.
+    fn stores_as_json(&self) -> JsonValue {
+        let stores = self.queue.stores().map(|(node, is_connected, is_member, is_draining)| {
+            jzon::object! {
+                "node" => self.runtime.node_name(node),
+                "connected" => is_connected,
+                "member" => is_member,
+                "leaving" => is_draining,
+            }
+        });
+        stores.collect::<Vec<_>>().into()
+    }
+
+    fn write_service_metrics(&self, metrics: &mut Exposition) {
+        let services = self.queue.services(self.runtime.net.now());
+        write_queue_metrics(metrics, &services);
+        write_retry_metrics(metrics, &services);
+        for service in &services {
+            let Some((_, _, is_here)) = service.ceiling else { continue };
+            let help = "1: this store hands out the service's tokens.";
+            let labels = [("service", service.name.as_str())];
+            metrics.gauge("stileroute_tokens_holder", help, &labels, u8::from(is_here));
+        }
+    }
+
+    fn write_event_metrics(&self, metrics: &mut Exposition) {
+        let counts = &self.queue.figures;
+        let events = [
+            ("taken", counts.taken),
+            ("refused", counts.refused),
+            ("uncertain", counts.uncertain),
+            ("done", counts.done),
+            ("failed", counts.failed),
+            ("dropped", counts.dropped),
+            ("expired", counts.expired),
+            ("attempts", counts.attempts),
+            ("again", counts.again),
+            ("calls", counts.calls),
+            ("called", counts.called),
+            ("taken_over", counts.taken_over),
+            ("handed_over", counts.handed_over),
+            ("copied_anew", counts.copied_anew),
+            ("no_disk", counts.no_disk),
+            ("former_refused", counts.former),
+            ("fenced", counts.fenced),
+        ];
+        for (event, count) in events {
+            let help = "What happened to messages.";
+            metrics.counter("stileroute_queue_events_total", help, &[("event", event)], count);
+        }
+        let help = "Own messages that are on too few disks.";
+        metrics.gauge("stileroute_messages_thin", help, &[], counts.thin);
+        let help = "How long some were on too few disks, the last time that this was so.";
+        metrics.gauge("stileroute_thin_seconds", help, &[], seconds(counts.thin_ms));
+    }
+}
+
+fn write_stage_metrics(metrics: &mut Exposition, stages: &Stages) {
+    let by_stage = [
+        ("landing", stages.landing),
+        ("held", stages.held),
+        ("waiting", stages.waiting),
+        ("out", stages.out),
+        ("copy", stages.copy),
+        ("ended", stages.ended),
+    ];
+    for (stage, count) in by_stage {
+        metrics.gauge("stileroute_messages", "Messages here, by stage.", &[("stage", stage)], count);
+    }
+    let help = "Call-backs that have not been taken.";
+    metrics.gauge("stileroute_callbacks_owed", help, &[], stages.owed);
+    let help = "By how much the oldest own message that has not ended is past its due time.";
+    metrics.gauge("stileroute_oldest_message_seconds", help, &[], seconds(stages.oldest_ms));
+}
+
+// The samples of one metric have to follow one another: so each metric goes through all services by itself.
+
+fn write_queue_metrics(metrics: &mut Exposition, services: &[ServiceView]) {
+    for service in services {
+        let labels = [("service", service.name.as_str())];
+        let help = "Messages that wait for an executor.";
+        metrics.gauge("stileroute_queue", help, &labels, service.waiting);
+    }
+    for service in services {
+        let labels = [("service", service.name.as_str())];
+        metrics.gauge("stileroute_out", "Requests that are out at executors.", &labels, service.out);
+    }
+    for service in services {
+        let attempts = [("first", service.repeats.first), ("repeat", service.repeats.again)];
+        for (attempt, count) in attempts {
+            let labels = [("service", service.name.as_str()), ("attempt", attempt)];
+            let help = "Deliveries that went out: first ones, and repeats of what ran or may have run.";
+            metrics.counter("stileroute_attempts_total", help, &labels, count);
+        }
+    }
+}
+
+fn write_retry_metrics(metrics: &mut Exposition, services: &[ServiceView]) {
+    for service in services {
+        let labels = [("service", service.name.as_str())];
+        let help = "Repeats that had to wait for their part.";
+        metrics.counter("stileroute_repeats_held_back_total", help, &labels, service.repeats.held_back);
+    }
+    for service in services {
+        let labels = [("service", service.name.as_str())];
+        let help = "Repeats that wait, among the queue.";
+        metrics.gauge("stileroute_repeats_waiting", help, &labels, service.repeats_waiting);
+    }
+    for service in services {
+        let labels = [("service", service.name.as_str())];
+        let help = "Most repeats of this store that were out at one executor at once.";
+        metrics.gauge("stileroute_repeats_most_at_one", help, &labels, service.repeats.most);
+    }
+}
+
+impl Inspect for Store {
+    fn runtime(&mut self) -> &mut NodeRuntime {
+        &mut self.runtime
+    }
+
+    fn report(&self) -> JsonValue {
+        let mut report = self.runtime.report();
+        report["messages"] = self.messages_as_json();
+        report["disk_trouble"] = self.is_disk_failing.into();
+        report["services"] = self.services_as_json();
+        report["stores"] = self.stores_as_json();
         report
     }
 
     fn trace(&self, key: Key) -> JsonValue {
-        let Some(view) = self.queue.view(self.common.net.now(), key) else { return JsonValue::Null };
-        let copies: Vec<JsonValue> =
-            view.copies.into_iter().map(|node| self.common.name(node).into()).collect();
+        let Some(view) = self.queue.view(self.runtime.net.now(), key) else { return JsonValue::Null };
+        let replicas = view.copies.into_iter().map(|node| self.runtime.node_name(node));
         let end = match view.end {
             None => JsonValue::Null,
             Some(End::Complete { seal }) => jzon::object! { "state" => "complete", "seal" => seal },
@@ -121,8 +196,8 @@
         };
         jzon::object! {
             "id" => view.id,
-            "owner" => self.common.name(view.owner),
-            "copies" => copies,
+            "owner" => self.runtime.node_name(view.owner),
+            "copies" => replicas.collect::<Vec<_>>(),
             "term" => view.term,
             "stage" => format!("{:?}", view.stage).to_lowercase(),
             "tries" => view.tries,
@@ -136,117 +211,15 @@
         }
     }
 
-    fn figures(&self, sheet: &mut Exposition) {
-        let now = self.common.net.now();
-        self.common.figures(sheet, |_| "none");
-        let stages = self.queue.stages(now);
-        let by_stage = [
-            ("landing", stages.landing),
-            ("held", stages.held),
-            ("waiting", stages.waiting),
-            ("out", stages.out),
-            ("copy", stages.copy),
-            ("ended", stages.ended),
-        ];
-        for (stage, count) in by_stage {
-            sheet.gauge("stileroute_messages", "Messages here, by stage.", &[("stage", stage)], count);
-        }
-        sheet.gauge("stileroute_callbacks_owed", "Call-backs that have not been taken.", &[], stages.owed);
-        let oldest = stages.oldest_ms as f64 / 1000.0;
-        let help = "By how much the oldest own message that has not ended is past its due time.";
-        sheet.gauge("stileroute_oldest_message_seconds", help, &[], oldest);
-        let services = self.queue.services(now);
-        for service in &services {
-            let labels = [("service", service.name.as_str())];
-            sheet.gauge("stileroute_queue", "Messages that wait for an executor.", &labels, service.waiting);
-        }
-        for service in &services {
-            let labels = [("service", service.name.as_str())];
-            sheet.gauge("stileroute_out", "Requests that are out at executors.", &labels, service.out);
-        }
-        for service in &services {
-            let of = [("first", service.repeats.first), ("repeat", service.repeats.again)];
-            for (attempt, count) in of {
-                let labels = [("service", service.name.as_str()), ("attempt", attempt)];
-                let help = "Deliveries that went out: first ones, and repeats of what ran or may have run.";
-                sheet.counter("stileroute_attempts_total", help, &labels, count);
-            }
-        }
-        for service in &services {
-            let labels = [("service", service.name.as_str())];
-            let help = "Repeats that had to wait for their part.";
-            sheet.counter("stileroute_repeats_held_back_total", help, &labels, service.repeats.held_back);
-        }
-        for service in &services {
-            let labels = [("service", service.name.as_str())];
-            let help = "Repeats that wait, among the queue.";
-            sheet.gauge("stileroute_repeats_waiting", help, &labels, service.repeats_waiting);
-        }
-        for service in &services {
-            let labels = [("service", service.name.as_str())];
-            let help = "Most repeats of this store that were out at one executor at once.";
-            sheet.gauge("stileroute_repeats_most_at_one", help, &labels, service.repeats.most);
-        }
-        for service in services.iter().filter(|s| s.ceiling.is_some()) {
-            let here = u8::from(service.ceiling.is_some_and(|(_, _, here)| here));
-            let help = "1: this store hands out the service's tokens.";
-            sheet.gauge("stileroute_tokens_holder", help, &[("service", &service.name)], here);
-        }
-        for (outcome, count) in &self.tally.outcomes {
-            let labels = [("outcome", *outcome)];
-            sheet.counter("stileroute_deliveries_total", "Deliveries by how they ended.", &labels, *count);
-        }
-        let help = "Deliveries without an answer that may have run.";
-        sheet.counter("stileroute_deliveries_unsure_total", help, &[], self.tally.unsure);
-        let help = "From a message's due time to its first delivery.";
-        sheet.histogram("stileroute_to_run_seconds", help, &self.tally.to_run);
-        let f = &self.queue.figures;
-        let events = [
-            ("taken", f.taken),
-            ("refused", f.refused),
-            ("uncertain", f.uncertain),
-            ("done", f.done),
-            ("failed", f.failed),
-            ("dropped", f.dropped),
-            ("expired", f.expired),
-            ("attempts", f.attempts),
-            ("again", f.again),
-            ("calls", f.calls),
-            ("called", f.called),
-            ("taken_over", f.taken_over),
-            ("handed_over", f.handed_over),
-            ("copied_anew", f.copied_anew),
-            ("no_disk", f.no_disk),
-            ("former_refused", f.former),
-            ("fenced", f.fenced),
-        ];
-        for (event, count) in events {
-            sheet.counter(
-                "stileroute_queue_events_total",
-                "What happened to messages.",
-                &[("event", event)],
-                count,
-            );
-        }
-        let help = "Own messages that are on too few disks.";
-        sheet.gauge("stileroute_messages_thin", help, &[], f.thin);
-        let help = "How long some were on too few disks, the last time that this was so.";
-        sheet.gauge("stileroute_thin_seconds", help, &[], f.thin_ms as f64 / 1000.0);
-        disk(sheet, self.disk.statistics());
-        let trouble = u8::from(self.disk_trouble);
-        sheet.gauge("stileroute_disk_trouble", "1: the disk refused the last write.", &[], trouble);
-    }
-}
-
-pub fn disk(sheet: &mut Exposition, f: stileroute_wal::Statistics) {
-    let all = [
-        ("records", f.records),
-        ("bytes", f.bytes),
-        ("syncs", f.syncs),
-        ("failures", f.failures),
-        ("checkpoints", f.checkpoints),
-    ];
-    for (what, count) in all {
-        sheet.counter("stileroute_disk_total", "What was done on the disk.", &[("what", what)], count);
+    fn write_metrics(&self, metrics: &mut Exposition) {
+        // A store has no listener for requests but the one for metrics.
+        self.runtime.write_metrics(metrics, |_| "none");
+        write_stage_metrics(metrics, &self.queue.stages(self.runtime.net.now()));
+        self.write_service_metrics(metrics);
+        self.statistics.write_metrics(metrics);
+        self.write_event_metrics(metrics);
+        disk_metrics(metrics, &self.disk.statistics());
+        let help = "1: the disk refused the last write.";
+        metrics.gauge("stileroute_disk_trouble", help, &[], u8::from(self.is_disk_failing));
     }
 }
--- a/crates/server/src/store/tests.rs
+++ b/crates/server/src/store/tests.rs
@@ -1,11 +1,12 @@
 use super::*;
+use crate::links::LinkEvent;
 use crate::net::fault_injection;
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 use stileroute_config::{Boot, Config};
-use stileroute_queue::Message;
+use stileroute_queue::{Message, Outcome};
 
 const CONFIG: &[u8] =
     br#"{"revision":7,"routes":[{"name":"quick","hostname":"quay.example","path_prefix":"/in/",
@@ -14,19 +15,19 @@
 const EDGE: Node = 7;
 
 /// A store with a disk of its own, and with no other store to copy to.
-struct Lone {
+struct StoreAlone {
     store: Store,
     dir: PathBuf,
 }
 
-impl Drop for Lone {
+impl Drop for StoreAlone {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.dir);
     }
 }
 
-impl Lone {
-    fn new(name: &str) -> Lone {
+impl StoreAlone {
+    fn new(name: &str) -> StoreAlone {
         let dir = std::env::temp_dir().join(format!("stileroute-store-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
         let text = format!(
@@ -41,13 +42,13 @@
         (boot.ip, boot.internal_ports) = (Ipv4Addr::LOCALHOST, (0, 0));
         let mut store =
             Store::new(NodeRuntime::start(boot, Path::new(""), NodeRole::Store).unwrap()).unwrap();
-        let (now, fine) = (store.common.net.now(), store.common.net.now_tenths_ms());
+        let (now, fine) = (store.runtime.net.now(), store.runtime.net.now_tenths_ms());
         store.queue.configure(now, fine, Arc::new(Config::read(CONFIG).unwrap()));
-        store.carry_out();
-        Lone { store, dir }
+        store.apply_queue_effects();
+        StoreAlone { store, dir }
     }
 
-    fn takes(&mut self) {
+    fn submit(&mut self) {
         let (id, host) = ("m".to_string(), "quay.example".to_string());
         let (method, target) = ("POST".to_string(), "/in/x".to_string());
         let message =
@@ -57,43 +58,43 @@
             NodeRole::Edge,
             Frame::Submit { request_id: 5, message },
         ));
-        self.store.carry_out();
+        self.store.apply_queue_effects();
     }
 
     /// Whether its edge still waits for an answer.
-    fn waits(&self) -> bool {
-        !self.store.askers.is_empty()
+    fn has_waiting_edge(&self) -> bool {
+        !self.store.submitters.is_empty()
     }
 }
 
 /// The disk's word is read only when the loop is woken by it, so that none is read before.
-fn answered_before_the_disk(name: &str) -> bool {
-    let mut lone = Lone::new(name);
-    lone.takes();
-    let before = !lone.waits();
+fn is_answered_before_the_disk(name: &str) -> bool {
+    let mut lone = StoreAlone::new(name);
+    lone.submit();
+    let before = !lone.has_waiting_edge();
     let given_up = Instant::now() + Duration::from_secs(20);
-    while lone.waits() && Instant::now() < given_up {
+    while lone.has_waiting_edge() && Instant::now() < given_up {
         lone.store.event(Event::WakeUp);
-        lone.store.carry_out();
+        lone.store.apply_queue_effects();
         std::thread::yield_now();
     }
-    assert!(!lone.waits(), "the disk has it, and its edge waits");
+    assert!(!lone.has_waiting_edge(), "the disk has it, and its edge waits");
     before
 }
 
 #[test]
-fn a_message_is_answered_when_the_disk_has_it() {
-    assert!(!answered_before_the_disk("kept"));
+fn a_submission_is_answered_once_the_disk_has_the_message() {
+    assert!(!is_answered_before_the_disk("kept"));
     let fault = Some(fault_injection::InjectedFault::AnswerBeforeDisk);
     assert!(
-        fault_injection::with_fault(fault, || answered_before_the_disk("planted")),
+        fault_injection::with_fault(fault, || is_answered_before_the_disk("planted")),
         "the planted fault is not found"
     );
 }
 
 #[test]
 fn each_outcome_of_a_delivery_is_counted_under_its_label() {
-    let mut lone = Lone::new("outcomes");
+    let mut lone = StoreAlone::new("outcomes");
     let outcomes = [
         (Outcome::Done { seal: String::new() }, "done"),
         (Outcome::Refused, "refused"),
@@ -110,11 +111,11 @@
         (Outcome::Late, "late"),
         (Outcome::Garbled, "garbled"),
     ];
-    outcomes.iter().for_each(|(outcome, _)| lone.store.tally.ended(outcome));
-    let mut sheet = crate::metrics::Exposition::default();
-    lone.store.figures(&mut sheet);
+    outcomes.iter().for_each(|(outcome, _)| lone.store.statistics.attempt_ended(outcome));
+    let mut metrics = crate::metrics::Exposition::default();
+    lone.store.write_metrics(&mut metrics);
     for (outcome, label) in &outcomes {
         let line = format!("stileroute_deliveries_total{{outcome=\"{label}\"}} 1");
-        assert!(sheet.text.lines().any(|shown| shown == line), "{outcome:?}: {line}");
+        assert!(metrics.text.lines().any(|shown| shown == line), "{outcome:?}: {line}");
     }
 }
