--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -27,9 +27,12 @@
 };
 #[cfg(feature = "planted")]
 pub use planted::PlantedFault;
-pub use queue::{first_number, Bear, Effect, Entry, Figures, Outcome, Queue, QueueSettings, Stage, State};
-pub use queue::{MessageView, ServiceView, Stages};
+pub use queue::{
+    first_number, AttemptOutcome, Effect, Entry, MessageState, Queue, QueueMetrics, QueueSettings, Stage,
+    ToleratedLosses,
+};
+pub use queue::{MessageView, ServiceView, StageCounts};
 pub use record::Record;
 pub use retire::RetirementState;
-pub use service_queue::{Repeats, Server};
+pub use service_queue::{Executor, RetryCounts};
 pub use state_table::{StateTable, StoredEnd, StoredMessage};
--- a/crates/server/src/disk.rs
+++ b/crates/server/src/disk.rs
@@ -5,13 +5,13 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
 use std::time::Duration;
-use stileroute_wal::{Options, StateMachine, Statistics, Trouble, Wal};
+use stileroute_wal::{AppendError, Options, StateMachine, Statistics, Wal};
 
 /// Records that need no sync of their own are synced after so long at the latest.
 const MAX_SYNC_DELAY: Duration = Duration::from_millis(200);
 
 /// The result of one append: the ticket under which it was made, and how it ended.
-pub type AppendResult = (u64, Result<(), Trouble>);
+pub type AppendResult = (u64, Result<(), AppendError>);
 
 /// A log that a thread of its own writes.
 pub struct Disk {
--- a/crates/server/src/start_error.rs
+++ b/crates/server/src/start_error.rs
@@ -1,7 +1,7 @@
 //! Why a role could not be started.
 
 use std::path::PathBuf;
-use stileroute_wal::Trouble;
+use stileroute_wal::OpenError;
 
 /// Why a role could not be started.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
@@ -28,7 +28,7 @@
         /// Its folder.
         folder: PathBuf,
         /// What is wrong with it.
-        source: Trouble,
+        source: OpenError,
     },
     /// An address could not be listened on.
     #[error("{purpose} address: {source}")]
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -17,7 +17,7 @@
 use crate::start_error::StartError;
 use delivery_statistics::DeliveryStatistics;
 use std::collections::HashMap;
-use stileroute_queue::{first_number, Bear, Key, Node, Queue, QueueSettings, Record, StateTable};
+use stileroute_queue::{first_number, Key, Node, Queue, QueueSettings, Record, StateTable, ToleratedLosses};
 use stileroute_registry::SESSION_GRACE;
 use stileroute_wal::Options;
 
@@ -104,23 +104,23 @@
     /// Runs until the process is told to end and is done.
     pub fn run(mut self) {
         loop {
-            let (link_events, events) = self.runtime.poll(self.queue.next());
+            let (link_events, events) = self.runtime.poll(self.queue.next_deadline());
             link_events.into_iter().for_each(|link_event| self.link_event(link_event));
             events.into_iter().for_each(|event| self.event(event));
             self.answer_inquiries();
             self.runtime.maintain_session();
             self.set_dial_targets();
             let now = self.runtime.net.now();
-            self.queue.heard = self.runtime.has_fresh_session();
+            self.queue.hears_control_group = self.runtime.has_fresh_session();
             // Counted from the last update: the session was alive then, and other nodes count it for so long after its end.
-            self.queue.lapsed = now >= self.runtime.session.last_update_at + SESSION_GRACE;
+            self.queue.session_may_have_lapsed = now >= self.runtime.session.last_update_at + SESSION_GRACE;
             if self.runtime.take_shutdown_request() {
                 self.notify_edges_of_draining();
                 self.queue.begin_draining(now);
             }
             self.apply_queue_effects();
             self.runtime.report_retirement(self.retirement_state());
-            for line in self.queue.log() {
+            for line in self.queue.take_dispatch_log() {
                 tracing::debug!("{line}");
             }
             if self.is_shutdown_complete(now) {
@@ -132,11 +132,11 @@
     /// All messages have been handed over and the last frames are out; or there is no more time.
     fn is_shutdown_complete(&mut self, now: Millis) -> bool {
         let Some(since) = self.runtime.draining_since else { return false };
-        let is_drained = self.queue.in_hand() == 0 && now > since + MIN_DRAIN_MS;
+        let is_drained = self.queue.unfinished_count() == 0 && now > since + MIN_DRAIN_MS;
         if is_drained && !self.has_flushed_ends {
             // The last ends go out before the process does: whoever took over must not deliver these messages again.
             self.has_flushed_ends = true;
-            self.queue.flush();
+            self.queue.flush_ends();
             self.apply_queue_effects();
             return false;
         }
@@ -191,7 +191,7 @@
                     Ok(()) => tracing::info!("disk takes again"),
                 }
             }
-            self.queue.kept(now, ticket, result.is_ok());
+            self.queue.write_completed(now, ticket, result.is_ok());
         }
     }
 
@@ -211,17 +211,17 @@
     let boot = &runtime.boot;
     let zone = boot.zones.keys().position(|zone| *zone == boot.zone).unwrap_or(0);
     QueueSettings {
-        me: runtime.links.local().node,
+        node: runtime.links.local().node,
         zone,
-        disk: disk_id,
-        first: first_number,
-        begun: table.incarnation_first_numbers.clone(),
-        losses: boot.losses.copies(),
-        regions: boot.regions(),
-        bear: Bear { zones: boot.losses.zones, regions: boot.losses.regions },
-        window_ms: boot.bounds.ceiling_window_ms,
-        overrun: boot.bounds.origin_overrun,
-        status_ms: boot.bounds.status_ms,
+        disk_id,
+        first_number,
+        earlier_first_numbers: table.incarnation_first_numbers.clone(),
+        replica_count: boot.losses.copies(),
+        region_of_zone: boot.regions(),
+        tolerated_losses: ToleratedLosses { zones: boot.losses.zones, regions: boot.losses.regions },
+        rate_window_ms: boot.bounds.ceiling_window_ms,
+        rate_tolerance: boot.bounds.origin_overrun,
+        status_retention_ms: boot.bounds.status_ms,
         seed: random_seed(),
     }
 }
--- a/crates/server/src/store/deliveries.rs
+++ b/crates/server/src/store/deliveries.rs
@@ -34,7 +34,7 @@
         for _ in 0..MAX_EFFECT_ROUNDS {
             let (now, now_tenths_ms) = (self.runtime.net.now(), self.runtime.net.now_tenths_ms());
             self.queue.tick(now, now_tenths_ms);
-            let effects = self.queue.take();
+            let effects = self.queue.take_effects();
             if effects.is_empty() {
                 return;
             }
@@ -44,38 +44,38 @@
 
     fn apply_queue_effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Disk { ticket, records, sync } => {
+            Effect::Persist { ticket, records, sync } => {
                 self.disk.append(ticket, records, sync);
                 if is_injected(InjectedFault::AnswerBeforeDisk) {
-                    self.queue.kept(self.runtime.net.now(), ticket, true);
+                    self.queue.write_completed(self.runtime.net.now(), ticket, true);
                 }
             }
-            Effect::Send { to, note } => {
-                self.runtime.links.send(&mut self.runtime.net, to, &Frame::Queue(note));
+            Effect::Send { to, message } => {
+                self.runtime.links.send(&mut self.runtime.net, to, &Frame::Queue(message));
             }
-            Effect::Taken { ticket, result } => {
+            Effect::PutResult { ticket, result } => {
                 if let Some(submitter) = self.submitters.remove(&ticket) {
                     let frame = Frame::SubmitResult { request_id: submitter.request_id, result };
                     self.runtime.links.send(&mut self.runtime.net, submitter.edge, &frame);
                 }
             }
-            Effect::Deliver { attempt, key, to, expect, timeout_ms, conns } => {
+            Effect::StartAttempt { attempt, key, to, expected_server, timeout_ms, max_connections } => {
                 self.start_attempt(Attempt {
                     number: attempt,
                     key,
                     executor: to,
-                    expected_id: expect,
+                    expected_id: expected_server,
                     timeout_ms,
-                    max_connections: conns,
+                    max_connections,
                 });
             }
-            Effect::Call { key, url, body } => self.start_callback(key, &url, &body),
+            Effect::CallBack { key, url, body } => self.start_callback(key, &url, &body),
         }
     }
 
     fn start_attempt(&mut self, attempt: Attempt) {
         let now = self.runtime.net.now();
-        self.statistics.attempt_started(self.queue.first_wait(now, attempt.key));
+        self.statistics.attempt_started(self.queue.first_attempt_delay_ms(now, attempt.key));
         let Some(message) = self.queue.message(attempt.key) else { return };
         let bytes = encode_attempt(message, attempt.expected_id.as_deref(), attempt.timeout_ms);
         let request_id = message.id.clone();
@@ -98,7 +98,7 @@
                 let outcome = attempt_outcome(&request_id, Err(error));
                 self.statistics.attempt_ended(&outcome);
                 let now_tenths_ms = self.runtime.net.now_tenths_ms();
-                self.queue.delivered(now, now_tenths_ms, attempt.number, outcome, None);
+                self.queue.attempt_ended(now, now_tenths_ms, attempt.number, outcome, None);
             }
         }
     }
@@ -106,7 +106,7 @@
     fn start_callback(&mut self, key: Key, url: &str, body: &str) {
         let now = self.runtime.net.now();
         let Some((receiver, path)) = parse_callback_url(url) else {
-            return self.queue.called(now, key, false);
+            return self.queue.callback_ended(now, key, false);
         };
         let bytes = format!(
             "POST {path} HTTP/1.1\r\nHost: {receiver}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
@@ -119,7 +119,7 @@
             Ok(()) => {
                 self.in_flight.insert(call_id, InFlight::Callback(key));
             }
-            Err(_) => self.queue.called(now, key, false),
+            Err(_) => self.queue.callback_ended(now, key, false),
         }
     }
 
@@ -134,11 +134,11 @@
                 let outcome = attempt_outcome(&request_id, result);
                 self.statistics.attempt_ended(&outcome);
                 let now_tenths_ms = self.runtime.net.now_tenths_ms();
-                self.queue.delivered(now, now_tenths_ms, attempt, outcome, load);
+                self.queue.attempt_ended(now, now_tenths_ms, attempt, outcome, load);
             }
             Some(InFlight::Callback(key)) => {
                 let is_taken = result.is_ok_and(|reply| reply.status == 200);
-                self.queue.called(now, key, is_taken);
+                self.queue.callback_ended(now, key, is_taken);
             }
             None => {}
         }
--- a/crates/server/src/store/delivery_statistics.rs
+++ b/crates/server/src/store/delivery_statistics.rs
@@ -3,7 +3,7 @@
 use crate::metrics::{Exposition, Histogram};
 use crate::net::CallError;
 use std::collections::BTreeMap;
-use stileroute_queue::Outcome;
+use stileroute_queue::AttemptOutcome;
 
 /// How deliveries ended, and how long messages waited for their first one.
 #[derive(Default)]
@@ -27,7 +27,7 @@
     }
 
     /// An attempt ended so.
-    pub fn attempt_ended(&mut self, outcome: &Outcome) {
+    pub fn attempt_ended(&mut self, outcome: &AttemptOutcome) {
         *self.outcomes.entry(outcome_label(outcome)).or_default() += 1;
     }
 
@@ -44,21 +44,21 @@
     }
 }
 
-fn outcome_label(outcome: &Outcome) -> &'static str {
+fn outcome_label(outcome: &AttemptOutcome) -> &'static str {
     match outcome {
-        Outcome::Done { .. } => "done",
-        Outcome::Refused => "refused",
-        Outcome::Failed => "failed",
-        Outcome::Full => "full",
-        Outcome::Over => "over",
-        Outcome::Running => "running",
-        Outcome::Wrong => "wrong",
-        Outcome::NotRun => "not_run",
-        Outcome::Stopped => "stopped",
-        Outcome::NotConnected => "not_connected",
-        Outcome::NoRoom => "no_room",
-        Outcome::Broken => "broken",
-        Outcome::Late => "late",
-        Outcome::Garbled => "garbled",
+        AttemptOutcome::Completed { .. } => "done",
+        AttemptOutcome::Rejected => "refused",
+        AttemptOutcome::Failed => "failed",
+        AttemptOutcome::ExecutorFull => "full",
+        AttemptOutcome::RateLimited => "over",
+        AttemptOutcome::AlreadyRunning => "running",
+        AttemptOutcome::WrongServer => "wrong",
+        AttemptOutcome::NotRun => "not_run",
+        AttemptOutcome::TimedOut => "stopped",
+        AttemptOutcome::NotConnected => "not_connected",
+        AttemptOutcome::NoFreeConnection => "no_room",
+        AttemptOutcome::ConnectionBroken => "broken",
+        AttemptOutcome::NoResponse => "late",
+        AttemptOutcome::MalformedResponse => "garbled",
     }
 }
--- a/crates/server/src/store/executor_http.rs
+++ b/crates/server/src/store/executor_http.rs
@@ -2,7 +2,7 @@
 
 use crate::net::{CallError, CallReply, Millis};
 use std::io::Write;
-use stileroute_queue::{Message, Outcome};
+use stileroute_queue::{AttemptOutcome, Message};
 
 /// Room for the head of a request, in bytes, so that its buffer rarely grows.
 const HEAD_CAPACITY: usize = 320;
@@ -37,29 +37,29 @@
 }
 
 /// What an answer says of an attempt. One that names another request, or that has no seal, is no success.
-pub fn attempt_outcome(request_id: &str, result: Result<CallReply, CallError>) -> Outcome {
+pub fn attempt_outcome(request_id: &str, result: Result<CallReply, CallError>) -> AttemptOutcome {
     let reply = match result {
         Ok(reply) => reply,
-        Err(CallError::NotConnected) => return Outcome::NotConnected,
-        Err(CallError::NoCapacity) => return Outcome::NoRoom,
-        Err(CallError::ConnectionLost) => return Outcome::Broken,
-        Err(CallError::TimedOut) => return Outcome::Late,
-        Err(CallError::InvalidReply) => return Outcome::Garbled,
+        Err(CallError::NotConnected) => return AttemptOutcome::NotConnected,
+        Err(CallError::NoCapacity) => return AttemptOutcome::NoFreeConnection,
+        Err(CallError::ConnectionLost) => return AttemptOutcome::ConnectionBroken,
+        Err(CallError::TimedOut) => return AttemptOutcome::NoResponse,
+        Err(CallError::InvalidReply) => return AttemptOutcome::MalformedResponse,
     };
     if reply.request_id.as_deref() != Some(request_id) {
-        return Outcome::Garbled;
+        return AttemptOutcome::MalformedResponse;
     }
     match (reply.status, reply.seal) {
-        (200..=299, Some(seal)) => Outcome::Done { seal },
-        (200..=299, None) => Outcome::Garbled,
-        (422, _) => Outcome::Refused,
-        (421, _) => Outcome::Wrong,
-        (409, _) => Outcome::Running,
-        (429, _) => Outcome::Over,
-        (503, _) => Outcome::Full,
-        (504, _) => Outcome::Stopped,
-        (500, _) if !reply.was_not_run => Outcome::Failed,
-        _ if reply.was_not_run => Outcome::NotRun,
-        _ => Outcome::Garbled,
+        (200..=299, Some(seal)) => AttemptOutcome::Completed { seal },
+        (200..=299, None) => AttemptOutcome::MalformedResponse,
+        (422, _) => AttemptOutcome::Rejected,
+        (421, _) => AttemptOutcome::WrongServer,
+        (409, _) => AttemptOutcome::AlreadyRunning,
+        (429, _) => AttemptOutcome::RateLimited,
+        (503, _) => AttemptOutcome::ExecutorFull,
+        (504, _) => AttemptOutcome::TimedOut,
+        (500, _) if !reply.was_not_run => AttemptOutcome::Failed,
+        _ if reply.was_not_run => AttemptOutcome::NotRun,
+        _ => AttemptOutcome::MalformedResponse,
     }
 }
--- a/crates/server/src/store/link_events.rs
+++ b/crates/server/src/store/link_events.rs
@@ -6,7 +6,7 @@
     ExecutorState, Frame, Heartbeat, KnownMessage, MembershipUpdate, MessageState, NodeRole,
 };
 use std::collections::HashMap;
-use stileroute_queue::{Key, Message, Node, Server, State};
+use stileroute_queue::{Executor, Key, Message, Node};
 
 /// The number of a zone that the settings do not name, for members: none of those that they do name.
 const UNKNOWN_ZONE: usize = usize::MAX >> 1;
@@ -18,7 +18,7 @@
             LinkEvent::Up(peer) if peer.role == NodeRole::Store => {
                 self.queue.peer_connected(now, peer.node);
             }
-            LinkEvent::Up(peer) if peer.role == NodeRole::Edge && self.queue.leaving => {
+            LinkEvent::Up(peer) if peer.role == NodeRole::Edge && self.queue.is_draining => {
                 self.runtime.links.send(&mut self.runtime.net, peer.node, &Frame::Draining);
             }
             LinkEvent::Up(_) => {}
@@ -68,12 +68,12 @@
 
     /// What this store knows of a message.
     fn look_up(&self, key: Key, include_body: bool) -> Option<KnownMessage> {
-        let (state, body) = self.queue.find(key)?;
+        let (state, body) = self.queue.lookup(key)?;
         let body = body.filter(|_| include_body).map(<[u8]>::to_vec);
         let state = match state {
-            State::Waiting => MessageState::Pending,
-            State::Complete { seal } => MessageState::Complete { seal },
-            State::Failed => MessageState::Failed,
+            stileroute_queue::MessageState::Waiting => MessageState::Pending,
+            stileroute_queue::MessageState::Complete { seal } => MessageState::Complete { seal },
+            stileroute_queue::MessageState::Failed => MessageState::Failed,
         };
         Some(KnownMessage { state, body })
     }
@@ -104,7 +104,7 @@
         update.executors.into_iter().for_each(|heartbeat| self.apply_heartbeat(heartbeat));
         let now_tenths_ms = self.runtime.net.now_tenths_ms();
         if has_changed {
-            self.queue.list(now, now_tenths_ms, self.executors_by_service());
+            self.queue.set_executors(now, now_tenths_ms, self.executors_by_service());
         }
         if let Some(config) = new_config {
             self.queue.configure(now, now_tenths_ms, config);
@@ -132,18 +132,18 @@
     }
 
     /// The executors as the queue takes them, by service, in the order of their ids.
-    fn executors_by_service(&self) -> HashMap<String, Vec<Server>> {
-        let mut services: HashMap<String, Vec<Server>> = HashMap::new();
+    fn executors_by_service(&self) -> HashMap<String, Vec<Executor>> {
+        let mut services: HashMap<String, Vec<Executor>> = HashMap::new();
         let mut heartbeats: Vec<&Heartbeat> = self.executors.values().collect();
         heartbeats.sort_unstable_by(|one, other| one.id.cmp(&other.id));
         for heartbeat in heartbeats {
-            let executor = Server {
+            let executor = Executor {
                 id: heartbeat.id.clone(),
                 address: heartbeat.address,
                 zone: self.zone_number(&heartbeat.zone).unwrap_or(self.runtime.boot.zones.len()),
                 capacity: f64::from(heartbeat.capacity),
-                serving: heartbeat.state == ExecutorState::Serving,
-                cold_left_ms: heartbeat.warmup_left_ms,
+                is_serving: heartbeat.state == ExecutorState::Serving,
+                warm_up_left_ms: heartbeat.warmup_left_ms,
             };
             services.entry(heartbeat.backend.clone()).or_default().push(executor);
         }
--- a/crates/server/src/store/report.rs
+++ b/crates/server/src/store/report.rs
@@ -7,7 +7,7 @@
 use crate::node::NodeRuntime;
 use crate::report::disk_metrics;
 use jzon::JsonValue;
-use stileroute_queue::{End, Key, ServiceView, Stages};
+use stileroute_queue::{End, Key, ServiceView, StageCounts};
 
 fn seconds(ms: Millis) -> f64 {
     ms as f64 / 1000.0
@@ -15,51 +15,51 @@
 
 impl Store {
     fn messages_as_json(&self) -> JsonValue {
-        let stages = self.queue.stages(self.runtime.net.now());
+        let stages = self.queue.stage_counts(self.runtime.net.now());
         jzon::object! {
-            "landing" => stages.landing,
-            "held" => stages.held,
+            "landing" => stages.persisting,
+            "held" => stages.suspended,
             "waiting" => stages.waiting,
-            "out" => stages.out,
-            "copy" => stages.copy,
+            "out" => stages.in_flight,
+            "copy" => stages.replica,
             "ended" => stages.ended,
-            "owed" => stages.owed,
-            "oldest_ms" => stages.oldest_ms,
+            "owed" => stages.callbacks_pending,
+            "oldest_ms" => stages.oldest_overdue_ms,
         }
     }
 
     fn service_as_json(&self, service: ServiceView) -> JsonValue {
-        let executors = service.shares.into_iter();
+        let executors = service.executor_shares.into_iter();
         let executors =
             executors.map(|(id, share, out)| jzon::object! { "id" => id, "share" => share, "out" => out });
-        let rate_limit = service.ceiling.map(|(rate, holder, is_here)| {
+        let rate_limit = service.rate_limit.map(|(rate, holder, is_here)| {
             jzon::object! { "rate_per_s" => rate, "holder" => self.runtime.node_name(holder), "here" => is_here }
         });
         jzon::object! {
             "service" => service.name,
             "waiting" => service.waiting,
-            "out" => service.out,
-            "oldest_ms" => service.oldest_ms,
+            "out" => service.in_flight,
+            "oldest_ms" => service.oldest_overdue_ms,
             "ceiling" => rate_limit,
             "executors" => executors.collect::<Vec<_>>(),
             "repeats" => jzon::object! {
-                "first" => service.repeats.first,
-                "again" => service.repeats.again,
-                "held_back" => service.repeats.held_back,
-                "waiting" => service.repeats_waiting,
-                "most_at_one" => service.repeats.most,
+                "first" => service.retry_counts.first_attempts,
+                "again" => service.retry_counts.retries,
+                "held_back" => service.retry_counts.retries_delayed,
+                "waiting" => service.retries_waiting,
+                "most_at_one" => service.retry_counts.max_retries_per_executor,
             },
         }
     }
 
     fn services_as_json(&self) -> JsonValue {
-        let services = self.queue.services(self.runtime.net.now()).into_iter();
+        let services = self.queue.service_views(self.runtime.net.now()).into_iter();
         services.map(|service| self.service_as_json(service)).collect::<Vec<_>>().into()
     }
 
     /// The other stores.
     fn stores_as_json(&self) -> JsonValue {
-        let stores = self.queue.stores().map(|(node, is_connected, is_member, is_draining)| {
+        let stores = self.queue.peer_views().map(|(node, is_connected, is_member, is_draining)| {
             jzon::object! {
                 "node" => self.runtime.node_name(node),
                 "connected" => is_connected,
@@ -71,11 +71,11 @@
     }
 
     fn write_service_metrics(&self, metrics: &mut Exposition) {
-        let services = self.queue.services(self.runtime.net.now());
+        let services = self.queue.service_views(self.runtime.net.now());
         write_queue_metrics(metrics, &services);
         write_retry_metrics(metrics, &services);
         for service in &services {
-            let Some((_, _, is_here)) = service.ceiling else { continue };
+            let Some((_, _, is_here)) = service.rate_limit else { continue };
             let help = "1: this store hands out the service's tokens.";
             let labels = [("service", service.name.as_str())];
             metrics.gauge("stileroute_tokens_holder", help, &labels, u8::from(is_here));
@@ -83,53 +83,53 @@
     }
 
     fn write_event_metrics(&self, metrics: &mut Exposition) {
-        let counts = &self.queue.figures;
+        let counts = &self.queue.metrics;
         let events = [
-            ("taken", counts.taken),
-            ("refused", counts.refused),
-            ("uncertain", counts.uncertain),
-            ("done", counts.done),
+            ("taken", counts.accepted),
+            ("refused", counts.rejected),
+            ("uncertain", counts.outcome_unknown),
+            ("done", counts.completed),
             ("failed", counts.failed),
-            ("dropped", counts.dropped),
+            ("dropped", counts.failed_without_route),
             ("expired", counts.expired),
             ("attempts", counts.attempts),
-            ("again", counts.again),
-            ("calls", counts.calls),
-            ("called", counts.called),
+            ("again", counts.retries),
+            ("calls", counts.callbacks_started),
+            ("called", counts.callbacks_delivered),
             ("taken_over", counts.taken_over),
             ("handed_over", counts.handed_over),
-            ("copied_anew", counts.copied_anew),
-            ("no_disk", counts.no_disk),
-            ("former_refused", counts.former),
-            ("fenced", counts.fenced),
+            ("copied_anew", counts.replicas_resent),
+            ("no_disk", counts.failed_writes),
+            ("former_refused", counts.stale_claims),
+            ("fenced", counts.fence_activations),
         ];
         for (event, count) in events {
             let help = "What happened to messages.";
             metrics.counter("stileroute_queue_events_total", help, &[("event", event)], count);
         }
         let help = "Own messages that are on too few disks.";
-        metrics.gauge("stileroute_messages_thin", help, &[], counts.thin);
+        metrics.gauge("stileroute_messages_thin", help, &[], counts.under_replicated);
         let help = "How long some were on too few disks, the last time that this was so.";
-        metrics.gauge("stileroute_thin_seconds", help, &[], seconds(counts.thin_ms));
+        metrics.gauge("stileroute_thin_seconds", help, &[], seconds(counts.last_under_replication_ms));
     }
 }
 
-fn write_stage_metrics(metrics: &mut Exposition, stages: &Stages) {
+fn write_stage_metrics(metrics: &mut Exposition, stages: &StageCounts) {
     let by_stage = [
-        ("landing", stages.landing),
-        ("held", stages.held),
+        ("landing", stages.persisting),
+        ("held", stages.suspended),
         ("waiting", stages.waiting),
-        ("out", stages.out),
-        ("copy", stages.copy),
+        ("out", stages.in_flight),
+        ("copy", stages.replica),
         ("ended", stages.ended),
     ];
     for (stage, count) in by_stage {
         metrics.gauge("stileroute_messages", "Messages here, by stage.", &[("stage", stage)], count);
     }
     let help = "Call-backs that have not been taken.";
-    metrics.gauge("stileroute_callbacks_owed", help, &[], stages.owed);
+    metrics.gauge("stileroute_callbacks_owed", help, &[], stages.callbacks_pending);
     let help = "By how much the oldest own message that has not ended is past its due time.";
-    metrics.gauge("stileroute_oldest_message_seconds", help, &[], seconds(stages.oldest_ms));
+    metrics.gauge("stileroute_oldest_message_seconds", help, &[], seconds(stages.oldest_overdue_ms));
 }
 
 // The samples of one metric have to follow one another: so each metric goes through all services by itself.
@@ -142,10 +142,11 @@
     }
     for service in services {
         let labels = [("service", service.name.as_str())];
-        metrics.gauge("stileroute_out", "Requests that are out at executors.", &labels, service.out);
+        metrics.gauge("stileroute_out", "Requests that are out at executors.", &labels, service.in_flight);
     }
     for service in services {
-        let attempts = [("first", service.repeats.first), ("repeat", service.repeats.again)];
+        let attempts =
+            [("first", service.retry_counts.first_attempts), ("repeat", service.retry_counts.retries)];
         for (attempt, count) in attempts {
             let labels = [("service", service.name.as_str()), ("attempt", attempt)];
             let help = "Deliveries that went out: first ones, and repeats of what ran or may have run.";
@@ -158,17 +159,27 @@
     for service in services {
         let labels = [("service", service.name.as_str())];
         let help = "Repeats that had to wait for their part.";
-        metrics.counter("stileroute_repeats_held_back_total", help, &labels, service.repeats.held_back);
+        metrics.counter(
+            "stileroute_repeats_held_back_total",
+            help,
+            &labels,
+            service.retry_counts.retries_delayed,
+        );
     }
     for service in services {
         let labels = [("service", service.name.as_str())];
         let help = "Repeats that wait, among the queue.";
-        metrics.gauge("stileroute_repeats_waiting", help, &labels, service.repeats_waiting);
+        metrics.gauge("stileroute_repeats_waiting", help, &labels, service.retries_waiting);
     }
     for service in services {
         let labels = [("service", service.name.as_str())];
         let help = "Most repeats of this store that were out at one executor at once.";
-        metrics.gauge("stileroute_repeats_most_at_one", help, &labels, service.repeats.most);
+        metrics.gauge(
+            "stileroute_repeats_most_at_one",
+            help,
+            &labels,
+            service.retry_counts.max_retries_per_executor,
+        );
     }
 }
 
@@ -187,8 +198,8 @@
     }
 
     fn trace(&self, key: Key) -> JsonValue {
-        let Some(view) = self.queue.view(self.runtime.net.now(), key) else { return JsonValue::Null };
-        let replicas = view.copies.into_iter().map(|node| self.runtime.node_name(node));
+        let Some(view) = self.queue.message_view(self.runtime.net.now(), key) else { return JsonValue::Null };
+        let replicas = view.replicas.into_iter().map(|node| self.runtime.node_name(node));
         let end = match view.end {
             None => JsonValue::Null,
             Some(End::Complete { seal }) => jzon::object! { "state" => "complete", "seal" => seal },
@@ -199,22 +210,22 @@
             "owner" => self.runtime.node_name(view.owner),
             "copies" => replicas.collect::<Vec<_>>(),
             "term" => view.term,
-            "stage" => format!("{:?}", view.stage).to_lowercase(),
-            "tries" => view.tries,
+            "stage" => view.stage.label(),
+            "tries" => view.failed_attempts,
             "due_in_ms" => view.due_in_ms,
             "expires_in_ms" => view.expires_in_ms,
-            "taken" => view.taken,
-            "config" => view.config,
+            "taken" => view.accepted_at_ms,
+            "config" => view.config_revision,
             "bytes" => view.bytes,
             "end" => end,
-            "callback_owed" => view.owed,
+            "callback_owed" => view.callback_pending,
         }
     }
 
     fn write_metrics(&self, metrics: &mut Exposition) {
         // A store has no listener for requests but the one for metrics.
         self.runtime.write_metrics(metrics, |_| "none");
-        write_stage_metrics(metrics, &self.queue.stages(self.runtime.net.now()));
+        write_stage_metrics(metrics, &self.queue.stage_counts(self.runtime.net.now()));
         self.write_service_metrics(metrics);
         self.statistics.write_metrics(metrics);
         self.write_event_metrics(metrics);
--- a/crates/server/src/store/tests.rs
+++ b/crates/server/src/store/tests.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use stileroute_config::{Boot, Config};
-use stileroute_queue::{Message, Outcome};
+use stileroute_queue::{AttemptOutcome, Message};
 
 const CONFIG: &[u8] =
     br#"{"revision":7,"routes":[{"name":"quick","hostname":"quay.example","path_prefix":"/in/",
@@ -96,20 +96,20 @@
 fn each_outcome_of_a_delivery_is_counted_under_its_label() {
     let mut lone = StoreAlone::new("outcomes");
     let outcomes = [
-        (Outcome::Done { seal: String::new() }, "done"),
-        (Outcome::Refused, "refused"),
-        (Outcome::Failed, "failed"),
-        (Outcome::Full, "full"),
-        (Outcome::Over, "over"),
-        (Outcome::Running, "running"),
-        (Outcome::Wrong, "wrong"),
-        (Outcome::NotRun, "not_run"),
-        (Outcome::Stopped, "stopped"),
-        (Outcome::NotConnected, "not_connected"),
-        (Outcome::NoRoom, "no_room"),
-        (Outcome::Broken, "broken"),
-        (Outcome::Late, "late"),
-        (Outcome::Garbled, "garbled"),
+        (AttemptOutcome::Completed { seal: String::new() }, "done"),
+        (AttemptOutcome::Rejected, "refused"),
+        (AttemptOutcome::Failed, "failed"),
+        (AttemptOutcome::ExecutorFull, "full"),
+        (AttemptOutcome::RateLimited, "over"),
+        (AttemptOutcome::AlreadyRunning, "running"),
+        (AttemptOutcome::WrongServer, "wrong"),
+        (AttemptOutcome::NotRun, "not_run"),
+        (AttemptOutcome::TimedOut, "stopped"),
+        (AttemptOutcome::NotConnected, "not_connected"),
+        (AttemptOutcome::NoFreeConnection, "no_room"),
+        (AttemptOutcome::ConnectionBroken, "broken"),
+        (AttemptOutcome::NoResponse, "late"),
+        (AttemptOutcome::MalformedResponse, "garbled"),
     ];
     outcomes.iter().for_each(|(outcome, _)| lone.store.statistics.attempt_ended(outcome));
     let mut metrics = crate::metrics::Exposition::default();
