--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -17,6 +17,9 @@
 pub mod control_node;
 pub mod fit;
 pub mod heartbeat;
+#[rustfmt::skip] // As `links`.
+#[path = "../../server/src/keepalive.rs"]
+pub mod keepalive;
 pub mod layout;
 #[rustfmt::skip] // Formatted where it belongs; its tests are not looked for from here.
 #[path = "../../server/src/links.rs"]
--- a/crates/capacity/src/simulation.rs
+++ b/crates/capacity/src/simulation.rs
@@ -366,7 +366,7 @@
     for delivery in deliveries {
         match (delivery, &mut *part) {
             (Delivery::Link(event), _) => {
-                links.event(net, event, &mut link_events);
+                links.handle_event(net, event, &mut link_events);
             }
             (Delivery::Heartbeat(heartbeat), Part::Control(node)) => node.heartbeat(now, heartbeat),
             (Delivery::Heartbeat(_), Part::Member(_)) => {}
@@ -391,7 +391,7 @@
         Part::Control(node) => node.next(now),
         Part::Member(node) => node.next(now),
     };
-    own.min(running.links.next())
+    own.min(running.links.next_deadline())
 }
 
 /// Processor time of this thread so far.
--- a/crates/server/src/links.rs
+++ b/crates/server/src/links.rs
@@ -1,352 +1,413 @@
-//! Connections between the system's own processes: opened again when they break, given up when nothing is heard.
+//! Connections between the system's own processes: opened again when they break, and closed when the other side is silent.
+//!
+//! [`Links`] knows which process is at the other end of each connection and keeps one connection for each node. It is a state
+//! machine above the event loop: events of [`Net`] go in, [`LinkEvent`]s come out.
 
+use crate::keepalive::{Keepalive, PEER_SILENCE_LIMIT, PING_INTERVAL};
 use crate::net::{ConnectionId, Event, Millis, Net};
-use crate::protocol::{Frame, NodeRole, PeerInfo, PROTOCOL_VERSION};
+use crate::protocol::{Frame, NodeRole, PeerInfo, FRAME_LENGTH_BYTES, PROTOCOL_VERSION};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use stileroute_queue::Node;
 
-/// Nothing said for so long: a word is said. Nothing heard for so long: nobody is there.
-const WORD: Millis = 500;
-const SILENCE: Millis = 1600;
-/// Whoever opened a connection says the word, and the other answers it where it has said nothing for so long. Each by its own
-/// clock, every word was a wake-up of its own: an edge with a dozen and more stores woke for little else. So they are said
-/// together, every `WORD`, where nothing was said for half of it.
-const ANSWER: Millis = 200;
-/// Between two tries to open a connection.
-const RETRY: Millis = 100;
-
-/// When a word is due on a connection.
-#[derive(Clone, Copy)]
-struct Keepalive {
-    dialled: bool,
-    heard: Millis,
-    said: Millis,
-    /// Since then a word that was said here has no answer.
-    asked: Option<Millis>,
-}
+/// Time from one attempt to open a connection to the next.
+const REDIAL_INTERVAL: Millis = 100;
+/// How many variants [`NodeRole`] has.
+const ROLE_COUNT: usize = 4;
 
-impl Keepalive {
-    fn new(dialled: bool, now: Millis) -> Keepalive {
-        Keepalive { dialled, heard: now, said: now, asked: None }
-    }
-    fn hears(&mut self, now: Millis) {
-        (self.heard, self.asked) = (now, None);
-    }
-    fn says(&mut self, now: Millis) {
-        self.said = now;
-        if self.dialled {
-            self.asked.get_or_insert(now);
-        }
-    }
-    /// When nobody is there any more, if nothing is heard until then. Who dialled hears answers only: where it has slept, and
-    /// asked nothing meanwhile, silence says nothing of the other.
-    fn silent(&self) -> Millis {
-        match self.dialled {
-            true => {
-                self.asked.map_or(Millis::MAX, |asked| (asked + SILENCE - WORD).max(self.heard + SILENCE))
-            }
-            false => self.heard + SILENCE,
-        }
-    }
-    /// Whether a word is due, looked at every `WORD`. Whoever was dialled answers, and speaks by itself only where the other
-    /// does not: it may be of an older build, or stuck.
-    fn due(&self, now: Millis) -> bool {
-        match self.dialled {
-            // Where the other has said nothing, too, it is asked.
-            true => now >= self.said.min(self.heard) + WORD / 2,
-            false => now >= self.said + 2 * WORD,
-        }
-    }
-    fn answers(&self, now: Millis) -> bool {
-        !self.dialled && now >= self.said + ANSWER
-    }
+/// Which frames are counted together.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct SentKind {
+    /// What they are about: [`Frame::category`].
+    pub category: &'static str,
+    /// Whether they went to another zone.
+    pub crosses_zones: bool,
 }
 
-/// Frames and their bytes, with their length prefixes.
+/// How much was sent of one [`SentKind`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FrameVolume {
     /// How many frames.
     pub frames: u64,
-    /// How many bytes.
+    /// How many bytes, with the frames' lengths.
     pub bytes: u64,
 }
 
+/// One connection.
 struct Link {
-    hello: Option<PeerInfo>,
-    dialled: Option<SocketAddrV4>,
+    /// Who is at the other end, once it has said so.
+    peer: Option<PeerInfo>,
+    /// The address to which the connection was opened, if it was opened from here.
+    dialed_address: Option<SocketAddrV4>,
     keepalive: Keepalive,
 }
 
 impl Link {
-    fn new(now: Millis, dialled: Option<SocketAddrV4>) -> Link {
-        Link { hello: None, dialled, keepalive: Keepalive::new(dialled.is_some(), now) }
+    fn new(now: Millis, dialed_address: Option<SocketAddrV4>) -> Link {
+        Link { peer: None, dialed_address, keepalive: Keepalive::new(dialed_address.is_some(), now) }
     }
-    /// One that has said nothing at all yet is given up in any case.
-    fn silent(&self) -> Millis {
-        self.hello.as_ref().map_or(self.keepalive.heard + SILENCE, |_| self.keepalive.silent())
+
+    /// When the connection is closed if nothing is received until then; in any case if the other side never said who it is.
+    fn expires_at(&self) -> Millis {
+        match self.peer {
+            Some(_) => self.keepalive.expires_at(),
+            None => self.keepalive.last_received_at() + PEER_SILENCE_LIMIT,
+        }
     }
 }
 
-/// What a role is told.
+/// What a role is told of its peers.
 pub enum LinkEvent {
+    /// There is a connection with this node.
     Up(PeerInfo),
+    /// There is no connection with this node any more.
     Down(Node, NodeRole),
+    /// A node has sent a frame.
     Received(Node, NodeRole, Frame),
 }
 
-/// Where a process of a class listens for others: the first three of the ports.
-pub fn listen_address(ports: (u16, u16), ip: Ipv4Addr, class: NodeRole) -> SocketAddrV4 {
-    let step = match class {
+/// The address at which a process listens for its peers. The roles on one machine share a range of `ports`, first and last,
+/// and take the first three.
+pub fn listen_address(ports: (u16, u16), ip: Ipv4Addr, role: NodeRole) -> SocketAddrV4 {
+    let offset = match role {
         NodeRole::Control => 0,
         NodeRole::Store => 1,
         NodeRole::Edge | NodeRole::CommandLine => 2,
     };
-    SocketAddrV4::new(ip, ports.0.saturating_add(step).min(ports.1))
+    let (first, last) = ports;
+    SocketAddrV4::new(ip, first.saturating_add(offset).min(last))
 }
 
+/// The connections of this process with its peers.
 pub struct Links {
-    me: PeerInfo,
+    local: PeerInfo,
     links: HashMap<ConnectionId, Link>,
     by_node: HashMap<Node, ConnectionId>,
-    /// Who is connected: to find a control node nobody goes through all edges.
-    by_class: [BTreeSet<Node>; 4],
-    /// Addresses to be connected with, and when to try again.
-    wanted: HashMap<SocketAddrV4, Millis>,
-    /// Where a connection that was opened from here stands.
-    dialled: HashSet<SocketAddrV4>,
-    /// Before this nothing is due: all are gone through only then, not in every turn.
-    look_at: Millis,
-    /// When words are said next.
-    word_at: Millis,
+    /// The connected nodes of each role, so that nobody goes through all edges to find a control node.
+    by_role: [BTreeSet<Node>; ROLE_COUNT],
+    /// Addresses with which a connection is wanted, and when the next attempt is made.
+    dial_targets: HashMap<SocketAddrV4, Millis>,
+    /// Addresses to which there is a connection that was opened from here, established or not.
+    dialed: HashSet<SocketAddrV4>,
+    /// Nothing is due before this time: all connections are gone through only then, and not in every turn of the loop.
+    next_scan_at: Millis,
+    next_ping_at: Millis,
     ports: (u16, u16),
+    /// Frames that could not be decoded, or that came where none was expected.
     pub undecodable_frames: u64,
-    /// What was said, by what it is about and whether to another zone: frames and bytes.
-    pub sent: BTreeMap<(&'static str, bool), FrameVolume>,
+    /// What was sent.
+    pub sent: BTreeMap<SentKind, FrameVolume>,
     /// How often all connections were gone through.
-    pub looks: u64,
+    pub scan_count: u64,
 }
 
 impl Links {
-    pub fn new(me: PeerInfo, ports: (u16, u16)) -> Links {
+    /// No connections yet. `local` is what is said to each peer, and `ports` the range of [`listen_address`].
+    pub fn new(local: PeerInfo, ports: (u16, u16)) -> Links {
         Links {
-            me,
+            local,
             links: HashMap::new(),
             by_node: HashMap::new(),
-            by_class: Default::default(),
-            wanted: HashMap::new(),
-            dialled: HashSet::new(),
-            look_at: 0,
-            word_at: 0,
+            by_role: Default::default(),
+            dial_targets: HashMap::new(),
+            dialed: HashSet::new(),
+            next_scan_at: 0,
+            next_ping_at: 0,
             ports,
             undecodable_frames: 0,
             sent: BTreeMap::new(),
-            looks: 0,
+            scan_count: 0,
         }
     }
 
+    /// This process.
     pub fn local(&self) -> &PeerInfo {
-        &self.me
+        &self.local
     }
 
-    /// Where a process of a class listens for others: roles on one machine share its ports.
-    pub fn listen_address(&self, ip: Ipv4Addr, class: NodeRole) -> SocketAddrV4 {
-        listen_address(self.ports, ip, class)
+    /// The address at which a process with this role listens on a machine.
+    pub fn listen_address(&self, ip: Ipv4Addr, role: NodeRole) -> SocketAddrV4 {
+        listen_address(self.ports, ip, role)
     }
 
+    /// The range of ports, first and last, that all machines use.
     pub fn ports(&self) -> (u16, u16) {
         self.ports
     }
 
-    /// Is to be connected with these, and dials no others.
-    pub fn set_dial_targets(&mut self, now: Millis, all: impl IntoIterator<Item = SocketAddrV4>) {
-        let old = std::mem::take(&mut self.wanted);
-        for address in all {
-            let at = old.get(&address).copied().unwrap_or(now);
-            if !self.dialled.contains(&address) {
-                self.look_at = self.look_at.min(at);
+    /// Sets the addresses to which connections are opened and opened again. Others that are open stay so.
+    pub fn set_dial_targets(&mut self, now: Millis, targets: impl IntoIterator<Item = SocketAddrV4>) {
+        let old = std::mem::take(&mut self.dial_targets);
+        for address in targets {
+            let next_attempt_at = old.get(&address).copied().unwrap_or(now);
+            if !self.dialed.contains(&address) {
+                self.next_scan_at = self.next_scan_at.min(next_attempt_at);
             }
-            self.wanted.insert(address, at);
+            self.dial_targets.insert(address, next_attempt_at);
         }
     }
 
+    /// Whether there is a connection with the node.
     pub fn is_up(&self, node: Node) -> bool {
         self.by_node.contains_key(&node)
     }
-    /// When anything was last heard of it.
+
+    fn link_with(&self, node: Node) -> Option<&Link> {
+        self.links.get(self.by_node.get(&node)?)
+    }
+
+    /// When something was last received from the node, if there is a connection with it.
     pub fn last_heard_at(&self, node: Node) -> Option<Millis> {
-        self.by_node.get(&node).and_then(|conn| self.links.get(conn)).map(|link| link.keepalive.heard)
+        Some(self.link_with(node)?.keepalive.last_received_at())
     }
+
+    /// What the node said of itself, if there is a connection with it.
     pub fn peer(&self, node: Node) -> Option<&PeerInfo> {
-        self.links.get(self.by_node.get(&node)?)?.hello.as_ref()
+        self.link_with(node)?.peer.as_ref()
     }
+
+    /// All nodes with which there is a connection.
     pub fn all_peers(&self) -> impl Iterator<Item = &PeerInfo> {
-        self.by_node.values().filter_map(|conn| self.links.get(conn)?.hello.as_ref())
+        self.by_node.values().filter_map(|connection| self.links.get(connection)?.peer.as_ref())
     }
-    /// Who is connected, of one class.
-    pub fn nodes_with_role(&self, class: NodeRole) -> Vec<Node> {
-        self.by_class[class as usize].iter().copied().collect()
+
+    /// The connected nodes of a role.
+    pub fn nodes_with_role(&self, role: NodeRole) -> Vec<Node> {
+        self.by_role[role as usize].iter().copied().collect()
     }
-    /// What those of one class that are connected have said of themselves.
-    pub fn peers(&self, class: NodeRole) -> impl Iterator<Item = &PeerInfo> {
-        self.by_class[class as usize].iter().filter_map(|node| self.peer(*node))
+
+    /// The connected nodes of a role, with what they said of themselves.
+    pub fn peers(&self, role: NodeRole) -> impl Iterator<Item = &PeerInfo> {
+        self.by_role[role as usize].iter().filter_map(|node| self.peer(*node))
     }
-    pub fn node_at_control_address(&self, control: SocketAddrV4) -> Option<Node> {
-        self.peers(NodeRole::Control).find(|h| h.control_address == Some(control)).map(|h| h.node)
+
+    /// The connected control node that takes calls at this address.
+    pub fn node_at_control_address(&self, address: SocketAddrV4) -> Option<Node> {
+        self.peers(NodeRole::Control).find(|peer| peer.control_address == Some(address)).map(|peer| peer.node)
     }
 
-    pub fn send(&mut self, net: &mut Net, to: Node, signal: &Frame) -> bool {
-        let Some(conn) = self.by_node.get(&to).copied() else { return false };
-        self.say_on(net, conn, signal);
+    /// Sends a frame to a node. Returns `false` if there is no connection with it.
+    pub fn send(&mut self, net: &mut Net, to: Node, frame: &Frame) -> bool {
+        let Some(connection) = self.by_node.get(&to).copied() else { return false };
+        self.send_on(net, connection, frame);
         true
     }
 
-    fn say_on(&mut self, net: &mut Net, conn: ConnectionId, signal: &Frame) {
-        let mut far = false;
-        if let Some(link) = self.links.get_mut(&conn) {
-            link.keepalive.says(net.now());
-            far = link.hello.as_ref().is_some_and(|hello| hello.zone != self.me.zone);
+    fn send_on(&mut self, net: &mut Net, connection: ConnectionId, frame: &Frame) {
+        let mut crosses_zones = false;
+        if let Some(link) = self.links.get_mut(&connection) {
+            link.keepalive.record_sent(net.now());
+            crosses_zones = link.peer.as_ref().is_some_and(|peer| peer.zone != self.local.zone);
         }
-        match postcard::to_stdvec(signal) {
+        match postcard::to_stdvec(frame) {
             Ok(bytes) => {
-                let volume = self.sent.entry((signal.category(), far)).or_default();
+                let kind = SentKind { category: frame.category(), crosses_zones };
+                let volume = self.sent.entry(kind).or_default();
                 volume.frames += 1;
-                volume.bytes += bytes.len() as u64 + 4;
-                net.send(conn, &bytes);
+                volume.bytes += (bytes.len() + FRAME_LENGTH_BYTES) as u64;
+                net.send(connection, &bytes);
             }
-            Err(error) => tracing::error!(%error, "a signal that can't be written"),
+            Err(error) => tracing::error!(%error, "frame not encoded"),
         }
     }
 
-    /// Dials, says a word where nothing is said, and gives up who is silent.
+    // ---- What is due by time ----
+
+    /// When [`Links::tick`] has something to do.
+    pub fn next_deadline(&self) -> Millis {
+        self.next_scan_at
+    }
+
+    /// Opens connections, pings, and closes connections whose other side is silent.
     pub fn tick(&mut self, net: &mut Net) -> Vec<LinkEvent> {
         let now = net.now();
-        let mut words = Vec::new();
-        if now < self.look_at {
-            return words;
+        if now < self.next_scan_at {
+            return Vec::new();
         }
-        self.looks += 1;
+        self.scan_count += 1;
+        self.dial_missing(net);
+        if now >= self.next_ping_at {
+            self.next_ping_at = now + PING_INTERVAL;
+            self.send_pings(net);
+        }
+        let link_events = self.close_silent(net);
+        self.schedule_scan(now);
+        link_events
+    }
+
+    fn dial_missing(&mut self, net: &mut Net) {
+        let now = net.now();
         let mut due: Vec<SocketAddrV4> = Vec::new();
-        for (address, at) in &mut self.wanted {
-            if *at <= now && !self.dialled.contains(address) {
-                *at = now + RETRY;
+        for (address, next_attempt_at) in &mut self.dial_targets {
+            if *next_attempt_at <= now && !self.dialed.contains(address) {
+                *next_attempt_at = now + REDIAL_INTERVAL;
                 due.push(*address);
             }
         }
         for address in due {
-            if let Some(conn) = net.dial(address) {
-                self.links.insert(conn, Link::new(now, Some(address)));
-                self.dialled.insert(address);
+            if let Some(connection) = net.dial(address) {
+                self.links.insert(connection, Link::new(now, Some(address)));
+                self.dialed.insert(address);
             }
         }
-        if now >= self.word_at {
-            self.word_at = now + WORD;
-            let due = |l: &Link| l.hello.is_some() && l.keepalive.due(now);
-            let quiet: Vec<ConnectionId> =
-                self.links.iter().filter(|(_, l)| due(l)).map(|(conn, _)| *conn).collect();
-            quiet.into_iter().for_each(|conn| self.say_on(net, conn, &Frame::Ping));
+    }
+
+    fn send_pings(&mut self, net: &mut Net) {
+        let now = net.now();
+        let is_due = |link: &Link| link.peer.is_some() && link.keepalive.is_ping_due(now);
+        let due: Vec<ConnectionId> =
+            self.links.iter().filter(|(_, link)| is_due(link)).map(|(connection, _)| *connection).collect();
+        for connection in due {
+            self.send_on(net, connection, &Frame::Ping);
         }
-        let gone: Vec<ConnectionId> =
-            self.links.iter().filter(|(_, l)| now >= l.silent()).map(|(conn, _)| *conn).collect();
-        for conn in gone {
-            words.extend(self.lost(now, conn));
-            net.close(conn);
+    }
+
+    fn close_silent(&mut self, net: &mut Net) -> Vec<LinkEvent> {
+        let now = net.now();
+        let silent = self.links.iter().filter(|(_, link)| now >= link.expires_at());
+        let silent: Vec<ConnectionId> = silent.map(|(connection, _)| *connection).collect();
+        let mut link_events = Vec::new();
+        for connection in silent {
+            link_events.extend(self.remove_link(now, connection));
+            net.close(connection);
         }
-        // What is said or heard from here on puts things off, or is due after the next words: this is never too late.
-        let links = self.links.values().map(Link::silent);
-        let dial = self.wanted.iter().filter(|(a, _)| !self.dialled.contains(a)).map(|(_, at)| *at);
-        self.look_at = links.chain(dial).min().unwrap_or(Millis::MAX).min(self.word_at).max(now + 1);
-        words
+        link_events
     }
 
-    pub fn next(&self) -> Millis {
-        self.look_at
+    /// Sets when all connections are gone through next. Whatever is sent or received until then puts its deadline off, or is
+    /// due after the next pings: so this is never too late.
+    fn schedule_scan(&mut self, now: Millis) {
+        let expiries = self.links.values().map(Link::expires_at);
+        let missing = self.dial_targets.iter().filter(|(address, _)| !self.dialed.contains(address));
+        let attempts = missing.map(|(_, next_attempt_at)| *next_attempt_at);
+        let next = expiries.chain(attempts).min().unwrap_or(Millis::MAX);
+        self.next_scan_at = next.min(self.next_ping_at).max(now + 1);
     }
 
-    fn lost(&mut self, now: Millis, conn: ConnectionId) -> Option<LinkEvent> {
-        let link = self.links.remove(&conn)?;
-        if let Some(address) = link.dialled {
-            self.dialled.remove(&address);
-            let again = self.wanted.get(&address).copied().unwrap_or(Millis::MAX);
-            self.look_at = self.look_at.min(again.max(now));
-        }
-        let hello = link.hello?;
-        if self.by_node.get(&hello.node) != Some(&conn) {
-            return None;
-        }
-        self.by_node.remove(&hello.node);
-        self.by_class[hello.role as usize].remove(&hello.node);
-        if hello.role != NodeRole::CommandLine {
-            tracing::info!(node = hello.name, "link down");
+    // ---- Events of connections ----
+
+    /// Handles an event of the event loop. Adds what the role is to be told to `link_events`, and gives the event back if it is
+    /// not about connections between processes.
+    pub fn handle_event(
+        &mut self,
+        net: &mut Net,
+        event: Event,
+        link_events: &mut Vec<LinkEvent>,
+    ) -> Option<Event> {
+        let now = net.now();
+        match event {
+            Event::PeerConnected { connection } => self.connected(net, connection),
+            Event::PeerDisconnected { connection } => link_events.extend(self.remove_link(now, connection)),
+            Event::PeerFrame { connection, bytes } => self.received(net, connection, &bytes, link_events),
+            other => return Some(other),
         }
-        Some(LinkEvent::Down(hello.node, hello.role))
+        None
     }
 
-    /// Who says this of itself may be talked to on a connection that was opened to `dialled`, if it was opened from here.
-    fn is_welcome(&self, dialled: Option<SocketAddrV4>, hello: &PeerInfo) -> bool {
-        let is_at = |ip| dialled.is_none_or(|dialled| self.listen_address(ip, hello.role) == dialled);
-        // Another process may have the address by now: what is meant for the one would be said to the other.
-        let is_dialled = is_at(hello.ip) || hello.control_address.is_some_and(|control| is_at(*control.ip()));
-        let is_other = |held: &PeerInfo| held.name != hello.name;
-        let is_new = hello.node != self.me.node && !self.peer(hello.node).is_some_and(is_other);
-        hello.protocol_version == PROTOCOL_VERSION && is_dialled && is_new
+    fn connected(&mut self, net: &mut Net, connection: ConnectionId) {
+        let now = net.now();
+        let link = self.links.entry(connection).or_insert(Link::new(now, None));
+        link.keepalive.record_received(now);
+        self.next_scan_at = self.next_scan_at.min(now + PEER_SILENCE_LIMIT);
+        let hello = Frame::Hello(self.local.clone());
+        self.send_on(net, connection, &hello);
     }
 
-    /// What an event of the net means here; events that are not of links come back.
-    pub fn event(&mut self, net: &mut Net, event: Event, words: &mut Vec<LinkEvent>) -> Option<Event> {
+    fn received(
+        &mut self,
+        net: &mut Net,
+        connection: ConnectionId,
+        bytes: &[u8],
+        link_events: &mut Vec<LinkEvent>,
+    ) {
         let now = net.now();
-        match event {
-            Event::PeerConnected { connection: conn } => {
-                let link = self.links.entry(conn).or_insert(Link::new(now, None));
-                link.keepalive.hears(now);
-                self.look_at = self.look_at.min(now + SILENCE);
-                let hello = Frame::Hello(self.me.clone());
-                self.say_on(net, conn, &hello);
+        let Some(link) = self.links.get_mut(&connection) else { return };
+        link.keepalive.record_received(now);
+        let sender = link.peer.as_ref().map(|peer| (peer.node, peer.role));
+        let dialed_address = link.dialed_address;
+        let needs_ping_reply = link.keepalive.needs_ping_reply(now);
+        match (postcard::from_bytes(bytes), sender) {
+            (Ok(Frame::Hello(peer)), None) if self.accepts(dialed_address, &peer) => {
+                self.identified(net, connection, peer, link_events);
             }
-            Event::PeerDisconnected { connection: conn } => words.extend(self.lost(now, conn)),
-            Event::PeerFrame { connection: conn, bytes } => {
-                let link = self.links.get_mut(&conn)?;
-                link.keepalive.hears(now);
-                let (known, dialled) = (link.hello.as_ref().map(|h| (h.node, h.role)), link.dialled);
-                let answers = link.keepalive.answers(now);
-                match (postcard::from_bytes(&bytes), known) {
-                    (Ok(Frame::Hello(hello)), None) if self.is_welcome(dialled, &hello) => {
-                        let link = self.links.get_mut(&conn)?;
-                        link.hello = Some(hello.clone());
-                        self.by_class[hello.role as usize].insert(hello.node);
-                        // A newer connection of the same node: the old one is dead, though nothing has said so.
-                        if let Some(old) = self.by_node.insert(hello.node, conn) {
-                            // (Not `lost`: the node has its new connection already.)
-                            if let Some(address) = self.links.remove(&old).and_then(|link| link.dialled) {
-                                self.dialled.remove(&address);
-                                self.look_at = now;
-                            }
-                            net.close(old);
-                            words.push(LinkEvent::Down(hello.node, hello.role));
-                        }
-                        if hello.role != NodeRole::CommandLine {
-                            tracing::debug!(node = hello.name, "link up");
-                        }
-                        words.push(LinkEvent::Up(hello));
-                    }
-                    (Ok(Frame::Ping), Some(_)) => {
-                        if answers {
-                            self.say_on(net, conn, &Frame::Ping);
-                        }
-                    }
-                    (Ok(signal), Some((node, class))) if !matches!(signal, Frame::Hello(_)) => {
-                        words.push(LinkEvent::Received(node, class, signal));
-                    }
-                    _ => {
-                        self.undecodable_frames += 1;
-                        words.extend(self.lost(now, conn));
-                        net.close_malformed(conn);
-                    }
+            (Ok(Frame::Ping), Some(_)) => {
+                if needs_ping_reply {
+                    self.send_on(net, connection, &Frame::Ping);
                 }
             }
-            other => return Some(other),
+            (Ok(frame), Some((node, role))) if !matches!(frame, Frame::Hello(_)) => {
+                link_events.push(LinkEvent::Received(node, role, frame));
+            }
+            _ => {
+                self.undecodable_frames += 1;
+                link_events.extend(self.remove_link(now, connection));
+                net.close_malformed(connection);
+            }
         }
-        None
+    }
+
+    /// Whether a process that says this of itself is accepted on a connection that was opened to `dialed_address`, if it was
+    /// opened from here.
+    fn accepts(&self, dialed_address: Option<SocketAddrV4>, peer: &PeerInfo) -> bool {
+        let listens_there =
+            |ip| dialed_address.is_none_or(|dialed| self.listen_address(ip, peer.role) == dialed);
+        // Another process may have the address by now, and would be sent what is meant for the one that was dialled.
+        let is_dialed_one = listens_there(peer.ip)
+            || peer.control_address.is_some_and(|control| listens_there(*control.ip()));
+        let is_known_by_other_name = self.peer(peer.node).is_some_and(|known| known.name != peer.name);
+        let has_own_id = peer.node != self.local.node && !is_known_by_other_name;
+        peer.protocol_version == PROTOCOL_VERSION && is_dialed_one && has_own_id
+    }
+
+    /// The other side has said who it is.
+    fn identified(
+        &mut self,
+        net: &mut Net,
+        connection: ConnectionId,
+        peer: PeerInfo,
+        link_events: &mut Vec<LinkEvent>,
+    ) {
+        let Some(link) = self.links.get_mut(&connection) else { return };
+        link.peer = Some(peer.clone());
+        self.by_role[peer.role as usize].insert(peer.node);
+        if let Some(replaced) = self.by_node.insert(peer.node, connection) {
+            self.close_replaced(net, replaced);
+            link_events.push(LinkEvent::Down(peer.node, peer.role));
+        }
+        if peer.role != NodeRole::CommandLine {
+            tracing::debug!(node = peer.name, "link up");
+        }
+        link_events.push(LinkEvent::Up(peer));
+    }
+
+    /// The node has opened a newer connection: this one is dead, though nothing has said so. ([`Links::remove_link`] would
+    /// forget the node, which has its new connection already.)
+    fn close_replaced(&mut self, net: &mut Net, connection: ConnectionId) {
+        if let Some(address) = self.links.remove(&connection).and_then(|link| link.dialed_address) {
+            self.dialed.remove(&address);
+            self.next_scan_at = net.now();
+        }
+        net.close(connection);
+    }
+
+    /// Forgets a connection. Returns what the role is to be told, if it was the connection of a node.
+    fn remove_link(&mut self, now: Millis, connection: ConnectionId) -> Option<LinkEvent> {
+        let link = self.links.remove(&connection)?;
+        if let Some(address) = link.dialed_address {
+            self.dialed.remove(&address);
+            let next_attempt_at = self.dial_targets.get(&address).copied().unwrap_or(Millis::MAX);
+            self.next_scan_at = self.next_scan_at.min(next_attempt_at.max(now));
+        }
+        let peer = link.peer?;
+        if self.by_node.get(&peer.node) != Some(&connection) {
+            return None;
+        }
+        self.by_node.remove(&peer.node);
+        self.by_role[peer.role as usize].remove(&peer.node);
+        if peer.role != NodeRole::CommandLine {
+            tracing::info!(node = peer.name, "link down");
+        }
+        Some(LinkEvent::Down(peer.node, peer.role))
     }
 }
 
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -8,6 +8,7 @@
 mod calls;
 mod core;
 mod edge;
+mod keepalive;
 mod links;
 mod metrics;
 mod net;
--- a/crates/server/src/net/framing.rs
+++ b/crates/server/src/net/framing.rs
@@ -1,9 +1,9 @@
 //! Frames between the system's own processes on a byte stream: a length of four bytes, little-endian, and as many bytes.
 
+use crate::protocol::FRAME_LENGTH_BYTES;
+
 /// Longest content of a frame, in bytes.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
-/// Bytes of the length that precedes the content.
-pub const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// The length is above [`MAX_FRAME_BYTES`]: the other side speaks another protocol.
 #[derive(Debug, PartialEq, thiserror::Error)]
@@ -22,7 +22,7 @@
 ///
 /// [`FrameTooLong`] as soon as the length has arrived.
 pub fn first_frame(input: &[u8]) -> Result<Option<&[u8]>, FrameTooLong> {
-    let Some((length, rest)) = input.split_first_chunk::<LENGTH_PREFIX_BYTES>() else { return Ok(None) };
+    let Some((length, rest)) = input.split_first_chunk::<FRAME_LENGTH_BYTES>() else { return Ok(None) };
     let length = u32::from_le_bytes(*length) as usize;
     if length > MAX_FRAME_BYTES {
         return Err(FrameTooLong);
@@ -38,7 +38,7 @@
         match first_frame(&input[used..]) {
             Ok(Some(content)) => {
                 frames.push(content.to_vec());
-                used += LENGTH_PREFIX_BYTES + content.len();
+                used += FRAME_LENGTH_BYTES + content.len();
             }
             Ok(None) => break Ok(()),
             Err(error) => break Err(error),
--- a/crates/server/src/net/framing/tests.rs
+++ b/crates/server/src/net/framing/tests.rs
@@ -19,11 +19,11 @@
         // As many as are whole, in order, and what is left is the beginning of the next.
         let mut whole = 0;
         let fits = frames.iter().take_while(|frame| {
-            whole += LENGTH_PREFIX_BYTES + frame.len();
+            whole += FRAME_LENGTH_BYTES + frame.len();
             whole <= cut
         });
         assert_eq!(seen, fits.cloned().collect::<Vec<_>>(), "seed {seed}");
-        let used: usize = seen.iter().map(|frame| LENGTH_PREFIX_BYTES + frame.len()).sum();
+        let used: usize = seen.iter().map(|frame| FRAME_LENGTH_BYTES + frame.len()).sum();
         assert_eq!(input, bytes[used..cut], "seed {seed}");
     }
 }
--- a/crates/server/src/node.rs
+++ b/crates/server/src/node.rs
@@ -146,13 +146,13 @@
 
     /// One turn of the loop; words of links and events of the net are told apart.
     pub fn poll(&mut self, until: Millis) -> (Vec<LinkEvent>, Vec<Event>) {
-        let until = until.min(self.links.next()).min(self.session_next());
+        let until = until.min(self.links.next_deadline()).min(self.session_next());
         // A signal interrupts the wait; one that came just before it is seen at the latest then.
         let until = until.min(self.net.now() + 250);
         let happened = self.net.poll(until);
         let (mut link_events, mut events) = (Vec::new(), Vec::new());
         for event in happened {
-            events.extend(self.links.event(&mut self.net, event, &mut link_events));
+            events.extend(self.links.handle_event(&mut self.net, event, &mut link_events));
         }
         link_events.extend(self.links.tick(&mut self.net));
         let moved = |link_event: &LinkEvent| {
--- a/crates/server/src/protocol.rs
+++ b/crates/server/src/protocol.rs
@@ -12,6 +12,8 @@
 
 /// The version of this protocol. A process of another version is rejected as soon as it says so in its [`PeerInfo`].
 pub const PROTOCOL_VERSION: u16 = 1;
+/// Each frame on a connection is preceded by its length in so many bytes, little-endian.
+pub const FRAME_LENGTH_BYTES: usize = 4;
 
 /// What a process says of itself in the first frame of a connection, in both directions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/server/src/report.rs
+++ b/crates/server/src/report.rs
@@ -1,6 +1,6 @@
 //! What a process tells of itself: to the command line over the internal protocol, and as figures.
 
-use crate::links::LinkEvent;
+use crate::links::{LinkEvent, SentKind};
 use crate::metrics::Exposition;
 use crate::net::{ConnectionId, Event, Response};
 use crate::node::NodeRuntime;
@@ -158,11 +158,11 @@
             self.links.undecodable_frames,
         );
         let (frames, bytes) = ("stileroute_said_total", "stileroute_said_bytes_total");
-        for ((about, far), said) in &self.links.sent {
+        for (SentKind { category: about, crosses_zones: far }, said) in &self.links.sent {
             let labels = [("about", *about), ("zone", if *far { "other" } else { "own" })];
             sheet.counter(frames, "Frames to other processes, by what they are about.", &labels, said.frames);
         }
-        for ((about, far), said) in &self.links.sent {
+        for (SentKind { category: about, crosses_zones: far }, said) in &self.links.sent {
             let labels = [("about", *about), ("zone", if *far { "other" } else { "own" })];
             sheet.counter(bytes, "Bytes to other processes, by what they are about.", &labels, said.bytes);
         }
