--- a/crates/queue/src/copies/outbox.rs
+++ b/crates/queue/src/copies/outbox.rs
@@ -22,7 +22,7 @@
 
 impl Queue {
     pub(crate) fn tell_ends(&mut self) {
-        self.ends_at = None;
+        self.flush_ends_at = None;
         let mut notes = Vec::new();
         for (node, peer) in self.peers.iter_mut().filter(|(_, p)| p.connected) {
             for part in std::mem::take(&mut peer.out.ends).chunks(4000) {
@@ -32,7 +32,7 @@
                 notes.push((*node, PeerMessage::CallbacksDelivered(std::mem::take(&mut peer.out.called))));
             }
         }
-        notes.into_iter().for_each(|(to, note)| self.push(Effect::Send { to, note }));
+        notes.into_iter().for_each(|(to, note)| self.emit(Effect::Send { to, message: note }));
     }
 
     pub(crate) fn tell(&mut self) {
@@ -80,6 +80,6 @@
                 notes.push((*node, PeerMessage::Handover(std::mem::take(&mut out.handover))));
             }
         }
-        notes.into_iter().for_each(|(to, note)| self.push(Effect::Send { to, note }));
+        notes.into_iter().for_each(|(to, note)| self.emit(Effect::Send { to, message: note }));
     }
 }
--- a/crates/server/src/edge.rs
+++ b/crates/server/src/edge.rs
@@ -1,14 +1,14 @@
 //! The edge: takes messages from clients, has a store keep them, and answers; asks stores what became of one.
 
-mod asking;
+mod pending;
 mod report;
 
-use asking::{Find, Heard, Put, Refused};
+use pending::{Find, Heard, Put, Refused};
 
 use crate::links::LinkEvent;
 use crate::net::{ConnectionId, Event, Millis, Request, RequestLimits, Response};
 use crate::node::{wall_clock_ms, NodeRuntime};
-use crate::protocol::{Frame, KnownMessage, MessageState, NodeRole};
+use crate::protocol::{Frame, KnownMessage, MessageStatus, NodeRole};
 use crate::report::Told;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -480,10 +480,10 @@
             None => Response::empty(404),
         };
     }
-    let object = match found.state {
-        MessageState::Pending => jzon::object! { "state" => "waiting" },
-        MessageState::Complete { seal } => jzon::object! { "state" => "complete", "seal" => seal },
-        MessageState::Failed => jzon::object! { "state" => "failed" },
+    let object = match found.status {
+        MessageStatus::Pending => jzon::object! { "state" => "waiting" },
+        MessageStatus::Complete { seal } => jzon::object! { "state" => "complete", "seal" => seal },
+        MessageStatus::Failed => jzon::object! { "state" => "failed" },
     };
     Response::json(200, object.dump())
 }
--- a/crates/server/src/edge/asking.rs
+++ b/crates/server/src/edge/pending.rs
@@ -4,7 +4,7 @@
 //! counts, but it ends no wait but its own.
 
 use crate::net::{ConnectionId, Millis};
-use crate::protocol::{KnownMessage, MessageState};
+use crate::protocol::{KnownMessage, MessageStatus};
 use stileroute_queue::{Key, Message, Node, PutError};
 
 /// A message that is offered to stores until one has taken it.
@@ -64,7 +64,7 @@
     pub fn heard(&mut self, from: Node, found: Option<KnownMessage>) -> Heard {
         let next = if self.asked == from { Heard::Next } else { Heard::Wait };
         match found {
-            Some(found @ KnownMessage { state: MessageState::Pending, .. }) if from != self.key.origin => {
+            Some(found @ KnownMessage { status: MessageStatus::Pending, .. }) if from != self.key.origin => {
                 self.waiting = Some(found);
                 next
             }
--- a/crates/server/src/protocol.rs
+++ b/crates/server/src/protocol.rs
@@ -38,7 +38,7 @@
 
 /// What a store knows of the fate of a message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum MessageState {
+pub enum MessageStatus {
     /// It has not ended yet.
     Pending,
     /// An executor has run it.
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KnownMessage {
     /// How far the message has come.
-    pub state: MessageState,
+    pub status: MessageStatus,
     /// Its body, if that was asked for and is still there.
     pub body: Option<Vec<u8>>,
 }
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -7,7 +7,7 @@
 use crate::net::{CallError, CallReply, Event, Millis, OutgoingCall};
 use crate::node::{random_seed, wall_clock_ms, NodeRuntime};
 use crate::protocol::{
-    ExecutorState, Frame, Heartbeat, KnownMessage, MessageState, NodeRole, RetirementState,
+    ExecutorState, Frame, Heartbeat, KnownMessage, MessageStatus, NodeRole, RetirementState,
 };
 use crate::report::Told;
 use std::collections::HashMap;
@@ -16,9 +16,10 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 use stileroute_queue::{
-    first_number, Bear, Effect, Key, Node, Outcome, Queue, QueueSettings, Record, Server, State, StateTable,
+    first_number, AttemptOutcome, Effect, Executor, Key, MessageState, Node, Queue, QueueSettings, Record,
+    StateTable, ToleratedLosses,
 };
-use stileroute_wal::{Options, Trouble, Wal};
+use stileroute_wal::{AppendError, Options, Wal};
 
 /// A receiver of call-backs has so long.
 const CALL: Millis = 3000;
@@ -34,7 +35,7 @@
     common: NodeRuntime,
     queue: Queue,
     disk: Wal,
-    disk_said: Receiver<(u64, Result<(), Trouble>)>,
+    disk_said: Receiver<(u64, Result<(), AppendError>)>,
     servers: HashMap<String, Heartbeat>,
     out: HashMap<u64, Out>,
     next_ticket: u64,
@@ -73,17 +74,17 @@
         let zone = common.boot.zones.keys().position(|zone| *zone == common.boot.zone).unwrap_or(0);
         let boot = &common.boot;
         let terms = QueueSettings {
-            me: common.links.local().node,
+            node: common.links.local().node,
             zone,
-            disk: number,
-            first,
-            begun: ledger.incarnation_first_numbers.clone(),
-            losses: boot.losses.copies(),
-            regions: boot.regions(),
-            bear: Bear { zones: boot.losses.zones, regions: boot.losses.regions },
-            window_ms: boot.bounds.ceiling_window_ms,
-            overrun: boot.bounds.origin_overrun,
-            status_ms: boot.bounds.status_ms,
+            disk_id: number,
+            first_number: first,
+            earlier_first_numbers: ledger.incarnation_first_numbers.clone(),
+            replica_count: boot.losses.copies(),
+            region_of_zone: boot.regions(),
+            tolerated_losses: ToleratedLosses { zones: boot.losses.zones, regions: boot.losses.regions },
+            rate_window_ms: boot.bounds.ceiling_window_ms,
+            rate_tolerance: boot.bounds.origin_overrun,
+            status_retention_ms: boot.bounds.status_ms,
             seed: random_seed(),
         };
         tracing::info!(messages = ledger.messages.len(), disk = number, "disk read");
@@ -107,16 +108,16 @@
 
     pub fn run(mut self) -> miette::Result<()> {
         loop {
-            let (link_events, events) = self.common.poll(self.queue.next());
+            let (link_events, events) = self.common.poll(self.queue.next_deadline());
             link_events.into_iter().for_each(|link_event| self.link_event(link_event));
             events.into_iter().for_each(|event| self.event(event));
             self.inquiries();
             self.common.maintain_session();
             self.connect();
-            self.queue.heard = self.common.has_fresh_session();
+            self.queue.hears_control_group = self.common.has_fresh_session();
             let now = self.common.net.now();
             // From the last answer on: the session stood then, and is counted for so long after its end.
-            self.queue.lapsed =
+            self.queue.session_may_have_lapsed =
                 now >= self.common.session.last_update_at + stileroute_registry::SESSION_GRACE;
             if self.common.take_shutdown_request() {
                 for edge in self.common.links.nodes_with_role(NodeRole::Edge) {
@@ -131,7 +132,7 @@
                 stileroute_queue::RetirementState::Empty => RetirementState::Complete,
             };
             self.common.report_retirement(retirement);
-            for line in self.queue.log() {
+            for line in self.queue.take_dispatch_log() {
                 tracing::debug!("{line}");
             }
             if self.may_end(now) {
@@ -145,11 +146,11 @@
     fn may_end(&mut self, now: Millis) -> bool {
         let Some(since) = self.common.draining_since else { return false };
         let grace = self.common.boot.bounds.grace_ms.saturating_sub(1000);
-        let done = self.queue.in_hand() == 0 && now > since + 150;
+        let done = self.queue.unfinished_count() == 0 && now > since + 150;
         if done && !self.flushed {
             // The last ends go out before the process does: whoever took over must not run them again.
             self.flushed = true;
-            self.queue.flush();
+            self.queue.flush_ends();
             self.carry_out();
             return false;
         }
@@ -175,7 +176,7 @@
             LinkEvent::Up(hello) if hello.role == NodeRole::Store => {
                 self.queue.peer_connected(now, hello.node)
             }
-            LinkEvent::Up(hello) if hello.role == NodeRole::Edge && self.queue.leaving => {
+            LinkEvent::Up(hello) if hello.role == NodeRole::Edge && self.queue.is_draining => {
                 self.common.links.send(&mut self.common.net, hello.node, &Frame::Draining);
             }
             LinkEvent::Up(_) => {}
@@ -227,7 +228,7 @@
                 }
                 let fine = self.common.net.now_tenths_ms();
                 if changed {
-                    self.queue.list(now, fine, self.listed());
+                    self.queue.set_executors(now, fine, self.listed());
                 }
                 if let Some(config) = config {
                     self.queue.configure(now, fine, config);
@@ -250,14 +251,14 @@
                 NodeRole::Edge,
                 Frame::Lookup { request_id: ticket, key, include_body: body },
             ) => {
-                let found = self.queue.find(key).map(|(state, bytes)| {
+                let found = self.queue.lookup(key).map(|(state, bytes)| {
                     let body = bytes.filter(|_| body).map(<[u8]>::to_vec);
-                    let state = match state {
-                        State::Waiting => MessageState::Pending,
-                        State::Complete { seal } => MessageState::Complete { seal },
-                        State::Failed => MessageState::Failed,
+                    let status = match state {
+                        MessageState::Waiting => MessageStatus::Pending,
+                        MessageState::Complete { seal } => MessageStatus::Complete { seal },
+                        MessageState::Failed => MessageStatus::Failed,
                     };
-                    KnownMessage { state, body }
+                    KnownMessage { status, body }
                 });
                 self.common.links.send(
                     &mut self.common.net,
@@ -280,19 +281,19 @@
         }
     }
 
-    fn listed(&self) -> HashMap<String, Vec<Server>> {
-        let mut all: HashMap<String, Vec<Server>> = HashMap::new();
+    fn listed(&self) -> HashMap<String, Vec<Executor>> {
+        let mut all: HashMap<String, Vec<Executor>> = HashMap::new();
         let mut heartbeats: Vec<&Heartbeat> = self.servers.values().collect();
         heartbeats.sort_unstable_by(|a, b| a.id.cmp(&b.id));
         for heartbeat in heartbeats {
             let zone = self.common.boot.zones.keys().position(|zone| *zone == heartbeat.zone);
-            all.entry(heartbeat.backend.clone()).or_default().push(Server {
+            all.entry(heartbeat.backend.clone()).or_default().push(Executor {
                 id: heartbeat.id.clone(),
                 address: heartbeat.address,
                 zone: zone.unwrap_or(self.common.boot.zones.len()),
                 capacity: f64::from(heartbeat.capacity),
-                serving: heartbeat.state == ExecutorState::Serving,
-                cold_left_ms: heartbeat.warmup_left_ms,
+                is_serving: heartbeat.state == ExecutorState::Serving,
+                warm_up_left_ms: heartbeat.warmup_left_ms,
             });
         }
         all
@@ -310,7 +311,7 @@
                             Ok(()) => tracing::info!("disk takes again"),
                         }
                     }
-                    self.queue.kept(now, ticket, result.is_ok());
+                    self.queue.write_completed(now, ticket, result.is_ok());
                 }
             }
             Event::CallCompleted { call_id: ticket, result } => self.replied(ticket, result),
@@ -327,10 +328,10 @@
                 let outcome = judge(&id, result);
                 self.tally.ended(&outcome);
                 let fine = self.common.net.now_tenths_ms();
-                self.queue.delivered(now, fine, attempt, outcome, load);
+                self.queue.attempt_ended(now, fine, attempt, outcome, load);
             }
             Some(Out::Call(key)) => {
-                self.queue.called(now, key, result.is_ok_and(|reply| reply.status == 200))
+                self.queue.callback_ended(now, key, result.is_ok_and(|reply| reply.status == 200))
             }
             None => {}
         }
@@ -340,7 +341,7 @@
         for _ in 0..8 {
             let (now, fine) = (self.common.net.now(), self.common.net.now_tenths_ms());
             self.queue.tick(now, fine);
-            let effects = self.queue.take();
+            let effects = self.queue.take_effects();
             if effects.is_empty() {
                 return;
             }
@@ -351,16 +352,16 @@
     fn effect(&mut self, effect: Effect) {
         let now = self.common.net.now();
         match effect {
-            Effect::Disk { ticket, records, sync } => {
+            Effect::Persist { ticket, records, sync } => {
                 self.disk.append(ticket, records, sync);
                 if is_injected(InjectedFault::AnswerBeforeDisk) {
-                    self.queue.kept(now, ticket, true);
+                    self.queue.write_completed(now, ticket, true);
                 }
             }
-            Effect::Send { to, note } => {
+            Effect::Send { to, message: note } => {
                 self.common.links.send(&mut self.common.net, to, &Frame::Queue(note));
             }
-            Effect::Taken { ticket, result } => {
+            Effect::PutResult { ticket, result } => {
                 if let Some((edge, ticket)) = self.askers.remove(&ticket) {
                     self.common.links.send(
                         &mut self.common.net,
@@ -369,8 +370,15 @@
                     );
                 }
             }
-            Effect::Deliver { attempt, key, to, expect, timeout_ms, conns } => {
-                self.tally.began(self.queue.first_wait(now, key));
+            Effect::StartAttempt {
+                attempt,
+                key,
+                to,
+                expected_server: expect,
+                timeout_ms,
+                max_connections: conns,
+            } => {
+                self.tally.began(self.queue.first_attempt_delay_ms(now, key));
                 let Some(message) = self.queue.message(key) else { return };
                 let mut bytes = Vec::with_capacity(message.body.len() + 320);
                 let _ = write!(
@@ -405,12 +413,12 @@
                         let fine = self.common.net.now_tenths_ms();
                         let outcome = judge(&id, Err(failure));
                         self.tally.ended(&outcome);
-                        self.queue.delivered(now, fine, attempt, outcome, None);
+                        self.queue.attempt_ended(now, fine, attempt, outcome, None);
                     }
                 }
             }
-            Effect::Call { key, url: text, body } => {
-                let Some((to, path)) = url(&text) else { return self.queue.called(now, key, false) };
+            Effect::CallBack { key, url: text, body } => {
+                let Some((to, path)) = url(&text) else { return self.queue.callback_ended(now, key, false) };
                 let bytes = format!(
                     "POST {path} HTTP/1.1\r\nHost: {to}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
                     body.len()
@@ -428,7 +436,7 @@
                     Ok(()) => {
                         self.out.insert(self.next_ticket, Out::Call(key));
                     }
-                    Err(_) => self.queue.called(now, key, false),
+                    Err(_) => self.queue.callback_ended(now, key, false),
                 }
             }
         }
@@ -453,30 +461,30 @@
 }
 
 /// What an answer says of the attempt. One that names another request, or no seal, is no success.
-fn judge(id: &str, result: Result<CallReply, CallError>) -> Outcome {
+fn judge(id: &str, result: Result<CallReply, CallError>) -> AttemptOutcome {
     let reply = match result {
         Ok(reply) => reply,
-        Err(CallError::NotConnected) => return Outcome::NotConnected,
-        Err(CallError::NoCapacity) => return Outcome::NoRoom,
-        Err(CallError::ConnectionLost) => return Outcome::Broken,
-        Err(CallError::TimedOut) => return Outcome::Late,
-        Err(CallError::InvalidReply) => return Outcome::Garbled,
+        Err(CallError::NotConnected) => return AttemptOutcome::NotConnected,
+        Err(CallError::NoCapacity) => return AttemptOutcome::NoFreeConnection,
+        Err(CallError::ConnectionLost) => return AttemptOutcome::ConnectionBroken,
+        Err(CallError::TimedOut) => return AttemptOutcome::NoResponse,
+        Err(CallError::InvalidReply) => return AttemptOutcome::MalformedResponse,
     };
     if reply.request_id.as_deref() != Some(id) {
-        return Outcome::Garbled;
+        return AttemptOutcome::MalformedResponse;
     }
     match (reply.status, reply.seal) {
-        (200..=299, Some(seal)) => Outcome::Done { seal },
-        (200..=299, None) => Outcome::Garbled,
-        (422, _) => Outcome::Refused,
-        (421, _) => Outcome::Wrong,
-        (409, _) => Outcome::Running,
-        (429, _) => Outcome::Over,
-        (503, _) => Outcome::Full,
-        (504, _) => Outcome::Stopped,
-        (500, _) if !reply.was_not_run => Outcome::Failed,
-        _ if reply.was_not_run => Outcome::NotRun,
-        _ => Outcome::Garbled,
+        (200..=299, Some(seal)) => AttemptOutcome::Completed { seal },
+        (200..=299, None) => AttemptOutcome::MalformedResponse,
+        (422, _) => AttemptOutcome::Rejected,
+        (421, _) => AttemptOutcome::WrongServer,
+        (409, _) => AttemptOutcome::AlreadyRunning,
+        (429, _) => AttemptOutcome::RateLimited,
+        (503, _) => AttemptOutcome::ExecutorFull,
+        (504, _) => AttemptOutcome::TimedOut,
+        (500, _) if !reply.was_not_run => AttemptOutcome::Failed,
+        _ if reply.was_not_run => AttemptOutcome::NotRun,
+        _ => AttemptOutcome::MalformedResponse,
     }
 }
 
--- a/crates/server/src/store/tests.rs
+++ b/crates/server/src/store/tests.rs
@@ -95,20 +95,20 @@
 fn each_outcome_of_a_delivery_is_counted_under_its_label() {
     let mut lone = Lone::new("outcomes");
     let outcomes = [
-        (Outcome::Done { seal: String::new() }, "done"),
-        (Outcome::Refused, "refused"),
-        (Outcome::Failed, "failed"),
-        (Outcome::Full, "full"),
-        (Outcome::Over, "over"),
-        (Outcome::Running, "running"),
-        (Outcome::Wrong, "wrong"),
-        (Outcome::NotRun, "not_run"),
-        (Outcome::Stopped, "stopped"),
-        (Outcome::NotConnected, "not_connected"),
-        (Outcome::NoRoom, "no_room"),
-        (Outcome::Broken, "broken"),
-        (Outcome::Late, "late"),
-        (Outcome::Garbled, "garbled"),
+        (AttemptOutcome::Completed { seal: String::new() }, "done"),
+        (AttemptOutcome::Rejected, "refused"),
+        (AttemptOutcome::Failed, "failed"),
+        (AttemptOutcome::ExecutorFull, "full"),
+        (AttemptOutcome::RateLimited, "over"),
+        (AttemptOutcome::AlreadyRunning, "running"),
+        (AttemptOutcome::WrongServer, "wrong"),
+        (AttemptOutcome::NotRun, "not_run"),
+        (AttemptOutcome::TimedOut, "stopped"),
+        (AttemptOutcome::NotConnected, "not_connected"),
+        (AttemptOutcome::NoFreeConnection, "no_room"),
+        (AttemptOutcome::ConnectionBroken, "broken"),
+        (AttemptOutcome::NoResponse, "late"),
+        (AttemptOutcome::MalformedResponse, "garbled"),
     ];
     outcomes.iter().for_each(|(outcome, _)| lone.store.tally.ended(outcome));
     let mut sheet = crate::metrics::Exposition::default();
