--- a/crates/server/src/edge/lookups.rs
+++ b/crates/server/src/edge/lookups.rs
@@ -3,7 +3,7 @@
 use super::pending::{AfterReply, PendingLookup};
 use super::{Edge, STORE_REPLY_TIMEOUT_MS};
 use crate::net::{ConnectionId, Millis, Response};
-use crate::protocol::{Frame, KnownMessage, MessageState, NodeRole};
+use crate::protocol::{Frame, KnownMessage, MessageStatus, NodeRole};
 use stileroute_queue::{Key, KeyLocation, Node};
 
 /// For all stores together, in ms: a client waits two seconds.
@@ -123,10 +123,10 @@
             None => Response::empty(404),
         };
     }
-    let object = match known.state {
-        MessageState::Pending => jzon::object! { "state" => "waiting" },
-        MessageState::Complete { seal } => jzon::object! { "state" => "complete", "seal" => seal },
-        MessageState::Failed => jzon::object! { "state" => "failed" },
+    let object = match known.status {
+        MessageStatus::Pending => jzon::object! { "state" => "waiting" },
+        MessageStatus::Complete { seal } => jzon::object! { "state" => "complete", "seal" => seal },
+        MessageStatus::Failed => jzon::object! { "state" => "failed" },
     };
     Response::json(200, object.dump())
 }
--- a/crates/server/src/edge/pending.rs
+++ b/crates/server/src/edge/pending.rs
@@ -4,7 +4,7 @@
 //! counts, but only the store that was asked last is waited for.
 
 use crate::net::{ConnectionId, Millis};
-use crate::protocol::{KnownMessage, MessageState};
+use crate::protocol::{KnownMessage, MessageStatus};
 use stileroute_queue::{Key, Message, Node, PutError};
 
 /// A message that is offered to stores until one has accepted it.
@@ -83,7 +83,7 @@
         let next = if self.asked_store == store { AfterReply::AskNextStore } else { AfterReply::KeepWaiting };
         match result {
             // Only the store that accepted the message is believed that it has not ended: others may not have heard of the end.
-            Some(known @ KnownMessage { state: MessageState::Pending, .. }) if store != self.key.origin => {
+            Some(known @ KnownMessage { status: MessageStatus::Pending, .. }) if store != self.key.origin => {
                 self.known_as_pending = Some(known);
                 next
             }
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -12,6 +12,7 @@
 mod disk;
 mod edge;
 mod inspection;
+mod keepalive;
 mod links;
 mod metrics;
 mod net;
--- a/crates/server/src/store/deliveries.rs
+++ b/crates/server/src/store/deliveries.rs
@@ -4,7 +4,7 @@
 use super::{InFlight, Store};
 use crate::callback_url::parse_callback_url;
 use crate::net::fault_injection::{is_injected, InjectedFault};
-use crate::net::{CallError, CallReply, Millis};
+use crate::net::{CallError, CallReply, Millis, OutgoingCall};
 use crate::protocol::Frame;
 use std::net::SocketAddrV4;
 use stileroute_queue::{Effect, Key};
@@ -81,14 +81,15 @@
         let request_id = message.id.clone();
         let call_id = self.next_id();
         let deadline = now + attempt.timeout_ms;
-        let started = self.runtime.net.call(
-            attempt.executor,
-            &bytes,
+        let call = OutgoingCall {
+            to: attempt.executor,
+            request: &bytes,
             call_id,
             deadline,
-            attempt.max_connections,
-            Some(&request_id),
-        );
+            max_connections: attempt.max_connections,
+            request_id: Some(&request_id),
+        };
+        let started = self.runtime.net.call(call);
         match started {
             Ok(()) => {
                 let in_flight = InFlight::Attempt { attempt: attempt.number, request_id };
@@ -114,8 +115,15 @@
         );
         let call_id = self.next_id();
         let deadline = now + CALLBACK_TIMEOUT_MS;
-        let net = &mut self.runtime.net;
-        match net.call(receiver, bytes.as_bytes(), call_id, deadline, MAX_CALLBACK_CONNECTIONS, None) {
+        let call = OutgoingCall {
+            to: receiver,
+            request: bytes.as_bytes(),
+            call_id,
+            deadline,
+            max_connections: MAX_CALLBACK_CONNECTIONS,
+            request_id: None,
+        };
+        match self.runtime.net.call(call) {
             Ok(()) => {
                 self.in_flight.insert(call_id, InFlight::Callback(key));
             }
