--- /dev/null
+++ b/crates/wal/tests/appends.rs
@@ -0,0 +1,166 @@
+//! Results of appends: their order, their syncs, and what is refused or fails.
+
+mod support;
+
+use std::io;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::mpsc::channel;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use assert_matches::assert_matches;
+use stileroute_wal::{AppendError, Options, StateMachine, Statistics, Step, MAX_RECORD_BYTES};
+use support::{hooked, keys, options, signal_at, TemporaryFolder, TestLog, TIMEOUT};
+
+#[test]
+fn results_come_in_order_and_queued_appends_share_one_sync() {
+    let folder = TemporaryFolder::new();
+    let gate = Arc::new(Mutex::new(()));
+    let (sender, write_entered) = channel();
+    let (gate_of_hook, sender) = (gate.clone(), Mutex::new(sender));
+    let (mut log, _) = TestLog::open(
+        &folder.0,
+        hooked(move |step| {
+            if step == Step::WriteEntries {
+                sender.lock().unwrap().send(()).unwrap();
+                drop(gate_of_hook.lock().unwrap());
+            }
+            Ok(())
+        }),
+    );
+    let blocked = gate.lock().unwrap();
+    log.queue(&["a=1"], true);
+    write_entered.recv().unwrap();
+    (0..20).for_each(|n| log.queue(&[&format!("n{n}=1")], n % 2 == 0));
+    log.queue(&[&format!("big={}", "x".repeat(MAX_RECORD_BYTES - 3))], true);
+    log.queue(&[], true);
+    drop(blocked);
+    for ticket in 1..=23 {
+        let (answered, result) = log.next_result();
+        assert_eq!(answered, ticket);
+        assert_eq!(matches!(result, Err(AppendError::RecordTooLarge { .. })), ticket == 22, "{result:?}");
+    }
+    assert_matches!(log.wal.statistics(), Statistics { records: 21, syncs: 2, failures: 0, .. });
+}
+
+#[test]
+fn unsynced_records_are_synced_within_the_maximal_delay() {
+    let folder = TemporaryFolder::new();
+    let (hook, synced) = signal_at(Step::SyncSegment);
+    let (mut log, _) =
+        TestLog::open(&folder.0, Options { max_sync_delay: Duration::from_millis(5), ..hooked(hook) });
+    log.append(&["a=1"], false).unwrap();
+    synced.recv_timeout(TIMEOUT).unwrap();
+}
+
+#[test]
+fn a_failed_write_or_sync_leaves_nothing_and_the_next_append_succeeds() {
+    for (step, code) in [(Step::WriteEntries, 28), (Step::WriteEntries, 5), (Step::SyncSegment, 5)] {
+        let folder = TemporaryFolder::new();
+        let failing = Arc::new(AtomicU64::new(0));
+        let failing_in_hook = failing.clone();
+        let (mut log, _) = TestLog::open(
+            &folder.0,
+            hooked(move |current| match failing_in_hook.load(Ordering::Relaxed) {
+                1 if current == step => Err(io::Error::from_raw_os_error(code)),
+                _ => Ok(()),
+            }),
+        );
+        log.append(&["a=1"], true).unwrap();
+        log.append(&["lazy=1"], false).unwrap();
+        failing.store(1, Ordering::Relaxed);
+        for _ in 0..3 {
+            match log.append(&["b=2", "c=3"], true).unwrap_err() {
+                AppendError::DiskFull => assert_eq!(code, 28),
+                AppendError::Write(_) => assert_eq!((step, code), (Step::WriteEntries, 5)),
+                error => assert_matches!((step, error), (Step::SyncSegment, AppendError::Sync(_))),
+            }
+        }
+        assert_eq!(folder.copy().recover().unwrap(), keys(&["a=1", "lazy=1"]));
+        failing.store(0, Ordering::Relaxed);
+        log.append(&["d=4"], true).unwrap();
+        assert_eq!(log.wal.statistics().failures, 3);
+        drop(log);
+        assert_eq!(folder.recover().unwrap(), keys(&["a=1", "d=4", "lazy=1"]));
+    }
+}
+
+#[test]
+fn a_full_disk_refuses_appends_until_a_checkpoint_frees_space() {
+    let folder = TemporaryFolder::new();
+    let capacity_bytes = 200_000;
+    let (hook, checkpointed) = signal_at(Step::CheckpointEnded);
+    let (mut log, mut all) = TestLog::open(&folder.0, Options { capacity_bytes, ..hooked(hook) });
+    let mut is_full = false;
+    for n in 0..1000 {
+        let record = format!("key{n}={}", "x".repeat(1000));
+        match log.append(&[&record], true) {
+            Ok(()) => all.apply(record.as_bytes()),
+            Err(error) => {
+                assert_matches!(error, AppendError::DiskFull);
+                is_full = true;
+                break;
+            }
+        }
+        let used: usize = folder.files().values().map(Vec::len).sum();
+        assert!(used as u64 <= capacity_bytes, "{used}");
+    }
+    assert!(is_full && all.0.len() > 60, "{} keys", all.0.len());
+    let removals: Vec<String> = all.0.keys().map(|key| format!("{key}=")).collect();
+    for removal in &removals {
+        log.append(&[removal], false).unwrap();
+    }
+    // A refused append asks for a checkpoint, unless one is under way; any that ends may be the one.
+    while log.append(&["after=1"], true).is_err() {
+        checkpointed.recv_timeout(TIMEOUT).unwrap();
+    }
+    drop(log);
+    assert_eq!(folder.recover().unwrap(), keys(&["after=1"]));
+}
+
+#[test]
+fn a_record_of_the_maximal_length_survives_a_checkpoint_and_one_byte_more_is_refused() {
+    let folder = TemporaryFolder::new();
+    let (mut log, _) = TestLog::open(&folder.0, options());
+    let largest = format!("a={}", "x".repeat(MAX_RECORD_BYTES - 2));
+    log.append(&[&largest], true).unwrap();
+    assert_matches!(log.append(&[&format!("{largest}x")], true), Err(AppendError::RecordTooLarge { bytes }) if bytes == MAX_RECORD_BYTES + 1);
+    drop(log);
+    let (hook, checkpointed) = signal_at(Step::CheckpointEnded);
+    let (mut log, _) = TestLog::open(&folder.0, Options { checkpoint_after_bytes: 4 << 20, ..hooked(hook) });
+    log.append(&["b=1"], true).unwrap();
+    checkpointed.recv_timeout(TIMEOUT).unwrap();
+    drop(log);
+    assert_eq!(folder.recover().unwrap(), keys(&[&largest, "b=1"]));
+    assert!(folder.files().keys().any(|name| name.starts_with("snapshot-")));
+}
+
+#[test]
+fn an_append_as_long_as_a_segment_waits_for_the_checkpoint_that_frees_space() {
+    let folder = TemporaryFolder::new();
+    let (release, checkpoint_may_run) = channel::<()>();
+    let checkpoint_may_run = Mutex::new(checkpoint_may_run);
+    let hook = move |step| {
+        if step == Step::ReadForCheckpoint {
+            let _ = checkpoint_may_run.lock().unwrap().recv();
+        }
+        Ok(())
+    };
+    let (mut log, _) = TestLog::open(
+        &folder.0,
+        Options { capacity_bytes: 8000, checkpoint_after_bytes: 1000, ..hooked(hook) },
+    );
+    let large = |key: &str| format!("key={key}{}", "x".repeat(1300));
+    for key in ["1", "2"] {
+        log.append(&[&large(key)], true).unwrap();
+    }
+    // The first is in a closed segment, whose checkpoint may not run yet; the second is in the one that is written to; there is no space for the third.
+    log.queue(&[&large("3")], true);
+    log.queue(&["after=1"], true);
+    drop(release);
+    for _ in 0..2 {
+        assert_matches!(log.next_result(), (_, Ok(())));
+    }
+    log.wal.close();
+    assert_eq!(folder.recover().unwrap(), keys(&[&large("3"), "after=1"]));
+}
--- /dev/null
+++ b/crates/wal/tests/checkpoints.rs
@@ -0,0 +1,67 @@
+//! Checkpoints that are killed or fail at each of their steps.
+
+mod support;
+
+use std::collections::BTreeSet;
+use std::io;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+
+use stileroute_wal::{verify, StateMachine};
+use support::{through_a_checkpoint, Keys, TemporaryFolder, CHECKPOINT_STEPS, LOG};
+
+#[test]
+fn a_checkpoint_killed_at_any_step_leaves_the_current_state_and_no_more() {
+    let (folder, copies) = (TemporaryFolder::new(), Arc::new(Mutex::new(Vec::new())));
+    let (path, copies_of_hook) = (folder.0.clone(), copies.clone());
+    let (log, all) = through_a_checkpoint(&folder, move |step| {
+        if CHECKPOINT_STEPS.contains(&step) {
+            copies_of_hook.lock().unwrap().push((step, TemporaryFolder::copy_of(&path)));
+        }
+        Ok(())
+    });
+    assert!(log.wal.statistics().checkpoints >= 1);
+    log.wal.close();
+    assert_eq!(folder.recover().unwrap(), all);
+    let files = folder.files();
+    assert!(!files.contains_key(LOG), "{:?}", files.keys());
+    let bytes: usize = files.values().map(Vec::len).sum();
+    assert!(bytes < 5000, "{bytes} bytes left of some 9000");
+
+    let copies = copies.lock().unwrap();
+    for wanted in CHECKPOINT_STEPS {
+        assert!(copies.iter().any(|(step, _)| *step == wanted), "{wanted:?} was not passed");
+    }
+    for (step, copy) in copies.iter() {
+        // Each tenth key was last written within the last ten appends, however far the copy came.
+        let mut read = Keys::default();
+        let report = verify(&copy.0, &mut |record| read.apply(record)).unwrap();
+        let state = copy.recover().unwrap();
+        assert_eq!(read, state, "{step:?}: {report}");
+        if state == Keys::default() {
+            assert!(CHECKPOINT_STEPS[..3].contains(step), "{step:?}: empty, but not at the opening");
+            continue;
+        }
+        let values: BTreeSet<u32> = state.0.values().map(|value| value.parse().unwrap()).collect();
+        let (first, last) = (*values.first().unwrap(), *values.last().unwrap());
+        assert_eq!((state.0.len(), last - first), (10, 9), "{step:?}: {state:?}");
+        assert!(!copy.files().keys().any(|name| name.ends_with(".tmp")));
+    }
+}
+
+#[test]
+fn a_checkpoint_that_fails_at_any_step_loses_nothing() {
+    for failing in CHECKPOINT_STEPS {
+        let folder = TemporaryFolder::new();
+        let failed = AtomicU64::new(0);
+        let (log, all) = through_a_checkpoint(&folder, move |step| match step {
+            // The opening creates a segment too.
+            _ if step == failing && failed.fetch_add(1, Ordering::Relaxed) > 0 => {
+                Err(io::Error::other("broken"))
+            }
+            _ => Ok(()),
+        });
+        drop(log);
+        assert_eq!(folder.recover().unwrap(), all, "{failing:?}");
+    }
+}
--- a/crates/wal/tests/disk_format.rs
+++ b/crates/wal/tests/disk_format.rs
@@ -1,14 +1,12 @@
 //! The disk format: a folder that an earlier build wrote opens with all its records, and the same appends give the same bytes.
 
-use std::collections::BTreeMap;
+mod support;
+
 use std::fs;
-use std::io;
 use std::path::{Path, PathBuf};
-use std::sync::mpsc::channel;
-use std::sync::{Arc, Mutex};
-use std::time::Duration;
 
-use stileroute_wal::{verify, Options, StateMachine, Step, Wal};
+use stileroute_wal::{verify, Options, Step, Wal};
+use support::{files, hooked, options, signal_at, Keys, TemporaryFolder, TestLog, TIMEOUT};
 
 const FORMAT: &str = "FORMAT";
 const SNAPSHOT: &str = "snapshot-0000000002";
@@ -16,73 +14,18 @@
 /// A small segment limit, so that the first appends end in a snapshot.
 const FIRST_SEGMENT_BYTES: u64 = 150;
 
-/// Of records KEY=VALUE the last of each key; KEY= alone removes it.
-#[derive(Default, Debug, PartialEq, Clone)]
-struct Keys(BTreeMap<String, String>);
-
-impl StateMachine for Keys {
-    fn apply(&mut self, record: &[u8]) {
-        let text = std::str::from_utf8(record).expect("text");
-        let (key, value) = text.split_once('=').expect("a key");
-        self.0.remove(key);
-        if !value.is_empty() {
-            self.0.insert(key.into(), value.into());
-        }
-    }
-
-    fn snapshot(&self, out: &mut dyn FnMut(&[u8])) {
-        self.0.iter().for_each(|(key, value)| out(format!("{key}={value}").as_bytes()));
-    }
-}
-
-/// Removes its folder when it is dropped.
-struct TemporaryFolder(PathBuf);
-
-impl TemporaryFolder {
-    fn new(name: &str) -> TemporaryFolder {
-        let path = std::env::temp_dir().join(format!("wal-format-{name}-{}", std::process::id()));
-        let _ = fs::remove_dir_all(&path);
-        fs::create_dir_all(&path).unwrap();
-        TemporaryFolder(path)
-    }
-
-    fn copy_of_the_fixture(name: &str) -> TemporaryFolder {
-        let folder = TemporaryFolder::new(name);
-        for (file, bytes) in files(&fixture()) {
-            fs::write(folder.0.join(file), bytes).unwrap();
-        }
-        folder
-    }
-}
-
-impl Drop for TemporaryFolder {
-    fn drop(&mut self) {
-        let _ = fs::remove_dir_all(&self.0);
-    }
-}
-
 fn fixture() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/keys")
 }
 
-fn files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
-    let entries = fs::read_dir(folder).unwrap().map(Result::unwrap);
-    entries.map(|entry| (entry.file_name().into_string().unwrap(), fs::read(entry.path()).unwrap())).collect()
-}
-
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn options() -> Options {
-    Options { max_sync_delay: Duration::from_secs(3600), ..Options::new("keys") }
-}
-
-/// Appends one after the other, so that each entry's place does not depend on timing.
-fn append_all(wal: &Wal, results: &std::sync::mpsc::Receiver<bool>, appends: &[(&[&str], bool)]) {
+/// Appends one after the other, so that each entry's offset does not depend on timing.
+fn append_all(log: &mut TestLog, appends: &[(&[&str], bool)]) {
     for (records, sync) in appends {
-        wal.append(0, records.iter().map(|record| record.as_bytes().to_vec()).collect(), *sync);
-        assert!(results.recv_timeout(Duration::from_secs(20)).unwrap());
+        log.append(records, *sync).unwrap();
     }
 }
 
@@ -90,37 +33,25 @@
 fn write_fixture(folder: &Path) {
     fs::write(folder.join(FORMAT), "stileroute-logbook 1 keys 0badf00d\n").unwrap();
 
-    let (checkpoint_ended, checkpoints) = channel();
-    let checkpoint_ended = Mutex::new(checkpoint_ended);
-    let hook = move |step| -> io::Result<()> {
-        if step == Step::CheckpointEnded {
-            let _ = checkpoint_ended.lock().unwrap().send(());
-        }
-        Ok(())
-    };
-    let small =
-        Options { checkpoint_after_bytes: FIRST_SEGMENT_BYTES, step_hook: Some(Arc::new(hook)), ..options() };
-    let (sender, results) = channel();
-    let done = move |_, result: Result<(), _>| sender.send(result.is_ok()).unwrap();
-    let (wal, _) = Wal::open::<Keys>(folder, small, done).unwrap();
+    let (hook, checkpoint_ended) = signal_at(Step::CheckpointEnded);
+    let small_segment = Options { checkpoint_after_bytes: FIRST_SEGMENT_BYTES, ..hooked(hook) };
+    let (mut log, _) = TestLog::open(folder, small_segment);
     let first: [(&[&str], bool); 4] = [
         (&["a=1", "b=2"], true),
         (&["gone=1"], false),
         (&["gone="], true),
         (&["long=0123456789abcdefghijklmnopqrstuvwxyz"], true),
     ];
-    append_all(&wal, &results, &first);
-    checkpoints.recv_timeout(Duration::from_secs(20)).unwrap();
-    drop(wal);
+    append_all(&mut log, &first);
+    checkpoint_ended.recv_timeout(TIMEOUT).unwrap();
+    drop(log);
 
-    let (sender, results) = channel();
-    let done = move |_, result: Result<(), _>| sender.send(result.is_ok()).unwrap();
-    let (wal, _) = Wal::open::<Keys>(folder, options(), done).unwrap();
+    let (mut log, _) = TestLog::open(folder, options());
     let second: [(&[&str], bool); 4] =
         [(&["c=3"], true), (&["d=4", "a=5"], false), (&["b="], false), (&["e=6"], false)];
-    append_all(&wal, &results, &second);
-    // Dropped, not stopped: the last three stay unsynced.
-    drop(wal);
+    append_all(&mut log, &second);
+    // Dropped, not closed: the last three stay unsynced.
+    drop(log);
 }
 
 fn expected_keys() -> Keys {
@@ -148,7 +79,7 @@
 
 #[test]
 fn the_stored_folder_opens_with_all_its_records_and_is_not_rewritten() {
-    let folder = TemporaryFolder::copy_of_the_fixture("opens");
+    let folder = TemporaryFolder::copy_of(&fixture());
     for _ in 0..2 {
         let (_, keys) = Wal::open::<Keys>(&folder.0, options(), |_, _| {}).unwrap();
         assert_eq!(keys, expected_keys());
@@ -158,7 +89,8 @@
 
 #[test]
 fn the_same_appends_write_the_bytes_of_the_stored_folder() {
-    let folder = TemporaryFolder::new("written");
+    let folder = TemporaryFolder::new();
+    fs::create_dir_all(&folder.0).unwrap();
     write_fixture(&folder.0);
     let (written, stored) = (files(&folder.0), files(&fixture()));
     let names: Vec<&str> = written.keys().map(String::as_str).collect();
@@ -170,7 +102,7 @@
 
 #[test]
 fn a_new_folder_names_its_format_version_kind_and_identity() {
-    let folder = TemporaryFolder::new("new");
+    let folder = TemporaryFolder::new();
     drop(Wal::open::<Keys>(&folder.0, options(), |_, _| {}).unwrap());
     let format = fs::read_to_string(folder.0.join(FORMAT)).unwrap();
     let identity = format.strip_prefix("stileroute-logbook 1 keys ").and_then(|rest| rest.strip_suffix('\n'));
