--- a/crates/server/tests/control_log/machine.rs
+++ b/crates/server/tests/control_log/machine.rs
@@ -151,13 +151,13 @@
         let mut watched = self.watched.lock().unwrap();
         let Some(disk) = watched.struck.take() else { return };
         let files = match trouble {
-            Trouble::Kill => disk.seen(),
-            Trouble::Power => disk.drawn(draw),
+            Trouble::Kill => disk.visible_files(),
+            Trouble::Power => disk.random_outcome(draw),
             Trouble::Wipe => Files::new(),
         };
         write(&self.dir, &files);
         // A killed process leaves the system what it has not synced; power may yet be lost.
-        watched.disk = if trouble == Trouble::Kill { disk } else { Disk::holding(&files) };
+        watched.disk = if trouble == Trouble::Kill { disk } else { Disk::with_durable_files(&files) };
     }
 
     fn segments(&self) -> usize {
--- a/crates/wal/tests/power/disk.rs
+++ b/crates/wal/tests/power/disk.rs
@@ -21,12 +21,12 @@
     Kept,
     Lost,
     /// The first half is there, and the file ends behind it, unless it was longer.
-    Cut,
+    Truncated,
     /// The first half is there, and zeros in place of the second.
-    Zeros,
+    Zeroed,
 }
 
-const FATES: [Fate; 4] = [Fate::Kept, Fate::Lost, Fate::Cut, Fate::Zeros];
+const FATES: [Fate; 4] = [Fate::Kept, Fate::Lost, Fate::Truncated, Fate::Zeroed];
 
 impl Change {
     fn apply(&self, fate: Fate, to: &mut Vec<u8>) {
@@ -38,8 +38,8 @@
                 let bytes = match fate {
                     Fate::Kept => bytes.clone(),
                     Fate::Lost => return,
-                    Fate::Cut => bytes[..half].to_vec(),
-                    Fate::Zeros => [&bytes[..half], &vec![0; bytes.len() - half]].concat(),
+                    Fate::Truncated => bytes[..half].to_vec(),
+                    Fate::Zeroed => [&bytes[..half], &vec![0; bytes.len() - half]].concat(),
                 };
                 let end = at + bytes.len();
                 to.resize(to.len().max(end), 0);
@@ -56,107 +56,113 @@
 }
 
 impl Content {
-    fn with(&self, fates: impl Iterator<Item = Fate>) -> Vec<u8> {
+    fn after(&self, fates: impl Iterator<Item = Fate>) -> Vec<u8> {
         let mut bytes = self.synced.clone();
         self.changes.iter().zip(fates).for_each(|(change, fate)| change.apply(fate, &mut bytes));
         bytes
     }
 
-    fn seen(&self) -> Vec<u8> {
-        self.with(std::iter::repeat(Fate::Kept))
+    fn visible(&self) -> Vec<u8> {
+        self.after(std::iter::repeat(Fate::Kept))
     }
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     contents: Vec<Content>,
-    /// As running processes see it.
+    /// As running processes see them.
     names: BTreeMap<String, usize>,
     /// As the last sync of the folder left it, and what was done to names since: a rename is two of these, one for each name.
-    lasting: BTreeMap<String, usize>,
-    unsynced: Vec<(String, Option<usize>)>,
-    /// The folder's own name is lasting.
-    folder: bool,
+    durable_names: BTreeMap<String, usize>,
+    unsynced_names: Vec<(String, Option<usize>)>,
+    /// The folder's own name is durable.
+    is_folder_durable: bool,
 }
 
 // Each file of tests uses its part of it.
 #[allow(dead_code)]
 impl Disk {
-    /// One that holds these, all lasting.
-    pub fn holding(files: &Files) -> Disk {
+    /// One that holds these, all of them durable.
+    pub fn with_durable_files(files: &Files) -> Disk {
         let contents =
             files.values().map(|bytes| Content { synced: bytes.clone(), changes: Vec::new() }).collect();
         let names: BTreeMap<String, usize> = files.keys().cloned().zip(0..).collect();
-        Disk { contents, lasting: names.clone(), names, unsynced: Vec::new(), folder: true }
+        Disk {
+            contents,
+            durable_names: names.clone(),
+            names,
+            unsynced_names: Vec::new(),
+            is_folder_durable: true,
+        }
     }
 
     pub fn apply(&mut self, operation: &Operation) {
         match operation {
-            Operation::FolderCreated => self.folder = false,
-            Operation::ParentSynced => self.folder = true,
+            Operation::FolderCreated => self.is_folder_durable = false,
+            Operation::ParentSynced => self.is_folder_durable = true,
             Operation::FileCreated { name } if self.names.contains_key(name) => {
-                self.change(name, Change::Length(0));
+                self.add_change(name, Change::Length(0));
             }
             Operation::FileCreated { name } => {
                 self.contents.push(Content::default());
-                self.name(name, Some(self.contents.len() - 1));
+                self.set_name(name, Some(self.contents.len() - 1));
             }
             Operation::Written { name, offset, bytes } => {
-                self.change(name, Change::Write { at: *offset as usize, bytes: bytes.clone() });
+                self.add_change(name, Change::Write { at: *offset as usize, bytes: bytes.clone() });
             }
-            Operation::LengthSet { name, length } => self.change(name, Change::Length(*length as usize)),
+            Operation::LengthSet { name, length } => self.add_change(name, Change::Length(*length as usize)),
             Operation::FileSynced { name } => {
                 let content = &mut self.contents[self.names[name]];
-                content.synced = content.seen();
+                content.synced = content.visible();
                 content.changes.clear();
             }
             Operation::Renamed { from, to } => {
                 let content = self.names[from];
-                self.name(from, None);
-                self.name(to, Some(content));
+                self.set_name(from, None);
+                self.set_name(to, Some(content));
             }
-            Operation::Removed { name } => self.name(name, None),
+            Operation::Removed { name } => self.set_name(name, None),
             Operation::FolderSynced => {
-                self.lasting = self.names.clone();
-                self.unsynced.clear();
-                let gone = |at: &usize| !self.names.values().any(|content| content == at);
-                for at in (0..self.contents.len()).filter(gone).collect::<Vec<_>>() {
+                self.durable_names = self.names.clone();
+                self.unsynced_names.clear();
+                let is_unnamed = |at: &usize| !self.names.values().any(|content| content == at);
+                for at in (0..self.contents.len()).filter(is_unnamed).collect::<Vec<_>>() {
                     self.contents[at] = Content::default();
                 }
             }
         }
     }
 
-    fn change(&mut self, name: &str, change: Change) {
+    fn add_change(&mut self, name: &str, change: Change) {
         self.contents[self.names[name]].changes.push(change);
     }
 
-    fn name(&mut self, name: &str, content: Option<usize>) {
+    fn set_name(&mut self, name: &str, content: Option<usize>) {
         match content {
             Some(content) => self.names.insert(name.to_string(), content),
             None => self.names.remove(name),
         };
-        self.unsynced.push((name.to_string(), content));
+        self.unsynced_names.push((name.to_string(), content));
     }
 
     /// What the next process finds when this one is killed.
-    pub fn seen(&self) -> Files {
-        self.names.iter().map(|(name, content)| (name.clone(), self.contents[*content].seen())).collect()
+    pub fn visible_files(&self) -> Files {
+        self.names.iter().map(|(name, content)| (name.clone(), self.contents[*content].visible())).collect()
     }
 
     pub fn bytes(&self) -> u64 {
-        self.seen().values().map(|bytes| bytes.len() as u64).sum()
+        self.visible_files().values().map(|bytes| bytes.len() as u64).sum()
     }
 
     /// Everything that a loss of power may leave.
     pub fn outcomes(&self) -> Vec<Files> {
         let mut all = Vec::new();
-        if !self.folder {
+        if !self.is_folder_durable {
             all.push(Files::new());
         }
-        for subset in 0..1_u32 << self.unsynced.len() {
-            let mut names = self.lasting.clone();
-            for (at, (name, content)) in self.unsynced.iter().enumerate() {
+        for subset in 0..1_u32 << self.unsynced_names.len() {
+            let mut names = self.durable_names.clone();
+            for (at, (name, content)) in self.unsynced_names.iter().enumerate() {
                 match content {
                     _ if subset >> at & 1 == 0 => {}
                     Some(content) => drop(names.insert(name.clone(), *content)),
@@ -168,7 +174,7 @@
                 let files = names.iter().map(|(name, content)| {
                     let content = &self.contents[*content];
                     let fates: Vec<Fate> = rest.by_ref().take(content.changes.len()).collect();
-                    (name.clone(), content.with(fates.into_iter()))
+                    (name.clone(), content.after(fates.into_iter()))
                 });
                 all.push(files.collect());
             }
@@ -176,13 +182,13 @@
         all
     }
 
-    /// One of the things that a loss of power may leave, drawn.
-    pub fn drawn(&self, draw: &mut dyn FnMut(u64) -> u64) -> Files {
-        if !self.folder && draw(2) == 0 {
+    /// One of the things that a loss of power may leave, chosen by `draw`, which gives a number below its argument.
+    pub fn random_outcome(&self, draw: &mut dyn FnMut(u64) -> u64) -> Files {
+        if !self.is_folder_durable && draw(2) == 0 {
             return Files::new();
         }
-        let mut names = self.lasting.clone();
-        for (name, content) in &self.unsynced {
+        let mut names = self.durable_names.clone();
+        for (name, content) in &self.unsynced_names {
             match content {
                 _ if draw(2) == 0 => {}
                 Some(content) => drop(names.insert(name.clone(), *content)),
@@ -192,7 +198,7 @@
         let mut left = |content: &usize| {
             let content = &self.contents[*content];
             let fates: Vec<Fate> = content.changes.iter().map(|_| FATES[draw(4) as usize]).collect();
-            content.with(fates.into_iter())
+            content.after(fates.into_iter())
         };
         names.iter().map(|(name, content)| (name.clone(), left(content))).collect()
     }
--- a/crates/wal/tests/power/mod.rs
+++ b/crates/wal/tests/power/mod.rs
@@ -1,5 +1,8 @@
 //! Goes through every point at which a process may be killed or power lost, through all that a loss of power may leave there,
-//! and, for each kill, through the same again in the life that follows.
+//! and, for each kill, through the same again in the run of the process that follows.
+//!
+//! The idea is that of ALICE and CrashMonkey (Pillai et al., OSDI 2014; Mohan et al., OSDI 2018): operations are recorded, and each
+//! state that the disk may be in after a crash is built from them.
 
 mod disk;
 
@@ -14,11 +17,11 @@
 use disk::{Disk, Files};
 use stileroute_wal::{verify, AppendError, OpenError, Operation, Options, StateMachine, Step, Wal};
 
-/// Records are counted up; the fold is the count, and whether one was missing or of another content.
+/// Records are numbers from 1 up; the state is the last of them, and whether one was missing or of another content.
 #[derive(Default, Debug, Clone, PartialEq, Eq)]
 struct Count {
     last: u64,
-    broken: bool,
+    is_broken: bool,
 }
 
 const SNAPSHOT: u8 = b'=';
@@ -30,7 +33,7 @@
             digits => (false, digits),
         };
         let number = std::str::from_utf8(digits).ok().and_then(|digits| digits.parse().ok());
-        self.broken |= number.is_none_or(|number: u64| !snapshot && number != self.last + 1);
+        self.is_broken |= number.is_none_or(|number: u64| !snapshot && number != self.last + 1);
         self.last = number.unwrap_or(self.last);
     }
 
@@ -39,46 +42,52 @@
     }
 }
 
-/// A failure of the disk: at this step, the time this says, counted from 1 and without the opening's.
-pub type Failing = Option<(Step, u32)>;
+/// A failure of the disk: at which step, and at which time that it is reached, counted from 1 without the opening's.
+pub type Failure = Option<(Step, u32)>;
 
-/// What is played.
-pub struct Play<'a> {
-    pub failing: Failing,
-    /// Sets what is to be set beside: a planted fault, or nothing.
+/// What is recorded and then searched.
+pub struct Scenario<'a> {
+    pub failure: Failure,
+    /// Adds to the options: a planted fault, or nothing.
     pub options: &'a dyn Fn(Options) -> Options,
 }
 
-pub struct Found {
+pub struct SearchResult {
+    /// The first state of a disk that was not recovered from as it should, if any.
     pub fault: Option<String>,
+    /// Operations, requests and answers, after each of which a crash was tried.
     pub points: usize,
+    /// Different states of a disk that were tried.
     pub outcomes: usize,
 }
 
 #[derive(Clone, Debug)]
 enum Event {
-    Did(Operation),
-    Asked(u64),
-    /// It was answered, after its sync.
-    Lasting(u64),
+    Done(Operation),
+    /// The append of this record was requested.
+    Requested(u64),
+    /// It was acknowledged, after its sync.
+    Acknowledged(u64),
 }
 
 type Trace = Arc<Mutex<Vec<Event>>>;
 
-enum Word {
-    At(Step),
-    Ended,
+/// What the hook tells the thread that appends.
+enum HookSignal {
+    /// A checkpoint's thread has reached a step, and waits.
+    Reached(Step),
+    CheckpointEnded,
 }
 
 const APPENDS: u64 = 10;
 /// Bytes of some five appends.
-const SEGMENT: u64 = 200;
+const SEGMENT_BYTES: u64 = 200;
 /// Steps of a checkpoint at which more is appended while its thread waits.
-const BETWEEN: [Step; 2] = [Step::SyncFolderAfterSnapshot, Step::RemoveCovered];
+const STEPS_WITH_APPENDS: [Step; 2] = [Step::SyncFolderAfterSnapshot, Step::RemoveCovered];
 
 struct Writer {
-    book: Wal,
-    answers: Receiver<(u64, Result<(), AppendError>)>,
+    wal: Wal,
+    results: Receiver<(u64, Result<(), AppendError>)>,
     trace: Trace,
     /// The last record that is there.
     last: u64,
@@ -87,18 +96,18 @@
 
 impl Writer {
     fn open(dir: &Path, options: Options, trace: &Trace) -> Result<(Writer, Count), OpenError> {
-        let (sender, answers) = channel();
+        let (sender, results) = channel();
         let done = move |ticket, result| {
             let _ = sender.send((ticket, result));
         };
-        let (book, count) = Wal::open::<Count>(dir, options, done)?;
-        Ok((Writer { book, answers, trace: trace.clone(), last: count.last, ticket: 0 }, count))
+        let (wal, count) = Wal::open::<Count>(dir, options, done)?;
+        Ok((Writer { wal, results, trace: trace.clone(), last: count.last, ticket: 0 }, count))
     }
 
     fn append(&mut self, records: Vec<Vec<u8>>, sync: bool) -> bool {
         self.ticket += 1;
-        self.book.append(self.ticket, records, sync);
-        let (ticket, result) = self.answers.recv_timeout(Duration::from_secs(20)).unwrap();
+        self.wal.append(self.ticket, records, sync);
+        let (ticket, result) = self.results.recv_timeout(Duration::from_secs(20)).unwrap();
         assert_eq!(ticket, self.ticket);
         result.is_ok()
     }
@@ -106,75 +115,77 @@
     /// The next record; one that was refused is tried again by the next call.
     fn next(&mut self, sync: bool) {
         let number = self.last + 1;
-        self.trace.lock().unwrap().push(Event::Asked(number));
+        self.trace.lock().unwrap().push(Event::Requested(number));
         if self.append(vec![format!("{number:08}").into_bytes()], sync) {
             self.last = number;
             if sync {
-                self.trace.lock().unwrap().push(Event::Lasting(number));
+                self.trace.lock().unwrap().push(Event::Acknowledged(number));
             }
         }
     }
 
     /// The writer has done all that follows from what it answered.
-    fn settle(&mut self) {
+    fn wait_until_idle(&mut self) {
         self.append(Vec::new(), false);
     }
 }
 
-fn base(trace: &Trace, play: &Play) -> Options {
+fn base_options(trace: &Trace, scenario: &Scenario) -> Options {
     let trace = trace.clone();
-    let observer = move |operation| trace.lock().unwrap().push(Event::Did(operation));
-    (play.options)(Options {
+    let observer = move |operation| trace.lock().unwrap().push(Event::Done(operation));
+    (scenario.options)(Options {
         max_sync_delay: Duration::from_secs(3600),
-        checkpoint_after_bytes: SEGMENT,
+        checkpoint_after_bytes: SEGMENT_BYTES,
         operation_observer: Some(Arc::new(observer)),
         ..Options::new("count")
     })
 }
 
-/// The whole life of a wal: its first opening, some changes of segments and checkpoints, with appends all along.
-fn first_life(dir: &Path, play: &Play) -> Vec<Event> {
+/// Records a log from its first opening on, with some new segments and checkpoints, and appends all along.
+fn record_run(dir: &Path, scenario: &Scenario) -> Vec<Event> {
     let trace = Trace::default();
-    let (say, words) = channel();
-    let (go, may_go) = channel::<()>();
-    let (say, may_go): (Mutex<Sender<Word>>, _) = (Mutex::new(say), Mutex::new(may_go));
-    let rolled = Arc::new(AtomicBool::new(false));
-    let (rolled_, opened, passed) = (rolled.clone(), Arc::new(AtomicBool::new(false)), AtomicU32::new(0));
-    let (opened_, failing) = (opened.clone(), play.failing);
+    let (sender, signals) = channel();
+    let (let_continue, may_continue) = channel::<()>();
+    let (sender, may_continue): (Mutex<Sender<HookSignal>>, _) =
+        (Mutex::new(sender), Mutex::new(may_continue));
+    let has_new_segment = Arc::new(AtomicBool::new(false));
+    let (has_new_segment_of_hook, is_open, passed) =
+        (has_new_segment.clone(), Arc::new(AtomicBool::new(false)), AtomicU32::new(0));
+    let (is_open_of_hook, failure) = (is_open.clone(), scenario.failure);
     let hook = move |step| -> io::Result<()> {
-        if !opened_.load(Ordering::Relaxed) {
+        if !is_open_of_hook.load(Ordering::Relaxed) {
             return Ok(());
         }
         match step {
-            Step::CreateSegment => rolled_.store(true, Ordering::Relaxed),
-            Step::CheckpointEnded => say.lock().unwrap().send(Word::Ended).unwrap(),
+            Step::CreateSegment => has_new_segment_of_hook.store(true, Ordering::Relaxed),
+            Step::CheckpointEnded => sender.lock().unwrap().send(HookSignal::CheckpointEnded).unwrap(),
             Step::WriteEntries | Step::SyncSegment | Step::RenameSegment | Step::SyncFolderAfterSegment => {}
             _ => {
-                say.lock().unwrap().send(Word::At(step)).unwrap();
-                may_go.lock().unwrap().recv().unwrap();
+                sender.lock().unwrap().send(HookSignal::Reached(step)).unwrap();
+                may_continue.lock().unwrap().recv().unwrap();
             }
         }
-        match failing {
+        match failure {
             Some((at, time)) if at == step && passed.fetch_add(1, Ordering::Relaxed) + 1 == time => {
                 Err(io::Error::other("broken"))
             }
             _ => Ok(()),
         }
     };
-    let options = Options { step_hook: Some(Arc::new(hook)), ..base(&trace, play) };
+    let options = Options { step_hook: Some(Arc::new(hook)), ..base_options(&trace, scenario) };
     let (mut writer, _) = Writer::open(dir, options, &trace).unwrap();
-    opened.store(true, Ordering::Relaxed);
+    is_open.store(true, Ordering::Relaxed);
     for number in 1..=APPENDS {
         writer.next(number % 3 != 0);
-        writer.settle();
-        while rolled.swap(false, Ordering::Relaxed) {
-            while let Word::At(step) = words.recv_timeout(Duration::from_secs(20)).unwrap() {
-                if BETWEEN.contains(&step) {
+        writer.wait_until_idle();
+        while has_new_segment.swap(false, Ordering::Relaxed) {
+            while let HookSignal::Reached(step) = signals.recv_timeout(Duration::from_secs(20)).unwrap() {
+                if STEPS_WITH_APPENDS.contains(&step) {
                     writer.next(true);
                 }
-                go.send(()).unwrap();
+                let_continue.send(()).unwrap();
             }
-            writer.settle();
+            writer.wait_until_idle();
         }
     }
     drop(writer);
@@ -182,37 +193,40 @@
     trace.clone()
 }
 
-/// What the disk may hold, and which records have to be there, and may.
+/// What the disk may hold at some moment, and which records must and may be there after a crash.
 #[derive(Clone, Default)]
-struct Moment {
+struct CrashPoint {
     disk: Disk,
-    least: u64,
-    most: u64,
+    /// The last record that must be there.
+    min_last: u64,
+    /// The last record that may be there.
+    max_last: u64,
 }
 
-impl Moment {
+impl CrashPoint {
     fn pass(&mut self, event: &Event) {
         match event {
-            Event::Did(operation) => self.disk.apply(operation),
-            Event::Asked(number) => self.most = self.most.max(*number),
-            Event::Lasting(number) => self.least = self.least.max(*number),
+            Event::Done(operation) => self.disk.apply(operation),
+            Event::Requested(number) => self.max_last = self.max_last.max(*number),
+            Event::Acknowledged(number) => self.min_last = self.min_last.max(*number),
         }
     }
 }
 
 struct Search<'a> {
-    play: &'a Play<'a>,
-    root: PathBuf,
+    scenario: &'a Scenario<'a>,
+    folder: PathBuf,
+    /// What was tried before.
     seen: HashSet<(Files, u64, u64)>,
 }
 
 impl Search<'_> {
-    /// All that a loss of power leaves opens, with each record that was answered, and takes one more.
-    fn lose_power(&mut self, moment: &Moment) -> Result<(), String> {
-        for files in moment.disk.outcomes() {
-            if self.seen.insert((files.clone(), moment.least, moment.most)) {
-                disk::write(&self.root, &files);
-                self.check(moment).map_err(|fault| {
+    /// Checks each state that a loss of power may leave: it opens with all that was acknowledged, and takes one more record.
+    fn lose_power(&mut self, point: &CrashPoint) -> Result<(), String> {
+        for files in point.disk.outcomes() {
+            if self.seen.insert((files.clone(), point.min_last, point.max_last)) {
+                disk::write(&self.folder, &files);
+                self.check(point).map_err(|fault| {
                     let names: Vec<(&String, usize)> =
                         files.iter().map(|(name, bytes)| (name, bytes.len())).collect();
                     format!("{fault}; power left {names:?}")
@@ -222,22 +236,25 @@
         Ok(())
     }
 
-    fn check(&self, moment: &Moment) -> Result<(), String> {
+    fn check(&self, point: &CrashPoint) -> Result<(), String> {
         let trace = Trace::default();
-        let options =
-            Options { operation_observer: None, checkpoint_after_bytes: 1 << 20, ..base(&trace, self.play) };
-        let opened = Writer::open(&self.root, options, &trace);
-        let (mut writer, count) = opened.map_err(|trouble| format!("refused: {trouble}"))?;
-        let Moment { least, most, .. } = moment;
-        if count.broken || count.last < *least || count.last > *most {
-            return Err(format!("records {least} to {most} were wanted, and there are {count:?}"));
+        let options = Options {
+            operation_observer: None,
+            checkpoint_after_bytes: 1 << 20,
+            ..base_options(&trace, self.scenario)
+        };
+        let opened = Writer::open(&self.folder, options, &trace);
+        let (mut writer, count) = opened.map_err(|error| format!("refused: {error}"))?;
+        let CrashPoint { min_last, max_last, .. } = point;
+        if count.is_broken || count.last < *min_last || count.last > *max_last {
+            return Err(format!("records {min_last} to {max_last} were wanted, and there are {count:?}"));
         }
         writer.next(true);
         drop(writer);
-        let expected = Count { last: count.last + 1, broken: false };
+        let expected = Count { last: count.last + 1, is_broken: false };
         let mut found = Count::default();
         let report =
-            verify(&self.root, &mut |record| found.apply(record)).map_err(|trouble| trouble.to_string())?;
+            verify(&self.folder, &mut |record| found.apply(record)).map_err(|error| error.to_string())?;
         if !report.opens() {
             return Err(format!("after one more record {report}"));
         }
@@ -247,52 +264,55 @@
         Ok(())
     }
 
-    /// Killed at this moment and started again, with the disk's unsynced operations still to be lost.
-    fn kill(&mut self, moment: &Moment) -> Result<(), String> {
-        disk::write(&self.root, &moment.disk.seen());
+    /// Killed at this point and started again, with the disk's unsynced operations still to be lost.
+    fn kill(&mut self, point: &CrashPoint) -> Result<(), String> {
+        disk::write(&self.folder, &point.disk.visible_files());
         let trace = Trace::default();
-        let options = Options { checkpoint_after_bytes: 1 << 20, ..base(&trace, self.play) };
-        let opened = Writer::open(&self.root, options, &trace);
-        let (mut writer, count) = opened.map_err(|trouble| format!("refused after a kill: {trouble}"))?;
-        if count.broken || count.last < moment.least || count.last > moment.most {
-            return Err(format!("{} to {} were wanted after a kill: {count:?}", moment.least, moment.most));
+        let options = Options { checkpoint_after_bytes: 1 << 20, ..base_options(&trace, self.scenario) };
+        let opened = Writer::open(&self.folder, options, &trace);
+        let (mut writer, count) = opened.map_err(|error| format!("refused after a kill: {error}"))?;
+        if count.is_broken || count.last < point.min_last || count.last > point.max_last {
+            return Err(format!(
+                "{} to {} were wanted after a kill: {count:?}",
+                point.min_last, point.max_last
+            ));
         }
         writer.next(true);
         drop(writer);
-        let (mut moment, mut synced) = (moment.clone(), false);
+        let (mut point, mut synced) = (point.clone(), false);
         let events = trace.lock().unwrap().clone();
         for event in &events {
             // What was refused before may come back with the power, but not once the opening has synced without it.
-            if !synced && matches!(event, Event::Did(Operation::FileSynced { .. })) {
-                (moment.most, synced) = (count.last, true);
+            if !synced && matches!(event, Event::Done(Operation::FileSynced { .. })) {
+                (point.max_last, synced) = (count.last, true);
             }
-            moment.pass(event);
-            self.lose_power(&moment)?;
+            point.pass(event);
+            self.lose_power(&point)?;
         }
         Ok(())
     }
 }
 
-/// Plays once, and then every kill and every loss of power in it.
-pub fn search(play: &Play) -> Found {
+/// Records a run, and then tries every kill and every loss of power in it.
+pub fn search(scenario: &Scenario) -> SearchResult {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let name = format!("wal-power-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     // Syncs are real, and there are many thousands of them: in memory, where there is such a folder.
     let memory = Path::new("/dev/shm");
     let parent = if memory.is_dir() { memory.to_path_buf() } else { std::env::temp_dir() };
-    let root = parent.join(name);
-    let trace = first_life(&root, play);
-    let mut search = Search { play, root: root.clone(), seen: HashSet::new() };
-    let mut moment = Moment::default();
+    let folder = parent.join(name);
+    let trace = record_run(&folder, scenario);
+    let mut search = Search { scenario, folder: folder.clone(), seen: HashSet::new() };
+    let mut point = CrashPoint::default();
     let mut fault = None;
     for event in &trace {
-        moment.pass(event);
-        let tried = search.lose_power(&moment).and_then(|()| search.kill(&moment));
-        if let Err(error) = tried {
+        point.pass(event);
+        let searched = search.lose_power(&point).and_then(|()| search.kill(&point));
+        if let Err(error) = searched {
             fault = Some(format!("{error}; after {event:?}"));
             break;
         }
     }
-    let _ = std::fs::remove_dir_all(&root);
-    Found { fault, points: trace.len(), outcomes: search.seen.len() }
+    let _ = std::fs::remove_dir_all(&folder);
+    SearchResult { fault, points: trace.len(), outcomes: search.seen.len() }
 }
--- a/crates/wal/tests/power_loss.rs
+++ b/crates/wal/tests/power_loss.rs
@@ -2,12 +2,12 @@
 
 mod power;
 
-use power::{search, Play};
+use power::{search, Scenario};
 use stileroute_wal::Step;
 
 #[test]
 fn whatever_a_loss_of_power_keeps_the_folder_opens_with_what_was_answered() {
-    let failing = [
+    let failures = [
         None,
         Some((Step::SyncFolderAfterSegment, 1)),
         Some((Step::SyncFolderAfterSnapshot, 1)),
@@ -15,10 +15,10 @@
         Some((Step::WriteEntries, 4)),
         Some((Step::RemoveCovered, 1)),
     ];
-    for failing in failing {
-        let found = search(&Play { failing, options: &|options| options });
-        assert_eq!(found.fault, None, "with {failing:?}");
-        println!("{failing:?}: {} points, {} outcomes", found.points, found.outcomes);
+    for failure in failures {
+        let found = search(&Scenario { failure, options: &|options| options });
+        assert_eq!(found.fault, None, "with {failure:?}");
+        println!("{failure:?}: {} points, {} outcomes", found.points, found.outcomes);
         assert!(
             found.points > 60 && found.outcomes > 400,
             "{} points, {} outcomes",
