--- a/crates/queue/src/copies/notes.rs
+++ b/crates/queue/src/copies/notes.rs
@@ -13,7 +13,9 @@
             PeerMessage::Replicate(all) => {
                 all.into_iter().for_each(|shared| self.keep_copy(now, from, shared))
             }
-            PeerMessage::Replicated(keys) => keys.into_iter().for_each(|key| self.safe_at(now, key, from)),
+            PeerMessage::Replicated(keys) => {
+                keys.into_iter().for_each(|key| self.confirm_persisted(now, key, from))
+            }
             PeerMessage::ReplicationRejected(keys) => {
                 self.peers.entry(from).or_default().full_until = now + 2000;
                 for key in keys {
@@ -26,9 +28,9 @@
                 for key in keys {
                     // Of one that has not ended here all is needed yet.
                     if let Some(entry) = self.entries.get_mut(&key).filter(|e| e.end.is_some()) {
-                        entry.owed = false;
-                        entry.strip();
-                        self.file(key);
+                        entry.callback_pending = false;
+                        entry.discard_content();
+                        self.reindex(key);
                         self.record(&Record::CallbackDelivered { key }, false);
                     }
                 }
@@ -46,7 +48,7 @@
                             self.remove(key);
                             self.record(&Record::Dropped { key }, false);
                         }
-                        Some(false) => self.figures.former += 1,
+                        Some(false) => self.metrics.stale_claims += 1,
                         None => {}
                     }
                 }
@@ -59,7 +61,7 @@
                     match line {
                         0 => self.take_over(now, key, None),
                         _ => {
-                            self.lost.insert(key, from);
+                            self.lost_by_owner.insert(key, from);
                             self.orphans.insert((now + line * LINE, key));
                         }
                     }
@@ -76,7 +78,7 @@
                 if answer {
                     self.list_ranges(from, ranges, false);
                 }
-                self.push(Effect::Send { to: from, note: PeerMessage::Reconciled });
+                self.emit(Effect::Send { to: from, message: PeerMessage::Reconciled });
             }
             PeerMessage::Reconciled => self.stood(now, from),
             PeerMessage::DiskId(disk) => self.seen_disk(from, disk),
@@ -87,22 +89,24 @@
             }
             PeerMessage::HandoverAccepted(keys) => {
                 for AcceptedHandover { key, term } in keys {
-                    self.handing.remove(&key);
+                    self.handovers.remove(&key);
                     self.counted_on_by(from);
                     let Some(entry) = self.entries.get(&key) else { continue };
-                    self.figures.handed_over += 1;
-                    let mut copies = entry.copies.clone();
+                    self.metrics.handed_over += 1;
+                    let mut copies = entry.replicas.clone();
                     copies.retain(|node| *node != from);
-                    copies.push(self.terms.me);
+                    copies.push(self.settings.node);
                     self.owned_by(now, Ownership { key, owner: from, term, replicas: copies });
                 }
             }
             PeerMessage::HandoverRejected(keys) => {
                 for key in keys {
-                    self.handing.remove(&key);
-                    if self.retiring {
+                    self.handovers.remove(&key);
+                    if self.is_retiring {
                         // It holds no copy after all: it gets one, or another does, before it is asked again.
-                        if let Some(entry) = self.entries.get_mut(&key).filter(|e| e.stage == Stage::Held) {
+                        if let Some(entry) =
+                            self.entries.get_mut(&key).filter(|e| e.stage == Stage::Suspended)
+                        {
                             entry.stage = Stage::Waiting;
                         }
                         self.not_on(now, key, from);
@@ -123,22 +127,22 @@
             }
             PeerMessage::GroupMessagesEnded(all) => self.row_done(all),
             PeerMessage::Draining => {
-                self.rows.changed = now;
+                self.ordering.changed = now;
                 self.peers.entry(from).or_default().leaving = true;
-                self.deal_duties(now);
+                self.assign_token_holders(now);
             }
             PeerMessage::Retiring => {
                 let peer = self.peers.entry(from).or_default();
                 (peer.leaving, peer.retiring) = (true, true);
-                self.deal_duties(now);
+                self.assign_token_holders(now);
             }
             PeerMessage::NoReplicasNeeded => {
-                self.relieved.insert(from);
+                self.released_by.insert(from);
             }
             PeerMessage::TransferEnds(ends) => self.keep_ends(now, from, ends),
-            PeerMessage::EndsStored(keys) => self.passing.kept(from, keys),
+            PeerMessage::EndsStored(keys) => self.end_replication.kept(from, keys),
             PeerMessage::RequestTokens { service, count } => self.tokens_wanted(now, from, service, count),
-            PeerMessage::GrantTokens { service, count } => self.tokens_came(now, from, &service, count),
+            PeerMessage::GrantTokens { service, count } => self.tokens_received(now, from, &service, count),
         }
     }
 }
