--- a/crates/system-test/src/fleet.rs
+++ b/crates/system-test/src/fleet.rs
@@ -25,9 +25,6 @@
 pub const BEAT_MS: u64 = 1200;
 pub const GRACE: Duration = Duration::from_secs(6);
 pub const EACH: usize = 3;
-/// What the log of a control node says when it has become primary: of this program, and of the one that landed before, which runs
-/// in a fleet that is upgraded.
-const BECAME_PRIMARY: [&str; 2] = ["what=\"became primary\"", "what=\"leads\""];
 
 /// How large a fleet is laid out, and what it is to bear.
 #[derive(Clone, Copy)]
@@ -421,13 +418,14 @@
         None
     }
 
-    /// The control node that leads, as the last of them to become primary says in its log.
+    /// The control node that leads, as the last of them to take the duty says in its log.
     pub fn primary(&self) -> Option<usize> {
         let mut found: Option<(u64, usize)> = None;
         for at in self.here(Role::Core) {
             let log = self.home.join(self.name(Role::Core, at)).join("log");
             let text = fs::read_to_string(log).unwrap_or_default();
-            for line in text.lines().filter(|line| BECAME_PRIMARY.iter().any(|words| line.contains(words))) {
+            let became_primary = |line: &&str| BECAME_PRIMARY.iter().any(|words| line.contains(words));
+            for line in text.lines().filter(became_primary) {
                 let epoch = line.split("epoch=").nth(1).and_then(|rest| rest.split(' ').next());
                 let epoch = epoch.and_then(|text| text.parse().ok()).unwrap_or(0);
                 found = found.max(Some((epoch, at)));
@@ -437,6 +435,9 @@
     }
 }
 
+/// What a control node's log says when it becomes primary: by this program, and by those before it, from which a fleet is upgraded.
+const BECAME_PRIMARY: [&str; 2] = ["what=\"became primary\"", "what=\"leads\""];
+
 fn address(net: u8, role: Role, at: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, net, role.number(), at as u8 + 1)
 }
