--- a/crates/capacity/src/heartbeat.rs
+++ b/crates/capacity/src/heartbeat.rs
@@ -2,7 +2,7 @@
 
 use crate::layout::zone_name;
 use crate::net::Millis;
-use crate::signals::{ExecutorState, Heartbeat};
+use crate::protocol::{ExecutorState, Heartbeat};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 /// How often an executor calls, as on the operators' sites.
--- a/crates/model-check/src/queue/fleet/mod.rs
+++ b/crates/model-check/src/queue/fleet/mod.rs
@@ -11,7 +11,7 @@
 use super::invariants::QueueBreach;
 use super::stores::Store;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-use stileroute_queue::{Key, Message, Millis, Outcome, PeerMessage, PutError};
+use stileroute_queue::{AttemptOutcome, Key, Message, Millis, PeerMessage, PutError};
 
 /// Messages are sent from here on, and choices may be taken for so long.
 const BEGIN: Millis = 1200;
@@ -54,7 +54,7 @@
     Said { sent: usize, asked: u64, result: Result<String, PutError> },
     Impatient { sent: usize, asked: u64 },
     Superseded { to: usize, sent: usize },
-    Done { at: usize, life: u64, attempt: u64, run: usize, outcome: Outcome },
+    Done { at: usize, life: u64, attempt: u64, run: usize, outcome: AttemptOutcome },
     Called { at: usize, life: u64, key: Key },
     Retire { at: usize },
     Vanish { at: usize, life: u64 },
