--- a/crates/queue/src/queue/types.rs
+++ b/crates/queue/src/entry.rs
@@ -72,15 +72,15 @@
     /// After a failed attempt: not before then. Its place among those that wait stays that of `due`.
     pub(crate) not_before: Millis,
     /// Where it stands in `delayed`.
-    pub(super) delayed_until: Option<Millis>,
+    pub(crate) delayed_until: Option<Millis>,
     /// When it was taken, on this process's clock: before its start if it is less than nought.
-    pub(super) accepted_at: i64,
+    pub(crate) accepted_at: i64,
     pub expires_at: Millis,
     pub failed_attempts: u32,
-    pub(super) backoff_steps: u32,
+    pub(crate) backoff_steps: u32,
     /// It ran, or may have: the next attempt is a repeat. And who failed it last, at which service.
-    pub(super) has_run: bool,
-    pub(super) last_failed_on: Option<(usize, usize)>,
+    pub(crate) has_run: bool,
+    pub(crate) last_failed_on: Option<(usize, usize)>,
     pub end: Option<End>,
     pub callback_pending: bool,
     /// Where it has still to become safe, and who waits for that.
@@ -91,14 +91,14 @@
     /// Where it stands in `thin`.
     pub(crate) repair_at: Option<Millis>,
     /// By which owner it stands in `live`.
-    pub(super) indexed_owner: Option<Node>,
+    pub(crate) indexed_owner: Option<Node>,
     /// Its row, and where it stands there; whether others were told of it, whether they have been asked, and
     /// whether it is kept only after that.
-    pub(super) order_slot: Option<Box<(String, u64)>>,
+    pub(crate) order_slot: Option<Box<(String, u64)>>,
     pub(crate) is_announced: bool,
     pub(crate) is_order_confirmed: bool,
     pub(crate) awaits_order_answers: bool,
-    pub(super) queue_position: Option<(usize, QueuePosition)>,
+    pub(crate) queue_position: Option<(usize, QueuePosition)>,
 }
 
 /// What the program is to do.
@@ -199,11 +199,11 @@
 }
 
 #[derive(Default)]
-pub(super) struct CallbackReceiver {
-    pub(super) in_flight: usize,
-    pub(super) consecutive_failures: u32,
+pub(crate) struct CallbackReceiver {
+    pub(crate) in_flight: usize,
+    pub(crate) consecutive_failures: u32,
     pub(crate) not_before: Millis,
-    pub(super) queue: VecDeque<Key>,
+    pub(crate) queue: VecDeque<Key>,
 }
 
 /// What waits for the disk.
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -6,6 +6,7 @@
 mod copies;
 mod duplicates;
 mod ends;
+mod entry;
 mod message;
 mod ordering;
 mod peer_message;
@@ -13,11 +14,11 @@
 mod queue;
 mod record;
 mod repair;
-mod repeats;
 mod retire;
+mod retry_budget;
 mod service_queue;
 mod state_table;
-mod tokens;
+mod token_bucket;
 
 pub use message::{End, Key, KeyLocation, Message, Millis, Node, PutError, ReplicatedMessage};
 pub use ordering::preferred_store;
--- a/crates/queue/src/queue.rs
+++ b/crates/queue/src/queue.rs
@@ -1,24 +1,24 @@
 //! The table of messages, with its one owner: what is known of each, and the indices kept in step with it.
 
-mod call_backs;
+mod callbacks;
 mod completion;
 mod configuration;
 mod delivery;
 mod intake;
-mod numbers;
+mod message_numbers;
 mod report;
 mod timers;
 mod token_holders;
-mod types;
 
-pub use numbers::first_number;
-pub use report::{MessageView, ServiceView, StageCounts};
-pub(crate) use types::PendingWrite;
-pub use types::{
+pub(crate) use crate::entry::PendingWrite;
+pub use crate::entry::{
     AttemptOutcome, Effect, Entry, MessageState, QueueMetrics, QueueSettings, Stage, ToleratedLosses,
 };
+pub use message_numbers::first_number;
+pub use report::{MessageView, ServiceView, StageCounts};
 
 use crate::copies::Peer;
+use crate::entry::CallbackReceiver;
 use crate::message::{End, Key, Message, Millis, Node, ReplicatedMessage};
 use crate::peer_message::GroupPosition;
 #[cfg(feature = "planted")]
@@ -28,7 +28,6 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
 use stileroute_config::Config;
-use types::CallbackReceiver;
 
 /// Beyond the time that it may wait, for clients' clocks and first tries: one that has not ended must not be
 /// called failed.
--- a/crates/queue/src/queue/configuration.rs
+++ b/crates/queue/src/queue/configuration.rs
@@ -3,7 +3,7 @@
 use super::{Queue, Stage};
 use crate::message::{Key, Millis};
 use crate::service_queue::{Executor, ServiceQueue};
-use crate::tokens::Bucket;
+use crate::token_bucket::Bucket;
 use std::collections::HashMap;
 use std::sync::Arc;
 use stileroute_config::Config;
--- a/crates/queue/src/service_queue.rs
+++ b/crates/queue/src/service_queue.rs
@@ -1,8 +1,8 @@
 //! One service: who serves it, what waits for it, and the module that decides who gets the next.
 
 use crate::message::{Key, Millis};
-use crate::repeats::{dealt, Budget, STUCK_RETRY_LIMIT_MS};
-use crate::tokens::Bucket;
+use crate::retry_budget::{dealt, Budget, STUCK_RETRY_LIMIT_MS};
+use crate::token_bucket::Bucket;
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddrV4;
 use stileroute_dispatch::policy::Dispatcher;
