--- a/crates/model-check/src/queue/fleet/connections.rs
+++ b/crates/model-check/src/queue/fleet/connections.rs
@@ -59,7 +59,7 @@
             let other = self.stores[y].node;
             self.with(x, None, |queue, now| {
                 // As `crates/server/src/links.rs` has it: the end of the connection before is told first.
-                if queue.peer_views().any(|(node, connected, ..)| node == other && connected) {
+                if queue.peer_views().any(|peer| peer.node == other && peer.is_connected) {
                     queue.peer_disconnected(now, other);
                 }
                 queue.peer_connected(now, other);
@@ -84,7 +84,8 @@
         for at in 0..self.stores.len() {
             if self.stores[at].runs(self.now) && !self.stores[at].off {
                 self.with(at, None, |queue, now| {
-                    (queue.hears_control_group, queue.session_may_have_lapsed) = (true, false);
+                    (queue.control_contact.is_heard, queue.control_contact.session_may_have_lapsed) =
+                        (true, false);
                     queue.set_members(now, &all);
                 });
             }
--- a/crates/model-check/src/queue/fleet/events.rs
+++ b/crates/model-check/src/queue/fleet/events.rs
@@ -115,14 +115,16 @@
             // Until the control nodes have been heard again it knows that it may be cut off.
             Event::Thaw { at, life } => {
                 self.with(at, Some(life), |queue, _| {
-                    (queue.hears_control_group, queue.session_may_have_lapsed) = (false, true)
+                    (queue.control_contact.is_heard, queue.control_contact.session_may_have_lapsed) =
+                        (false, true)
                 });
                 self.tell_again(at);
             }
             Event::Deaf { at, life, heard } => {
                 if self.stores[at].off {
                     self.with(at, Some(life), |queue, _| {
-                        (queue.hears_control_group, queue.session_may_have_lapsed) = (heard, true)
+                        (queue.control_contact.is_heard, queue.control_contact.session_may_have_lapsed) =
+                            (heard, true)
                     });
                 }
             }
--- a/crates/queue/src/copies.rs
+++ b/crates/queue/src/copies.rs
@@ -10,8 +10,9 @@
 mod release;
 mod take_over;
 
+use crate::entry::Entry;
 use crate::message::{Key, Millis, Node};
-use crate::queue::{Entry, Queue};
+use crate::queue::Queue;
 use outbox::Outbox;
 
 /// A copy that is not confirmed for so long is asked of another store: well before an edge gives up a silent
--- a/crates/queue/src/copies/connections.rs
+++ b/crates/queue/src/copies/connections.rs
@@ -1,9 +1,10 @@
 //! Members and connections: what is said to a store that comes, and done about one that is gone.
 
 use super::{Outbox, Peer};
+use crate::effect::Effect;
 use crate::message::{Key, Millis, Node};
 use crate::peer_message::{EndNotice, PeerMessage};
-use crate::queue::{Effect, Queue};
+use crate::queue::Queue;
 
 impl Queue {
     /// The stores that are members, as the control nodes tell.
@@ -51,7 +52,7 @@
         if self.is_draining {
             self.emit(Effect::Send { to: node, message: PeerMessage::Draining });
         }
-        if self.is_retiring {
+        if self.is_retiring() {
             self.emit(Effect::Send { to: node, message: PeerMessage::Retiring });
         }
     }
--- a/crates/queue/src/copies/fence.rs
+++ b/crates/queue/src/copies/fence.rs
@@ -21,7 +21,7 @@
     /// After a long sleep it does not matter whether they are heard: what they said before they gave this store up may be read
     /// first, and the ends of their connections later.
     pub(crate) fn look_after_fence(&mut self, now: Millis, slept: bool, long: bool) {
-        let silent = self.session_may_have_lapsed || !self.hears_control_group;
+        let silent = self.control_contact.session_may_have_lapsed || !self.control_contact.is_heard;
         let apart = |p: &Peer| p.listed && !p.connected && now + DEAF > p.since + GONE;
         if long || (silent && (slept || self.fenced_since.is_some() || self.peers.values().any(apart))) {
             self.metrics.fence_activations += u64::from(self.fenced_since.is_none());
--- a/crates/queue/src/copies/handover.rs
+++ b/crates/queue/src/copies/handover.rs
@@ -1,9 +1,11 @@
 //! Leaving in order: what waits is given to those that hold the copies.
 
+use crate::effect::Effect;
+use crate::entry::{Entry, Stage};
 use crate::message::{Key, Millis, Node};
 use crate::peer_message::{HandoverOffer, PeerMessage};
 use crate::planted::PlantedFault;
-use crate::queue::{Effect, Entry, Queue, Stage};
+use crate::queue::Queue;
 
 impl Queue {
     /// Takes nothing more, and gives what waits to those that hold the copies.
@@ -28,7 +30,7 @@
             |node: &Node| self.peers.get(node).is_none_or(|p| p.stood || !(p.listed || p.connected));
         let refused = |key: &Key, e: &Entry| {
             let open = e.stage == Stage::Suspended && !self.unreleased.contains(key);
-            self.is_retiring && open && e.replicas.iter().all(settled)
+            self.is_retiring() && open && e.replicas.iter().all(settled)
         };
         let waiting: Vec<Key> = self
             .owned_here()
--- a/crates/queue/src/copies/notes.rs
+++ b/crates/queue/src/copies/notes.rs
@@ -1,9 +1,11 @@
 //! Each kind of note of another store, and what is done about it.
 
 use super::take_over::LINE;
+use crate::effect::Effect;
+use crate::entry::Stage;
 use crate::message::{Millis, Node};
 use crate::peer_message::{AcceptedHandover, Ownership, PeerMessage};
-use crate::queue::{Effect, Queue, Stage};
+use crate::queue::Queue;
 use crate::record::Record;
 
 impl Queue {
@@ -102,7 +104,7 @@
             PeerMessage::HandoverRejected(keys) => {
                 for key in keys {
                     self.handovers.remove(&key);
-                    if self.is_retiring {
+                    if self.is_retiring() {
                         // It holds no copy after all: it gets one, or another does, before it is asked again.
                         if let Some(entry) =
                             self.entries.get_mut(&key).filter(|e| e.stage == Stage::Suspended)
--- a/crates/queue/src/copies/outbox.rs
+++ b/crates/queue/src/copies/outbox.rs
@@ -1,8 +1,9 @@
 //! What is told to another store, put together into notes at the end of a turn.
 
+use crate::effect::Effect;
 use crate::message::{Key, ReplicatedMessage};
 use crate::peer_message::{AcceptedHandover, EndNotice, HandoverOffer, Ownership, PeerMessage};
-use crate::queue::{Effect, Queue};
+use crate::queue::Queue;
 
 /// What is told to another store at the end of the turn, or with the next batch of ends.
 #[derive(Debug, Default)]
--- a/crates/queue/src/copies/ownership.rs
+++ b/crates/queue/src/copies/ownership.rs
@@ -1,9 +1,11 @@
 //! Who owns a message and whether it has ended: two stores settle that, and the newer word holds.
 
+use crate::effect::Effect;
+use crate::entry::Stage;
 use crate::message::{End, Key, Millis, Node};
 use crate::peer_message::{EndNotice, EntrySummary, KeyRange, Ownership, PeerMessage};
 use crate::planted::PlantedFault;
-use crate::queue::{Effect, Queue, Stage};
+use crate::queue::Queue;
 use crate::record::Record;
 use crate::repair::range;
 
--- a/crates/queue/src/copies/placement.rs
+++ b/crates/queue/src/copies/placement.rs
@@ -1,10 +1,13 @@
 //! Where the copies of a message lie, and how they are made and confirmed.
 
 use super::COPY_WAIT;
+use crate::effect::Effect;
+use crate::entry::Stage;
 use crate::message::{Key, Millis, Node, ReplicatedMessage};
 use crate::peer_message::{EndNotice, PeerMessage};
+use crate::pending_writes::PendingWrite;
 use crate::planted::PlantedFault;
-use crate::queue::{Effect, PendingWrite, Queue, Stage};
+use crate::queue::Queue;
 use crate::record::Record;
 use std::collections::BTreeSet;
 
@@ -121,7 +124,7 @@
         }
         entry.persist_check_at = Some(next);
         self.persisting.insert((next, key));
-        if entry.awaits_order_answers {
+        if entry.order.awaits_answers {
             // Nothing has been sent yet: whoever is gone by then is replaced at the next look.
             return;
         }
--- a/crates/queue/src/copies/release.rs
+++ b/crates/queue/src/copies/release.rs
@@ -1,9 +1,10 @@
 //! Starting what was read from disk, or waited behind a fence, once those that hold copies have spoken.
 
 use super::{ASK, PATIENCE};
+use crate::entry::{Entry, Stage};
 use crate::message::{Key, Millis, Node};
 use crate::planted::PlantedFault;
-use crate::queue::{Entry, Queue, Stage};
+use crate::queue::Queue;
 
 impl Queue {
     /// Messages read from disk go on once all that hold copies have spoken, or are not there.
--- a/crates/queue/src/copies/take_over.rs
+++ b/crates/queue/src/copies/take_over.rs
@@ -1,10 +1,12 @@
 //! Taking over what another store owned: one that is gone, or one that gives it away in order.
 
 use super::{Peer, ASK, GONE};
+use crate::entry::Stage;
 use crate::message::{Key, Millis, Node};
 use crate::peer_message::{AcceptedHandover, HandoverOffer, Ownership};
+use crate::pending_writes::PendingWrite;
 use crate::planted::PlantedFault;
-use crate::queue::{PendingWrite, Queue, Stage};
+use crate::queue::Queue;
 use crate::record::Record;
 
 /// The next in line waits so much longer, for the first may be about to take over.
@@ -74,7 +76,7 @@
     /// Looks for stores that are gone, and for messages that have waited long enough for those that are not
     /// back.
     pub(crate) fn look_after(&mut self, now: Millis) {
-        let heard = self.hears_control_group && self.knows_members;
+        let heard = self.control_contact.is_heard && self.knows_members;
         let gone =
             |p: &Peer| heard && !p.connected && !p.listed && now > p.since + GONE && now >= p.looked + 3000;
         let gone: Vec<Node> = self.peers.iter().filter(|(_, p)| gone(p)).map(|(node, _)| *node).collect();
--- a/crates/queue/src/duplicates.rs
+++ b/crates/queue/src/duplicates.rs
@@ -3,8 +3,9 @@
 //! one is kept, and the others drop theirs unless it runs already. It tells them again when a connection comes back: a store
 //! that stood still reads what was sent to it before, and only then that nobody waits for it.
 
+use crate::entry::Stage;
 use crate::message::{Key, Message};
-use crate::queue::{Queue, Stage};
+use crate::queue::Queue;
 use crate::record::Record;
 
 /// Most messages that are known to be unwanted and owned by others.
--- a/crates/queue/src/ends.rs
+++ b/crates/queue/src/ends.rs
@@ -2,10 +2,13 @@
 //! knows; and when one is lost for good, or back with another disk, those that knew ends together with it pass them on. Else a
 //! question within `status_s` is answered as if there had been no such message.
 
+use crate::effect::Effect;
+use crate::entry::{Entry, Stage};
 use crate::message::{End, Key, Message, Millis, Node, ReplicatedMessage};
 use crate::peer_message::{PeerMessage, TransferredEnd};
+use crate::pending_writes::PendingWrite;
 use crate::planted::PlantedFault;
-use crate::queue::{Effect, Entry, PendingWrite, Queue, Stage};
+use crate::queue::Queue;
 use crate::record::Record;
 use crate::repair::RATE;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -71,20 +74,21 @@
 impl Queue {
     /// Passes on, at a bounded rate, the ends that too few others have confirmed.
     pub(crate) fn pass_ends_on(&mut self, now: Millis) {
-        let nothing = self.end_replication.done || !self.is_retiring && self.end_replication.lost.is_empty();
+        let nothing =
+            self.end_replication.done || !self.is_retiring() && self.end_replication.lost.is_empty();
         if nothing || self.planted(PlantedFault::EndsGoAlong) {
             return;
         }
         let able = |p: &crate::copies::Peer| p.listed && p.connected && !p.leaving;
         let others: Vec<Node> = self.peers.iter().filter(|(_, p)| able(p)).map(|(node, _)| *node).collect();
-        let leaves = usize::from(self.is_retiring);
+        let leaves = usize::from(self.is_retiring());
         let wanted = others.len().min(self.settings.replica_count + leaves);
         if wanted == 0 {
             return;
         }
         let (mut lacking, mut bytes) = (false, 0);
         let mut parcels: BTreeMap<Node, Vec<TransferredEnd>> = BTreeMap::new();
-        let passed = |e: &Entry| e.end.is_some() && (self.is_retiring || self.end_replication.concerns(e));
+        let passed = |e: &Entry| e.end.is_some() && (self.is_retiring() || self.end_replication.concerns(e));
         for (key, entry) in self.entries.iter().filter(|(_, e)| passed(e)) {
             let have = others.iter().filter(|node| self.end_replication.has(**node, *key)).count();
             if have >= wanted {
@@ -99,7 +103,7 @@
             }
         }
         self.end_replication.done = !lacking;
-        if !lacking && !self.is_retiring {
+        if !lacking && !self.is_retiring() {
             self.end_replication = Passing { done: true, ..Passing::default() };
         }
         for (to, ends) in parcels {
--- a/crates/queue/src/entry.rs
+++ b/crates/queue/src/entry.rs
@@ -1,49 +1,23 @@
-//! The types of the queue's interface: settings, entries, effects, outcomes and figures.
+//! What a store knows of one message.
 
-use crate::message::{End, Key, Message, Millis, Node, PutError, ReplicatedMessage};
-use crate::peer_message::PeerMessage;
+use crate::message::{End, Message, Millis, Node, ReplicatedMessage};
 use crate::service_queue::QueuePosition;
-use std::collections::VecDeque;
-use std::net::SocketAddrV4;
-
-/// Whole places that may be lost at once.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ToleratedLosses {
-    pub zones: usize,
-    pub regions: usize,
-}
-
-#[derive(Clone, Debug)]
-pub struct QueueSettings {
-    pub node: Node,
-    pub zone: usize,
-    /// Number of the disk, drawn when it was empty.
-    pub disk_id: u64,
-    /// The first number of this life, and of those before it that began with this disk.
-    pub first_number: u64,
-    pub earlier_first_numbers: Vec<u64>,
-    /// So many copies beside the own one.
-    pub replica_count: usize,
-    /// The region of each zone.
-    pub region_of_zone: Vec<usize>,
-    /// So many zones, or regions, may be lost at once: copies lie in one more than that.
-    pub tolerated_losses: ToleratedLosses,
-    pub rate_window_ms: u64,
-    pub rate_tolerance: f64,
-    pub status_retention_ms: u64,
-    pub seed: u64,
-}
 
+/// Where a message stands at this store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Not yet safe.
+    /// Accepted here and not yet on all of its disks: its sender has no answer.
     Persisting,
-    /// Read from disk: it waits until those who hold copies have said what became of it.
+    /// Owned here, but not started before the stores that hold replicas have said what became of it: it was read from
+    /// disk, or offered to a successor.
     Suspended,
+    /// Owned here: it waits for its time, or for an executor.
     Waiting,
+    /// An attempt started here has not ended.
     InFlight,
-    /// Another store delivers it.
+    /// Another store owns and delivers it.
     Replica,
+    /// It has completed or failed.
     Ended,
 }
 
@@ -61,162 +35,109 @@
     }
 }
 
+/// The state of a message as its sender may learn it.
+#[derive(Clone, Debug, PartialEq)]
+pub enum MessageState {
+    /// It has not ended.
+    Waiting,
+    /// It has been processed.
+    Complete {
+        /// The executor's proof of completion.
+        seal: String,
+    },
+    /// It has failed for good.
+    Failed,
+}
+
+/// One executor of one service, by their indices.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ExecutorRef {
+    pub service_queue: usize,
+    pub executor: usize,
+}
+
+/// Where a message waits for an executor.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ServiceQueueSlot {
+    pub service_queue: usize,
+    pub position: QueuePosition,
+}
+
+/// Where a message stands among those of the same order key.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct OrderSlot {
+    pub order_key: String,
+    /// Time of day at which the message was accepted, in milliseconds: the first part of the order.
+    pub accepted_at_ms: u64,
+}
+
+/// What ordered delivery needs to know of a message.
+#[derive(Debug, Default)]
+pub(crate) struct OrderState {
+    /// Where the index of ordered messages has it; `None` if it has no order key or has ended.
+    pub slot: Option<Box<OrderSlot>>,
+    /// Other stores have been told of it, and are told of its end.
+    pub is_announced: bool,
+    /// Enough of the other stores have said which earlier messages they know.
+    pub is_confirmed: bool,
+    /// It is not persisted before other stores have answered.
+    pub awaits_answers: bool,
+}
+
+/// One message in the table of a store.
 #[derive(Debug)]
 pub struct Entry {
+    /// The message; without its content where it has ended.
     pub message: Message,
+    /// The store that delivers it.
     pub owner: Node,
+    /// Rises with each change of owner: of two claims the higher term holds.
     pub term: u32,
+    /// Stores that hold, or are to hold, replicas beside the owner.
     pub replicas: Vec<Node>,
+    /// Where it stands here.
     pub stage: Stage,
+    /// Not started before this time, as its sender asked.
     pub due_at: Millis,
-    /// After a failed attempt: not before then. Its place among those that wait stays that of `due`.
+    /// Not started before this time, for backoff or to hear other stores first. Its position in the queue stays that of
+    /// `due_at`.
     pub(crate) not_before: Millis,
-    /// Where it stands in `delayed`.
+    /// Its time in the queue's index of delayed messages.
     pub(crate) delayed_until: Option<Millis>,
-    /// When it was taken, on this process's clock: before its start if it is less than nought.
+    /// When it was accepted, on this process's clock: negative if before its start.
     pub(crate) accepted_at: i64,
+    /// When it fails for having waited too long.
     pub expires_at: Millis,
+    /// Attempts that the executor said had failed; limited by the route.
     pub failed_attempts: u32,
+    /// Attempts from here that did not complete, whatever the reason: the exponent of the backoff.
     pub(crate) backoff_steps: u32,
-    /// It ran, or may have: the next attempt is a repeat. And who failed it last, at which service.
+    /// It ran, or may have run: the next attempt is a retry.
     pub(crate) has_run: bool,
-    pub(crate) last_failed_on: Option<(usize, usize)>,
+    /// The executor where it last ran in vain: a retry goes elsewhere.
+    pub(crate) last_failed_on: Option<ExecutorRef>,
+    /// How it ended.
     pub end: Option<End>,
+    /// It has ended and the receiver of its call-back has not been told.
     pub callback_pending: bool,
-    /// Where it has still to become safe, and who waits for that.
+    /// Stores, this one among them, that have not confirmed their replica.
     pub(crate) unconfirmed: Vec<Node>,
+    /// The `put` to answer once it is persisted.
     pub(crate) ticket: Option<u64>,
-    /// Where it stands in `landing`.
+    /// Its time in the queue's index of messages that are being persisted.
     pub(crate) persist_check_at: Option<Millis>,
-    /// Where it stands in `thin`.
+    /// Its time in the queue's index of under-replicated messages.
     pub(crate) repair_at: Option<Millis>,
-    /// By which owner it stands in `live`.
+    /// The owner under which the index of live messages has it.
     pub(crate) indexed_owner: Option<Node>,
-    /// Its row, and where it stands there; whether others were told of it, whether they have been asked, and
-    /// whether it is kept only after that.
-    pub(crate) order_slot: Option<Box<(String, u64)>>,
-    pub(crate) is_announced: bool,
-    pub(crate) is_order_confirmed: bool,
-    pub(crate) awaits_order_answers: bool,
-    pub(crate) queue_position: Option<(usize, QueuePosition)>,
-}
-
-/// What the program is to do.
-#[derive(Debug)]
-pub enum Effect {
-    Persist {
-        ticket: u64,
-        records: Vec<Vec<u8>>,
-        sync: bool,
-    },
-    Send {
-        to: Node,
-        message: PeerMessage,
-    },
-    PutResult {
-        ticket: u64,
-        result: Result<String, PutError>,
-    },
-    StartAttempt {
-        attempt: u64,
-        key: Key,
-        to: SocketAddrV4,
-        expected_server: Option<String>,
-        timeout_ms: u64,
-        max_connections: usize,
-    },
-    CallBack {
-        key: Key,
-        url: String,
-        body: String,
-    },
-}
-
-/// How an attempt ended.
-#[derive(Clone, Debug, PartialEq)]
-pub enum AttemptOutcome {
-    Completed {
-        seal: String,
-    },
-    /// Can never be done.
-    Rejected,
-    /// This attempt failed; the next may do.
-    Failed,
-    ExecutorFull,
-    /// Over the ceiling.
-    RateLimited,
-    /// The first one runs yet.
-    AlreadyRunning,
-    /// Another executor is at that address.
-    WrongServer,
-    NotRun,
-    TimedOut,
-    NotConnected,
-    NoFreeConnection,
-    ConnectionBroken,
-    NoResponse,
-    MalformedResponse,
-}
-
-/// What is said of a message.
-#[derive(Clone, Debug, PartialEq)]
-pub enum MessageState {
-    Waiting,
-    Complete { seal: String },
-    Failed,
-}
-
-#[derive(Clone, Debug, Default)]
-pub struct QueueMetrics {
-    pub accepted: u64,
-    pub rejected: u64,
-    pub outcome_unknown: u64,
-    pub completed: u64,
-    pub failed: u64,
-    pub failed_without_route: u64,
-    pub expired: u64,
-    pub attempts: u64,
-    pub retries: u64,
-    pub callbacks_started: u64,
-    pub callbacks_delivered: u64,
-    pub taken_over: u64,
-    pub handed_over: u64,
-    pub replicas_resent: u64,
-    /// Dropped because another store keeps the same message.
-    pub withdrawn: u64,
-    pub failed_writes: u64,
-    /// Words of those that held a duty before, refused; times that nothing was started here for others might have taken over.
-    pub stale_claims: u64,
-    pub fence_activations: u64,
-    /// Ownership here and on too few disks, as of now; how long it took until none was, the last time.
-    pub under_replicated: usize,
-    pub last_under_replication_ms: u64,
-    pub repaired: u64,
-    pub repaired_bytes: u64,
-    /// Comparisons with other stores, and ranges that differed.
-    pub digest_comparisons: u64,
-    pub differing_ranges: u64,
-}
-
-#[derive(Default)]
-pub(crate) struct CallbackReceiver {
-    pub(crate) in_flight: usize,
-    pub(crate) consecutive_failures: u32,
-    pub(crate) not_before: Millis,
-    pub(crate) queue: VecDeque<Key>,
-}
-
-/// What waits for the disk.
-#[derive(Clone, Debug)]
-pub(crate) enum PendingWrite {
-    Ownership(Key),
-    ReplicaFor(Node, Key),
-    TakenOverFrom(Node, Key),
-    EndFrom(Node, Key),
-    Retirement,
+    /// Its part in ordered delivery.
+    pub(crate) order: OrderState,
+    /// Where it waits for an executor.
+    pub(crate) queue_slot: Option<ServiceQueueSlot>,
 }
 
 impl Entry {
+    /// An entry for a message as another store describes it; the caller sets the stage.
     pub(crate) fn from_shared(shared: &ReplicatedMessage, now: Millis) -> Entry {
         Entry {
             message: shared.message.clone(),
@@ -240,15 +161,13 @@
             persist_check_at: None,
             repair_at: None,
             indexed_owner: None,
-            order_slot: None,
-            is_announced: false,
-            is_order_confirmed: false,
-            awaits_order_answers: false,
-            queue_position: None,
+            order: OrderState::default(),
+            queue_slot: None,
         }
     }
 
-    /// Of one that has ended only what a call-back needs is kept.
+    /// Frees the content of a message that has ended, but for what is still needed: identity and URL for a pending
+    /// call-back, and the body of a failed message, which operators may ask for.
     pub(crate) fn discard_content(&mut self) {
         let message = std::mem::take(&mut self.message);
         if self.callback_pending {
@@ -256,11 +175,11 @@
                 Message { id: message.id, callback_url: message.callback_url, ..Message::default() };
         }
         if matches!(self.end, Some(End::Failed)) {
-            // Dead ones are asked for their bytes.
             (self.message.body, self.message.accepted_at_ms) = (message.body, message.accepted_at_ms);
         }
     }
 
+    /// How long ago it was accepted, in milliseconds.
     pub(crate) fn age_ms(&self, now: Millis) -> u64 {
         (now as i64 - self.accepted_at).max(0) as u64
     }
--- /dev/null
+++ b/crates/queue/src/metrics.rs
@@ -0,0 +1,54 @@
+//! Counters of the queue, since the start of the process.
+
+/// Events that the queue has counted, and the gauges of repair.
+#[derive(Clone, Debug, Default)]
+pub struct QueueMetrics {
+    /// Messages accepted: all of their replicas are on disk.
+    pub accepted: u64,
+    /// Messages not accepted: draining, a stalled disk, too few peers for the replicas, or a full table.
+    pub rejected: u64,
+    /// Messages that may run although their sender could not be told that they were accepted.
+    pub outcome_unknown: u64,
+    /// Messages that ended completed.
+    pub completed: u64,
+    /// Messages that ended failed.
+    pub failed: u64,
+    /// Messages that failed because the configuration has no route for them any more.
+    pub failed_without_route: u64,
+    /// Messages that failed because they had waited too long.
+    pub expired: u64,
+    /// Attempts started.
+    pub attempts: u64,
+    /// Attempts started after one that did not complete.
+    pub retries: u64,
+    /// Call-backs started.
+    pub callbacks_started: u64,
+    /// Call-backs that their receiver has accepted.
+    pub callbacks_delivered: u64,
+    /// Messages taken over from another store.
+    pub taken_over: u64,
+    /// Messages handed over to another store.
+    pub handed_over: u64,
+    /// Replicas sent once more, by repair.
+    pub replicas_resent: u64,
+    /// Messages dropped because another store keeps the same one.
+    pub withdrawn: u64,
+    /// Writes that the disk refused.
+    pub failed_writes: u64,
+    /// Claims of former owners or token holders that were ignored.
+    pub stale_claims: u64,
+    /// Times that this store stopped starting attempts because others might have taken over.
+    pub fence_activations: u64,
+    /// Messages owned here that have too few replicas now.
+    pub under_replicated: usize,
+    /// How long the last period lasted in which some messages had too few replicas.
+    pub last_under_replication_ms: u64,
+    /// Messages that repair brought back to the full number of replicas.
+    pub repaired: u64,
+    /// Bytes sent by repair.
+    pub repaired_bytes: u64,
+    /// Comparisons of digests with other stores.
+    pub digest_comparisons: u64,
+    /// Ranges of messages whose digests differed.
+    pub differing_ranges: u64,
+}
--- a/crates/queue/src/ordering.rs
+++ b/crates/queue/src/ordering.rs
@@ -9,9 +9,12 @@
 //! handed over, read from disk) asks before it starts. Nobody waits for a higher one, so no two wait for each
 //! other.
 
+use crate::effect::Effect;
+use crate::entry::Stage;
 use crate::message::{Key, Millis, Node};
 use crate::peer_message::{GroupMessage, GroupPosition, PeerMessage};
-use crate::queue::{Effect, PendingWrite, Queue, Stage};
+use crate::pending_writes::PendingWrite;
+use crate::queue::Queue;
 use crate::record::Record;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
@@ -121,7 +124,7 @@
         let listed = || self.peers.iter().filter(|(_, p)| p.listed);
         let asked = self.ordering.all.get(row).and_then(|row| row.asked);
         self.knows_members
-            && self.hears_control_group
+            && self.control_contact.is_heard
             && listed().all(|(_, p)| p.connected && !p.leaving)
             && preferred_store(row, listed().map(|(node, _)| *node).chain([self.settings.node]))
                 == Some(self.settings.node)
@@ -139,7 +142,7 @@
         let knows = self.knows(&name);
         if let Some(entry) = self.entries.get_mut(&key) {
             entry.message.accepted_at_ms = entry.message.accepted_at_ms.max(beyond);
-            (entry.is_order_confirmed, entry.awaits_order_answers) = (true, !knows);
+            (entry.order.is_confirmed, entry.order.awaits_answers) = (true, !knows);
         }
         self.reindex(key);
         if knows {
@@ -156,7 +159,7 @@
         let number = self.ordering.number;
         let waiting = self.connected();
         if let Some(entry) = self.entries.get_mut(&key).filter(|_| landing) {
-            entry.is_announced = true;
+            entry.order.is_announced = true;
         }
         for to in &waiting {
             let note = PeerMessage::GroupQuery {
@@ -259,7 +262,7 @@
         if moved {
             entry.message.accepted_at_ms = beyond;
         }
-        entry.is_order_confirmed = true;
+        entry.order.is_confirmed = true;
         let spot = GroupPosition { accepted_at_ms: entry.message.accepted_at_ms, key };
         // Earlier ones that nobody names have ended. Of later ones nothing is known by that: those that came
         // since then and were told here wait for them.
@@ -280,7 +283,7 @@
     /// The place of a new message in its row is known: it is kept, here and at its copies.
     pub(crate) fn embark(&mut self, key: Key, now: Millis) {
         let Some(entry) = self.entries.get_mut(&key).filter(|e| e.stage == Stage::Persisting) else { return };
-        entry.awaits_order_answers = false;
+        entry.order.awaits_answers = false;
         let copies = entry.replicas.clone();
         let Some(shared) = self.shared(now, key) else { return };
         self.record(&Record::Put { replica: shared.clone() }, true);
@@ -294,7 +297,7 @@
         let Some(entry) = self.entries.get(&key) else { return false };
         let Some(name) = entry.message.ordering_key.clone() else { return true };
         let spot = GroupPosition { accepted_at_ms: entry.message.accepted_at_ms, key };
-        let cleared = entry.is_order_confirmed;
+        let cleared = entry.order.is_confirmed;
         let row = self.ordering.row(&name);
         if row.live.first() != Some(&spot) {
             return false;
--- /dev/null
+++ b/crates/queue/src/pending_writes.rs
@@ -0,0 +1,80 @@
+//! Records on their way to disk, and what has to happen once they are there.
+
+use crate::effect::Effect;
+use crate::message::{Key, Millis, Node};
+use crate::record::Record;
+use std::collections::{BTreeMap, HashMap};
+
+/// A disk that has not completed a write for so long is taken for stalled.
+const DISK_STALL_LIMIT_MS: Millis = 120;
+
+/// What waits for a write.
+#[derive(Clone, Debug)]
+pub(crate) enum PendingWrite {
+    /// A message owned here, or its new owner, is recorded: this store's own replica is then durable.
+    Ownership(Key),
+    /// A replica is kept for another store, which is told.
+    ReplicaFor(Node, Key),
+    /// A message was handed over by another store, which is told.
+    TakenOverFrom(Node, Key),
+    /// An end is kept for another store, which is told.
+    EndFrom(Node, Key),
+    /// The order to retire this store is recorded.
+    Retirement,
+}
+
+/// Collects the records of one turn into one write, and remembers what waits for each write.
+#[derive(Debug, Default)]
+pub(crate) struct PendingWrites {
+    records: Vec<Vec<u8>>,
+    needs_sync: bool,
+    /// Waits for the write that is being collected.
+    collecting: Vec<PendingWrite>,
+    /// Waits for a write that the program has been given, by its ticket.
+    in_flight: HashMap<u64, Vec<PendingWrite>>,
+    started_at: BTreeMap<u64, Millis>,
+    last_ticket: u64,
+}
+
+impl PendingWrites {
+    /// Adds a record to the next write; with `needs_sync` that write is synced at once.
+    pub fn add(&mut self, record: &Record, needs_sync: bool) {
+        if let Ok(bytes) = postcard::to_stdvec(record) {
+            self.records.push(bytes);
+            self.needs_sync |= needs_sync;
+        }
+    }
+
+    /// Something waits for the records added so far in this turn.
+    pub fn wait(&mut self, wait: PendingWrite) {
+        self.collecting.push(wait);
+    }
+
+    /// The write of this turn, if there is anything to write.
+    pub fn take(&mut self, now: Millis) -> Option<Effect> {
+        if self.records.is_empty() {
+            return None;
+        }
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
+        let waits = std::mem::take(&mut self.collecting);
+        if !waits.is_empty() {
+            self.in_flight.insert(ticket, waits);
+            self.started_at.insert(ticket, now);
+        }
+        let records = std::mem::take(&mut self.records);
+        let sync = std::mem::take(&mut self.needs_sync);
+        Some(Effect::Persist { ticket, records, sync })
+    }
+
+    /// The disk has answered for a write: gives what waited for it.
+    pub fn complete(&mut self, ticket: u64) -> Vec<PendingWrite> {
+        self.started_at.remove(&ticket);
+        self.in_flight.remove(&ticket).unwrap_or_default()
+    }
+
+    /// Whether the oldest write that something waits for is overdue.
+    pub fn is_disk_stalled(&self, now: Millis) -> bool {
+        self.started_at.first_key_value().is_some_and(|(_, since)| now > since + DISK_STALL_LIMIT_MS)
+    }
+}
--- a/crates/queue/src/queue.rs
+++ b/crates/queue/src/queue.rs
@@ -1,4 +1,4 @@
-//! The table of messages, with its one owner: what is known of each, and the indices kept in step with it.
+//! The table of messages of one store, and the indices kept in step with it.
 
 mod callbacks;
 mod completion;
@@ -10,235 +10,273 @@
 mod timers;
 mod token_holders;
 
-pub(crate) use crate::entry::PendingWrite;
-pub use crate::entry::{
-    AttemptOutcome, Effect, Entry, MessageState, QueueMetrics, QueueSettings, Stage, ToleratedLosses,
-};
 pub use message_numbers::first_number;
-pub use report::{MessageView, ServiceView, StageCounts};
+pub use report::{MessageView, PeerView, RateLimitView, ServiceView, StageCounts};
 
+use crate::control_contact::ControlContact;
 use crate::copies::Peer;
-use crate::entry::CallbackReceiver;
+use crate::effect::Effect;
+use crate::entry::{Entry, MessageState, OrderSlot, Stage};
 use crate::message::{End, Key, Message, Millis, Node, ReplicatedMessage};
+use crate::metrics::QueueMetrics;
 use crate::peer_message::GroupPosition;
+use crate::pending_writes::PendingWrites;
 #[cfg(feature = "planted")]
 use crate::planted::PlantedFault;
 use crate::service_queue::{Executor, ServiceQueue};
+use crate::settings::QueueSettings;
 use crate::state_table::{StateTable, StoredEnd, StoredMessage};
+use callbacks::Callbacks;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
 use stileroute_config::Config;
 
-/// Beyond the time that it may wait, for clients' clocks and first tries: one that has not ended must not be
-/// called failed.
-const SLACK: Millis = 1500;
+/// Added to the time that a message may wait, for differing clocks of clients and for their first attempts to submit it: a
+/// message must not be called failed while its sender counts on it.
+const EXPIRY_MARGIN_MS: Millis = 1500;
 
-const UPKEEP: Millis = 250;
+/// How long a message may wait while its route is not known.
+const DEFAULT_MAX_WAIT_MS: Millis = 90_000;
 
+/// How often members, executors and peers are looked after.
+const UPKEEP_INTERVAL_MS: Millis = 250;
+
+/// The end of a message is remembered for longer than it can be looked up, so that late copies of the message are
+/// recognised.
+const RETENTION_MARGIN_MS: Millis = 60_000;
+
+/// How much later than reckoned a delayed message read from disk is started at most: clocks of machines differ a little, and
+/// late is better than early.
+const CLOCK_DIFFERENCE_MS: Millis = 60;
+
+/// Whether an operator has ordered this store to be emptied for good.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) enum RetirementOrder {
+    /// No such order.
+    #[default]
+    None,
+    /// Ordered, and not yet on disk.
+    Pending,
+    /// Ordered, and on disk: it holds over restarts.
+    Durable,
+}
+
+/// The durable queue of one store.
+///
+/// A state machine: the program calls a method for each event, then [`tick`](Queue::tick), then carries out what
+/// [`take_effects`](Queue::take_effects) gives. Times are milliseconds of one steady clock.
 pub struct Queue {
     pub(crate) settings: QueueSettings,
+    /// Contact with the control group, as the program observes it.
+    pub control_contact: ControlContact,
+    /// Counters since the start.
+    pub metrics: QueueMetrics,
+
     pub(crate) entries: HashMap<Key, Entry>,
-    pub(crate) peers: BTreeMap<Node, Peer>,
-    config: Option<Arc<Config>>,
-    service_queues: Vec<ServiceQueue>,
-    service_queue_index: HashMap<String, usize>,
-    executors: HashMap<String, Vec<Executor>>,
+    /// Messages that have not ended, or whose call-back is pending, by owner: what is compared with other stores and searched
+    /// when one is gone. The table with its ended messages is about a hundred times as large.
+    pub(crate) live_by_owner: BTreeSet<(Node, Key)>,
+    pub(crate) ordering: crate::ordering::Rows,
+
+    /// Messages that are due at a later time.
     delayed: BTreeSet<(Millis, Key)>,
+    /// Messages that have not ended, by the time at which they fail for having waited too long.
     expiring: BTreeSet<(Millis, Key)>,
+    /// Messages to be removed, in order of time.
     forgetting: VecDeque<(Millis, Key)>,
-    /// Taken by a configuration that has not come here yet.
-    awaiting_config: HashSet<Key>,
-    /// Read from disk, and not yet released.
-    pub(crate) unreleased: BTreeSet<Key>,
-    /// Another store keeps the same message: not to be run here, whoever owns it now.
-    pub(crate) superseded_keys: HashSet<Key>,
-    /// Offered to a successor that has not said yes.
-    pub(crate) handovers: HashMap<Key, Node>,
+    /// Messages being persisted, by the time at which a missing confirmation is acted on.
     pub(crate) persisting: BTreeSet<(Millis, Key)>,
-    /// Live, or with a call-back owed, by owner: what is compared with others and looked through when one is
-    /// gone. All entries, with those that ended in the last minutes, are a hundred times as many.
-    pub(crate) live_by_owner: BTreeSet<(Node, Key)>,
-    /// Ownership here and on too few disks: when to see to each.
+    /// Messages owned here that have too few replicas, by the time at which repair looks at them.
     pub(crate) under_replicated: BTreeSet<(Millis, Key)>,
     pub(crate) under_replicated_since: Option<Millis>,
     pub(crate) repair_budget: crate::repair::Bytes,
-    pub(crate) ordering: crate::ordering::Rows,
-    /// To be taken over by then, if their owner is not back.
+    /// Messages accepted under a configuration that has not arrived here.
+    awaiting_config: HashSet<Key>,
+    /// Messages read from disk that wait for the stores that hold replicas.
+    pub(crate) unreleased: BTreeSet<Key>,
+    /// Messages of which another store keeps the same one: not started here, whoever owns them.
+    pub(crate) superseded_keys: HashSet<Key>,
+    /// Messages offered to a successor that has not answered.
+    pub(crate) handovers: HashMap<Key, Node>,
+    /// Messages to be taken over at a time, if their owner is not back by then.
     pub(crate) orphans: BTreeSet<(Millis, Key)>,
-    /// Their owner has said that it has lost them with its disk.
+    /// Messages that their owner has lost with its disk.
     pub(crate) lost_by_owner: HashMap<Key, Node>,
-    callback_receivers: HashMap<String, CallbackReceiver>,
-    /// Call-backs that are out, and where: by the time of the answer the message may know no receiver any
-    /// more.
-    callbacks_in_flight: HashMap<Key, String>,
+
+    config: Option<Arc<Config>>,
+    service_queues: Vec<ServiceQueue>,
+    service_queue_index: HashMap<String, usize>,
+    executors: HashMap<String, Vec<Executor>>,
+    callbacks: Callbacks,
     next_number: u64,
     next_attempt: u64,
-    next_ticket: u64,
-    pending_writes: HashMap<u64, Vec<PendingWrite>>,
-    /// Since when the disk has had what is waited for.
-    write_started_at: BTreeMap<u64, Millis>,
-    last_tick_at: Millis,
-    records: Vec<Vec<u8>>,
-    needs_sync: bool,
-    next_pending_writes: Vec<PendingWrite>,
-    pub(crate) flush_ends_at: Option<Millis>,
+
     effects: Vec<Effect>,
+    pending_writes: PendingWrites,
+    /// When ends that were not sent yet are sent to the peers.
+    pub(crate) flush_ends_at: Option<Millis>,
+    /// When the service queues are to be looked at again.
     next_dispatch_at: Millis,
+    last_tick_at: Millis,
     last_upkeep_at: Millis,
-    /// The time of day when the steady clock stood at nought.
+    /// Time of day at zero of the steady clock.
     wall_clock_offset_ms: u64,
+
+    pub(crate) peers: BTreeMap<Node, Peer>,
+    /// The membership has arrived: before that a store would take itself for the only one.
+    pub(crate) knows_members: bool,
+    /// No more messages are accepted; those that wait are handed over.
     pub is_draining: bool,
-    /// It is to be emptied, and who counts on no copy here.
-    pub(crate) is_retiring: bool,
-    pub(crate) is_retirement_durable: bool,
+    pub(crate) retirement: RetirementOrder,
+    /// Stores that have said that they count on no replica here.
     pub(crate) released_by: BTreeSet<Node>,
-    /// Ends that go to others before this store is gone.
+    /// Ends that are passed on to other stores.
     pub(crate) end_replication: crate::ends::Passing,
-    /// The control nodes hear this store: without them and without a peer it may be the one that is cut off.
-    pub hears_control_group: bool,
-    /// So long without a word of them that they may call its session lapsed.
-    pub session_may_have_lapsed: bool,
-    /// Nothing is started since then (`look_after_fence`).
+    /// Since when no attempt is started, for others may have taken over.
     pub(crate) fenced_since: Option<Millis>,
-    /// The members have been told: before that a store would take itself for the only one.
-    pub(crate) knows_members: bool,
     #[cfg(feature = "planted")]
     pub(crate) planted: Option<PlantedFault>,
-    pub metrics: QueueMetrics,
 }
 
 impl Queue {
-    /// Begins with what the disk holds. `wall` is the time of day in ms.
-    pub fn new(terms: QueueSettings, ledger: StateTable, now: Millis, wall: u64) -> Queue {
-        let mut queue = Queue {
-            // Numbers never come again: each life has a line of its own.
-            next_number: terms.first_number,
-            next_attempt: 1,
-            next_ticket: 1,
+    /// A queue that begins with what the disk holds. `wall_clock_ms` is the time of day at `now`, in milliseconds.
+    pub fn new(settings: QueueSettings, stored: StateTable, now: Millis, wall_clock_ms: u64) -> Queue {
+        let mut queue = Queue::empty(settings, now, wall_clock_ms);
+        for (key, message) in stored.messages {
+            queue.restore(key, message, now, wall_clock_ms);
+        }
+        if stored.retirement_ordered {
+            queue.retirement = RetirementOrder::Durable;
+            queue.begin_retiring(now);
+        }
+        queue
+    }
+
+    fn empty(settings: QueueSettings, now: Millis, wall_clock_ms: u64) -> Queue {
+        Queue {
+            control_contact: ControlContact { is_heard: true, session_may_have_lapsed: false },
+            metrics: QueueMetrics::default(),
             entries: HashMap::new(),
-            peers: BTreeMap::new(),
-            config: None,
-            service_queues: Vec::new(),
-            service_queue_index: HashMap::new(),
-            executors: HashMap::new(),
+            live_by_owner: BTreeSet::new(),
+            ordering: Default::default(),
             delayed: BTreeSet::new(),
             expiring: BTreeSet::new(),
             forgetting: VecDeque::new(),
-            awaiting_config: HashSet::new(),
-            unreleased: BTreeSet::new(),
-            handovers: HashMap::new(),
-            wall_clock_offset_ms: wall.saturating_sub(now),
-            superseded_keys: HashSet::new(),
             persisting: BTreeSet::new(),
-            live_by_owner: BTreeSet::new(),
             under_replicated: BTreeSet::new(),
             under_replicated_since: None,
             repair_budget: Default::default(),
-            ordering: Default::default(),
+            awaiting_config: HashSet::new(),
+            unreleased: BTreeSet::new(),
+            superseded_keys: HashSet::new(),
+            handovers: HashMap::new(),
             orphans: BTreeSet::new(),
             lost_by_owner: HashMap::new(),
-            callback_receivers: HashMap::new(),
-            callbacks_in_flight: HashMap::new(),
-            pending_writes: HashMap::new(),
-            write_started_at: BTreeMap::new(),
-            last_tick_at: now,
-            records: Vec::new(),
-            needs_sync: false,
-            next_pending_writes: Vec::new(),
-            flush_ends_at: None,
+            config: None,
+            service_queues: Vec::new(),
+            service_queue_index: HashMap::new(),
+            executors: HashMap::new(),
+            callbacks: Callbacks::default(),
+            // Numbers never come again: each incarnation has a range of its own.
+            next_number: settings.first_number,
+            next_attempt: 1,
             effects: Vec::new(),
+            pending_writes: PendingWrites::default(),
+            flush_ends_at: None,
             next_dispatch_at: 0,
+            last_tick_at: now,
             last_upkeep_at: now,
+            wall_clock_offset_ms: wall_clock_ms.saturating_sub(now),
+            peers: BTreeMap::new(),
+            knows_members: false,
             is_draining: false,
-            is_retiring: ledger.retirement_ordered,
-            is_retirement_durable: ledger.retirement_ordered,
+            retirement: RetirementOrder::None,
             released_by: BTreeSet::new(),
             end_replication: Default::default(),
-            hears_control_group: true,
-            session_may_have_lapsed: false,
             fenced_since: None,
-            knows_members: false,
             #[cfg(feature = "planted")]
             planted: None,
-            metrics: QueueMetrics::default(),
-            settings: terms,
-        };
-        for (key, kept) in ledger.messages {
-            queue.restore(key, kept, now, wall);
-        }
-        if ledger.retirement_ordered {
-            queue.begin_retiring(now);
+            settings,
         }
-        queue
     }
 
-    fn restore(&mut self, key: Key, kept: StoredMessage, now: Millis, wall: u64) {
-        let known = kept.replica.is_some();
-        let shared = kept.replica.unwrap_or_default();
-        let (end, owed) = match kept.end {
+    /// Enters a message as it was read from disk.
+    fn restore(&mut self, key: Key, stored: StoredMessage, now: Millis, wall_clock_ms: u64) {
+        let is_content_known = stored.replica.is_some();
+        let shared = stored.replica.unwrap_or_default();
+        let (end, callback_pending) = match stored.end {
             Some(StoredEnd { end, callback_pending, .. }) => (Some(end), callback_pending),
             None => (None, false),
         };
         if end.is_none() && shared.message.id.is_empty() && shared.message.method.is_empty() {
             return;
         }
-        let gone = wall.saturating_sub(shared.message.accepted_at_ms);
-        // Whoever owns it, or held a copy, may be gone for good: it is missed from now on all the same.
-        for node in
-            shared.replicas.iter().chain([&shared.owner]).filter(|node| known && **node != self.settings.node)
-        {
-            self.peers.entry(*node).or_insert_with(|| Peer::new(now));
+        if is_content_known {
+            self.expect_peers_of(&shared, now);
         }
+        let age_ms = wall_clock_ms.saturating_sub(shared.message.accepted_at_ms);
         let mut entry = Entry::from_shared(&shared, now);
-        entry.accepted_at = now as i64 - gone as i64;
-        // Clocks of machines differ a little: rather late than early.
-        entry.due_at = now + (shared.message.delay_ms + 60).saturating_sub(gone).min(shared.message.delay_ms);
+        entry.accepted_at = now as i64 - age_ms as i64;
+        let delay_ms = shared.message.delay_ms;
+        entry.due_at = now + (delay_ms + CLOCK_DIFFERENCE_MS).saturating_sub(age_ms).min(delay_ms);
         entry.stage = match (&end, shared.owner == self.settings.node) {
             (Some(_), _) => Stage::Ended,
             (None, true) => Stage::Suspended,
             (None, false) => Stage::Replica,
         };
-        (entry.end, entry.callback_pending) = (end, owed);
-        let (stage, owed) = (entry.stage, entry.callback_pending && entry.owner == self.settings.node);
+        (entry.end, entry.callback_pending) = (end, callback_pending);
+        let stage = entry.stage;
+        let is_callback_owed_here = callback_pending && entry.owner == self.settings.node;
         self.entries.insert(key, entry);
         self.reindex(key);
         match stage {
             Stage::Ended => {
-                self.forgetting.push_back((now + self.settings.status_retention_ms + 60_000, key))
+                self.forget_at(now + self.settings.status_retention_ms + RETENTION_MARGIN_MS, key)
             }
             Stage::Suspended => {
                 self.unreleased.insert(key);
             }
             _ => {}
         }
-        if owed {
+        if is_callback_owed_here {
             self.queue_callback(key);
         }
         self.update_expiry(key);
     }
 
-    /// By when it has waited too long, as its route says now.
+    /// The owner and the stores with replicas may be gone for good: they count as missing from now on.
+    fn expect_peers_of(&mut self, shared: &ReplicatedMessage, now: Millis) {
+        let others = shared.replicas.iter().chain([&shared.owner]);
+        for node in others.filter(|node| **node != self.settings.node) {
+            self.peers.entry(*node).or_insert_with(|| Peer::new(now));
+        }
+    }
+
+    /// Works out anew when a message has waited too long, by its route as it is now.
     pub(crate) fn update_expiry(&mut self, key: Key) {
         let Some(entry) = self.entries.get_mut(&key) else { return };
         self.expiring.remove(&(entry.expires_at, key));
-        let most = self
+        let max_wait_ms = self
             .config
             .as_ref()
-            .and_then(|c| {
-                c.route(&entry.message.host, &entry.message.target).map(|at| c.routes[at].max_wait_ms)
+            .and_then(|config| {
+                let route = config.route(&entry.message.host, &entry.message.target)?;
+                Some(config.routes[route].max_wait_ms)
             })
-            .unwrap_or(90_000);
-        entry.expires_at = entry.accepted_at.saturating_add_unsigned(most + SLACK).max(0) as Millis;
+            .unwrap_or(DEFAULT_MAX_WAIT_MS);
+        let expires_at = entry.accepted_at.saturating_add_unsigned(max_wait_ms + EXPIRY_MARGIN_MS);
+        entry.expires_at = expires_at.max(0) as Millis;
         if entry.end.is_none() {
             self.expiring.insert((entry.expires_at, key));
         }
     }
 
+    /// The message as it was submitted, or what is left of it after its end.
     pub fn message(&self, key: Key) -> Option<&Message> {
         self.entries.get(&key).map(|entry| &entry.message)
     }
 
-    /// What is known of a message, and its bytes where they are here.
+    /// The state of a message, and its body where this store still has it.
     pub fn lookup(&self, key: Key) -> Option<(MessageState, Option<&[u8]>)> {
         let entry = self.entries.get(&key)?;
         let state = match &entry.end {
@@ -246,71 +284,117 @@
             Some(End::Complete { seal }) => MessageState::Complete { seal: seal.clone() },
             Some(End::Failed) => MessageState::Failed,
         };
-        let here = !matches!(state, MessageState::Complete { .. }) && entry.message.accepted_at_ms > 0;
-        Some((state, here.then_some(entry.message.body.as_slice())))
+        let has_body = !matches!(state, MessageState::Complete { .. }) && entry.message.accepted_at_ms > 0;
+        Some((state, has_body.then_some(entry.message.body.as_slice())))
     }
 
+    /// Removes a message from the table and all indices.
     pub(crate) fn remove(&mut self, key: Key) {
         self.unschedule(key);
-        if let Some(entry) = self.entries.remove(&key) {
-            self.expiring.remove(&(entry.expires_at, key));
-            entry.persist_check_at.map(|at| self.persisting.remove(&(at, key)));
-            entry.repair_at.map(|at| self.under_replicated.remove(&(at, key)));
-            entry.indexed_owner.map(|owner| self.live_by_owner.remove(&(owner, key)));
-            if let Some(row) = entry.order_slot {
-                self.ordering.leave(&row.0, GroupPosition { accepted_at_ms: row.1, key }, entry.is_announced);
-            }
-            self.unreleased.remove(&key);
-            self.handovers.remove(&key);
-            self.superseded_keys.remove(&key);
+        let Some(entry) = self.entries.remove(&key) else { return };
+        self.expiring.remove(&(entry.expires_at, key));
+        if let Some(at) = entry.persist_check_at {
+            self.persisting.remove(&(at, key));
+        }
+        if let Some(at) = entry.repair_at {
+            self.under_replicated.remove(&(at, key));
+        }
+        if let Some(owner) = entry.indexed_owner {
+            self.live_by_owner.remove(&(owner, key));
         }
+        if let Some(slot) = entry.order.slot {
+            self.ordering.leave(
+                &slot.order_key,
+                GroupPosition { accepted_at_ms: slot.accepted_at_ms, key },
+                entry.order.is_announced,
+            );
+        }
+        self.unreleased.remove(&key);
+        self.handovers.remove(&key);
+        self.superseded_keys.remove(&key);
     }
 
-    /// Keeps `live` in step with an entry that has changed.
+    /// Brings the indices by owner, of ordered messages and of repair into step with an entry that has changed.
     pub(crate) fn reindex(&mut self, key: Key) {
+        self.reindex_owner(key);
+        self.reindex_order(key);
         let Some(entry) = self.entries.get_mut(&key) else { return };
-        let filed = (entry.end.is_none() || entry.callback_pending).then_some(entry.owner);
-        let was = std::mem::replace(&mut entry.indexed_owner, filed);
-        if was != filed {
-            was.map(|owner| self.live_by_owner.remove(&(owner, key)));
-            filed.map(|owner| self.live_by_owner.insert((owner, key)));
-        }
-        let row = (entry.end.is_none()).then_some(&entry.message.ordering_key);
-        let row =
-            row.and_then(|name| name.clone()).map(|name| Box::new((name, entry.message.accepted_at_ms)));
-        if entry.order_slot != row {
-            if let Some(old) = std::mem::replace(&mut entry.order_slot, row) {
-                let position = GroupPosition { accepted_at_ms: old.1, key };
-                self.ordering.leave(&old.0, position, entry.is_announced && entry.end.is_some());
-            }
-            if let Some(new) = &entry.order_slot {
-                self.ordering.enter(&new.0, GroupPosition { accepted_at_ms: new.1, key });
+        if entry.indexed_owner != Some(self.settings.node) {
+            if let Some(at) = entry.repair_at.take() {
+                self.under_replicated.remove(&(at, key));
             }
         }
-        if filed != Some(self.settings.node) {
-            entry.repair_at.take().map(|at| self.under_replicated.remove(&(at, key)));
+    }
+
+    fn reindex_owner(&mut self, key: Key) {
+        let Some(entry) = self.entries.get_mut(&key) else { return };
+        let is_live = entry.end.is_none() || entry.callback_pending;
+        let owner = is_live.then_some(entry.owner);
+        let former = std::mem::replace(&mut entry.indexed_owner, owner);
+        if former == owner {
+            return;
+        }
+        if let Some(former) = former {
+            self.live_by_owner.remove(&(former, key));
+        }
+        if let Some(owner) = owner {
+            self.live_by_owner.insert((owner, key));
         }
     }
 
+    fn reindex_order(&mut self, key: Key) {
+        let Some(entry) = self.entries.get_mut(&key) else { return };
+        let order_key = entry.message.ordering_key.as_ref().filter(|_| entry.end.is_none());
+        let slot = order_key.map(|order_key| {
+            Box::new(OrderSlot { order_key: order_key.clone(), accepted_at_ms: entry.message.accepted_at_ms })
+        });
+        if entry.order.slot == slot {
+            return;
+        }
+        if let Some(former) = std::mem::replace(&mut entry.order.slot, slot) {
+            let is_end_announced = entry.order.is_announced && entry.end.is_some();
+            self.ordering.leave(
+                &former.order_key,
+                GroupPosition { accepted_at_ms: former.accepted_at_ms, key },
+                is_end_announced,
+            );
+        }
+        if let Some(slot) = &entry.order.slot {
+            self.ordering.enter(&slot.order_key, GroupPosition { accepted_at_ms: slot.accepted_at_ms, key });
+        }
+    }
+
+    /// Enters a message that another store describes, in place of what was known of it: nothing that is under way for the
+    /// former entry goes on.
     pub(crate) fn insert_replica_of(&mut self, now: Millis, shared: &ReplicatedMessage, stage: Stage) {
         let mut entry = Entry::from_shared(shared, now);
         entry.stage = stage;
-        // It may wait, land or be out here: none of that may go on with what is put in its place.
-        let old = self.entries.get_mut(&shared.key).and_then(|old| old.ticket.take());
+        let former_ticket = self.entries.get_mut(&shared.key).and_then(|former| former.ticket.take());
         self.remove(shared.key);
-        self.report_unknown_outcome(old);
+        self.report_unknown_outcome(former_ticket);
         self.entries.insert(shared.key, entry);
         self.reindex(shared.key);
         self.update_expiry(shared.key);
     }
 
-    /// Requests that are out, and messages that are not yet safe.
+    /// Adds an effect to those of this turn.
+    pub(crate) fn emit(&mut self, effect: Effect) {
+        self.effects.push(effect);
+    }
+
+    /// An operator has ordered this store to be emptied for good.
+    pub(crate) fn is_retiring(&self) -> bool {
+        self.retirement != RetirementOrder::None
+    }
+
+    /// How many attempts, unpersisted messages and handovers have not come to their end.
     pub fn unfinished_count(&self) -> usize {
-        self.service_queues.iter().map(|service_queue| service_queue.in_flight.len()).sum::<usize>()
-            + self.persisting.len()
-            + self.handovers.len()
+        let attempts: usize =
+            self.service_queues.iter().map(|service_queue| service_queue.in_flight.len()).sum();
+        attempts + self.persisting.len() + self.handovers.len()
     }
 
+    /// How many messages have not ended or have a call-back pending, replicas included.
     pub fn live_count(&self) -> usize {
         self.live_by_owner.len()
     }
--- a/crates/queue/src/queue/callbacks.rs
+++ b/crates/queue/src/queue/callbacks.rs
@@ -1,101 +1,145 @@
 //! Call-backs: a queue for each receiver, with few connections, and longer pauses after failures.
 
-use super::completion::TELL;
-use super::{Effect, Queue};
+use super::completion::END_BATCH_INTERVAL_MS;
+use super::Queue;
+use crate::effect::Effect;
 use crate::message::{End, Key, Millis};
 use crate::record::Record;
+use std::collections::{HashMap, VecDeque};
 
-/// Connections to one receiver of call-backs from here.
-const CALLS: usize = 4;
+/// Most connections from one store to one receiver.
+const MAX_CALLS_PER_STORE: usize = 4;
 
-/// And from all stores together.
-const RECEIVER: usize = 48;
+/// Most connections from all stores together to one receiver, which resets what is beyond.
+const MAX_CALLS_PER_RECEIVER: usize = 48;
 
-/// Host and port of a URL.
-fn receiver(url: &str) -> String {
+/// The pause after the first failure is twice this.
+const BACKOFF_BASE_MS: Millis = 50;
+
+/// The pause doubles with each failure up to this.
+const BACKOFF_LIMIT_MS: Millis = 2000;
+
+/// Call-backs that wait, and those that have been started.
+#[derive(Debug, Default)]
+pub(super) struct Callbacks {
+    receivers: HashMap<String, Receiver>,
+    /// Call-backs that have not ended, and their receiver: when one ends, its message may be gone from the table.
+    in_flight: HashMap<Key, String>,
+}
+
+/// One receiver of call-backs.
+#[derive(Debug, Default)]
+struct Receiver {
+    in_flight: usize,
+    consecutive_failures: u32,
+    not_before: Millis,
+    queue: VecDeque<Key>,
+}
+
+/// Host and port of a URL: call-backs to one of them share a queue.
+fn receiver_of(url: &str) -> &str {
     let rest = url.strip_prefix("http://").unwrap_or(url);
-    rest.split('/').next().unwrap_or_default().to_string()
+    rest.split('/').next().unwrap_or_default()
 }
 
-fn quoted(text: &str) -> String {
-    let mut out = String::with_capacity(text.len() + 2);
-    out.push('"');
+/// A text as a JSON string.
+fn json_string(text: &str) -> String {
+    let mut json = String::with_capacity(text.len() + 2);
+    json.push('"');
     for c in text.chars() {
         match c {
-            '"' => out.push_str("\\\""),
-            '\\' => out.push_str("\\\\"),
-            c if (c as u32) < 0x20 => out.push_str(&format!("\\u{:04x}", c as u32)),
-            c => out.push(c),
+            '"' => json.push_str("\\\""),
+            '\\' => json.push_str("\\\\"),
+            control if (control as u32) < 0x20 => json.push_str(&format!("\\u{:04x}", control as u32)),
+            other => json.push(other),
+        }
+    }
+    json.push('"');
+    json
+}
+
+fn callback_body(id: &str, end: &End) -> String {
+    let id = json_string(id);
+    match end {
+        End::Complete { seal } => {
+            format!("{{\"id\":{id},\"state\":\"complete\",\"seal\":{}}}", json_string(seal))
         }
+        End::Failed => format!("{{\"id\":{id},\"state\":\"failed\",\"seal\":null}}"),
     }
-    out.push('"');
-    out
 }
 
 impl Queue {
+    /// Puts the call-back of a message that has ended into its receiver's queue.
     pub(crate) fn queue_callback(&mut self, key: Key) {
-        let Some(url) = self.entries.get(&key).and_then(|e| e.message.callback_url.as_deref()) else {
+        let Some(url) = self.entries.get(&key).and_then(|entry| entry.message.callback_url.as_deref()) else {
             return;
         };
-        let place = receiver(url);
-        self.callback_receivers.entry(place).or_default().queue.push_back(key);
+        let receiver = receiver_of(url).to_string();
+        self.callbacks.receivers.entry(receiver).or_default().queue.push_back(key);
     }
 
+    /// Starts the call-backs that may go now. Gives the time at which the next one may.
     pub(super) fn start_callbacks(&mut self, now: Millis) -> Millis {
-        let mut next = Millis::MAX;
-        let mut out = Vec::new();
-        // A receiver takes few connections from all stores together, and resets what is beyond: with many stores each has less.
-        let calls = (RECEIVER / (1 + self.peers.values().filter(|p| p.listed).count())).clamp(1, CALLS);
-        for (place, receiver) in &mut self.callback_receivers {
-            // One that fails is tried with one call at a time, and less and less often.
-            let most = if receiver.consecutive_failures > 0 { 1 } else { calls };
-            while receiver.in_flight < most && !receiver.queue.is_empty() {
+        let stores = 1 + self.peers.values().filter(|peer| peer.listed).count();
+        let max_calls = (MAX_CALLS_PER_RECEIVER / stores).clamp(1, MAX_CALLS_PER_STORE);
+        let mut next_start = Millis::MAX;
+        for (name, receiver) in &mut self.callbacks.receivers {
+            // A receiver that fails is tried with one call at a time, and less and less often.
+            let max_calls = if receiver.consecutive_failures > 0 { 1 } else { max_calls };
+            while receiver.in_flight < max_calls && !receiver.queue.is_empty() {
                 if now < receiver.not_before {
-                    next = next.min(receiver.not_before);
+                    next_start = next_start.min(receiver.not_before);
                     break;
                 }
                 let Some(key) = receiver.queue.pop_front() else { break };
-                let entry =
-                    self.entries.get(&key).filter(|e| e.callback_pending && e.owner == self.settings.node);
-                let entry = entry.filter(|_| !self.callbacks_in_flight.contains_key(&key));
-                let Some((entry, end)) = entry.and_then(|e| Some((e, e.end.as_ref()?))) else { continue };
-                receiver.in_flight += 1;
-                self.callbacks_in_flight.insert(key, place.clone());
-                let id = &entry.message.id;
-                let body = match end {
-                    End::Complete { seal } => {
-                        format!("{{\"id\":{},\"state\":\"complete\",\"seal\":{}}}", quoted(id), quoted(seal))
-                    }
-                    End::Failed => format!("{{\"id\":{},\"state\":\"failed\",\"seal\":null}}", quoted(id)),
+                if self.callbacks.in_flight.contains_key(&key) {
+                    continue;
+                }
+                let pending = self
+                    .entries
+                    .get(&key)
+                    .filter(|entry| entry.callback_pending && entry.owner == self.settings.node);
+                let Some((entry, end)) = pending.and_then(|entry| Some((entry, entry.end.as_ref()?))) else {
+                    continue;
                 };
-                out.push((key, entry.message.callback_url.clone().unwrap_or_default(), body));
+                receiver.in_flight += 1;
+                self.callbacks.in_flight.insert(key, name.clone());
+                self.metrics.callbacks_started += 1;
+                let url = entry.message.callback_url.clone().unwrap_or_default();
+                let body = callback_body(&entry.message.id, end);
+                self.effects.push(Effect::CallBack { key, url, body });
             }
         }
-        self.metrics.callbacks_started += out.len() as u64;
-        self.effects.extend(out.into_iter().map(|(key, url, body)| Effect::CallBack { key, url, body }));
-        next
+        next_start
     }
 
-    /// A call-back came to its end.
-    pub fn callback_ended(&mut self, now: Millis, key: Key, taken: bool) {
-        let Some(place) = self.callbacks_in_flight.remove(&key) else { return };
-        let receiver = self.callback_receivers.entry(place).or_default();
+    /// An [`Effect::CallBack`] has come to its end: `is_accepted` says whether the receiver answered with success.
+    pub fn callback_ended(&mut self, now: Millis, key: Key, is_accepted: bool) {
+        let Some(name) = self.callbacks.in_flight.remove(&key) else { return };
+        let receiver = self.callbacks.receivers.entry(name).or_default();
         receiver.in_flight = receiver.in_flight.saturating_sub(1);
-        if !taken {
+        if !is_accepted {
             receiver.consecutive_failures += 1;
-            receiver.not_before = now + (50 << receiver.consecutive_failures.min(6)).min(2000);
+            let backoff = (BACKOFF_BASE_MS << receiver.consecutive_failures.min(6)).min(BACKOFF_LIMIT_MS);
+            receiver.not_before = now + backoff;
             receiver.queue.push_back(key);
             return;
         }
         receiver.consecutive_failures = 0;
-        let Some(entry) = self.entries.get_mut(&key).filter(|e| e.end.is_some()) else { return };
+        self.callback_delivered(now, key);
+    }
+
+    fn callback_delivered(&mut self, now: Millis, key: Key) {
+        let Some(entry) = self.entries.get_mut(&key).filter(|entry| entry.end.is_some()) else { return };
         entry.callback_pending = false;
         entry.discard_content();
-        let copies = entry.replicas.clone();
+        let replicas = entry.replicas.clone();
         self.reindex(key);
         self.metrics.callbacks_delivered += 1;
         self.record(&Record::CallbackDelivered { key }, false);
-        copies.into_iter().for_each(|to| self.to(to).called.push(key));
-        self.flush_ends_at.get_or_insert(now + TELL);
+        for replica in replicas {
+            self.to(replica).called.push(key);
+        }
+        self.flush_ends_at.get_or_insert(now + END_BATCH_INTERVAL_MS);
     }
 }
--- a/crates/queue/src/queue/completion.rs
+++ b/crates/queue/src/queue/completion.rs
@@ -1,85 +1,89 @@
-//! The end of a message: recorded, told to those that hold copies, and forgotten in time.
+//! The end of a message: recorded, sent to the stores that hold replicas, and forgotten in time.
 
-use super::{Queue, Stage};
+use super::{Queue, RETENTION_MARGIN_MS};
+use crate::entry::Stage;
 use crate::message::{End, Key, Millis};
 use crate::peer_message::EndNotice;
 use crate::planted::PlantedFault;
 use crate::record::Record;
 
-/// Ends are told to the copies in batches, at the latest after so long.
-pub(super) const TELL: Millis = 40;
+/// Ends are sent to the replicas in batches, at the latest after this time.
+pub(super) const END_BATCH_INTERVAL_MS: Millis = 40;
 
 impl Queue {
-    /// The message has ended.
+    /// A message has ended here.
     pub(crate) fn finish(&mut self, now: Millis, key: Key, end: End) {
         self.unschedule(key);
         let Some(entry) = self.entries.get_mut(&key) else { return };
-        let owed = entry.message.callback_url.is_some();
-        (entry.stage, entry.end, entry.callback_pending) = (Stage::Ended, Some(end.clone()), owed);
+        let callback_pending = entry.message.callback_url.is_some();
+        (entry.stage, entry.end, entry.callback_pending) =
+            (Stage::Ended, Some(end.clone()), callback_pending);
         entry.discard_content();
         self.expiring.remove(&(entry.expires_at, key));
-        let mut told = entry.replicas.clone();
-        // Its run came to an end here, though another store owns it by now: that one calls back.
-        told.extend(
-            Some(entry.owner).filter(|owner| *owner != self.settings.node && !entry.replicas.contains(owner)),
-        );
+        let mut peers_to_tell = entry.replicas.clone();
+        // Another store may have become the owner while the message ran here: that one calls back.
+        if entry.owner != self.settings.node && !entry.replicas.contains(&entry.owner) {
+            peers_to_tell.push(entry.owner);
+        }
         match end {
             End::Complete { .. } => self.metrics.completed += 1,
             End::Failed => self.metrics.failed += 1,
         }
         self.schedule_forget(now, key);
         if !self.planted(PlantedFault::EndUnkept) {
-            self.record(
-                &Record::Ended {
-                    key,
-                    end: end.clone(),
-                    callback_pending: owed,
-                    ended_at_ms: self.wall_clock_ms(now),
-                },
-                false,
-            );
+            let ended_at_ms = self.wall_clock_ms(now);
+            self.record(&Record::Ended { key, end: end.clone(), callback_pending, ended_at_ms }, false);
         }
-        for to in told {
-            self.to(to).ends.push(EndNotice { key, end: end.clone(), callback_pending: owed });
+        for peer in peers_to_tell {
+            self.to(peer).ends.push(EndNotice { key, end: end.clone(), callback_pending });
         }
-        self.flush_ends_at.get_or_insert(now + TELL);
+        self.flush_ends_at.get_or_insert(now + END_BATCH_INTERVAL_MS);
         self.handovers.remove(&key);
         self.reindex(key);
-        if owed {
+        if callback_pending {
             self.queue_callback(key);
         }
     }
 
-    /// Those who ask are told of it for so long.
+    /// Keeps a message that has ended for as long as its end can be looked up.
     pub(crate) fn schedule_forget(&mut self, now: Millis, key: Key) {
         self.end_replication.again();
-        self.forgetting.push_back((now + self.settings.status_retention_ms + 60_000, key));
+        self.forget_at(now + self.settings.status_retention_ms + RETENTION_MARGIN_MS, key);
+    }
+
+    /// Looks at a message at that time, and removes it if nothing needs it any more.
+    pub(super) fn forget_at(&mut self, at: Millis, key: Key) {
+        self.forgetting.push_back((at, key));
     }
 
+    /// The time of day at a time of the steady clock, in milliseconds.
     pub(crate) fn wall_clock_ms(&self, now: Millis) -> u64 {
         self.wall_clock_offset_ms + now
     }
 
-    /// A message that this store does not deliver has ended, or one that another has ended for it.
-    pub(crate) fn close_entry(&mut self, now: Millis, key: Key, end: End, owed: bool) {
+    /// Another store has ended a message, which this store owns or holds as a replica.
+    pub(crate) fn close_entry(&mut self, now: Millis, key: Key, end: End, callback_pending: bool) {
         self.unschedule(key);
         let Some(entry) = self.entries.get_mut(&key) else { return };
-        (entry.stage, entry.end, entry.callback_pending) = (Stage::Ended, Some(end), owed);
+        (entry.stage, entry.end, entry.callback_pending) = (Stage::Ended, Some(end), callback_pending);
         entry.discard_content();
         self.expiring.remove(&(entry.expires_at, key));
-        entry.persist_check_at.take().map(|at| self.persisting.remove(&(at, key)));
-        let (ticket, own) = (entry.ticket.take(), entry.owner == self.settings.node);
+        if let Some(at) = entry.persist_check_at.take() {
+            self.persisting.remove(&(at, key));
+        }
+        let ticket = entry.ticket.take();
+        let is_owned_here = entry.owner == self.settings.node;
         self.unreleased.remove(&key);
         self.handovers.remove(&key);
         self.reindex(key);
         self.schedule_forget(now, key);
         self.report_unknown_outcome(ticket);
-        if own && owed {
+        if is_owned_here && callback_pending {
             self.queue_callback(key);
         }
     }
 
-    /// Tells all ends now.
+    /// Sends all ends to the peers now, as before the process ends.
     pub fn flush_ends(&mut self) {
         self.tell_ends();
     }
--- a/crates/queue/src/queue/configuration.rs
+++ b/crates/queue/src/queue/configuration.rs
@@ -1,103 +1,130 @@
 //! The configuration and the lists of executors, as the control nodes give them.
 
-use super::{Queue, Stage};
+use super::Queue;
+use crate::entry::{Entry, Stage};
 use crate::message::{Key, Millis};
 use crate::service_queue::{Executor, ServiceQueue};
-use crate::token_bucket::Bucket;
+use crate::token_bucket::{RateLimit, TokenBucket};
 use std::collections::HashMap;
+use std::net::SocketAddrV4;
 use std::sync::Arc;
-use stileroute_config::Config;
-use stileroute_dispatch::types::Time;
+use stileroute_config::{Config, Service};
+use stileroute_dispatch::types::{mark, Time};
+
+/// The latency target of a service that no route leads to.
+const DEFAULT_RUN_TARGET_MS: u64 = 1000;
+
+/// How many stores a service queue reckons with until the members are known.
+const INITIAL_STORE_COUNT: usize = 3;
+
+/// How many messages a fixed endpoint is taken to work on at once.
+const FIXED_ENDPOINT_CAPACITY: f64 = 8.0;
 
 impl Queue {
-    /// A new configuration.
-    pub fn configure(&mut self, now: Millis, fine: Time, config: Arc<Config>) {
+    /// A new configuration is in force.
+    pub fn configure(&mut self, now: Millis, dispatch_time: Time, config: Arc<Config>) {
         for service in &config.services {
-            let at = match self.service_queue_index.get(&service.name) {
-                Some(at) => *at,
-                None => {
-                    let target =
-                        config.routes.iter().filter(|r| config.services[r.service].name == service.name);
-                    let target = target.map(|r| r.run_target_ms).min().unwrap_or(1000);
-                    let seed = self.settings.seed ^ stileroute_dispatch::types::mark(&service.name);
-                    self.service_queues.push(ServiceQueue::new(
-                        &service.name,
-                        self.settings.zone,
-                        3,
-                        target,
-                        seed,
-                    ));
-                    self.service_queue_index.insert(service.name.clone(), self.service_queues.len() - 1);
-                    self.service_queues.len() - 1
-                }
-            };
-            let service_queue = &mut self.service_queues[at];
-            service_queue.max_connections = service.max_conns.max(1) as usize;
-            service_queue.has_fixed_endpoint = service.endpoint.is_some();
-            let window = (service.rate_per_s, self.settings.rate_window_ms, self.settings.rate_tolerance);
-            match &mut service_queue.token_bucket {
-                Some(bucket) if service.rate_per_s > 0.0 => bucket.rated(window.0, window.1, window.2),
-                bucket => {
-                    *bucket =
-                        (service.rate_per_s > 0.0).then(|| Bucket::new(now, window.0, window.1, window.2))
-                }
-            }
-            let fixed = service.endpoint.map(|address| Executor {
-                id: String::new(),
-                address,
-                zone: self.settings.zone,
-                capacity: 8.0,
-                is_serving: true,
-                warm_up_left_ms: 0,
-            });
-            match fixed {
-                Some(server) => service_queue.list(fine, now, &[server]),
-                None => service_queue.list(
-                    fine,
-                    now,
-                    self.executors.get(&service.name).map_or(&[], Vec::as_slice),
-                ),
-            }
+            let index = self.service_queue_for(service, &config);
+            self.configure_service(now, dispatch_time, index, service);
         }
         self.config = Some(config);
         self.assign_token_holders(now);
-        // What waits is looked at anew: its route may have another service, or be gone.
-        let waiting: Vec<Key> =
-            self.entries.iter().filter(|(_, e)| e.stage == Stage::Waiting).map(|(key, _)| *key).collect();
+        self.reschedule_all(now);
+    }
+
+    /// The index of a service's queue, which is made if there is none.
+    fn service_queue_for(&mut self, service: &Service, config: &Config) -> usize {
+        if let Some(index) = self.service_queue_index.get(&service.name) {
+            return *index;
+        }
+        let routes = config.routes.iter().filter(|route| config.services[route.service].name == service.name);
+        let run_target_ms = routes.map(|route| route.run_target_ms).min().unwrap_or(DEFAULT_RUN_TARGET_MS);
+        let seed = self.settings.seed ^ mark(&service.name);
+        let service_queue =
+            ServiceQueue::new(&service.name, self.settings.zone, INITIAL_STORE_COUNT, run_target_ms, seed);
+        self.service_queues.push(service_queue);
+        let index = self.service_queues.len() - 1;
+        self.service_queue_index.insert(service.name.clone(), index);
+        index
+    }
+
+    fn configure_service(&mut self, now: Millis, dispatch_time: Time, index: usize, service: &Service) {
+        let service_queue = &mut self.service_queues[index];
+        service_queue.max_connections = service.max_conns.max(1) as usize;
+        service_queue.has_fixed_endpoint = service.endpoint.is_some();
+        let limit = RateLimit {
+            rate_per_s: service.rate_per_s,
+            window_ms: self.settings.rate_window_ms,
+            tolerance: self.settings.rate_tolerance,
+        };
+        match &mut service_queue.token_bucket {
+            Some(bucket) if limit.rate_per_s > 0.0 => bucket.set_limit(limit),
+            bucket => *bucket = (limit.rate_per_s > 0.0).then(|| TokenBucket::new(now, limit)),
+        }
+        match service.endpoint {
+            Some(address) => {
+                let endpoint = fixed_endpoint(address, self.settings.zone);
+                service_queue.set_executors(dispatch_time, now, &[endpoint]);
+            }
+            None => {
+                let executors = self.executors.get(&service.name).map_or(&[][..], Vec::as_slice);
+                service_queue.set_executors(dispatch_time, now, executors);
+            }
+        }
+    }
+
+    /// The routes of all messages are looked up anew: another service may be responsible, or none, and the time that a message
+    /// may wait may differ. For messages read from disk it was not known before.
+    fn reschedule_all(&mut self, now: Millis) {
+        let waiting = self.keys_where(|entry| entry.stage == Stage::Waiting);
         self.awaiting_config.clear();
         for key in waiting {
             self.unschedule(key);
             self.schedule(now, key);
         }
-        // So are the times that messages may wait: those read from disk did not know theirs.
-        let live = self.entries.iter().filter(|(_, e)| e.end.is_none()).map(|(key, _)| *key);
-        live.collect::<Vec<_>>().into_iter().for_each(|key| self.update_expiry(key));
+        for key in self.keys_where(|entry| entry.end.is_none()) {
+            self.update_expiry(key);
+        }
     }
 
-    pub fn config_revision(&self) -> u64 {
-        self.config.as_ref().map_or(0, |config| config.revision)
+    fn keys_where(&self, predicate: impl Fn(&Entry) -> bool) -> Vec<Key> {
+        self.entries.iter().filter(|(_, entry)| predicate(entry)).map(|(key, _)| *key).collect()
     }
 
-    /// The executors of all services.
-    pub fn set_executors(&mut self, now: Millis, fine: Time, servers: HashMap<String, Vec<Executor>>) {
-        for service_queue in
-            self.service_queues.iter_mut().filter(|service_queue| !service_queue.has_fixed_endpoint)
-        {
-            let (old, new) = (self.executors.get(&service_queue.name), servers.get(&service_queue.name));
-            if old != new {
-                service_queue.list(fine, now, new.map_or(&[], Vec::as_slice));
+    /// The executors of all services, by the service's name.
+    pub fn set_executors(
+        &mut self,
+        now: Millis,
+        dispatch_time: Time,
+        executors: HashMap<String, Vec<Executor>>,
+    ) {
+        for service_queue in &mut self.service_queues {
+            if service_queue.has_fixed_endpoint {
+                continue;
+            }
+            let former = self.executors.get(&service_queue.name);
+            let current = executors.get(&service_queue.name);
+            if former != current {
+                service_queue.set_executors(dispatch_time, now, current.map_or(&[], Vec::as_slice));
             }
         }
-        self.executors = servers;
+        self.executors = executors;
     }
 
-    pub fn service_queue_loads(
-        &self,
-    ) -> impl Iterator<Item = (&str, usize, usize, Vec<(String, f64, usize)>)> {
-        self.service_queues.iter().map(|l| (l.name.as_str(), l.waiting(), l.in_flight.len(), l.shares()))
+    /// The log lines of the dispatchers since the last call.
+    pub fn take_dispatch_log(&mut self) -> Vec<String> {
+        self.service_queues.iter_mut().flat_map(ServiceQueue::take_log).collect()
     }
+}
 
-    pub fn take_dispatch_log(&mut self) -> Vec<String> {
-        self.service_queues.iter_mut().flat_map(ServiceQueue::log).collect()
+/// A service with one configured address is treated as one executor, which has no identity to confirm.
+fn fixed_endpoint(address: SocketAddrV4, zone: usize) -> Executor {
+    Executor {
+        id: String::new(),
+        address,
+        zone,
+        capacity: FIXED_ENDPOINT_CAPACITY,
+        is_serving: true,
+        warm_up_left_ms: 0,
     }
 }
--- a/crates/queue/src/queue/delivery.rs
+++ b/crates/queue/src/queue/delivery.rs
@@ -1,238 +1,296 @@
 //! Delivery: when a message's turn comes, its attempts, and what the outcome of an attempt leads to.
 
 use super::token_holders::token_holder;
-use super::{AttemptOutcome, Effect, Queue, Stage, UPKEEP};
+use super::{Queue, UPKEEP_INTERVAL_MS};
+use crate::attempt_outcome::AttemptOutcome;
+use crate::effect::Effect;
+use crate::entry::{ExecutorRef, ServiceQueueSlot, Stage};
 use crate::message::{End, Key, Millis};
 use crate::peer_message::{GroupPosition, PeerMessage};
 use crate::planted::PlantedFault;
-use crate::service_queue::{Retry, Selection};
-use stileroute_dispatch::types::{Outcome as Judged, Time};
+use crate::service_queue::{QueuePosition, Retry, Selection, SettledAttempt};
+use std::ops::ControlFlow;
+use stileroute_dispatch::types::{Outcome as DispatchOutcome, Time};
 
-/// After a failed attempt a message waits, twice as long each time, up to the second figure.
-const AGAIN: (Millis, Millis) = (40, 1500);
+/// The pause after a failed attempt is this, doubled with each attempt.
+const BACKOFF_BASE_MS: Millis = 40;
+
+/// The longest pause after a failed attempt.
+const BACKOFF_LIMIT_MS: Millis = 1500;
+
+/// The pause after an attempt that was turned away or reached nobody: the message may go elsewhere soon.
+const REJECTED_BACKOFF_BASE_MS: Millis = BACKOFF_BASE_MS / 4;
+
+/// The pause after the answer that an earlier attempt of the same message still runs.
+const STILL_RUNNING_PAUSE_MS: Millis = 100;
+
+/// The pause of a whole service after the answer that its rate limit is exceeded.
+const RATE_LIMITED_PAUSE_MS: Millis = 200;
+
+/// When to look again for tokens of the rate limit.
+const TOKEN_POLL_INTERVAL_MS: Millis = 15;
+
+/// Most tokens that are asked for at once.
+const MAX_TOKENS_PER_REQUEST: usize = 4;
+
+/// Fewest connections that a store may open to one executor.
+const MIN_CONNECTION_SHARE: usize = 2;
+
+/// What becomes of the message at the head of a service's queue.
+enum Candidate {
+    /// It may be started.
+    Ready { timeout_ms: u64 },
+    /// It has left that place; another one is at the head now.
+    Moved,
+    /// Its route is unknown: nothing more is started from this queue in this turn.
+    Blocked,
+}
 
 impl Queue {
-    /// Puts a safe message where it waits: for its time, for a configuration, or for its turn.
+    /// Puts an accepted message where it waits: for its time, for a configuration, or for an executor.
     pub(crate) fn schedule(&mut self, now: Millis, key: Key) {
-        let Some(entry) = self.entries.get_mut(&key).filter(|e| e.stage == Stage::Waiting) else { return };
-        if entry.queue_position.is_some() {
+        let Some(entry) = self.entries.get_mut(&key).filter(|entry| entry.stage == Stage::Waiting) else {
+            return;
+        };
+        if entry.queue_slot.is_some() {
             return;
         }
         if self.superseded_keys.contains(&key) {
             return self.withdraw(key);
         }
         if self.is_draining {
-            self.hand_over(key);
-            return;
+            return self.hand_over(key);
         }
-        let start = entry.due_at.max(entry.not_before);
-        if start > now {
-            entry.delayed_until = Some(start);
-            self.delayed.insert((start, key));
+        let start_at = entry.due_at.max(entry.not_before);
+        if start_at > now {
+            entry.delayed_until = Some(start_at);
+            self.delayed.insert((start_at, key));
             return;
         }
-        if !self.may_start(now, key) {
-            return;
+        if self.may_start(now, key) {
+            self.enter_service_queue(now, key);
         }
+    }
+
+    /// Enters a message that may start into the queue of its route's service.
+    fn enter_service_queue(&mut self, now: Millis, key: Key) {
         let Some(entry) = self.entries.get_mut(&key) else { return };
         let Some(config) = &self.config else {
             self.awaiting_config.insert(key);
             return;
         };
-        let Some(route) = config.route(&entry.message.host, &entry.message.target) else {
-            if entry.message.config_revision > config.revision {
-                self.awaiting_config.insert(key);
-            } else {
-                self.metrics.failed_without_route += 1;
-                self.finish(now, key, End::Failed);
-            }
-            return;
-        };
+        let route = config.route(&entry.message.host, &entry.message.target);
         if entry.message.config_revision > config.revision {
             self.awaiting_config.insert(key);
             return;
         }
-        let route = &config.routes[route];
-        let Some(at) = self.service_queue_index.get(&config.services[route.service].name).copied() else {
+        let Some(route) = route.map(|index| &config.routes[index]) else {
+            self.metrics.failed_without_route += 1;
+            self.finish(now, key, End::Failed);
             return;
         };
-        let late = now > entry.due_at + route.run_target_ms;
-        let turn = (late, route.priority, entry.due_at, key);
-        entry.queue_position = Some((at, turn));
-        self.service_queues[at].enter(turn, entry.has_run);
+        let service = &config.services[route.service].name;
+        let Some(index) = self.service_queue_index.get(service).copied() else { return };
+        let is_late = now > entry.due_at + route.run_target_ms;
+        let position = QueuePosition { is_late, priority: route.priority, due_at: entry.due_at, key };
+        entry.queue_slot = Some(ServiceQueueSlot { service_queue: index, position });
+        self.service_queues[index].enter(position, entry.has_run);
         self.next_dispatch_at = 0;
     }
 
+    /// Takes a message out of wherever it waits.
     pub(crate) fn unschedule(&mut self, key: Key) {
         if let Some(entry) = self.entries.get_mut(&key) {
             if let Some(at) = entry.delayed_until.take() {
                 self.delayed.remove(&(at, key));
             }
-            if let Some((at, turn)) = entry.queue_position.take() {
-                self.service_queues[at].leave(&turn);
+            if let Some(slot) = entry.queue_slot.take() {
+                self.service_queues[slot.service_queue].leave(&slot.position);
             }
         }
         self.awaiting_config.remove(&key);
     }
 
-    /// Sends what can be sent.
-    pub(super) fn start_attempts(&mut self, now: Millis, fine: Time) {
-        if self.is_draining || self.fenced_since.is_some() && !self.planted(PlantedFault::FenceUnheeded) {
-            self.next_dispatch_at = now + UPKEEP;
+    /// Starts all attempts that may start now.
+    pub(super) fn start_attempts(&mut self, now: Millis, dispatch_time: Time) {
+        let is_fenced = self.fenced_since.is_some() && !self.planted(PlantedFault::FenceUnheeded);
+        if self.is_draining || is_fenced {
+            self.next_dispatch_at = now + UPKEEP_INTERVAL_MS;
             return;
         }
         self.next_dispatch_at = Millis::MAX;
-        for at in 0..self.service_queues.len() {
-            let mut again = true;
-            loop {
-                let (turn, look) = self.service_queues[at].first_turn(now, again);
-                self.next_dispatch_at = self.next_dispatch_at.min(look);
-                let Some(turn) = turn else { break };
-                let (late, priority, due, key) = turn;
-                let Some((config, entry)) = self.config.as_ref().zip(self.entries.get_mut(&key)) else {
-                    self.service_queues[at].leave(&turn);
-                    continue;
-                };
-                // An earlier one of its row has come to light since: it waits again.
-                let spot = GroupPosition { accepted_at_ms: entry.message.accepted_at_ms, key };
-                if entry.message.ordering_key.as_ref().is_some_and(|row| !self.ordering.is_first(row, spot)) {
-                    entry.queue_position = None;
-                    self.service_queues[at].leave(&turn);
-                    continue;
-                }
-                let Some(route) = config.route(&entry.message.host, &entry.message.target) else { break };
-                let route = &config.routes[route];
-                if !late && now > due + route.run_target_ms {
-                    // Too late for its aim: those that can still be in time go first.
-                    let turn_now = (true, priority, due, key);
-                    entry.queue_position = Some((at, turn_now));
-                    self.service_queues[at].leave(&turn);
-                    if entry.has_run {
-                        self.service_queues[at].retries.insert(turn_now);
-                    } else {
-                        self.service_queues[at].ready.insert(turn_now);
-                    }
-                    continue;
-                }
-                let timeout_ms = route.timeout_ms;
-                let service_queue = &mut self.service_queues[at];
-                if now < service_queue.paused_until {
-                    self.next_dispatch_at = self.next_dispatch_at.min(service_queue.paused_until);
-                    break;
-                }
-                if let Some(bucket) = &mut service_queue.token_bucket {
-                    if !bucket.take(now) {
-                        let wanted = (service_queue.ready.len() + service_queue.retries.len()).min(4) as u32;
-                        if bucket.ask(now) {
-                            let holder = token_holder(&service_queue.name, self.settings.node, &self.peers);
-                            let note = PeerMessage::RequestTokens {
-                                service: service_queue.name.clone(),
-                                count: wanted,
-                            };
-                            if holder != self.settings.node {
-                                self.effects.push(Effect::Send { to: holder, message: note });
-                            }
-                        }
-                        self.next_dispatch_at = self.next_dispatch_at.min(now + 15);
-                        break;
-                    }
-                }
-                let attempt = self.next_attempt;
-                let stores = 1 + self.peers.values().filter(|p| p.listed || p.connected).count();
-                service_queue.connection_share = (service_queue.max_connections / stores).max(2);
-                let avoid = entry
-                    .last_failed_on
-                    .filter(|(service_queue, _)| *service_queue == at)
-                    .map(|(_, executor)| executor);
-                let repeat = entry.has_run.then_some(Retry { avoid });
-                match service_queue.pick(fine, now, key, attempt, repeat) {
-                    Selection::RetriesFullUntil(until) => {
-                        if let Some(bucket) = &mut service_queue.token_bucket {
-                            bucket.give_back();
-                        }
-                        self.next_dispatch_at = self.next_dispatch_at.min(until);
-                        again = false;
-                    }
-                    Selection::WaitUntil(until) => {
-                        if let Some(bucket) = &mut service_queue.token_bucket {
-                            bucket.give_back();
-                        }
-                        self.next_dispatch_at = self.next_dispatch_at.min(until);
-                        break;
-                    }
-                    Selection::Send { executor } => {
-                        self.next_attempt += 1;
-                        service_queue.leave(&turn);
-                        entry.queue_position = None;
-                        entry.stage = Stage::InFlight;
-                        self.metrics.attempts += 1;
-                        self.metrics.retries += u64::from(entry.backoff_steps > 0);
-                        let server = &service_queue.executors[executor].executor;
-                        self.effects.push(Effect::StartAttempt {
-                            attempt,
-                            key,
-                            to: server.address,
-                            expected_server: (!server.id.is_empty()).then(|| server.id.clone()),
-                            timeout_ms,
-                            max_connections: service_queue.connection_share,
-                        });
-                    }
-                }
+        for index in 0..self.service_queues.len() {
+            let mut may_retry = true;
+            while self.start_next(now, dispatch_time, index, &mut may_retry).is_continue() {}
+        }
+    }
+
+    /// Starts one attempt of a service, or moves a message that is in the way. Breaks when the service has nothing more to
+    /// start in this turn; `may_retry` is cleared when that holds for its retries.
+    fn start_next(
+        &mut self,
+        now: Millis,
+        dispatch_time: Time,
+        index: usize,
+        may_retry: &mut bool,
+    ) -> ControlFlow<()> {
+        let (position, look_again_at) = self.service_queues[index].next_position(now, *may_retry);
+        self.dispatch_again_at(look_again_at);
+        let Some(position) = position else { return ControlFlow::Break(()) };
+        let timeout_ms = match self.check_candidate(now, index, position) {
+            Candidate::Ready { timeout_ms } => timeout_ms,
+            Candidate::Moved => return ControlFlow::Continue(()),
+            Candidate::Blocked => return ControlFlow::Break(()),
+        };
+        let paused_until = self.service_queues[index].paused_until;
+        if now < paused_until {
+            self.dispatch_again_at(paused_until);
+            return ControlFlow::Break(());
+        }
+        if !self.take_token(now, index) {
+            self.dispatch_again_at(now + TOKEN_POLL_INTERVAL_MS);
+            return ControlFlow::Break(());
+        }
+        match self.select_executor(now, dispatch_time, index, position.key) {
+            Selection::Send { executor } => {
+                self.start_attempt(index, executor, position, timeout_ms);
+                ControlFlow::Continue(())
+            }
+            Selection::RetriesFullUntil(at) => {
+                self.give_token_back(index);
+                self.dispatch_again_at(at);
+                *may_retry = false;
+                ControlFlow::Continue(())
+            }
+            Selection::WaitUntil(at) => {
+                self.give_token_back(index);
+                self.dispatch_again_at(at);
+                ControlFlow::Break(())
+            }
+        }
+    }
+
+    fn dispatch_again_at(&mut self, at: Millis) {
+        self.next_dispatch_at = self.next_dispatch_at.min(at);
+    }
+
+    /// Checks whether the message at the head of a service's queue may still be started.
+    fn check_candidate(&mut self, now: Millis, index: usize, position: QueuePosition) -> Candidate {
+        let key = position.key;
+        let service_queue = &mut self.service_queues[index];
+        let Some((config, entry)) = self.config.as_ref().zip(self.entries.get_mut(&key)) else {
+            service_queue.leave(&position);
+            return Candidate::Moved;
+        };
+        // An earlier message of the same order key may have come to light since: then this one waits again.
+        let order_position = GroupPosition { accepted_at_ms: entry.message.accepted_at_ms, key };
+        let order_key = entry.message.ordering_key.as_ref();
+        if order_key.is_some_and(|order_key| !self.ordering.is_first(order_key, order_position)) {
+            entry.queue_slot = None;
+            service_queue.leave(&position);
+            return Candidate::Moved;
+        }
+        let Some(route) = config.route(&entry.message.host, &entry.message.target) else {
+            return Candidate::Blocked;
+        };
+        let route = &config.routes[route];
+        // Too late for its latency target: messages that can still meet theirs go first.
+        if !position.is_late && now > position.due_at + route.run_target_ms {
+            let late = QueuePosition { is_late: true, ..position };
+            entry.queue_slot = Some(ServiceQueueSlot { service_queue: index, position: late });
+            service_queue.replace(&position, late, entry.has_run);
+            return Candidate::Moved;
+        }
+        Candidate::Ready { timeout_ms: route.timeout_ms }
+    }
+
+    /// Takes a token of the service's rate limit, if it has one. Asks the token holder for more where there is none.
+    fn take_token(&mut self, now: Millis, index: usize) -> bool {
+        let service_queue = &mut self.service_queues[index];
+        let Some(bucket) = &mut service_queue.token_bucket else { return true };
+        if bucket.take(now) {
+            return true;
+        }
+        let waiting = service_queue.ready.len() + service_queue.retries.len();
+        let count = waiting.min(MAX_TOKENS_PER_REQUEST) as u32;
+        if bucket.begin_request(now) {
+            let service = service_queue.name.clone();
+            let holder = token_holder(&service, self.settings.node, &self.peers);
+            if holder != self.settings.node {
+                let message = PeerMessage::RequestTokens { service, count };
+                self.emit(Effect::Send { to: holder, message });
             }
         }
+        false
+    }
+
+    fn give_token_back(&mut self, index: usize) {
+        if let Some(bucket) = &mut self.service_queues[index].token_bucket {
+            bucket.give_back();
+        }
+    }
+
+    fn select_executor(&mut self, now: Millis, dispatch_time: Time, index: usize, key: Key) -> Selection {
+        let stores = 1 + self.peers.values().filter(|peer| peer.listed || peer.connected).count();
+        let Some(entry) = self.entries.get(&key) else { return Selection::WaitUntil(now) };
+        let service_queue = &mut self.service_queues[index];
+        service_queue.connection_share = (service_queue.max_connections / stores).max(MIN_CONNECTION_SHARE);
+        let avoid = entry.last_failed_on.filter(|failed| failed.service_queue == index);
+        let retry = entry.has_run.then_some(Retry { avoid: avoid.map(|failed| failed.executor) });
+        service_queue.select_executor(dispatch_time, now, key, self.next_attempt, retry)
+    }
+
+    /// An executor has been selected: the attempt goes out.
+    fn start_attempt(&mut self, index: usize, executor: usize, position: QueuePosition, timeout_ms: u64) {
+        let key = position.key;
+        let service_queue = &mut self.service_queues[index];
+        service_queue.leave(&position);
+        let Some(entry) = self.entries.get_mut(&key) else { return };
+        entry.queue_slot = None;
+        entry.stage = Stage::InFlight;
+        self.metrics.attempts += 1;
+        self.metrics.retries += u64::from(entry.backoff_steps > 0);
+        let executor = &service_queue.executors[executor].executor;
+        self.effects.push(Effect::StartAttempt {
+            attempt: self.next_attempt,
+            key,
+            to: executor.address,
+            expected_server: (!executor.id.is_empty()).then(|| executor.id.clone()),
+            timeout_ms,
+            max_connections: service_queue.connection_share,
+        });
+        self.next_attempt += 1;
     }
 
-    /// An attempt came to its end.
+    /// An [`Effect::StartAttempt`] has come to its end. `load` is what the executor reported of itself: messages running,
+    /// messages waiting, and slots.
     pub fn attempt_ended(
         &mut self,
         now: Millis,
-        fine: Time,
+        dispatch_time: Time,
         attempt: u64,
         outcome: AttemptOutcome,
         load: Option<[f64; 3]>,
     ) {
-        let judged = match &outcome {
-            AttemptOutcome::Completed { .. } => Judged::Acked,
-            AttemptOutcome::Rejected | AttemptOutcome::Failed => Judged::Unfit,
-            AttemptOutcome::ExecutorFull => Judged::Full,
-            AttemptOutcome::RateLimited
-            | AttemptOutcome::AlreadyRunning
-            | AttemptOutcome::NotRun
-            | AttemptOutcome::NoFreeConnection => Judged::Moot,
-            AttemptOutcome::WrongServer => Judged::Error,
-            AttemptOutcome::NotConnected => Judged::NotConnected,
-            AttemptOutcome::ConnectionBroken => Judged::Reset,
-            AttemptOutcome::TimedOut | AttemptOutcome::NoResponse => Judged::TimedOut,
-            AttemptOutcome::MalformedResponse => Judged::Broken,
-        };
-        let Some(at) = self
-            .service_queues
-            .iter()
-            .position(|service_queue| service_queue.in_flight.contains_key(&attempt))
-        else {
-            return;
-        };
-        // What was stopped at its time, too: the work was done in vain.
-        let ran = matches!(
-            outcome,
-            AttemptOutcome::Failed
-                | AttemptOutcome::TimedOut
-                | AttemptOutcome::ConnectionBroken
-                | AttemptOutcome::NoResponse
-                | AttemptOutcome::MalformedResponse
-        );
-        let settled = self.service_queues[at].settle(fine, now, attempt, judged, ran, load);
-        let Some((key, executor)) = settled else { return };
+        let has_attempt = |index: &usize| self.service_queues[*index].in_flight.contains_key(&attempt);
+        let Some(index) = (0..self.service_queues.len()).find(has_attempt) else { return };
+        let service_queue = &mut self.service_queues[index];
+        let judged = dispatch_outcome(&outcome);
+        let settled = service_queue.settle(dispatch_time, now, attempt, judged, outcome.may_have_run(), load);
+        let Some(SettledAttempt { key, executor }) = settled else { return };
         if outcome == AttemptOutcome::RateLimited {
-            self.service_queues[at].paused_until = now + 200;
+            service_queue.paused_until = now + RATE_LIMITED_PAUSE_MS;
         }
         self.next_dispatch_at = 0;
-        let Some(entry) = self.entries.get_mut(&key) else { return };
-        if entry.end.is_some() {
-            return;
-        }
-        if ran || outcome == AttemptOutcome::AlreadyRunning {
-            (entry.has_run, entry.last_failed_on) = (true, Some((at, executor)));
+        self.apply_outcome(now, key, ExecutorRef { service_queue: index, executor }, outcome);
+    }
+
+    /// What the outcome of an attempt means for its message.
+    fn apply_outcome(&mut self, now: Millis, key: Key, executor: ExecutorRef, outcome: AttemptOutcome) {
+        let Some(entry) = self.entries.get_mut(&key).filter(|entry| entry.end.is_none()) else { return };
+        if outcome.may_have_run() || outcome == AttemptOutcome::AlreadyRunning {
+            entry.has_run = true;
+            entry.last_failed_on = Some(executor);
         }
         match outcome {
             AttemptOutcome::Completed { seal } => return self.finish(now, key, End::Complete { seal }),
@@ -244,29 +302,57 @@
             return;
         }
         if entry.owner != self.settings.node {
-            // While it was out another store has become its owner, and delivers it.
+            // Another store has become the owner meanwhile, and delivers it.
             entry.stage = Stage::Replica;
             return;
         }
         entry.stage = Stage::Waiting;
-        let limit = self.config.as_ref().and_then(|config| {
-            config.route(&entry.message.host, &entry.message.target).map(|at| config.routes[at].max_tries)
+        self.retry_or_fail(now, key, &outcome);
+    }
+
+    /// After an attempt that did not complete: the message fails for good, or waits for its next attempt.
+    fn retry_or_fail(&mut self, now: Millis, key: Key, outcome: &AttemptOutcome) {
+        let Some(entry) = self.entries.get_mut(&key) else { return };
+        let max_attempts = self.config.as_ref().and_then(|config| {
+            let route = config.route(&entry.message.host, &entry.message.target)?;
+            Some(config.routes[route].max_tries)
         });
-        if limit.is_some_and(|limit| entry.failed_attempts >= limit) {
+        if max_attempts.is_some_and(|max_attempts| entry.failed_attempts >= max_attempts) {
             return self.finish(now, key, End::Failed);
         }
-        // One that was turned away, or never reached anyone, may go elsewhere soon; one that failed waits
-        // longer.
         entry.backoff_steps += 1;
-        let pause = match outcome {
-            AttemptOutcome::ExecutorFull
-            | AttemptOutcome::NoFreeConnection
-            | AttemptOutcome::WrongServer
-            | AttemptOutcome::NotConnected => (AGAIN.0 / 4) << (entry.backoff_steps / 4).min(5),
-            AttemptOutcome::AlreadyRunning => 100,
-            _ => (AGAIN.0 << entry.backoff_steps.min(8)).min(AGAIN.1),
-        };
-        entry.not_before = now + pause;
+        entry.not_before = now + backoff_ms(outcome, entry.backoff_steps);
         self.schedule(now, key);
     }
 }
+
+/// What an outcome tells the dispatcher of the executor.
+fn dispatch_outcome(outcome: &AttemptOutcome) -> DispatchOutcome {
+    match outcome {
+        AttemptOutcome::Completed { .. } => DispatchOutcome::Acked,
+        AttemptOutcome::Rejected | AttemptOutcome::Failed => DispatchOutcome::Unfit,
+        AttemptOutcome::ExecutorFull => DispatchOutcome::Full,
+        AttemptOutcome::RateLimited
+        | AttemptOutcome::AlreadyRunning
+        | AttemptOutcome::NotRun
+        | AttemptOutcome::NoFreeConnection => DispatchOutcome::Moot,
+        AttemptOutcome::WrongServer => DispatchOutcome::Error,
+        AttemptOutcome::NotConnected => DispatchOutcome::NotConnected,
+        AttemptOutcome::ConnectionBroken => DispatchOutcome::Reset,
+        AttemptOutcome::TimedOut | AttemptOutcome::NoResponse => DispatchOutcome::TimedOut,
+        AttemptOutcome::MalformedResponse => DispatchOutcome::Broken,
+    }
+}
+
+/// How long a message waits for its next attempt. One that was turned away, or reached nobody, may go elsewhere soon; one that
+/// failed waits longer.
+fn backoff_ms(outcome: &AttemptOutcome, steps: u32) -> Millis {
+    match outcome {
+        AttemptOutcome::ExecutorFull
+        | AttemptOutcome::NoFreeConnection
+        | AttemptOutcome::WrongServer
+        | AttemptOutcome::NotConnected => REJECTED_BACKOFF_BASE_MS << (steps / 4).min(5),
+        AttemptOutcome::AlreadyRunning => STILL_RUNNING_PAUSE_MS,
+        _ => (BACKOFF_BASE_MS << steps.min(8)).min(BACKOFF_LIMIT_MS),
+    }
+}
--- a/crates/queue/src/queue/intake.rs
+++ b/crates/queue/src/queue/intake.rs
@@ -1,49 +1,47 @@
-//! Taking a message: its copies are chosen, and it is answered for once all of its disks have it.
+//! Accepting a message: its replicas are placed, and its sender is answered once all of its disks have it.
 
-use super::{Effect, Entry, PendingWrite, Queue, Stage};
+use super::{Queue, RetirementOrder};
+use crate::effect::Effect;
+use crate::entry::{Entry, Stage};
 use crate::message::{Key, Message, Millis, Node, PutError, ReplicatedMessage};
 use crate::peer_message::AcceptedHandover;
+use crate::pending_writes::PendingWrite;
 use crate::planted::PlantedFault;
 use crate::record::Record;
 
-/// Messages that are kept for others to pick up at the most.
-const MOST: usize = 400_000;
-
-/// A disk that has not answered for so long stands still, for all that is known.
-const STALLED: Millis = 120;
+/// Most messages that the table holds, ended ones among them.
+const MAX_ENTRIES: usize = 400_000;
 
 impl Queue {
-    /// A message from an edge.
+    /// A message has come from an edge. The answer is an [`Effect::PutResult`] with the same `ticket`.
     pub fn put(&mut self, now: Millis, ticket: u64, message: Message) {
-        let copies = self.choose(now, &[], &[], self.settings.replica_count);
-        if self.is_draining
-            || self.is_disk_stalled(now)
-            || copies.len() < self.settings.replica_count
-            || self.entries.len() >= MOST
-        {
+        let replicas = self.choose(now, &[], &[], self.settings.replica_count);
+        if self.must_reject(now, replicas.len()) {
             self.metrics.rejected += 1;
-            self.effects.push(Effect::PutResult { ticket, result: Err(PutError::Rejected) });
+            self.emit(Effect::PutResult { ticket, result: Err(PutError::Rejected) });
             return;
         }
         self.next_number += 1;
-        let key = Key { origin: self.settings.node, number: self.next_number };
-        let due_in = message.delay_ms;
+        let node = self.settings.node;
+        let key = Key { origin: node, number: self.next_number };
+        let unconfirmed = std::iter::once(node).chain(replicas.iter().copied()).collect();
+        let due_in_ms = message.delay_ms;
         let shared = ReplicatedMessage {
             key,
-            owner: self.settings.node,
-            replicas: copies.clone(),
-            due_in_ms: due_in,
+            owner: node,
+            replicas,
             message,
+            due_in_ms,
             ..ReplicatedMessage::default()
         };
         let mut entry = Entry::from_shared(&shared, now);
         entry.stage = Stage::Persisting;
         entry.ticket = Some(ticket);
-        entry.unconfirmed = std::iter::once(self.settings.node).chain(copies.iter().copied()).collect();
-        let look = now + crate::copies::COPY_WAIT;
-        entry.persist_check_at = Some(look);
+        entry.unconfirmed = unconfirmed;
+        let check_at = now + crate::copies::COPY_WAIT;
+        entry.persist_check_at = Some(check_at);
         self.entries.insert(key, entry);
-        self.persisting.insert((look, key));
+        self.persisting.insert((check_at, key));
         self.reindex(key);
         self.update_expiry(key);
         if self.put_in_row(now, key) {
@@ -51,92 +49,131 @@
         }
     }
 
-    /// The disk does not answer: what is taken now would wait behind what it has. Another store takes it in time.
+    fn must_reject(&self, now: Millis, replicas: usize) -> bool {
+        self.is_draining
+            || self.is_disk_stalled(now)
+            || replicas < self.settings.replica_count
+            || self.entries.len() >= MAX_ENTRIES
+    }
+
+    /// The disk does not answer: what is accepted now would wait behind earlier writes, and another store takes it in time.
     pub(crate) fn is_disk_stalled(&self, now: Millis) -> bool {
-        self.write_started_at.first_key_value().is_some_and(|(_, since)| now > since + STALLED)
+        self.pending_writes.is_disk_stalled(now)
+    }
+
+    /// The disk has answered for an [`Effect::Persist`]: `is_durable` says whether its records are on disk.
+    pub fn write_completed(&mut self, now: Millis, ticket: u64, is_durable: bool) {
+        for wait in self.pending_writes.complete(ticket) {
+            if is_durable {
+                self.write_succeeded(now, wait);
+            } else {
+                self.write_failed(wait);
+            }
+        }
+    }
+
+    fn write_succeeded(&mut self, now: Millis, wait: PendingWrite) {
+        match wait {
+            PendingWrite::Ownership(key) => self.confirm_persisted(now, key, self.settings.node),
+            PendingWrite::ReplicaFor(owner, key) => self.to(owner).copied.push(key),
+            PendingWrite::TakenOverFrom(former_owner, key) => self.confirm_handover(former_owner, key),
+            PendingWrite::EndFrom(sender, key) => self.to(sender).ends_kept.push(key),
+            PendingWrite::Retirement => self.retirement = RetirementOrder::Durable,
+        }
     }
 
-    /// The disk has answered.
-    pub fn write_completed(&mut self, now: Millis, ticket: u64, ok: bool) {
-        self.write_started_at.remove(&ticket);
-        for wait in self.pending_writes.remove(&ticket).unwrap_or_default() {
-            match (wait, ok) {
-                (PendingWrite::Retirement, ok) => {
-                    self.is_retirement_durable = ok;
-                    // Not on disk it would be forgotten: the operator asks again.
-                    self.is_retiring = ok;
-                }
-                (PendingWrite::EndFrom(from, key), true) => self.to(from).ends_kept.push(key),
-                // It is sent again.
-                (PendingWrite::EndFrom(..), false) => self.metrics.failed_writes += 1,
-                (PendingWrite::Ownership(key), true) => self.confirm_persisted(now, key, self.settings.node),
-                (PendingWrite::Ownership(key), false) => {
-                    self.metrics.failed_writes += 1;
-                    self.roll_back(key);
-                }
-                (PendingWrite::ReplicaFor(from, key), true) => self.to(from).copied.push(key),
-                (PendingWrite::ReplicaFor(from, key), false) => {
-                    self.metrics.failed_writes += 1;
-                    // Only what it wrote for the sender: it may own the message by now.
-                    if self.entries.get(&key).is_some_and(|e| e.stage == Stage::Replica && e.owner == from) {
-                        self.record(&Record::Dropped { key }, false);
-                        self.remove(key);
-                        self.to(from).not_copied.push(key);
-                    }
-                }
-                // With a disk that refuses, too: the message lies on both disks, and the one that gave it
-                // away says on both restarts who owns it. Without a word the other would wait until its time
-                // is over.
-                (PendingWrite::TakenOverFrom(from, key), ok) => {
-                    self.metrics.failed_writes += u64::from(!ok);
-                    let term =
-                        self.entries.get(&key).filter(|e| e.owner == self.settings.node).map(|e| e.term);
-                    if let Some(term) = term {
-                        self.to(from).handed.push(AcceptedHandover { key, term });
-                    }
-                }
+    fn write_failed(&mut self, wait: PendingWrite) {
+        match wait {
+            PendingWrite::Ownership(key) => {
+                self.metrics.failed_writes += 1;
+                self.roll_back(key);
             }
+            PendingWrite::ReplicaFor(owner, key) => {
+                self.metrics.failed_writes += 1;
+                self.refuse_replica(owner, key);
+            }
+            // Confirmed all the same: the message lies on both disks, and the former owner says on both restarts who owns it.
+            // Without an answer it would wait until the message expires.
+            PendingWrite::TakenOverFrom(former_owner, key) => {
+                self.metrics.failed_writes += 1;
+                self.confirm_handover(former_owner, key);
+            }
+            // The sender repeats it.
+            PendingWrite::EndFrom(..) => self.metrics.failed_writes += 1,
+            // A restart would forget the order: the operator has to repeat it.
+            PendingWrite::Retirement => self.retirement = RetirementOrder::None,
         }
     }
 
-    /// Not safe here: it is taken back everywhere, and its client is told that nothing is known.
+    fn confirm_handover(&mut self, former_owner: Node, key: Key) {
+        let entry = self.entries.get(&key).filter(|entry| entry.owner == self.settings.node);
+        if let Some(term) = entry.map(|entry| entry.term) {
+            self.to(former_owner).handed.push(AcceptedHandover { key, term });
+        }
+    }
+
+    /// Drops a replica that could not be written, unless the message has become another's meanwhile.
+    fn refuse_replica(&mut self, owner: Node, key: Key) {
+        let is_replica = |entry: &Entry| entry.stage == Stage::Replica && entry.owner == owner;
+        if self.entries.get(&key).is_some_and(is_replica) {
+            self.record(&Record::Dropped { key }, false);
+            self.remove(key);
+            self.to(owner).not_copied.push(key);
+        }
+    }
+
+    /// A message could not be persisted here: its replicas are dropped, and its sender is told that the outcome is unknown.
     pub(crate) fn roll_back(&mut self, key: Key) {
-        let Some(entry) = self.entries.get(&key).filter(|e| e.stage == Stage::Persisting) else { return };
-        let (ticket, copies) = (entry.ticket, entry.replicas.clone());
+        let Some(entry) = self.entries.get(&key).filter(|entry| entry.stage == Stage::Persisting) else {
+            return;
+        };
+        let (ticket, replicas) = (entry.ticket, entry.replicas.clone());
         self.record(&Record::Dropped { key }, false);
-        copies.into_iter().for_each(|to| self.to(to).drop.push(key));
+        for replica in replicas {
+            self.to(replica).drop.push(key);
+        }
         self.remove(key);
         self.report_unknown_outcome(ticket);
     }
 
+    /// A store, this one included, has a message on its disk. With the last of them the message is accepted, or repaired.
     pub(crate) fn confirm_persisted(&mut self, now: Millis, key: Key, node: Node) {
-        let early = self.planted(PlantedFault::EarlyAnswer) && node == self.settings.node;
+        let accepts_early = self.planted(PlantedFault::EarlyAnswer) && node == self.settings.node;
         let Some(entry) = self.entries.get_mut(&key) else { return };
-        let was = entry.unconfirmed.len();
-        entry.unconfirmed.retain(|missing| *missing != node && !early);
-        if entry.stage != Stage::Persisting && was > entry.unconfirmed.len() && entry.unconfirmed.is_empty() {
-            self.metrics.repaired += 1;
-            return self.look_at_copies(now, key);
-        }
-        if entry.stage != Stage::Persisting || !entry.unconfirmed.is_empty() {
+        let unconfirmed_before = entry.unconfirmed.len();
+        entry.unconfirmed.retain(|unconfirmed| *unconfirmed != node && !accepts_early);
+        if !entry.unconfirmed.is_empty() {
             return;
         }
+        if entry.stage == Stage::Persisting {
+            self.accept(now, key);
+        } else if unconfirmed_before > 0 {
+            self.metrics.repaired += 1;
+            self.look_at_copies(now, key);
+        }
+    }
+
+    /// All disks have a new message: its sender is answered, and it waits for its turn.
+    fn accept(&mut self, now: Millis, key: Key) {
+        let Some(entry) = self.entries.get_mut(&key) else { return };
         entry.stage = Stage::Waiting;
-        let (ticket, copy, look) =
-            (entry.ticket.take(), entry.replicas.first().copied(), entry.persist_check_at.take());
-        look.map(|at| self.persisting.remove(&(at, key)));
+        let ticket = entry.ticket.take();
+        let first_replica = entry.replicas.first().copied();
+        if let Some(at) = entry.persist_check_at.take() {
+            self.persisting.remove(&(at, key));
+        }
         if let Some(ticket) = ticket {
             self.metrics.accepted += 1;
-            self.effects.push(Effect::PutResult { ticket, result: Ok(key.to_text(copy)) });
+            self.emit(Effect::PutResult { ticket, result: Ok(key.to_text(first_replica)) });
         }
         self.schedule(now, key);
     }
 
-    /// It may run or not: its edge is told so, for nothing better can be said.
+    /// Answers a `put` whose message may run or not, if anybody waits for the answer.
     pub(crate) fn report_unknown_outcome(&mut self, ticket: Option<u64>) {
         if let Some(ticket) = ticket {
             self.metrics.outcome_unknown += 1;
-            self.effects.push(Effect::PutResult { ticket, result: Err(PutError::Uncertain) });
+            self.emit(Effect::PutResult { ticket, result: Err(PutError::Uncertain) });
         }
     }
 }
--- a/crates/queue/src/queue/report.rs
+++ b/crates/queue/src/queue/report.rs
@@ -1,110 +1,160 @@
-//! What the queue tells operators of itself. It goes through all entries: for one who asks now and then, not for the loop.
+//! What the queue reports to operators. Most of it goes through all entries: for occasional questions, not for each turn.
 
 use super::token_holders::token_holder;
-use super::{Queue, Stage};
+use super::Queue;
+use crate::entry::Stage;
 use crate::message::{End, Key, Millis, Node};
-use crate::service_queue::RetryCounts;
+use crate::service_queue::{ExecutorShare, RetryCounts, ServiceQueue};
 
+/// One service as this store sees it.
 #[derive(Clone, Debug)]
 pub struct ServiceView {
+    /// The service's name.
     pub name: String,
+    /// Messages that wait for an executor, retries among them.
     pub waiting: usize,
+    /// Attempts that have not ended.
     pub in_flight: usize,
-    /// By how much the first in the queue is past its due time.
+    /// How far the oldest waiting message is past its due time, in milliseconds.
     pub oldest_overdue_ms: Millis,
-    /// Executor, its share, and requests that are out there.
-    pub executor_shares: Vec<(String, f64, usize)>,
-    /// Repeats that wait among these, and what went out so far.
+    /// The executors that serve now.
+    pub executor_shares: Vec<ExecutorShare>,
+    /// Retries that wait.
     pub retries_waiting: usize,
+    /// Attempts started since the start of the process.
     pub retry_counts: RetryCounts,
-    /// Rate a second, who hands out the tokens, and whether that is this store.
-    pub rate_limit: Option<(f64, Node, bool)>,
+    /// The rate limit, if the service has one.
+    pub rate_limit: Option<RateLimitView>,
 }
 
-/// Messages by their stage.
+/// The rate limit of a service.
+#[derive(Clone, Copy, Debug)]
+pub struct RateLimitView {
+    /// Requests a second, over all stores.
+    pub rate_per_s: f64,
+    /// The store that should hand out the tokens.
+    pub token_holder: Node,
+    /// This store hands them out.
+    pub is_held_here: bool,
+}
+
+/// How many messages are in each [`Stage`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StageCounts {
+    /// In [`Stage::Persisting`].
     pub persisting: usize,
+    /// In [`Stage::Suspended`].
     pub suspended: usize,
+    /// In [`Stage::Waiting`].
     pub waiting: usize,
+    /// In [`Stage::InFlight`].
     pub in_flight: usize,
+    /// In [`Stage::Replica`].
     pub replica: usize,
+    /// In [`Stage::Ended`].
     pub ended: usize,
-    /// Ended ones of this store whose call-back has not been taken.
+    /// Ended messages owned here whose call-back has not been accepted.
     pub callbacks_pending: usize,
-    /// By how much the oldest one of this store that has not ended is past its due time.
+    /// How far the oldest message owned here that has not ended is past its due time, in milliseconds.
     pub oldest_overdue_ms: Millis,
 }
 
+/// One message as this store knows it.
 #[derive(Clone, Debug)]
 pub struct MessageView {
+    /// The identity that its sender gave it.
     pub id: String,
+    /// The store that delivers it.
     pub owner: Node,
+    /// Stores with replicas beside the owner.
     pub replicas: Vec<Node>,
+    /// The term of the owner.
     pub term: u32,
+    /// Where it stands at this store.
     pub stage: Stage,
+    /// Attempts that the executor said had failed.
     pub failed_attempts: u32,
-    /// Negative where it is past.
+    /// Milliseconds until it is due; negative if that is past.
     pub due_in_ms: i64,
+    /// Milliseconds until it fails for having waited too long; negative if that is past.
     pub expires_in_ms: i64,
-    /// Time of day; nought where that is not kept any more.
+    /// Time of day at which it was accepted, in milliseconds; 0 if that is not kept any more.
     pub accepted_at_ms: u64,
+    /// Revision of the configuration under which it was accepted.
     pub config_revision: u64,
+    /// Length of the body.
     pub bytes: usize,
+    /// How it ended.
     pub end: Option<End>,
+    /// Its call-back has not been accepted.
     pub callback_pending: bool,
 }
 
+/// Another store as this one sees it.
+#[derive(Clone, Copy, Debug)]
+pub struct PeerView {
+    /// The other store.
+    pub node: Node,
+    /// A connection is open.
+    pub is_connected: bool,
+    /// It is a member, as the control group says.
+    pub is_member: bool,
+    /// It accepts no more messages and is about to end.
+    pub is_draining: bool,
+}
+
 impl Queue {
+    /// All services.
     pub fn service_views(&self, now: Millis) -> Vec<ServiceView> {
-        let view = |service_queue: &crate::service_queue::ServiceQueue| {
-            let rate = self.config.as_ref().and_then(|config| {
-                Some(config.services[config.service(&service_queue.name)?].rate_per_s)
-                    .filter(|rate| *rate > 0.0)
-            });
-            ServiceView {
-                name: service_queue.name.clone(),
-                waiting: service_queue.waiting(),
-                in_flight: service_queue.in_flight.len(),
-                oldest_overdue_ms: service_queue
-                    .ready
-                    .iter()
-                    .chain(&service_queue.retries)
-                    .map(|turn| now.saturating_sub(turn.2))
-                    .max()
-                    .unwrap_or(0),
-                executor_shares: service_queue.shares(),
-                retries_waiting: service_queue.retries.len(),
-                retry_counts: service_queue.retry_counts,
-                rate_limit: rate.map(|rate| {
-                    let here = service_queue.token_bucket.as_ref().is_some_and(|bucket| bucket.holds());
-                    (rate, token_holder(&service_queue.name, self.settings.node, &self.peers), here)
-                }),
-            }
-        };
-        self.service_queues.iter().map(view).collect()
+        self.service_queues.iter().map(|service_queue| self.service_view(now, service_queue)).collect()
     }
 
+    fn service_view(&self, now: Millis, service_queue: &ServiceQueue) -> ServiceView {
+        ServiceView {
+            name: service_queue.name.clone(),
+            waiting: service_queue.waiting_count(),
+            in_flight: service_queue.in_flight.len(),
+            oldest_overdue_ms: service_queue.oldest_overdue_ms(now),
+            executor_shares: service_queue.executor_shares(),
+            retries_waiting: service_queue.retries.len(),
+            retry_counts: service_queue.retry_counts,
+            rate_limit: self.rate_limit_view(service_queue),
+        }
+    }
+
+    fn rate_limit_view(&self, service_queue: &ServiceQueue) -> Option<RateLimitView> {
+        let config = self.config.as_ref()?;
+        let rate_per_s = config.services[config.service(&service_queue.name)?].rate_per_s;
+        (rate_per_s > 0.0).then(|| RateLimitView {
+            rate_per_s,
+            token_holder: token_holder(&service_queue.name, self.settings.node, &self.peers),
+            is_held_here: service_queue.token_bucket.as_ref().is_some_and(|bucket| bucket.is_holder()),
+        })
+    }
+
+    /// The messages here, by stage.
     pub fn stage_counts(&self, now: Millis) -> StageCounts {
-        let mut all = StageCounts::default();
+        let mut counts = StageCounts::default();
         for entry in self.entries.values() {
-            let own = entry.owner == self.settings.node;
             match entry.stage {
-                Stage::Persisting => all.persisting += 1,
-                Stage::Suspended => all.suspended += 1,
-                Stage::Waiting => all.waiting += 1,
-                Stage::InFlight => all.in_flight += 1,
-                Stage::Replica => all.replica += 1,
-                Stage::Ended => all.ended += 1,
+                Stage::Persisting => counts.persisting += 1,
+                Stage::Suspended => counts.suspended += 1,
+                Stage::Waiting => counts.waiting += 1,
+                Stage::InFlight => counts.in_flight += 1,
+                Stage::Replica => counts.replica += 1,
+                Stage::Ended => counts.ended += 1,
             }
-            all.callbacks_pending += usize::from(own && entry.callback_pending);
-            if own && entry.end.is_none() {
-                all.oldest_overdue_ms = all.oldest_overdue_ms.max(now.saturating_sub(entry.due_at));
+            let is_owned_here = entry.owner == self.settings.node;
+            counts.callbacks_pending += usize::from(is_owned_here && entry.callback_pending);
+            if is_owned_here && entry.end.is_none() {
+                let overdue_ms = now.saturating_sub(entry.due_at);
+                counts.oldest_overdue_ms = counts.oldest_overdue_ms.max(overdue_ms);
             }
         }
-        all
+        counts
     }
 
+    /// All that this store knows of a message, or `None` if it knows nothing.
     pub fn message_view(&self, now: Millis, key: Key) -> Option<MessageView> {
         let entry = self.entries.get(&key)?;
         let from_now = |at: Millis| i64::try_from(at).unwrap_or(i64::MAX).saturating_sub(now as i64);
@@ -125,14 +175,20 @@
         })
     }
 
-    /// How long past its due time a message is that goes out for the first time here.
+    /// How long past its due time a message is, in milliseconds; `None` unless this is its first attempt here.
     pub fn first_attempt_delay_ms(&self, now: Millis, key: Key) -> Option<Millis> {
-        let entry = self.entries.get(&key).filter(|e| e.backoff_steps == 0 && e.failed_attempts == 0)?;
-        Some(now.saturating_sub(entry.due_at))
+        let entry = self.entries.get(&key)?;
+        let is_first = entry.backoff_steps == 0 && entry.failed_attempts == 0;
+        is_first.then(|| now.saturating_sub(entry.due_at))
     }
 
-    /// Other stores: whether connected, a member, about to end.
-    pub fn peer_views(&self) -> impl Iterator<Item = (Node, bool, bool, bool)> + '_ {
-        self.peers.iter().map(|(node, p)| (*node, p.connected, p.listed, p.leaving))
+    /// The other stores that this one knows.
+    pub fn peer_views(&self) -> impl Iterator<Item = PeerView> + '_ {
+        self.peers.iter().map(|(node, peer)| PeerView {
+            node: *node,
+            is_connected: peer.connected,
+            is_member: peer.listed,
+            is_draining: peer.leaving,
+        })
     }
 }
--- a/crates/queue/src/queue/timers.rs
+++ b/crates/queue/src/queue/timers.rs
@@ -1,136 +1,165 @@
 //! What is due at a given time, and the effects of a turn handed to the program.
 
-use super::{Effect, PendingWrite, Queue, Stage, UPKEEP};
+use super::{Queue, RETENTION_MARGIN_MS, UPKEEP_INTERVAL_MS};
+use crate::effect::Effect;
+use crate::entry::Stage;
 use crate::message::{End, Key, Millis};
+use crate::pending_writes::PendingWrite;
 use crate::record::Record;
 use std::collections::BTreeSet;
 use stileroute_dispatch::types::Time;
 
-/// A turn that comes so much too late comes after a freeze.
-const FROZEN: Millis = 500;
+/// A turn that comes so much too late comes after the process was suspended.
+const SUSPENDED_AFTER_MS: Millis = 500;
 
-/// And by so much, after one in which others may have taken over what is here.
-const MISSED: Millis = 1200;
+/// After a suspension longer than this, others may have taken over what is owned here.
+const TAKEN_OVER_AFTER_MS: Millis = 1200;
 
 impl Queue {
-    /// What is due. Call it at the end of each turn, then carry out what `take` gives.
-    pub fn tick(&mut self, now: Millis, fine: Time) {
+    /// Does what is due. To be called at the end of each turn, before [`take_effects`](Queue::take_effects).
+    ///
+    /// `dispatch_time` is `now` in the dispatcher's unit of a tenth of a millisecond.
+    pub fn tick(&mut self, now: Millis, dispatch_time: Time) {
         self.last_tick_at = now;
-        let lapsed = self.session_may_have_lapsed;
-        self.service_queues
-            .iter_mut()
-            .filter_map(|service_queue| service_queue.token_bucket.as_mut())
-            .for_each(|b| b.paused = lapsed);
-        let slept = now > self.last_upkeep_at + UPKEEP + FROZEN;
-        let long = now > self.last_upkeep_at + UPKEEP + MISSED;
-        self.look_after_fence(now, slept, long);
-        if slept {
-            // It has slept: others may have taken messages in its place, and it has not heard of that yet.
+        self.pause_token_buckets();
+        self.notice_suspension(now);
+        self.start_delayed(now);
+        self.fail_expired(now);
+        self.forget_due(now);
+        if now >= self.last_upkeep_at + UPKEEP_INTERVAL_MS {
+            self.run_upkeep(now, dispatch_time);
+        }
+        self.look_after_landing(now);
+        self.repair(now);
+        self.move_up(now);
+        let next_callback_at = self.start_callbacks(now);
+        self.start_attempts(now, dispatch_time);
+        self.next_dispatch_at = self.next_dispatch_at.min(next_callback_at);
+        if self.flush_ends_at.is_some_and(|at| at <= now) {
+            self.flush_ends_at = None;
+            self.tell_ends();
+        }
+        self.tell();
+    }
+
+    fn pause_token_buckets(&mut self) {
+        let is_paused = self.control_contact.session_may_have_lapsed;
+        for service_queue in &mut self.service_queues {
+            if let Some(bucket) = &mut service_queue.token_bucket {
+                bucket.is_paused = is_paused;
+            }
+        }
+    }
+
+    /// A process that was suspended may have been taken over from without having heard of it.
+    fn notice_suspension(&mut self, now: Millis) {
+        let expected = self.last_upkeep_at + UPKEEP_INTERVAL_MS;
+        let was_suspended = now > expected + SUSPENDED_AFTER_MS;
+        let may_be_taken_over = now > expected + TAKEN_OVER_AFTER_MS;
+        self.look_after_fence(now, was_suspended, may_be_taken_over);
+        if was_suspended {
             self.ordering.changed = now;
         }
-        while let Some((at, key)) = self.delayed.first().copied().filter(|(at, _)| *at <= now) {
-            self.delayed.remove(&(at, key));
+    }
+
+    fn start_delayed(&mut self, now: Millis) {
+        while let Some(key) = pop_due(&mut self.delayed, now) {
             if let Some(entry) = self.entries.get_mut(&key) {
                 entry.delayed_until = None;
             }
             self.schedule(now, key);
         }
-        while let Some((at, key)) = self.expiring.first().copied().filter(|(at, _)| *at <= now) {
-            self.expiring.remove(&(at, key));
-            let own =
-                self.entries.get(&key).is_some_and(|e| e.owner == self.settings.node && e.end.is_none());
-            if own && self.entries.get(&key).is_some_and(|e| e.stage != Stage::Persisting) {
+    }
+
+    fn fail_expired(&mut self, now: Millis) {
+        while let Some(key) = pop_due(&mut self.expiring, now) {
+            let Some(entry) = self.entries.get(&key).filter(|entry| entry.end.is_none()) else { continue };
+            if entry.owner == self.settings.node && entry.stage != Stage::Persisting {
                 self.metrics.expired += 1;
                 self.finish(now, key, End::Failed);
-            } else if self.entries.get(&key).is_some_and(|e| e.end.is_none()) {
-                // A copy whose owner has not told an end: kept until the owner is asked, at most so long.
-                self.forgetting.push_back((now + self.settings.status_retention_ms, key));
+            } else {
+                // Of a replica the owner still has to send the end: it is waited for, but not for ever.
+                self.forget_at(now + self.settings.status_retention_ms, key);
             }
         }
+    }
+
+    fn forget_due(&mut self, now: Millis) {
         while let Some((at, key)) = self.forgetting.front().copied() {
             if at > now {
                 break;
             }
             self.forgetting.pop_front();
-            let Some(entry) = self.entries.get(&key) else { continue };
-            match (entry.owner == self.settings.node, &entry.end) {
-                // The call-back is owed yet.
-                (true, Some(_)) if entry.callback_pending => {
-                    self.forgetting.push_back((now + self.settings.status_retention_ms + 60_000, key));
-                }
-                // It was a copy when it was put here, and has been taken over.
-                (true, None) => {}
-                // Its owner never told an end. Left on the disk it would be read as live for ever.
-                (false, None) => {
-                    self.record(&Record::Dropped { key }, false);
-                    self.remove(key);
-                }
-                _ => self.remove(key),
-            }
+            self.forget_or_keep(now, key);
         }
-        if now >= self.last_upkeep_at + UPKEEP {
-            self.last_upkeep_at = now;
-            self.service_queues.iter_mut().for_each(|service_queue| service_queue.upkeep(fine));
-            self.assign_token_holders(now);
-            self.look_after(now);
+    }
+
+    fn forget_or_keep(&mut self, now: Millis, key: Key) {
+        let Some(entry) = self.entries.get(&key) else { return };
+        match (entry.owner == self.settings.node, &entry.end) {
+            (true, Some(_)) if entry.callback_pending => {
+                self.forget_at(now + self.settings.status_retention_ms + RETENTION_MARGIN_MS, key);
+            }
+            // It was a replica when it was scheduled to be forgotten, and has been taken over.
+            (true, None) => {}
+            // Its owner never sent an end. Left on the disk it would be read as live for ever.
+            (false, None) => {
+                self.record(&Record::Dropped { key }, false);
+                self.remove(key);
+            }
+            _ => self.remove(key),
         }
-        self.look_after_landing(now);
-        self.repair(now);
-        self.move_up(now);
-        let calls = self.start_callbacks(now);
-        self.start_attempts(now, fine);
-        self.next_dispatch_at = self.next_dispatch_at.min(calls);
-        if self.flush_ends_at.is_some_and(|at| at <= now) {
-            self.flush_ends_at = None;
-            self.tell_ends();
+    }
+
+    fn run_upkeep(&mut self, now: Millis, dispatch_time: Time) {
+        self.last_upkeep_at = now;
+        for service_queue in &mut self.service_queues {
+            service_queue.run_upkeep(dispatch_time);
         }
-        self.tell();
+        self.assign_token_holders(now);
+        self.look_after(now);
     }
 
-    /// When `tick` is wanted next.
+    /// When [`tick`](Queue::tick) has to be called next, if nothing else happens before.
     pub fn next_deadline(&self) -> Millis {
-        let first = |set: &BTreeSet<(Millis, Key)>| set.first().map_or(Millis::MAX, |(at, _)| *at);
-        let times = [
+        let first = |index: &BTreeSet<(Millis, Key)>| index.first().map_or(Millis::MAX, |(at, _)| *at);
+        let deadlines = [
             first(&self.delayed),
             first(&self.expiring),
             first(&self.persisting),
             self.next_repair(),
             self.ordering.next(),
             self.flush_ends_at.unwrap_or(Millis::MAX),
-            self.last_upkeep_at + UPKEEP,
+            self.last_upkeep_at + UPKEEP_INTERVAL_MS,
             self.next_dispatch_at,
         ];
-        times.into_iter().min().unwrap_or(0)
+        deadlines.into_iter().min().unwrap_or(0)
     }
 
-    pub(crate) fn record(&mut self, record: &Record, sync: bool) {
-        if let Ok(bytes) = postcard::to_stdvec(record) {
-            self.records.push(bytes);
-            self.needs_sync |= sync;
-        }
+    /// Adds a record to the write of this turn; with `needs_sync` the write is synced at once.
+    pub(crate) fn record(&mut self, record: &Record, needs_sync: bool) {
+        self.pending_writes.add(record, needs_sync);
     }
 
+    /// Has something done once the records of this turn are on disk.
     pub(crate) fn after_write(&mut self, wait: PendingWrite) {
-        self.next_pending_writes.push(wait);
-    }
-
-    pub(crate) fn emit(&mut self, effect: Effect) {
-        self.effects.push(effect);
+        self.pending_writes.wait(wait);
     }
 
+    /// What the program has to carry out, in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         let mut effects = std::mem::take(&mut self.effects);
-        if !self.records.is_empty() {
-            let ticket = self.next_ticket;
-            self.next_ticket += 1;
-            let waits = std::mem::take(&mut self.next_pending_writes);
-            if !waits.is_empty() {
-                self.pending_writes.insert(ticket, waits);
-                self.write_started_at.insert(ticket, self.last_tick_at);
-            }
-            let records = std::mem::take(&mut self.records);
-            effects.push(Effect::Persist { ticket, records, sync: std::mem::take(&mut self.needs_sync) });
-        }
+        effects.extend(self.pending_writes.take(self.last_tick_at));
         effects
     }
 }
+
+/// Takes the first key whose time has come out of an index.
+fn pop_due(index: &mut BTreeSet<(Millis, Key)>, now: Millis) -> Option<Key> {
+    let (at, key) = index.first().copied()?;
+    if at > now {
+        return None;
+    }
+    index.pop_first();
+    Some(key)
+}
--- a/crates/queue/src/queue/token_holders.rs
+++ b/crates/queue/src/queue/token_holders.rs
@@ -1,54 +1,63 @@
-//! Which store hands out the tokens of a service, and how the others ask it for some.
+//! Which store hands out the tokens of a service's rate limit, and how the others get some.
 
-use super::{Effect, Queue};
+use super::Queue;
 use crate::copies::Peer;
+use crate::effect::Effect;
 use crate::message::{Millis, Node};
 use crate::peer_message::PeerMessage;
+use crate::token_bucket::TokenBucket;
 use std::collections::BTreeMap;
+use stileroute_dispatch::types::mark;
 
-/// Who hands out the tokens of a service.
-pub(crate) fn token_holder(service: &str, me: Node, peers: &BTreeMap<Node, Peer>) -> Node {
-    let weight = |node: Node| stileroute_dispatch::types::mark(&format!("{service}/{node}"));
-    let all = peers.iter().filter(|(_, p)| p.listed && !p.leaving).map(|(node, _)| *node);
-    all.chain(std::iter::once(me)).max_by_key(|node| weight(*node)).unwrap_or(me)
+/// Most tokens granted to one request of another store.
+const MAX_TOKENS_PER_GRANT: u32 = 16;
+
+/// The store that hands out the tokens of a service: the first of the members by rendezvous hashing, so that the services are
+/// spread over the stores.
+pub(crate) fn token_holder(service: &str, own_node: Node, peers: &BTreeMap<Node, Peer>) -> Node {
+    let weight = |node: Node| mark(&format!("{service}/{node}"));
+    let members = peers.iter().filter(|(_, peer)| peer.listed && !peer.leaving).map(|(node, _)| *node);
+    members.chain(std::iter::once(own_node)).max_by_key(|node| weight(*node)).unwrap_or(own_node)
 }
 
 impl Queue {
-    /// Who hands out the tokens of each service: the first of the stores that are members, in an order of its
-    /// own for each service, so that the duties are spread.
+    /// After a change of members: settles for each service whether this store hands out its tokens, and this store's share of
+    /// the retry slots.
     pub(crate) fn assign_token_holders(&mut self, now: Millis) {
-        let nodes = 1 + self.peers.values().filter(|p| p.listed).count();
-        let place = self.peers.iter().filter(|(node, p)| p.listed && **node < self.settings.node).count();
+        let own_node = self.settings.node;
+        let stores = 1 + self.peers.values().filter(|peer| peer.listed).count();
+        let own_index = self.peers.iter().filter(|(node, peer)| peer.listed && **node < own_node).count();
+        let may_hold = self.control_contact.is_heard && self.knows_members && !self.is_draining;
         for service_queue in &mut self.service_queues {
-            service_queue.nodes(place, nodes);
+            service_queue.set_store_position(own_index, stores);
             let Some(bucket) = &mut service_queue.token_bucket else { continue };
-            let holder = token_holder(&service_queue.name, self.settings.node, &self.peers);
-            let may = self.hears_control_group && self.knows_members && !self.is_draining;
-            bucket.holder(now, holder == self.settings.node && may);
+            let holder = token_holder(&service_queue.name, own_node, &self.peers);
+            bucket.set_holder(now, holder == own_node && may_hold);
         }
     }
 
-    /// Tokens are wanted by another store.
+    /// Another store wants tokens of a service.
     pub(crate) fn tokens_wanted(&mut self, now: Millis, from: Node, service: String, count: u32) {
-        let service_queue = self.service_queue_index.get(&service).map(|at| &mut self.service_queues[*at]);
-        let count =
-            service_queue.and_then(|l| l.token_bucket.as_mut()).map_or(0, |b| b.hand_out(now, count.min(16)));
-        self.effects.push(Effect::Send { to: from, message: PeerMessage::GrantTokens { service, count } });
+        let bucket = self.token_bucket(&service);
+        let count = bucket.map_or(0, |bucket| bucket.hand_out(now, count.min(MAX_TOKENS_PER_GRANT)));
+        self.emit(Effect::Send { to: from, message: PeerMessage::GrantTokens { service, count } });
     }
 
-    /// Of one that does not hold the duty (any more) none are taken: together with those of its successor they would be
-    /// over the ceiling.
+    /// Tokens have come. Those of a store that is not the holder any more are refused: together with the successor's they would
+    /// exceed the rate limit.
     pub(crate) fn tokens_received(&mut self, now: Millis, from: Node, service: &str, count: u32) {
-        let holder = token_holder(service, self.settings.node, &self.peers) == from;
-        self.metrics.stale_claims += u64::from(!holder && count > 0);
-        let count = if holder { count } else { 0 };
-        if let Some(bucket) = self
-            .service_queue_index
-            .get(service)
-            .and_then(|at| self.service_queues[*at].token_bucket.as_mut())
-        {
-            bucket.got(now, count);
-            self.next_dispatch_at = if count > 0 { 0 } else { self.next_dispatch_at };
+        let is_from_holder = token_holder(service, self.settings.node, &self.peers) == from;
+        self.metrics.stale_claims += u64::from(!is_from_holder && count > 0);
+        let count = if is_from_holder { count } else { 0 };
+        let Some(bucket) = self.token_bucket(service) else { return };
+        bucket.receive(now, count);
+        if count > 0 {
+            self.next_dispatch_at = 0;
         }
     }
+
+    fn token_bucket(&mut self, service: &str) -> Option<&mut TokenBucket> {
+        let index = *self.service_queue_index.get(service)?;
+        self.service_queues[index].token_bucket.as_mut()
+    }
 }
--- a/crates/queue/src/repair.rs
+++ b/crates/queue/src/repair.rs
@@ -1,10 +1,13 @@
 //! Copies that are missing, made again at a bounded rate; and what two stores hold, compared by sums over
 //! ranges and mended from the newer: of two owners the higher term holds, and an end holds always.
 
+use crate::effect::Effect;
+use crate::entry::{Entry, Stage};
 use crate::message::{Key, Millis, Node};
 use crate::peer_message::{EntrySummary, KeyRange, PeerMessage, RangeDigest};
+use crate::pending_writes::PendingWrite;
 use crate::planted::PlantedFault;
-use crate::queue::{Effect, Entry, PendingWrite, Queue, Stage};
+use crate::queue::Queue;
 use crate::record::Record;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -231,14 +234,17 @@
 
     /// Stores that are gone for good hold no copies any more; and digests are compared when it is time.
     pub(crate) fn look_at_holders(&mut self, now: Millis) {
-        let Queue { peers, hears_control_group: heard, knows_members: acquainted, settings: terms, .. } =
-            self;
+        let Queue { peers, control_contact, knows_members: acquainted, settings: terms, .. } = self;
         let (mut gone, mut compare) = (Vec::new(), Vec::new());
         for (node, peer) in peers {
             let here = peer.listed || peer.connected;
             if here {
                 peer.written_off = false;
-            } else if *heard && *acquainted && !peer.written_off && now > peer.since + WRITTEN_OFF {
+            } else if control_contact.is_heard
+                && *acquainted
+                && !peer.written_off
+                && now > peer.since + WRITTEN_OFF
+            {
                 peer.written_off = true;
                 gone.push(*node);
             }
--- a/crates/queue/src/retire.rs
+++ b/crates/queue/src/retire.rs
@@ -2,10 +2,12 @@
 //! the copies that lie here anew elsewhere. It is empty when all of them have said that they count on it no longer.
 
 use crate::copies::Peer;
+use crate::effect::Effect;
 use crate::message::{Key, Millis, Node};
 use crate::peer_message::PeerMessage;
+use crate::pending_writes::PendingWrite;
 use crate::planted::PlantedFault;
-use crate::queue::{Effect, PendingWrite, Queue};
+use crate::queue::{Queue, RetirementOrder};
 use crate::record::Record;
 
 /// How often one that retires is told that nobody counts on it: a word lost with a connection comes again.
@@ -35,16 +37,16 @@
 impl Queue {
     /// Ordered by an operator. It holds over restarts: the order is on disk before it is confirmed.
     pub fn retire(&mut self, now: Millis) {
-        if std::mem::replace(&mut self.is_retiring, true) {
+        if self.is_retiring() {
             return;
         }
+        self.retirement = RetirementOrder::Pending;
         self.record(&Record::RetirementOrdered, true);
         self.after_write(PendingWrite::Retirement);
         self.begin_retiring(now);
     }
 
     pub(crate) fn begin_retiring(&mut self, now: Millis) {
-        self.is_retiring = true;
         let peers: Vec<Node> =
             self.peers.iter().filter(|(_, p)| p.connected).map(|(node, _)| *node).collect();
         for to in peers {
@@ -55,7 +57,7 @@
 
     /// Whether it retires, and the order is on disk, and if so whether every copy lies elsewhere.
     pub fn retirement_state(&self) -> RetirementState {
-        if !self.is_retirement_durable {
+        if self.retirement != RetirementOrder::Durable {
             return RetirementState::NotOrdered;
         }
         let empty = self.owned_here().next().is_none()
@@ -67,7 +69,7 @@
         let empty = empty && self.owners_count_on_nothing() && self.ends_lie_elsewhere();
         let mut others = self.peers.iter().filter(|(_, p)| p.listed).peekable();
         // Cut off, or before it knows them, it can't speak for the others.
-        let known = others.peek().is_some() && self.hears_control_group && self.knows_members;
+        let known = others.peek().is_some() && self.control_contact.is_heard && self.knows_members;
         let others_agree = others.all(|(node, p)| p.connected && self.released_by.contains(node));
         RetirementState::ordered(empty && known && others_agree)
     }
@@ -99,7 +101,7 @@
 
     /// Another store retires: what it holds for this one is copied elsewhere, at the rate of repair.
     pub(crate) fn look_after_retiring(&mut self, now: Millis) {
-        if self.is_retiring {
+        if self.is_retiring() {
             self.hand_all_over();
         }
         if self.fenced_since.is_some() {
--- a/crates/queue/src/retry_budget.rs
+++ b/crates/queue/src/retry_budget.rs
@@ -1,122 +1,109 @@
-//! Repeats: attempts after one that ran or may have run. What may go out of them at a service and at one
-//! executor, over all stores, without asking anybody.
+//! The retry budget: how many attempts of messages that ran before, or may have run, a store may start at one service and at one
+//! executor, over all stores and without asking anybody.
 //!
-//! An executor that struggles fails what it is given, and each failed attempt is work that it does in vain. With
-//! no bound its queue fills with the same messages again and again, and what is new there fails with them. So
-//! repeats that fail are a stated part of first attempts, and at one executor they take a part of its slots.
-//! What is held back waits its turn: it is on disk. A store counts its own first attempts, so its part of the
-//! bound is its part of the load.
+//! An executor that struggles fails what it is given, and each failed attempt is work done in vain. Without a bound its queue
+//! fills with the same messages again and again, and new ones fail with them. So failed retries are limited to a part of first
+//! attempts, and at one executor all retries to a part of its slots. Retries beyond that wait; they are on disk. A store counts
+//! its own first attempts, so its part of the bound is its part of the load.
 
 use crate::message::Millis;
 
-/// So many repeats may fail for each first attempt.
-const PART: f64 = 0.2;
-/// And so many a second at a service of which all first attempts are over, by all stores together: what is left
-/// is tried until it ends.
-const FLOOR: f64 = 4.0;
-/// Of an executor's slots at most this part is taken by repeats, rounded up.
-const SLOTS: f64 = 0.5;
-/// A store none of whose repeats found room for so long sends them wherever none of its own is out: an executor that
-/// is dark keeps its slots until the control nodes know.
+/// How many retries may fail for each first attempt.
+const RETRIES_PER_FIRST_ATTEMPT: f64 = 0.2;
+
+/// How many retries all stores together may start in a second at a service with no first attempts: what is left is tried until
+/// it ends.
+const MIN_RETRIES_PER_S: f64 = 4.0;
+
+/// The part of an executor's slots, rounded up, that retries may take.
+const RETRY_SLOT_FRACTION: f64 = 0.5;
+
+/// Most retry slots of one executor.
+const MAX_RETRY_SLOTS: usize = 1024;
+
+/// The smallest upper limit of the budget, which is also what it begins with.
+const MIN_BUDGET_LIMIT: f64 = 8.0;
+
+/// A store whose retries have found no executor for so long sends them wherever it has none in flight: an executor that does not
+/// answer keeps its slots until the control nodes remove it.
 pub(crate) const STUCK_RETRY_LIMIT_MS: Millis = 500;
 
-/// What one store may repeat at one service.
+/// How many retries one store may start at one service.
 #[derive(Debug)]
-pub(crate) struct Budget {
-    left: f64,
-    /// Saved up at the most: what the executors work on together.
-    most: f64,
+pub(crate) struct RetryBudget {
+    available: f64,
+    /// Most that can be saved up: what the executors work on together.
+    limit: f64,
     stores: f64,
-    at: Millis,
+    refilled_at: Millis,
 }
 
-impl Budget {
-    pub fn new(now: Millis) -> Budget {
-        Budget { left: 8.0, most: 8.0, stores: 1.0, at: now }
+impl RetryBudget {
+    /// A budget as it stands before the executors and the other stores are known.
+    pub fn new(now: Millis) -> RetryBudget {
+        RetryBudget { available: MIN_BUDGET_LIMIT, limit: MIN_BUDGET_LIMIT, stores: 1.0, refilled_at: now }
     }
 
-    pub fn sized(&mut self, room: f64, stores: usize) {
-        (self.most, self.stores) = (room.max(8.0), stores.max(1) as f64);
-        self.left = self.left.min(self.most);
+    /// The capacity of the service's executors, or the number of stores, has changed.
+    pub fn resize(&mut self, capacity: f64, stores: usize) {
+        self.limit = capacity.max(MIN_BUDGET_LIMIT);
+        self.stores = stores.max(1) as f64;
+        self.available = self.available.min(self.limit);
     }
 
-    fn fill(&mut self, now: Millis) {
-        let gone = now.saturating_sub(self.at) as f64 / 1000.0;
-        self.at = now;
-        self.left = (self.left + gone * FLOOR / self.stores).min(self.most);
+    fn refill(&mut self, now: Millis) {
+        let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / 1000.0;
+        self.refilled_at = now;
+        self.available = (self.available + elapsed_s * MIN_RETRIES_PER_S / self.stores).min(self.limit);
     }
 
-    /// Whether one more may go: else when to look again.
-    pub fn may(&mut self, now: Millis) -> Result<(), Millis> {
-        self.fill(now);
-        match self.left >= 1.0 {
-            true => Ok(()),
-            false => Err(now + 1 + ((1.0 - self.left) * self.stores / FLOOR * 1000.0) as Millis),
+    /// The time at which a retry may start, `None` if it may start now.
+    pub fn next_retry_at(&mut self, now: Millis) -> Option<Millis> {
+        self.refill(now);
+        if self.available >= 1.0 {
+            return None;
         }
+        let wait_ms = (1.0 - self.available) * self.stores / MIN_RETRIES_PER_S * 1000.0;
+        Some(now + 1 + wait_ms as Millis)
     }
 
-    /// So many could go now.
-    pub fn whole(&self) -> usize {
-        self.left as usize
+    /// How many retries could start now.
+    pub fn whole_retries(&self) -> usize {
+        self.available as usize
     }
 
-    pub fn first(&mut self) {
-        self.left = (self.left + PART).min(self.most);
+    /// A first attempt has started.
+    pub fn add_first_attempt(&mut self) {
+        self.available = (self.available + RETRIES_PER_FIRST_ATTEMPT).min(self.limit);
     }
 
-    pub fn spent(&mut self) {
-        self.left -= 1.0;
+    /// A retry has started.
+    pub fn spend(&mut self) {
+        self.available -= 1.0;
     }
 
-    /// It did not fail, or never ran. So a service that is well again gets all that was held back at the pace at
-    /// which it is done.
-    pub fn back(&mut self) {
-        self.left = (self.left + 1.0).min(self.most);
+    /// A retry did not fail, or never ran. So a service that has recovered gets all retries that waited, at the pace at which it
+    /// completes them.
+    pub fn refund(&mut self) {
+        self.available = (self.available + 1.0).min(self.limit);
     }
 }
 
-/// How many repeats of this store may be out at each executor. Their slots are dealt out in turn, from the same
-/// list by the same rule at each store: `me` is its place among `stores`.
-pub(crate) fn dealt(capacities: impl Iterator<Item = f64>, me: usize, stores: usize) -> Vec<usize> {
+/// How many retries this store may have in flight at each executor. The retry slots are dealt out in turn, at each store from the
+/// same list by the same rule: `own_index` is this store's position among `stores`.
+pub(crate) fn share_retry_slots(
+    capacities: impl Iterator<Item = f64>,
+    own_index: usize,
+    stores: usize,
+) -> Vec<usize> {
     let stores = stores.max(1);
-    let mine =
-        |at: usize, slots: usize| (0..slots).filter(|slot| (at + slot) % stores == me % stores).count();
-    let slots = |capacity: f64| ((capacity * SLOTS).ceil() as usize).clamp(1, 1024);
-    capacities.enumerate().map(|(at, capacity)| mine(at, slots(capacity))).collect()
+    let is_own = |executor: usize, slot: usize| (executor + slot) % stores == own_index % stores;
+    let share = |(executor, capacity): (usize, f64)| {
+        let slots = ((capacity * RETRY_SLOT_FRACTION).ceil() as usize).clamp(1, MAX_RETRY_SLOTS);
+        (0..slots).filter(|slot| is_own(executor, *slot)).count()
+    };
+    capacities.enumerate().map(share).collect()
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn all_stores_together_keep_to_a_part_of_each_executors_slots() {
-        for stores in 1..9 {
-            let capacities = [1.0, 3.0, 8.0, 2.0, 3.0];
-            let all: Vec<Vec<usize>> =
-                (0..stores).map(|me| dealt(capacities.into_iter(), me, stores)).collect();
-            for (at, most) in [1, 2, 4, 1, 2].into_iter().enumerate() {
-                assert_eq!(all.iter().map(|dealt| dealt[at]).sum::<usize>(), most, "{stores} stores");
-            }
-        }
-    }
-
-    #[test]
-    fn failed_repeats_are_a_part_of_first_attempts() {
-        let mut budget = Budget::new(0);
-        budget.sized(20.0, 3);
-        let (mut repeats, mut now) = (0, 0);
-        for n in 0..1000 {
-            now = 10 * n;
-            budget.first();
-            while budget.may(now).is_ok() {
-                budget.spent();
-                repeats += 1;
-            }
-        }
-        assert!((200..=8 + 200 + 4 * now / 1000 / 3 + 1).contains(&repeats), "{repeats}");
-        // What is done gives its place to the next.
-        budget.back();
-        assert!(budget.may(now).is_ok());
-    }
-}
+mod tests;
--- a/crates/queue/src/token_bucket.rs
+++ b/crates/queue/src/token_bucket.rs
@@ -1,143 +1,166 @@
-//! The ceiling of a service over all stores: one store hands out tokens, and each request takes one.
+//! The rate limit of a service over all stores: a token bucket at one store, the holder, from which each request takes a token.
 //!
-//! The holder paces itself: what it hands out in any window is the rate times the window and a small burst,
-//! and one that has just become the holder begins with none. So two holders in a row keep the ceiling
-//! together, whatever the first one has used, as long as it has stopped before the second begins.
+//! What the holder hands out in any window is at most rate times window and a small burst, and a new holder begins with an empty
+//! bucket. So two holders in a row keep the limit together, whatever the first one has used, as long as it has stopped before
+//! the second begins.
 
 use crate::message::Millis;
 
-/// Tokens that are not used for so long are worth nothing: they would pile up beyond the window.
-const LIFE: Millis = 250;
-/// So long after the change of holder the new one begins.
-pub const SETTLE: Millis = 1500;
+/// Tokens from the holder that are not used for so long expire: piled up they would be used beyond the window.
+const TOKEN_LIFETIME_MS: Millis = 250;
 
+/// A new holder begins so long after the change, when the former one has certainly stopped.
+const NEW_HOLDER_DELAY_MS: Millis = 1500;
+
+/// A request to the holder that is not answered for so long is repeated.
+const REQUEST_RETRY_MS: Millis = 200;
+
+/// Requests allowed beyond rate times window times tolerance, whatever the rate.
+const EXTRA_REQUESTS: f64 = 5.0;
+
+/// What the tolerance leaves to spare is divided by this for the burst; the rest is for differing clocks, for the time that messages
+/// between stores take, and for tokens that have been handed out and not used yet.
+const BURST_DIVISOR: f64 = 3.0;
+
+/// The largest burst.
+const MAX_BURST: f64 = 64.0;
+
+/// How many requests a service may receive.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct RateLimit {
+    pub rate_per_s: f64,
+    /// The length of a window over which requests are counted.
+    pub window_ms: u64,
+    /// By which factor the requests of a window may exceed rate times window.
+    pub tolerance: f64,
+}
+
+/// Tokens handed out by the holder, and the time at which they expire.
+#[derive(Clone, Copy, Debug)]
+struct Grant {
+    expires_at: Millis,
+    count: u32,
+}
+
+/// A service's token bucket as one store has it: the bucket itself at the holder, tokens granted by the holder at the others.
 #[derive(Clone, Debug, Default)]
-pub struct Bucket {
-    rate: f64,
+pub(crate) struct TokenBucket {
+    refill_per_s: f64,
     burst: f64,
-    held: f64,
-    at: Millis,
-    since: Option<Millis>,
-    /// The control nodes may call this store's session lapsed, and another may be about to begin: nothing is handed out.
-    pub paused: bool,
-    /// Tokens got from the holder, and until when each lot holds.
-    got: Vec<(Millis, u32)>,
-    asked: Option<Millis>,
-    /// Until when the token that was taken last holds.
-    last: Millis,
+    tokens: f64,
+    refilled_at: Millis,
+    /// This store is the holder, and may hand out tokens from then on.
+    holder_from: Option<Millis>,
+    /// This store's session may have lapsed, and another holder may be about to begin: nothing is handed out.
+    pub is_paused: bool,
+    grants: Vec<Grant>,
+    /// When the holder was asked, if it has not answered.
+    requested_at: Option<Millis>,
+    /// When the token that was taken last expires.
+    last_taken_expires_at: Millis,
 }
 
-impl Bucket {
-    pub fn new(now: Millis, rate: f64, window_ms: u64, overrun: f64) -> Bucket {
-        let mut bucket = Bucket { at: now, ..Bucket::default() };
-        bucket.rated(rate, window_ms, overrun);
+impl TokenBucket {
+    /// An empty bucket of a store that is not the holder.
+    pub fn new(now: Millis, limit: RateLimit) -> TokenBucket {
+        let mut bucket = TokenBucket { refilled_at: now, ..TokenBucket::default() };
+        bucket.set_limit(limit);
         bucket
     }
 
-    pub fn rated(&mut self, rate: f64, window_ms: u64, overrun: f64) {
-        self.rate = rate;
-        // Over the bound there are rate x window x (overrun - 1) + 5 to spare: a third of that is the burst,
-        // the rest is for clocks, ways that differ, and tokens that lie about.
-        let spare = rate * window_ms as f64 / 1000.0 * (overrun - 1.0).max(0.0) + 5.0;
-        self.burst = (spare / 3.0).clamp(1.0, 64.0);
-        self.held = self.held.min(self.burst);
+    /// Changes the rate limit. Tokens beyond the new burst are lost.
+    pub fn set_limit(&mut self, limit: RateLimit) {
+        self.refill_per_s = limit.rate_per_s;
+        let requests_per_window = limit.rate_per_s * limit.window_ms as f64 / 1000.0;
+        let spare = requests_per_window * (limit.tolerance - 1.0).max(0.0) + EXTRA_REQUESTS;
+        self.burst = (spare / BURST_DIVISOR).clamp(1.0, MAX_BURST);
+        self.tokens = self.tokens.min(self.burst);
     }
 
-    fn fill(&mut self, now: Millis) {
-        let gone = now.saturating_sub(self.at) as f64 / 1000.0;
-        self.at = now;
-        self.held = (self.held + gone * self.rate).min(self.burst);
+    fn refill(&mut self, now: Millis) {
+        let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / 1000.0;
+        self.refilled_at = now;
+        self.tokens = (self.tokens + elapsed_s * self.refill_per_s).min(self.burst);
     }
 
-    /// This store is the holder, or not (any more).
-    pub fn holder(&mut self, now: Millis, holds: bool) {
-        match (holds, self.since) {
-            (true, None) => self.since = Some(now + SETTLE),
+    /// Whether this store is the holder from now on.
+    pub fn set_holder(&mut self, now: Millis, is_holder: bool) {
+        match (is_holder, self.holder_from) {
+            (true, None) => self.holder_from = Some(now + NEW_HOLDER_DELAY_MS),
             (false, Some(_)) => {
-                self.since = None;
-                self.held = 0.0;
+                self.holder_from = None;
+                self.tokens = 0.0;
             }
             _ => {}
         }
     }
 
-    pub fn holds(&self) -> bool {
-        self.since.is_some()
+    /// Whether this store is the holder, even if it may not hand out tokens yet.
+    pub fn is_holder(&self) -> bool {
+        self.holder_from.is_some()
     }
 
-    /// Hands out up to so many.
+    /// Takes up to `wanted` tokens out of the bucket and gives their number: none unless this store is the holder.
     pub fn hand_out(&mut self, now: Millis, wanted: u32) -> u32 {
-        let Some(since) = self.since.filter(|_| !self.paused) else { return 0 };
-        if now < since {
-            (self.at, self.held) = (now, 0.0);
+        let Some(holder_from) = self.holder_from.filter(|_| !self.is_paused) else { return 0 };
+        if now < holder_from {
+            self.empty_at(now);
             return 0;
         }
-        if self.at < since {
-            (self.at, self.held) = (since, 0.0);
+        if self.refilled_at < holder_from {
+            self.empty_at(holder_from);
         }
-        self.fill(now);
-        let some = (self.held.floor() as u32).min(wanted);
-        self.held -= f64::from(some);
-        some
+        self.refill(now);
+        let count = (self.tokens.floor() as u32).min(wanted);
+        self.tokens -= f64::from(count);
+        count
     }
 
-    /// Tokens came.
-    pub fn got(&mut self, now: Millis, count: u32) {
-        self.asked = None;
+    fn empty_at(&mut self, at: Millis) {
+        self.refilled_at = at;
+        self.tokens = 0.0;
+    }
+
+    /// The holder has answered with so many tokens.
+    pub fn receive(&mut self, now: Millis, count: u32) {
+        self.requested_at = None;
         if count > 0 {
-            self.got.push((now + LIFE, count));
+            self.grants.push(Grant { expires_at: now + TOKEN_LIFETIME_MS, count });
         }
     }
 
-    /// Takes one for a request that leaves now.
+    /// Takes a token for a request that leaves now. False: there is none.
     pub fn take(&mut self, now: Millis) -> bool {
-        if self.holds() {
+        if self.is_holder() {
             return self.hand_out(now, 1) == 1;
         }
-        self.got.retain(|(until, count)| *until > now && *count > 0);
-        match self.got.first_mut() {
-            Some((until, count)) => {
-                *count -= 1;
-                self.last = *until;
-                true
-            }
-            None => false,
-        }
+        self.grants.retain(|grant| grant.expires_at > now && grant.count > 0);
+        let Some(grant) = self.grants.first_mut() else { return false };
+        grant.count -= 1;
+        self.last_taken_expires_at = grant.expires_at;
+        true
     }
 
-    /// The one that was taken last was not used.
+    /// Gives back the token that was taken last: its request did not leave.
     pub fn give_back(&mut self) {
-        if self.holds() {
-            self.held = (self.held + 1.0).min(self.burst);
+        if self.is_holder() {
+            self.tokens = (self.tokens + 1.0).min(self.burst);
         } else {
-            // For the rest of its own life: given back again and again it would else be used beyond the
-            // window.
-            self.got.push((self.last, 1));
+            // It still expires when it would have: given back again and again it would else be used beyond the window.
+            self.grants.push(Grant { expires_at: self.last_taken_expires_at, count: 1 });
         }
     }
 
-    /// Whether to ask the holder now; asked again where no answer came.
-    pub fn ask(&mut self, now: Millis) -> bool {
-        if self.holds() || self.asked.is_some_and(|at| now < at + 200) {
+    /// Whether the holder is to be asked for tokens now; if so, the request counts as sent.
+    pub fn begin_request(&mut self, now: Millis) -> bool {
+        let is_requested = self.requested_at.is_some_and(|at| now < at + REQUEST_RETRY_MS);
+        if self.is_holder() || is_requested {
             return false;
         }
-        self.asked = Some(now);
+        self.requested_at = Some(now);
         true
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_token_that_is_given_back_again_and_again_lives_no_longer() {
-        let mut bucket = Bucket::new(0, 20.0, 5000, 1.1);
-        bucket.got(0, 1);
-        for now in (0..LIFE).step_by(10) {
-            assert!(bucket.take(now), "{now}");
-            bucket.give_back();
-        }
-        assert!(!bucket.take(LIFE));
-    }
-}
+mod tests;
--- a/crates/queue/tests/words.rs
+++ b/crates/queue/tests/words.rs
@@ -608,10 +608,10 @@
     let (key, to) = copies(&one.put(1, Message { delay_ms: 6000, ..message("plain") }))[0];
     one.note(to, PeerMessage::Replicated(vec![key]));
     one.now += 7000;
-    one.queue.session_may_have_lapsed = true;
+    one.queue.control_contact.session_may_have_lapsed = true;
     assert!(attempts(&one.pass(100)).is_empty());
     [B, C].into_iter().for_each(|other| one.queue.peer_disconnected(one.now, other));
-    one.queue.session_may_have_lapsed = false;
+    one.queue.control_contact.session_may_have_lapsed = false;
     one.queue.peer_connected(one.now, B);
     assert!(attempts(&one.note(B, PeerMessage::Reconciled)).is_empty());
     assert!(attempts(&one.pass(200)).is_empty());
@@ -650,10 +650,10 @@
         said(effects, B, |n| matches!(n, PeerMessage::GrantTokens { count: c, .. } if *c == count))
     };
     assert!(got(&one.note(B, wanted()), 1));
-    one.queue.session_may_have_lapsed = true;
+    one.queue.control_contact.session_may_have_lapsed = true;
     one.pass(100);
     assert!(got(&one.note(B, wanted()), 0));
-    one.queue.session_may_have_lapsed = false;
+    one.queue.control_contact.session_may_have_lapsed = false;
     one.pass(100);
     assert!(got(&one.note(B, wanted()), 1));
 }
--- a/crates/queue/tests/world/mod.rs
+++ b/crates/queue/tests/world/mod.rs
@@ -461,7 +461,8 @@
                 continue;
             }
             if let Some((queue, now)) = self.queue(at) {
-                (queue.hears_control_group, queue.session_may_have_lapsed) = (true, false);
+                (queue.control_contact.is_heard, queue.control_contact.session_may_have_lapsed) =
+                    (true, false);
                 queue.set_members(now, &all);
             }
         }
@@ -746,14 +747,16 @@
             // Until the control nodes have been heard again it knows that it may be cut off.
             What::Thaw { at, life } => {
                 if let Some((queue, _)) = self.queue(at).filter(|_| life > 0) {
-                    (queue.hears_control_group, queue.session_may_have_lapsed) = (false, true);
+                    (queue.control_contact.is_heard, queue.control_contact.session_may_have_lapsed) =
+                        (false, true);
                     self.turn(at);
                 }
             }
             What::Deaf { at, life, lapsed } => {
                 let off = self.stores[at].life == life && self.stores[at].isolated;
                 if let Some((queue, _)) = self.queue(at).filter(|_| off) {
-                    (queue.session_may_have_lapsed, queue.hears_control_group) = (true, lapsed);
+                    (queue.control_contact.session_may_have_lapsed, queue.control_contact.is_heard) =
+                        (true, lapsed);
                     self.turn(at);
                 }
             }
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -112,10 +112,10 @@
             self.inquiries();
             self.common.keep_session();
             self.connect();
-            self.queue.hears_control_group = self.common.fresh();
+            self.queue.control_contact.is_heard = self.common.fresh();
             let now = self.common.net.now();
             // From the last answer on: the session stood then, and is counted for so long after its end.
-            self.queue.session_may_have_lapsed =
+            self.queue.control_contact.session_may_have_lapsed =
                 now >= self.common.session.heard + stileroute_registry::SESSION_GRACE;
             if self.common.told_to_end() {
                 for edge in self.common.links.class(NodeRole::Edge) {
--- a/crates/server/src/store/report.rs
+++ b/crates/server/src/store/report.rs
@@ -72,10 +72,10 @@
             let executors: Vec<JsonValue> = service
                 .executor_shares
                 .into_iter()
-                .map(|(id, share, out)| jzon::object! { "id" => id, "share" => share, "out" => out })
+                .map(|e| jzon::object! { "id" => e.id, "share" => e.share, "out" => e.in_flight })
                 .collect();
-            let ceiling = service.rate_limit.map(|(rate, holder, here)| {
-                jzon::object! { "rate_per_s" => rate, "holder" => self.common.name(holder), "here" => here }
+            let ceiling = service.rate_limit.map(|limit| {
+                jzon::object! { "rate_per_s" => limit.rate_per_s, "holder" => self.common.name(limit.token_holder), "here" => limit.is_held_here }
             });
             services.push(jzon::object! {
                 "service" => service.name,
@@ -97,12 +97,12 @@
         let stores: Vec<JsonValue> = self
             .queue
             .peer_views()
-            .map(|(node, connected, listed, leaving)| {
+            .map(|peer| {
                 jzon::object! {
-                    "node" => self.common.name(node),
-                    "connected" => connected,
-                    "member" => listed,
-                    "leaving" => leaving,
+                    "node" => self.common.name(peer.node),
+                    "connected" => peer.is_connected,
+                    "member" => peer.is_member,
+                    "leaving" => peer.is_draining,
                 }
             })
             .collect();
@@ -204,7 +204,7 @@
             );
         }
         for service in services.iter().filter(|s| s.rate_limit.is_some()) {
-            let here = u8::from(service.rate_limit.is_some_and(|(_, _, here)| here));
+            let here = u8::from(service.rate_limit.is_some_and(|limit| limit.is_held_here));
             let help = "1: this store hands out the service's tokens.";
             sheet.gauge("stileroute_tokens_holder", help, &[("service", &service.name)], here);
         }
