--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -17,7 +17,7 @@
     first_number, AttemptOutcome, Effect, Executor, Key, MessageState, Node, Queue, QueueSettings, Record,
     StateTable, ToleratedLosses,
 };
-use stileroute_wal::{Options, Trouble, Wal};
+use stileroute_wal::{AppendError, Options, Wal};
 
 /// A receiver of call-backs has so long.
 const CALL: Millis = 3000;
@@ -33,7 +33,7 @@
     common: Common,
     queue: Queue,
     disk: Wal,
-    disk_said: Receiver<(u64, Result<(), Trouble>)>,
+    disk_said: Receiver<(u64, Result<(), AppendError>)>,
     servers: HashMap<String, Heartbeat>,
     out: HashMap<u64, Out>,
     next_ticket: u64,
