--- a/crates/capacity/src/run.rs
+++ b/crates/capacity/src/run.rs
@@ -2,7 +2,7 @@
 
 use crate::layout::{Distance, Layout};
 use crate::net::Millis;
-use crate::signals::NodeRole;
+use crate::protocol::NodeRole;
 use crate::simulation::Simulation;
 use crate::traffic::{Role, Traffic, Volume};
 use std::collections::BTreeMap;
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -2,27 +2,27 @@
 //! its design and docs/server.md for running it.
 
 // Not finished yet: what these lints name is still to be documented or divided.
-#![allow(clippy::struct_excessive_bools)]
+#![allow(clippy::struct_excessive_bools, clippy::too_many_lines)]
 
 mod calls;
 mod cli;
 mod control_node;
 mod edge;
-mod figures;
 mod links;
+mod metrics;
 mod net;
 mod node;
+mod protocol;
 mod report;
 mod settings;
-mod signals;
 mod store;
 
 use cli::args::Args;
 use cli::output::ExitStatus;
 use cli::CommandError;
 use gumdrop::Options;
-use node::Common;
-use signals::NodeRole;
+use node::NodeRuntime;
+use protocol::NodeRole;
 use std::path::Path;
 use std::process::ExitCode;
 use stileroute_config::Boot;
@@ -63,7 +63,7 @@
 
 fn run(boot: Boot, path: &Path, class: NodeRole) -> miette::Result<()> {
     tracing::info!(node = boot.node_name, role = %class, first = boot.first_start, "starts");
-    let common = Common::start(boot, path, class)?;
+    let common = NodeRuntime::start(boot, path, class)?;
     match class {
         NodeRole::Edge => edge::Edge::new(common)?.run(),
         NodeRole::Store => store::Store::new(common)?.run(),
--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -3,7 +3,7 @@
 //! Faults are only what the program cannot work with: a process that does not start is worse than one with an odd value. What
 //! it works with, but perhaps not as one expects, is a warning.
 
-use crate::signals::NodeRole;
+use crate::protocol::NodeRole;
 use std::net::SocketAddrV4;
 use std::path::Path;
 use stileroute_config::{Boot, Fault, Faults};
