--- a/crates/server/src/control_node.rs
+++ b/crates/server/src/control_node.rs
@@ -6,8 +6,6 @@
 mod pending_calls;
 mod report;
 mod retirement;
-#[cfg(test)]
-mod tests;
 
 use crate::control_plane::{member_of, ControlPlane};
 use crate::disk::Disk;
--- a/crates/server/src/control_node/disk_records.rs
+++ b/crates/server/src/control_node/disk_records.rs
@@ -17,7 +17,7 @@
     fn apply(&mut self, record: &[u8]) {
         match postcard::from_bytes(record) {
             Ok(record) => self.0.apply(record),
-            Err(error) => tracing::error!(%error, "a record that can't be read"),
+            Err(error) => tracing::error!(%error, "a record on disk can't be decoded"),
         }
     }
 
@@ -27,3 +27,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/server/src/control_node/pending_calls.rs
+++ b/crates/server/src/control_node/pending_calls.rs
@@ -186,3 +186,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/server/src/control_node/retirement.rs
+++ b/crates/server/src/control_node/retirement.rs
@@ -232,3 +232,6 @@
         })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/server/src/control_node/retirement/tests.rs
@@ -0,0 +1,135 @@
+use super::*;
+use crate::protocol::Member;
+use assert_matches::assert_matches;
+use std::net::Ipv4Addr;
+
+fn store(name: &str, retirement: RetirementState) -> Member {
+    Member {
+        node: node_id(name),
+        name: name.to_string(),
+        role: NodeRole::Store,
+        zone: "z".to_string(),
+        ip: Ipv4Addr::LOCALHOST,
+        incarnation: 1,
+        control_address: None,
+        config_version: 0,
+        retirement,
+    }
+}
+
+/// Knows these stores; `is_ready` if it has been up for long enough.
+fn registry(stores: &[(&str, RetirementState)], is_ready: bool) -> Registry {
+    let mut registry = Registry::new(
+        Member { role: NodeRole::Control, ..store("core-1", RetirementState::NotRetiring) },
+        77,
+        1200,
+        0,
+    );
+    let now = if is_ready { 3000 } else { 10 };
+    for (name, retiring) in stores {
+        registry.record_poll(now, store(name, *retiring), 0, 0);
+    }
+    registry.tick(now, true, None);
+    registry.take_effects();
+    registry
+}
+
+fn state(retirements: &[(&str, RetirementStage)]) -> ControlState {
+    let one = |(name, stage): &(&str, RetirementStage)| Retirement {
+        node: node_id(name),
+        name: name.to_string(),
+        stage: *stage,
+    };
+    ControlState { serial: 9, retirements: retirements.iter().map(one).collect(), ..ControlState::default() }
+}
+
+/// Two have to stay.
+fn decision(name: &str, state: &ControlState, pending: &[&str], registry: &Registry) -> OrderDecision {
+    let pending: Vec<u32> = pending.iter().map(|name| node_id(name)).collect();
+    decide(name, state, &pending, registry, |zones| zones.len() >= 2)
+}
+
+const FOUR: [(&str, RetirementState); 4] = [
+    ("s-1", RetirementState::NotRetiring),
+    ("s-2", RetirementState::NotRetiring),
+    ("s-3", RetirementState::NotRetiring),
+    ("s-4", RetirementState::NotRetiring),
+];
+
+#[test]
+fn simultaneous_retirement_orders_never_leave_too_few_stores() {
+    let registry = registry(&FOUR, true);
+    let none = state(&[]);
+    assert_eq!(decision("s-1", &none, &[], &registry), OrderDecision::Propose);
+    // The first is being written: two would stay, and then one.
+    assert_eq!(decision("s-2", &none, &["s-1"], &registry), OrderDecision::Propose);
+    assert_eq!(
+        decision("s-3", &none, &["s-1", "s-2"], &registry),
+        OrderDecision::NotNow,
+        "they may come to nothing"
+    );
+    // They are agreed on, and no store has said so yet.
+    let committed = state(&[("s-1", RetirementStage::Ordered), ("s-2", RetirementStage::Ordered)]);
+    assert_eq!(decision("s-3", &committed, &[], &registry), OrderDecision::TooFewRemaining);
+    // One that was said to be empty is gone by now, and one that never was a member counts for none.
+    assert_eq!(
+        decision("s-1", &state(&[("s-9", RetirementStage::Complete)]), &[], &registry),
+        OrderDecision::Propose
+    );
+    assert_eq!(decision("s-9", &none, &[], &registry), OrderDecision::UnknownStore);
+}
+
+#[test]
+fn a_repeated_order_is_never_rejected_even_when_the_store_is_gone() {
+    let left = registry(&FOUR[1..3], true);
+    for stage in [RetirementStage::Ordered, RetirementStage::Draining, RetirementStage::Complete] {
+        assert_eq!(decision("s-1", &state(&[("s-1", stage)]), &[], &left), OrderDecision::AlreadyCommitted);
+    }
+}
+
+#[test]
+fn a_control_node_that_is_not_ready_rejects_no_order_for_good() {
+    let young = registry(&FOUR[..2], false);
+    assert_eq!(decision("s-9", &state(&[]), &[], &young), OrderDecision::NotNow);
+    assert_eq!(decision("s-1", &state(&[]), &[], &young), OrderDecision::NotNow);
+}
+
+#[test]
+fn a_retirement_is_complete_when_state_and_store_both_say_so() {
+    let complete = state(&[("s-1", RetirementStage::Complete)]);
+    let draining = state(&[("s-1", RetirementStage::Draining)]);
+    let says = |retiring| registry(&[("s-1", retiring)], true);
+    let gone = registry(&[], true);
+    let of = |state, registry: &Registry| progress("s-1", Some(state), registry);
+    assert_matches!(of(&complete, &gone), Some(RetirementProgress::Complete));
+    assert_matches!(of(&complete, &says(RetirementState::Complete)), Some(RetirementProgress::Complete));
+    // It is restarting: nobody has said that it is empty.
+    assert_matches!(of(&draining, &gone), Some(RetirementProgress::Draining));
+    // It has said so to one node, and the value does not: whoever restarts would have forgotten it.
+    assert_matches!(of(&draining, &says(RetirementState::Complete)), Some(RetirementProgress::Draining));
+    // A new machine of the name.
+    assert_matches!(of(&complete, &says(RetirementState::NotRetiring)), Some(RetirementProgress::Draining));
+    assert_matches!(of(&state(&[]), &says(RetirementState::Complete)), None);
+    assert_matches!(progress("s-1", None, &gone), None);
+}
+
+#[test]
+fn a_store_with_a_session_here_is_notified_until_it_says_that_it_retires() {
+    let committed = state(&[
+        ("s-1", RetirementStage::Ordered),
+        ("s-2", RetirementStage::Draining),
+        ("s-9", RetirementStage::Ordered),
+    ]);
+    let mut here = registry(&FOUR, true);
+    let mut notices = RetirementNotices::default();
+    let (first, second) = (node_id("s-1"), node_id("s-2"));
+    // The second has lost its disk, or is another machine of its name.
+    assert_eq!(notices.due(3000, &committed, &here), [first, second]);
+    assert!(notices.due(3499, &committed, &here).is_empty());
+    assert_eq!(notices.due(3500, &committed, &here), [first, second]);
+    here.record_poll(3600, store("s-1", RetirementState::Draining), 0, 0);
+    here.session_disconnected(3600, second);
+    assert!(notices.due(9000, &committed, &here).is_empty());
+    here.record_poll(9100, store("s-2", RetirementState::NotRetiring), 0, 0);
+    assert_eq!(notices.due(9100, &committed, &here), [second]);
+}
--- a/crates/server/tests/commands.rs
+++ b/crates/server/tests/commands.rs
@@ -1,9 +1,6 @@
 //! What docs/replace.md says of machines that are replaced, retired and lost, on three cores, three stores and an edge on
 //! loopback: each command that it shows is tried, in the state that it is shown for.
 
-// Not finished yet: what these lints name is still to be documented or divided.
-#![allow(clippy::too_many_lines)]
-
 use assert_matches::assert_matches;
 use std::fs::{self, File};
 use std::io::{Read, Write};
@@ -189,6 +186,11 @@
         self.http("21:18263", "POST", "/crate", "heavy")
     }
 
+    /// The name of a message that has been accepted.
+    fn accepted(&self) -> String {
+        self.until("taken", || self.send().filter(|answer| answer.0 == 202)).2
+    }
+
     /// Where a message lies: one delivers it, another has its copy.
     fn stages(&self, message: &str) -> Vec<String> {
         let out =
@@ -209,63 +211,77 @@
     }
 }
 
+const BEGIN: &str = "curl -d '{\"deadline_s\":30}' http://10.1.0.14:8262/v1/retire/storage-3/begin";
+const READ: &str = "curl http://10.1.0.14:8262/v1/retire/storage-3/read";
+
 #[test]
 fn machines_are_replaced_retired_and_lost_as_the_page_says() {
     let mut fleet = Fleet::new();
     let all = ["core-1", "core-2", "core-3", "storage-1", "storage-2", "storage-3", "edge-1"];
     all.iter().for_each(|name| fleet.start(name, true));
     fleet.until("the configuration is taken", || fleet.configure(7).filter(|status| *status == 200));
-    let taken = |fleet: &Fleet| fleet.until("taken", || fleet.send().filter(|answer| answer.0 == 202)).2;
-    let message = taken(&fleet);
-    fleet.message.clone_from(&message);
-    fleet.until("it lies on two disks", || fleet.safe(&message));
+    fleet.message = fleet.accepted();
+    fleet.until("it lies on two disks", || fleet.safe(&fleet.message));
 
-    // A store without its disk: its messages are copied anew, and it is known again.
+    replace_a_store_without_its_disk(&mut fleet);
+    retire_a_store(&mut fleet);
+    check_that_the_retirement_is_remembered(&mut fleet);
+    lose_too_many_stores_for_a_while(&mut fleet);
+    lose_the_disks_of_all_stores(&mut fleet);
+    lose_the_disks_of_most_cores(&mut fleet);
+    take_a_long_configuration(&mut fleet);
+}
+
+/// Its messages are copied anew, and it is known again.
+fn replace_a_store_without_its_disk(fleet: &mut Fleet) {
     fleet.kill("storage-1");
     fleet.wipe("storage-1");
     let checked = fleet.stilerouted("check boot /etc/stileroute/node.json", "");
     assert!(checked.status.success(), "{checked:?}");
     fleet.start("storage-1", false);
     fleet.until("two disks again, with the new one there", || {
-        (fleet.safe(&message).is_some() && fleet.status().contains("store storage-1 ")).then_some(())
+        (fleet.safe(&fleet.message).is_some() && fleet.status().contains("store storage-1 ")).then_some(())
     });
+}
 
-    // Retired: the last two are not let go.
-    let begin = "curl -d '{\"deadline_s\":30}' http://10.1.0.14:8262/v1/retire/storage-3/begin";
-    let read = "curl http://10.1.0.14:8262/v1/retire/storage-3/read";
+/// Retired: the last two are not let go.
+fn retire_a_store(fleet: &mut Fleet) {
     // A primary that has just begun does not know who is there: until it does it says 503, and nothing else but 404 then.
     fleet.until("no such store", || {
-        let status = fleet.curl(3, begin, "storage-3", "storage-9").map(|a| a.0);
+        let status = fleet.curl(3, BEGIN, "storage-3", "storage-9").map(|a| a.0);
         assert_matches!(status, Some(404 | 503));
         (status == Some(404)).then_some(())
     });
     // A core that had the store's session before may not see that it took the order: another is asked.
-    let any = |line: &str, told: &str| {
-        let says = |a: (u16, String, String)| a.0 == 200 && a.1.contains(told);
+    let any = |line: &str, part: &str| {
+        let says = |a: (u16, String, String)| a.0 == 200 && a.1.contains(part);
         (1..=3).rev().find(|core| fleet.curl(*core, line, "", "").is_some_and(says))
     };
-    fleet.until("the order is taken", || any(begin, "{}"));
-    let core = fleet.until("emptied", || any(read, "complete"));
-    assert_eq!(fleet.curl(core, begin, "storage-3", "storage-2").map(|a| a.0), Some(409));
+    fleet.until("the order is taken", || any(BEGIN, "{}"));
+    let core = fleet.until("emptied", || any(READ, "complete"));
+    assert_eq!(fleet.curl(core, BEGIN, "storage-3", "storage-2").map(|a| a.0), Some(409));
     fleet.kill("storage-3");
     fleet.wipe("storage-3");
-    fleet.until("it lies on the two that are left", || fleet.safe(&message));
-
-    // The machine is gone, and nobody forgets that it was retired: the order is acknowledged again by each core, and so it
-    // is when all of them were killed.
-    let remembered = |fleet: &Fleet, core: u8| {
-        fleet.until("acknowledged again", || {
-            let again = fleet.curl(core, begin, "", "").map(|a| a.0);
-            assert_matches!(again, None | Some(200 | 503), "an order that was taken is refused");
-            (again == Some(200)).then_some(())
-        });
-        fleet.until("still complete", || {
-            let state = fleet.curl(core, read, "", "").map(|a| (a.0, a.1.contains("complete")));
-            assert_matches!(state, None | Some((200, true) | (503, _)), "what was complete is not any more");
-            (state == Some((200, true))).then_some(())
-        });
-    };
-    (1..=3).for_each(|core| remembered(&fleet, core));
+    fleet.until("it lies on the two that are left", || fleet.safe(&fleet.message));
+}
+
+/// The order is acknowledged again by a core, and its retirement is still complete.
+fn check_at_core(fleet: &Fleet, core: u8) {
+    fleet.until("acknowledged again", || {
+        let again = fleet.curl(core, BEGIN, "", "").map(|a| a.0);
+        assert_matches!(again, None | Some(200 | 503), "an order that was taken is refused");
+        (again == Some(200)).then_some(())
+    });
+    fleet.until("still complete", || {
+        let state = fleet.curl(core, READ, "", "").map(|a| (a.0, a.1.contains("complete")));
+        assert_matches!(state, None | Some((200, true) | (503, _)), "what was complete is not any more");
+        (state == Some((200, true))).then_some(())
+    });
+}
+
+/// The machine is gone, and nobody forgets that it was retired: not when all cores were killed, either.
+fn check_that_the_retirement_is_remembered(fleet: &mut Fleet) {
+    (1..=3).for_each(|core| check_at_core(fleet, core));
     let retire = |words: &[&str]| {
         let at = format!("{}.3:17300", fleet.net);
         let mut command = Command::new(env!("CARGO_BIN_EXE_stilerouted"));
@@ -279,55 +295,70 @@
     let cores = ["core-1", "core-2", "core-3"];
     cores.iter().for_each(|name| fleet.kill(name));
     cores.iter().for_each(|name| fleet.start(name, false));
-    (1..=3).for_each(|core| remembered(&fleet, core));
+    (1..=3).for_each(|core| check_at_core(fleet, core));
+}
 
-    // More stores gone than can be borne: nothing is taken. Their disks bring all back.
-    ["storage-1", "storage-2"].into_iter().for_each(|name| fleet.kill(name));
+const STORES: [&str; 2] = ["storage-1", "storage-2"];
+
+/// More stores gone than can be borne: nothing is taken. Their disks bring all back.
+fn lose_too_many_stores_for_a_while(fleet: &mut Fleet) {
+    STORES.into_iter().for_each(|name| fleet.kill(name));
     fleet.until("refused", || fleet.send().filter(|answer| answer.0 == 503));
-    assert!(fleet.stages(&message).is_empty());
+    assert!(fleet.stages(&fleet.message).is_empty());
     let verified = fleet.stilerouted("state verify /var/lib/stilerouted", "");
-    let told = String::from_utf8_lossy(&verified.stdout);
-    assert!(verified.status.success() && told.contains("opens: true"), "{verified:?}");
-    ["storage-1", "storage-2"].into_iter().for_each(|name| fleet.start(name, false));
-    fleet.until("all is back", || fleet.safe(&message));
-
-    // Without their disks it is gone, and nobody guesses: no store knows of it, and its state is 404
-    // as soon as all stores are there to say so, and 503 until then.
-    ["storage-1", "storage-2"].into_iter().for_each(|name| fleet.kill(name));
-    ["storage-1", "storage-2"].into_iter().for_each(|name| fleet.wipe(name));
+    let text = String::from_utf8_lossy(&verified.stdout);
+    assert!(verified.status.success() && text.contains("opens: true"), "{verified:?}");
+    STORES.into_iter().for_each(|name| fleet.start(name, false));
+    fleet.until("all is back", || fleet.safe(&fleet.message));
+}
+
+/// Without their disks a message is gone, and nobody guesses: no store knows of it, and its state is 404 as soon as all stores
+/// are there to say so, and 503 until then.
+fn lose_the_disks_of_all_stores(fleet: &mut Fleet) {
+    STORES.into_iter().for_each(|name| fleet.kill(name));
+    STORES.into_iter().for_each(|name| fleet.wipe(name));
     let verified = fleet.stilerouted("state verify /var/lib/stilerouted", "");
     assert_eq!(verified.status.code(), Some(2), "{verified:?}");
-    ["storage-1", "storage-2"].into_iter().for_each(|name| fleet.start(name, false));
-    taken(&fleet);
-    let asked = fleet.stilerouted("message 9c41d07b.655f3c0000002.2b1f8e06 --at 10.1.0.14:7300", &message);
+    STORES.into_iter().for_each(|name| fleet.start(name, false));
+    fleet.accepted();
+    let message = &fleet.message;
+    let asked = fleet.stilerouted("message 9c41d07b.655f3c0000002.2b1f8e06 --at 10.1.0.14:7300", message);
     assert_eq!(asked.status.code(), Some(1), "{asked:?}");
     let state =
         || fleet.http("21:18263", "GET", &format!("/v1/message/{message}"), "").filter(|a| a.0 != 503);
     assert_eq!(fleet.until("its state", state).0, 404);
+}
 
-    // Most of the core without its disks: nobody leads, and it stays so.
-    let cores = ["core-1", "core-2"];
-    // Both are gone before either is back: one by one, the others would tell it where they stand.
-    let anew = |fleet: &mut Fleet, first: bool| {
-        cores.into_iter().for_each(|name| fleet.kill(name));
-        cores.into_iter().for_each(|name| fleet.wipe(name));
-        cores.into_iter().for_each(|name| fleet.start(name, first));
-    };
-    anew(&mut fleet, false);
+const MOST_CORES: [&str; 2] = ["core-1", "core-2"];
+
+/// Both are gone before either is back: one by one, the others would tell it where they stand.
+fn restart_without_disks(fleet: &mut Fleet, first: bool) {
+    MOST_CORES.into_iter().for_each(|name| fleet.kill(name));
+    MOST_CORES.into_iter().for_each(|name| fleet.wipe(name));
+    MOST_CORES.into_iter().for_each(|name| fleet.start(name, first));
+}
+
+/// Nobody leads, and it stays so, until they begin anew by hand.
+fn lose_the_disks_of_most_cores(fleet: &mut Fleet) {
+    restart_without_disks(fleet, false);
     fleet.until("both are blank", || {
-        let said = fleet.status();
-        (said.contains("blank: core-1") && said.contains("blank: core-2") && said.contains("nobody leads"))
-            .then_some(())
+        let status = fleet.status();
+        (status.contains("blank: core-1")
+            && status.contains("blank: core-2")
+            && status.contains("nobody leads"))
+        .then_some(())
     });
     assert_eq!(fleet.configure(8), Some(503));
 
     // The way out, by hand: they begin anew beside the one that is left, and the configuration is sent once more.
-    anew(&mut fleet, true);
+    restart_without_disks(fleet, true);
     fleet.until("a configuration is taken again", || fleet.configure(9).filter(|status| *status == 200));
     fleet.until("in force at all", || (fleet.status().matches("version 9").count() == 6).then_some(()));
-    taken(&fleet);
+    fleet.accepted();
+}
 
-    // A configuration that is longer than one record of the disk; one beyond the bound is refused by name and harms nobody.
+/// One that is longer than one record of the disk; one beyond the bound is refused by name and harms nobody.
+fn take_a_long_configuration(fleet: &mut Fleet) {
     let long = |revision: &str, length: usize| {
         let text = CONFIG.replace("REV", revision);
         fleet.http("3:18262", "POST", "/v1/settings/replace", &format!("{}{text}", " ".repeat(length)))
@@ -341,8 +372,8 @@
     });
     assert!(refused.1.contains("body: over 4194304 bytes"), "{}", refused.1);
     fleet.until("in force at all", || (fleet.status().matches("version 10").count() == 6).then_some(()));
-    cores.iter().for_each(|name| fleet.kill(name));
-    cores.iter().for_each(|name| fleet.start(name, false));
+    MOST_CORES.iter().for_each(|name| fleet.kill(name));
+    MOST_CORES.iter().for_each(|name| fleet.start(name, false));
     let kept = || fleet.http("2:18262", "GET", "/v1/settings/read", "").filter(|answer| answer.0 == 200);
     assert!(fleet.until("read back", kept).1.len() > 2 << 20);
 }
--- a/crates/server/tests/interface.rs
+++ b/crates/server/tests/interface.rs
@@ -2,15 +2,15 @@
 //! of all metrics, the keys of all JSON in their order, help texts, exit codes, and the reasons that the checks of settings
 //! give. Whoever parses these must not notice a change of the code.
 
-#[path = "interface/fleet.rs"]
-mod fleet;
+mod support;
 
-use fleet::{program, Fleet};
 use jzon::JsonValue;
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
 use std::process::Output;
+use std::time::Duration;
+use support::{program, Fleet, CONFIGURATION, NODES};
 
 /// Compares with a file in `tests/interface/`. What differs is left in the target folder, to be looked at.
 fn assert_as_recorded(file: &str, actual: &str) {
@@ -196,12 +196,11 @@
         fs::write(&file, settings.replace("SERVES", "storage").replace(":6}", ":3}")).unwrap();
         text += &transcript(&words, &run(&words), &replaced);
     }
-    for configuration in [fleet::CONFIGURATION, "{\"routes\":7}", "{", &" ".repeat((4 << 20) + 1)] {
+    for configuration in [CONFIGURATION, "{\"routes\":7}", "{", &" ".repeat((4 << 20) + 1)] {
         fs::write(&file, configuration).unwrap();
         for words in [&["check", "config", path][..], &["check", "config", "--json", path], &["apply", path]]
         {
-            if words[0] != "apply" || configuration.starts_with('{') && configuration != fleet::CONFIGURATION
-            {
+            if words[0] != "apply" || configuration.starts_with('{') && configuration != CONFIGURATION {
                 text += &transcript(words, &run(words), &replaced);
             }
         }
@@ -281,7 +280,8 @@
 
 #[test]
 fn a_running_system_shows_the_recorded_names() {
-    let mut fleet = Fleet::start();
+    let mut fleet = Fleet::new("interface", 2, Duration::from_secs(60));
+    fleet.start(&[]);
     let message = fleet.delivered_message();
     let waiting = fleet.waiting_message();
 
@@ -347,7 +347,7 @@
         orders += &transcript(words, &run(words), &replaced);
     }
     assert_as_recorded("orders.txt", &orders);
-    fleet.end();
+    NODES.iter().for_each(|node| fleet.end(node.0));
 
     let mut state = String::new();
     for (name, folder) in [("store-1", "hold"), ("core-1", "watch")] {
--- a/crates/server/tests/interface/fleet.rs
+++ b/crates/server/tests/support/mod.rs
@@ -1,9 +1,12 @@
 //! A small system on loopback addresses: one control node, two stores, one edge, and an executor played here.
 
+// Each file of tests uses its part of it.
+#![allow(dead_code)]
+
 use std::fs::{self, File};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -20,26 +23,34 @@
  "backends":[{"name":"crane"},{"name":"lock","rate_per_s":5}],"limits":{"header_timeout_ms":1000}}"#;
 
 /// Name, host, what it serves, its role and its internal port.
-const NODES: [(&str, u8, &str, &str, u16); 4] = [
+pub const NODES: [(&str, u8, &str, &str, u16); 4] = [
     ("core-1", 1, "control", "core", 17300),
     ("store-1", 2, "storage", "store", 17301),
     ("store-2", 3, "storage", "store", 17301),
     ("edge-1", 4, "edge", "edge", 17302),
 ];
 
+/// Status, head and body of an answer.
+pub type Answer = (u16, String, String);
+
 pub fn program() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_stilerouted"));
     command.env_remove("STILEROUTE_BOOT").env_remove("STILEROUTE_LOG").stdin(Stdio::null());
     command
 }
 
-/// The folder, the processes and the executor; all of it ends with the value.
+/// Standard output and standard error.
+pub fn texts(output: &Output) -> (String, String) {
+    (String::from_utf8(output.stdout.clone()).unwrap(), String::from_utf8(output.stderr.clone()).unwrap())
+}
+
+/// The folder, the processes and the executor of one test; all of it ends with the value.
 pub struct Fleet {
     pub dir: PathBuf,
     /// The first three parts of its addresses.
     pub net: String,
     deadline: Instant,
-    children: Vec<(&'static str, Child)>,
+    children: Vec<(String, Child)>,
     is_over: Arc<AtomicBool>,
 }
 
@@ -47,10 +58,8 @@
     fn drop(&mut self) {
         self.is_over.store(true, Ordering::Relaxed);
         if std::thread::panicking() {
-            for (name, _) in &self.children {
-                let log = fs::read_to_string(self.dir.join(format!("{name}.log"))).unwrap_or_default();
-                eprintln!("{name}:\n{log}");
-            }
+            eprintln!("{}", String::from_utf8_lossy(&self.ask(&["status"]).stdout));
+            self.children.iter().for_each(|(name, _)| eprintln!("{name}:\n{}", self.log(name)));
         }
         for (_, child) in &mut self.children {
             let _ = child.kill();
@@ -61,46 +70,72 @@
 }
 
 impl Fleet {
-    /// Starts all processes, and waits until the configuration is in force and the edge is ready.
-    pub fn start() -> Fleet {
+    /// A folder and no processes. Each file of tests has loopback nets of its own, 60 from `first_net` on, and so have two runs
+    /// at a time. `limit` is for the whole test.
+    pub fn new(name: &str, first_net: u32, limit: Duration) -> Fleet {
         let pid = std::process::id();
-        let dir = std::env::temp_dir().join(format!("stilerouted-interface-{pid}"));
+        let dir = std::env::temp_dir().join(format!("stilerouted-{name}-{pid}"));
         fs::create_dir_all(&dir).unwrap();
-        // The nets from 64 on are those of the other tests.
-        let net = format!("127.{}.{}", 2 + pid / 250 % 60, 1 + pid % 250);
-        let deadline = Instant::now() + Duration::from_secs(60);
-        let mut fleet = Fleet { dir, net, deadline, children: Vec::new(), is_over: Arc::default() };
+        let net = format!("127.{}.{}", first_net + pid / 250 % 60, 1 + pid % 250);
+        let deadline = Instant::now() + limit;
+        Fleet { dir, net, deadline, children: Vec::new(), is_over: Arc::default() }
+    }
+
+    /// Starts all processes, and waits until the configuration is in force and the edge is ready. `edge_options` stand before
+    /// the edge's role.
+    pub fn start(&mut self, edge_options: &[&str]) {
         for (name, host, serves, role, _) in NODES {
-            fleet.start_node(name, host, serves, role);
+            let boot = self.write_settings(name, host, serves);
+            let checked = program().args(["check", "boot"]).arg(&boot).output().unwrap();
+            assert!(checked.status.success(), "{checked:?}");
+            let options = if role == "edge" { edge_options } else { &[] };
+            self.start_node(name, &boot, &[options, &[role]].concat());
         }
-        fleet.play_executor();
-        let replace = || fleet.http("1:18262", "POST", "/v1/settings/replace", "", CONFIGURATION);
-        fleet.eventually(|| replace().filter(|answer| answer.0 == 200)).expect("a configuration is taken");
-        let readiness = || fleet.http("4:18268", "GET", "/v1/readiness", "", "");
-        fleet.eventually(|| readiness().filter(|answer| answer.0 == 200)).expect("the edge is ready");
-        fleet
+        self.play_executor();
+        self.wait_for("the configuration is taken", || {
+            let answer = self.http("1:18262", "POST", "/v1/settings/replace", "", CONFIGURATION);
+            answer.filter(|answer| answer.0 == 200)
+        });
+        self.wait_for("the edge is ready", || {
+            self.http("4:18268", "GET", "/v1/readiness", "", "").filter(|answer| answer.0 == 200)
+        });
+    }
+
+    /// The address of a port of one of its hosts.
+    pub fn at(&self, host: u8, port: u16) -> String {
+        format!("{}.{host}:{port}", self.net)
+    }
+
+    /// What a process has logged.
+    pub fn log(&self, name: &str) -> String {
+        fs::read_to_string(self.dir.join(format!("{name}.log"))).unwrap_or_default()
     }
 
-    fn start_node(&mut self, name: &'static str, host: u8, serves: &str, role: &str) {
+    /// Writes the settings file of a node.
+    pub fn write_settings(&self, name: &str, host: u8, serves: &str) -> PathBuf {
         let net = &self.net;
-        let bind = match role {
+        let bind = match serves {
             "edge" => format!(r#""front":"{net}.{host}:18263","readiness":"{net}.{host}:18268""#),
-            "core" => format!(r#""control":"{net}.{host}:18262""#),
+            "control" => format!(r#""control":"{net}.{host}:18262""#),
             _ => String::new(),
         };
-        let data = if role == "edge" { "null".to_string() } else { format!("{:?}", self.dir.join(name)) };
+        let data = if serves == "edge" { "null".to_string() } else { format!("{:?}", self.dir.join(name)) };
         let settings = format!(
             r#"{{"node_name":"{name}","role":"any","machine_class":"any","serves":["{serves}"],"ip":"{net}.{host}",
             "zone":"z1","region":"r","zones":{{"z1":"r"}},"bind_addresses":{{{bind}}},"internal_ports":[17300,17315],
             "seed_nodes":["{net}.1:18262"],"first_start":true,"limits":{{"disk_mb":64}},"data_dir":{data},
             "beat_interval_ms":200,"tolerate":{{"machine_losses":1}},"bounds":{{"grace_s":6}}}}"#
         );
-        let boot = self.dir.join(format!("{name}.json"));
-        fs::write(&boot, settings).unwrap();
+        let path = self.dir.join(format!("{name}.json"));
+        fs::write(&path, settings).unwrap();
+        path
+    }
+
+    fn start_node(&mut self, name: &str, boot: &Path, words: &[&str]) {
         let log = File::create(self.dir.join(format!("{name}.log"))).unwrap();
         let mut command = program();
-        command.arg("--boot").arg(boot).arg(role).stdout(Stdio::null()).stderr(log);
-        self.children.push((name, command.spawn().unwrap()));
+        command.arg("--boot").arg(boot).args(words).stdout(Stdio::null()).stderr(log);
+        self.children.push((name.to_string(), command.spawn().unwrap()));
     }
 
     /// What `look` finds, or nothing at the end of the test's time.
@@ -109,11 +144,16 @@
             if let Some(found) = look() {
                 return Some(found);
             }
-            std::thread::park_timeout(Duration::from_millis(50));
+            std::thread::park_timeout(Duration::from_millis(15));
         }
         None
     }
 
+    /// What `look` finds within the test's time.
+    pub fn wait_for<T>(&self, what: &str, look: impl FnMut() -> Option<T>) -> T {
+        self.eventually(look).unwrap_or_else(|| panic!("in vain: {what}"))
+    }
+
     /// A process of each class, and its internal address.
     pub fn addresses(&self) -> Vec<(&'static str, String)> {
         let all = NODES.iter().filter(|node| node.0 != "store-2");
@@ -133,33 +173,35 @@
         jzon::parse(&String::from_utf8_lossy(&output.stdout)).unwrap_or(JsonValue::Null)
     }
 
-    /// Status, head and body of an answer, if there is one.
-    fn http(
-        &self,
-        at: &str,
-        method: &str,
-        path: &str,
-        headers: &str,
-        body: &str,
-    ) -> Option<(u16, String, String)> {
+    /// The answer to a request to one of its hosts, if there is one.
+    pub fn http(&self, at: &str, method: &str, path: &str, headers: &str, body: &str) -> Option<Answer> {
         http(&format!("{}.{at}", self.net), method, path, headers, body)
     }
 
-    fn accepted_message(&self, path: &str, id: &str) -> String {
+    /// Sends a message until it is accepted; gives its name.
+    pub fn accepted_message(&self, path: &str, id: &str) -> String {
         let headers = format!("X-Request-Id: {id}\r\n");
-        let send = || self.http("4:18263", "POST", path, &headers, "heavy").filter(|answer| answer.0 == 202);
-        let head = self.eventually(send).expect("a message is taken").1;
-        let name = head.lines().find_map(|line| line.strip_prefix("X-Queue-Message-Id: "));
+        let head = self.wait_for("a message is taken", || {
+            self.http("4:18263", "POST", path, &headers, "heavy").filter(|answer| answer.0 == 202)
+        });
+        let name = head.1.lines().find_map(|line| line.strip_prefix("X-Queue-Message-Id: "));
         name.unwrap().to_string()
     }
 
+    /// Waits until a message has run; its request id is in the seal.
+    pub fn wait_for_delivery(&self, name: &str, id: &str) {
+        self.wait_for("the message has run", || {
+            let state = self.http("4:18263", "GET", &format!("/v1/message/{name}"), "", "")?;
+            state.2.contains(&format!("s-{id}")).then_some(())
+        });
+    }
+
     /// The name of a message that has run, the last of some: the stores take them by turns, and each has delivered one.
     pub fn delivered_message(&self) -> String {
         let deliver = |number: u8| {
-            let name = self.accepted_message("/in/1", &format!("m-{number}"));
-            let state = || self.http("4:18263", "GET", &format!("/v1/message/{name}"), "", "");
-            let complete = || state().filter(|answer| answer.2.contains(&format!("s-m-{number}")));
-            self.eventually(complete).expect("the message has run");
+            let id = format!("m-{number}");
+            let name = self.accepted_message("/in/1", &id);
+            self.wait_for_delivery(&name, &id);
             name
         };
         (1..=3).map(deliver).for_each(drop);
@@ -171,27 +213,32 @@
         self.accepted_message("/stuck/1", "m-9")
     }
 
+    /// Writes a file into the test's folder, and gives its path.
+    pub fn write_file(&self, name: &str, text: &str) -> String {
+        let path = self.dir.join(name);
+        fs::write(&path, text).unwrap();
+        path.to_str().unwrap().to_string()
+    }
+
     /// Files with the configuration that is in force, another one under its number, and one under a lower number.
     pub fn configurations(&self) -> (String, String, String) {
-        let file = |name: &str, text: &str| {
-            let path = self.dir.join(name);
-            fs::write(&path, text).unwrap();
-            path.to_str().unwrap().to_string()
-        };
+        let other = CONFIGURATION.replacen("\"max_wait_s\":60,", "\"max_wait_s\":61,", 1);
+        let lower = CONFIGURATION.replacen("\"revision\":7", "\"revision\":6", 1);
         (
-            file("own.json", CONFIGURATION),
-            file("other.json", &CONFIGURATION.replacen("\"max_wait_s\":60,", "\"max_wait_s\":61,", 1)),
-            file("lower.json", &CONFIGURATION.replacen("\"revision\":7", "\"revision\":6", 1)),
+            self.write_file("own.json", CONFIGURATION),
+            self.write_file("other.json", &other),
+            self.write_file("lower.json", &lower),
         )
     }
 
-    /// Ends all processes in order.
-    pub fn end(&mut self) {
-        for (name, child) in &mut self.children {
-            let signalled = Command::new("kill").arg(child.id().to_string()).status().unwrap();
-            assert!(signalled.success() && child.wait().unwrap().success(), "{name}");
-        }
-        self.children.clear();
+    /// Ends a process in order.
+    pub fn end(&mut self, name: &str) {
+        let index = self.children.iter().position(|(child, _)| child == name).unwrap();
+        let (_, mut child) = self.children.swap_remove(index);
+        let signalled = Command::new("kill").arg(child.id().to_string()).status().unwrap();
+        assert!(signalled.success());
+        let status = self.wait_for("the process ends", || child.try_wait().unwrap());
+        assert!(status.success(), "{name}: {status}: {}", self.log(name));
     }
 
     /// Serves the service `crane`, and sends its heartbeats.
@@ -218,7 +265,7 @@
     }
 }
 
-fn http(at: &str, method: &str, path: &str, headers: &str, body: &str) -> Option<(u16, String, String)> {
+pub fn http(at: &str, method: &str, path: &str, headers: &str, body: &str) -> Option<Answer> {
     let address: SocketAddr = at.parse().unwrap();
     let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(1)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(3))).ok()?;
