--- a/crates/server/tests/control_log/group.rs
+++ b/crates/server/tests/control_log/group.rs
@@ -6,18 +6,18 @@
 use stileroute_control_group::{Effect, GroupSettings, Message, Millis, NodeId, Verdict};
 use stileroute_wal::Step;
 
-use crate::machine::{Machine, Trouble};
+use crate::machine::{Fault, Machine};
 
 const NODES: usize = 3;
-/// Milliseconds: a message's way, an operator's patience with one node, and until a machine is back.
-const WAY: Millis = 2;
-const PATIENCE: Millis = 500;
-const BACK: Millis = 300;
+/// How long a message travels, an operator waits for one node, and a machine is away, in ms.
+const MESSAGE_DELAY_MS: Millis = 2;
+const OPERATOR_TIMEOUT_MS: Millis = 500;
+const RESTART_DELAY_MS: Millis = 300;
 
-enum Happening {
-    Said { from: (usize, u64), message: Message },
+enum Event {
+    Received { from: (usize, u64), message: Message },
     Persisted { ticket: u64 },
-    Link { peer: usize, up: bool },
+    LinkChanged { peer: usize, is_up: bool },
     Start,
 }
 
@@ -26,33 +26,32 @@
     body: Vec<u8>,
     at: usize,
     attempt: u64,
-    /// The next attempt.
-    again: Millis,
-    done: bool,
+    next_attempt_at: Millis,
+    is_done: bool,
 }
 
 pub struct Group {
     now: Millis,
     machines: Vec<Machine>,
-    queue: BTreeMap<(Millis, u64), (usize, u64, Happening)>,
+    queue: BTreeMap<(Millis, u64), (usize, u64, Event)>,
     next: u64,
-    luck: u64,
+    random: u64,
     order: Option<Order>,
     /// The highest version that was acknowledged.
-    acked: u64,
-    armed: Option<(usize, Step, Trouble, usize)>,
-    /// Where trouble struck.
-    pub struck: Vec<(Step, Trouble)>,
+    acknowledged: u64,
+    armed: Option<(usize, Step, Fault, usize)>,
+    /// Where faults struck.
+    pub strikes: Vec<(Step, Fault)>,
     /// Started, and not yet caught up: since when, and with what.
     behind: Vec<(usize, Millis, u64)>,
 }
 
-fn voter(i: usize) -> NodeId {
+fn node_id(i: usize) -> NodeId {
     NodeId::new([10, 0, 0, i as u8 + 1].into(), 9000)
 }
 
-fn index(voter: NodeId) -> usize {
-    usize::from(voter.ip().octets()[3]) - 1
+fn index(node: NodeId) -> usize {
+    usize::from(node.ip().octets()[3]) - 1
 }
 
 impl Group {
@@ -66,139 +65,145 @@
             machines: (0..NODES).map(|i| Machine::new(dir(i))).collect(),
             queue: BTreeMap::new(),
             next: 0,
-            luck: seed | 1,
+            random: seed | 1,
             order: None,
-            acked: 0,
+            acknowledged: 0,
             armed: None,
-            struck: Vec::new(),
+            strikes: Vec::new(),
             behind: Vec::new(),
         };
         (0..NODES).for_each(|i| group.start(i));
         group
     }
 
-    fn draw(&mut self, most: u64) -> u64 {
-        self.luck ^= self.luck << 13;
-        self.luck ^= self.luck >> 7;
-        self.luck ^= self.luck << 17;
-        self.luck % most
+    fn draw_random(&mut self, most: u64) -> u64 {
+        self.random ^= self.random << 13;
+        self.random ^= self.random >> 7;
+        self.random ^= self.random << 17;
+        self.random % most
     }
 
-    fn at(&mut self, after: Millis, node: usize, what: Happening) {
+    fn at(&mut self, after: Millis, node: usize, what: Event) {
         self.next += 1;
-        self.queue.insert((self.now + after, self.next), (node, self.machines[node].life, what));
+        self.queue.insert((self.now + after, self.next), (node, self.machines[node].incarnation, what));
     }
 
-    fn link(&mut self, a: usize, b: usize, up: bool) {
-        self.at(1, a, Happening::Link { peer: b, up });
-        self.at(1, b, Happening::Link { peer: a, up });
+    fn connect(&mut self, a: usize, b: usize, is_up: bool) {
+        self.at(1, a, Event::LinkChanged { peer: b, is_up });
+        self.at(1, b, Event::LinkChanged { peer: a, is_up });
     }
 
     fn start(&mut self, i: usize) {
-        let first = self.machines[i].life == 0;
-        let terms =
-            GroupSettings::new(voter(i), (0..NODES).map(voter).collect(), first, 1, self.draw(u64::MAX));
+        let first = self.machines[i].incarnation == 0;
+        let terms = GroupSettings::new(
+            node_id(i),
+            (0..NODES).map(node_id).collect(),
+            first,
+            1,
+            self.draw_random(u64::MAX),
+        );
         self.machines[i].start(terms, self.now);
         if !first {
-            self.behind.push((i, self.now, self.acked));
+            self.behind.push((i, self.now, self.acknowledged));
         }
         for peer in (0..NODES).filter(|peer| *peer != i) {
             if self.machines[peer].group().is_some() {
-                self.link(i, peer, true);
+                self.connect(i, peer, true);
             }
         }
-        self.carry_out(i);
+        self.apply_effects(i);
     }
 
-    // ---- Trouble ----
+    // ---- Faults ----
 
-    pub fn armed(&self) -> bool {
+    pub fn is_armed(&self) -> bool {
         self.armed.is_some()
     }
 
-    /// At one of the copies, the first time it comes there.
-    pub fn arm(&mut self, step: Step, trouble: Trouble, which: usize) {
-        let watches = self.machines.iter_mut().filter_map(|machine| machine.group()?.view().cloned());
-        let watch = watches.max_by_key(|watch| watch.epoch).expect("a node runs");
-        let node = index(watch.replicas[which % watch.replicas.len()]);
-        self.armed = Some((node, step, trouble, 0));
+    /// Plans a fault at one of the replicas, the first time that it comes to the step.
+    pub fn arm(&mut self, step: Step, fault: Fault, which: usize) {
+        let views = self.machines.iter_mut().filter_map(|machine| machine.group()?.view().cloned());
+        let view = views.max_by_key(|view| view.epoch).expect("a node runs");
+        let node = index(view.replicas[which % view.replicas.len()]);
+        self.armed = Some((node, step, fault, 0));
         self.machines[node].arm(Some(step));
     }
 
-    fn strike(&mut self, i: usize) {
-        let Some((_, step, trouble, _)) = self.armed.take() else { return };
-        self.struck.push((step, trouble));
-        let mut luck = self.draw(u64::MAX);
-        self.machines[i].end(trouble, &mut |most| {
-            luck = luck.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-            (luck >> 33) % most
+    fn inject_fault(&mut self, i: usize) {
+        let Some((_, step, fault, _)) = self.armed.take() else { return };
+        self.strikes.push((step, fault));
+        let mut random = self.draw_random(u64::MAX);
+        self.machines[i].end(fault, &mut |most| {
+            random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+            (random >> 33) % most
         });
         for peer in (0..NODES).filter(|peer| *peer != i) {
-            self.at(1, peer, Happening::Link { peer: i, up: false });
+            self.at(1, peer, Event::LinkChanged { peer: i, is_up: false });
         }
-        self.at(BACK, i, Happening::Start);
+        self.at(RESTART_DELAY_MS, i, Event::Start);
     }
 
     // ---- The operator ----
 
     /// Until it is acknowledged.
     pub fn change(&mut self, version: u64, body: Vec<u8>, most: Millis) {
-        let (at, until) = (self.draw(NODES as u64) as usize, self.now + most);
-        let again = self.now;
-        self.order = Some(Order { version, body, at, attempt: 0, again, done: false });
-        while self.order.as_ref().is_some_and(|order| !order.done) {
+        let (at, until) = (self.draw_random(NODES as u64) as usize, self.now + most);
+        let next_attempt_at = self.now;
+        self.order = Some(Order { version, body, at, attempt: 0, next_attempt_at, is_done: false });
+        while self.order.as_ref().is_some_and(|order| !order.is_done) {
             assert!(self.now < until, "change {version} was not acknowledged within {most} ms");
             self.step();
         }
-        self.acked = version;
-        self.drop_a_trap_that_is_not_passed();
+        self.acknowledged = version;
+        self.move_fault_if_not_reached();
     }
 
-    /// One that is no copy any more writes too little to come to its step.
-    fn drop_a_trap_that_is_not_passed(&mut self) {
-        let Some((node, step, trouble, changes)) = self.armed else { return };
-        self.armed = Some((node, step, trouble, changes + 1));
+    /// A node that is no replica any more writes too little to come to the step.
+    fn move_fault_if_not_reached(&mut self) {
+        let Some((node, step, fault, changes)) = self.armed else { return };
+        self.armed = Some((node, step, fault, changes + 1));
         if changes > 12 {
             self.machines[node].arm(None);
-            self.arm(step, trouble, changes);
+            self.arm(step, fault, changes);
         }
     }
 
     fn attempt(&mut self) {
         let now = self.now;
-        let Some(order) = self.order.as_mut().filter(|order| !order.done && order.again <= now) else {
+        let Some(order) = self.order.as_mut().filter(|order| !order.is_done && order.next_attempt_at <= now)
+        else {
             return;
         };
         order.attempt += 1;
-        order.again = now + PATIENCE;
+        order.next_attempt_at = now + OPERATOR_TIMEOUT_MS;
         let (at, ticket) = (order.at, order.version * 1000 + order.attempt);
         let (version, body) = (order.version, order.body.clone());
         order.at = (at + 1) % NODES;
         match self.machines[at].group() {
             Some(group) => group.replace_configuration(now, ticket, version, body),
-            None => self.order.iter_mut().for_each(|order| order.again = now + 30),
+            None => self.order.iter_mut().for_each(|order| order.next_attempt_at = now + 30),
         }
-        self.carry_out(at);
+        self.apply_effects(at);
     }
 
     fn answered(&mut self, ticket: u64, verdict: Verdict) {
         let now = self.now;
         let Some(order) = &mut self.order else { return };
-        if ticket != order.version * 1000 + order.attempt || order.done {
+        if ticket != order.version * 1000 + order.attempt || order.is_done {
             return;
         }
         match verdict {
-            Verdict::Accepted | Verdict::Unchanged => order.done = true,
+            Verdict::Accepted | Verdict::Unchanged => order.is_done = true,
             Verdict::NotPrimary { primary: Some(primary) } => {
-                (order.at, order.again) = (index(primary), now + WAY)
+                (order.at, order.next_attempt_at) = (index(primary), now + MESSAGE_DELAY_MS)
             }
-            _ => order.again = now + 30,
+            _ => order.next_attempt_at = now + 30,
         }
     }
 
     // ---- Events ----
 
-    fn carry_out(&mut self, i: usize) {
+    fn apply_effects(&mut self, i: usize) {
         let now = self.now;
         loop {
             let Some(group) = self.machines[i].group() else { return };
@@ -208,71 +213,75 @@
                 return;
             }
             for effect in effects {
-                self.carry(i, effect);
-                if self.machines[i].struck() {
-                    return self.strike(i);
+                self.apply_effect(i, effect);
+                if self.machines[i].has_struck() {
+                    return self.inject_fault(i);
                 }
             }
         }
     }
 
-    fn carry(&mut self, i: usize, effect: Effect) {
+    fn apply_effect(&mut self, i: usize, effect: Effect) {
         match effect {
             Effect::Send { to, message } => {
-                let from = (i, self.machines[i].life);
-                self.at(WAY, index(to), Happening::Said { from, message });
+                let from = (i, self.machines[i].incarnation);
+                self.at(MESSAGE_DELAY_MS, index(to), Event::Received { from, message });
             }
             Effect::Persist { ticket, record } => {
-                self.machines[i].keep(&record);
-                self.at(1, i, Happening::Persisted { ticket });
+                self.machines[i].write(&record);
+                self.at(1, i, Event::Persisted { ticket });
             }
             Effect::Answer { ticket, verdict } => self.answered(ticket, verdict),
             _ => {}
         }
     }
 
-    fn happen(&mut self, (i, life, what): (usize, u64, Happening)) {
+    fn handle_event(&mut self, (i, incarnation, what): (usize, u64, Event)) {
         let now = self.now;
-        if life != self.machines[i].life {
+        if incarnation != self.machines[i].incarnation {
             return;
         }
-        if matches!(what, Happening::Start) {
+        if matches!(what, Event::Start) {
             return self.start(i);
         }
-        if let Happening::Said { from: (from, life), .. } = &what {
+        if let Event::Received { from: (from, incarnation), .. } = &what {
             // The connection ended with the process that spoke.
-            if self.machines[*from].life != *life || self.machines[*from].group().is_none() {
+            if self.machines[*from].incarnation != *incarnation || self.machines[*from].group().is_none() {
                 return;
             }
         }
         let Some(group) = self.machines[i].group() else { return };
         match what {
-            Happening::Said { from: (from, _), message } => group.handle_message(now, voter(from), message),
-            Happening::Persisted { ticket } => group.persisted(now, ticket, true),
-            Happening::Link { peer, up } => {
-                if up {
-                    group.peer_connected(now, voter(peer));
-                    group.add_learner(voter(peer));
+            Event::Received { from: (from, _), message } => group.handle_message(now, node_id(from), message),
+            Event::Persisted { ticket } => group.persisted(now, ticket, true),
+            Event::LinkChanged { peer, is_up } => {
+                if is_up {
+                    group.peer_connected(now, node_id(peer));
+                    group.add_learner(node_id(peer));
                 } else {
-                    group.peer_disconnected(now, voter(peer));
+                    group.peer_disconnected(now, node_id(peer));
                 }
             }
-            Happening::Start => {}
+            Event::Start => {}
         }
-        self.carry_out(i);
+        self.apply_effects(i);
     }
 
-    /// One thing more.
+    /// Advances to whatever is due next.
     fn step(&mut self) {
         let now = self.now;
         let runs = |machine: &mut Machine| machine.group().is_some().then_some(machine.due);
         let due = self.machines.iter_mut().filter_map(runs).min().unwrap_or(Millis::MAX);
         let first = self.queue.keys().next().map_or(Millis::MAX, |(at, _)| *at);
-        let again = self.order.as_ref().filter(|order| !order.done).map_or(Millis::MAX, |order| order.again);
-        self.now = due.min(first).min(again).max(now);
+        let attempt_at = self
+            .order
+            .as_ref()
+            .filter(|order| !order.is_done)
+            .map_or(Millis::MAX, |order| order.next_attempt_at);
+        self.now = due.min(first).min(attempt_at).max(now);
         if first <= self.now {
             let (_, what) = self.queue.pop_first().expect("it is the first");
-            self.happen(what);
+            self.handle_event(what);
         }
         self.attempt();
         let now = self.now;
@@ -281,7 +290,7 @@
                 if let Some(group) = self.machines[i].group() {
                     group.tick(now);
                 }
-                self.carry_out(i);
+                self.apply_effects(i);
             }
         }
         self.check();
@@ -290,19 +299,20 @@
     /// No more than one leads, and with nothing older than what was acknowledged.
     fn check(&mut self) {
         let now = self.now;
-        let settled = |machine: &mut Machine| machine.group()?.readable_state(now).map(|state| state.version);
-        let leading: Vec<u64> = self.machines.iter_mut().filter_map(settled).collect();
-        assert!(leading.len() <= 1, "two lead at {now}");
-        let old = leading.iter().find(|version| **version < self.acked);
-        assert_eq!(old, None, "leads with old state at {now}: {} was acknowledged", self.acked);
+        let readable =
+            |machine: &mut Machine| machine.group()?.readable_state(now).map(|state| state.version);
+        let readable_versions: Vec<u64> = self.machines.iter_mut().filter_map(readable).collect();
+        assert!(readable_versions.len() <= 1, "two lead at {now}");
+        let old = readable_versions.iter().find(|version| **version < self.acknowledged);
+        assert_eq!(old, None, "leads with old state at {now}: {} was acknowledged", self.acknowledged);
     }
 
-    // ---- What came of it ----
+    // ---- Catching up ----
 
     /// Until all run, and those that came back have caught up. The longest that one of them took.
-    pub fn until_whole(&mut self, most: Millis) -> Millis {
+    pub fn until_all_caught_up(&mut self, most: Millis) -> Millis {
         let mut slowest = 0;
-        while !self.whole(&mut slowest) {
+        while !self.all_caught_up(&mut slowest) {
             for (node, since, _) in &self.behind {
                 assert!(self.now <= since + most, "{node} has not caught up {most} ms after its start");
             }
@@ -311,10 +321,10 @@
         slowest
     }
 
-    fn whole(&mut self, slowest: &mut Millis) -> bool {
+    fn all_caught_up(&mut self, slowest: &mut Millis) -> bool {
         let mut behind = std::mem::take(&mut self.behind);
         behind.retain(|(node, since, wanted)| {
-            let caught_up = self.caught_up(*node, *wanted);
+            let caught_up = self.has_caught_up(*node, *wanted);
             if caught_up {
                 *slowest = (*slowest).max(self.now - since);
             }
@@ -324,12 +334,12 @@
         self.behind.is_empty() && self.machines.iter_mut().all(|machine| machine.group().is_some())
     }
 
-    fn caught_up(&mut self, node: usize, wanted: u64) -> bool {
-        let kept = self.machines[node].kept;
+    fn has_caught_up(&mut self, node: usize, wanted: u64) -> bool {
+        let version_on_disk = self.machines[node].version_on_disk;
         let Some(group) = self.machines[node].group() else { return true };
-        let copy = group.view().is_some_and(|watch| watch.replicas.contains(&voter(node)));
-        let force = group.committed().map_or(0, |state| state.version);
-        !group.is_awaiting_view() && force >= wanted && (!copy || kept >= wanted)
+        let is_replica = group.view().is_some_and(|view| view.replicas.contains(&node_id(node)));
+        let in_force = group.committed().map_or(0, |state| state.version);
+        !group.is_awaiting_view() && in_force >= wanted && (!is_replica || version_on_disk >= wanted)
     }
 
     pub fn largest_disk(&self) -> u64 {
--- a/crates/server/tests/control_log/machine.rs
+++ b/crates/server/tests/control_log/machine.rs
@@ -15,17 +15,17 @@
 pub const CHECKPOINT_AFTER: u64 = 4 << 10;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     Kill,
-    Power,
-    Wipe,
+    PowerLoss,
+    DiskLoss,
 }
 
-/// As the control node folds its records.
+/// What the records amount to, as in the control node.
 #[derive(Default)]
-struct Ledger(PersistedState);
+struct ControlRecords(PersistedState);
 
-impl StateMachine for Ledger {
+impl StateMachine for ControlRecords {
     fn apply(&mut self, record: &[u8]) {
         self.0.apply(postcard::from_bytes(record).expect("a record"));
     }
@@ -35,11 +35,11 @@
     }
 }
 
-/// What the disk has to tell the test.
+/// What the test learns from the disk.
 #[derive(Default)]
-struct Watched {
+struct DiskMonitor {
     disk: Disk,
-    /// Where the next trouble strikes.
+    /// The step at which the next fault strikes.
     armed: Option<Step>,
     /// The disk as it was there.
     struck: Option<Disk>,
@@ -49,7 +49,7 @@
 
 struct Open {
     group: ControlGroup,
-    book: Wal,
+    log: Wal,
     answers: Receiver<(u64, Result<(), AppendError>)>,
     checkpoints: Receiver<()>,
     rolled: Arc<AtomicBool>,
@@ -57,39 +57,39 @@
 
 pub struct Machine {
     dir: PathBuf,
-    watched: Arc<Mutex<Watched>>,
+    monitor: Arc<Mutex<DiskMonitor>>,
     open: Option<Open>,
-    pub life: u64,
+    pub incarnation: u64,
     /// The version on its disk.
-    pub kept: u64,
+    pub version_on_disk: u64,
     pub due: Millis,
 }
 
 impl Machine {
     pub fn new(dir: PathBuf) -> Machine {
         let _ = fs::remove_dir_all(&dir);
-        Machine { dir, watched: Arc::default(), open: None, life: 0, kept: 0, due: 0 }
+        Machine { dir, monitor: Arc::default(), open: None, incarnation: 0, version_on_disk: 0, due: 0 }
     }
 
-    pub fn start(&mut self, terms: GroupSettings, now: Millis) {
+    pub fn start(&mut self, settings: GroupSettings, now: Millis) {
         let (answer, answers) = channel();
         let (checkpointed, checkpoints) = channel();
         let checkpointed = Mutex::new(checkpointed);
         let rolled = Arc::new(AtomicBool::new(false));
-        let (rolled_, watched, observed) = (rolled.clone(), self.watched.clone(), self.watched.clone());
+        let (hook_rolled, monitor, observed) = (rolled.clone(), self.monitor.clone(), self.monitor.clone());
         let hook = move |step: Step| {
             match step {
-                Step::CreateSegment => rolled_.store(true, Ordering::Relaxed),
+                Step::CreateSegment => hook_rolled.store(true, Ordering::Relaxed),
                 Step::CheckpointEnded => drop(checkpointed.lock().unwrap().send(())),
                 _ => {}
             }
-            let mut watched = watched.lock().unwrap();
+            let mut monitor = monitor.lock().unwrap();
             if matches!(step, Step::RenameSnapshot | Step::SyncFolderAfterSnapshot | Step::RemoveCovered) {
-                watched.peak = watched.peak.max(watched.disk.bytes());
+                monitor.peak = monitor.peak.max(monitor.disk.bytes());
             }
-            if watched.armed == Some(step) {
-                watched.armed = None;
-                watched.struck = Some(watched.disk.clone());
+            if monitor.armed == Some(step) {
+                monitor.armed = None;
+                monitor.struck = Some(monitor.disk.clone());
             }
             Ok(())
         };
@@ -103,14 +103,14 @@
             ..Options::new("watch")
         };
         let done = move |ticket, result| drop(answer.send((ticket, result)));
-        let (book, ledger) =
-            Wal::open::<Ledger>(&self.dir, options, done).expect("a legal start is never refused");
-        // Segments that an earlier life closed are folded once something is appended.
+        let (log, records) =
+            Wal::open::<ControlRecords>(&self.dir, options, done).expect("a legal start is never refused");
+        // Segments that an earlier incarnation closed are folded once something is appended.
         rolled.store(self.segments() > 1, Ordering::Relaxed);
-        self.kept = ledger.0.state.as_ref().map_or(0, |state| state.version);
-        let group = ControlGroup::new(terms, ledger.0, now);
-        self.open = Some(Open { group, book, answers, checkpoints, rolled });
-        self.life += 1;
+        self.version_on_disk = records.0.state.as_ref().map_or(0, |state| state.version);
+        let group = ControlGroup::new(settings, records.0, now);
+        self.open = Some(Open { group, log, answers, checkpoints, rolled });
+        self.incarnation += 1;
     }
 
     pub fn group(&mut self) -> Option<&mut ControlGroup> {
@@ -118,10 +118,10 @@
     }
 
     /// Writes and syncs, and waits for the checkpoint that follows from it, if one does.
-    pub fn keep(&mut self, record: &Record) {
+    pub fn write(&mut self, record: &Record) {
         let Some(open) = &self.open else { return };
         let append = |records: Vec<Vec<u8>>, sync| {
-            open.book.append(1, records, sync);
+            open.log.append(1, records, sync);
             let (_, result) = open.answers.recv_timeout(Duration::from_secs(20)).expect("an answer");
             result.expect("nothing is refused");
         };
@@ -132,32 +132,32 @@
             append(Vec::new(), false);
         }
         if let Record::ControlState(state) = record {
-            self.kept = state.version;
+            self.version_on_disk = state.version;
         }
     }
 
     pub fn arm(&mut self, step: Option<Step>) {
-        self.watched.lock().unwrap().armed = step;
+        self.monitor.lock().unwrap().armed = step;
     }
 
-    /// Trouble has struck within what was done last.
-    pub fn struck(&self) -> bool {
-        self.watched.lock().unwrap().struck.is_some()
+    /// Whether the planned fault has struck within what was done last.
+    pub fn has_struck(&self) -> bool {
+        self.monitor.lock().unwrap().struck.is_some()
     }
 
-    /// Ends it as it was when trouble struck.
-    pub fn end(&mut self, trouble: Trouble, draw: &mut dyn FnMut(u64) -> u64) {
+    /// Ends the process with its disk as it was when the fault struck.
+    pub fn end(&mut self, fault: Fault, draw_random: &mut dyn FnMut(u64) -> u64) {
         self.open = None;
-        let mut watched = self.watched.lock().unwrap();
-        let Some(disk) = watched.struck.take() else { return };
-        let files = match trouble {
-            Trouble::Kill => disk.seen(),
-            Trouble::Power => disk.drawn(draw),
-            Trouble::Wipe => Files::new(),
+        let mut monitor = self.monitor.lock().unwrap();
+        let Some(disk) = monitor.struck.take() else { return };
+        let files = match fault {
+            Fault::Kill => disk.seen(),
+            Fault::PowerLoss => disk.drawn(draw_random),
+            Fault::DiskLoss => Files::new(),
         };
         write(&self.dir, &files);
         // A killed process leaves the system what it has not synced; power may yet be lost.
-        watched.disk = if trouble == Trouble::Kill { disk } else { Disk::holding(&files) };
+        monitor.disk = if fault == Fault::Kill { disk } else { Disk::holding(&files) };
     }
 
     fn segments(&self) -> usize {
@@ -167,7 +167,7 @@
 
     /// The most its disk ever took.
     pub fn peak(&self) -> u64 {
-        self.watched.lock().unwrap().peak
+        self.monitor.lock().unwrap().peak
     }
 }
 
