--- a/crates/model-check/src/choices.rs
+++ b/crates/model-check/src/choices.rs
@@ -1,6 +1,6 @@
 //! Where something could go another way than it does by itself.
 
-use crate::world::{Due, Grain, Kinds, Spans, Step, World, ROUND};
+use crate::simulation::{Due, Grain, Kinds, Spans, Step, World, ROUND};
 use stileroute_control_group_planted::{Message, Millis, Record};
 
 /// What takes another choice, at the state before a step.
--- a/crates/model-check/src/invariants.rs
+++ b/crates/model-check/src/invariants.rs
@@ -1,6 +1,6 @@
 //! What must hold at every step, and after a calm.
 
-use crate::world::{index, World};
+use crate::simulation::{index, World};
 use std::collections::BTreeMap;
 use stileroute_control_group_planted::{ControlState, Effect, HeartbeatAck, Message, Millis, NodeId, View};
 
@@ -143,7 +143,7 @@
 
     /// All nodes at one moment: who would answer now, and what?
     pub(crate) fn look_around(&mut self) {
-        let answers = |(i, node): (usize, &crate::world::Node)| {
+        let answers = |(i, node): (usize, &crate::simulation::Node)| {
             let group = node.group.as_ref().filter(|_| !node.frozen)?;
             group.can_serve(node.local(self.now)).then_some(i)
         };
@@ -236,7 +236,7 @@
         if self.bounds.spares == 0 {
             return true;
         }
-        let may_answer = |node: &&crate::world::Node| {
+        let may_answer = |node: &&crate::simulation::Node| {
             !node.frozen && node.group.as_ref().is_some_and(|p| p.can_serve(node.local(self.now)))
         };
         let view = self.nodes.iter().find(may_answer).and_then(|n| n.group.as_ref()).and_then(|p| p.view());
@@ -244,7 +244,7 @@
         // One that is gone with nobody in its place stays: an odd group takes it for one that may come back.
         let odd = !view.voters.len().is_multiple_of(2);
         self.nodes.iter().enumerate().all(|(i, node)| {
-            let votes = view.voters.contains(&crate::world::voter(i));
+            let votes = view.voters.contains(&crate::simulation::voter(i));
             votes == (node.group.is_some() && !node.gone) || (votes && node.gone && odd)
         })
     }
--- a/crates/model-check/src/lib.rs
+++ b/crates/model-check/src/lib.rs
@@ -13,11 +13,11 @@
 mod proof;
 pub mod queue;
 mod search;
-mod world;
+mod simulation;
 
 pub use choices::Choice;
 pub use invariants::{Breach, Invariants, Property};
 pub use proof::{FAULTS, PLAN, THREE, TOO_FAR};
 pub use search::{explore, find, retrace, Course, Found, Statistics};
+pub use simulation::{Bounds, Chance, Drift, Grain, Kinds, Spans, World, SCRIPTS};
 pub use stileroute_control_group_planted::Planted;
-pub use world::{Bounds, Chance, Drift, Grain, Kinds, Spans, World, SCRIPTS};
--- a/crates/model-check/src/proof.rs
+++ b/crates/model-check/src/proof.rs
@@ -1,7 +1,7 @@
 //! What `make test-model` goes through, in about a minute on eight cores.
 
 use crate::invariants::Property;
-use crate::world::{Bounds, Chance, Drift, Grain, Kinds, Spans};
+use crate::simulation::{Bounds, Chance, Drift, Grain, Kinds, Spans};
 use stileroute_control_group_planted::Planted;
 
 /// Three nodes that bear one loss, everything as small as it comes.
--- a/crates/model-check/src/search.rs
+++ b/crates/model-check/src/search.rs
@@ -2,7 +2,7 @@
 
 use crate::choices::Choice;
 use crate::invariants::Breach;
-use crate::world::{Bounds, World};
+use crate::simulation::{Bounds, World};
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/crates/model-check/src/world/operators.rs
+++ b/crates/model-check/src/simulation/clients.rs
@@ -1,7 +1,7 @@
 //! The calls of the operators: at which node each is tried, and what its answers mean.
 
 use super::bounds::SCRIPTS;
-use super::connections::index;
+use super::network::index;
 use super::{Due, World};
 use crate::invariants::Property;
 use stileroute_control_group_planted::{ControlState, Millis, Verdict};
--- a/crates/model-check/src/world/digest.rs
+++ b/crates/model-check/src/simulation/digest.rs
@@ -1,6 +1,6 @@
 //! The digest of a world: two worlds with the same one have the same future.
 
-use super::connections::voter;
+use super::network::voter;
 use super::nodes::Node;
 use super::{Due, World};
 use std::hash::{Hash, Hasher};
--- a/crates/model-check/src/world/steps.rs
+++ b/crates/model-check/src/simulation/events.rs
@@ -1,6 +1,6 @@
 //! The step loop: what is due first, and how it is carried out.
 
-use super::connections::{heartbeat, index, voter};
+use super::network::{heartbeat, index, voter};
 use super::trace::{message_text, record_text};
 use super::{Due, World};
 use stileroute_control_group_planted::{ControlGroup, Effect, Message, Millis, RoleChange};
--- a/crates/model-check/src/world/mod.rs
+++ b/crates/model-check/src/simulation/mod.rs
@@ -1,19 +1,19 @@
 //! Nodes, disks, connections and operators. Left alone it does the next thing that is due, by a fixed order.
 
 mod bounds;
-mod calm;
-mod connections;
+mod clients;
 mod digest;
+mod events;
+mod network;
 mod nodes;
-mod operators;
-mod steps;
+mod recovery;
 mod trace;
 
 pub use bounds::{Bounds, Chance, Drift, Grain, Kinds, Spans, SCRIPTS};
-pub(crate) use connections::{index, voter};
+pub(crate) use clients::Call;
+pub(crate) use events::Step;
+pub(crate) use network::{index, voter};
 pub(crate) use nodes::Node;
-pub(crate) use operators::Call;
-pub(crate) use steps::Step;
 
 use crate::invariants::Invariants;
 use nodes::random_state;
--- a/crates/model-check/src/world/nodes.rs
+++ b/crates/model-check/src/simulation/nodes.rs
@@ -1,6 +1,6 @@
 //! A node with its clock and its disk, and how its process starts and ends.
 
-use super::connections::voter;
+use super::network::voter;
 use super::{Due, World};
 use crate::invariants::Seen;
 use std::collections::VecDeque;
--- a/crates/model-check/src/world/trace.rs
+++ b/crates/model-check/src/simulation/trace.rs
@@ -1,6 +1,6 @@
 //! Messages and records as text, for the trace of a world.
 
-use super::connections::index;
+use super::network::index;
 use stileroute_control_group_planted::{Message, Record};
 
 pub(super) fn message_text(message: &Message) -> String {
