--- a/crates/model-check/src/choices.rs
+++ b/crates/model-check/src/choices.rs
@@ -1,332 +1,395 @@
-//! Where something could go another way than it does by itself.
+//! The choices of a search: where something could go another way than it does by itself, and what each choice does.
 
-use crate::simulation::{Due, Grain, Kinds, Spans, Step, World, ROUND};
-use stileroute_control_group_planted::{Message, Millis, Record};
+use crate::budget::Budget;
+use crate::simulation::{
+    is_heartbeat, Activity, FaultDurations, FaultKinds, Granularity, ProcessEnd, Scheduled, Simulation, Step,
+    FAULT_END_GRID,
+};
+use stileroute_control_group_planted::{Millis, Record};
 
-/// What takes another choice, at the state before a step.
+/// Something that goes another way, at the state before a step. Spans are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Choice {
-    /// The process ends, and is back after so long; so many of the records under way are on disk.
+    /// The process ends, and is started again after `back`; the first `synced` records under way are on disk.
     Kill {
+        /// Whose process.
         node: usize,
-        reached: usize,
+        /// How many records.
+        synced: usize,
+        /// How long it is away.
         back: Millis,
     },
-    Power {
+    /// The machine loses power, and is started again after `back`; the first `synced` records under way are on disk.
+    PowerLoss {
+        /// Which machine.
         node: usize,
-        reached: usize,
+        /// How many records.
+        synced: usize,
+        /// How long it is away.
         back: Millis,
     },
-    Wipe {
+    /// The machine loses its disk, and is started again, empty.
+    DiskLoss {
+        /// Which machine.
         node: usize,
+        /// How long it is away.
         back: Millis,
     },
+    /// The process is stopped for a while, and continues.
     Freeze {
+        /// Whose process.
         node: usize,
+        /// How long.
         span: Millis,
     },
-    Cut {
+    /// Two nodes hear each other no more.
+    Partition {
+        /// The one.
         a: usize,
+        /// The other.
         b: usize,
+        /// How long.
         span: Millis,
     },
-    CutOff {
+    /// A node and all others hear each other no more.
+    Isolate {
+        /// Which node.
         node: usize,
+        /// How long.
         span: Millis,
     },
-    /// What the one sends reaches the other only later; the other way all is well.
-    OneWay {
+    /// What one node sends reaches the other only later; the other direction is not affected.
+    HoldOneWay {
+        /// The sender.
         from: usize,
+        /// The receiver.
         to: usize,
+        /// How long.
         span: Millis,
     },
-    /// It hears nobody, and is heard.
-    Deaf {
+    /// A node hears nobody, and is heard.
+    HoldIncoming {
+        /// Which node.
         node: usize,
+        /// How long.
         span: Millis,
     },
-    /// It hears all, and nobody hears it.
-    Mute {
+    /// A node hears all others, and nobody hears it.
+    HoldOutgoing {
+        /// Which node.
         node: usize,
+        /// How long.
         span: Millis,
     },
-    /// A node more.
+    /// One more node comes.
     Join {
+        /// The new one.
         node: usize,
     },
-    /// It is lost for good, and an empty one comes a moment later.
+    /// A node is lost for good, and an empty one comes a moment later.
     Replace {
+        /// The lost one.
         node: usize,
+        /// The new one.
         with: usize,
     },
-    /// It is cut off, and an empty one comes a moment later; then it is back.
-    Presumed {
+    /// A node is isolated, and an empty one comes a moment later; then the first one is back.
+    ReplaceWhileIsolated {
+        /// The isolated one.
         node: usize,
+        /// The new one.
         with: usize,
     },
-    /// An empty one comes, and the other is told to end, for good.
-    Succeed {
+    /// An empty node comes, and another is told to end, for good.
+    PlannedReplacement {
+        /// The one that ends.
         node: usize,
+        /// The new one.
         with: usize,
     },
-    /// It is lost for good, with nobody in its place.
-    Gone {
+    /// A node is lost for good, and none comes in its place.
+    Lose {
+        /// The lost one.
         node: usize,
     },
-    /// These two meet each other, and none of the rest.
+    /// Two nodes hear each other, and none of the rest.
     Split {
+        /// The one.
         node: usize,
+        /// The other.
         with: usize,
+        /// How long.
         span: Millis,
     },
-    /// SIGTERM.
-    Release {
+    /// A process is told to end, and is started again.
+    ShutDown {
+        /// Whose process.
         node: usize,
     },
-    /// The message that comes next, and all that follow it from there, come so much later.
-    Late {
+    /// The next message from one node to another, and all that are in flight behind it, come later.
+    DelayMessages {
+        /// The sender.
         from: usize,
+        /// The receiver.
         to: usize,
+        /// How much later.
         by: Millis,
     },
-    /// The connection breaks and is made anew at once: what was on its way, both ways, is lost.
-    Lost {
+    /// A connection breaks and is opened again at once: what is in flight, in both directions, is lost.
+    ResetConnection {
+        /// The one end.
         from: usize,
+        /// The other end.
         to: usize,
     },
-    DiskLate {
+    /// The records that are on their way to a disk are synced later.
+    DelayDisk {
+        /// Whose disk.
         node: usize,
+        /// How much later.
         by: Millis,
     },
-    DiskRefuses {
+    /// The disk refuses the next record.
+    RefuseRecord {
+        /// Whose disk.
         node: usize,
     },
 }
 
-/// Less than the silence after which others stand, about as long, and until another replica has been named.
-const BACK: [Millis; 3] = [20, 1_100, 2_200];
-const FROZEN: [Millis; 3] = [300, 1_000, 2_200];
-const APART: [Millis; 2] = [500, 1_600];
-/// A cut, a freeze or an absence that outlasts whatever the group waits for.
-const LONG: [Millis; 1] = [20_000];
+/// Less than the grace period after which others become candidates, about as long, and until another replica has been named.
+const RESTART_SPANS: [Millis; 3] = [20, 1_100, 2_200];
+const FREEZE_SPANS: [Millis; 3] = [300, 1_000, 2_200];
+const PARTITION_SPANS: [Millis; 2] = [500, 1_600];
+/// Longer than whatever the group waits for.
+const LONG_SPANS: [Millis; 1] = [20_000];
 /// After whatever else is due now; longer than the lease.
-const LATE: [Millis; 3] = [1, 150, 950];
-const DISK_LATE: [Millis; 2] = [60, 1_150];
-/// A node that is lost for good is replaced so much later, and one that is replaced by plan ends so long after the new one came.
-const SUCCESSOR: Millis = 300;
-const PLANNED: Millis = 600;
-/// A cut is noticed by the connections so late.
-const CUT_NOTICED: Millis = 200;
+const MESSAGE_DELAYS: [Millis; 3] = [1, 150, 950];
+const DISK_DELAYS: [Millis; 2] = [60, 1_150];
+/// How soon a lost node is replaced, and how long after the new node came one that is replaced by plan is told to end.
+const REPLACEMENT_DELAY: Millis = 300;
+const PLANNED_SHUTDOWN_DELAY: Millis = 600;
+/// How late both ends notice a partition.
+const PARTITION_NOTICED_AFTER: Millis = 200;
 
 impl Choice {
-    /// Those with one number come to much the same, a little earlier or later.
-    pub fn kin(&self) -> (u8, usize, usize, Millis) {
+    /// Choices with the same key come to much the same, a little earlier or later.
+    pub fn similarity_key(&self) -> (u8, usize, usize, Millis) {
         match *self {
             Choice::Kill { node, back, .. } => (0, node, 0, back),
-            Choice::Power { node, back, .. } => (1, node, 0, back),
-            Choice::Wipe { node, back } => (2, node, 0, back),
+            Choice::PowerLoss { node, back, .. } => (1, node, 0, back),
+            Choice::DiskLoss { node, back } => (2, node, 0, back),
             Choice::Freeze { node, span } => (3, node, 0, span),
-            Choice::Cut { a, b, span } => (4, a.min(b), a.max(b), span),
-            Choice::CutOff { node, span } => (5, node, 0, span),
-            Choice::Release { node } => (6, node, 0, 0),
-            Choice::Late { from, to, by } => (7, from, to, by),
-            Choice::Lost { from, to } => (8, from.min(to), from.max(to), 0),
-            Choice::DiskLate { node, by } => (9, node, 0, by),
-            Choice::DiskRefuses { node } => (10, node, 0, 0),
-            Choice::OneWay { from, to, span } => (11, from, to, span),
-            Choice::Deaf { node, span } => (12, node, 0, span),
-            Choice::Mute { node, span } => (13, node, 0, span),
+            Choice::Partition { a, b, span } => (4, a.min(b), a.max(b), span),
+            Choice::Isolate { node, span } => (5, node, 0, span),
+            Choice::ShutDown { node } => (6, node, 0, 0),
+            Choice::DelayMessages { from, to, by } => (7, from, to, by),
+            Choice::ResetConnection { from, to } => (8, from.min(to), from.max(to), 0),
+            Choice::DelayDisk { node, by } => (9, node, 0, by),
+            Choice::RefuseRecord { node } => (10, node, 0, 0),
+            Choice::HoldOneWay { from, to, span } => (11, from, to, span),
+            Choice::HoldIncoming { node, span } => (12, node, 0, span),
+            Choice::HoldOutgoing { node, span } => (13, node, 0, span),
             Choice::Join { node } => (14, node, 0, 0),
             Choice::Replace { node, with } => (15, node, with, 0),
-            Choice::Succeed { node, with } => (16, node, with, 0),
-            Choice::Gone { node } => (17, node, 0, 0),
+            Choice::PlannedReplacement { node, with } => (16, node, with, 0),
+            Choice::Lose { node } => (17, node, 0, 0),
             Choice::Split { node, with, span } => (18, node, with, span),
-            Choice::Presumed { node, with } => (19, node, with, 0),
+            Choice::ReplaceWhileIsolated { node, with } => (19, node, with, 0),
         }
     }
-    /// It counts as trouble, and else as a delay.
-    pub fn trouble(&self) -> bool {
+    /// Whether it counts as a fault; else it counts as a delay.
+    pub fn is_fault(&self) -> bool {
         !matches!(
             self,
-            Choice::Late { .. } | Choice::Lost { .. } | Choice::DiskLate { .. } | Choice::DiskRefuses { .. }
+            Choice::DelayMessages { .. }
+                | Choice::ResetConnection { .. }
+                | Choice::DelayDisk { .. }
+                | Choice::RefuseRecord { .. }
         )
     }
 }
 
-impl World {
-    /// All choices that may be taken here. Trouble strikes a node where it has just done something: between two steps of one
-    /// node, what others do is not changed by when it strikes there.
-    pub fn choices(&self, troubles: bool, delays: bool) -> Vec<Choice> {
+impl Simulation {
+    /// All choices that the budget allows here.
+    ///
+    /// A fault strikes a node where it has just done something: between two steps of one node, what others do does not depend on
+    /// when the fault strikes.
+    pub(crate) fn choices(&self, budget: Budget) -> Vec<Choice> {
         let mut choices = Vec::new();
-        let fine = self.bounds.grain == Grain::Fine;
-        if let Some((node, _)) =
-            self.touched.filter(|(i, weighty)| troubles && (*weighty || fine) && self.up(*i))
-        {
-            self.troubles(node, &mut choices);
+        let is_fine = self.bounds.granularity == Granularity::Fine;
+        let strikes = |activity: &Activity| (activity.is_significant || is_fine) && self.is_up(activity.node);
+        if let Some(Activity { node, .. }) = self.last_activity.filter(strikes) {
+            if budget.faults > 0 {
+                self.add_faults(node, &mut choices);
+            }
         }
-        if delays {
-            self.delays(fine, &mut choices);
+        if budget.delays > 0 {
+            self.add_delays(is_fine, &mut choices);
         }
         choices
     }
 
-    fn troubles(&self, node: usize, choices: &mut Vec<Choice>) {
+    fn add_faults(&self, node: usize, choices: &mut Vec<Choice>) {
         let at = &self.nodes[node];
-        if at.gone {
+        if at.is_gone_for_good {
             return;
         }
-        let lost = self.nodes.iter().enumerate().filter(|(i, n)| *i != node && n.seen.lost).count();
-        let bearable = lost < self.bounds.tolerated_losses;
-        if self.bounds.kinds == Kinds::Growth {
-            return self.growth(node, bearable, choices);
+        let lost =
+            self.nodes.iter().enumerate().filter(|(i, n)| *i != node && n.observed.is_disk_lost).count();
+        let is_loss_tolerated = lost < self.bounds.tolerated_losses;
+        if self.bounds.fault_kinds == FaultKinds::Growth {
+            return self.add_growth(node, is_loss_tolerated, choices);
         }
-        let of = |spans: &'static [Millis], one: usize| match self.bounds.spans {
-            Spans::All => spans,
-            Spans::One => &spans[one..=one],
-            Spans::Long => &LONG,
+        let of = |spans: &'static [Millis], one: usize| match self.bounds.fault_durations {
+            FaultDurations::All => spans,
+            FaultDurations::One => &spans[one..=one],
+            FaultDurations::Long => &LONG_SPANS,
         };
-        for back in of(&BACK, 1).iter().copied() {
-            for reached in 0..=at.writing.len() {
-                // A disk that has nothing yet is as good as lost.
+        for back in of(&RESTART_SPANS, 1).iter().copied() {
+            for synced in 0..=at.unsynced.len() {
+                // A disk that has nothing yet counts as lost.
                 let view = |(_, _, record): &(Millis, u64, Record)| matches!(record, Record::View(_));
-                let holds = at.disk.view.is_some() || at.writing.iter().take(reached).any(view);
-                if bearable || holds {
-                    choices.push(Choice::Kill { node, reached, back });
-                    choices.push(Choice::Power { node, reached, back });
+                let has_view = at.disk.view.is_some() || at.unsynced.iter().take(synced).any(view);
+                if is_loss_tolerated || has_view {
+                    choices.push(Choice::Kill { node, synced, back });
+                    choices.push(Choice::PowerLoss { node, synced, back });
                 }
             }
-            if bearable {
-                choices.push(Choice::Wipe { node, back });
+            if is_loss_tolerated {
+                choices.push(Choice::DiskLoss { node, back });
             }
         }
-        choices.extend(of(&FROZEN, 1).iter().map(|span| Choice::Freeze { node, span: *span }));
-        for span in of(&APART, 1).iter().copied() {
-            choices.push(Choice::CutOff { node, span });
-            // Of three a node that meets one of the others meets the rest: with five that is not gone through.
-            let others = (0..self.nodes.len()).filter(|b| *b != node && self.joined[self.way(node, *b)]);
+        choices.extend(of(&FREEZE_SPANS, 1).iter().map(|span| Choice::Freeze { node, span: *span }));
+        for span in of(&PARTITION_SPANS, 1).iter().copied() {
+            choices.push(Choice::Isolate { node, span });
+            // Of three nodes one that hears one of the others hears the rest: with five that is not gone through.
+            let others =
+                (0..self.nodes.len()).filter(|b| *b != node && self.is_connected[self.pair(node, *b)]);
             for b in others {
-                choices.push(Choice::Cut { a: node, b, span });
-                choices.push(Choice::OneWay { from: node, to: b, span });
+                choices.push(Choice::Partition { a: node, b, span });
+                choices.push(Choice::HoldOneWay { from: node, to: b, span });
             }
-            choices.push(Choice::Deaf { node, span });
-            choices.push(Choice::Mute { node, span });
+            choices.push(Choice::HoldIncoming { node, span });
+            choices.push(Choice::HoldOutgoing { node, span });
         }
-        choices.push(Choice::Release { node });
-        self.growth(node, bearable, choices);
+        choices.push(Choice::ShutDown { node });
+        self.add_growth(node, is_loss_tolerated, choices);
     }
 
-    fn growth(&self, node: usize, bearable: bool, choices: &mut Vec<Choice>) {
-        let spare = (self.bounds.nodes..self.nodes.len()).find(|i| self.nodes[*i].life == 0);
+    fn add_growth(&self, node: usize, is_loss_tolerated: bool, choices: &mut Vec<Choice>) {
+        let spare = (self.bounds.nodes..self.nodes.len()).find(|i| self.nodes[*i].incarnation == 0);
         // Before the first configuration nobody joins, and none is replaced.
-        if let Some(with) = spare.filter(|_| self.invariants.highest > 0) {
+        if let Some(with) = spare.filter(|_| self.invariants.highest_version > 0) {
             choices.push(Choice::Join { node: with });
-            if bearable {
+            if is_loss_tolerated {
                 choices.push(Choice::Replace { node, with });
-                choices.push(Choice::Succeed { node, with });
-                choices.push(Choice::Presumed { node, with });
+                choices.push(Choice::PlannedReplacement { node, with });
+                choices.push(Choice::ReplaceWhileIsolated { node, with });
             }
         }
-        let came = (self.bounds.nodes..self.nodes.len()).filter(|i| self.nodes[*i].life > 0);
-        for with in came {
-            if bearable {
-                choices.push(Choice::Gone { node });
+        let joined = (self.bounds.nodes..self.nodes.len()).filter(|i| self.nodes[*i].incarnation > 0);
+        for with in joined {
+            if is_loss_tolerated {
+                choices.push(Choice::Lose { node });
             }
-            if with != node && self.up(with) {
-                choices.push(Choice::Split { node, with, span: APART[1] });
+            if with != node && self.is_up(with) {
+                choices.push(Choice::Split { node, with, span: PARTITION_SPANS[1] });
             }
         }
     }
 
-    fn delays(&self, fine: bool, choices: &mut Vec<Choice>) {
+    fn add_delays(&self, is_fine: bool, choices: &mut Vec<Choice>) {
         match self.next() {
-            Some((_, Step::Said(from, to))) => {
-                let head = self.wires[self.wire(from, to)].front();
-                let heartbeat = |s: &Message| matches!(s, Message::Heartbeat(_) | Message::HeartbeatAck(_));
-                if head.is_some_and(|(_, message)| fine || !heartbeat(message)) {
-                    choices.extend(LATE.map(|by| Choice::Late { from, to, by }));
-                    choices.push(Choice::Lost { from, to });
+            Some((_, Step::Deliver(from, to))) => {
+                let first = self.in_flight[self.direction(from, to)].front();
+                if first.is_some_and(|(_, message)| is_fine || !is_heartbeat(message)) {
+                    choices.extend(MESSAGE_DELAYS.map(|by| Choice::DelayMessages { from, to, by }));
+                    choices.push(Choice::ResetConnection { from, to });
                 }
             }
-            Some((_, Step::Synced(node))) => {
-                choices.extend(DISK_LATE.map(|by| Choice::DiskLate { node, by }));
+            Some((_, Step::SyncRecord(node))) => {
+                choices.extend(DISK_DELAYS.map(|by| Choice::DelayDisk { node, by }));
                 // Where there is nothing on disk yet, one that refuses would be a disk that was lost.
                 if self.nodes[node].disk.view.is_some() {
-                    choices.push(Choice::DiskRefuses { node });
+                    choices.push(Choice::RefuseRecord { node });
                 }
             }
             _ => {}
         }
     }
 
+    /// Takes a choice.
     pub fn take(&mut self, choice: Choice) {
         self.note(|| format!("== {choice:?}"));
-        self.touched = None;
+        self.last_activity = None;
         match choice {
-            Choice::Kill { node, reached, back } => {
-                self.end(node, reached, true, false);
-                self.at_least(back, Due::Start(node));
+            Choice::Kill { node, synced, back } => {
+                self.end(node, synced, ProcessEnd::Exit);
+                self.schedule_rounded(back, Scheduled::Start(node));
             }
-            Choice::Power { node, reached, back } => {
-                self.end(node, reached, false, false);
-                self.at_least(back, Due::Start(node));
+            Choice::PowerLoss { node, synced, back } => {
+                self.end(node, synced, ProcessEnd::PowerLoss);
+                self.schedule_rounded(back, Scheduled::Start(node));
             }
-            Choice::Wipe { node, back } => {
-                self.end(node, 0, false, true);
-                self.at_least(back, Due::Start(node));
+            Choice::DiskLoss { node, back } => {
+                self.end(node, 0, ProcessEnd::DiskLoss);
+                self.schedule_rounded(back, Scheduled::Start(node));
             }
             Choice::Freeze { node, span } => {
-                self.nodes[node].frozen = true;
-                self.at_least(span, Due::Thaw(node));
+                self.nodes[node].is_frozen = true;
+                self.schedule_rounded(span, Scheduled::Thaw(node));
             }
-            Choice::Cut { a, b, span } => self.cut(a, b, span),
-            Choice::CutOff { node, span } => self.cut_off(node, span),
-            Choice::OneWay { from, to, span } => self.hold(from, to, span),
-            Choice::Deaf { node, span } => {
-                (0..self.nodes.len()).filter(|b| *b != node).for_each(|b| self.hold(b, node, span));
+            Choice::Partition { a, b, span } => self.partition(a, b, span),
+            Choice::Isolate { node, span } => self.isolate(node, span),
+            Choice::HoldOneWay { from, to, span } => self.hold_messages(from, to, span),
+            Choice::HoldIncoming { node, span } => {
+                (0..self.nodes.len()).filter(|b| *b != node).for_each(|b| self.hold_messages(b, node, span));
             }
-            Choice::Mute { node, span } => {
-                (0..self.nodes.len()).filter(|b| *b != node).for_each(|b| self.hold(node, b, span));
+            Choice::HoldOutgoing { node, span } => {
+                (0..self.nodes.len()).filter(|b| *b != node).for_each(|b| self.hold_messages(node, b, span));
             }
             Choice::Join { node } => self.start(node),
             Choice::Replace { node, with } => {
                 self.lose(node);
-                self.at_least(SUCCESSOR, Due::Start(with));
+                self.schedule_rounded(REPLACEMENT_DELAY, Scheduled::Start(with));
             }
-            Choice::Presumed { node, with } => {
-                self.cut_off(node, APART[1]);
-                (self.nodes[node].presumed, self.nodes[node].seen.lost) = (true, true);
-                self.at_least(SUCCESSOR, Due::Start(with));
+            Choice::ReplaceWhileIsolated { node, with } => {
+                self.isolate(node, PARTITION_SPANS[1]);
+                self.nodes[node].was_replaced_while_isolated = true;
+                self.nodes[node].observed.is_disk_lost = true;
+                self.schedule_rounded(REPLACEMENT_DELAY, Scheduled::Start(with));
             }
-            Choice::Succeed { node, with } => {
+            Choice::PlannedReplacement { node, with } => {
                 self.start(with);
-                self.nodes[node].gone = true;
-                self.nodes[node].seen.lost = true;
-                self.at_least(PLANNED, Due::Retire(node));
+                self.nodes[node].is_gone_for_good = true;
+                self.nodes[node].observed.is_disk_lost = true;
+                self.schedule_rounded(PLANNED_SHUTDOWN_DELAY, Scheduled::ShutDown(node));
             }
-            Choice::Gone { node } => self.lose(node),
+            Choice::Lose { node } => self.lose(node),
             Choice::Split { node, with, span } => {
                 for other in (0..self.nodes.len()).filter(|i| ![node, with].contains(i)) {
-                    self.cut(node, other, span);
-                    self.cut(with, other, span);
+                    self.partition(node, other, span);
+                    self.partition(with, other, span);
                 }
             }
-            Choice::Release { node } => self.with(node, |group, now| group.shut_down(now)),
-            Choice::Late { from, to, by } => {
-                let (until, wire) = (self.next().map_or(self.now, |(at, _)| at) + by, self.wire(from, to));
-                self.wires[wire].iter_mut().for_each(|(due, _)| *due = (*due).max(until));
+            Choice::ShutDown { node } => self.with(node, |group, now| group.shut_down(now)),
+            Choice::DelayMessages { from, to, by } => {
+                let (until, direction) =
+                    (self.next().map_or(self.now, |(at, _)| at) + by, self.direction(from, to));
+                self.in_flight[direction].iter_mut().for_each(|(due, _)| *due = (*due).max(until));
             }
-            Choice::Lost { from, to } => {
-                self.part(from, to, 1, None);
-                // Made anew a moment later, when both have heard of it.
-                let way = self.way(from, to);
-                self.cuts[way] += 1;
-                self.at(3, Due::Heal(from, to));
+            Choice::ResetConnection { from, to } => {
+                self.disconnect(from, to, 1, None);
+                // Opened again a moment later, when both have noticed.
+                let pair = self.pair(from, to);
+                self.partition_counts[pair] += 1;
+                self.schedule(3, Scheduled::Heal(from, to));
             }
-            Choice::DiskLate { node, by } => {
+            Choice::DelayDisk { node, by } => {
                 let until = self.next().map_or(self.now, |(at, _)| at) + by;
-                self.nodes[node].writing.iter_mut().for_each(|(due, ..)| *due = (*due).max(until));
+                self.nodes[node].unsynced.iter_mut().for_each(|(due, ..)| *due = (*due).max(until));
             }
-            Choice::DiskRefuses { node } => {
+            Choice::RefuseRecord { node } => {
                 self.now = self.next().map_or(self.now, |(at, _)| at);
                 self.synced(node, false);
             }
@@ -334,25 +397,27 @@
     }
 
     fn lose(&mut self, node: usize) {
-        self.end(node, 0, false, false);
-        (self.nodes[node].gone, self.nodes[node].seen.lost) = (true, true);
+        self.end(node, 0, ProcessEnd::PowerLoss);
+        self.nodes[node].is_gone_for_good = true;
+        self.nodes[node].observed.is_disk_lost = true;
     }
 
-    fn cut_off(&mut self, node: usize, span: Millis) {
-        (0..self.nodes.len()).filter(|b| *b != node).for_each(|b| self.cut(node, b, span));
+    fn isolate(&mut self, node: usize, span: Millis) {
+        (0..self.nodes.len()).filter(|b| *b != node).for_each(|b| self.partition(node, b, span));
     }
-    fn cut(&mut self, a: usize, b: usize, span: Millis) {
-        let way = self.way(a, b);
-        self.cuts[way] += 1;
-        self.part(a, b, CUT_NOTICED, None);
-        self.at_least(span, Due::Heal(a, b));
+    fn partition(&mut self, a: usize, b: usize, span: Millis) {
+        let pair = self.pair(a, b);
+        self.partition_counts[pair] += 1;
+        self.disconnect(a, b, PARTITION_NOTICED_AFTER, None);
+        self.schedule_rounded(span, Scheduled::Heal(a, b));
     }
 
-    /// What is on its way, and what is sent from here on, arrives when the span is over, in its order: no connection breaks.
-    fn hold(&mut self, from: usize, to: usize, span: Millis) {
-        let (until, wire) = ((self.now + span).next_multiple_of(ROUND), self.wire(from, to));
-        self.held[wire] = self.held[wire].max(until);
-        self.wires[wire].iter_mut().for_each(|(due, _)| *due = (*due).max(until));
-        self.at_least(span, Due::Hears(from, to));
+    /// What is in flight, and what is sent from here on, arrives when the span is over, in its order: no connection breaks.
+    fn hold_messages(&mut self, from: usize, to: usize, span: Millis) {
+        let (until, direction) =
+            ((self.now + span).next_multiple_of(FAULT_END_GRID), self.direction(from, to));
+        self.held_until[direction] = self.held_until[direction].max(until);
+        self.in_flight[direction].iter_mut().for_each(|(due, _)| *due = (*due).max(until));
+        self.schedule_rounded(span, Scheduled::EndHold(from, to));
     }
 }
--- a/crates/model-check/src/main.rs
+++ b/crates/model-check/src/main.rs
@@ -1,21 +1,18 @@
 //! `stileroute-model-check`: searches all orders of events of the control group within bounds, and tells how many there were.
 
-// Not finished yet: what these lints name is still to be documented or divided.
-#![allow(clippy::struct_excessive_bools)]
-
 use gumdrop::Options;
 use std::process::ExitCode;
 use std::sync::atomic::AtomicBool;
 use std::time::Instant;
 use stileroute_model_check::queue::{prove_queue, search_queue_by_hand, QueueArgs};
 use stileroute_model_check::{
-    explore, find, retrace, Bounds, Chance, Drift, Found, Grain, Kinds, Planted, Spans, Statistics, FAULTS,
-    PLAN, TOO_FAR,
+    explore, find, replay, Bounds, Counterexample, Drift, ExpectedViolation, FaultDurations, FaultKinds,
+    Granularity, Planted, RandomWaits, Statistics, EXCESSIVE_DRIFT, PLAN, PLANTED_FAULTS,
 };
 
 /// Searches all orders of events of the control group within bounds.
 #[derive(Debug, Options)]
-struct Words {
+struct Arguments {
     #[options(help = "prints this")]
     help: bool,
     #[options(help = "threads, 0 for as many as there are cores", default = "0", meta = "N")]
@@ -42,6 +39,8 @@
     ways: bool,
 }
 
+// Each flag of the command line is a field.
+#[allow(clippy::struct_excessive_bools)]
 #[derive(Debug, Options)]
 struct Search {
     #[options(help = "prints this")]
@@ -67,7 +66,7 @@
         meta = "WORD",
         parse(try_from_str = "chance")
     )]
-    chance: Option<Chance>,
+    chance: Option<RandomWaits>,
     #[options(
         no_short,
         help = "clocks: alike (as without it), first-slow, first-fast or too-far",
@@ -81,12 +80,12 @@
     planted: Option<Planted>,
 }
 
-fn chance(word: &str) -> Result<Chance, String> {
+fn chance(word: &str) -> Result<RandomWaits, String> {
     match word {
-        "rising" => Ok(Chance::Rising),
-        "falling" => Ok(Chance::Falling),
-        "alike" => Ok(Chance::Alike),
-        "soonest" => Ok(Chance::Soonest),
+        "rising" => Ok(RandomWaits::Rising),
+        "falling" => Ok(RandomWaits::Falling),
+        "alike" => Ok(RandomWaits::Alike),
+        "soonest" => Ok(RandomWaits::Soonest),
         _ => Err("rising, falling, alike or soonest".to_string()),
     }
 }
@@ -104,51 +103,76 @@
     named.ok_or_else(|| format!("one of {:?}", Planted::ALL))
 }
 
-fn line(bounds: &Bounds, sum: &Statistics, since: Instant) -> String {
-    let Bounds { nodes, spares, troubles, delays, grain, spans: times, kinds, chance, drift, script, .. } =
-        bounds;
-    let Statistics { states, distinct, pruned, transitions, ways, deepest, waited, whole, .. } = sum;
+fn summary_line(bounds: &Bounds, sum: &Statistics, since: Instant) -> String {
+    let Bounds {
+        nodes,
+        spare_nodes,
+        max_faults,
+        max_delays,
+        granularity,
+        fault_durations,
+        fault_kinds,
+        random_waits,
+        drift,
+        script,
+        ..
+    } = bounds;
+    let Statistics {
+        states,
+        distinct,
+        pruned,
+        transitions,
+        paths,
+        deepest,
+        longest_recovery_ms,
+        finished_parts,
+        parts,
+        ..
+    } = sum;
     format!(
-        "nodes={nodes} spares={spares} troubles={troubles} delays={delays} grain={grain:?} spans={times:?} kinds={kinds:?} chance={chance:?} drift={drift:?} script={script} \
-         states={states} distinct={distinct} pruned={pruned} transitions={transitions} ways={ways} deepest={deepest} \
-         waited_ms={waited} parts={}/{} seconds={:.1}",
-        whole.0,
-        whole.1,
+        "nodes={nodes} spares={spare_nodes} troubles={max_faults} delays={max_delays} grain={granularity:?} spans={fault_durations:?} kinds={fault_kinds:?} chance={random_waits:?} drift={drift:?} script={script} \
+         states={states} distinct={distinct} pruned={pruned} transitions={transitions} ways={paths} deepest={deepest} \
+         waited_ms={longest_recovery_ms} parts={}/{} seconds={:.1}",
+        finished_parts,
+        parts,
         since.elapsed().as_secs_f64(),
     )
 }
 
-fn show(found: &Found) {
-    println!("BREACH: {}: {}", found.breach.property.sentence(), found.breach.evidence);
-    for (number, line) in retrace(found).iter().enumerate() {
+fn print_counterexample(found: &Counterexample) {
+    println!("BREACH: {}: {}", found.violation.property.sentence(), found.violation.evidence);
+    for (number, line) in replay(found).iter().enumerate() {
         println!("{:4}  {line}", number + 1);
     }
 }
 
-fn search(words: &Search, threads: usize, stop: &AtomicBool) -> bool {
+fn run_search(arguments: &Search, threads: usize, stop: &AtomicBool) -> bool {
     let bounds = Bounds {
-        nodes: words.nodes,
-        spares: words.spares,
-        tolerated_losses: (words.nodes - 1) / 2,
-        troubles: words.troubles,
-        delays: words.delays,
-        grain: if words.fine { Grain::Fine } else { Grain::Coarse },
-        spans: match (words.one_span, words.long) {
-            (_, true) => Spans::Long,
-            (true, false) => Spans::One,
-            (false, false) => Spans::All,
+        nodes: arguments.nodes,
+        spare_nodes: arguments.spares,
+        tolerated_losses: (arguments.nodes - 1) / 2,
+        max_faults: arguments.troubles,
+        max_delays: arguments.delays,
+        granularity: if arguments.fine { Granularity::Fine } else { Granularity::Coarse },
+        fault_durations: match (arguments.one_span, arguments.long) {
+            (_, true) => FaultDurations::Long,
+            (true, false) => FaultDurations::One,
+            (false, false) => FaultDurations::All,
         },
-        kinds: if words.growth { Kinds::Growth } else { Kinds::All },
-        chance: words.chance.unwrap_or(Chance::Rising),
-        drift: words.drift.unwrap_or(Drift::None),
-        script: words.script,
-        planted: words.planted,
+        fault_kinds: if arguments.growth { FaultKinds::Growth } else { FaultKinds::All },
+        random_waits: arguments.chance.unwrap_or(RandomWaits::Rising),
+        drift: arguments.drift.unwrap_or(Drift::None),
+        script: arguments.script,
+        planted: arguments.planted,
     };
     let since = Instant::now();
-    let sum =
-        if words.planted.is_some() { find(bounds, threads, stop) } else { explore(bounds, threads, stop) };
-    println!("{}", line(&bounds, &sum, since));
-    sum.found.iter().for_each(show);
+    let sum = if arguments.planted.is_some() {
+        find(bounds, threads, stop)
+    } else {
+        explore(bounds, threads, stop)
+    };
+    println!("{}", summary_line(&bounds, &sum, since));
+    sum.found.iter().for_each(print_counterexample);
     sum.found.is_none()
 }
 
@@ -158,35 +182,36 @@
     for bounds in &PLAN {
         let since = Instant::now();
         let sum = explore(*bounds, threads, stop);
-        println!("{}", line(bounds, &sum, since));
+        println!("{}", summary_line(bounds, &sum, since));
         if let Some(found) = &sum.found {
-            show(found);
-            println!("NOT PROVED: {}", found.breach.property.sentence());
+            print_counterexample(found);
+            println!("NOT PROVED: {}", found.violation.property.sentence());
             return false;
         }
         all.add(sum);
     }
-    for (planted, property, bounds) in FAULTS {
-        let sum = find(Bounds { planted: Some(planted), ..bounds }, threads, stop);
-        let Some(found) = sum.found.as_ref().filter(|f| f.breach.property == property) else {
-            println!("NOT PROVED: {planted:?} was not found by: {}", property.sentence());
-            sum.found.iter().for_each(show);
+    for ExpectedViolation { property, bounds } in PLANTED_FAULTS {
+        let planted = bounds.planted.map_or(String::new(), |planted| format!("{planted:?}"));
+        let sum = find(bounds, threads, stop);
+        let Some(found) = sum.found.as_ref().filter(|f| f.violation.property == property) else {
+            println!("NOT PROVED: {planted} was not found by: {}", property.sentence());
+            sum.found.iter().for_each(print_counterexample);
             return false;
         };
-        let choices: Vec<String> = found.course.iter().map(|(_, choice)| format!("{choice:?}")).collect();
+        let choices: Vec<String> = found.path.iter().map(|(_, choice)| format!("{choice:?}")).collect();
         println!(
-            "found {planted:?} by {property:?} after states={} choices={}: {}",
+            "found {planted} by {property:?} after states={} choices={}: {}",
             sum.states,
             choices.len(),
             choices.join(", ")
         );
         if ways {
-            show(found);
+            print_counterexample(found);
         }
     }
-    let (property, bounds) = TOO_FAR;
+    let ExpectedViolation { property, bounds } = EXCESSIVE_DRIFT;
     let sum = find(bounds, threads, stop);
-    if sum.found.as_ref().is_none_or(|found| found.breach.property != property) {
+    if sum.found.as_ref().is_none_or(|found| found.violation.property != property) {
         println!("NOT PROVED: clocks that drift too far were not found by: {}", property.sentence());
         return false;
     }
@@ -196,20 +221,20 @@
         all.states,
         all.distinct,
         all.transitions,
-        all.ways,
-        all.waited,
-        FAULTS.len(),
+        all.paths,
+        all.longest_recovery_ms,
+        PLANTED_FAULTS.len(),
         since.elapsed().as_secs_f64(),
     );
     true
 }
 
 fn main() -> ExitCode {
-    let words = Words::parse_args_default_or_exit();
+    let arguments = Arguments::parse_args_default_or_exit();
     let cores = std::thread::available_parallelism().map_or(1, |n| n.get());
-    let threads = if words.threads == 0 { cores } else { words.threads };
+    let threads = if arguments.threads == 0 { cores } else { arguments.threads };
     let stop = AtomicBool::new(false);
-    let well = match &words.command {
+    let is_proved = match &arguments.command {
         Some(Command::Search(search))
             if search.troubles > 3
                 || search.delays > 3
@@ -222,15 +247,15 @@
             );
             return ExitCode::from(2);
         }
-        Some(Command::Search(words)) => search(words, threads, &stop),
-        Some(Command::Queue(words)) => match words.bounds() {
+        Some(Command::Search(arguments)) => run_search(arguments, threads, &stop),
+        Some(Command::Queue(arguments)) => match arguments.bounds() {
             Some(bounds) => search_queue_by_hand(bounds, threads, &stop),
-            None => prove_queue(words.ways(), threads, &stop),
+            None => prove_queue(arguments.ways(), threads, &stop),
         },
-        Some(Command::Prove(words)) => prove(words.ways, threads, &stop),
+        Some(Command::Prove(arguments)) => prove(arguments.ways, threads, &stop),
         None => prove(false, threads, &stop),
     };
-    if well {
+    if is_proved {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/model-check/src/proof.rs
+++ b/crates/model-check/src/proof.rs
@@ -1,81 +1,104 @@
-//! What `make test-model` goes through, in about a minute on eight cores.
+//! The bounds and the planted faults of the proof, `make test-model`: about a minute on eight cores.
 
 use crate::invariants::Property;
-use crate::simulation::{Bounds, Chance, Drift, Grain, Kinds, Spans};
+use crate::simulation::{Bounds, Drift, FaultDurations, FaultKinds, Granularity, RandomWaits};
 use stileroute_control_group_planted::Planted;
 
-/// Three nodes that bear one loss, everything as small as it comes.
-pub const THREE: Bounds = Bounds {
+/// Three nodes that tolerate one loss, everything else as small as it comes.
+pub const THREE_NODES: Bounds = Bounds {
     nodes: 3,
-    spares: 0,
+    spare_nodes: 0,
     tolerated_losses: 1,
-    troubles: 1,
-    delays: 0,
-    grain: Grain::Coarse,
-    spans: Spans::All,
-    kinds: Kinds::All,
-    chance: Chance::Rising,
+    max_faults: 1,
+    max_delays: 0,
+    granularity: Granularity::Coarse,
+    fault_durations: FaultDurations::All,
+    fault_kinds: FaultKinds::All,
+    random_waits: RandomWaits::Rising,
     drift: Drift::None,
     script: 0,
     planted: None,
 };
-const FIVE: Bounds = Bounds { nodes: 5, tolerated_losses: 2, ..THREE };
+const FIVE_NODES: Bounds = Bounds { nodes: 5, tolerated_losses: 2, ..THREE_NODES };
 
-/// The primary's clock is slow and the others' are fast, and nobody waits at random before it stands.
-const DRIFTING: Bounds = Bounds { drift: Drift::FirstSlow, chance: Chance::Soonest, ..THREE };
-/// With clocks that drift further than is allowed for, this must be broken.
-pub const TOO_FAR: (Property, Bounds) = (Property::OneActs, Bounds { drift: Drift::TooFar, ..DRIFTING });
+/// The primary's clock is slow and the others' are fast, and no node waits at random before it becomes a candidate.
+const DRIFTING: Bounds =
+    Bounds { drift: Drift::FirstSlow, random_waits: RandomWaits::Soonest, ..THREE_NODES };
+/// With clocks that drift further than is allowed for, this must be violated.
+pub const EXCESSIVE_DRIFT: ExpectedViolation = ExpectedViolation {
+    property: Property::OneServingNode,
+    bounds: Bounds { drift: Drift::TooFar, ..DRIFTING },
+};
 
 /// A fourth node may come.
-const GROWING: Bounds = Bounds { spares: 1, troubles: 2, spans: Spans::One, ..THREE };
-/// The same, with none but the troubles that come with growth.
-const GROWTH: Bounds = Bounds { kinds: Kinds::Growth, ..GROWING };
+const GROWING: Bounds =
+    Bounds { spare_nodes: 1, max_faults: 2, fault_durations: FaultDurations::One, ..THREE_NODES };
+/// The same, with none but the faults that come with growth.
+const GROWTH: Bounds = Bounds { fault_kinds: FaultKinds::Growth, ..GROWING };
 
+/// The bounds that the proof goes through.
 pub const PLAN: [Bounds; 18] = [
-    Bounds { grain: Grain::Fine, ..THREE },
-    Bounds { grain: Grain::Fine, chance: Chance::Alike, script: 1, ..THREE },
-    Bounds { delays: 1, chance: Chance::Falling, ..THREE },
-    Bounds { delays: 1, chance: Chance::Alike, script: 1, ..THREE },
-    Bounds { delays: 1, script: 2, ..THREE },
-    Bounds { troubles: 0, delays: 2, ..THREE },
-    Bounds { troubles: 2, spans: Spans::One, script: 1, ..THREE },
-    Bounds { chance: Chance::Alike, script: 1, ..FIVE },
-    Bounds { chance: Chance::Falling, script: 2, ..FIVE },
-    Bounds { grain: Grain::Fine, ..FIVE },
-    Bounds { spans: Spans::Long, ..THREE },
-    Bounds { spans: Spans::Long, script: 1, ..FIVE },
+    Bounds { granularity: Granularity::Fine, ..THREE_NODES },
+    Bounds { granularity: Granularity::Fine, random_waits: RandomWaits::Alike, script: 1, ..THREE_NODES },
+    Bounds { max_delays: 1, random_waits: RandomWaits::Falling, ..THREE_NODES },
+    Bounds { max_delays: 1, random_waits: RandomWaits::Alike, script: 1, ..THREE_NODES },
+    Bounds { max_delays: 1, script: 2, ..THREE_NODES },
+    Bounds { max_faults: 0, max_delays: 2, ..THREE_NODES },
+    Bounds { max_faults: 2, fault_durations: FaultDurations::One, script: 1, ..THREE_NODES },
+    Bounds { random_waits: RandomWaits::Alike, script: 1, ..FIVE_NODES },
+    Bounds { random_waits: RandomWaits::Falling, script: 2, ..FIVE_NODES },
+    Bounds { granularity: Granularity::Fine, ..FIVE_NODES },
+    Bounds { fault_durations: FaultDurations::Long, ..THREE_NODES },
+    Bounds { fault_durations: FaultDurations::Long, script: 1, ..FIVE_NODES },
     DRIFTING,
-    Bounds { delays: 1, ..DRIFTING },
-    Bounds { drift: Drift::FirstFast, script: 1, ..THREE },
+    Bounds { max_delays: 1, ..DRIFTING },
+    Bounds { drift: Drift::FirstFast, script: 1, ..THREE_NODES },
     GROWING,
-    Bounds { chance: Chance::Alike, script: 1, ..GROWTH },
-    Bounds { chance: Chance::Falling, grain: Grain::Fine, ..GROWTH },
+    Bounds { random_waits: RandomWaits::Alike, script: 1, ..GROWTH },
+    Bounds { random_waits: RandomWaits::Falling, granularity: Granularity::Fine, ..GROWTH },
 ];
 
-/// Each fault, the property that tells of it first, and the bounds within which it does.
-pub const FAULTS: [(Planted, Property, Bounds); 20] = [
-    (Planted::LongLease, Property::OneActs, THREE),
-    (Planted::LeaseByArrival, Property::OneActs, THREE),
-    (Planted::ThinMargin, Property::OneActs, DRIFTING),
-    (Planted::EarlyAnswer, Property::NothingOld, THREE),
-    (
+/// A violation that a search has to find.
+#[derive(Clone, Copy, Debug)]
+pub struct ExpectedViolation {
+    /// The property that is violated first.
+    pub property: Property,
+    /// Within these bounds, with the planted fault.
+    pub bounds: Bounds,
+}
+
+const fn expect(planted: Planted, property: Property, bounds: Bounds) -> ExpectedViolation {
+    ExpectedViolation { property, bounds: Bounds { planted: Some(planted), ..bounds } }
+}
+
+/// For each planted fault the violation by which it is found.
+pub const PLANTED_FAULTS: [ExpectedViolation; 20] = [
+    expect(Planted::LongLease, Property::OneServingNode, THREE_NODES),
+    expect(Planted::LeaseByArrival, Property::OneServingNode, THREE_NODES),
+    expect(Planted::ThinMargin, Property::OneServingNode, DRIFTING),
+    expect(Planted::EarlyAnswer, Property::NoStaleRead, THREE_NODES),
+    expect(
         Planted::MembershipEpochIgnored,
-        Property::NothingOld,
-        Bounds { troubles: 2, spans: Spans::One, ..THREE },
+        Property::NoStaleRead,
+        Bounds { max_faults: 2, fault_durations: FaultDurations::One, ..THREE_NODES },
+    ),
+    expect(Planted::EqualTaken, Property::OneBodyPerVersion, THREE_NODES),
+    expect(Planted::DigestUnheeded, Property::OneBodyPerVersion, Bounds { script: 1, ..THREE_NODES }),
+    expect(Planted::CommitGoesBack, Property::CommitsNeverGoBack, THREE_NODES),
+    expect(Planted::OwnVoteEnough, Property::OnePrimaryPerEpoch, THREE_NODES),
+    expect(Planted::GrantedTwice, Property::OneGrantPerEpoch, THREE_NODES),
+    expect(Planted::GrantUnsynced, Property::GrantIsDurable, THREE_NODES),
+    expect(Planted::BlankVotes, Property::NoVoteWithoutView, THREE_NODES),
+    expect(Planted::UnfilledCandidate, Property::NoCandidacyWithoutState, THREE_NODES),
+    expect(
+        Planted::BegunForgotten,
+        Property::NotCommittedStaysSo,
+        Bounds { max_faults: 2, fault_durations: FaultDurations::One, ..THREE_NODES },
     ),
-    (Planted::EqualTaken, Property::OneBody, THREE),
-    (Planted::DigestUnheeded, Property::OneBody, Bounds { script: 1, ..THREE }),
-    (Planted::CommitGoesBack, Property::NeverBack, THREE),
-    (Planted::OwnVoteEnough, Property::OneLeads, THREE),
-    (Planted::GrantedTwice, Property::OneGrant, THREE),
-    (Planted::GrantUnsynced, Property::GrantOnDisk, THREE),
-    (Planted::BlankVotes, Property::BlankIsSilent, THREE),
-    (Planted::UnfilledCandidate, Property::UnfilledServes, THREE),
-    (Planted::BegunForgotten, Property::NotDoneStays, Bounds { troubles: 2, spans: Spans::One, ..THREE }),
-    (Planted::NeverAdopts, Property::SoonAgain, THREE),
-    (Planted::SwapAtOnce, Property::OneLeads, GROWTH),
-    (Planted::LearnersCount, Property::OneActs, GROWTH),
-    (Planted::UnfilledNamed, Property::SoonAgain, GROWTH),
-    (Planted::BlindChange, Property::SoonAgain, GROWTH),
-    (Planted::GoneStays, Property::SoonReplaced, GROWTH),
+    expect(Planted::NeverAdopts, Property::RecoversSoon, THREE_NODES),
+    expect(Planted::SwapAtOnce, Property::OnePrimaryPerEpoch, GROWTH),
+    expect(Planted::LearnersCount, Property::OneServingNode, GROWTH),
+    expect(Planted::UnfilledNamed, Property::RecoversSoon, GROWTH),
+    expect(Planted::BlindChange, Property::RecoversSoon, GROWTH),
+    expect(Planted::GoneStays, Property::ReplacedSoon, GROWTH),
 ];
--- a/crates/model-check/src/search.rs
+++ b/crates/model-check/src/search.rs
@@ -1,72 +1,89 @@
-//! Depth first over all choices, with what was seen left out, on as many threads as there are; the counts are the same on any.
+//! The search: depth first over all choices, without states that were visited, on several threads. The counts do not depend on
+//! how many.
 
+use crate::budget::Budget;
 use crate::choices::Choice;
-use crate::invariants::Breach;
-use crate::simulation::{Bounds, World};
+use crate::invariants::Violation;
+use crate::simulation::{Bounds, Simulation};
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// After so many steps from the start, what is taken.
-pub type Course = Vec<(u32, Choice)>;
+/// The choices of a path: after how many steps from the start, and which.
+pub type ChoicePath = Vec<(u32, Choice)>;
 
-/// Into so many parts the first choices are shared out. Each part has its own memory of what was seen, so that the counts
-/// don't depend on which thread is faster.
+/// Into how many parts the first choices are divided. Each part has its own memory of visited states, so that the counts do
+/// not depend on which thread is faster.
 const PARTS: usize = 64;
-/// A way that is longer than that goes round and round.
-const LONGEST: u32 = 60_000;
+/// A longer path goes round in circles.
+const MAX_STEPS: u32 = 60_000;
 
-/// A breach, and the way to it.
+/// A violation, and the path to it.
 #[derive(Clone, Debug)]
-pub struct Found {
-    pub breach: Breach,
-    pub course: Course,
+pub struct Counterexample {
+    /// What was violated, and how.
+    pub violation: Violation,
+    /// The choices that lead to it.
+    pub path: ChoicePath,
+    /// The bounds of the search that found it.
     pub bounds: Bounds,
 }
 
+/// What a search went through, and what it found.
 #[derive(Clone, Debug, Default)]
 pub struct Statistics {
-    /// States looked at, those among them that were new, and those that had been seen with as much still to come.
+    /// States that were looked at.
     pub states: u64,
+    /// Those among them that were new.
     pub distinct: u64,
+    /// Those that had been visited with as many choices and as much time left.
     pub pruned: u64,
-    /// Steps and choices gone.
+    /// Steps and choices taken.
     pub transitions: u64,
-    /// Ways that went through to the calm.
-    pub ways: u64,
-    /// Most steps in one.
+    /// Paths that went through to the end.
+    pub paths: u64,
+    /// The most steps of one path.
     pub deepest: u32,
-    /// The longest that a write waited after all was healed, in simulated milliseconds.
-    pub waited: u64,
-    pub found: Option<Found>,
-    /// It ended before all was seen: this many parts of so many are whole.
-    pub whole: (usize, usize),
+    /// The longest that the last write waited to be accepted, in simulated milliseconds.
+    pub longest_recovery_ms: u64,
+    /// The first violation.
+    pub found: Option<Counterexample>,
+    /// Parts of the search that were finished.
+    pub finished_parts: usize,
+    /// Parts of the search in all; more than were finished if it was told to stop.
+    pub parts: usize,
 }
 
 impl Statistics {
+    /// Adds those of another search.
     pub fn add(&mut self, other: Statistics) {
         self.states += other.states;
         self.distinct += other.distinct;
         self.pruned += other.pruned;
         self.transitions += other.transitions;
-        self.ways += other.ways;
+        self.paths += other.paths;
         self.deepest = self.deepest.max(other.deepest);
-        self.waited = self.waited.max(other.waited);
-        self.whole = (self.whole.0 + other.whole.0, self.whole.1 + other.whole.1);
+        self.longest_recovery_ms = self.longest_recovery_ms.max(other.longest_recovery_ms);
+        self.finished_parts += other.finished_parts;
+        self.parts += other.parts;
         if self.found.is_none() {
             self.found = other.found;
         }
     }
 }
 
-/// A state, and what may be taken there.
-type Fork = (u32, World, Vec<Choice>);
+/// A state, and the choices that may be taken there.
+struct Fork {
+    steps: u32,
+    simulation: Simulation,
+    choices: Vec<Choice>,
+}
 
-/// A digest is mixed already.
+/// A digest is mixed already: it is its own hash.
 #[derive(Default)]
-struct AsItIs(u64);
-impl Hasher for AsItIs {
+struct IdentityHasher(u64);
+impl Hasher for IdentityHasher {
     fn finish(&self) -> u64 {
         self.0
     }
@@ -76,224 +93,249 @@
     }
 }
 
-/// By what may still be taken: troubles and delays, up to three each. How long choices could be taken from there, in units
-/// of 10 ms; nought: not seen.
-type Left = [u16; 16];
-type Seen = HashMap<u64, Left, BuildHasherDefault<AsItIs>>;
+/// How long choices could still be taken when a state was visited, in units of 10 ms, by the budget that was left: faults and
+/// delays, up to three each. 0: it was not visited with this budget.
+type TimeLeft = [u16; 16];
+type Visited = HashMap<u64, TimeLeft, BuildHasherDefault<IdentityHasher>>;
 
-#[derive(Clone, Copy)]
-struct Budget {
-    troubles: u8,
-    delays: u8,
+struct Search<'a> {
+    /// What was visited before the first choice.
+    base: &'a Visited,
+    visited: Visited,
+    path: ChoicePath,
+    statistics: Statistics,
+    stop: &'a AtomicBool,
 }
 
-impl Budget {
-    fn spend(self, choice: Choice) -> Budget {
-        if choice.trouble() {
-            Budget { troubles: self.troubles - 1, ..self }
-        } else {
-            Budget { delays: self.delays - 1, ..self }
-        }
-    }
-    fn none(self) -> bool {
-        self.troubles == 0 && self.delays == 0
+impl<'a> Search<'a> {
+    fn new(base: &'a Visited, stop: &'a AtomicBool) -> Search<'a> {
+        let (visited, statistics) = (Visited::default(), Statistics::default());
+        Search { base, visited, path: Vec::new(), statistics, stop }
     }
-}
 
-struct Search<'a> {
-    base: &'a Seen,
-    seen: Seen,
-    course: Course,
-    sum: Statistics,
-    stop: &'a AtomicBool,
-}
+    /// A violation was found, or the search was told to stop.
+    fn is_over(&self) -> bool {
+        self.statistics.found.is_some() || self.stop.load(Ordering::Relaxed)
+    }
 
-impl Search<'_> {
-    /// True where it was seen with as much still to come.
-    fn known(&mut self, world: &World, budget: Budget) -> bool {
-        self.sum.states += 1;
-        let left = if budget.none() { 1 } else { (world.left() / 10 + 1) as u16 };
-        let digest = world.digest();
-        let covers = |seen: &Left| {
-            (usize::from(budget.troubles)..4)
-                .any(|t| (usize::from(budget.delays)..4).any(|d| seen[t * 4 + d] >= left))
+    /// Notes a visit. Returns whether the state was visited before with as many choices and as much time left.
+    fn was_visited(&mut self, simulation: &Simulation, budget: Budget) -> bool {
+        self.statistics.states += 1;
+        let left = if budget.is_spent() { 1 } else { (simulation.choice_time_left() / 10 + 1) as u16 };
+        let digest = simulation.digest();
+        let covers = |time_left: &TimeLeft| {
+            (usize::from(budget.faults)..4).any(|faults| {
+                (usize::from(budget.delays)..4).any(|delays| time_left[faults * 4 + delays] >= left)
+            })
         };
         if self.base.get(&digest).is_some_and(covers) {
-            self.sum.pruned += 1;
+            self.statistics.pruned += 1;
             return true;
         }
-        let entry = self.seen.entry(digest).or_insert([0; 16]);
+        let entry = self.visited.entry(digest).or_insert([0; 16]);
         if covers(entry) {
-            self.sum.pruned += 1;
+            self.statistics.pruned += 1;
             return true;
         }
-        self.sum.distinct += u64::from(*entry == [0; 16]);
-        entry[usize::from(budget.troubles) * 4 + usize::from(budget.delays)] = left;
+        self.statistics.distinct += u64::from(*entry == [0; 16]);
+        entry[usize::from(budget.faults) * 4 + usize::from(budget.delays)] = left;
         false
     }
 
-    /// Goes on by itself to the end, and collects where choices can be taken.
-    fn along(&mut self, mut world: World, mut steps: u32, budget: Budget) -> Vec<Fork> {
-        let mut choices = Vec::new();
+    /// Follows a path to its end without choices, and collects where choices can be taken.
+    fn follow(&mut self, mut simulation: Simulation, mut steps: u32, budget: Budget) -> Vec<Fork> {
+        let mut forks = Vec::new();
         loop {
-            if world.invariants.breach.is_some() || world.over {
+            if simulation.invariants.violation.is_some() || simulation.is_over {
                 break;
             }
-            let open = !budget.none() && world.left() > 0;
-            if !open {
-                world.begin_calm();
+            let may_choose = !budget.is_spent() && simulation.choice_time_left() > 0;
+            if !may_choose {
+                simulation.begin_recovery();
             }
-            if self.known(&world, budget) {
+            if self.was_visited(&simulation, budget) {
                 break;
             }
-            if open {
-                let here = world.choices(budget.troubles > 0, budget.delays > 0);
-                if !here.is_empty() {
-                    choices.push((steps, world.clone(), here));
+            if may_choose {
+                let choices = simulation.choices(budget);
+                if !choices.is_empty() {
+                    forks.push(Fork { steps, simulation: simulation.clone(), choices });
                 }
             }
-            world.step();
+            simulation.step();
             steps += 1;
-            self.sum.transitions += 1;
-            self.sum.deepest = self.sum.deepest.max(steps);
-            if steps > LONGEST {
+            self.statistics.transitions += 1;
+            self.statistics.deepest = self.statistics.deepest.max(steps);
+            if steps > MAX_STEPS {
                 break;
             }
         }
-        if world.over {
-            self.sum.ways += 1;
-            self.sum.waited = self.sum.waited.max(world.waited);
+        if simulation.is_over {
+            self.statistics.paths += 1;
+            self.statistics.longest_recovery_ms =
+                self.statistics.longest_recovery_ms.max(simulation.recovery_ms);
         }
-        if let Some(breach) = world.invariants.breach.take() {
-            self.found(&world, breach);
+        if let Some(violation) = simulation.invariants.violation.take() {
+            self.found(&simulation, violation);
         }
-        choices
+        forks
     }
-    fn found(&mut self, world: &World, breach: Breach) {
-        if self.sum.found.is_none() {
-            self.sum.found = Some(Found { breach, course: self.course.clone(), bounds: world.bounds });
+    fn found(&mut self, simulation: &Simulation, violation: Violation) {
+        if self.statistics.found.is_none() {
+            self.statistics.found =
+                Some(Counterexample { violation, path: self.path.clone(), bounds: simulation.bounds });
         }
     }
 
-    fn search(&mut self, world: World, steps: u32, budget: Budget) {
-        for (steps, world, choices) in self.along(world, steps, budget) {
+    fn search(&mut self, simulation: Simulation, steps: u32, budget: Budget) {
+        for Fork { steps, simulation, choices } in self.follow(simulation, steps, budget) {
             for choice in choices {
-                if self.sum.found.is_some() || self.stop.load(Ordering::Relaxed) {
+                if self.is_over() {
                     return;
                 }
-                self.choice(&world, steps, choice, budget);
+                self.take(&simulation, steps, choice, budget);
             }
         }
     }
-    fn choice(&mut self, world: &World, steps: u32, choice: Choice, budget: Budget) {
-        let mut world = world.clone();
-        world.take(choice);
-        self.sum.transitions += 1;
-        self.course.push((steps, choice));
-        self.search(world, steps, budget.spend(choice));
-        self.course.pop();
+    fn take(&mut self, simulation: &Simulation, steps: u32, choice: Choice, budget: Budget) {
+        let mut simulation = simulation.clone();
+        simulation.take(choice);
+        self.statistics.transitions += 1;
+        self.path.push((steps, choice));
+        self.search(simulation, steps, budget.spend(choice));
+        self.path.pop();
     }
 }
 
-/// Every way within these bounds. Ends at the first breach of a part, or when it is told to.
+/// A first choice, and the state where it is taken.
+struct Branch<'a> {
+    simulation: &'a Simulation,
+    steps: u32,
+    choice: Choice,
+}
+
+/// Goes through every path within these bounds. A part ends at its first violation, and all of them when told to `stop`.
 pub fn explore(bounds: Bounds, threads: usize, stop: &AtomicBool) -> Statistics {
-    let budget = Budget { troubles: bounds.troubles, delays: bounds.delays };
-    let empty = Seen::default();
-    let new =
-        |base| Search { base, seen: Seen::default(), course: Vec::new(), sum: Statistics::default(), stop };
-    let mut trunk = new(&empty);
-    let forks = trunk.along(World::new(bounds), 0, budget);
-    let (base, mut sum) = (trunk.seen, trunk.sum);
-    let mut firsts: Vec<(&World, u32, Choice)> = forks
-        .iter()
-        .flat_map(|(steps, world, choices)| choices.iter().map(move |choice| (world, *steps, *choice)))
-        .collect();
-    if sum.found.is_some() || firsts.is_empty() {
-        sum.whole = (1, 1);
-        return sum;
+    let budget = Budget { faults: bounds.max_faults, delays: bounds.max_delays };
+    let empty = Visited::default();
+    let mut trunk = Search::new(&empty, stop);
+    let forks = trunk.follow(Simulation::new(bounds), 0, budget);
+    let Search { visited: base, mut statistics, .. } = trunk;
+    let branches = branches(&forks);
+    if statistics.found.is_some() || branches.is_empty() {
+        statistics.finished_parts = 1;
+        statistics.parts = 1;
+        return statistics;
     }
-    // One choice at one step and the next comes to much the same: these stay together.
-    firsts.sort_by_key(|(_, steps, choice)| (choice.kin(), *steps));
-    let size = firsts.len().div_ceil(PARTS);
-    let parts: Vec<&[(&World, u32, Choice)]> = firsts.chunks(size).collect();
+    let parts: Vec<&[Branch]> = branches.chunks(branches.len().div_ceil(PARTS)).collect();
+    for part in search_parts(&parts, &base, budget, threads, stop) {
+        match part {
+            Some(part) if statistics.found.is_none() => statistics.add(part),
+            _ => statistics.parts += usize::from(statistics.found.is_none()),
+        }
+    }
+    statistics
+}
+
+/// All first choices. The same choice at one step and at the next comes to much the same: these stay together.
+fn branches(forks: &[Fork]) -> Vec<Branch<'_>> {
+    let mut branches = Vec::new();
+    for Fork { steps, simulation, choices } in forks {
+        branches.extend(choices.iter().map(|choice| Branch { simulation, steps: *steps, choice: *choice }));
+    }
+    branches.sort_by_key(|branch| (branch.choice.similarity_key(), branch.steps));
+    branches
+}
+
+/// Searches the parts on several threads. None: a part was left out, for one before it has a violation.
+fn search_parts(
+    parts: &[&[Branch]],
+    base: &Visited,
+    budget: Budget,
+    threads: usize,
+    stop: &AtomicBool,
+) -> Vec<Option<Statistics>> {
     let results: Vec<Mutex<Option<Statistics>>> = parts.iter().map(|_| Mutex::new(None)).collect();
-    let (next, broken) = (AtomicUsize::new(0), AtomicUsize::new(usize::MAX));
+    let (next, first_violated) = (AtomicUsize::new(0), AtomicUsize::new(usize::MAX));
     std::thread::scope(|scope| {
         for _ in 0..threads.max(1) {
             scope.spawn(|| loop {
                 let part = next.fetch_add(1, Ordering::Relaxed);
-                // What comes after the first part with a breach does not count.
-                if part >= parts.len() || part > broken.load(Ordering::Relaxed) {
+                // What comes after the first part with a violation does not count.
+                if part >= parts.len() || part > first_violated.load(Ordering::Relaxed) {
                     return;
                 }
-                let mut search = new(&base);
-                for (world, steps, choice) in parts[part] {
-                    if search.sum.found.is_some() || stop.load(Ordering::Relaxed) {
-                        break;
-                    }
-                    search.choice(world, *steps, *choice, budget);
-                }
-                if search.sum.found.is_some() {
-                    broken.fetch_min(part, Ordering::Relaxed);
+                let statistics = search_part(parts[part], base, budget, stop);
+                if statistics.found.is_some() {
+                    first_violated.fetch_min(part, Ordering::Relaxed);
                 }
-                search.sum.whole = (usize::from(!stop.load(Ordering::Relaxed)), 1);
                 if let Ok(mut result) = results[part].lock() {
-                    *result = Some(search.sum);
+                    *result = Some(statistics);
                 }
             });
         }
     });
-    sum.whole = (0, parts.len() - results.len().min(parts.len()));
-    for result in results {
-        match result.into_inner() {
-            Ok(Some(part)) if sum.found.is_none() => sum.add(part),
-            _ => sum.whole.1 += usize::from(sum.found.is_none()),
+    results.into_iter().map(|result| result.into_inner().unwrap_or_default()).collect()
+}
+
+fn search_part(part: &[Branch], base: &Visited, budget: Budget, stop: &AtomicBool) -> Statistics {
+    let mut search = Search::new(base, stop);
+    for Branch { simulation, steps, choice } in part {
+        if search.is_over() {
+            break;
         }
+        search.take(simulation, *steps, *choice, budget);
     }
-    sum
+    let mut statistics = search.statistics;
+    statistics.finished_parts = usize::from(!stop.load(Ordering::Relaxed));
+    statistics.parts = 1;
+    statistics
 }
 
-/// The first breach with as few choices as it takes, up to the bounds: no choice of it can be left out.
+/// Finds a violation with as few choices as it takes, up to the bounds: no choice of it can be left out.
 pub fn find(bounds: Bounds, threads: usize, stop: &AtomicBool) -> Statistics {
-    let mut all = Statistics::default();
-    for choices in 0..=bounds.troubles + bounds.delays {
-        for troubles in (0..=bounds.troubles.min(choices)).rev().filter(|t| choices - t <= bounds.delays) {
-            all.add(explore(Bounds { troubles, delays: choices - troubles, ..bounds }, threads, stop));
-            if all.found.is_some() {
-                return all;
+    let mut statistics = Statistics::default();
+    for choices in 0..=bounds.max_faults + bounds.max_delays {
+        let most_faults = bounds.max_faults.min(choices);
+        let fits = |faults: &u8| choices - faults <= bounds.max_delays;
+        for max_faults in (0..=most_faults).rev().filter(fits) {
+            let max_delays = choices - max_faults;
+            statistics.add(explore(Bounds { max_faults, max_delays, ..bounds }, threads, stop));
+            if statistics.found.is_some() {
+                return statistics;
             }
         }
     }
-    all
+    statistics
 }
 
-/// Goes one course again and tells what happens, a line each.
-pub fn retrace(found: &Found) -> Vec<String> {
-    let Found { course, bounds, .. } = found;
-    let mut world = World::new(*bounds);
-    world.trace = Some(Vec::new());
-    let mut choices = course.iter().peekable();
-    let mut budget = Budget { troubles: bounds.troubles, delays: bounds.delays };
-    for steps in 0..LONGEST {
+/// Follows the path of a counterexample again, and returns what happens, a line each.
+pub fn replay(found: &Counterexample) -> Vec<String> {
+    let Counterexample { path, bounds, .. } = found;
+    let mut simulation = Simulation::new(*bounds);
+    simulation.trace = Some(Vec::new());
+    let mut choices = path.iter().peekable();
+    let mut budget = Budget { faults: bounds.max_faults, delays: bounds.max_delays };
+    for steps in 0..MAX_STEPS {
         while let Some((_, choice)) = choices.next_if(|(at, _)| *at == steps) {
-            world.take(*choice);
+            simulation.take(*choice);
             budget = budget.spend(*choice);
         }
-        if budget.none() || world.left() == 0 {
-            world.begin_calm();
+        if budget.is_spent() || simulation.choice_time_left() == 0 {
+            simulation.begin_recovery();
         }
-        if world.invariants.breach.is_some() || world.over {
+        if simulation.invariants.violation.is_some() || simulation.is_over {
             break;
         }
-        world.step();
+        simulation.step();
     }
-    let mut lines = world.trace.take().unwrap_or_default();
-    if let Some(breach) = &world.invariants.breach {
+    let mut lines = simulation.trace.take().unwrap_or_default();
+    if let Some(violation) = &simulation.invariants.violation {
         lines.push(format!(
             "{:5} ms  BREACH: {}: {}",
-            world.now,
-            breach.property.sentence(),
-            breach.evidence
+            simulation.now,
+            violation.property.sentence(),
+            violation.evidence
         ));
     }
     lines
--- a/crates/model-check/src/simulation/clients.rs
+++ b/crates/model-check/src/simulation/clients.rs
@@ -1,69 +1,105 @@
-//! The calls of the operators: at which node each is tried, and what its answers mean.
+//! The calls of the clients: which node each attempt asks, and what the answers mean.
 
-use super::bounds::SCRIPTS;
+use super::bounds::{ScriptedCall, SCRIPTS};
 use super::network::index;
-use super::{Due, World};
+use super::{Scheduled, Simulation};
 use crate::invariants::Property;
 use stileroute_control_group_planted::{ControlState, Millis, Verdict};
 
-/// An attempt of a call waits so long for its answer.
-const PATIENCE: Millis = 500;
+/// How long an attempt waits for its answer.
+const ATTEMPT_TIMEOUT: Millis = 500;
+/// How soon a client notices that a node does not run.
+const CONNECTION_REFUSED_AFTER: Millis = 30;
+/// How soon a client asks the primary that it was sent to, the first time and then.
+const FIRST_REDIRECT_AFTER: Millis = 5;
+const REDIRECT_AFTER: Millis = 150;
+/// How soon it asks the next node after another answer.
+const RETRY_AFTER: Millis = 150;
+/// How soon the next stage of the script begins after one has ended.
+const NEXT_STAGE_AFTER: Millis = 10;
 
-/// A call of an operator, through all its attempts.
+/// A client's call to replace the configuration, through all its attempts.
 #[derive(Clone, Hash)]
 pub(crate) struct Call {
+    /// The version and body that it submits.
     pub state: ControlState,
+    /// The node that was asked last.
     pub at: usize,
     pub attempt: u64,
-    pub attempts: u64,
-    /// An attempt has had no clear answer.
-    pub unclear: bool,
+    /// After so many the client gives up.
+    pub max_attempts: u64,
+    /// An attempt had no clear answer: it may have been carried out.
+    pub is_uncertain: bool,
     pub done: Option<Verdict>,
     /// Given up, without a clear answer.
-    pub left: bool,
+    pub is_given_up: bool,
 }
 
-impl World {
+impl Call {
+    pub fn has_ended(&self) -> bool {
+        self.done.is_some() || self.is_given_up
+    }
+}
+
+impl Simulation {
     pub(super) fn begin_stage(&mut self) {
         let script = SCRIPTS[self.bounds.script];
-        let Some(calls) = script.get(self.stage) else { return };
-        self.stage += 1;
-        for (at, version, attempts) in calls.iter() {
-            self.call(*at, *version, *attempts);
+        let Some(calls) = script.get(self.next_stage) else { return };
+        self.next_stage += 1;
+        for ScriptedCall { node, version, max_attempts } in calls.iter() {
+            self.call(*node, *version, *max_attempts);
         }
     }
 
-    pub(super) fn call(&mut self, at: usize, version: u64, attempts: u64) {
+    pub(super) fn call(&mut self, at: usize, version: u64, max_attempts: u64) {
         let call = self.calls.len();
         let body = format!("v{version} of call {call}").into_bytes();
         let state = ControlState { version, body, ..ControlState::default() };
-        self.calls.push(Call { state, at, attempt: 0, attempts, unclear: false, done: None, left: false });
+        self.calls.push(Call {
+            state,
+            at,
+            attempt: 0,
+            max_attempts,
+            is_uncertain: false,
+            done: None,
+            is_given_up: false,
+        });
         self.attempt(call, 0, Some(at));
     }
 
-    pub(super) fn attempt(&mut self, call: usize, attempt: u64, at: Option<usize>) {
-        let calm = self.calm.is_some_and(|(calm, _)| calm == call);
-        let c = &mut self.calls[call];
-        if c.done.is_some() || c.left || c.attempt != attempt {
+    /// The next attempt after this one, at the node that was named or at the next.
+    pub(super) fn attempt(&mut self, id: usize, attempt: u64, at: Option<usize>) {
+        let is_last_write = self.is_last_write(id);
+        let call = &mut self.calls[id];
+        if call.has_ended() || call.attempt != attempt {
             return;
         }
-        // Where there was no answer it is not known what becomes of it.
-        c.unclear |= at.is_none() && attempt > 0;
-        if attempt == c.attempts && !calm {
-            c.left = true;
-            return self.ended_call(call);
+        // Where there was no answer it is not known what becomes of the call.
+        call.is_uncertain |= at.is_none() && attempt > 0;
+        if attempt == call.max_attempts && !is_last_write {
+            call.is_given_up = true;
+            return self.call_ended(id);
         }
-        self.agenda.retain(|(_, due)| !matches!(due, Due::Next { call: c, .. } if *c == call));
-        let c = &mut self.calls[call];
-        c.attempt += 1;
-        c.at = at.unwrap_or((c.at + 1) % self.nodes.len());
-        let (at, attempt) = (c.at, c.attempt);
+        self.cancel_next_attempt(id);
+        let call = &mut self.calls[id];
+        call.attempt += 1;
+        call.at = at.unwrap_or((call.at + 1) % self.nodes.len());
+        let (at, attempt) = (call.at, call.attempt);
         if self.nodes[at].group.is_none() {
-            let next = (at + 1) % self.nodes.len();
-            return self.at(30, Due::Next { call, attempt, at: Some(next) });
+            let next = Some((at + 1) % self.nodes.len());
+            let retry = Scheduled::NextAttempt { call: id, attempt, at: next };
+            return self.schedule(CONNECTION_REFUSED_AFTER, retry);
         }
-        self.at(PATIENCE, Due::Next { call, attempt, at: None });
-        self.at(0, Due::Ask { at, call, attempt });
+        self.schedule(ATTEMPT_TIMEOUT, Scheduled::NextAttempt { call: id, attempt, at: None });
+        self.schedule(0, Scheduled::Ask { at, call: id, attempt });
+    }
+
+    fn is_last_write(&self, id: usize) -> bool {
+        self.recovery.is_some_and(|recovery| recovery.call == id)
+    }
+
+    fn cancel_next_attempt(&mut self, id: usize) {
+        self.scheduled.retain(|(_, due)| !matches!(due, Scheduled::NextAttempt { call, .. } if *call == id));
     }
 
     pub(super) fn ask(&mut self, at: usize, call: usize, attempt: u64) {
@@ -74,59 +110,68 @@
         });
     }
 
+    /// A node answers an attempt.
     pub(super) fn answered(&mut self, i: usize, ticket: u64, verdict: Verdict) {
-        let (call, attempt) = ((ticket / 1_000) as usize, ticket % 1_000);
-        self.note(|| format!("node {i} answers call {call}: {verdict:?}"));
-        let calm = self.calm.is_some_and(|(calm, _)| calm == call);
-        let c = &mut self.calls[call];
-        let (state, open) = (c.state.clone(), c.attempt == attempt && c.done.is_none() && !c.left);
-        match verdict {
-            // Whoever hears it, and also where nobody waits for it any more: it is said.
-            Verdict::Accepted => self.invariants.learn(&state, "acknowledged"),
-            Verdict::Unchanged if self.invariants.highest < state.version => {
-                let evidence = format!("{} is acknowledged, and none as high is committed", state.version);
-                self.invariants.fail(Property::NothingOld, evidence);
-            }
-            _ => {}
-        }
-        if !open {
+        let (id, attempt) = ((ticket / 1_000) as usize, ticket % 1_000);
+        self.note(|| format!("node {i} answers call {id}: {verdict:?}"));
+        self.check_verdict(id, verdict);
+        let call = &self.calls[id];
+        if call.attempt != attempt || call.has_ended() {
             return;
         }
-        let c = &mut self.calls[call];
-        let next = match verdict {
+        let (after, next) = match verdict {
             Verdict::Accepted | Verdict::Unchanged => {
-                c.done = Some(verdict);
-                return self.ended_call(call);
+                self.calls[id].done = Some(verdict);
+                return self.call_ended(id);
             }
-            Verdict::NotCommitted if !c.unclear && !calm => {
-                c.done = Some(verdict);
-                self.invariants.never.push(state.clone());
-                if self.invariants.known.get(&state.version) == Some(&state.body) {
-                    let evidence = format!("{} was committed before", state.version);
-                    self.invariants.fail(Property::NotDoneStays, evidence);
-                }
-                return self.ended_call(call);
+            Verdict::NotCommitted if !call.is_uncertain && !self.is_last_write(id) => {
+                self.calls[id].done = Some(verdict);
+                self.reject(id);
+                return self.call_ended(id);
             }
-            // Whoever was sent on once waits a little before it asks on.
+            // A client that was sent on once waits a little before it asks the next time.
             Verdict::NotPrimary { primary: Some(primary) } => {
-                (if attempt < 2 { 5 } else { 150 }, index(primary))
+                (if attempt < 2 { FIRST_REDIRECT_AFTER } else { REDIRECT_AFTER }, index(primary))
             }
-            _ => (150, (i + 1) % self.bounds.nodes),
+            _ => (RETRY_AFTER, (i + 1) % self.bounds.nodes),
         };
-        c.unclear |= verdict == Verdict::Uncertain;
-        self.agenda.retain(|(_, due)| !matches!(due, Due::Next { call: c, .. } if *c == call));
-        self.at(next.0, Due::Next { call, attempt, at: Some(next.1) });
+        self.calls[id].is_uncertain |= verdict == Verdict::Uncertain;
+        self.cancel_next_attempt(id);
+        self.schedule(after, Scheduled::NextAttempt { call: id, attempt, at: Some(next) });
+    }
+
+    /// What an answer says has to be true also where nobody waits for it any more.
+    fn check_verdict(&mut self, id: usize, verdict: Verdict) {
+        let state = &self.calls[id].state;
+        match verdict {
+            Verdict::Accepted => self.invariants.observe(state, "acknowledged"),
+            Verdict::Unchanged if self.invariants.highest_version < state.version => {
+                let evidence = format!("{} is acknowledged, and none as high is committed", state.version);
+                self.invariants.fail(Property::NoStaleRead, evidence);
+            }
+            _ => {}
+        }
+    }
+
+    /// The client was told that its write is not committed: it must never be.
+    fn reject(&mut self, id: usize) {
+        let state = self.calls[id].state.clone();
+        if self.invariants.bodies.get(&state.version) == Some(&state.body) {
+            let evidence = format!("{} was committed before", state.version);
+            self.invariants.fail(Property::NotCommittedStaysSo, evidence);
+        }
+        self.invariants.rejected.push(state);
     }
 
-    fn ended_call(&mut self, call: usize) {
-        self.agenda.retain(|(_, due)| !matches!(due, Due::Next { call: c, .. } if *c == call));
-        if self.calm.is_some_and(|(calm, _)| calm == call) {
-            self.accepted = Some(self.now);
-        } else if self.calls.iter().all(|c| c.done.is_some() || c.left) {
-            if self.stage < SCRIPTS[self.bounds.script].len() {
-                self.at(10, Due::Stage);
+    fn call_ended(&mut self, id: usize) {
+        self.cancel_next_attempt(id);
+        if self.is_last_write(id) {
+            self.recovery_accepted_at = Some(self.now);
+        } else if self.calls.iter().all(Call::has_ended) {
+            if self.next_stage < SCRIPTS[self.bounds.script].len() {
+                self.schedule(NEXT_STAGE_AFTER, Scheduled::ScriptStage);
             } else {
-                self.ended = Some(self.now);
+                self.calls_ended_at = Some(self.now);
             }
         }
     }
--- a/crates/model-check/src/simulation/digest.rs
+++ b/crates/model-check/src/simulation/digest.rs
@@ -1,13 +1,13 @@
-//! The digest of a world: two worlds with the same one have the same future.
+//! The digest of a simulation: two with the same digest have the same future.
 
 use super::network::voter;
 use super::nodes::Node;
-use super::{Due, World};
+use super::{Scheduled, Simulation};
 use std::hash::{Hash, Hasher};
 use stileroute_control_group_planted::{Fingerprinter, Message, Millis, NodeId};
 
-impl World {
-    /// Whatever decides what may follow, with all times counted from now.
+impl Simulation {
+    /// A hash of whatever decides what may follow, with all times counted from now.
     pub fn digest(&self) -> u64 {
         let mut hasher = Mixer::default();
         let now = self.now;
@@ -16,39 +16,50 @@
             |(i, node): (usize, &Node)| (voter(i), node.group.as_ref().map_or(0, |p| p.last_write_id()));
         let last_write_ids: Vec<(NodeId, u64)> = self.nodes.iter().enumerate().map(last_write_id).collect();
         for (i, node) in self.nodes.iter().enumerate() {
-            (node.frozen, node.gone, node.presumed, &node.disk, node.wiped, node.group.is_some())
+            (
+                node.is_frozen,
+                node.is_gone_for_good,
+                node.was_replaced_while_isolated,
+                &node.disk,
+                node.observed.has_ever_lost_disk,
+                node.group.is_some(),
+            )
                 .hash(&mut hasher);
             // Clocks tick in whole milliseconds: where between two of them.
             (now * node.speed() % 1_000).hash(&mut hasher);
-            (node.seen.lost, node.seen.blank, node.outbox.len(), node.writing.len()).hash(&mut hasher);
+            (node.observed.is_disk_lost, node.observed.awaits_view, node.outbox.len(), node.unsynced.len())
+                .hash(&mut hasher);
             let epoch = node.group.as_ref().and_then(|p| p.view()).map_or(0, |w| w.epoch);
             // An older one is granted no more.
-            node.seen.granted.range(epoch..).for_each(|granted| granted.hash(&mut hasher));
-            if node.seen.blank {
-                node.seen.told.hash(&mut hasher);
+            node.observed.granted.range(epoch..).for_each(|granted| granted.hash(&mut hasher));
+            if node.observed.awaits_view {
+                node.observed.told_views.hash(&mut hasher);
             }
-            for (due, _, record) in &node.writing {
+            for (due, _, record) in &node.unsynced {
                 (away(*due).max(0), record).hash(&mut hasher);
             }
-            let mut to =
-                Fingerprinter { hasher: &mut hasher, now: node.local(now), last_write_ids: &last_write_ids };
+            let mut to = Fingerprinter {
+                hasher: &mut hasher,
+                now: node.local_time(now),
+                last_write_ids: &last_write_ids,
+            };
             node.outbox.iter().for_each(|effect| to.effect(voter(i), effect));
-            // Not which life of it this is: all lives are alike.
+            // Not which incarnation this is: all are alike.
             if let Some(group) = &node.group {
                 group.fingerprint(&mut to);
                 away(node.due).max(0).hash(&mut hasher);
             }
         }
-        for (at, wire) in self.wires.iter().enumerate() {
+        for (at, direction) in self.in_flight.iter().enumerate() {
             let (from, to) = (at / self.nodes.len(), at % self.nodes.len());
-            (wire.len(), self.held[at].saturating_sub(now)).hash(&mut hasher);
-            for (due, message) in wire {
+            (direction.len(), self.held_until[at].saturating_sub(now)).hash(&mut hasher);
+            for (due, message) in direction {
                 away(*due).max(0).hash(&mut hasher);
                 // An ack tells the time of the clock that it goes to.
                 let clock = &self.nodes[if matches!(message, Message::HeartbeatAck(_)) { to } else { from }];
                 let mut fingerprinter = Fingerprinter {
                     hasher: &mut hasher,
-                    now: clock.local(now),
+                    now: clock.local_time(now),
                     last_write_ids: &last_write_ids,
                 };
                 fingerprinter.message(voter(from), voter(to), message);
@@ -56,18 +67,20 @@
         }
         for call in &self.calls {
             // How it came to its end does not count any more.
-            let open = Some(call).filter(|c| c.done.is_none() && !c.left);
+            let open = Some(call).filter(|c| c.done.is_none() && !c.is_given_up);
             (&call.state, open).hash(&mut hasher);
         }
-        (&self.joined, &self.cuts, self.stage, &self.invariants.known).hash(&mut hasher);
-        (self.invariants.highest, &self.invariants.never).hash(&mut hasher);
+        (&self.is_connected, &self.partition_counts, self.next_stage, &self.invariants.bodies)
+            .hash(&mut hasher);
+        (self.invariants.highest_version, &self.invariants.rejected).hash(&mut hasher);
         let lowest = self.nodes.iter().filter_map(|n| n.disk.view.as_ref()).map(|w| w.epoch).min();
-        self.invariants.led.range(lowest.unwrap_or(0)..).for_each(|led| led.hash(&mut hasher));
-        let mut agenda: Vec<(i64, &Due)> = self.agenda.iter().map(|(at, due)| (away(*at), due)).collect();
-        agenda.sort();
-        agenda.hash(&mut hasher);
-        let calm = self.calm.map(|(call, since)| (call, away(since)));
-        (calm, self.accepted.map(away), self.ended.is_some()).hash(&mut hasher);
+        self.invariants.primaries.range(lowest.unwrap_or(0)..).for_each(|led| led.hash(&mut hasher));
+        let mut scheduled: Vec<(i64, &Scheduled)> =
+            self.scheduled.iter().map(|(at, due)| (away(*at), due)).collect();
+        scheduled.sort();
+        scheduled.hash(&mut hasher);
+        let recovery = self.recovery.map(|recovery| (recovery.call, away(recovery.began_at)));
+        (recovery, self.recovery_accepted_at.map(away), self.calls_ended_at.is_some()).hash(&mut hasher);
         hasher.finish()
     }
 }
--- a/crates/model-check/src/simulation/mod.rs
+++ b/crates/model-check/src/simulation/mod.rs
@@ -1,4 +1,5 @@
-//! Nodes, disks, connections and operators. Left alone it does the next thing that is due, by a fixed order.
+//! The simulated world of one search: nodes, disks, connections and clients. Left alone it does the next thing that is due, in a
+//! fixed order.
 
 mod bounds;
 mod clients;
@@ -9,137 +10,170 @@
 mod recovery;
 mod trace;
 
-pub use bounds::{Bounds, Chance, Drift, Grain, Kinds, Spans, SCRIPTS};
+pub use bounds::{
+    Bounds, Drift, FaultDurations, FaultKinds, Granularity, RandomWaits, ScriptedCall, SCRIPTS,
+};
 pub(crate) use clients::Call;
 pub(crate) use events::Step;
-pub(crate) use network::{index, voter};
-pub(crate) use nodes::Node;
+pub(crate) use network::{index, is_heartbeat, voter};
+pub(crate) use nodes::{Node, ProcessEnd};
 
 use crate::invariants::Invariants;
 use nodes::random_state;
 use std::collections::VecDeque;
 use stileroute_control_group_planted::{Message, Millis};
 
-/// Troubles end at multiples of this.
-pub(crate) const ROUND: Millis = 50;
+/// Faults end at multiples of this.
+pub(crate) const FAULT_END_GRID: Millis = 50;
 
-/// What is to come at a certain time.
+/// What happens at a certain time. The order of the variants decides what comes first at one moment.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) enum Due {
+pub(crate) enum Scheduled {
+    /// A frozen node continues.
     Thaw(usize),
+    /// The process exits by itself.
     End(usize),
     Start(usize),
-    /// SIGTERM, to be taken away.
-    Retire(usize),
+    /// The process is told to end, for good.
+    ShutDown(usize),
+    /// One partition of these two ends.
     Heal(usize, usize),
-    /// What the first sends reaches the second again.
-    Hears(usize, usize),
+    /// What the first sends reaches the second again, without a break of the connection.
+    EndHold(usize, usize),
+    /// A node notices that a connection opened or broke.
     Link {
         at: usize,
         peer: usize,
-        up: bool,
+        is_up: bool,
     },
+    /// A client's call reaches a node.
     Ask {
         at: usize,
         call: usize,
         attempt: u64,
     },
-    /// Without an answer to this attempt, the next one; at the node that was named.
-    Next {
+    /// The next attempt of a call, if this one had no answer; at the node that was named, else at the next.
+    NextAttempt {
         call: usize,
         attempt: u64,
         at: Option<usize>,
     },
-    Stage,
-    /// The last call of all.
-    Last,
+    /// The calls of the next stage of the script.
+    ScriptStage,
+    /// The call that has to be accepted after everything is healed.
+    LastCall,
 }
 
-/// All nodes, what is under way between them, and what is to come.
+/// The write that has to be accepted and committed after everything is healed.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Recovery {
+    pub call: usize,
+    pub began_at: Millis,
+}
+
+/// Where something happened last.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Activity {
+    pub node: usize,
+    /// More than a heartbeat, its acknowledgement or a look at the clock.
+    pub is_significant: bool,
+}
+
+/// All nodes, what is in flight between them, and what is to come.
 #[derive(Clone)]
-pub struct World {
+pub struct Simulation {
+    /// What it may go through.
     pub bounds: Bounds,
+    /// True time, in milliseconds since the start.
     pub now: Millis,
     pub(crate) nodes: Vec<Node>,
-    /// From one to another, in order.
-    pub(crate) wires: Vec<VecDeque<(Millis, Message)>>,
-    pub(crate) joined: Vec<bool>,
-    pub(crate) cuts: Vec<u8>,
-    /// Nothing arrives this way before then; what is sent meanwhile waits.
-    pub(crate) held: Vec<Millis>,
-    pub(crate) agenda: Vec<(Millis, Due)>,
+    /// Messages from one node to another with their arrival, in order; by `direction`.
+    pub(crate) in_flight: Vec<VecDeque<(Millis, Message)>>,
+    /// By `pair`.
+    pub(crate) is_connected: Vec<bool>,
+    /// How many partitions keep two nodes apart; by `pair`.
+    pub(crate) partition_counts: Vec<u8>,
+    /// Nothing arrives in this direction before then; what is sent meanwhile waits.
+    pub(crate) held_until: Vec<Millis>,
+    /// In no order: what is due first is searched for.
+    pub(crate) scheduled: Vec<(Millis, Scheduled)>,
     pub(crate) calls: Vec<Call>,
-    stage: usize,
-    ended: Option<Millis>,
-    /// The last write, and since when it is waited for; then since when it has been accepted.
-    calm: Option<(usize, Millis)>,
-    accepted: Option<Millis>,
-    pub over: bool,
-    /// The node where something happened last, and whether more than a heartbeat.
-    pub(crate) touched: Option<(usize, bool)>,
+    next_stage: usize,
+    /// When the last call of the script ended.
+    calls_ended_at: Option<Millis>,
+    recovery: Option<Recovery>,
+    /// When the last write was accepted.
+    recovery_accepted_at: Option<Millis>,
+    /// The last write is committed at all nodes.
+    pub is_over: bool,
+    pub(crate) last_activity: Option<Activity>,
+    /// The properties, and what was seen so far.
     pub invariants: Invariants,
-    /// What happened, where it is wanted.
+    /// What happened, a line each; none: it is not recorded.
     pub trace: Option<Vec<String>>,
-    /// How long the write waited after all was healed.
-    pub waited: Millis,
+    /// How long the last write waited to be accepted after everything was healed.
+    pub recovery_ms: Millis,
+    /// From where each node draws its random waits.
     random_state: Vec<u64>,
 }
 
-impl World {
-    pub fn new(bounds: Bounds) -> World {
-        let n = bounds.nodes + bounds.spares;
-        let share = |i: usize| match bounds.chance {
-            Chance::Rising => i,
-            Chance::Falling => n - 1 - i,
-            Chance::Alike => n / 2,
-            Chance::Soonest => 0,
+impl Simulation {
+    /// All seeds have just started for the first time.
+    pub fn new(bounds: Bounds) -> Simulation {
+        let count = bounds.nodes + bounds.spare_nodes;
+        let share = |i: usize| match bounds.random_waits {
+            RandomWaits::Rising => i,
+            RandomWaits::Falling => count - 1 - i,
+            RandomWaits::Alike => count / 2,
+            RandomWaits::Soonest => 0,
         };
         let new = |i: usize| Node {
-            clock: 100_000 + 7_777 * i as Millis,
-            rate: bounds.drift.rate(i),
+            clock_offset: 100_000 + 7_777 * i as Millis,
+            drift_per_mille: bounds.drift.per_mille(i),
             ..Node::default()
         };
-        let mut world = World {
+        let mut simulation = Simulation {
             bounds,
             now: 0,
-            nodes: (0..n).map(new).collect(),
-            wires: vec![VecDeque::new(); n * n],
-            joined: vec![false; n * n],
-            cuts: vec![0; n * n],
-            held: vec![0; n * n],
-            agenda: vec![(20, Due::Stage)],
+            nodes: (0..count).map(new).collect(),
+            in_flight: vec![VecDeque::new(); count * count],
+            is_connected: vec![false; count * count],
+            partition_counts: vec![0; count * count],
+            held_until: vec![0; count * count],
+            scheduled: vec![(20, Scheduled::ScriptStage)],
             calls: Vec::new(),
-            stage: 0,
-            ended: None,
-            calm: None,
-            accepted: None,
-            over: false,
-            touched: None,
+            next_stage: 0,
+            calls_ended_at: None,
+            recovery: None,
+            recovery_accepted_at: None,
+            is_over: false,
+            last_activity: None,
             invariants: Invariants::default(),
             trace: None,
-            waited: 0,
-            random_state: (0..n).map(|i| random_state(share(i) as u64, n as u64)).collect(),
+            recovery_ms: 0,
+            random_state: (0..count).map(|i| random_state(share(i) as u64, count as u64)).collect(),
         };
-        (0..bounds.nodes).for_each(|i| world.start(i));
-        world
+        (0..bounds.nodes).for_each(|i| simulation.start(i));
+        simulation
     }
 
+    /// Adds a line to the trace, if one is recorded.
     pub(crate) fn note(&mut self, what: impl FnOnce() -> String) {
         if let Some(trace) = &mut self.trace {
             trace.push(format!("{:5} ms  {}", self.now, what()));
         }
     }
 
-    pub(crate) fn at(&mut self, after: Millis, what: Due) {
-        self.agenda.push((self.now + after, what));
+    pub(crate) fn schedule(&mut self, after: Millis, what: Scheduled) {
+        self.scheduled.push((self.now + after, what));
     }
 
-    /// Troubles end at round times: those that begin shortly after each other come to the same.
-    pub(crate) fn at_least(&mut self, after: Millis, what: Due) {
-        self.agenda.push(((self.now + after).next_multiple_of(ROUND), what));
+    /// Faults end at round times: those that begin shortly after each other come to the same.
+    pub(crate) fn schedule_rounded(&mut self, after: Millis, what: Scheduled) {
+        self.scheduled.push(((self.now + after).next_multiple_of(FAULT_END_GRID), what));
     }
 
-    pub(crate) fn up(&self, i: usize) -> bool {
-        self.nodes[i].group.is_some() && !self.nodes[i].frozen
+    pub(crate) fn is_up(&self, i: usize) -> bool {
+        self.nodes[i].group.is_some() && !self.nodes[i].is_frozen
     }
 }
--- a/crates/model-check/src/simulation/network.rs
+++ b/crates/model-check/src/simulation/network.rs
@@ -1,10 +1,10 @@
-//! The connections between nodes: which are there, and what is under way on them.
+//! The connections between nodes: which are open, and what is in flight on them.
 
-use super::{Due, World};
+use super::{Scheduled, Simulation};
 use stileroute_control_group_planted::{Message, Millis, NodeId};
 
 /// Both ends notice a new connection after so long.
-const NOTICED: Millis = 2;
+const CONNECT_NOTICED_AFTER: Millis = 2;
 
 /// The address of this node.
 pub(crate) fn voter(i: usize) -> NodeId {
@@ -16,61 +16,66 @@
     usize::from(voter.ip().octets()[3]) - 1
 }
 
-/// A heartbeat, or the answer to one.
-pub(super) fn heartbeat(message: &Message) -> bool {
+/// Whether the message is a heartbeat, or the answer to one.
+pub(crate) fn is_heartbeat(message: &Message) -> bool {
     matches!(message, Message::Heartbeat(_) | Message::HeartbeatAck(_))
 }
 
-impl World {
-    pub(crate) fn way(&self, a: usize, b: usize) -> usize {
+impl Simulation {
+    /// The index of what two nodes share.
+    pub(crate) fn pair(&self, a: usize, b: usize) -> usize {
         a.min(b) * self.nodes.len() + a.max(b)
     }
 
-    pub(crate) fn wire(&self, from: usize, to: usize) -> usize {
+    /// The index of what goes from one node to another.
+    pub(crate) fn direction(&self, from: usize, to: usize) -> usize {
         from * self.nodes.len() + to
     }
 
-    pub(crate) fn join(&mut self, a: usize, b: usize) {
-        let way = self.way(a, b);
-        let able = |i: usize| self.nodes[i].group.is_some();
-        let (to, fro) = (self.wire(a, b), self.wire(b, a));
-        let heard = self.held[to].max(self.held[fro]) <= self.now;
-        if a != b && able(a) && able(b) && heard && self.cuts[way] == 0 && !self.joined[way] {
-            self.joined[way] = true;
-            self.wires[to].clear();
-            self.wires[fro].clear();
-            self.linked(a, b, true, NOTICED);
+    /// Connects two nodes, unless a partition, a hold or a process that does not run keeps them apart.
+    pub(crate) fn connect_if_possible(&mut self, a: usize, b: usize) {
+        let pair = self.pair(a, b);
+        let runs = |i: usize| self.nodes[i].group.is_some();
+        let (there, back) = (self.direction(a, b), self.direction(b, a));
+        let is_held = self.held_until[there].max(self.held_until[back]) > self.now;
+        if a != b
+            && runs(a)
+            && runs(b)
+            && !is_held
+            && self.partition_counts[pair] == 0
+            && !self.is_connected[pair]
+        {
+            self.is_connected[pair] = true;
+            self.in_flight[there].clear();
+            self.in_flight[back].clear();
+            self.schedule_link(a, b, true, CONNECT_NOTICED_AFTER);
         }
     }
 
-    fn linked(&mut self, a: usize, b: usize, up: bool, noticed: Millis) {
+    fn schedule_link(&mut self, a: usize, b: usize, is_up: bool, noticed_after: Millis) {
         for (at, peer) in [(a, b), (b, a)] {
-            self.agenda.retain(
-                |(_, due)| !matches!(due, Due::Link { at: x, peer: y, .. } if (*x, *y) == (at, peer)),
+            self.scheduled.retain(
+                |(_, due)| !matches!(due, Scheduled::Link { at: x, peer: y, .. } if (*x, *y) == (at, peer)),
             );
-            self.at(noticed, Due::Link { at, peer, up });
+            self.schedule(noticed_after, Scheduled::Link { at, peer, is_up });
         }
     }
 
-    /// What `drains` has sent still arrives.
-    pub(crate) fn part(&mut self, a: usize, b: usize, noticed: Millis, drains: Option<usize>) {
-        let way = self.way(a, b);
-        if !std::mem::take(&mut self.joined[way]) {
+    /// Breaks the connection of two nodes. What `draining` has sent still arrives; the rest that is in flight is lost.
+    pub(crate) fn disconnect(&mut self, a: usize, b: usize, noticed_after: Millis, draining: Option<usize>) {
+        let pair = self.pair(a, b);
+        if !std::mem::take(&mut self.is_connected[pair]) {
             return;
         }
         let mut last = 0;
         for (from, to) in [(a, b), (b, a)] {
-            let wire = self.wire(from, to);
-            if drains == Some(from) {
-                last = self.wires[wire].back().map_or(0, |(due, _)| self.since_now(*due));
+            let direction = self.direction(from, to);
+            if draining == Some(from) {
+                last = self.in_flight[direction].back().map_or(0, |(due, _)| due.saturating_sub(self.now));
             } else {
-                self.wires[wire].clear();
+                self.in_flight[direction].clear();
             }
         }
-        self.linked(a, b, false, noticed.max(last));
-    }
-
-    fn since_now(&self, due: Millis) -> Millis {
-        due.saturating_sub(self.now)
+        self.schedule_link(a, b, false, noticed_after.max(last));
     }
 }
--- a/crates/model-check/src/simulation/trace.rs
+++ b/crates/model-check/src/simulation/trace.rs
@@ -1,4 +1,4 @@
-//! Messages and records as text, for the trace of a world.
+//! Messages and records as text, for the trace of a simulation.
 
 use super::network::index;
 use stileroute_control_group_planted::{Message, Record};
@@ -9,13 +9,13 @@
             format!("store {} by {epoch} ({write_id})", state.version)
         }
         Message::Propose { view, by_handover } => {
-            let freed = if *by_handover { ", released" } else { "" };
-            format!("propose epoch {} for {}{freed}", view.epoch, index(view.primary))
+            let handover = if *by_handover { ", by handover" } else { "" };
+            format!("propose epoch {} for {}{handover}", view.epoch, index(view.primary))
         }
         Message::Granted { view } => format!("granted epoch {} to {}", view.epoch, index(view.primary)),
         Message::Denied { view } => {
             format!(
-                "denied, by epoch {} of {}, drawn {}",
+                "denied by epoch {} of {}, membership of epoch {}",
                 view.epoch,
                 index(view.primary),
                 view.membership_epoch
@@ -23,13 +23,13 @@
         }
         Message::ViewReply { view: Some(view) } => {
             format!(
-                "this view: epoch {} of {}, drawn {}",
+                "view: epoch {} of {}, membership of epoch {}",
                 view.epoch,
                 index(view.primary),
                 view.membership_epoch
             )
         }
-        Message::StateReply { state } => format!("this state: {}", state.version),
+        Message::StateReply { state } => format!("state: {}", state.version),
         other => format!("{other:?}"),
     }
 }
@@ -39,7 +39,7 @@
         Record::View(view) => {
             let replicas: Vec<usize> = view.replicas.iter().map(|c| index(*c)).collect();
             format!(
-                "view: epoch {} of {}, replicas {replicas:?}, drawn {}",
+                "view: epoch {} of {}, replicas {replicas:?}, membership of epoch {}",
                 view.epoch,
                 index(view.primary),
                 view.membership_epoch
