--- a/crates/server/src/protocol.rs
+++ b/crates/server/src/protocol.rs
@@ -12,6 +12,8 @@
 
 /// The version of this protocol. A process of another version is rejected as soon as it says so in its [`PeerInfo`].
 pub const PROTOCOL_VERSION: u16 = 1;
+/// Each frame on a connection is preceded by its length in so many bytes, little-endian.
+pub const FRAME_LENGTH_BYTES: usize = 4;
 
 /// What a process says of itself in the first frame of a connection, in both directions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -36,7 +38,7 @@
 
 /// What a store knows of the fate of a message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum MessageState {
+pub enum MessageStatus {
     /// It has not ended yet.
     Pending,
     /// An executor has run it.
@@ -52,7 +54,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KnownMessage {
     /// How far the message has come.
-    pub state: MessageState,
+    pub status: MessageStatus,
     /// Its body, if that was asked for and is still there.
     pub body: Option<Vec<u8>>,
 }
