--- a/crates/node/src/drive/clients.rs
+++ b/crates/node/src/drive/clients.rs
@@ -9,7 +9,7 @@
 use crate::store::ids::Ids;
 use crate::store::pool::{Bytes, Pool};
 use crate::store::seats::{Seat, Seats};
-use crate::wire::http::is_number;
+use crate::wire::http::is_decimal;
 use crate::wire::names;
 use crate::wire::serve::{answer_head, Fault, Inbox, Request, GO_ON};
 use crossbeam_channel::{bounded, Receiver, Sender};
@@ -424,7 +424,7 @@
 
 /// A plain number, of no more digits than are ever needed.
 fn number(text: &str) -> Option<i64> {
-    (text.len() <= 12 && is_number(text)).then(|| text.parse().ok())?
+    (text.len() <= 12 && is_decimal(text)).then(|| text.parse().ok())?
 }
 
 impl Door {
--- a/crates/node/src/drive/directory.rs
+++ b/crates/node/src/drive/directory.rs
@@ -131,7 +131,7 @@
     if answer.as_ref().is_ok_and(|whole| matches!(whole.status, 429 | 503)) {
         return Err(TURNED_AWAY);
     }
-    let told = answer.and_then(|whole| targets::read(&whole).map(|list| (list, whole.close)));
+    let told = answer.and_then(|whole| targets::read(&whole).map(|list| (list, whole.closes_connection)));
     told.map_err(|error| {
         say!("discovery: answer can't be read: {error}");
         "garbled"
--- a/crates/node/src/drive/mod.rs
+++ b/crates/node/src/drive/mod.rs
@@ -11,7 +11,7 @@
 pub mod peers;
 
 pub use crate::store::seats::look;
-use crate::wire::http::{Gather, Whole};
+use crate::wire::http::{Response, ResponseReader};
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::time::Instant;
@@ -24,9 +24,9 @@
     mut stream: &TcpStream,
     text: &str,
     until: Instant,
-) -> Result<Result<Whole, String>, &'static str> {
+) -> Result<Result<Response, String>, &'static str> {
     stream.write_all(text.as_bytes()).map_err(|_| "unwritten")?;
-    let (mut gather, mut chunk) = (Gather::default(), [0; CHUNK]);
+    let (mut gather, mut chunk) = (ResponseReader::default(), [0; CHUNK]);
     loop {
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() || stream.set_read_timeout(Some(left)).is_err() {
@@ -37,7 +37,7 @@
             Ok(read) => match gather.feed(&chunk[..read]) {
                 Ok(None) => {}
                 Ok(Some(whole)) => return Ok(Ok(whole)),
-                Err(error) => return Ok(Err(error)),
+                Err(error) => return Ok(Err(error.to_string())),
             },
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
--- a/crates/node/src/life/budget.rs
+++ b/crates/node/src/life/budget.rs
@@ -1,6 +1,6 @@
 //! How many descriptors and buffers each part of the node may hold.
 
-use crate::wire::http::MESSAGE;
+use crate::wire::http::MAX_MESSAGE_BYTES;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
@@ -22,8 +22,8 @@
 /// What a thread may cost in memory: its stack as far as it is used.
 const STACK: usize = 24 * 1024;
 /// What a request in hand may cost: buffers for itself and its answer, a reader, a writer, a push.
-const REQUEST: usize = 2 * MESSAGE + 3 * STACK;
-const STRANGER: usize = MESSAGE + STACK;
+const REQUEST: usize = 2 * MAX_MESSAGE_BYTES + 3 * STACK;
+const STRANGER: usize = MAX_MESSAGE_BYTES + STACK;
 
 impl Budget {
     /// What is left of it while another process of the node has as much.
--- a/crates/node/src/wire/call.rs
+++ b/crates/node/src/wire/call.rs
@@ -1,6 +1,6 @@
 //! An operator's call: the bytes of one connection become one call, and its answer becomes bytes.
 
-use super::http::{self, framing, Framing, HEADERS};
+use super::http::{self, body_framing, Framing, MAX_HEADERS};
 use super::names;
 use super::serve::{answer_head, Fault};
 
@@ -32,7 +32,7 @@
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Call>, Fault> {
         let fault = |status, why: &str| Err(Fault { status, why: why.to_string() });
         self.held.extend_from_slice(bytes);
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
         let end = match head.parse(&self.held) {
             Ok(httparse::Status::Complete(end)) => end,
@@ -42,13 +42,13 @@
             Ok(httparse::Status::Partial) => return Ok(None),
             Err(error) => return fault(400, &format!("not a request: {error}")),
         };
-        if !http::lines_are_whole(&self.held[..end]) {
+        if !http::has_crlf_line_endings(&self.held[..end]) {
             return fault(400, "a line does not end in CR LF");
         }
-        let length = match framing(head.headers, head.version) {
-            Some(None) => 0,
-            Some(Some(Framing::Length(length))) if length <= LONGEST => length,
-            Some(Some(Framing::Length(_))) => return fault(413, "no call has a body"),
+        let length = match body_framing(head.headers, head.version) {
+            Ok(None) => 0,
+            Ok(Some(Framing::Length(length))) if length <= LONGEST => length,
+            Ok(Some(Framing::Length(_))) => return fault(413, "no call has a body"),
             _ => return fault(400, "Content-Length or Transfer-Encoding is malformed"),
         };
         if self.held.len() < end + length {
--- a/crates/node/src/wire/push.rs
+++ b/crates/node/src/wire/push.rs
@@ -1,6 +1,6 @@
 //! The client side of HTTP: a push as bytes, and the answer to it up to its last line.
 
-use super::http::{self, framing, has_token, header, Chunks, Framing, HEADERS};
+use super::http::{self, body_framing, has_token, header_value, ChunkedDecoder, Framing, MAX_HEADERS};
 use super::jobs::{self, Word};
 use super::names;
 use crate::port::Job;
@@ -54,7 +54,7 @@
     /// What a status other than 200 tells.
     refused: Option<Told>,
     framing: Framing,
-    chunks: Chunks,
+    chunks: ChunkedDecoder,
     load: Option<Vec<f64>>,
     close: bool,
 }
@@ -80,8 +80,8 @@
     pub fn reusable(&self) -> bool {
         let whole = |open: &Open| match open.framing {
             Framing::Length(left) => left == 0,
-            Framing::Chunked => open.chunks.done(),
-            Framing::ToEnd => false,
+            Framing::Chunked => open.chunks.is_done(),
+            Framing::UntilClose => false,
         };
         self.over && self.open.as_ref().is_some_and(|open| !open.close && whole(open))
     }
@@ -98,7 +98,7 @@
                 return self.garbled(&mut tell);
             }
             match read_head(held, &self.gauges) {
-                None if held.len() > http::HEAD => return self.garbled(&mut tell),
+                None if held.len() > http::MAX_HEAD_BYTES => return self.garbled(&mut tell),
                 None => return,
                 Some(Err(())) => return self.garbled(&mut tell),
                 // An interim answer has no more than a head: the real one follows.
@@ -120,7 +120,7 @@
 
     /// The connection has ended: an answer framed by that is whole now.
     pub fn end(&mut self, mut tell: impl FnMut(Heard)) {
-        if self.open.as_ref().is_some_and(|open| open.framing == Framing::ToEnd) {
+        if self.open.as_ref().is_some_and(|open| open.framing == Framing::UntilClose) {
             self.whole(&mut tell);
         }
     }
@@ -142,13 +142,13 @@
                 *left -= some;
                 true
             }
-            Framing::ToEnd => {
+            Framing::UntilClose => {
                 take(bytes);
                 true
             }
-            Framing::Chunked => open.chunks.feed(bytes, take).is_ok(),
+            Framing::Chunked => open.chunks.decode(bytes, take).is_ok(),
         };
-        let whole = open.framing == Framing::Length(0) || open.chunks.done();
+        let whole = open.framing == Framing::Length(0) || open.chunks.is_done();
         heard.into_iter().for_each(|word| self.hear(word, tell));
         if !sound {
             self.garbled(tell);
@@ -229,7 +229,7 @@
 
 /// Reads the head of an answer: nothing yet, a fault, an interim answer (no `Open`), or the answer.
 fn read_head(bytes: &[u8], gauges: &[String]) -> Option<Result<(Option<Open>, usize), ()>> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let end = match head.parse(bytes) {
         Ok(httparse::Status::Complete(end)) => end,
@@ -241,9 +241,9 @@
     if (100..200).contains(&code) && code != 101 {
         return Some(Ok((None, end)));
     }
-    let Some(framing) = framing(headers, head.version) else { return Some(Err(())) };
-    let framing = framing.unwrap_or(if code == 204 { Framing::Length(0) } else { Framing::ToEnd });
-    let unstarted = header(headers, names::NEVER_RAN) == Some("1");
+    let Ok(framing) = body_framing(headers, head.version) else { return Some(Err(())) };
+    let framing = framing.unwrap_or(if code == 204 { Framing::Length(0) } else { Framing::UntilClose });
+    let unstarted = header_value(headers, names::NEVER_RAN) == Some("1");
     let refused = match code {
         200 => None,
         503 | 504 if unstarted => Some(Told::Returned),
@@ -251,7 +251,7 @@
         400 | 404 | 405 | 409 | 411 | 413..=415 | 417 | 422 | 431 => Some(Told::Unfit(code)),
         _ => Some(Told::Failed),
     };
-    let load = header(headers, names::LOAD).and_then(|text| jobs::read_load_text(text, gauges));
+    let load = header_value(headers, names::LOAD).and_then(|text| jobs::read_load_text(text, gauges));
     let close = has_token(headers, "Connection", "close") || head.version == Some(0);
-    Some(Ok((Some(Open { refused, framing, chunks: Chunks::default(), load, close }), end)))
+    Some(Ok((Some(Open { refused, framing, chunks: ChunkedDecoder::default(), load, close }), end)))
 }
--- a/crates/node/src/wire/serve.rs
+++ b/crates/node/src/wire/serve.rs
@@ -1,6 +1,6 @@
 //! The server side of HTTP: bytes of a client's connection become requests, answers become bytes.
 
-use super::http::{self, framing, has_token, header, Chunks, Framing, HEADERS};
+use super::http::{self, body_framing, has_token, header_value, ChunkedDecoder, Framing, MAX_HEADERS};
 use super::names;
 use crate::port::Job;
 use crate::store::ids::Entry;
@@ -74,7 +74,7 @@
 struct Open {
     request: Request,
     framing: Framing,
-    chunks: Chunks,
+    chunks: ChunkedDecoder,
 }
 
 /// Collects the bytes of one connection; gives its requests one by one. A request takes one buffer, from its
@@ -138,7 +138,7 @@
             return fault(413, "request too large");
         }
         let Some(head) = read_head(&held, &self.wanted)? else {
-            if held.len() > http::HEAD {
+            if held.len() > http::MAX_HEAD_BYTES {
                 return fault(431, "head too large");
             }
             self.held = Some(held);
@@ -164,19 +164,19 @@
                 *left -= some;
                 some
             }
-            _ => match open.chunks.feed(bytes, |part| fits = fits && held.add(part)) {
+            _ => match open.chunks.decode(bytes, |part| fits = fits && held.add(part)) {
                 Ok(used) => used,
                 Err(_) => return fault(400, "chunked body is malformed"),
             },
         };
-        if !fits || held.len() - start > http::BODY {
+        if !fits || held.len() - start > http::MAX_BODY_BYTES {
             return fault(413, "body over 64 KiB");
         }
         if used > 0 {
             // It has begun to send all the same.
             self.waits = false;
         }
-        if !(open.framing == Framing::Length(0) || open.chunks.done()) {
+        if !(open.framing == Framing::Length(0) || open.chunks.is_done()) {
             return Ok(None);
         }
         open.request.body = start..open.request.held.len();
@@ -210,7 +210,7 @@
 ];
 
 fn read_head(bytes: &[u8], wanted: &[String]) -> Result<Option<Head>, Fault> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let end = match head.parse(bytes) {
         Ok(httparse::Status::Complete(end)) => end,
@@ -218,41 +218,43 @@
         Err(httparse::Error::TooManyHeaders) => return fault(431, "too many headers"),
         Err(error) => return fault(400, &format!("request is malformed: {error}")),
     };
-    if end > http::HEAD {
+    if end > http::MAX_HEAD_BYTES {
         return fault(431, "head too large");
     }
-    if !http::lines_are_whole(&bytes[..end]) {
+    if !http::has_crlf_line_endings(&bytes[..end]) {
         return fault(400, "request is malformed: a line ends without CR");
     }
     let headers = &*head.headers;
-    if let Some(name) = TEXTS.iter().chain(&["Host"]).find(|name| http::repeated(headers, name)) {
+    if let Some(name) = TEXTS.iter().chain(&["Host"]).find(|name| http::is_repeated(headers, name)) {
         return fault(400, &format!("{name} is given twice"));
     }
     // Routes must not be chosen by the first of two while an executor acts on the second.
-    if let Some(name) = wanted.iter().find(|name| http::repeated(headers, name)) {
+    if let Some(name) = wanted.iter().find(|name| http::is_repeated(headers, name)) {
         return fault(400, &format!("{name} is given twice"));
     }
-    let framing = match framing(headers, head.version) {
-        None => return fault(400, "Content-Length or Transfer-Encoding is malformed"),
-        Some(Some(Framing::Length(bytes))) if bytes > http::BODY => return fault(413, "body over 64 KiB"),
-        Some(framing) => framing.unwrap_or(Framing::Length(0)),
+    let framing = match body_framing(headers, head.version) {
+        Err(_) => return fault(400, "Content-Length or Transfer-Encoding is malformed"),
+        Ok(Some(Framing::Length(bytes))) if bytes > http::MAX_BODY_BYTES => {
+            return fault(413, "body over 64 KiB")
+        }
+        Ok(framing) => framing.unwrap_or(Framing::Length(0)),
     };
     if head.path.is_none_or(|path| !path.starts_with('/') || !path.bytes().all(|b| b.is_ascii_graphic())) {
         return fault(400, "path is malformed");
     }
-    let expects = header(headers, "Expect");
+    let expects = header_value(headers, "Expect");
     if expects.is_some_and(|expects| !expects.eq_ignore_ascii_case("100-continue")) {
         return fault(417, "Expect is not met here");
     }
     // An older client would take the word to go on for its answer.
     let waits = expects.is_some() && head.version == Some(1);
-    let text = |name| header(headers, name).filter(|text| !text.is_empty()).map(str::to_string);
+    let text = |name| header_value(headers, name).filter(|text| !text.is_empty()).map(str::to_string);
     let old = head.version == Some(0);
     Ok(Some(Head {
         texts: TEXTS.map(text),
         wanted: wanted
             .iter()
-            .filter_map(|name| Some((name.clone(), header(headers, name)?.to_string())))
+            .filter_map(|name| Some((name.clone(), header_value(headers, name)?.to_string())))
             .collect(),
         method: head.method.unwrap_or_default().to_string(),
         path: head.path.unwrap_or_default().to_string(),
@@ -286,7 +288,7 @@
             body,
         },
         framing: head.framing,
-        chunks: Chunks::default(),
+        chunks: ChunkedDecoder::default(),
     }
 }
 
--- a/crates/node/src/wire/targets.rs
+++ b/crates/node/src/wire/targets.rs
@@ -1,6 +1,6 @@
 //! What discovery is asked and what it tells.
 
-use super::http::Whole;
+use super::http::Response;
 use super::names;
 use crate::port;
 use serde::Deserialize;
@@ -70,7 +70,7 @@
 }
 
 /// Reads an answer of discovery.
-pub fn read(answer: &Whole) -> Result<List, String> {
+pub fn read(answer: &Response) -> Result<List, String> {
     if answer.status != 200 {
         return Err(format!("status {}", answer.status));
     }
--- a/crates/server/src/net/dialogue.rs
+++ b/crates/server/src/net/dialogue.rs
@@ -6,7 +6,7 @@
 use super::Millis;
 use httparse::Status;
 use std::io::Write;
-use stileroute_http1::{self as http1, framing, has_token, header, Chunks, Framing};
+use stileroute_http1::{self as http1, body_framing, has_token, header_value, ChunkedDecoder, Framing};
 
 /// What a request may be, and how long it may take to come.
 #[derive(Clone, Copy, Debug)]
@@ -197,21 +197,21 @@
         Err(_) => return Found::Fault(400),
     };
     // Anything that another program could read in another way is refused: so is a request hidden in a body.
-    if !http1::lines_are_whole(&bytes[..end]) {
+    if !http1::has_crlf_line_endings(&bytes[..end]) {
         return Found::Fault(400);
     }
     let headers = &*head.headers;
     let single = ["Host", "X-Request-Id", "X-Delay-Ms", "X-Time-Left-Ms", "X-Callback-Url", "X-Order-Key"];
-    if single.iter().any(|name| http1::repeated(headers, name)) {
+    if single.iter().any(|name| http1::is_repeated(headers, name)) {
         return Found::Fault(400);
     }
-    let text = |name| header(headers, name).map(str::to_string);
-    let number = |name| match header(headers, name) {
+    let text = |name| header_value(headers, name).map(str::to_string);
+    let number = |name| match header_value(headers, name) {
         None => Ok(None),
-        Some(text) if http1::is_number(text) => text.parse::<u64>().map(Some).map_err(|_| ()),
+        Some(text) if http1::is_decimal(text) => text.parse::<u64>().map(Some).map_err(|_| ()),
         Some(_) => Err(()),
     };
-    let Some(framing) = framing(headers, head.version) else { return Found::Fault(400) };
+    let Ok(framing) = body_framing(headers, head.version) else { return Found::Fault(400) };
     let rest = &bytes[end..];
     let (body, used) = match framing {
         None => (Vec::new(), end),
@@ -221,19 +221,19 @@
             None => return Found::More { expects: has_token(headers, "Expect", "100-continue") },
         },
         Some(Framing::Chunked) => {
-            let (mut chunks, mut body) = (Chunks::default(), Vec::new());
-            let Ok(used) = chunks.feed(rest, |part| body.extend_from_slice(part)) else {
+            let (mut chunks, mut body) = (ChunkedDecoder::default(), Vec::new());
+            let Ok(used) = chunks.decode(rest, |part| body.extend_from_slice(part)) else {
                 return Found::Fault(400);
             };
             if body.len() > bounds.body {
                 return Found::Fault(413);
             }
-            if !chunks.done() {
+            if !chunks.is_done() {
                 return Found::More { expects: has_token(headers, "Expect", "100-continue") };
             }
             (body, end + used)
         }
-        Some(Framing::ToEnd) => return Found::Fault(400),
+        Some(Framing::UntilClose) => return Found::Fault(400),
     };
     let (Ok(delay_ms), Ok(left_ms)) = (number("X-Delay-Ms"), number("X-Time-Left-Ms")) else {
         return Found::Fault(400);
--- a/crates/server/src/net/exchange.rs
+++ b/crates/server/src/net/exchange.rs
@@ -8,7 +8,7 @@
 use httparse::Status;
 use std::collections::VecDeque;
 use stileroute_dispatch::types::mark;
-use stileroute_http1::{framing, has_token, header, repeated, Chunks, Framing};
+use stileroute_http1::{body_framing, has_token, header_value, is_repeated, ChunkedDecoder, Framing};
 
 /// An answer, whole.
 #[derive(Clone, Debug, Default)]
@@ -252,35 +252,35 @@
             continue;
         }
         let headers = &*head.headers;
-        if SINGLE.iter().any(|name| repeated(headers, name)) {
+        if SINGLE.iter().any(|name| is_repeated(headers, name)) {
             return Found::Garbled;
         }
-        let text = |name| header(headers, name).map(str::to_string);
+        let text = |name| header_value(headers, name).map(str::to_string);
         let reply = Reply {
             status,
             seal: text("X-Server-Seal"),
-            not_run: header(headers, "X-Not-Run").is_some(),
+            not_run: header_value(headers, "X-Not-Run").is_some(),
             load: text("X-Server-Load"),
             id: text("X-Request-Id"),
         };
-        let Some(framing) = framing(headers, head.version) else { return Found::Garbled };
+        let Ok(framing) = body_framing(headers, head.version) else { return Found::Garbled };
         let used = match framing {
             _ if bodiless || without_body(status) => end,
-            None | Some(Framing::ToEnd) => return Found::ToEnd { reply },
+            None | Some(Framing::UntilClose) => return Found::ToEnd { reply },
             Some(Framing::Length(length)) if length > MOST => return Found::Garbled,
             Some(Framing::Length(length)) if bytes.len() - end < length => return Found::More,
             Some(Framing::Length(length)) => end + length,
             Some(Framing::Chunked) => {
-                let mut chunks = Chunks::default();
-                let Ok(used) = chunks.feed(&bytes[end..], |_| {}) else { return Found::Garbled };
-                if !chunks.done() {
+                let mut chunks = ChunkedDecoder::default();
+                let Ok(used) = chunks.decode(&bytes[end..], |_| {}) else { return Found::Garbled };
+                if !chunks.is_done() {
                     return if bytes.len() > MOST { Found::Garbled } else { Found::More };
                 }
                 end + used
             }
         };
         let close = has_token(headers, "Connection", "close") || head.version == Some(0);
-        let keep = rest_allowed(header(headers, "Keep-Alive"));
+        let keep = rest_allowed(header_value(headers, "Keep-Alive"));
         return Found::Whole { reply, used, keep: (!close && keep > 0).then_some(keep) };
     }
 }
