--- a/crates/capacity/src/member_node.rs
+++ b/crates/capacity/src/member_node.rs
@@ -4,7 +4,9 @@
 use crate::layout::{distance, zone_number, Layout, Place};
 use crate::links::{LinkEvent, Links};
 use crate::net::{Millis, Net};
-use crate::signals::{ExecutorState, Heartbeat, Member, MembershipUpdate, NodeRole, RetirementState, Signal};
+use crate::signals::{
+    ExecutorState, Heartbeat, Member, MembershipUpdate, NodeRole, RetirementProgress, Signal,
+};
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 use stileroute_queue::Node;
@@ -98,7 +100,7 @@
             life: self.life,
             version: self.version,
             config: self.config,
-            retiring: RetirementState::NotRetiring,
+            retiring: RetirementProgress::NotRetiring,
         };
         if links.say(net, with, &ask) {
             self.asked = Some(net.now());
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -153,7 +153,7 @@
         let stores = self
             .members
             .iter()
-            .filter(|m| m.role == NodeRole::Store && m.retirement == RetirementState::NotRetiring);
+            .filter(|m| m.role == NodeRole::Store && m.retirement == RetirementProgress::NotRetiring);
         stores.filter(move |m| !goes(m.node))
     }
 
@@ -278,7 +278,8 @@
         for member in own.chain(others).filter(|m| m.role == NodeRole::Store) {
             // A store that has turned to another control node may have a session with the one before as well, for the connection
             // stands: what it said there is older. Nobody who is to be emptied ever goes back on it.
-            let known = all.get(&member.node).map_or(RetirementState::NotRetiring, |other| other.retirement);
+            let known =
+                all.get(&member.node).map_or(RetirementProgress::NotRetiring, |other| other.retirement);
             let retirement = member.retirement.max(known);
             all.insert(member.node, Member { retirement, ..plain(member) });
         }
--- a/crates/registry/src/types.rs
+++ b/crates/registry/src/types.rs
@@ -48,7 +48,7 @@
     /// The version of the configuration that the node has; 0 in a membership list, or if it has none.
     pub config_version: u64,
     /// How far the node's retirement has come.
-    pub retirement: RetirementState,
+    pub retirement: RetirementProgress,
 }
 
 /// How far a store has come in handing its messages to others, after operators ordered its retirement. It never goes back:
@@ -57,7 +57,7 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, strum::Display,
 )]
 #[strum(serialize_all = "lowercase")]
-pub enum RetirementState {
+pub enum RetirementProgress {
     /// No retirement is ordered, or the store does not know of it yet.
     #[default]
     #[strum(serialize = "no")]
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -17,7 +17,7 @@
         incarnation: 1,
         control_address: control,
         config_version: 0,
-        retirement: RetirementState::NotRetiring,
+        retirement: RetirementProgress::NotRetiring,
     }
 }
 
@@ -216,26 +216,26 @@
     let mut registry = ready();
     let store = |node, retirement| Member { retirement, ..member(node, NodeRole::Store) };
     for node in [7, 8, 9] {
-        registry.record_poll(3000, store(node, RetirementState::NotRetiring), 0, 0);
+        registry.record_poll(3000, store(node, RetirementProgress::NotRetiring), 0, 0);
     }
     registry.tick(3000, true, None);
     assert_eq!(registry.stores_remaining_without(|node| node == 7).count(), 2);
     // Ordered, and not yet confirmed: who asks names it with the one that is to go.
     assert_eq!(registry.stores_remaining_without(|node| [7, 8].contains(&node)).count(), 1);
     // It has its session here, and another control node tells of the one that it had before.
-    registry.record_poll(6100, store(8, RetirementState::Draining), 0, 0);
+    registry.record_poll(6100, store(8, RetirementProgress::Draining), 0, 0);
     registry.record_peer_sessions(
         6101,
         2,
-        vec![store(8, RetirementState::NotRetiring), store(9, RetirementState::NotRetiring)],
+        vec![store(8, RetirementProgress::NotRetiring), store(9, RetirementProgress::NotRetiring)],
     );
     registry.tick(6101, true, None);
-    assert_eq!(registry.store_named("n8").map(|m| m.retirement), Some(RetirementState::Draining));
+    assert_eq!(registry.store_named("n8").map(|m| m.retirement), Some(RetirementProgress::Draining));
     assert_eq!(registry.stores_remaining_without(|node| node == 7).count(), 1);
-    registry.record_poll(6200, store(8, RetirementState::Complete), 0, 0);
-    registry.record_peer_sessions(6201, 2, vec![store(8, RetirementState::Draining)]);
+    registry.record_poll(6200, store(8, RetirementProgress::Complete), 0, 0);
+    registry.record_peer_sessions(6201, 2, vec![store(8, RetirementProgress::Draining)]);
     registry.tick(6201, true, None);
-    assert_eq!(registry.store_named("n8").map(|m| m.retirement), Some(RetirementState::Complete));
+    assert_eq!(registry.store_named("n8").map(|m| m.retirement), Some(RetirementProgress::Complete));
 }
 
 #[test]
--- a/crates/server/src/core/retire.rs
+++ b/crates/server/src/core/retire.rs
@@ -5,9 +5,9 @@
 use crate::calls::{CallHandler, Retire, RetireBegin, RetireRead, Retired};
 use crate::net::Millis;
 use crate::node::number;
-use crate::signals::{NodeRole, Passed, RetirementState, Signal};
+use crate::signals::{NodeRole, Passed, RetirementProgress, Signal};
 use std::collections::BTreeMap;
-use stileroute_control_group::{ControlState, Stage};
+use stileroute_control_group::{ControlState, RetirementStage};
 use stileroute_queue::Node;
 use stileroute_registry::Registry;
 
@@ -44,7 +44,7 @@
     // While it does not know yet who is there, none is refused for good.
     let refused = |judgement| if registry.is_ready { judgement } else { Judgement::NotNow };
     let Some(store) = registry.store_named(name) else { return refused(Judgement::Unknown) };
-    if store.retirement != RetirementState::NotRetiring {
+    if store.retirement != RetirementProgress::NotRetiring {
         return Judgement::Take;
     }
     let agreed = |other: Node| other == node || held.retirement(other).is_some();
@@ -69,17 +69,19 @@
     let stage = agreed.and_then(|state| state.retirement(number(name))).map(|retirement| retirement.stage);
     let says = registry.store_named(name).map(|store| store.retirement);
     match (stage, says) {
-        (Some(Stage::Complete), None | Some(RetirementState::Complete)) => Some(Retired::Complete),
+        (Some(RetirementStage::Complete), None | Some(RetirementProgress::Complete)) => {
+            Some(Retired::Complete)
+        }
         (Some(_), _) => Some(Retired::Rolling),
         (None, _) => None,
     }
 }
 
-fn stage(retiring: RetirementState) -> Option<Stage> {
+fn stage(retiring: RetirementProgress) -> Option<RetirementStage> {
     match retiring {
-        RetirementState::NotRetiring => None,
-        RetirementState::Draining => Some(Stage::Rolling),
-        RetirementState::Complete => Some(Stage::Complete),
+        RetirementProgress::NotRetiring => None,
+        RetirementProgress::Draining => Some(RetirementStage::Draining),
+        RetirementProgress::Complete => Some(RetirementStage::Complete),
     }
 }
 
@@ -94,7 +96,7 @@
         let lacks = |node: &Node| {
             let session = registry.sessions.get(node).filter(|session| session.is_connected);
             session.is_some_and(|s| {
-                s.member.role == NodeRole::Store && s.member.retirement == RetirementState::NotRetiring
+                s.member.role == NodeRole::Store && s.member.retirement == RetirementProgress::NotRetiring
             })
         };
         let mut due: Vec<Node> = agreed.retirements.iter().map(|r| r.node).filter(lacks).collect();
@@ -123,17 +125,19 @@
 
     /// At the primary.
     fn note_stages(&mut self, now: Millis) {
-        let Some(held) = self.group.settled(now).filter(|held| !held.retirements.is_empty()) else { return };
+        let Some(held) = self.group.readable_state(now).filter(|held| !held.retirements.is_empty()) else {
+            return;
+        };
         let further = |retirement: &stileroute_control_group::Retirement| {
             let says = stage(self.registry.store_named(&retirement.name)?.retirement)?;
             (says > retirement.stage).then_some((retirement.node, says))
         };
-        let steps: Vec<(Node, Stage)> = held.retirements.iter().filter_map(further).collect();
+        let steps: Vec<(Node, RetirementStage)> = held.retirements.iter().filter_map(further).collect();
         if steps.is_empty() {
             return;
         }
         for (node, stage) in steps {
-            self.group.advance(now, node, stage);
+            self.group.advance_retirement(now, node, stage);
         }
         self.carry_out();
     }
@@ -155,13 +159,13 @@
         let says = self
             .registry
             .store_named(name)
-            .is_some_and(|store| store.retirement != RetirementState::NotRetiring);
-        agreed.is_some_and(|retirement| says || retirement.stage != Stage::Ordered)
+            .is_some_and(|store| store.retirement != RetirementProgress::NotRetiring);
+        agreed.is_some_and(|retirement| says || retirement.stage != RetirementStage::Ordered)
     }
 
     fn judge(&self, now: Millis, name: &str) -> Option<Judgement> {
-        let held = self.group.settled(now)?;
-        let soon: Vec<Node> = self.group.retiring_soon().collect();
+        let held = self.group.readable_state(now)?;
+        let soon: Vec<Node> = self.group.pending_retirements().collect();
         let suffice = |zones: &[&str]| self.common.boot.suffice(zones.iter().copied());
         Some(judge(name, held, &soon, &self.registry, suffice))
     }
@@ -184,7 +188,7 @@
             Judgement::NotNow => return Some(Retire::NotNow),
             Judgement::Known => self.in_hand.await_store(place),
             Judgement::Take => {
-                self.group.retire(now, place, number(&name), name);
+                self.group.retire_store(now, place, number(&name), name);
                 self.carry_out();
             }
         }
@@ -200,13 +204,13 @@
         }
         self.in_hand.keep(place, Passed::RetireRead { node: name.clone() });
         // Only who decides can say that there is no such order.
-        if self.group.settled(now).is_none() {
+        if self.group.readable_state(now).is_none() {
             self.pass(place, self.group.primary());
             return None;
         }
         let says = self.registry.store_named(&name).and_then(|store| stage(store.retirement));
         Some(match says {
-            Some(Stage::Complete) => Retired::Complete,
+            Some(RetirementStage::Complete) => Retired::Complete,
             Some(_) => Retired::Rolling,
             None if self.registry.is_ready => Retired::Unknown,
             None => Retired::NotNow,
--- a/crates/server/src/core/tests.rs
+++ b/crates/server/src/core/tests.rs
@@ -5,10 +5,10 @@
 use super::retire::{judge, standing, Judgement, Told};
 use crate::calls::{Retired, LARGEST_CONFIGURATION};
 use crate::node::number;
-use crate::signals::{Member, NodeRole, Passed, PassedKind, RetirementState};
+use crate::signals::{Member, NodeRole, Passed, PassedKind, RetirementProgress};
 use assert_matches::assert_matches;
 use std::net::Ipv4Addr;
-use stileroute_control_group::{ControlState, Record, Retirement, Stage, RETIREMENTS};
+use stileroute_control_group::{ControlState, Record, Retirement, RetirementStage, MAX_RETIREMENTS};
 use stileroute_registry::Registry;
 use stileroute_wal::{Fold, MAX_RECORD};
 
@@ -93,7 +93,7 @@
     assert_eq!(PassedKind::Replace.uncertain().status, 504);
 }
 
-fn store(name: &str, retiring: RetirementState) -> Member {
+fn store(name: &str, retiring: RetirementProgress) -> Member {
     Member {
         node: number(name),
         name: name.to_string(),
@@ -108,9 +108,9 @@
 }
 
 /// Knows these stores; `ready` if it has been up for long enough.
-fn registry(stores: &[(&str, RetirementState)], ready: bool) -> Registry {
+fn registry(stores: &[(&str, RetirementProgress)], ready: bool) -> Registry {
     let mut registry = Registry::new(
-        Member { role: NodeRole::Control, ..store("core-1", RetirementState::NotRetiring) },
+        Member { role: NodeRole::Control, ..store("core-1", RetirementProgress::NotRetiring) },
         77,
         1200,
         0,
@@ -124,8 +124,8 @@
     registry
 }
 
-fn held(retirements: &[(&str, Stage)]) -> ControlState {
-    let one = |(name, stage): &(&str, Stage)| Retirement {
+fn held(retirements: &[(&str, RetirementStage)]) -> ControlState {
+    let one = |(name, stage): &(&str, RetirementStage)| Retirement {
         node: number(name),
         name: name.to_string(),
         stage: *stage,
@@ -139,11 +139,11 @@
     judge(name, held, &soon, registry, |zones| zones.len() >= 2)
 }
 
-const FOUR: [(&str, RetirementState); 4] = [
-    ("s-1", RetirementState::NotRetiring),
-    ("s-2", RetirementState::NotRetiring),
-    ("s-3", RetirementState::NotRetiring),
-    ("s-4", RetirementState::NotRetiring),
+const FOUR: [(&str, RetirementProgress); 4] = [
+    ("s-1", RetirementProgress::NotRetiring),
+    ("s-2", RetirementProgress::NotRetiring),
+    ("s-3", RetirementProgress::NotRetiring),
+    ("s-4", RetirementProgress::NotRetiring),
 ];
 
 #[test]
@@ -159,17 +159,17 @@
         "they may come to nothing"
     );
     // They are agreed on, and no store has said so yet.
-    let agreed = held(&[("s-1", Stage::Ordered), ("s-2", Stage::Ordered)]);
+    let agreed = held(&[("s-1", RetirementStage::Ordered), ("s-2", RetirementStage::Ordered)]);
     assert_eq!(judged("s-3", &agreed, &[], &registry), Judgement::TooFew);
     // One that was said to be empty is gone by now, and one that never was a member counts for none.
-    assert_eq!(judged("s-1", &held(&[("s-9", Stage::Complete)]), &[], &registry), Judgement::Take);
+    assert_eq!(judged("s-1", &held(&[("s-9", RetirementStage::Complete)]), &[], &registry), Judgement::Take);
     assert_eq!(judged("s-9", &none, &[], &registry), Judgement::Unknown);
 }
 
 #[test]
 fn an_order_sent_again_is_never_refused_also_when_the_machine_is_gone() {
     let left = registry(&FOUR[1..3], true);
-    for stage in [Stage::Ordered, Stage::Rolling, Stage::Complete] {
+    for stage in [RetirementStage::Ordered, RetirementStage::Draining, RetirementStage::Complete] {
         assert_eq!(judged("s-1", &held(&[("s-1", stage)]), &[], &left), Judgement::Known);
     }
 }
@@ -183,26 +183,30 @@
 
 #[test]
 fn complete_is_what_the_store_has_said_and_no_other_machine_of_its_name_contradicts() {
-    let complete = held(&[("s-1", Stage::Complete)]);
-    let rolling = held(&[("s-1", Stage::Rolling)]);
+    let complete = held(&[("s-1", RetirementStage::Complete)]);
+    let rolling = held(&[("s-1", RetirementStage::Draining)]);
     let says = |retiring| registry(&[("s-1", retiring)], true);
     let gone = registry(&[], true);
     let of = |state, registry: &Registry| standing("s-1", Some(state), registry);
     assert_matches!(of(&complete, &gone), Some(Retired::Complete));
-    assert_matches!(of(&complete, &says(RetirementState::Complete)), Some(Retired::Complete));
+    assert_matches!(of(&complete, &says(RetirementProgress::Complete)), Some(Retired::Complete));
     // It is restarting: nobody has said that it is empty.
     assert_matches!(of(&rolling, &gone), Some(Retired::Rolling));
     // It has said so to one node, and the value does not: whoever restarts would have forgotten it.
-    assert_matches!(of(&rolling, &says(RetirementState::Complete)), Some(Retired::Rolling));
+    assert_matches!(of(&rolling, &says(RetirementProgress::Complete)), Some(Retired::Rolling));
     // A new machine of the name.
-    assert_matches!(of(&complete, &says(RetirementState::NotRetiring)), Some(Retired::Rolling));
-    assert_matches!(of(&held(&[]), &says(RetirementState::Complete)), None);
+    assert_matches!(of(&complete, &says(RetirementProgress::NotRetiring)), Some(Retired::Rolling));
+    assert_matches!(of(&held(&[]), &says(RetirementProgress::Complete)), None);
     assert_matches!(standing("s-1", None, &gone), None);
 }
 
 #[test]
 fn a_store_is_told_where_its_session_is_until_it_says_that_it_retires() {
-    let agreed = held(&[("s-1", Stage::Ordered), ("s-2", Stage::Rolling), ("s-9", Stage::Ordered)]);
+    let agreed = held(&[
+        ("s-1", RetirementStage::Ordered),
+        ("s-2", RetirementStage::Draining),
+        ("s-9", RetirementStage::Ordered),
+    ]);
     let mut here = registry(&FOUR, true);
     let mut told = Told::default();
     let (first, second) = (number("s-1"), number("s-2"));
@@ -210,19 +214,19 @@
     assert_eq!(told.due(3000, &agreed, &here), [first, second]);
     assert!(told.due(3499, &agreed, &here).is_empty());
     assert_eq!(told.due(3500, &agreed, &here), [first, second]);
-    here.record_poll(3600, store("s-1", RetirementState::Draining), 0, 0);
+    here.record_poll(3600, store("s-1", RetirementProgress::Draining), 0, 0);
     here.session_disconnected(3600, second);
     assert!(told.due(9000, &agreed, &here).is_empty());
-    here.record_poll(9100, store("s-2", RetirementState::NotRetiring), 0, 0);
+    here.record_poll(9100, store("s-2", RetirementProgress::NotRetiring), 0, 0);
     assert_eq!(told.due(9100, &agreed, &here), [second]);
 }
 
 /// The largest there is, with as many retirements as are remembered, of the longest names that are read.
 fn largest() -> ControlState {
     let name = |i: usize| format!("{i:0>255}");
-    let retirement = |i| Retirement { node: i as u32, name: name(i), stage: Stage::Complete };
+    let retirement = |i| Retirement { node: i as u32, name: name(i), stage: RetirementStage::Complete };
     let body = (0..LARGEST_CONFIGURATION).map(|i| i as u8).collect();
-    ControlState { serial: 70, version: 7, body, retirements: (0..RETIREMENTS).map(retirement).collect() }
+    ControlState { serial: 70, version: 7, body, retirements: (0..MAX_RETIREMENTS).map(retirement).collect() }
 }
 
 #[test]
--- a/crates/server/src/node.rs
+++ b/crates/server/src/node.rs
@@ -4,7 +4,7 @@
 use crate::net::{Bounds, Event, Millis, Net};
 use crate::report::Inquiry;
 use crate::settings;
-use crate::signals::{Hello, Member, MembershipUpdate, NodeRole, RetirementState, Signal, PROTOCOL};
+use crate::signals::{Hello, Member, MembershipUpdate, NodeRole, RetirementProgress, Signal, PROTOCOL};
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -63,7 +63,7 @@
     stands: Option<Node>,
     pub since: Millis,
     /// Whether this node, a store, is to be emptied: its control node is told with each question.
-    retiring: RetirementState,
+    retiring: RetirementProgress,
     /// One that said that it is cut off, and until when others are asked first.
     shunned: Vec<(Node, Millis)>,
     asked: Option<Millis>,
@@ -112,7 +112,7 @@
             with: None,
             stands: None,
             since: 0,
-            retiring: RetirementState::NotRetiring,
+            retiring: RetirementProgress::NotRetiring,
             shunned: Vec::new(),
             asked: None,
             heard: 0,
@@ -281,7 +281,7 @@
     }
 
     /// Tells its control node at once.
-    pub fn retires(&mut self, retiring: RetirementState) {
+    pub fn retires(&mut self, retiring: RetirementProgress) {
         if std::mem::replace(&mut self.session.retiring, retiring) != retiring {
             tracing::info!(%retiring, "retirement");
             self.ask();
--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
-use stileroute_queue::{Key, Message, Node, PeerMessage, Refusal};
+use stileroute_queue::{Key, Message, Node, PeerMessage, PutError};
 pub use stileroute_registry::{
-    ExecutorState, Heartbeat, Member, MembershipUpdate, NodeRole, RetirementState,
+    ExecutorState, Heartbeat, Member, MembershipUpdate, NodeRole, RetirementProgress,
 };
 
 /// A version of the protocol: others are turned away by name.
@@ -40,7 +40,7 @@
         life: u64,
         version: u64,
         config: u64,
-        retiring: RetirementState,
+        retiring: RetirementProgress,
     },
     News(MembershipUpdate),
     Put {
@@ -49,7 +49,7 @@
     },
     Taken {
         ticket: u64,
-        result: Result<String, Refusal>,
+        result: Result<String, PutError>,
     },
     /// A store takes nothing more.
     Leaving,
@@ -63,7 +63,7 @@
         found: Option<(Found, Option<Vec<u8>>)>,
     },
     PeerMessage(PeerMessage),
-    Control(stileroute_control_group::Signal),
+    Control(stileroute_control_group::Message),
     /// Between control nodes: the sessions here, and the executors that called.
     Sessions(Vec<Member>),
     Heartbeats(Vec<Heartbeat>),
@@ -123,24 +123,29 @@
                 "operators"
             }
             Signal::PeerMessage(note) => match note {
-                PeerMessage::Copy(_) | PeerMessage::Copied(_) | PeerMessage::NotCopied(_) => "copies",
-                PeerMessage::Ends(_)
-                | PeerMessage::Called(_)
-                | PeerMessage::KnownEnds(_)
-                | PeerMessage::EndsKept(_) => "ends",
+                PeerMessage::Replicate(_)
+                | PeerMessage::Replicated(_)
+                | PeerMessage::ReplicationRejected(_) => "copies",
+                PeerMessage::Ended(_)
+                | PeerMessage::CallbacksDelivered(_)
+                | PeerMessage::TransferEnds(_)
+                | PeerMessage::EndsStored(_) => "ends",
                 PeerMessage::Digests { .. }
-                | PeerMessage::Disk(_)
-                | PeerMessage::Standing { .. }
-                | PeerMessage::Stood => "comparing",
-                PeerMessage::Own(_) | PeerMessage::Drop(_) | PeerMessage::Lost(_) | PeerMessage::Want(_) => {
-                    "owners"
-                }
+                | PeerMessage::DiskId(_)
+                | PeerMessage::RangeContents { .. }
+                | PeerMessage::Reconciled => "comparing",
+                PeerMessage::OwnershipChanged(_)
+                | PeerMessage::Drop(_)
+                | PeerMessage::LostWithDisk(_)
+                | PeerMessage::RequestReplicas(_) => "owners",
                 PeerMessage::Handover(_)
-                | PeerMessage::HandoverTaken(_)
-                | PeerMessage::HandoverRefused(_) => "handover",
-                PeerMessage::RowAsk { .. } | PeerMessage::RowLive { .. } | PeerMessage::RowDone(_) => "rows",
-                PeerMessage::TokensWanted { .. } | PeerMessage::Tokens { .. } => "tokens",
-                PeerMessage::Leaving | PeerMessage::Retiring | PeerMessage::Relieved => "leaving",
+                | PeerMessage::HandoverAccepted(_)
+                | PeerMessage::HandoverRejected(_) => "handover",
+                PeerMessage::GroupQuery { .. }
+                | PeerMessage::GroupQueryReply { .. }
+                | PeerMessage::GroupMessagesEnded(_) => "rows",
+                PeerMessage::RequestTokens { .. } | PeerMessage::GrantTokens { .. } => "tokens",
+                PeerMessage::Draining | PeerMessage::Retiring | PeerMessage::NoReplicasNeeded => "leaving",
             },
         }
     }
--- a/crates/server/src/signals/tests.rs
+++ b/crates/server/src/signals/tests.rs
@@ -20,7 +20,7 @@
     }
 }
 
-fn member(class: NodeRole, control: Option<SocketAddrV4>, retiring: RetirementState) -> Member {
+fn member(class: NodeRole, control: Option<SocketAddrV4>, retiring: RetirementProgress) -> Member {
     Member {
         node: 7,
         name: "n".to_string(),
@@ -55,16 +55,16 @@
         method: "POST".to_string(),
         target: "/t?q".to_string(),
         content_type: Some("text/plain".to_string()),
-        callback: None,
-        order_key: Some("r\0k".to_string()),
+        callback_url: None,
+        ordering_key: Some("r\0k".to_string()),
         delay_ms: 1500,
-        taken: 1_700_000_000_000,
-        config: 2,
+        accepted_at_ms: 1_700_000_000_000,
+        config_revision: 2,
         body: vec![0, 255, 10],
     }
 }
 
-fn ask(retiring: RetirementState) -> Signal {
+fn ask(retiring: RetirementProgress) -> Signal {
     Signal::Ask { life: 1, version: 128, config: 3, retiring }
 }
 
@@ -82,10 +82,10 @@
         is_complete: true,
         config: Some(b"{}".to_vec()),
         members: Some(vec![
-            member(NodeRole::Edge, None, RetirementState::NotRetiring),
-            member(NodeRole::Store, None, RetirementState::Draining),
-            member(NodeRole::Control, Some(CONTROL), RetirementState::Complete),
-            member(NodeRole::CommandLine, None, RetirementState::NotRetiring),
+            member(NodeRole::Edge, None, RetirementProgress::NotRetiring),
+            member(NodeRole::Store, None, RetirementProgress::Draining),
+            member(NodeRole::Control, Some(CONTROL), RetirementProgress::Complete),
+            member(NodeRole::CommandLine, None, RetirementProgress::NotRetiring),
         ]),
         executors: vec![
             heartbeat(ExecutorState::Serving),
@@ -99,24 +99,24 @@
         Signal::Hello(hello(NodeRole::Control, Some(CONTROL))),
         Signal::Hello(hello(NodeRole::CommandLine, None)),
         Signal::Ping,
-        ask(RetirementState::NotRetiring),
-        ask(RetirementState::Draining),
-        ask(RetirementState::Complete),
+        ask(RetirementProgress::NotRetiring),
+        ask(RetirementProgress::Draining),
+        ask(RetirementProgress::Complete),
         Signal::News(MembershipUpdate::default()),
         Signal::News(full_news),
         Signal::Put { ticket: 300, message: message() },
         Signal::Taken { ticket: 1, result: Ok("name".to_string()) },
-        Signal::Taken { ticket: 1, result: Err(Refusal::NotTaken) },
-        Signal::Taken { ticket: 1, result: Err(Refusal::Uncertain) },
+        Signal::Taken { ticket: 1, result: Err(PutError::Rejected) },
+        Signal::Taken { ticket: 1, result: Err(PutError::Uncertain) },
         Signal::Leaving,
         Signal::Find { ticket: 2, key: KEY, body: true },
         found(None),
         found(Some((Found::Waiting, None))),
         found(Some((Found::Complete { seal: "s".to_string() }, Some(vec![1, 2])))),
         found(Some((Found::Failed, None))),
-        Signal::PeerMessage(PeerMessage::Copied(vec![KEY])),
-        Signal::Control(group::Signal::Stored { epoch: 1, serial: 2 }),
-        Signal::Sessions(vec![member(NodeRole::Store, None, RetirementState::NotRetiring)]),
+        Signal::PeerMessage(PeerMessage::Replicated(vec![KEY])),
+        Signal::Control(group::Message::Stored { epoch: 1, write_id: 2 }),
+        Signal::Sessions(vec![member(NodeRole::Store, None, RetirementProgress::NotRetiring)]),
         Signal::Heartbeats(vec![heartbeat(ExecutorState::Serving)]),
         Signal::Pass { ticket: 4, call: Passed::Replace { version: 7, body: b"{}".to_vec() } },
         Signal::Pass { ticket: 4, call: Passed::Read },
