--- a/crates/queue/src/state_table.rs
+++ b/crates/queue/src/state_table.rs
@@ -3,7 +3,7 @@
 use crate::message::{End, Key, ReplicatedMessage};
 use crate::record::Record;
 use std::collections::HashMap;
-use stileroute_wal::Fold;
+use stileroute_wal::StateMachine;
 
 /// Ends are kept on disk for so long, in milliseconds: clients ask for them no later.
 const END_RETENTION_MS: u64 = 240_000;
@@ -113,7 +113,7 @@
     }
 }
 
-impl Fold for StateTable {
+impl StateMachine for StateTable {
     fn apply(&mut self, record: &[u8]) {
         match postcard::from_bytes(record) {
             Ok(record) => self.apply_record(record),
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -14,8 +14,7 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 use stileroute_queue::{
-    first_number, Bear, Effect, Key, Node, Outcome, Queue, QueueSettings, Record, RetirementState, Server,
-    State, StateTable,
+    first_number, Bear, Effect, Key, Node, Outcome, Queue, QueueSettings, Record, Server, State, StateTable,
 };
 use stileroute_wal::{Options, Trouble, Wal};
 
@@ -59,8 +58,9 @@
             let _ = said.send((ticket, result));
             let _ = waker.wake();
         };
-        let room = common.boot.means.disk_mb << 20;
-        let options = Options { room, lazy_sync: Duration::from_millis(200), ..Options::new("hold") };
+        let capacity_bytes = common.boot.means.disk_mb << 20;
+        let options =
+            Options { capacity_bytes, max_sync_delay: Duration::from_millis(200), ..Options::new("hold") };
         let (disk, ledger) = Wal::open::<StateTable>(&dir, options, done)
             .map_err(|e| miette::miette!("{}: {e}", dir.display()))?;
         let (number, first) = (ledger.disk_id.unwrap_or_else(lot), first_number(lot()));
@@ -122,18 +122,18 @@
                 self.queue.begin_draining(now);
             }
             self.carry_out();
-            let retiring = match self.queue.retirement_state() {
-                RetirementState::NotOrdered => RetirementProgress::NotRetiring,
-                RetirementState::InProgress => RetirementProgress::Draining,
-                RetirementState::Empty => RetirementProgress::Complete,
+            let retirement = match self.queue.retirement_state() {
+                stileroute_queue::RetirementState::NotOrdered => RetirementProgress::NotRetiring,
+                stileroute_queue::RetirementState::InProgress => RetirementProgress::Draining,
+                stileroute_queue::RetirementState::Empty => RetirementProgress::Complete,
             };
-            self.common.retires(retiring);
+            self.common.retires(retirement);
             for line in self.queue.log() {
                 tracing::debug!("{line}");
             }
             if self.may_end(now) {
                 self.common.net.flush_all();
-                self.disk.stop();
+                self.disk.close();
                 return Ok(());
             }
         }
