--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -7,8 +7,8 @@
 
 use strum::{Display, EnumString};
 
-use crate::faults::Faults;
-use crate::read::{self, Notes, Place};
+use crate::error::Faults;
+use crate::section::{self, Notes, Place};
 
 /// Most routes, and most services.
 const MOST: usize = 100_000;
@@ -100,7 +100,7 @@
     /// Reads a configuration, or tells all that is wrong with it; then nothing of it may come into force.
     pub fn read(body: &[u8]) -> Result<Config, Faults> {
         let notes = Notes::new(FILE);
-        let object = match read::object(body) {
+        let object = match section::object(body) {
             Ok(object) => object,
             Err(reason) => return Err(notes.refuse(reason)),
         };
@@ -115,7 +115,7 @@
             if let Some(first) = names.insert(service.name.clone(), at).filter(|_| !service.name.is_empty()) {
                 place.fault(
                     "name",
-                    format_args!("{} is the name of backends[{first}] too", read::quoted(&service.name)),
+                    format_args!("{} is the name of backends[{first}] too", section::quoted(&service.name)),
                 );
             }
             services.push(service);
@@ -154,7 +154,7 @@
         let backend = place.text("backend");
         let service = services.get(&backend).copied();
         if service.is_none() && !backend.is_empty() {
-            place.fault("backend", format_args!("no service has the name {}", read::quoted(&backend)));
+            place.fault("backend", format_args!("no service has the name {}", section::quoted(&backend)));
         }
         let target_ms = place.span("target_ms", None);
         let route = Route {
@@ -163,15 +163,15 @@
             prefix: place.text("path_prefix"),
             kind: place.text("route_type").parse().unwrap_or(RouteKind::Other),
             timeout_ms: place.get("timeout_ms", None, "a span of time above 0", |value| {
-                read::span(value, 1.0).filter(|ms| *ms > 0)
+                section::span(value, 1.0).filter(|ms| *ms > 0)
             }),
             target_ms,
             run_target_ms: place.span("run_target_ms", Some(target_ms)),
             max_wait_ms: place.span("max_wait_s", Some(MAX_WAIT_MS)),
-            priority: place.get("priority", Some(0), "a whole number", read::signed),
+            priority: place.get("priority", Some(0), "a whole number", section::signed),
             service: service.unwrap_or_default(),
             max_tries: place.get("max_tries", Some(MAX_TRIES), "a whole number above 0", |value| {
-                u32::try_from(read::whole(value)?).ok().filter(|tries| *tries > 0)
+                u32::try_from(section::whole(value)?).ok().filter(|tries| *tries > 0)
             }),
             in_order: place.flag("in_order"),
             callback: place.flag("callback_url"),
@@ -194,7 +194,7 @@
                 "health_path",
                 Some(HEALTH_PATH.into()),
                 "a path that begins with /",
-                |value| read::text(value).filter(|path| path.starts_with('/')),
+                |value| section::text(value).filter(|path| path.starts_with('/')),
             ),
             max_conns: place.small("max_conns", MAX_CONNS),
             rate_per_s: place.number("rate_per_s", 0.0),
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -8,11 +8,11 @@
 // Not finished yet: what these lints name is still to be documented or divided.
 #![allow(clippy::missing_errors_doc, missing_docs)]
 
-mod boot;
 mod config;
-mod faults;
-mod read;
+mod error;
+mod node_settings;
+mod section;
 
-pub use boot::{Boot, Bounds, Losses, Means};
 pub use config::{Config, Limits, Route, RouteKind, Service};
-pub use faults::{Fault, Faults};
+pub use error::{Fault, Faults};
+pub use node_settings::{Boot, Bounds, Losses, Means};
--- a/crates/config/src/boot.rs
+++ b/crates/config/src/node_settings.rs
@@ -8,8 +8,8 @@
 
 use jzon::JsonValue;
 
-use crate::faults::Faults;
-use crate::read::{self, Notes, Place};
+use crate::error::Faults;
+use crate::section::{self, Notes, Place};
 
 /// What a process is told. Fields that are missing take the safe side or the usual figure.
 #[derive(Clone, Debug, PartialEq)]
@@ -91,7 +91,7 @@
     pub fn read(path: &Path) -> Result<Boot, Faults> {
         let name = path.display().to_string();
         let mut bytes = Vec::new();
-        let most = read::LONGEST as u64 + 1;
+        let most = section::LONGEST as u64 + 1;
         match File::open(path).and_then(|file| file.take(most).read_to_end(&mut bytes)) {
             Ok(_) => Boot::from_bytes(&name, &bytes),
             Err(e) => Err(Notes::new(&name).refuse(format_args!("cannot be read: {e}"))),
@@ -105,7 +105,7 @@
 
     fn from_bytes(file: &str, bytes: &[u8]) -> Result<Boot, Faults> {
         let notes = Notes::new(file);
-        let object = match read::object(bytes) {
+        let object = match section::object(bytes) {
             Ok(object) => object,
             Err(reason) => return Err(notes.refuse(reason)),
         };
@@ -116,14 +116,14 @@
             if value.is_null() {
                 Some(None)
             } else {
-                read::text(value).map(|dir| Some(PathBuf::from(dir)))
+                section::text(value).map(|dir| Some(PathBuf::from(dir)))
             }
         };
         let mut boot = Boot {
             node_name: top.text("node_name"),
             role: top.text("role"),
             class: top.text("machine_class"),
-            serves: top.get("serves", Some(Vec::new()), "a list of text", |v| each(v, read::text)),
+            serves: top.get("serves", Some(Vec::new()), "a list of text", |v| each(v, section::text)),
             ip: top.get("ip", None, "an IPv4 address", ip).unwrap_or(Ipv4Addr::UNSPECIFIED),
             zone: top.text("zone"),
             region: top.text("region"),
@@ -133,7 +133,8 @@
             control: bind.address("control"),
             figures: bind.address("figures"),
             internal_ports: top.get("internal_ports", None, "two ports, the lower first", ports),
-            seeds: top.get("seed_nodes", Some(Vec::new()), "a list of ip:port", |v| each(v, read::address)),
+            seeds: top
+                .get("seed_nodes", Some(Vec::new()), "a list of ip:port", |v| each(v, section::address)),
             first_start: top.flag("first_start"),
             counted: top.flag("counted"),
             means: Means::from_place(top.inner("limits")),
@@ -238,11 +239,11 @@
 }
 
 fn zones(value: &JsonValue) -> Option<BTreeMap<String, String>> {
-    value.as_object()?.iter().map(|(zone, region)| Some((zone.to_string(), read::text(region)?))).collect()
+    value.as_object()?.iter().map(|(zone, region)| Some((zone.to_string(), section::text(region)?))).collect()
 }
 
 fn ports(value: &JsonValue) -> Option<(u16, u16)> {
-    match each(value, |port| u16::try_from(read::whole(port)?).ok())?[..] {
+    match each(value, |port| u16::try_from(section::whole(port)?).ok())?[..] {
         [first, last] if 0 < first && first <= last => Some((first, last)),
         _ => None,
     }
--- a/crates/config/src/read.rs
+++ b/crates/config/src/section.rs
@@ -7,7 +7,7 @@
 use jzon::object::Object;
 use jzon::JsonValue;
 
-use crate::faults::{Fault, Faults};
+use crate::error::{Fault, Faults};
 
 /// Longest text that is read.
 pub const LONGEST: usize = 8 << 20;
