--- /dev/null
+++ b/crates/queue/tests/stage_labels.rs
@@ -0,0 +1,18 @@
+//! The words by which reports and metrics name the stages of a message. Operators' tools read them.
+
+use stileroute_queue::Stage;
+
+#[test]
+fn every_stage_is_reported_by_its_documented_word() {
+    let labels = [
+        (Stage::Persisting, "landing"),
+        (Stage::Suspended, "held"),
+        (Stage::Waiting, "waiting"),
+        (Stage::InFlight, "out"),
+        (Stage::Replica, "copy"),
+        (Stage::Ended, "ended"),
+    ];
+    for (stage, label) in labels {
+        assert_eq!(stage.label(), label);
+    }
+}
--- a/crates/registry/tests/wire_bytes.rs
+++ b/crates/registry/tests/wire_bytes.rs
@@ -16,7 +16,7 @@
     assert_eq!(decoded, *value);
 }
 
-fn member(role: NodeRole, control: Option<SocketAddrV4>, retirement: RetirementProgress) -> Member {
+fn member(role: NodeRole, control: Option<SocketAddrV4>, retirement: RetirementState) -> Member {
     Member {
         node: 0x0102_0304,
         name: "store-1".into(),
@@ -61,18 +61,18 @@
 #[test]
 fn stages_of_a_retirement_keep_their_bytes_and_texts() {
     let cases = [
-        (RetirementProgress::NotRetiring, "00", "no"),
-        (RetirementProgress::Draining, "01", "rolling"),
-        (RetirementProgress::Complete, "02", "complete"),
+        (RetirementState::NotRetiring, "00", "no"),
+        (RetirementState::Draining, "01", "rolling"),
+        (RetirementState::Complete, "02", "complete"),
     ];
     for (retirement, hex, text) in cases {
         assert_bytes(&retirement, hex);
         assert_eq!(retirement.to_string(), text);
     }
-    assert_eq!(RetirementProgress::default(), RetirementProgress::NotRetiring);
+    assert_eq!(RetirementState::default(), RetirementState::NotRetiring);
     assert!(
-        RetirementProgress::NotRetiring < RetirementProgress::Draining
-            && RetirementProgress::Draining < RetirementProgress::Complete
+        RetirementState::NotRetiring < RetirementState::Draining
+            && RetirementState::Draining < RetirementState::Complete
     );
 }
 
@@ -93,11 +93,11 @@
 fn members_keep_their_bytes() {
     let control = Some(SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, 1), 7300));
     assert_bytes(
-        &member(NodeRole::Store, None, RetirementProgress::Draining),
+        &member(NodeRole::Store, None, RetirementState::Draining),
         "848688080773746f72652d3101027a310a01000eac02000701",
     );
     assert_bytes(
-        &member(NodeRole::Control, control, RetirementProgress::NotRetiring),
+        &member(NodeRole::Control, control, RetirementState::NotRetiring),
         "848688080773746f72652d3102027a310a01000eac02010a01000184390700",
     );
 }
@@ -123,7 +123,7 @@
         is_partitioned: true,
         is_complete: false,
         config: Some(vec![0x7b, 0x7d]),
-        members: Some(vec![member(NodeRole::Edge, None, RetirementProgress::Complete)]),
+        members: Some(vec![member(NodeRole::Edge, None, RetirementState::Complete)]),
         executors: vec![heartbeat(ExecutorState::Draining)],
     };
     assert_bytes(&full, "4dac02010001027b7d0101848688080773746f72652d3100027a310a01000eac020007020106657865632d31056372616e650a020005903f027a321001c413810128");
--- a/crates/server/src/store/tests.rs
+++ b/crates/server/src/store/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::net::planted;
+use crate::net::fault_injection;
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -39,8 +39,9 @@
         std::fs::write(&file, text).unwrap();
         let mut boot = NodeSettings::read(&file).unwrap();
         (boot.ip, boot.internal_ports) = (Ipv4Addr::LOCALHOST, PortRange::default());
-        let mut store = Store::new(Common::start(boot, Path::new(""), NodeRole::Store).unwrap()).unwrap();
-        let (now, fine) = (store.common.net.now(), store.common.net.fine());
+        let mut store =
+            Store::new(NodeRuntime::start(boot, Path::new(""), NodeRole::Store).unwrap()).unwrap();
+        let (now, fine) = (store.common.net.now(), store.common.net.now_tenths_ms());
         store.queue.configure(now, fine, Arc::new(Config::parse(CONFIG).unwrap()));
         store.carry_out();
         Lone { store, dir }
@@ -49,8 +50,13 @@
     fn takes(&mut self) {
         let (id, host) = ("m".to_string(), "quay.example".to_string());
         let (method, target) = ("POST".to_string(), "/in/x".to_string());
-        let message = Message { id, host, method, target, accepted_at_ms: wall(), ..Message::default() };
-        self.store.link_event(LinkEvent::Said(EDGE, NodeRole::Edge, Signal::Put { ticket: 5, message }));
+        let message =
+            Message { id, host, method, target, accepted_at_ms: wall_clock_ms(), ..Message::default() };
+        self.store.link_event(LinkEvent::Received(
+            EDGE,
+            NodeRole::Edge,
+            Frame::Submit { request_id: 5, message },
+        ));
         self.store.carry_out();
     }
 
@@ -67,7 +73,7 @@
     let before = !lone.waits();
     let given_up = Instant::now() + Duration::from_secs(20);
     while lone.waits() && Instant::now() < given_up {
-        lone.store.event(Event::Woken);
+        lone.store.event(Event::WakeUp);
         lone.store.carry_out();
         std::thread::yield_now();
     }
@@ -78,31 +84,34 @@
 #[test]
 fn a_message_is_answered_when_the_disk_has_it() {
     assert!(!answered_before_the_disk("kept"));
-    let fault = Some(planted::Planted::AnswerBeforeDisk);
-    assert!(planted::with(fault, || answered_before_the_disk("planted")), "the planted fault is not found");
+    let fault = Some(fault_injection::InjectedFault::AnswerBeforeDisk);
+    assert!(
+        fault_injection::with_fault(fault, || answered_before_the_disk("planted")),
+        "the planted fault is not found"
+    );
 }
 
 #[test]
 fn each_outcome_of_a_delivery_is_counted_under_its_label() {
     let mut lone = Lone::new("outcomes");
     let outcomes = [
-        (Outcome::Done { seal: String::new() }, "done"),
-        (Outcome::Refused, "refused"),
-        (Outcome::Failed, "failed"),
-        (Outcome::Full, "full"),
-        (Outcome::Over, "over"),
-        (Outcome::Running, "running"),
-        (Outcome::Wrong, "wrong"),
-        (Outcome::NotRun, "not_run"),
-        (Outcome::Stopped, "stopped"),
-        (Outcome::NotConnected, "not_connected"),
-        (Outcome::NoRoom, "no_room"),
-        (Outcome::Broken, "broken"),
-        (Outcome::Late, "late"),
-        (Outcome::Garbled, "garbled"),
+        (AttemptOutcome::Completed { seal: String::new() }, "done"),
+        (AttemptOutcome::Rejected, "refused"),
+        (AttemptOutcome::Failed, "failed"),
+        (AttemptOutcome::ExecutorFull, "full"),
+        (AttemptOutcome::RateLimited, "over"),
+        (AttemptOutcome::AlreadyRunning, "running"),
+        (AttemptOutcome::WrongServer, "wrong"),
+        (AttemptOutcome::NotRun, "not_run"),
+        (AttemptOutcome::TimedOut, "stopped"),
+        (AttemptOutcome::NotConnected, "not_connected"),
+        (AttemptOutcome::NoFreeConnection, "no_room"),
+        (AttemptOutcome::ConnectionBroken, "broken"),
+        (AttemptOutcome::NoResponse, "late"),
+        (AttemptOutcome::MalformedResponse, "garbled"),
     ];
     outcomes.iter().for_each(|(outcome, _)| lone.store.tally.ended(outcome));
-    let mut sheet = crate::figures::Sheet::default();
+    let mut sheet = crate::metrics::Exposition::default();
     lone.store.figures(&mut sheet);
     for (outcome, label) in &outcomes {
         let line = format!("stileroute_deliveries_total{{outcome=\"{label}\"}} 1");
