--- a/crates/registry/src/executors.rs
+++ b/crates/registry/src/executors.rs
@@ -1,171 +1,214 @@
-//! The table of executors.
+//! The table of executors, merged from heartbeats that came here or to other control nodes.
 
-use crate::{ExecutorState, Heartbeat, Millis, MAX_ENTRIES};
+use crate::messages::{ExecutorState, Heartbeat, Millis};
+use crate::version::VersionCounter;
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 
-/// What an executor that is gone is remembered for: late calls of it must not bring it back.
+/// Control nodes tell each other so often which executors sent heartbeats; changes they tell at once.
+pub const HEARTBEAT_GOSSIP_INTERVAL: Millis = 500;
+/// Most executors that are kept.
+const MAX_EXECUTORS: usize = 20_000;
+/// An executor that is offline is remembered for so long, so that its late heartbeats don't bring it back.
 const TOMBSTONE_RETENTION: Millis = 60_000;
+/// An executor is silent after 3.2 intervals of heartbeats and this allowance: three may be lost, or be late.
+const SILENCE_ALLOWANCE: Millis = 300;
 
-/// One executor, as it last told of itself.
+/// One executor, as its latest heartbeat describes it.
 #[derive(Clone, Debug)]
 pub struct ExecutorRecord {
+    /// The latest heartbeat; its state may have been set to offline since.
     pub heartbeat: Heartbeat,
+    /// When the executor sent a heartbeat last, on this process's clock.
     pub last_heard: Millis,
-    pub(crate) changed: u64,
+    /// The version of its last change.
+    pub(crate) changed_in: u64,
 }
 
 impl ExecutorRecord {
-    /// As it is told on: with how long ago it called, and how much colder it was then.
-    pub(crate) fn aged(&self, now: Millis) -> Heartbeat {
+    fn is_offline(&self) -> bool {
+        self.heartbeat.state == ExecutorState::Offline
+    }
+
+    fn set_offline(&mut self, version: u64) {
+        self.heartbeat.state = ExecutorState::Offline;
+        self.changed_in = version;
+    }
+
+    /// The heartbeat as it is passed on now: with its age, and with as much less of the warm-up left.
+    pub(crate) fn aged_heartbeat(&self, now: Millis) -> Heartbeat {
         let age_ms = now.saturating_sub(self.last_heard);
         let warmup_left_ms = self.heartbeat.warmup_left_ms.saturating_sub(age_ms);
         Heartbeat { age_ms, warmup_left_ms, ..self.heartbeat.clone() }
     }
 }
 
-pub(crate) struct Executors {
-    pub all: HashMap<String, ExecutorRecord>,
-    /// Those that called, and those of them with news, since the other control nodes were told.
-    fresh: Vec<String>,
-    urgent: Vec<String>,
-    /// Who is or was at an address: of many that call at once none is compared with all others.
-    at: HashMap<SocketAddrV4, Vec<String>>,
-    /// The version of the last change.
-    changed: u64,
-    /// Silent for longer than this, one is gone.
-    silence: Millis,
-    out_of_touch: Millis,
+/// All executors, and which of them the other control nodes have still to be told of.
+pub struct ExecutorTable {
+    records: HashMap<String, ExecutorRecord>,
+    /// Those that sent a heartbeat here since the last routine broadcast.
+    unsent: Vec<String>,
+    /// Those of them with a change since the last broadcast of any kind.
+    unsent_changes: Vec<String>,
+    /// Who is or was at an address, so that a new executor is not compared with all others.
+    by_address: HashMap<SocketAddrV4, Vec<String>>,
+    /// The version of the last change of any executor.
+    changed_in: u64,
+    /// One that is silent for longer is offline.
+    silence_limit: Millis,
+    /// When this node was last partitioned from the other control nodes.
+    last_partitioned: Millis,
 }
 
-impl Executors {
-    pub fn new(beat_interval_ms: Millis, now: Millis) -> Executors {
-        // Three calls may be lost, or be late.
-        let silence = beat_interval_ms * 16 / 5 + 300;
-        Executors {
-            all: HashMap::new(),
-            fresh: Vec::new(),
-            urgent: Vec::new(),
-            at: HashMap::new(),
-            changed: 0,
-            silence,
-            out_of_touch: now,
+impl ExecutorTable {
+    pub fn new(heartbeat_interval: Millis, now: Millis) -> ExecutorTable {
+        ExecutorTable {
+            records: HashMap::new(),
+            unsent: Vec::new(),
+            unsent_changes: Vec::new(),
+            by_address: HashMap::new(),
+            changed_in: 0,
+            silence_limit: heartbeat_interval * 16 / 5 + SILENCE_ALLOWANCE,
+            last_partitioned: now,
         }
     }
 
-    pub fn changed(&self) -> u64 {
-        self.changed
+    pub fn records(&self) -> impl Iterator<Item = &ExecutorRecord> {
+        self.records.values()
     }
 
-    pub fn called(&mut self, id: String, changed: bool) {
-        if changed {
-            self.urgent.push(id.clone());
+    /// The version of the last change of any executor.
+    pub fn changed_in(&self) -> u64 {
+        self.changed_in
+    }
+
+    /// Notes that the other control nodes have to be told of an executor, with the next broadcast if it has changed.
+    pub fn queue_broadcast(&mut self, id: String, has_changed: bool) {
+        if has_changed {
+            self.unsent_changes.push(id.clone());
         }
-        self.fresh.push(id);
+        self.unsent.push(id);
     }
 
-    /// What was told of an executor, here or at another control node: the higher count of calls is the newer. Whether that
-    /// was news.
-    pub fn merge(&mut self, version: &mut u64, now: Millis, heartbeat: Heartbeat) -> bool {
-        let last_heard = now.saturating_sub(heartbeat.age_ms);
-        if let Some(known) = self.all.get_mut(&heartbeat.id) {
-            let gone = known.heartbeat.state == ExecutorState::Offline;
-            if heartbeat.sequence < known.heartbeat.sequence
-                || (gone && heartbeat.sequence == known.heartbeat.sequence)
-            {
-                return false;
-            }
-            known.last_heard = known.last_heard.max(last_heard);
-            let old = std::mem::replace(&mut known.heartbeat, heartbeat);
-            let now = &known.heartbeat;
-            let same = old.state == now.state
-                && old.address == now.address
-                && old.backend == now.backend
-                && old.capacity == now.capacity;
-            if !same {
-                *version += 1;
-                (known.changed, self.changed) = (*version, *version);
-                if old.address != now.address {
-                    self.at.entry(now.address).or_default().push(now.id.clone());
-                }
-                tracing::info!(id = now.id, state = %now.state, "executor");
-            }
-            return !same;
+    /// Merges a heartbeat that came here or to another control node. Returns whether anything but its time has changed.
+    pub fn merge(&mut self, version: &mut VersionCounter, now: Millis, heartbeat: Heartbeat) -> bool {
+        let heard = now.saturating_sub(heartbeat.age_ms);
+        let Some(record) = self.records.get_mut(&heartbeat.id) else {
+            return self.insert(version, heard, heartbeat);
+        };
+        let sequence = record.heartbeat.sequence;
+        let is_older = heartbeat.sequence < sequence;
+        let is_from_before_end = record.is_offline() && heartbeat.sequence == sequence;
+        if is_older || is_from_before_end {
+            return false;
         }
-        if self.all.len() >= MAX_ENTRIES {
+        record.last_heard = record.last_heard.max(heard);
+        let old = std::mem::replace(&mut record.heartbeat, heartbeat);
+        let new = &record.heartbeat;
+        let is_same = old.state == new.state
+            && old.address == new.address
+            && old.backend == new.backend
+            && old.capacity == new.capacity;
+        if is_same {
             return false;
         }
-        *version += 1;
-        self.changed = *version;
-        // A new life at an address ends the one that was there: it may be another service's now.
-        let there = self.at.entry(heartbeat.address).or_default();
-        for id in there.iter() {
-            let Some(known) = self.all.get_mut(id) else { continue };
-            let there = known.heartbeat.address == heartbeat.address
-                && known.heartbeat.state != ExecutorState::Offline;
-            if there && known.last_heard <= last_heard {
-                known.heartbeat.state = ExecutorState::Offline;
-                known.changed = *version;
-            }
+        self.changed_in = version.advance();
+        record.changed_in = self.changed_in;
+        if old.address != new.address {
+            self.by_address.entry(new.address).or_default().push(new.id.clone());
         }
-        there.push(heartbeat.id.clone());
+        tracing::info!(id = new.id, state = %new.state, "executor");
+        true
+    }
+
+    /// Adds an executor that is not known yet. Returns whether there was room for it.
+    fn insert(&mut self, version: &mut VersionCounter, heard: Millis, heartbeat: Heartbeat) -> bool {
+        if self.records.len() >= MAX_EXECUTORS {
+            return false;
+        }
+        self.changed_in = version.advance();
+        self.end_predecessors(heartbeat.address, heard);
+        self.by_address.entry(heartbeat.address).or_default().push(heartbeat.id.clone());
         tracing::info!(id = heartbeat.id, service = heartbeat.backend, state = %heartbeat.state, "executor");
-        self.all.insert(heartbeat.id.clone(), ExecutorRecord { heartbeat, last_heard, changed: *version });
+        let id = heartbeat.id.clone();
+        let record = ExecutorRecord { heartbeat, last_heard: heard, changed_in: self.changed_in };
+        self.records.insert(id, record);
         true
     }
 
-    /// It said that it ends.
-    pub fn end(&mut self, version: &mut u64, id: &str) -> bool {
-        let Some(known) = self.all.get_mut(id).filter(|k| k.heartbeat.state != ExecutorState::Offline) else {
+    /// A new executor at an address ends those that were there: the address may be another service's now.
+    fn end_predecessors(&mut self, address: SocketAddrV4, heard: Millis) {
+        for id in self.by_address.get(&address).into_iter().flatten() {
+            let Some(record) = self.records.get_mut(id) else { continue };
+            let is_there = record.heartbeat.address == address && !record.is_offline();
+            if is_there && record.last_heard <= heard {
+                record.set_offline(self.changed_in);
+            }
+        }
+    }
+
+    /// Sets an executor offline that has deregistered. Returns whether that was news.
+    pub fn deregister(&mut self, version: &mut VersionCounter, id: &str) -> bool {
+        let Some(record) = self.records.get_mut(id).filter(|record| !record.is_offline()) else {
             return false;
         };
-        known.heartbeat.state = ExecutorState::Offline;
-        *version += 1;
-        (known.changed, self.changed) = (*version, *version);
+        self.changed_in = version.advance();
+        record.set_offline(self.changed_in);
         tracing::info!(id, "executor left");
         true
     }
 
-    /// What the other control nodes are to hear: changes at once, all that called now and then.
-    pub fn untold(&mut self, now: Millis, routine: bool) -> Vec<Heartbeat> {
-        let mut ids = std::mem::take(&mut self.urgent);
-        if routine {
-            ids = std::mem::take(&mut self.fresh);
+    /// What the other control nodes have to be told: with a routine broadcast of all that sent heartbeats here, otherwise only
+    /// of those that changed.
+    pub fn take_unsent(&mut self, now: Millis, is_routine: bool) -> Vec<Heartbeat> {
+        let mut ids = std::mem::take(&mut self.unsent_changes);
+        if is_routine {
+            ids = std::mem::take(&mut self.unsent);
         }
         ids.sort_unstable();
         ids.dedup();
-        ids.iter().filter_map(|id| self.all.get(id)).map(|known| known.aged(now)).collect()
+        let records = ids.iter().filter_map(|id| self.records.get(id));
+        records.map(|record| record.aged_heartbeat(now)).collect()
     }
 
-    pub fn look_for_silent(&mut self, version: &mut u64, now: Millis, in_touch: bool) {
-        if !in_touch {
-            // Cut off from the others: executors call them, and their silence here says nothing.
-            self.out_of_touch = now;
+    /// Sets executors offline that are silent, and forgets those that have been offline for long. While this node is
+    /// partitioned from the other control nodes, and for the silence limit afterwards, nobody is silent: executors send their
+    /// heartbeats to the others.
+    pub fn expire(&mut self, version: &mut VersionCounter, now: Millis, is_in_contact: bool) {
+        if !is_in_contact {
+            self.last_partitioned = now;
         }
-        if now > self.out_of_touch + self.silence {
-            let silence = self.silence;
-            let silent = |known: &&mut ExecutorRecord| {
-                known.heartbeat.state != ExecutorState::Offline && now > known.last_heard + silence
-            };
-            for known in self.all.values_mut().filter(silent) {
-                known.heartbeat.state = ExecutorState::Offline;
-                *version += 1;
-                (known.changed, self.changed) = (*version, *version);
-                tracing::info!(id = known.heartbeat.id, "executor silent");
-            }
+        if now > self.last_partitioned + self.silence_limit {
+            self.expire_silent(version, now);
         }
-        let before = self.all.len();
-        self.all.retain(|_, known| {
-            known.heartbeat.state != ExecutorState::Offline || now < known.last_heard + TOMBSTONE_RETENTION
-        });
-        if self.all.len() < before {
-            let all = &self.all;
-            let there =
-                |at: &SocketAddrV4, id: &String| all.get(id).is_some_and(|k| k.heartbeat.address == *at);
-            self.at.retain(|at, ids| {
-                ids.retain(|id| there(at, id));
-                !ids.is_empty()
-            });
+        self.forget_tombstones(now);
+    }
+
+    fn expire_silent(&mut self, version: &mut VersionCounter, now: Millis) {
+        let silence_limit = self.silence_limit;
+        let is_silent =
+            |record: &&mut ExecutorRecord| !record.is_offline() && now > record.last_heard + silence_limit;
+        for record in self.records.values_mut().filter(is_silent) {
+            self.changed_in = version.advance();
+            record.set_offline(self.changed_in);
+            tracing::info!(id = record.heartbeat.id, "executor silent");
         }
     }
+
+    fn forget_tombstones(&mut self, now: Millis) {
+        let before = self.records.len();
+        self.records
+            .retain(|_, record| !record.is_offline() || now < record.last_heard + TOMBSTONE_RETENTION);
+        if self.records.len() == before {
+            return;
+        }
+        let records = &self.records;
+        let is_there = |address: &SocketAddrV4, id: &String| {
+            records.get(id).is_some_and(|record| record.heartbeat.address == *address)
+        };
+        self.by_address.retain(|address, ids| {
+            ids.retain(|id| is_there(address, id));
+            !ids.is_empty()
+        });
+    }
 }
--- a/crates/registry/tests/registry.rs
+++ b/crates/registry/tests/registry.rs
@@ -168,7 +168,7 @@
     assert!(news(registry.take_effects(), 9).expect("soon").is_partitioned);
     // A configuration that the node lacks is told all the same: it is in force, however old.
     registry.record_poll(4000, member(9, NodeRole::Edge), first.incarnation, first.version);
-    registry.tick(4000 + PARTITIONED_POLL_TIMEOUT, false, Some((3, b"{}")));
+    registry.tick(4000 + PARTITIONED_POLL_TIMEOUT, false, Some(CommittedConfig { version: 3, body: b"{}" }));
     let told = news(registry.take_effects(), 9).expect("soon");
     assert!(!told.is_partitioned && told.config.is_some());
 }
@@ -176,7 +176,7 @@
 #[test]
 fn a_store_is_a_member_while_a_session_stands_anywhere_and_a_little_longer() {
     let (mut here, mut there) = (ready(), ready());
-    let stores = |r: &Registry| r.members.iter().filter(|m| m.role == NodeRole::Store).count();
+    let stores = |r: &Registry| r.members().iter().filter(|m| m.role == NodeRole::Store).count();
     here.record_poll(3000, member(9, NodeRole::Store), 0, 0);
     here.tick(3000, true, None);
     let sessions = here.take_effects().into_iter().find_map(|e| match e {
@@ -290,7 +290,7 @@
 #[test]
 fn what_another_control_node_told_holds_as_long_as_it_is_connected() {
     let mut registry = ready();
-    let stores = |r: &Registry| r.members.iter().filter(|m| m.role == NodeRole::Store).count();
+    let stores = |r: &Registry| r.members().iter().filter(|m| m.role == NodeRole::Store).count();
     registry.peer_connected(3000, member(2, NodeRole::Control));
     registry.record_peer_sessions(3000, 2, vec![member(8, NodeRole::Store)]);
     registry.tick(3000, true, None);
--- a/crates/server/src/control_node/calls.rs
+++ b/crates/server/src/control_node/calls.rs
@@ -154,7 +154,7 @@
         };
         self.plane.registry.record_heartbeat(now, heartbeat);
         // Partitioned from the other control nodes it could not tell them: the executor is to call another one as well.
-        let is_recorded = self.plane.group.is_in_contact(now) || !self.plane.registry.is_ready;
+        let is_recorded = self.plane.group.is_in_contact(now) || !self.plane.registry.is_ready();
         Some(if is_recorded {
             HeartbeatReply::Recorded { heartbeat_url }
         } else {
--- a/crates/server/src/control_node/report.rs
+++ b/crates/server/src/control_node/report.rs
@@ -19,9 +19,9 @@
     /// All nodes that this one knows, by name.
     fn members_as_json(&self) -> JsonValue {
         let registry = &self.plane.registry;
-        let control_nodes = registry.members.iter().filter(|member| member.role == NodeRole::Control);
-        let of_peers = registry.peer_sessions.values().flat_map(|(_, members)| members);
-        let own = registry.sessions.values().filter(|session| session.is_connected);
+        let control_nodes = registry.members().iter().filter(|member| member.role == NodeRole::Control);
+        let of_peers = registry.peer_session_members();
+        let own = registry.sessions().filter(|session| session.is_connected);
         let own = own.map(|session| &session.member);
         // Own sessions last: what others said of a node may be from before it came here.
         let members = control_nodes.chain(of_peers).chain(own);
@@ -76,7 +76,7 @@
         let mut report = self.runtime.report();
         report["version"] = self.config_version().into();
         report["known"] = self.members_as_json();
-        report["ready"] = self.plane.registry.is_ready.into();
+        report["ready"] = self.plane.registry.is_ready().into();
         report["duty"] = self.group_as_json();
         report["executors"] = self.executors_as_json();
         report
@@ -94,7 +94,7 @@
         metrics.gauge("stileroute_control_leads", help, &[], leads);
         let help = "1: it has lost its disk and has not learned yet.";
         metrics.gauge("stileroute_control_blank", help, &[], u8::from(group.is_awaiting_view()));
-        let sessions = registry.sessions.values().filter(|session| session.is_connected).count();
+        let sessions = registry.sessions().filter(|session| session.is_connected).count();
         let help = "Sessions of edges and stores with this node.";
         metrics.gauge("stileroute_sessions", help, &[], sessions);
         for state in [ExecutorState::Serving, ExecutorState::Draining] {
--- a/crates/server/src/control_node/retirement.rs
+++ b/crates/server/src/control_node/retirement.rs
@@ -48,7 +48,7 @@
         return OrderDecision::AlreadyCommitted;
     }
     // A node that does not know all members yet must not reject an order for good.
-    let reject = |decision| if registry.is_ready { decision } else { OrderDecision::NotNow };
+    let reject = |decision| if registry.is_ready() { decision } else { OrderDecision::NotNow };
     let Some(store) = registry.store_named(name) else { return reject(OrderDecision::UnknownStore) };
     if store.retirement != RetirementState::NotRetiring {
         return OrderDecision::Propose;
@@ -103,7 +103,7 @@
     pub fn due(&mut self, now: Millis, committed: &ControlState, registry: &Registry) -> Vec<Node> {
         self.0.retain(|node, _| committed.retirement(*node).is_some());
         let is_unaware = |node: &Node| {
-            let session = registry.sessions.get(node).filter(|session| session.is_connected);
+            let session = registry.session(*node).filter(|session| session.is_connected);
             session.is_some_and(|session| {
                 session.member.role == NodeRole::Store
                     && session.member.retirement == RetirementState::NotRetiring
@@ -227,7 +227,7 @@
         Some(match store.and_then(|store| reported_stage(store.retirement)) {
             Some(RetirementStage::Complete) => RetirementProgress::Complete,
             Some(_) => RetirementProgress::Draining,
-            None if self.plane.registry.is_ready => RetirementProgress::UnknownStore,
+            None if self.plane.registry.is_ready() => RetirementProgress::UnknownStore,
             None => RetirementProgress::Unavailable,
         })
     }
--- a/crates/server/src/control_plane.rs
+++ b/crates/server/src/control_plane.rs
@@ -9,7 +9,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use stileroute_control_group::{ControlGroup, Effect};
 use stileroute_queue::Node;
-use stileroute_registry::{Registry, RegistryEffect};
+use stileroute_registry::{CommittedConfig, Registry, RegistryEffect};
 
 /// How often the registry learns when the other control nodes were last heard, in ms.
 const PEER_CONTACT_INTERVAL: Millis = 200;
@@ -47,7 +47,7 @@
             }
             LinkEvent::Up(_) => {}
             LinkEvent::Down(node, NodeRole::Control) => {
-                let member = self.registry.members.iter().find(|member| member.node == node);
+                let member = self.registry.members().iter().find(|member| member.node == node);
                 if let Some(address) = member.and_then(|member| member.control_address) {
                     self.group.peer_disconnected(now, address);
                 }
@@ -97,7 +97,7 @@
         let own_ip = links.local().ip;
         let mut peers: Vec<Ipv4Addr> = self.seeds.iter().map(|seed| *seed.ip()).collect();
         peers.extend(self.group.view().iter().flat_map(|view| view.voters.iter().map(|voter| *voter.ip())));
-        let members = self.registry.members.iter().filter(|member| member.role == NodeRole::Control);
+        let members = self.registry.members().iter().filter(|member| member.role == NodeRole::Control);
         peers.extend(members.map(|member| member.ip));
         let is_seed = self.seeds.iter().any(|seed| *seed.ip() == own_ip);
         let is_connected = |ip: &Ipv4Addr| links.peers(NodeRole::Control).any(|peer| peer.ip == *ip);
@@ -120,7 +120,7 @@
             }
         }
         let in_force = self.group.committed().filter(|state| state.version > 0);
-        let in_force = in_force.map(|state| (state.version, state.body.as_slice()));
+        let in_force = in_force.map(|state| CommittedConfig { version: state.version, body: &state.body });
         self.registry.tick(now, is_in_contact, in_force);
         for effect in self.registry.take_effects() {
             let (receivers, frame) = match effect {
