--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -21,7 +21,7 @@
 const MIN_USUAL_GRACE_MS: u64 = 3500;
 /// Milliseconds between heartbeats that can be set.
 const HEARTBEAT_INTERVALS_MS: std::ops::RangeInclusive<u64> = 10..=600_000;
-/// The largest factor that `bounds.origin_overrun` can set.
+/// The largest factor that `bounds.rate_limit_overrun` can set.
 const MAX_ORIGIN_OVERRUN: f64 = 100.0;
 
 /// What a check found.
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -111,9 +111,10 @@
             self.runtime.maintain_session();
             self.set_dial_targets();
             let now = self.runtime.net.now();
-            self.queue.hears_control_group = self.runtime.has_fresh_session();
+            self.queue.control_contact.is_heard = self.runtime.has_fresh_session();
             // Counted from the last update: the session was alive then, and other nodes count it for so long after its end.
-            self.queue.session_may_have_lapsed = now >= self.runtime.session.last_update_at + SESSION_GRACE;
+            self.queue.control_contact.session_may_have_lapsed =
+                now >= self.runtime.session.last_update_at + SESSION_GRACE;
             if self.runtime.take_shutdown_request() {
                 self.notify_edges_of_draining();
                 self.queue.begin_draining(now);
