--- a/crates/server/src/calls.rs
+++ b/crates/server/src/calls.rs
@@ -55,7 +55,7 @@
     UnknownState(String),
     /// The body is no valid configuration; the text has one line for each fault.
     #[error("{0}")]
-    InvalidConfig(stileroute_config::Faults),
+    InvalidConfig(stileroute_config::ConfigError),
 }
 
 /// A call that can be parsed from a request.
@@ -330,7 +330,7 @@
     const PATH: &'static str = "/v1/settings/replace";
     const MAX_BODY_BYTES: usize = LARGEST_CONFIGURATION;
     fn parse(_: &str, body: &[u8]) -> Result<ReplaceConfig, InvalidCall> {
-        let config = stileroute_config::Config::read(body).map_err(InvalidCall::InvalidConfig)?;
+        let config = stileroute_config::Config::parse(body).map_err(InvalidCall::InvalidConfig)?;
         Ok(ReplaceConfig { body: body.to_vec(), version: config.revision })
     }
 }
--- a/crates/server/src/cli/verify.rs
+++ b/crates/server/src/cli/verify.rs
@@ -82,7 +82,7 @@
             Err(_) => kinds.add(UNREADABLE_KIND),
         })?;
     let (view, state) = (persisted.view.as_ref(), persisted.state.as_ref());
-    let configuration_reads = state.is_none_or(|state| Config::read(&state.body).is_ok());
+    let configuration_reads = state.is_none_or(|state| Config::parse(&state.body).is_ok());
     let mut object = files_as_json(&report);
     object["records_by_kind"] = kinds.as_json();
     object["epoch"] = view.map_or(0, |view| view.epoch).into();
--- a/crates/server/src/edge/submissions.rs
+++ b/crates/server/src/edge/submissions.rs
@@ -6,7 +6,7 @@
 use crate::net::{ConnectionId, Millis, Request, Response};
 use crate::node::wall_clock_ms;
 use crate::protocol::{Frame, NodeRole};
-use stileroute_config::{Config, Route, RouteKind};
+use stileroute_config::{Config, Route, RouteKind, ZoneDistance};
 use stileroute_queue::{preferred_store, Key, Message, Node, PutError};
 
 /// A store that did not answer gets messages only after the others for so long, in ms, and none before it is heard again.
@@ -91,7 +91,7 @@
     fn choose_store(&mut self, tried: &[Node], ordering_key: Option<&str>) -> Option<Node> {
         let now = self.runtime.net.now();
         let boot = &self.runtime.boot;
-        let mut stores: Vec<(bool, u8, Node)> = self
+        let mut stores: Vec<(bool, ZoneDistance, Node)> = self
             .runtime
             .links
             .peers(NodeRole::Store)
@@ -100,7 +100,7 @@
             .map(|store| {
                 let since = self.unresponsive_since.get(&store.node);
                 let is_penalised = since.is_some_and(|since| now < since + UNRESPONSIVE_PENALTY_MS);
-                (is_penalised, boot.far(&store.zone), store.node)
+                (is_penalised, boot.distance_to(&store.zone), store.node)
             })
             .collect();
         stores.sort_unstable();
@@ -222,14 +222,14 @@
 }
 
 fn message_of(request: Request, route: &Route, config: &Config) -> Message {
-    let ordering_key = request.order_key.filter(|_| route.in_order);
+    let ordering_key = request.order_key.filter(|_| route.is_ordered);
     Message {
         id: request.request_id,
         host: request.host,
         method: request.method,
         target: request.target,
         content_type: request.content_type,
-        callback_url: request.callback_url.filter(|_| route.callback),
+        callback_url: request.callback_url.filter(|_| route.allows_callback),
         ordering_key: ordering_key.map(|key| format!("{}\0{key}", route.name)),
         delay_ms: request.delay_ms.unwrap_or(0),
         accepted_at_ms: wall_clock_ms(),
