--- a/crates/wal/src/background.rs
+++ b/crates/wal/src/background.rs
@@ -1,4 +1,4 @@
-//! What a checkpoint's thread owes to the others: it pauses now and then, and ends early when it is told to.
+//! How a checkpoint's thread gives way to the others: it pauses now and then, and ends early when it is cancelled.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -9,6 +9,7 @@
 pub const BYTES_BETWEEN_PAUSES: usize = 256 << 10;
 const PAUSE: Duration = Duration::from_millis(2);
 
+/// Leaves the processor to others for a moment.
 pub fn pause() {
     thread::sleep(PAUSE);
 }
@@ -18,10 +19,12 @@
 pub struct Cancellation(Arc<AtomicBool>);
 
 impl Cancellation {
+    /// From here on the thread does no more than it has to.
     pub fn cancel(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
 
+    /// Whether the work is to be given up.
     pub fn is_cancelled(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
--- a/crates/wal/src/checkpoint.rs
+++ b/crates/wal/src/checkpoint.rs
@@ -19,13 +19,19 @@
 
 /// What a checkpoint's thread is to do: fold the snapshot `from` and the segments from there on into the snapshot `to`.
 pub struct CheckpointTask {
+    /// The folder that the log is in.
     pub folder: PathBuf,
+    /// Those of the log.
     pub options: Options,
+    /// The identity that the folder's files carry.
     pub identity: FolderIdentity,
+    /// The snapshot to begin with, and the first segment that it does not cover; 1 if there is no snapshot.
     pub from: u64,
+    /// The snapshot to be written, and the first segment that it will not cover.
     pub to: u64,
     /// Bytes that the snapshot may take.
     pub max_bytes: u64,
+    /// Tells the thread to give up.
     pub cancellation: Cancellation,
 }
 
@@ -37,7 +43,7 @@
         /// Length of the snapshot.
         snapshot_bytes: u64,
     },
-    /// It was told to give up, and has left nothing.
+    /// It was cancelled, and no file of it is left.
     Cancelled,
 }
 
--- a/crates/wal/src/disk.rs
+++ b/crates/wal/src/disk.rs
@@ -100,6 +100,7 @@
         Ok(DiskFile { file, path })
     }
 
+    /// Opens a file that is there, to read and write it.
     pub fn open(folder: &Path, name: &str) -> Result<DiskFile, FileError> {
         let path = folder.join(name);
         let opened = OpenOptions::new().read(true).write(true).open(&path);
@@ -107,6 +108,7 @@
         Ok(DiskFile { file, path })
     }
 
+    /// Where it is.
     pub fn path(&self) -> &Path {
         &self.path
     }
@@ -139,6 +141,7 @@
         self.seek(length)
     }
 
+    /// Sets the current offset.
     pub fn seek(&mut self, offset: u64) -> Result<(), FileError> {
         let sought = self.file.seek(SeekFrom::Start(offset));
         sought.map(drop).map_err(FileError::on("seeking in", &self.path))
--- a/crates/wal/src/error.rs
+++ b/crates/wal/src/error.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// Why a folder can't be read: what [`verify`](crate::verify) returns, and what ends an opening or a checkpoint that reads.
+/// Why a folder can't be read: what [`verify`](fn@crate::verify) returns, and what ends an opening or a checkpoint that reads.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum ReadError {
     /// The system refused to list the folder or to read a file.
@@ -119,6 +119,7 @@
 }
 
 impl AppendError {
+    /// Tells a full disk from other failures of a write.
     pub(crate) fn from_write(error: FileError) -> AppendError {
         if error.is_disk_full() {
             AppendError::DiskFull
@@ -127,6 +128,7 @@
         }
     }
 
+    /// Tells a full disk from other failures of a sync.
     pub(crate) fn from_sync(error: FileError) -> AppendError {
         if error.is_disk_full() {
             AppendError::DiskFull
--- a/crates/wal/src/file_names.rs
+++ b/crates/wal/src/file_names.rs
@@ -8,23 +8,28 @@
 use crate::error::FileError;
 use crate::frame::{FileId, FileKind};
 
+/// The file that says what the folder is.
 pub const FORMAT: &str = "FORMAT";
 /// Ends the name of a file that is not complete yet.
 pub const UNFINISHED_SUFFIX: &str = ".tmp";
 
 const LOG_PREFIX: &str = "log-";
 const SNAPSHOT_PREFIX: &str = "snapshot-";
-/// The number of a folder's first segment. A snapshot has that of the first segment that it does not cover, so there is none of 1.
+/// The number of a folder's first segment. A snapshot has the number of the first segment that it does not cover, so there is no
+/// snapshot of this number.
 const FIRST_SEGMENT: u64 = 1;
 
+/// The name of a segment.
 pub fn log_name(number: u64) -> String {
     numbered(LOG_PREFIX, number)
 }
 
+/// The name of a snapshot.
 pub fn snapshot_name(number: u64) -> String {
     numbered(SNAPSHOT_PREFIX, number)
 }
 
+/// The name of a segment or a snapshot.
 pub fn file_name(id: FileId) -> String {
     match id.kind {
         FileKind::Log => log_name(id.number),
@@ -50,16 +55,20 @@
 /// The files of a folder, by what their names say that they are.
 #[derive(Default)]
 pub struct FileNames {
+    /// The numbers of the segments.
     pub logs: BTreeSet<u64>,
+    /// The numbers of the snapshots.
     pub snapshots: BTreeSet<u64>,
     /// Names that end in `.tmp`.
     pub unfinished: Vec<String>,
     /// Names that no log writes.
     pub unrecognized: Vec<String>,
+    /// Whether there is a FORMAT.
     pub has_format: bool,
 }
 
 impl FileNames {
+    /// Lists the folder, and opens no file.
     pub fn read(folder: &Path) -> Result<FileNames, FileError> {
         let listing = FileError::on("listing the folder", folder);
         let mut names = FileNames::default();
--- a/crates/wal/src/folder.rs
+++ b/crates/wal/src/folder.rs
@@ -17,11 +17,15 @@
 
 /// An opened folder.
 pub struct Folder {
+    /// Where it is.
     pub path: PathBuf,
+    /// What it was opened with.
     pub options: Options,
+    /// The identity that its files carry.
     pub identity: FolderIdentity,
     /// The first segment that the snapshot does not cover; there is no snapshot at 1.
     pub base: u64,
+    /// Bytes of the snapshot; 0 if there is none.
     pub snapshot_bytes: u64,
     /// Bytes of the segments between the snapshot and the one that is written to.
     pub closed_bytes: u64,
--- a/crates/wal/src/format_file.rs
+++ b/crates/wal/src/format_file.rs
@@ -11,8 +11,9 @@
 use crate::frame::FolderIdentity;
 use crate::options::Options;
 
+/// The name under which FORMAT is written before it gets its own.
 pub const FORMAT_UNFINISHED: &str = "FORMAT.tmp";
-/// As it has stood on disks since before the package had its present name.
+/// The first word of the line. It is older than the name of this package, and stays, so that folders of earlier builds open.
 const PROGRAM: &str = "stileroute-logbook";
 /// [`FORMAT_VERSION`](crate::frame::FORMAT_VERSION) as a word.
 const VERSION_WORD: &str = "1";
@@ -21,10 +22,13 @@
 
 /// What FORMAT says.
 pub struct FolderFormat {
+    /// What the records are.
     pub schema: String,
+    /// What the folder's files carry; zero if the line has no fourth word.
     pub identity: FolderIdentity,
 }
 
+/// Reads FORMAT, whatever its schema.
 pub fn read(folder: &Path) -> Result<FolderFormat, ReadError> {
     let path = folder.join(FORMAT);
     let bytes = fs::read(&path).map_err(FileError::on("reading", &path))?;
--- a/crates/wal/src/frame.rs
+++ b/crates/wal/src/frame.rs
@@ -21,11 +21,16 @@
 /// Longest entry, in bytes: the records of one append with four bytes for each.
 pub const MAX_APPEND_BYTES: usize = 9 << 20;
 
+/// The version in each file's header, and in FORMAT.
 pub const FORMAT_VERSION: u8 = 1;
+/// Length of the header that a file begins with.
 pub const FILE_HEADER_BYTES: u64 = 20;
+/// Length of the header that an entry begins with.
 pub const ENTRY_HEADER_BYTES: usize = 24;
 
+/// What each file begins with.
 const MAGIC: &[u8; 6] = b"slbook";
+/// Of the length before each record.
 const RECORD_LENGTH_BYTES: usize = 4;
 
 /// What a file is.
@@ -43,6 +48,7 @@
 pub struct FolderIdentity(pub u32);
 
 impl FolderIdentity {
+    /// A random one, never zero.
     pub fn draw() -> FolderIdentity {
         // The standard library seeds this from the system's random numbers.
         FolderIdentity((RandomState::new().build_hasher().finish() as u32).max(1))
@@ -58,13 +64,18 @@
 /// What a file's header has to say.
 #[derive(Clone, Copy)]
 pub struct FileId {
+    /// Segment or snapshot.
     pub kind: FileKind,
+    /// The number in its name.
     pub number: u64,
+    /// The folder that it was written in.
     pub folder: FolderIdentity,
 }
 
+/// The bytes that a file begins with.
 pub type FileHeader = [u8; FILE_HEADER_BYTES as usize];
 
+/// The header of such a file.
 pub fn encode_file_header(id: FileId) -> FileHeader {
     let FileId { kind, number, folder } = id;
     let mut header = [0; FILE_HEADER_BYTES as usize];
@@ -88,10 +99,12 @@
     header[..6] == *MAGIC && header[7] == FORMAT_VERSION && header[6] == kind as u8
 }
 
+/// The number that a header names.
 pub fn file_number(header: &FileHeader) -> u32 {
     u32_at(header, 8)
 }
 
+/// The folder that a header names.
 pub fn file_folder(header: &FileHeader) -> FolderIdentity {
     FolderIdentity(u32_at(header, 12))
 }
@@ -109,6 +122,7 @@
     start
 }
 
+/// Puts a record, after its length, at the end of an entry's payload.
 pub fn put_record(record: &[u8], out: &mut Vec<u8>) {
     out.extend_from_slice(&(record.len() as u32).to_le_bytes());
     out.extend_from_slice(record);
@@ -128,11 +142,14 @@
 /// The header of an entry whose checksum was right.
 #[derive(Clone, Copy)]
 pub struct EntryHeader {
+    /// Length of the records, with the length of each.
     pub payload_bytes: usize,
     /// The entry's number in its file.
     pub number: u32,
-    /// Up to which offset the file was synced when the entry was written; in the last entry of a snapshot the count of its records.
+    /// Up to which offset the file was synced when the entry was written; in the last entry of a snapshot the count of its
+    /// records.
     pub synced: u64,
+    /// CRC-32 of the payload.
     pub payload_checksum: u32,
 }
 
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -7,8 +7,8 @@
 //! *.tmp               unfinished, removed at the next opening
 //! ```
 //!
-//! One append makes one entry, which is there in full or not at all, under checksums of its header and of its records; `src/frame.rs`
-//! has the bytes. An entry also says up to which offset its segment was synced when it was written. That tells apart two things
+//! One append makes one entry, which is there in full or not at all, under checksums of its header and of its records;
+//! `src/frame.rs` has the bytes. An entry also says up to which offset its segment was synced when it was written. That tells apart two things
 //! which look alike. After a loss of power each unsynced write is there, missing or torn, so an intact entry may stand behind a
 //! gap, and both are cut off. A gap in what a later entry calls synced is damage, and the folder is refused. Damage to the very
 //! last entry can't be told from a torn end.
--- a/crates/wal/src/scan.rs
+++ b/crates/wal/src/scan.rs
@@ -24,9 +24,13 @@
 pub struct Scan {
     /// Bytes that are valid, from the first on; 0 if the file's header is not.
     pub valid_bytes: u64,
+    /// Length of the file.
     pub file_bytes: u64,
+    /// Entries that are valid.
     pub entries: u32,
+    /// Records in these.
     pub records: u64,
+    /// What stands behind them.
     pub end: FileEnd,
 }
 
@@ -39,6 +43,7 @@
     Ok(scanner.scan)
 }
 
+/// A file that is being read.
 struct Scanner {
     path: PathBuf,
     id: FileId,
--- a/crates/wal/src/segment.rs
+++ b/crates/wal/src/segment.rs
@@ -14,18 +14,22 @@
 /// A place in a segment: an offset in bytes, and the count of entries before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
+    /// Offset from the beginning of the file.
     pub bytes: u64,
+    /// Entries before it.
     pub entries: u32,
 }
 
 /// Whether the folder was synced since the segment got its name.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum NameState {
+    /// The name is durable.
     Synced,
     /// A loss of power may take the name back.
     Unsynced,
 }
 
+/// How the last sync ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum LastSync {
     Succeeded,
@@ -37,6 +41,7 @@
 /// The segment that is written to.
 pub struct Segment {
     file: DiskFile,
+    /// The number in its name.
     pub number: u64,
     /// Where the next entry goes.
     pub end: Position,
@@ -137,6 +142,7 @@
         let _ = self.remove_excess(options);
     }
 
+    /// Cuts off what a failed write may have left.
     fn remove_excess(&mut self, options: &Options) -> Result<(), FileError> {
         if self.has_excess_bytes {
             self.is_truncation_unsynced = true;
@@ -178,7 +184,7 @@
         Ok(true)
     }
 
-    /// Reads back what lies behind the synced part and writes it again, or gives it up if it reads otherwise than it was written.
+    /// Reads back the unsynced entries and writes them again, or gives them up if they do not read as complete entries.
     fn rewrite_unsynced(&mut self, options: &Options) -> Result<(), FileError> {
         let mut bytes = vec![0; (self.end.bytes - self.synced.bytes) as usize];
         self.has_excess_bytes = true;
--- a/crates/wal/src/snapshot.rs
+++ b/crates/wal/src/snapshot.rs
@@ -15,12 +15,17 @@
 
 /// Where a snapshot is written, and how large it may get.
 pub struct SnapshotPlan<'a> {
+    /// The folder that it is written in.
     pub folder: &'a Path,
     /// Its unfinished name.
     pub name: &'a str,
+    /// What its header has to say.
     pub id: FileId,
+    /// Bytes that it may take.
     pub max_bytes: u64,
+    /// Those of the log.
     pub options: &'a Options,
+    /// Once this is set, no more records are taken.
     pub cancellation: &'a Cancellation,
 }
 
@@ -39,6 +44,7 @@
 }
 
 impl<'a> SnapshotWriter<'a> {
+    /// Creates the file and writes its header.
     pub fn create(plan: SnapshotPlan<'a>) -> Result<SnapshotWriter<'a>, CheckpointError> {
         let file = DiskFile::create(plan.folder, plan.name, plan.options)?;
         let header = frame::encode_file_header(plan.id).to_vec();
@@ -57,6 +63,7 @@
         Ok(writer)
     }
 
+    /// Adds a record. A failure is returned by `finish`.
     pub fn put(&mut self, record: &[u8]) {
         if self.failure.is_some() || self.plan.cancellation.is_cancelled() {
             return;
@@ -96,6 +103,7 @@
         frame::begin_entry(&mut self.entry);
     }
 
+    /// Writes the entry that is being filled, and begins the next.
     fn write_entry(&mut self) -> Result<(), CheckpointError> {
         frame::finish_entry(&mut self.entry, 0, self.entries, 0);
         self.entries = self.entries.wrapping_add(1);
@@ -104,6 +112,7 @@
         Ok(())
     }
 
+    /// Writes the buffer, within the bytes that the snapshot may take, and syncs now and then.
     fn flush(&mut self) -> Result<(), CheckpointError> {
         let bytes = self.entry.len() as u64;
         if self.written_bytes + bytes > self.plan.max_bytes {
--- a/crates/wal/src/statistics.rs
+++ b/crates/wal/src/statistics.rs
@@ -28,6 +28,7 @@
 }
 
 impl Counters {
+    /// The counts at this moment, each by itself.
     pub fn read(&self) -> Statistics {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         Statistics {
@@ -40,6 +41,7 @@
     }
 }
 
+/// Counts up.
 pub fn add(counter: &AtomicU64, count: u64) {
     counter.fetch_add(count, Ordering::Relaxed);
 }
--- a/crates/wal/src/verify.rs
+++ b/crates/wal/src/verify.rs
@@ -120,6 +120,7 @@
     Ok(report)
 }
 
+/// Reads one file, and adds what is found to the report. Records go on until a file is damaged.
 fn verify_file(
     folder: &Path,
     id: FileId,
@@ -145,6 +146,7 @@
     Ok(())
 }
 
+/// What a snapshot covers, what was never finished, and what is none of a log's files.
 fn files_that_do_not_count(names: FileNames) -> Vec<FileReport> {
     let base = names.base();
     let snapshots = names.snapshots.range(..base).map(|&number| snapshot_name(number));
--- a/crates/wal/src/wal.rs
+++ b/crates/wal/src/wal.rs
@@ -74,7 +74,7 @@
 
     fn end(&mut self, sync: bool) {
         let Some(writer) = self.writer.take() else { return };
-        // If the writer has ended already, there is nobody to be told.
+        // Fails only if the writer has ended already.
         let _ = self.queue.send(Command::Stop { sync });
         if writer.join().is_err() {
             tracing::error!("the writer's thread panicked");
--- a/crates/wal/src/writer.rs
+++ b/crates/wal/src/writer.rs
@@ -23,7 +23,7 @@
 /// At least so long until a sync is tried again after one that failed.
 const MIN_SYNC_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What the writer's thread is told.
+/// What is sent to the writer's thread.
 pub enum Command {
     /// Write these records.
     Append(Append),
--- a/crates/wal/src/writer/checkpoints.rs
+++ b/crates/wal/src/writer/checkpoints.rs
@@ -101,6 +101,7 @@
         }
     }
 
+    /// Whether the segment that is written to is to be closed.
     fn is_segment_due(&self, is_out_of_capacity: bool) -> bool {
         let segment_bytes = self.folder.log.end.bytes;
         let is_long = segment_bytes >= self.checkpoint_after_bytes().max(FILE_HEADER_BYTES + 1);
@@ -118,6 +119,7 @@
         Ok(())
     }
 
+    /// Starts the thread of a checkpoint of all closed segments.
     fn begin_checkpoint(&mut self) -> Result<(), CheckpointError> {
         let Folder { path, options, log, .. } = &mut self.folder;
         // A snapshot that is kept while the name of the segment after it is lost would look like damage.
@@ -154,6 +156,7 @@
         }
     }
 
+    /// Takes in what a checkpoint has done.
     pub(super) fn checkpoint_ended(&mut self, result: Result<CheckpointOutcome, CheckpointError>) {
         let Some(checkpoint) = self.checkpoint.take() else { return };
         // A panic there has been reported by its thread.
--- a/crates/wal/src/writer/group.rs
+++ b/crates/wal/src/writer/group.rs
@@ -25,7 +25,9 @@
 
 impl<D: Fn(u64, Result<(), AppendError>)> Writer<D> {
     /// Writes a group at once, syncs once if one of it asks for that, and answers all of it in order. If the sync fails the
-    /// whole group is taken back, also what did not ask for it. Whether one was refused for want of capacity.
+    /// group is taken back altogether, also what did not ask for it.
+    ///
+    /// Returns whether an append was refused because the folder may not grow.
     pub(super) fn write_group(&mut self, group: &mut Vec<Append>) -> bool {
         let start = self.folder.log.end;
         let encoded = self.encode(group, start);
