--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -21,6 +21,9 @@
 pub mod control_plane;
 pub mod fit;
 pub mod heartbeat;
+#[rustfmt::skip] // As `links`.
+#[path = "../../server/src/keepalive.rs"]
+pub mod keepalive;
 pub mod layout;
 #[rustfmt::skip] // Formatted where it belongs; its tests are not looked for from here.
 #[path = "../../server/src/links.rs"]
--- a/crates/server/src/control_node.rs
+++ b/crates/server/src/control_node.rs
@@ -6,8 +6,6 @@
 mod pending_calls;
 mod report;
 mod retirement;
-#[cfg(test)]
-mod tests;
 
 use crate::control_plane::{member_of, ControlPlane};
 use crate::disk::Disk;
@@ -77,7 +75,7 @@
         let limits = RequestLimits { max_body_bytes: MAX_BODY_BYTES, ..RequestLimits::default() };
         let listener = runtime
             .net
-            .listen(address, Some(limits))
+            .listen_http(address, limits)
             .map_err(|source| StartError::Listen { purpose: "control", source })?;
         let now = runtime.net.now();
         let own_member = member_of(runtime.links.local(), 0);
--- a/crates/server/src/store/link_events.rs
+++ b/crates/server/src/store/link_events.rs
@@ -3,7 +3,7 @@
 use super::{Store, Submitter};
 use crate::links::LinkEvent;
 use crate::protocol::{
-    ExecutorState, Frame, Heartbeat, KnownMessage, MembershipUpdate, MessageState, NodeRole,
+    ExecutorState, Frame, Heartbeat, KnownMessage, MembershipUpdate, MessageStatus, NodeRole,
 };
 use std::collections::HashMap;
 use stileroute_queue::{Executor, Key, Message, Node};
@@ -70,12 +70,12 @@
     fn look_up(&self, key: Key, include_body: bool) -> Option<KnownMessage> {
         let (state, body) = self.queue.lookup(key)?;
         let body = body.filter(|_| include_body).map(<[u8]>::to_vec);
-        let state = match state {
-            stileroute_queue::MessageState::Waiting => MessageState::Pending,
-            stileroute_queue::MessageState::Complete { seal } => MessageState::Complete { seal },
-            stileroute_queue::MessageState::Failed => MessageState::Failed,
+        let status = match state {
+            stileroute_queue::MessageState::Waiting => MessageStatus::Pending,
+            stileroute_queue::MessageState::Complete { seal } => MessageStatus::Complete { seal },
+            stileroute_queue::MessageState::Failed => MessageStatus::Failed,
         };
-        Some(KnownMessage { state, body })
+        Some(KnownMessage { status, body })
     }
 
     fn control_frame(&mut self, from: Node, frame: Frame) {
