--- a/crates/server/src/control_node.rs
+++ b/crates/server/src/control_node.rs
@@ -13,7 +13,7 @@
 };
 use crate::links::LinkEvent;
 use crate::net::{ConnectionId, Event, Millis, Request, RequestLimits, Response};
-use crate::node::{random_seed, NodeRuntime};
+use crate::node::{random_seed, NodeRuntime, Polled};
 use crate::protocol::{
     ExecutorState, ForwardedCall, ForwardedCallKind, Frame, Heartbeat, Member, NodeRole, PeerInfo,
     RetirementState,
@@ -101,7 +101,7 @@
         loop {
             let now = self.common.net.now();
             let until = self.group.next_tick(now).min(self.registry.next_deadline());
-            let (link_events, events) = self.common.poll(until);
+            let Polled { link_events, events } = self.common.poll(until);
             link_events.into_iter().for_each(|link_event| self.link_event(link_event));
             events.into_iter().for_each(|event| self.event(event));
             self.inquiries();
--- a/crates/server/src/edge.rs
+++ b/crates/server/src/edge.rs
@@ -7,7 +7,7 @@
 
 use crate::links::LinkEvent;
 use crate::net::{ConnectionId, Event, Millis, Request, RequestLimits, Response};
-use crate::node::{wall_clock_ms, NodeRuntime};
+use crate::node::{wall_clock_ms, NodeRuntime, Polled};
 use crate::protocol::{Frame, KnownMessage, MessageStatus, NodeRole};
 use crate::report::Told;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
@@ -86,7 +86,7 @@
     pub fn run(mut self) -> miette::Result<()> {
         loop {
             let until = self.waits.keys().next().map_or(Millis::MAX, |(at, _)| *at);
-            let (link_events, events) = self.common.poll(until);
+            let Polled { link_events, events } = self.common.poll(until);
             link_events.into_iter().for_each(|link_event| self.link_event(link_event));
             events.into_iter().for_each(|event| self.event(event));
             self.inquiries();
--- a/crates/server/src/node.rs
+++ b/crates/server/src/node.rs
@@ -1,222 +1,208 @@
-//! What every role has: its settings, its loop, its links, its session with a control node, and how it is told to end.
+//! What every role has: its settings, the event loop, the connections with peers, the session with a control node, and the
+//! signals by which operators steer the process.
+
+mod process_signals;
+mod session;
+
+pub use session::Session;
 
 use crate::links::{LinkEvent, Links};
-use crate::net::{Event, Millis, Net, RequestLimits};
-use crate::protocol::{
-    Frame, Member, MembershipUpdate, NodeRole, PeerInfo, RetirementState, PROTOCOL_VERSION,
-};
+use crate::net::{Event, ListenerId, Millis, Net, RequestLimits};
+use crate::protocol::{Frame, NodeRole, PeerInfo, PROTOCOL_VERSION};
 use crate::report::Inquiry;
 use crate::settings;
+use process_signals::ProcessSignals;
+use std::hash::{BuildHasher, Hasher};
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
-use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 use stileroute_config::{Boot, Config};
 use stileroute_queue::Node;
 
-/// Time of day in ms.
+/// How often [`NodeRuntime::take_topology_change`] is true without a change, for what depends on time alone.
+const TOPOLOGY_CHECK_INTERVAL: Millis = 250;
+/// Longest wait in one poll. A signal interrupts the wait; one that came just before it is noticed at the latest then.
+const MAX_POLL_WAIT: Millis = 250;
+/// File descriptors that are not for connections: files, listeners and the poll.
+const RESERVED_FILE_DESCRIPTORS: u64 = 260;
+/// Fewest and most connections that the event loop has room for.
+const CONNECTION_LIMIT_RANGE: (u64, u64) = (64, 60_000);
+
+/// The time of day, in milliseconds since 1970.
 pub fn wall_clock_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
-/// A number that no other start of any process has.
+/// A random number, so that no other start of any process has the same.
 pub fn random_seed() -> u64 {
-    use std::hash::{BuildHasher, Hasher};
     let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
     hasher.write_u64(wall_clock_ms());
     hasher.finish()
 }
 
-/// A node's number, from its name.
+/// A node's identifier: a hash of its name.
 pub fn node_id(name: &str) -> Node {
     (stileroute_dispatch::types::mark(name) >> 32) as Node
 }
 
-/// What depends on who is connected is looked at so often, and when somebody comes or goes.
-const AROUND: Millis = 250;
+/// Why a process can't start.
+#[derive(Debug, thiserror::Error, miette::Diagnostic)]
+pub enum StartError {
+    /// The system gives no poll.
+    #[error("event loop: {0}")]
+    EventLoop(#[source] std::io::Error),
+    /// A signal can't be caught.
+    #[error("signal: {0}")]
+    Signal(#[source] std::io::Error),
+    /// The address for other processes of the system can't be bound.
+    #[error("internal address {address}: {source}")]
+    InternalAddress {
+        /// The address.
+        address: SocketAddrV4,
+        /// What the system says.
+        source: std::io::Error,
+    },
+    /// The address for the metrics can't be bound.
+    #[error("bind_addresses.figures: {address}: {source}")]
+    MetricsAddress {
+        /// The address.
+        address: SocketAddrV4,
+        /// What the system says.
+        source: std::io::Error,
+    },
+}
+
+/// What [`NodeRuntime::poll`] returns.
+pub struct Polled {
+    /// What happened to connections with peers, and the frames that they sent.
+    pub link_events: Vec<LinkEvent>,
+    /// What else happened in the event loop.
+    pub events: Vec<Event>,
+}
 
+/// What every role has.
 pub struct NodeRuntime {
+    /// The settings of this machine.
     pub boot: Boot,
+    /// The event loop.
     pub net: Net,
+    /// The connections with peers.
     pub links: Links,
+    /// Interrupts the event loop's poll, for other threads.
     pub waker: Arc<mio::Waker>,
+    /// The session with a control node.
     pub session: Session,
+    /// The operators' configuration, once there is one.
     pub config: Option<Arc<Config>>,
-    /// What operators want to know: answered by the role at the end of its turn.
+    /// What operators ask; the role answers at the end of its turn.
     pub inquiries: Vec<Inquiry>,
-    /// The listener for figures, where one is open.
-    pub metrics_listener: Option<usize>,
-    stirred: bool,
-    stirred_at: Millis,
-    ready: bool,
-    boot_path: PathBuf,
-    term: Arc<AtomicBool>,
-    hup: Arc<AtomicBool>,
+    /// The listener for metrics, if there is one.
+    pub metrics_listener: Option<ListenerId>,
+    /// Since when the process shuts down.
     pub draining_since: Option<Millis>,
-}
-
-/// The session with a control node: who it is, and what it has told.
-pub struct Session {
-    /// Control nodes by address, as far as known.
-    pub controls: Vec<(SocketAddrV4, String)>,
-    pub control_node: Option<Node>,
-    /// The one that answered last, and since when it is this one.
-    stands: Option<Node>,
-    pub established_at: Millis,
-    /// Whether this node, a store, is to be emptied: its control node is told with each question.
-    retiring: RetirementState,
-    /// One that said that it is cut off, and until when others are asked first.
-    shunned: Vec<(Node, Millis)>,
-    asked: Option<Millis>,
-    /// When one last answered.
-    pub last_update_at: Millis,
-    /// What was said last of that.
-    hears: bool,
-    life: u64,
-    version: u64,
-    pub members: Vec<Member>,
-    pub losses: u64,
+    has_topology_changed: bool,
+    next_topology_check_at: Millis,
+    /// What an edge's readiness check last said.
+    was_ready: bool,
+    settings_path: PathBuf,
+    signals: ProcessSignals,
 }
 
 impl NodeRuntime {
-    pub fn start(boot: Boot, boot_path: &Path, class: NodeRole) -> miette::Result<NodeRuntime> {
-        let most = (boot.means.max_open_files.saturating_sub(260)).clamp(64, 60_000) as usize;
-        let (mut net, waker) = Net::new(most).map_err(|e| miette::miette!("event loop: {e}"))?;
-        let (term, hup) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
-        for (signal, flag) in [(libc::SIGTERM, &term), (libc::SIGINT, &term), (libc::SIGHUP, &hup)] {
-            signal_hook::flag::register(signal, Arc::clone(flag))
-                .map_err(|e| miette::miette!("signal: {e}"))?;
-        }
-        let hello = PeerInfo {
-            protocol_version: PROTOCOL_VERSION,
-            node: node_id(&boot.node_name),
-            name: boot.node_name.clone(),
-            role: class,
-            zone: boot.zone.clone(),
-            ip: boot.ip,
-            incarnation: random_seed(),
-            control_address: boot.control,
-        };
-        let links = Links::new(hello, boot.internal_ports);
-        let own = links.listen_address(boot.ip, class);
-        net.listen_peers(own).map_err(|e| miette::miette!("internal address {own}: {e}"))?;
-        let metrics_listener = match boot.figures {
-            None => None,
-            Some(at) => Some(
-                net.listen_http(at, RequestLimits { max_body_bytes: 0, ..RequestLimits::default() })
-                    .map_err(|e| miette::miette!("bind_addresses.figures: {at}: {e}"))?,
-            ),
-        };
-        let controls = boot.seeds.iter().map(|seed| (*seed, String::new())).collect();
-        let session = Session {
-            controls,
-            control_node: None,
-            stands: None,
-            established_at: 0,
-            retiring: RetirementState::NotRetiring,
-            shunned: Vec::new(),
-            asked: None,
-            last_update_at: 0,
-            hears: false,
-            life: 0,
-            version: 0,
-            members: Vec::new(),
-            losses: 0,
-        };
-        let common = NodeRuntime {
+    /// Opens the listeners that all roles have, and catches signals.
+    ///
+    /// # Errors
+    ///
+    /// An address can't be bound, or the system gives no poll or no signal handler.
+    pub fn start(boot: Boot, settings_path: &Path, role: NodeRole) -> Result<NodeRuntime, StartError> {
+        let (least, most) = CONNECTION_LIMIT_RANGE;
+        let max_connections = boot.means.max_open_files.saturating_sub(RESERVED_FILE_DESCRIPTORS);
+        let max_connections = max_connections.clamp(least, most) as usize;
+        let (mut net, waker) = Net::new(max_connections).map_err(StartError::EventLoop)?;
+        let signals = ProcessSignals::register().map_err(StartError::Signal)?;
+        let links = Links::new(local_peer_info(&boot, role), boot.internal_ports);
+        let address = links.listen_address(boot.ip, role);
+        net.listen_peers(address).map_err(|source| StartError::InternalAddress { address, source })?;
+        let metrics_listener = listen_for_metrics(&mut net, boot.figures)?;
+        Ok(NodeRuntime {
+            session: Session::new(&boot.seeds),
             boot,
             net,
             links,
             waker,
-            session,
             config: None,
             inquiries: Vec::new(),
             metrics_listener,
-            stirred: true,
-            stirred_at: 0,
-            ready: false,
-            boot_path: boot_path.to_path_buf(),
-            term,
-            hup,
             draining_since: None,
-        };
-        Ok(common)
+            has_topology_changed: true,
+            next_topology_check_at: 0,
+            was_ready: false,
+            settings_path: settings_path.to_path_buf(),
+            signals,
+        })
     }
 
-    /// One turn of the loop; words of links and events of the net are told apart.
-    pub fn poll(&mut self, until: Millis) -> (Vec<LinkEvent>, Vec<Event>) {
-        let until = until.min(self.links.next_deadline()).min(self.session_next());
-        // A signal interrupts the wait; one that came just before it is seen at the latest then.
-        let until = until.min(self.net.now() + 250);
-        let happened = self.net.poll(until);
+    /// Waits until something happens or `until` has come, and serves what all roles have in common.
+    pub fn poll(&mut self, until: Millis) -> Polled {
+        let until = until.min(self.links.next_deadline()).min(self.next_session_deadline());
+        let until = until.min(self.net.now() + MAX_POLL_WAIT);
+        let all_events = self.net.poll(until);
         let (mut link_events, mut events) = (Vec::new(), Vec::new());
-        for event in happened {
+        for event in all_events {
             events.extend(self.links.handle_event(&mut self.net, event, &mut link_events));
         }
         link_events.extend(self.links.tick(&mut self.net));
-        let moved = |link_event: &LinkEvent| {
-            matches!(
-                link_event,
-                LinkEvent::Up(_)
-                    | LinkEvent::Down(..)
-                    | LinkEvent::Received(_, NodeRole::Control, Frame::Update(_))
-            )
-        };
-        self.stirred |= link_events.iter().any(moved);
+        self.has_topology_changed |= link_events.iter().any(may_change_topology);
         self.sort_out(&mut link_events, &mut events);
-        if self.hup.swap(false, Ordering::Relaxed) {
-            self.reread();
+        if self.signals.take_reload_request() {
+            self.reload_settings();
         }
-        (link_events, events)
+        Polled { link_events, events }
     }
 
-    /// Whether it may have changed with whom this node is to be connected: somebody came or went, or a control node said
-    /// something. Now and then all the same, for what is due by time alone. Reckoned anew in every turn it was a fifth of an
-    /// edge's work.
+    /// Whether the set of peers that this node should be connected with may have changed since the last call: a peer came or
+    /// went, or a control node sent an update. It is also true once in a while without a change. To work that set out in every
+    /// turn of the loop took a fifth of an edge's processor time.
     pub fn take_topology_change(&mut self) -> bool {
         let now = self.net.now();
-        let due = now >= self.stirred_at;
-        let stirred = std::mem::take(&mut self.stirred) || due;
-        if stirred {
-            self.stirred_at = now + AROUND;
+        let is_check_due = now >= self.next_topology_check_at;
+        let has_changed = std::mem::take(&mut self.has_topology_changed) || is_check_due;
+        if has_changed {
+            self.next_topology_check_at = now + TOPOLOGY_CHECK_INTERVAL;
         }
-        stirred
+        has_changed
     }
 
-    /// The process has been told to end; true once.
+    /// Whether a signal has asked the process to shut down since the last call; true once.
     pub fn take_shutdown_request(&mut self) -> bool {
-        if self.draining_since.is_none() && self.term.load(Ordering::Relaxed) {
-            self.draining_since = Some(self.net.now());
-            tracing::info!("told to end");
-            return true;
+        if self.draining_since.is_some() || !self.signals.is_shutdown_requested() {
+            return false;
         }
-        false
+        self.draining_since = Some(self.net.now());
+        tracing::info!("shutdown requested");
+        true
     }
 
-    /// An edge was asked whether it is ready; what has changed is logged.
-    pub fn set_ready(&mut self, ready: bool) -> bool {
-        if self.ready != ready {
-            tracing::info!(ready, "readiness");
+    /// Logs a change of what the readiness check says, and returns it.
+    pub fn set_ready(&mut self, is_ready: bool) -> bool {
+        if self.was_ready != is_ready {
+            tracing::info!(ready = is_ready, "readiness");
         }
-        self.ready = ready;
-        ready
+        self.was_ready = is_ready;
+        is_ready
     }
 
-    /// The settings file has changed: what can change while a process lives is taken, whole or not at all.
-    fn reread(&mut self) {
-        match settings::read(&self.boot_path, self.links.local().role) {
+    /// Reads the settings file again and applies what can change while a process runs; nothing of it if anything is at fault.
+    fn reload_settings(&mut self) {
+        match settings::read(&self.settings_path, self.links.local().role) {
             Ok(boot) if boot.ip == self.boot.ip && boot.node_name == self.boot.node_name => {
-                for seed in &boot.seeds {
-                    if !self.session.controls.iter().any(|(c, _)| c == seed) {
-                        self.session.controls.push((*seed, String::new()));
-                    }
-                }
+                self.session.add_seeds(&boot.seeds);
                 self.boot.bounds = boot.bounds;
                 self.boot.losses = boot.losses;
-                tracing::info!("settings read again");
+                tracing::info!("settings reloaded");
             }
-            Ok(_) => tracing::warn!("settings name another node: not taken"),
+            Ok(_) => tracing::warn!("settings name another node: not reloaded"),
             Err(faults) => {
                 for fault in &faults.0 {
                     tracing::warn!("{fault}");
@@ -224,136 +210,34 @@
             }
         }
     }
+}
 
-    // ---- The session ----
-
-    fn session_next(&self) -> Millis {
-        self.session.asked.map_or(self.net.now() + 100, |at| at + 2000)
-    }
-
-    /// Keeps up a session with one control node, of the own zone where one is there, and asks it for news.
-    pub fn maintain_session(&mut self) {
-        let now = self.net.now();
-        let late = self.session.asked.is_some_and(|at| now > at + 2000);
-        if self.session.control_node.is_some_and(|with| late || !self.links.is_up(with)) {
-            self.session.control_node = None;
-            self.session.asked = None;
-            self.session.losses += 1;
-            if self.session.stands.take().is_some() {
-                tracing::warn!("the control node does not answer");
-            }
-        }
-        if self.session.control_node.is_none() {
-            self.session.shunned.retain(|(_, until)| now < *until);
-            let shunned = |node: Node| {
-                self.session.shunned.iter().find(|(n, _)| *n == node).map_or(0, |(_, until)| *until)
-            };
-            let mut all: Vec<(Millis, u8, u32, Node)> = self
-                .links
-                .peers(NodeRole::Control)
-                .map(|h| {
-                    let lot = h.node.rotate_left(self.links.local().node & 31);
-                    (shunned(h.node), self.boot.far(&h.zone), lot, h.node)
-                })
-                .collect();
-            all.sort_unstable();
-            self.session.control_node = all.first().map(|(.., node)| *node);
-            if self.session.control_node.is_some() {
-                self.ask();
-            }
-        }
-        let hears = self.has_fresh_session();
-        if hears != std::mem::replace(&mut self.session.hears, hears) {
-            match hears {
-                true => tracing::info!("hears the control nodes"),
-                false => tracing::warn!("hears nothing of the control nodes: goes on with what it knows"),
-            }
-        }
-    }
-
-    /// Control nodes to be connected with: those of the own zone while one of them is there, else all that are known.
-    pub fn control_dial_targets(&self) -> Vec<SocketAddrV4> {
-        let zone = &self.boot.zone;
-        let known = &self.session.controls;
-        let near: Vec<SocketAddrV4> = known.iter().filter(|(_, z)| z == zone).map(|(c, _)| *c).collect();
-        let good = |node: &Node| !self.session.shunned.iter().any(|(shunned, _)| shunned == node);
-        let near_up =
-            near.iter().any(|c| self.links.node_at_control_address(*c).is_some_and(|node| good(&node)));
-        let chosen = if near_up { near } else { known.iter().map(|(c, _)| *c).collect() };
-        chosen.into_iter().map(|c| self.links.listen_address(*c.ip(), NodeRole::Control)).collect()
-    }
-
-    /// Tells its control node at once.
-    pub fn report_retirement(&mut self, retiring: RetirementState) {
-        if std::mem::replace(&mut self.session.retiring, retiring) != retiring {
-            tracing::info!(%retiring, "retirement");
-            self.ask();
-        }
-    }
-
-    fn ask(&mut self) {
-        let Some(with) = self.session.control_node else { return };
-        let config = self.config.as_ref().map_or(0, |c| c.revision);
-        let retiring = self.session.retiring;
-        let ask = Frame::UpdateRequest {
-            incarnation: self.session.life,
-            version: self.session.version,
-            config_version: config,
-            retirement: retiring,
-        };
-        if self.links.send(&mut self.net, with, &ask) {
-            self.session.asked = Some(self.net.now());
-        }
+fn local_peer_info(boot: &Boot, role: NodeRole) -> PeerInfo {
+    PeerInfo {
+        protocol_version: PROTOCOL_VERSION,
+        node: node_id(&boot.node_name),
+        name: boot.node_name.clone(),
+        role,
+        zone: boot.zone.clone(),
+        ip: boot.ip,
+        incarnation: random_seed(),
+        control_address: boot.control,
     }
+}
 
-    /// News came: a new configuration, if there is one, is read and given back.
-    pub fn apply_update(&mut self, from: Node, news: &MembershipUpdate) -> Option<Arc<Config>> {
-        if self.session.control_node != Some(from) {
-            return None;
-        }
-        let now = self.net.now();
-        if news.is_partitioned {
-            // It may be the only one that can be reached: then it is asked again, but nothing counts as heard.
-            self.session.shunned.push((from, now + 1500));
-            self.session.control_node = None;
-            self.session.asked = None;
-            return None;
-        }
-        self.session.last_update_at = now;
-        if self.session.stands.replace(from) != Some(from) {
-            self.session.established_at = now;
-            let node = self.links.peer(from).map_or("", |hello| hello.name.as_str());
-            tracing::info!(node, "session with a control node");
-        }
-        (self.session.life, self.session.version) = (news.incarnation, news.version);
-        if let Some(members) = &news.members {
-            self.session.members = members.clone();
-            for member in members.iter().filter(|m| m.role == NodeRole::Control) {
-                let Some(control) = member.control_address else { continue };
-                self.session.controls.retain(|(c, _)| *c != control);
-                self.session.controls.push((control, member.zone.clone()));
-            }
-        }
-        let mut new = None;
-        if let Some(body) = &news.config {
-            match Config::read(body) {
-                // Never back to an older one within a life.
-                Ok(config) if self.config.as_ref().is_none_or(|old| config.revision > old.revision) => {
-                    let config = Arc::new(config);
-                    self.config = Some(Arc::clone(&config));
-                    tracing::info!(version = config.revision, "configuration in force");
-                    new = Some(config);
-                }
-                Ok(_) => {}
-                Err(faults) => tracing::error!(%faults, "a configuration that can't be read"),
-            }
-        }
-        self.ask();
-        new
-    }
+fn listen_for_metrics(
+    net: &mut Net,
+    address: Option<SocketAddrV4>,
+) -> Result<Option<ListenerId>, StartError> {
+    let Some(address) = address else { return Ok(None) };
+    let limits = RequestLimits { max_body_bytes: 0, ..RequestLimits::default() };
+    let listener = net.listen_http(address, limits);
+    listener.map(Some).map_err(|source| StartError::MetricsAddress { address, source })
+}
 
-    /// The session stands: a control node answered not long ago.
-    pub fn has_fresh_session(&self) -> bool {
-        self.session.last_update_at > 0 && self.net.now() < self.session.last_update_at + 2500
-    }
+fn may_change_topology(link_event: &LinkEvent) -> bool {
+    matches!(
+        link_event,
+        LinkEvent::Up(_) | LinkEvent::Down(..) | LinkEvent::Received(_, NodeRole::Control, Frame::Update(_))
+    )
 }
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -5,7 +5,7 @@
 use crate::links::LinkEvent;
 use crate::net::fault_injection::{is_injected, InjectedFault};
 use crate::net::{CallError, CallReply, Event, Millis, OutgoingCall};
-use crate::node::{random_seed, wall_clock_ms, NodeRuntime};
+use crate::node::{random_seed, wall_clock_ms, NodeRuntime, Polled};
 use crate::protocol::{
     ExecutorState, Frame, Heartbeat, KnownMessage, MessageStatus, NodeRole, RetirementState,
 };
@@ -108,7 +108,7 @@
 
     pub fn run(mut self) -> miette::Result<()> {
         loop {
-            let (link_events, events) = self.common.poll(self.queue.next_deadline());
+            let Polled { link_events, events } = self.common.poll(self.queue.next_deadline());
             link_events.into_iter().for_each(|link_event| self.link_event(link_event));
             events.into_iter().for_each(|event| self.event(event));
             self.inquiries();
--- a/crates/server/tests/commands.rs
+++ b/crates/server/tests/commands.rs
@@ -358,11 +358,11 @@
     let said = |text: &str| fleet.log("core-1").contains(text).then_some(());
     fleet.settings("core-1", "\"grace_s\":6", "\"grace_s\":\"long\"");
     fleet.until("the fault is named", || said("bounds.grace_s"));
-    assert!(said("settings read again").is_none());
+    assert!(said("settings reloaded").is_none());
     fleet.settings("core-1", "\"grace_s\":\"long\"", "\"grace_s\":5");
-    fleet.until("they are read again", || said("settings read again"));
+    fleet.until("they are read again", || said("settings reloaded"));
     fleet.settings("core-1", "\"node_name\":\"core-1\"", "\"node_name\":\"core-9\"");
-    fleet.until("another node's are not taken", || said("settings name another node: not taken"));
+    fleet.until("another node's are not taken", || said("settings name another node: not reloaded"));
     assert!(up(1).is_some() && fleet.log("core-1").contains(" INFO starts"));
     assert_eq!(fleet.log("core-2"), "", "nothing is an error yet");
 }
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -266,7 +266,7 @@
     // Where the machine stalls, links break and are logged; thirty messages would be many more lines.
     let more = lines().into_iter().zip(before).map(|(after, before)| after - before).max();
     assert!(more < Some(25), "{}", fleet.log("store-1"));
-    assert!(fleet.log("edge-1").contains("hears the control nodes"), "{}", fleet.log("edge-1"));
+    assert!(fleet.log("edge-1").contains("control nodes are reachable"), "{}", fleet.log("edge-1"));
 
     // What the status says, as text and as JSON.
     let text = until("all has run", || {
