--- a/crates/capacity/src/allocation.rs
+++ b/crates/capacity/src/allocation.rs
@@ -1,25 +1,26 @@
-//! Counts the bytes on the heap, so that the state of a node can be told apart from that of the others.
+//! Counts the bytes on the heap, so that the state of one node can be told from that of the others.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
 
 thread_local! {
-    /// Each thread counts for itself: a fleet is played by one, and tests play several at a time.
-    static LIVE: Cell<i64> = const { Cell::new(0) };
+    /// Each thread counts for itself: a fleet runs on one thread, and tests run several fleets at once.
+    static LIVE_BYTES: Cell<i64> = const { Cell::new(0) };
 }
 
-struct Counting;
+/// The system's allocator, with a count beside it.
+struct CountingAllocator;
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 fn count(bytes: i64) {
-    // A thread that is ending counts no more.
-    let _ = LIVE.try_with(|live| live.set(live.get() + bytes));
+    // A thread that is ending has no counter any more.
+    let _ = LIVE_BYTES.try_with(|live| live.set(live.get() + bytes));
 }
 
 // SAFETY: every call goes to the system's allocator unchanged; only sizes are counted beside it.
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         count(layout.size() as i64);
         System.alloc(layout)
@@ -31,12 +32,12 @@
     }
 }
 
-/// Bytes that this thread has asked for and not given back. What the allocator needs beside them is not in it.
+/// Bytes that this thread has allocated and not freed. The allocator's own overhead is not in it.
 pub fn live_bytes() -> i64 {
-    LIVE.with(Cell::get)
+    LIVE_BYTES.with(Cell::get)
 }
 
-/// Bytes on the heap that `build` has left behind in what it gives back.
+/// Calls `build`, and returns with its result how many more bytes are on the heap than before.
 pub fn heap_of<T>(build: impl FnOnce() -> T) -> (T, i64) {
     let before = live_bytes();
     let built = build();
--- a/crates/capacity/src/control_node.rs
+++ b/crates/capacity/src/control_node.rs
@@ -49,7 +49,12 @@
         let settings = GroupSettings::new(me, seeds.clone(), disk.is_none(), LOSSES, hello.incarnation);
         let disk = disk.unwrap_or_default();
         ControlNode {
-            registry: Registry::new(member_of(hello, 0), hello.incarnation, crate::heartbeat::INTERVAL, now),
+            registry: Registry::new(
+                member_of(hello, 0),
+                hello.incarnation,
+                crate::heartbeat::HEARTBEAT_INTERVAL,
+                now,
+            ),
             group: ControlGroup::new(settings, disk.clone(), now),
             seeds,
             writing: Vec::new(),
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,36 +1,43 @@
 //! Measures how the cost of the system grows with the fleet.
 //!
 //! Many nodes share one process and one simulated clock. Each of them runs the system's own state machines
-//! (`registry`, `control-group`) and its own connection handling (`crates/server/src/links.rs`), and speaks its own frames
-//! (`crates/server/src/protocol.rs`). `stilerouted` is a program without a library, so these two files are compiled here a
-//! second time by `#[path]`, against the simulated network of [`net`]; nothing of `stilerouted` is moved or changed.
+//! (`registry`, `control-group`) and its own connection handling (`crates/server/src/links.rs`), and sends its own frames
+//! (`crates/server/src/protocol.rs`). `stilerouted` is a program without a library, so these files are compiled here a second
+//! time by `#[path]`, against the simulated network of [`net`].
 //!
 //! As a unit test this crate is empty: its tests lie in `tests/`, and those of `stilerouted`'s files belong to `stilerouted`.
 //!
-//! What one message costs in a store is measured apart from that, in [`message`], on real `hold` state machines.
+//! What one message costs in a store is measured apart from that, in [`store_cost`], on real `queue` state machines.
+//!
+//! From the bottom up: [`layout`] says which nodes a fleet has, [`control_node`] and [`member_node`] are one node each,
+//! [`simulation`] runs them, [`run`] plays a fleet and measures it, and [`report`] writes the figures of several runs.
 
-// Not finished yet: what these lints name is still to be documented or divided.
-#![allow(clippy::missing_errors_doc, missing_docs)]
 #![cfg(not(test))]
 
 pub mod allocation;
+pub mod config_body;
+// Its items are still to be documented.
+#[allow(missing_docs)]
 pub mod control_node;
+pub mod cpu_time;
 pub mod fit;
 pub mod heartbeat;
-#[rustfmt::skip] // As `links`.
+// rustfmt would look for the unit tests of these three beside them; they are formatted in `crates/server`.
+#[rustfmt::skip]
 #[path = "../../server/src/keepalive.rs"]
 pub mod keepalive;
 pub mod layout;
-#[rustfmt::skip] // Formatted where it belongs; its tests are not looked for from here.
+#[rustfmt::skip]
 #[path = "../../server/src/links.rs"]
 pub mod links;
 pub mod member_node;
-pub mod message;
 pub mod net;
-pub mod report;
-pub mod run;
-#[rustfmt::skip] // As above.
+#[rustfmt::skip]
 #[path = "../../server/src/protocol.rs"]
 pub mod protocol;
+pub mod report;
+pub mod run;
 pub mod simulation;
+pub mod store_cost;
+pub mod stores;
 pub mod traffic;
--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -1,24 +1,26 @@
-//! The command line: plays fleets of some sizes and prints what they cost.
+//! The command line: plays fleets of several sizes and prints what they cost.
 
 use gumdrop::Options;
 use miette::miette;
 use std::process::ExitCode;
-use stileroute_capacity::message::{comparison_cost, executor_heap, message_cost, service_cost};
 use stileroute_capacity::report::{json, tables, Fleets, Units};
-use stileroute_capacity::run::{run, GroupSettings};
+use stileroute_capacity::run::{run, FleetSettings};
+use stileroute_capacity::store_cost::{comparison_cost, executor_heap, message_cost, service_cost};
+use stileroute_config::Faults;
 
-/// Fewer nodes than this are no fleet: six are control nodes.
-const FEWEST: usize = 10;
-/// Messages over which the cost of one is counted.
+/// Smallest fleet: six of its nodes are control nodes.
+const MIN_NODES: usize = 10;
+/// Messages over which the cost of one is measured.
 const MESSAGES: usize = 5000;
-/// Executors over which the heap of one is counted.
+/// Executors over which the heap of one is measured.
 const EXECUTORS: usize = 1000;
-/// Services and stores whose upkeep is measured: as many services a store at each size.
-const SERVICES: [(usize, usize); 3] = [(100, 6), (1000, 60), (3000, 200)];
-const WAITING: [usize; 2] = [1000, 4000];
+/// Numbers of services and stores for which upkeep is measured: about as many services for each store.
+const SERVICES_AND_STORES: [(usize, usize); 3] = [(100, 6), (1000, 60), (3000, 200)];
+/// Numbers of waiting messages for which a comparison is measured.
+const COMPARED_MESSAGES: [usize; 2] = [1000, 4000];
 
 #[derive(Debug, Options)]
-struct Words {
+struct Args {
     #[options(help = "show this")]
     help: bool,
     #[options(help = "sizes of the fleet, with commas between them", default = "30,100,300", meta = "N,N")]
@@ -35,48 +37,54 @@
     json: bool,
 }
 
-fn sizes(text: &str) -> miette::Result<Vec<usize>> {
-    let size = |link_event: &str| link_event.trim().parse().ok().filter(|size| *size >= FEWEST);
-    let sizes: Option<Vec<usize>> = text.split(',').map(size).collect();
-    sizes.ok_or_else(|| {
-        miette!("--nodes {text}: whole numbers of {FEWEST} at least, with commas between them")
-    })
+impl Args {
+    fn sizes(&self) -> miette::Result<Vec<usize>> {
+        let size = |text: &str| text.trim().parse().ok().filter(|size| *size >= MIN_NODES);
+        let sizes: Option<Vec<usize>> = self.nodes.split(',').map(size).collect();
+        sizes.ok_or_else(|| {
+            miette!("--nodes {}: whole numbers of {MIN_NODES} at least, with commas between them", self.nodes)
+        })
+    }
+
+    fn fleet_settings(&self, nodes: usize, seed: u64) -> FleetSettings {
+        FleetSettings {
+            nodes,
+            executors_per_node: self.executors,
+            calm_ms: self.seconds.max(1) * 1000,
+            has_changes: !self.calm_only,
+            seed,
+        }
+    }
 }
 
-fn units() -> miette::Result<Units> {
-    let services = SERVICES.map(|(services, stores)| service_cost(services, stores));
-    let comparison = WAITING.map(|count| comparison_cost(count).map(|(us, bytes)| (count, us, bytes)));
-    let message = message_cost(MESSAGES)?;
+fn measure_units() -> Result<Units, Faults> {
+    let services = SERVICES_AND_STORES.map(|(services, stores)| service_cost(services, stores));
+    let comparisons = COMPARED_MESSAGES.map(comparison_cost);
     Ok(Units {
-        message,
-        services: services.into_iter().collect::<miette::Result<_>>()?,
-        executor_heap: executor_heap(EXECUTORS)?,
-        comparison: comparison.into_iter().collect::<miette::Result<_>>()?,
+        message: message_cost(MESSAGES)?,
+        services: services.into_iter().collect::<Result<_, _>>()?,
+        executor_heap_bytes: executor_heap(EXECUTORS)?,
+        comparisons: comparisons.into_iter().collect::<Result<_, _>>()?,
     })
 }
 
-fn measure(link_events: &Words) -> miette::Result<bool> {
-    let sizes = sizes(&link_events.nodes)?;
-    let settings = |nodes: usize, seed: u64| GroupSettings {
-        nodes,
-        executors_per_node: link_events.executors,
-        calm: link_events.seconds.max(1) * 1000,
-        changes: !link_events.calm_only,
-        seed,
-    };
-    let of_size =
-        |nodes: &usize| (1..=link_events.runs.max(1)).map(|seed| run(settings(*nodes, seed))).collect();
-    let runs = sizes.iter().map(of_size).collect();
+/// Measures and prints all. Returns whether every run was complete.
+fn measure(args: &Args) -> miette::Result<bool> {
+    let sizes = args.sizes()?;
+    let runs_of_size =
+        |nodes: &usize| (1..=args.runs.max(1)).map(|seed| run(args.fleet_settings(*nodes, seed))).collect();
+    let runs = sizes.iter().map(runs_of_size).collect();
     let fleets = Fleets { sizes, runs };
-    let (rows, units) = (fleets.rows(), units()?);
-    let text = if link_events.json { json(&fleets, &rows, &units) } else { tables(&fleets, &rows, &units) };
+    let rows = fleets.rows();
+    let units = measure_units().map_err(|faults| miette!("{faults}"))?;
+    let text = if args.json { json(&fleets, &rows, &units) } else { tables(&fleets, &rows, &units) };
     println!("{text}");
-    Ok(fleets.complete())
+    Ok(fleets.is_complete())
 }
 
 fn main() -> ExitCode {
-    let link_events = Words::parse_args_default_or_exit();
-    match measure(&link_events) {
+    let args = Args::parse_args_default_or_exit();
+    match measure(&args) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => {
             eprintln!("not complete: a store does not know all executors, or a node lacks the configuration");
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -2,36 +2,46 @@
 
 use crate::fit::{power, Spread};
 use crate::layout::Distance;
-use crate::message::{MessageCost, ServiceCost};
-use crate::run::{Change, Line, Measured, RoleLoad};
+use crate::run::{Change, Measured, RoleLoad};
+use crate::store_cost::{ComparisonCost, MessageCost, ServiceCost};
 use crate::traffic::Role;
 use jzon::{array, object, JsonValue};
 use std::collections::BTreeSet;
 use std::fmt::Write;
 use strum::IntoEnumIterator;
 
-/// One line of a table: a figure at each size, from all runs, and the power with which it grows.
+/// One row of a table: a figure at each size of the fleet.
 #[derive(Clone, Debug)]
 pub struct Row {
+    /// The title of the table.
     pub table: &'static str,
+    /// What the figure is.
     pub name: String,
+    /// The figure at each size, over all runs of that size.
     pub values: Vec<Spread>,
+    /// The power of the size with which it grows.
     pub power: Option<f64>,
 }
 
 /// All runs of all sizes.
 pub struct Fleets {
+    /// How many nodes the fleets have.
     pub sizes: Vec<usize>,
+    /// The runs of each size.
     pub runs: Vec<Vec<Measured>>,
 }
 
-/// What does not depend on the fleet.
+/// Costs that do not depend on the size of the fleet.
 #[derive(Default)]
 pub struct Units {
+    /// Of one message.
     pub message: MessageCost,
+    /// Of services, for several numbers of services and stores.
     pub services: Vec<ServiceCost>,
-    pub executor_heap: f64,
-    pub comparison: Vec<(usize, f64, f64)>,
+    /// Bytes on the heap of one executor at one store.
+    pub executor_heap_bytes: f64,
+    /// Of a comparison between two stores, for several numbers of messages.
+    pub comparisons: Vec<ComparisonCost>,
 }
 
 impl Fleets {
@@ -39,10 +49,11 @@
         let of_size = |runs: &Vec<Measured>| Spread::of(runs.iter().map(&figure).collect());
         let values: Vec<Spread> = self.runs.iter().map(of_size).collect();
         let sizes = self.sizes.iter().map(|size| *size as f64);
-        let points: Vec<(f64, f64)> = sizes.zip(values.iter().map(|value| value.middle)).collect();
+        let points: Vec<(f64, f64)> = sizes.zip(values.iter().map(|value| value.median)).collect();
         Row { table, name, values, power: power(&points) }
     }
 
+    /// The rows of all tables.
     pub fn rows(&self) -> Vec<Row> {
         let mut rows = self.role_rows();
         rows.extend(self.flow_rows());
@@ -53,11 +64,11 @@
     fn role_rows(&self) -> Vec<Row> {
         type Figure = (&'static str, fn(&RoleLoad) -> f64);
         let figures: [Figure; 6] = [
-            ("bytes a second in and out", |load| load.bytes),
-            ("messages a second in and out", |load| load.messages),
-            ("processor, thousandths of a core", |load| load.cpu * 1000.0),
-            ("turns a second", |load| load.turns),
-            ("state, kB", |load| load.state / 1000.0),
+            ("bytes a second in and out", |load| load.bytes_per_s),
+            ("messages a second in and out", |load| load.messages_per_s),
+            ("processor, thousandths of a core", |load| load.cpu_share * 1000.0),
+            ("turns a second", |load| load.turns_per_s),
+            ("state, kB", |load| load.heap_bytes / 1000.0),
             ("connections with nodes", |load| load.connections),
         ];
         let of = |role: Role, figure: fn(&RoleLoad) -> f64| {
@@ -74,17 +85,19 @@
 
     fn flow_rows(&self) -> Vec<Row> {
         let all = self.runs.iter().flatten();
-        let lines: BTreeSet<&Line> = all.flat_map(|measured| measured.flows.keys()).collect();
-        let kinds: BTreeSet<&'static str> = lines.into_iter().map(|line| line.kind).collect();
+        let flows = all.flat_map(|measured| measured.flows.keys());
+        let kinds: BTreeSet<&'static str> = flows.map(|flow| flow.kind).collect();
         let mut rows = Vec::new();
         for kind in kinds {
             let table = "the whole fleet by kind of message, calm, bytes a second";
-            rows.push(self.row(table, kind.to_string(), move |m| m.flow(kind, None).0));
+            rows.push(self.row(table, kind.to_string(), move |m| m.flow(kind, None).bytes_per_s));
             for far in Distance::iter() {
-                rows.push(self.row(table, format!("{kind}, {far}"), move |m| m.flow(kind, Some(far)).0));
+                rows.push(
+                    self.row(table, format!("{kind}, {far}"), move |m| m.flow(kind, Some(far)).bytes_per_s),
+                );
             }
             let table = "the whole fleet by kind of message, calm, messages a second";
-            rows.push(self.row(table, kind.to_string(), move |m| m.flow(kind, None).1));
+            rows.push(self.row(table, kind.to_string(), move |m| m.flow(kind, None).messages_per_s));
         }
         rows.sort_by_key(|row| row.table);
         rows
@@ -95,19 +108,21 @@
         for change in Change::iter().filter(|_| self.runs.iter().flatten().any(|m| !m.changes.is_empty())) {
             let of = move |measured: &Measured| measured.changes.get(&change).copied().unwrap_or_default();
             let table = "one change, bytes beyond the calm, kB";
-            rows.push(self.row(table, format!("{change}: whole fleet"), move |m| of(m).0 / 1000.0));
-            rows.push(self.row(table, format!("{change}: busiest control node"), move |m| of(m).1 / 1000.0));
+            rows.push(self.row(table, format!("{change}: whole fleet"), move |m| of(m).fleet / 1000.0));
+            rows.push(self.row(table, format!("{change}: busiest control node"), move |m| {
+                of(m).busiest_control_node / 1000.0
+            }));
         }
         rows
     }
 
     /// Whether in every run all stores knew all executors and all nodes had the configuration.
-    pub fn complete(&self) -> bool {
-        self.runs.iter().flatten().all(|measured| measured.complete)
+    pub fn is_complete(&self) -> bool {
+        self.runs.iter().flatten().all(|measured| measured.is_complete)
     }
 }
 
-/// Three digits that count.
+/// A number with three significant digits.
 fn figure(value: f64) -> String {
     match value.abs() {
         size if size >= 100.0 => format!("{value:.0}"),
@@ -119,15 +134,16 @@
 }
 
 fn cell(spread: &Spread) -> String {
-    let narrow = spread.most - spread.least <= 0.01 * spread.middle.abs();
-    let middle = figure(spread.middle);
-    if narrow {
-        middle
+    let is_narrow = spread.greatest - spread.least <= 0.01 * spread.median.abs();
+    let median = figure(spread.median);
+    if is_narrow {
+        median
     } else {
-        format!("{middle} ({} to {})", figure(spread.least), figure(spread.most))
+        format!("{median} ({} to {})", figure(spread.least), figure(spread.greatest))
     }
 }
 
+/// All tables in Markdown.
 pub fn tables(fleets: &Fleets, rows: &[Row], units: &Units) -> String {
     let mut text = String::new();
     let mut table = "";
@@ -148,15 +164,20 @@
 fn unit_tables(units: &Units) -> String {
     let message = &units.message;
     let mut text = String::from("\n| one message, at its owner and one copy together | |\n|---|---|\n");
-    let _ = writeln!(text, "| heap while it waits, bytes | {} |", figure(message.waiting_heap));
-    let _ = writeln!(text, "| heap once it has ended, bytes | {} |", figure(message.ended_heap));
-    let _ = writeln!(text, "| disk, records | {} |", figure(message.disk.0));
-    let _ = writeln!(text, "| disk, bytes | {} |", figure(message.disk.1));
-    for (kind, count, bytes) in &message.frames {
-        let _ = writeln!(text, "| {kind}: frames, bytes | {}, {} |", figure(*count), figure(*bytes));
+    let _ = writeln!(text, "| heap while it waits, bytes | {} |", figure(message.waiting_heap_bytes));
+    let _ = writeln!(text, "| heap once it has ended, bytes | {} |", figure(message.ended_heap_bytes));
+    let _ = writeln!(text, "| disk, records | {} |", figure(message.disk.count));
+    let _ = writeln!(text, "| disk, bytes | {} |", figure(message.disk.bytes));
+    for (kind, volume) in &message.frames {
+        let (count, bytes) = (figure(volume.count), figure(volume.bytes));
+        let _ = writeln!(text, "| {kind}: frames, bytes | {count}, {bytes} |");
     }
     let _ = writeln!(text, "| processor, microseconds | {} |", figure(message.cpu_us));
-    let _ = writeln!(text, "| heap of one executor at one store, bytes | {} |", figure(units.executor_heap));
+    let _ = writeln!(
+        text,
+        "| heap of one executor at one store, bytes | {} |",
+        figure(units.executor_heap_bytes)
+    );
     let _ = writeln!(text, "\n| services x stores | configuration bytes each | heap each at a store | reading it, ms | upkeep of a store, ms a second |\n|---|---|---|---|---|");
     for cost in &units.services {
         let _ = writeln!(
@@ -165,25 +186,27 @@
             cost.services,
             cost.stores,
             figure(cost.configuration_bytes),
-            figure(cost.heap),
+            figure(cost.heap_bytes),
             figure(cost.read_us / 1000.0),
-            figure(cost.upkeep_us_a_second / 1000.0)
+            figure(cost.upkeep_us_per_s / 1000.0)
         );
     }
     let _ = writeln!(
         text,
         "\n| messages that wait | one comparison, microseconds a message | bytes a message |\n|---|---|---|"
     );
-    for (count, micros, bytes) in &units.comparison {
-        let _ = writeln!(text, "| {count} | {} | {} |", figure(*micros), figure(*bytes));
+    for cost in &units.comparisons {
+        let (us, bytes) = (figure(cost.us_per_message), figure(cost.bytes_per_message));
+        let _ = writeln!(text, "| {} | {us} | {bytes} |", cost.messages);
     }
     text
 }
 
 fn spread_json(spread: &Spread) -> JsonValue {
-    object! { least: spread.least, middle: spread.middle, most: spread.most }
+    object! { least: spread.least, middle: spread.median, most: spread.greatest }
 }
 
+/// All figures as JSON.
 pub fn json(fleets: &Fleets, rows: &[Row], units: &Units) -> String {
     let mut lines = array![];
     for row in rows {
@@ -195,7 +218,7 @@
         .message
         .frames
         .iter()
-        .map(|(kind, count, bytes)| object! { kind: *kind, frames: *count, bytes: *bytes })
+        .map(|(kind, volume)| object! { kind: *kind, frames: volume.count, bytes: volume.bytes })
         .collect();
     let services: Vec<JsonValue> = units
         .services
@@ -203,24 +226,30 @@
         .map(|cost| {
             object! {
                 services: cost.services, stores: cost.stores, configuration_bytes: cost.configuration_bytes,
-                heap: cost.heap, read_us: cost.read_us, upkeep_us_a_second: cost.upkeep_us_a_second,
+                heap: cost.heap_bytes, read_us: cost.read_us, upkeep_us_a_second: cost.upkeep_us_per_s,
             }
         })
         .collect();
     let comparison: Vec<JsonValue> = units
-        .comparison
+        .comparisons
         .iter()
-        .map(|(count, micros, bytes)| object! { messages: *count, us_a_message: *micros, bytes_a_message: *bytes })
+        .map(|cost| {
+            object! {
+                messages: cost.messages,
+                us_a_message: cost.us_per_message,
+                bytes_a_message: cost.bytes_per_message,
+            }
+        })
         .collect();
     let message = object! {
-        waiting_heap: units.message.waiting_heap, ended_heap: units.message.ended_heap,
-        disk_records: units.message.disk.0, disk_bytes: units.message.disk.1, frames: frames,
+        waiting_heap: units.message.waiting_heap_bytes, ended_heap: units.message.ended_heap_bytes,
+        disk_records: units.message.disk.count, disk_bytes: units.message.disk.bytes, frames: frames,
         cpu_us: units.message.cpu_us,
     };
     let sizes: Vec<usize> = fleets.sizes.clone();
     let all = object! {
-        sizes: sizes, runs: fleets.runs.first().map_or(0, Vec::len), complete: fleets.complete(), rows: lines,
-        message: message, executor_heap: units.executor_heap, services: services, comparison: comparison,
+        sizes: sizes, runs: fleets.runs.first().map_or(0, Vec::len), complete: fleets.is_complete(), rows: lines,
+        message: message, executor_heap: units.executor_heap_bytes, services: services, comparison: comparison,
     };
     all.dump()
 }
--- a/crates/capacity/src/run.rs
+++ b/crates/capacity/src/run.rs
@@ -1,194 +1,247 @@
-//! One run of a fleet: it forms, stands calmly, and then each kind of change comes once.
+//! Plays one fleet and measures it: it forms, runs without any change for a while, and then has one change of each kind.
 
-use crate::layout::{Distance, Layout};
+use crate::layout::{Distance, Layout, CONTROL_NODES};
 use crate::net::Millis;
 use crate::protocol::NodeRole;
 use crate::simulation::Simulation;
-use crate::traffic::{Role, Traffic, Volume};
+use crate::traffic::{Flow, Role, Traffic, Volume};
 use std::collections::BTreeMap;
 use strum::IntoEnumIterator;
 
-/// Until then all sessions stand and all executors have called.
-const FORMED: Millis = 12_000;
+/// By then all sessions are established and all executors have sent heartbeats.
+const FORMED_AT: Millis = 12_000;
 /// Bytes of the configuration that is sent, at every size.
-pub const CONFIGURATION: usize = 20_000;
+pub const CONFIGURATION_BYTES: usize = 20_000;
 /// How long a change is watched.
-const WATCHED: Millis = 8_000;
-/// A node that is restarted is away for so long.
-const AWAY: Millis = 500;
-/// Executors that are replaced at once, each at another time within two seconds.
-const RENEWED: usize = 10;
-
+const CHANGE_SPAN: Millis = 8_000;
+/// How long the process of a restarted node is down.
+const RESTART_DOWNTIME: Millis = 500;
+/// Executors that are replaced for [`Change::Executor`], one after the other.
+const REPLACED_EXECUTORS: usize = 10;
+/// Time from the replacement of one executor to the next.
+const REPLACEMENT_INTERVAL: Millis = 200;
+
+/// How a fleet is played.
 #[derive(Clone, Copy, Debug)]
-pub struct GroupSettings {
+pub struct FleetSettings {
+    /// How many nodes it has.
     pub nodes: usize,
+    /// How many executors it has for each node.
     pub executors_per_node: usize,
-    pub calm: Millis,
+    /// How long it runs without a change, in milliseconds.
+    pub calm_ms: Millis,
     /// Whether changes are played as well.
-    pub changes: bool,
+    pub has_changes: bool,
+    /// Fixes all random choices.
     pub seed: u64,
 }
 
-/// What the nodes of one role cost in the calm span.
+/// What the nodes of one role cost while nothing changes: each figure is that of the node where it is greatest.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoleLoad {
+    /// How many nodes have the role.
     pub nodes: usize,
-    /// Of the busiest node: bytes and messages in and out a second, processor share of one core, heap, connections.
-    pub bytes: f64,
-    pub messages: f64,
-    pub cpu: f64,
-    pub turns: f64,
-    pub state: f64,
+    /// Bytes sent and received a second.
+    pub bytes_per_s: f64,
+    /// Frames and heartbeats sent and received a second.
+    pub messages_per_s: f64,
+    /// Processor time, as a share of one core.
+    pub cpu_share: f64,
+    /// Turns of the event loop a second.
+    pub turns_per_s: f64,
+    /// Bytes on the heap.
+    pub heap_bytes: f64,
+    /// Connections with other nodes.
     pub connections: f64,
 }
 
-/// A flow over the whole fleet: bytes and messages a second.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Line {
-    pub sender: Role,
-    pub kind: &'static str,
-    pub distance: Distance,
+/// How much of something is sent a second.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Rate {
+    /// Bytes a second.
+    pub bytes_per_s: f64,
+    /// Frames or calls a second.
+    pub messages_per_s: f64,
+}
+
+/// Bytes of a span of time.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct SpanBytes {
+    /// Sent in the whole fleet.
+    pub fleet: f64,
+    /// Sent and received by the control node that has most.
+    pub busiest_control_node: f64,
 }
 
+/// A change that is played.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, strum::Display, strum::EnumIter)]
 pub enum Change {
+    /// An executor ends without deregistering, and another is there at once.
     #[strum(serialize = "an executor replaced")]
     Executor,
+    /// The process of a store ends and is started again.
     #[strum(serialize = "a store restarted")]
     Store,
+    /// The process of a control node ends and is started again.
     #[strum(serialize = "a control node restarted")]
     ControlNode,
+    /// Another configuration is put in force.
     #[strum(serialize = "a configuration of 20 kB")]
     Configuration,
 }
 
+impl Change {
+    /// How many of it are made, so that the cost of one can be told from the rest.
+    fn repetitions(self) -> f64 {
+        match self {
+            Change::Executor => REPLACED_EXECUTORS as f64,
+            _ => 1.0,
+        }
+    }
+}
+
 /// All that one run has measured.
 #[derive(Clone, Debug, Default)]
 pub struct Measured {
+    /// How many nodes the fleet has.
     pub nodes: usize,
+    /// What the nodes of each role cost while nothing changes.
     pub roles: BTreeMap<Role, RoleLoad>,
-    pub flows: BTreeMap<Line, (f64, f64)>,
-    /// Bytes over the whole fleet beyond those of a calm span, and at the busiest control node.
-    pub changes: BTreeMap<Change, (f64, f64)>,
-    /// All stores know all executors, and all nodes have the configuration.
-    pub complete: bool,
+    /// What is sent in the whole fleet while nothing changes.
+    pub flows: BTreeMap<Flow, Rate>,
+    /// What each change cost beyond a span without one.
+    pub changes: BTreeMap<Change, SpanBytes>,
+    /// Whether all stores knew all executors, and all nodes had the configuration.
+    pub is_complete: bool,
 }
 
 impl Measured {
-    pub fn flow(&self, kind: &str, distance: Option<Distance>) -> (f64, f64) {
-        let wanted = |line: &&Line| line.kind == kind && distance.is_none_or(|far| line.distance == far);
-        let lines = self.flows.iter().filter(|(line, _)| wanted(line));
-        lines.fold((0.0, 0.0), |sum, (_, one)| (sum.0 + one.0, sum.1 + one.1))
+    /// What is sent of one kind, at one distance or at all of them.
+    pub fn flow(&self, kind: &str, distance: Option<Distance>) -> Rate {
+        let is_wanted = |flow: &Flow| flow.kind == kind && distance.is_none_or(|far| flow.distance == far);
+        let mut total = Rate::default();
+        for (_, rate) in self.flows.iter().filter(|(flow, _)| is_wanted(flow)) {
+            total.bytes_per_s += rate.bytes_per_s;
+            total.messages_per_s += rate.messages_per_s;
+        }
+        total
     }
 }
 
-fn roles_of(simulation: &Simulation, span: f64) -> BTreeMap<Role, RoleLoad> {
+fn measure_roles(simulation: &Simulation, span_s: f64) -> BTreeMap<Role, RoleLoad> {
     let mut roles: BTreeMap<Role, RoleLoad> = BTreeMap::new();
-    for (at, place) in simulation.layout.places.iter().enumerate() {
-        let load = roles.entry(Role::from(place.class)).or_default();
-        let (cost, traffic) = (simulation.costs[at], &simulation.traffic);
-        let messages = traffic.sent[at].messages + traffic.received[at].messages;
+    for (node, place) in simulation.layout.places.iter().enumerate() {
+        let load = roles.entry(Role::from(place.role)).or_default();
+        let (cost, traffic) = (simulation.costs[node], &simulation.traffic);
+        let messages = traffic.sent[node].messages + traffic.received[node].messages;
         load.nodes += 1;
-        load.bytes = load.bytes.max(traffic.bytes_at(at) as f64 / span);
-        load.messages = load.messages.max(messages as f64 / span);
-        load.cpu = load.cpu.max(cost.cpu_ns as f64 / 1e9 / span);
-        load.turns = load.turns.max(cost.turns as f64 / span);
-        load.state = load.state.max(cost.state as f64);
-        load.connections = load.connections.max(simulation.connections(at) as f64);
+        load.bytes_per_s = load.bytes_per_s.max(traffic.bytes_at(node) as f64 / span_s);
+        load.messages_per_s = load.messages_per_s.max(messages as f64 / span_s);
+        load.cpu_share = load.cpu_share.max(cost.cpu_ns as f64 / 1e9 / span_s);
+        load.turns_per_s = load.turns_per_s.max(cost.turns as f64 / span_s);
+        load.heap_bytes = load.heap_bytes.max(cost.heap_bytes as f64);
+        load.connections = load.connections.max(simulation.connection_count(node) as f64);
     }
     roles
 }
 
-fn flows_of(traffic: &Traffic, span: f64) -> BTreeMap<Line, (f64, f64)> {
-    let line = |(flow, volume): (&crate::traffic::Flow, &Volume)| {
-        let line = Line { sender: flow.sender, kind: flow.kind, distance: flow.distance };
-        (line, (volume.bytes as f64 / span, volume.messages as f64 / span))
+fn measure_flows(traffic: &Traffic, span_s: f64) -> BTreeMap<Flow, Rate> {
+    let rate = |volume: &Volume| Rate {
+        bytes_per_s: volume.bytes as f64 / span_s,
+        messages_per_s: volume.messages as f64 / span_s,
     };
-    traffic.flows.iter().map(line).collect()
+    traffic.flows.iter().map(|(flow, volume)| (*flow, rate(volume))).collect()
 }
 
-/// Bytes of the whole fleet and of its busiest control node.
-fn bytes(simulation: &Simulation) -> (f64, f64) {
+fn measure_bytes(simulation: &Simulation) -> SpanBytes {
     let places = simulation.layout.places.iter().enumerate();
-    let control = places.filter(|(_, place)| place.class == NodeRole::Control);
-    let busiest = control.map(|(at, _)| simulation.traffic.bytes_at(at)).max().unwrap_or(0);
-    (simulation.traffic.total(|_| true).bytes as f64, busiest as f64)
+    let control_nodes = places.filter(|(_, place)| place.role == NodeRole::Control);
+    let busiest = control_nodes.map(|(node, _)| simulation.traffic.bytes_at(node)).max().unwrap_or(0);
+    SpanBytes { fleet: simulation.traffic.total(|_| true).bytes as f64, busiest_control_node: busiest as f64 }
 }
 
 /// Whether all stores know all executors, and all nodes have this version of the configuration.
 pub fn is_complete(simulation: &Simulation, version: u64) -> bool {
     let executors = simulation.layout.executors;
-    let informed = simulation.members(NodeRole::Store).all(|(_, store)| store.executors.len() == executors);
-    let classes = [NodeRole::Store, NodeRole::Edge];
-    let mut members = classes.into_iter().flat_map(|class| simulation.members(class));
-    informed && members.all(|(_, member)| member.configuration().0 == version)
+    let knows_all = simulation.members(NodeRole::Store).all(|store| store.executors.len() == executors);
+    let roles = [NodeRole::Store, NodeRole::Edge];
+    let mut members = roles.into_iter().flat_map(|role| simulation.members(role));
+    knows_all && members.all(|member| member.config_version() == version)
 }
 
-fn make(simulation: &mut Simulation, change: Change) {
+fn make_change(simulation: &mut Simulation, change: Change) {
     let start = simulation.now;
     match change {
         Change::Executor => {
-            for number in 0..RENEWED.min(simulation.executors.len()) {
-                simulation.run_until(start + 200 * number as Millis);
-                simulation.renew_executor(number);
+            for number in 0..REPLACED_EXECUTORS.min(simulation.executors.len()) {
+                simulation.run_until(start + REPLACEMENT_INTERVAL * number as Millis);
+                simulation.restart_executor(number);
+            }
+        }
+        Change::Store => {
+            if let Some(store) = simulation.layout.first(NodeRole::Store) {
+                restart(simulation, store);
             }
         }
-        Change::Store => restart(simulation, NodeRole::Store),
-        Change::ControlNode => restart(simulation, NodeRole::Control),
-        Change::Configuration => simulation.configure(2, CONFIGURATION),
+        // The last one neither leads nor votes: what its restart costs is that of a witness.
+        Change::ControlNode => restart(simulation, CONTROL_NODES - 1),
+        Change::Configuration => simulation.configure(2, CONFIGURATION_BYTES),
     }
 }
 
-/// Of control nodes the last, which neither leads nor votes: what its restart costs is that of a witness.
-fn restart(simulation: &mut Simulation, class: NodeRole) {
-    let Some(first) = simulation.layout.first(class) else { return };
-    let at = if class == NodeRole::Control { crate::layout::CONTROL_NODES - 1 } else { first };
-    simulation.stop(at);
-    let back = simulation.now + AWAY;
-    simulation.start_at(back, at);
+fn restart(simulation: &mut Simulation, node: usize) {
+    simulation.stop(node);
+    let start = simulation.now + RESTART_DOWNTIME;
+    simulation.start_at(start, node);
 }
 
-/// How many of a kind are made at once, so that one of them can be told.
-fn times(change: Change) -> f64 {
-    if change == Change::Executor {
-        RENEWED as f64
-    } else {
-        1.0
+/// Makes a change, and returns what it cost beyond `calm`, which `calm_share` of a span like that of the change took.
+fn measure_change(
+    simulation: &mut Simulation,
+    change: Change,
+    calm: SpanBytes,
+    calm_share: f64,
+) -> SpanBytes {
+    simulation.reset_counters();
+    let until = simulation.now + CHANGE_SPAN;
+    make_change(simulation, change);
+    simulation.run_until(until);
+    let changed = measure_bytes(simulation);
+    let beyond = |changed: f64, calm: f64| (changed - calm * calm_share).max(0.0) / change.repetitions();
+    SpanBytes {
+        fleet: beyond(changed.fleet, calm.fleet),
+        busiest_control_node: beyond(changed.busiest_control_node, calm.busiest_control_node),
     }
 }
 
-pub fn run(settings: GroupSettings) -> Measured {
+/// Plays a fleet and measures it.
+pub fn run(settings: FleetSettings) -> Measured {
     let layout = Layout::new(settings.nodes, settings.executors_per_node);
     let mut simulation = Simulation::new(layout, settings.seed);
-    simulation.run_until(FORMED / 3);
-    simulation.configure(1, CONFIGURATION);
-    simulation.run_until(FORMED);
-    let complete = is_complete(&simulation, 1);
+    simulation.run_until(FORMED_AT / 3);
+    simulation.configure(1, CONFIGURATION_BYTES);
+    simulation.run_until(FORMED_AT);
+    let was_complete = is_complete(&simulation, 1);
     simulation.reset_counters();
-    let until = simulation.now + settings.calm;
+    let until = simulation.now + settings.calm_ms;
     simulation.run_until(until);
-    let span = settings.calm as f64 / 1000.0;
-    let calm = bytes(&simulation);
+    let calm_s = settings.calm_ms as f64 / 1000.0;
+    let calm = measure_bytes(&simulation);
     let mut measured = Measured {
         nodes: settings.nodes,
-        roles: roles_of(&simulation, span),
-        flows: flows_of(&simulation.traffic, span),
+        roles: measure_roles(&simulation, calm_s),
+        flows: measure_flows(&simulation.traffic, calm_s),
         changes: BTreeMap::new(),
-        complete,
+        is_complete: was_complete,
     };
-    if !settings.changes {
+    if !settings.has_changes {
         return measured;
     }
-    let share = WATCHED as f64 / settings.calm as f64;
+    let calm_share = CHANGE_SPAN as f64 / settings.calm_ms as f64;
     for change in Change::iter() {
-        simulation.reset_counters();
-        let until = simulation.now + WATCHED;
-        make(&mut simulation, change);
-        simulation.run_until(until);
-        let (all, busiest) = bytes(&simulation);
-        let beyond = |changed: f64, calm: f64| (changed - calm * share).max(0.0) / times(change);
-        measured.changes.insert(change, (beyond(all, calm.0), beyond(busiest, calm.1)));
+        let cost = measure_change(&mut simulation, change, calm, calm_share);
+        measured.changes.insert(change, cost);
     }
-    measured.complete &= is_complete(&simulation, 2);
+    measured.is_complete &= is_complete(&simulation, 2);
     measured
 }
--- a/crates/capacity/tests/slopes.rs
+++ b/crates/capacity/tests/slopes.rs
@@ -3,16 +3,17 @@
 
 use stileroute_capacity::fit::{power, Spread};
 use stileroute_capacity::layout::Layout;
-use stileroute_capacity::message::{comparison_cost, message_cost, BODY};
 use stileroute_capacity::report::{Fleets, Row};
-use stileroute_capacity::run::{is_complete, run, GroupSettings};
+use stileroute_capacity::run::{is_complete, run, FleetSettings};
 use stileroute_capacity::simulation::Simulation;
+use stileroute_capacity::store_cost::{comparison_cost, message_cost};
+use stileroute_capacity::stores::BODY_BYTES;
 
 const SIZES: [usize; 3] = [16, 32, 64];
 
 fn fleets() -> Fleets {
     let settings =
-        |nodes| GroupSettings { nodes, executors_per_node: 10, calm: 2000, changes: true, seed: 1 };
+        |nodes| FleetSettings { nodes, executors_per_node: 10, calm_ms: 2000, has_changes: true, seed: 1 };
     let runs = SIZES.iter().map(|nodes| vec![run(settings(*nodes))]).collect();
     Fleets { sizes: SIZES.to_vec(), runs }
 }
@@ -26,7 +27,7 @@
 #[test]
 fn costs_grow_with_the_fleet_no_faster_than_they_did() {
     let fleets = fleets();
-    assert!(fleets.complete(), "a store does not know all executors, or a node lacks the configuration");
+    assert!(fleets.is_complete(), "a store does not know all executors, or a node lacks the configuration");
     let rows = fleets.rows();
     // In proportion to the fleet.
     let linear = ["control: bytes a second in and out", "control: messages a second in and out"];
@@ -54,7 +55,7 @@
     let mut simulation = Simulation::new(layout, 1);
     // All have called once, and all control nodes have told each other.
     simulation.run_until(3000);
-    let kept: Vec<usize> = simulation.controls().map(|node| node.registry.executors().count()).collect();
+    let kept: Vec<usize> = simulation.control_nodes().map(|node| node.registry.executors().count()).collect();
     assert!(kept.iter().all(|kept| *kept < all && *kept >= all / 2), "{kept:?} of {all}");
     assert!(!is_complete(&simulation, 0));
 }
@@ -63,16 +64,20 @@
 fn a_message_costs_what_it_has_and_little_more() {
     let cost = message_cost(500).expect("a configuration of the measurement's own");
     // Two stores keep the body; what is around it is an entry and its places in the indexes.
-    assert!(cost.waiting_heap >= 2.0 * BODY as f64, "{} bytes", cost.waiting_heap);
-    assert!(cost.waiting_heap <= 2.0 * BODY as f64 + 3000.0, "{} bytes", cost.waiting_heap);
+    assert!(cost.waiting_heap_bytes >= 2.0 * BODY_BYTES as f64, "{} bytes", cost.waiting_heap_bytes);
+    assert!(cost.waiting_heap_bytes <= 2.0 * BODY_BYTES as f64 + 3000.0, "{} bytes", cost.waiting_heap_bytes);
     // Two records of the message and two of its end.
-    assert_eq!(cost.disk.0, 4.0);
-    assert!(cost.disk.1 >= 2.0 * BODY as f64 && cost.disk.1 <= 2.0 * BODY as f64 + 400.0, "{}", cost.disk.1);
+    assert_eq!(cost.disk.count, 4.0);
+    assert!(
+        cost.disk.bytes >= 2.0 * BODY_BYTES as f64 && cost.disk.bytes <= 2.0 * BODY_BYTES as f64 + 400.0,
+        "{}",
+        cost.disk.bytes
+    );
 }
 
 #[test]
 fn a_comparison_tells_sums_and_no_messages() {
-    let (_, bytes) = comparison_cost(2000).expect("a configuration of the measurement's own");
+    let bytes = comparison_cost(2000).expect("a configuration of the measurement's own").bytes_per_message;
     assert!(bytes > 0.0 && bytes < 1.0, "{bytes} bytes a message that waits");
 }
 
@@ -85,5 +90,5 @@
     assert!(near(of(|size| size * size / 5.0), 2.0));
     assert_eq!(of(|_| 0.0), None);
     assert_eq!(power(&[(10.0, 1.0)]), None);
-    assert_eq!(Spread::of(vec![3.0, 1.0, 2.0]), Spread { least: 1.0, middle: 2.0, most: 3.0 });
+    assert_eq!(Spread::of(vec![3.0, 1.0, 2.0]), Spread { least: 1.0, median: 2.0, greatest: 3.0 });
 }
