--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,9 +1,10 @@
 //! Measures how the cost of the system grows with the fleet.
 //!
 //! Many nodes share one process and one simulated clock. Each of them runs the system's own state machines
-//! (`registry`, `control-group`) and its own connection handling (`crates/server/src/links.rs`), and sends its own frames
-//! (`crates/server/src/protocol.rs`). `stilerouted` is a program without a library, so these files are compiled here a second
-//! time by `#[path]`, against the simulated network of [`net`].
+//! (`registry`, `control-group`) with its own driver of the two (`crates/server/src/control_plane.rs`) and its own connection
+//! handling (`crates/server/src/links.rs`), and sends its own frames (`crates/server/src/protocol.rs`). `stilerouted` is a
+//! program without a library, so these files are compiled here a second time by `#[path]`, against the simulated network of
+//! [`net`].
 //!
 //! As a unit test this crate is empty: its tests lie in `tests/`, and those of `stilerouted`'s files belong to `stilerouted`.
 //!
@@ -16,13 +17,14 @@
 
 pub mod allocation;
 pub mod config_body;
-// Its items are still to be documented.
-#[allow(missing_docs)]
 pub mod control_node;
+// rustfmt would look for the unit tests of the files of `crates/server` beside them; they are formatted there.
+#[rustfmt::skip]
+#[path = "../../server/src/control_plane.rs"]
+pub mod control_plane;
 pub mod cpu_time;
 pub mod fit;
 pub mod heartbeat;
-// rustfmt would look for the unit tests of these three beside them; they are formatted in `crates/server`.
 #[rustfmt::skip]
 #[path = "../../server/src/keepalive.rs"]
 pub mod keepalive;
--- a/crates/capacity/src/simulation.rs
+++ b/crates/capacity/src/simulation.rs
@@ -130,7 +130,7 @@
     /// Stops the process of a node; a control node keeps its disk.
     pub fn stop(&mut self, node: usize) {
         if let Some(RunningNode { state: NodeState::Control(control_node), .. }) = self.nodes[node].take() {
-            self.disks[node] = Some(control_node.disk());
+            self.disks[node] = Some(control_node.into_disk());
         }
         for connection in self.network.take_connections(node) {
             self.close_connection(node, connection);
@@ -147,7 +147,7 @@
     pub fn configure(&mut self, version: u64, bytes: usize) {
         let now = self.now;
         if let Some(RunningNode { state: NodeState::Control(control_node), .. }) = &mut self.nodes[0] {
-            control_node.replace(now, version, configuration(version, bytes));
+            control_node.replace_configuration(now, version, configuration(version, bytes));
         }
         self.deadlines.insert((now, 0));
     }
--- a/crates/capacity/src/simulation/node.rs
+++ b/crates/capacity/src/simulation/node.rs
@@ -110,7 +110,9 @@
                 (Delivery::Network(event), _) => {
                     links.handle_event(net, event, &mut link_events);
                 }
-                (Delivery::Heartbeat(heartbeat), NodeState::Control(node)) => node.heartbeat(now, heartbeat),
+                (Delivery::Heartbeat(heartbeat), NodeState::Control(node)) => {
+                    node.record_heartbeat(now, heartbeat)
+                }
                 (Delivery::Heartbeat(_), NodeState::Member(_)) => {}
             }
         }
@@ -130,7 +132,7 @@
 
     fn next_deadline(&self, now: Millis) -> Millis {
         let own = match &self.state {
-            NodeState::Control(node) => node.next(now),
+            NodeState::Control(node) => node.next_deadline(now),
             NodeState::Member(node) => node.next_deadline(now),
         };
         own.min(self.links.next_deadline())
--- a/crates/server/src/node.rs
+++ b/crates/server/src/node.rs
@@ -6,10 +6,10 @@
 
 pub use session::Session;
 
+use crate::inspection::Inquiry;
 use crate::links::{LinkEvent, Links};
 use crate::net::{Event, ListenerId, Millis, Net, RequestLimits};
 use crate::protocol::{Frame, NodeRole, PeerInfo, PROTOCOL_VERSION};
-use crate::report::Inquiry;
 use crate::settings;
 use process_signals::ProcessSignals;
 use std::hash::{BuildHasher, Hasher};
@@ -48,7 +48,7 @@
 
 /// Why a process can't start.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
-pub enum StartError {
+pub enum NodeStartError {
     /// The system gives no poll.
     #[error("event loop: {0}")]
     EventLoop(#[source] std::io::Error),
@@ -115,15 +115,15 @@
     /// # Errors
     ///
     /// An address can't be bound, or the system gives no poll or no signal handler.
-    pub fn start(boot: Boot, settings_path: &Path, role: NodeRole) -> Result<NodeRuntime, StartError> {
+    pub fn start(boot: Boot, settings_path: &Path, role: NodeRole) -> Result<NodeRuntime, NodeStartError> {
         let (least, most) = CONNECTION_LIMIT_RANGE;
         let max_connections = boot.means.max_open_files.saturating_sub(RESERVED_FILE_DESCRIPTORS);
         let max_connections = max_connections.clamp(least, most) as usize;
-        let (mut net, waker) = Net::new(max_connections).map_err(StartError::EventLoop)?;
-        let signals = ProcessSignals::register().map_err(StartError::Signal)?;
+        let (mut net, waker) = Net::new(max_connections).map_err(NodeStartError::EventLoop)?;
+        let signals = ProcessSignals::register().map_err(NodeStartError::Signal)?;
         let links = Links::new(local_peer_info(&boot, role), boot.internal_ports);
         let address = links.listen_address(boot.ip, role);
-        net.listen_peers(address).map_err(|source| StartError::InternalAddress { address, source })?;
+        net.listen_peers(address).map_err(|source| NodeStartError::InternalAddress { address, source })?;
         let metrics_listener = listen_for_metrics(&mut net, boot.figures)?;
         Ok(NodeRuntime {
             session: Session::new(&boot.seeds),
@@ -154,7 +154,7 @@
         }
         link_events.extend(self.links.tick(&mut self.net));
         self.has_topology_changed |= link_events.iter().any(may_change_topology);
-        self.sort_out(&mut link_events, &mut events);
+        self.extract_inquiries(&mut link_events, &mut events);
         if self.signals.take_reload_request() {
             self.reload_settings();
         }
@@ -228,11 +228,11 @@
 fn listen_for_metrics(
     net: &mut Net,
     address: Option<SocketAddrV4>,
-) -> Result<Option<ListenerId>, StartError> {
+) -> Result<Option<ListenerId>, NodeStartError> {
     let Some(address) = address else { return Ok(None) };
     let limits = RequestLimits { max_body_bytes: 0, ..RequestLimits::default() };
     let listener = net.listen_http(address, limits);
-    listener.map(Some).map_err(|source| StartError::MetricsAddress { address, source })
+    listener.map(Some).map_err(|source| NodeStartError::MetricsAddress { address, source })
 }
 
 fn may_change_topology(link_event: &LinkEvent) -> bool {
