--- a/crates/server/src/store/deliveries.rs
+++ b/crates/server/src/store/deliveries.rs
@@ -80,14 +80,16 @@
         let bytes = encode_attempt(message, attempt.expected_id.as_deref(), attempt.timeout_ms);
         let request_id = message.id.clone();
         let call_id = self.next_id();
-        let started = self.runtime.net.call(OutgoingCall {
+        let deadline = now + attempt.timeout_ms;
+        let call = OutgoingCall {
             to: attempt.executor,
             request: &bytes,
             call_id,
-            deadline: now + attempt.timeout_ms,
+            deadline,
             max_connections: attempt.max_connections,
             request_id: Some(&request_id),
-        });
+        };
+        let started = self.runtime.net.call(call);
         match started {
             Ok(()) => {
                 let in_flight = InFlight::Attempt { attempt: attempt.number, request_id };
@@ -112,11 +114,12 @@
             body.len()
         );
         let call_id = self.next_id();
+        let deadline = now + CALLBACK_TIMEOUT_MS;
         let call = OutgoingCall {
             to: receiver,
             request: bytes.as_bytes(),
             call_id,
-            deadline: now + CALLBACK_TIMEOUT_MS,
+            deadline,
             max_connections: MAX_CALLBACK_CONNECTIONS,
             request_id: None,
         };
