--- a/crates/server/src/cli/control_api.rs
+++ b/crates/server/src/cli/control_api.rs
@@ -60,7 +60,7 @@
         format!("{} {}", self.status, reason.unwrap_or_default())
     }
 
-    /// Whether it settles the call; otherwise another control node is asked.
+    /// Whether it decides the call; otherwise another control node is asked.
     fn is_clear(&self) -> bool {
         self.status < 500 && ![408, 429].contains(&self.status)
     }
--- a/crates/server/src/cli/discovery.rs
+++ b/crates/server/src/cli/discovery.rs
@@ -68,13 +68,13 @@
 }
 
 /// A process that did not answer.
-pub struct SilentProcess {
+pub struct UnreachableProcess {
     /// Its node name, where another process names it.
     name: Option<String>,
     error: AskError,
 }
 
-impl fmt::Display for SilentProcess {
+impl fmt::Display for UnreachableProcess {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.name {
             Some(name) => write!(formatter, "{name}: {}", self.error),
@@ -89,7 +89,7 @@
     /// What each process reports, by its node name.
     pub reports: BTreeMap<String, ProcessReport>,
     /// Those that a report names and that do not answer; where nobody answers, all that were asked.
-    pub silent: BTreeMap<SocketAddrV4, SilentProcess>,
+    pub unreachable: BTreeMap<SocketAddrV4, UnreachableProcess>,
 }
 
 impl Fleet {
@@ -103,7 +103,7 @@
         search.run(entry.addresses(SettingsScope::MachineAndSeeds)?);
         let fleet = search.into_fleet();
         if fleet.reports.is_empty() {
-            let reasons = fleet.silent.values().map(SilentProcess::to_string).collect();
+            let reasons = fleet.unreachable.values().map(UnreachableProcess::to_string).collect();
             return Err(CommandError::NoAnswer { reasons });
         }
         Ok(fleet)
@@ -164,7 +164,7 @@
         let report = match answer {
             Ok(report) => report,
             Err(error) => {
-                self.fleet.silent.insert(address, SilentProcess { name: None, error });
+                self.fleet.unreachable.insert(address, UnreachableProcess { name: None, error });
                 return;
             }
         };
@@ -179,12 +179,12 @@
     }
 
     fn into_fleet(mut self) -> Fleet {
-        // At an address of the settings file there may be no process: only those that somebody names count as silent.
+        // At an address of the settings file there may be no process: only those that somebody names count as unreachable.
         if !self.fleet.reports.is_empty() {
-            self.fleet.silent.retain(|address, _| self.names.contains_key(address));
+            self.fleet.unreachable.retain(|address, _| self.names.contains_key(address));
         }
-        for (address, silent) in &mut self.fleet.silent {
-            silent.name = self.names.get(address).cloned();
+        for (address, process) in &mut self.fleet.unreachable {
+            process.name = self.names.get(address).cloned();
         }
         self.fleet
     }
--- a/crates/server/src/cli/message.rs
+++ b/crates/server/src/cli/message.rs
@@ -20,7 +20,7 @@
         Key::parse(id).ok_or_else(|| CommandError::InvalidMessageId(id.to_string()))?;
     let fleet = Fleet::discover(&query.entry)?;
     let mut stores = JsonValue::new_object();
-    let mut silent: Vec<String> = fleet.silent.values().map(ToString::to_string).collect();
+    let mut silent: Vec<String> = fleet.unreachable.values().map(ToString::to_string).collect();
     for (name, process) in &fleet.reports {
         if process.report["class"] != "store" {
             continue;
--- a/crates/server/src/cli/status.rs
+++ b/crates/server/src/cli/status.rs
@@ -1,7 +1,7 @@
 //! `stilerouted status`: the nodes, the control group and the services of a running system.
 
 use super::args::Query;
-use super::discovery::{Fleet, ProcessReport, SilentProcess};
+use super::discovery::{Fleet, ProcessReport, UnreachableProcess};
 use super::output::{print, ExitStatus, OutputFormat};
 use super::services::services;
 use super::CommandError;
@@ -26,7 +26,8 @@
 }
 
 fn as_json(fleet: &Fleet) -> JsonValue {
-    let silent: Vec<JsonValue> = fleet.silent.values().map(|silent| silent.to_string().into()).collect();
+    let silent: Vec<JsonValue> =
+        fleet.unreachable.values().map(|process| process.to_string().into()).collect();
     let control = fleet.leading_control_report().map_or(JsonValue::Null, |report| report["duty"].clone());
     let nodes: Vec<JsonValue> = fleet.reports.values().map(node_as_json).collect();
     jzon::object! {
@@ -50,7 +51,10 @@
     let mut text = control_as_text(fleet);
     text += "nodes:\n";
     fleet.reports.values().for_each(|process| text += &node_as_text(process));
-    fleet.silent.values().for_each(|silent: &SilentProcess| text += &format!("  SILENT {silent}\n"));
+    fleet
+        .unreachable
+        .values()
+        .for_each(|process: &UnreachableProcess| text += &format!("  SILENT {process}\n"));
     text += "services:\n";
     services(fleet).entries().for_each(|(name, service)| text += &service_as_text(name, service));
     text
--- a/crates/server/src/cli/verify.rs
+++ b/crates/server/src/cli/verify.rs
@@ -2,6 +2,7 @@
 
 use super::output::{print, ExitStatus, OutputFormat};
 use jzon::JsonValue;
+use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
 use std::path::Path;
 use stileroute_config::Config;
@@ -32,17 +33,28 @@
     }
 }
 
+/// Reads a log through, and hands each record that can be decoded to `apply`. Gives what was found in the files, and how many
+/// records there are of each kind.
+fn read_records<R: DeserializeOwned>(
+    folder: &Path,
+    kind_of: fn(&R) -> &'static str,
+    mut apply: impl FnMut(R),
+) -> Result<(Report, KindCounts), ReadError> {
+    let mut kinds = KindCounts::default();
+    let report = stileroute_wal::verify(folder, &mut |bytes| match postcard::from_bytes::<R>(bytes) {
+        Ok(record) => {
+            kinds.add(kind_of(&record));
+            apply(record);
+        }
+        Err(_) => kinds.add(UNREADABLE_KIND),
+    })?;
+    Ok((report, kinds))
+}
+
 /// Reads the log of a store, and says what its records amount to.
 fn verify_store(folder: &Path) -> Result<JsonValue, ReadError> {
-    let (mut table, mut kinds) = (StateTable::default(), KindCounts::default());
-    let report =
-        stileroute_wal::verify(folder, &mut |bytes| match postcard::from_bytes::<MessageRecord>(bytes) {
-            Ok(record) => {
-                kinds.add(message_record_kind(&record));
-                table.apply_record(record);
-            }
-            Err(_) => kinds.add(UNREADABLE_KIND),
-        })?;
+    let mut table = StateTable::default();
+    let (report, kinds) = read_records(folder, message_record_kind, |record| table.apply_record(record))?;
     let ends = || table.messages.values().filter_map(|message| message.end.as_ref());
     let live = table.messages.values().filter(|message| message.end.is_none()).count();
     let complete = ends().filter(|stored| matches!(stored.end, End::Complete { .. })).count();
@@ -72,15 +84,8 @@
 
 /// Reads the log of a control node, and says what its records amount to.
 fn verify_control_node(folder: &Path) -> Result<JsonValue, ReadError> {
-    let (mut persisted, mut kinds) = (PersistedState::default(), KindCounts::default());
-    let report =
-        stileroute_wal::verify(folder, &mut |bytes| match postcard::from_bytes::<ControlRecord>(bytes) {
-            Ok(record) => {
-                kinds.add(control_record_kind(&record));
-                persisted.apply(record);
-            }
-            Err(_) => kinds.add(UNREADABLE_KIND),
-        })?;
+    let mut persisted = PersistedState::default();
+    let (report, kinds) = read_records(folder, control_record_kind, |record| persisted.apply(record))?;
     let (view, state) = (persisted.view.as_ref(), persisted.state.as_ref());
     let configuration_reads = state.is_none_or(|state| Config::read(&state.body).is_ok());
     let mut object = files_as_json(&report);
--- a/crates/server/src/edge.rs
+++ b/crates/server/src/edge.rs
@@ -109,7 +109,7 @@
             self.answer_inquiries();
             self.handle_timeouts();
             self.runtime.maintain_session();
-            self.set_dial_targets();
+            self.runtime.update_dial_targets(|_| true);
             self.runtime.take_shutdown_request();
             if self.is_shutdown_complete() {
                 return self.runtime.net.flush();
@@ -117,19 +117,6 @@
         }
     }
 
-    /// Says with whom connections are to be opened from here: control nodes, and all stores.
-    fn set_dial_targets(&mut self) {
-        if !self.runtime.take_topology_change() {
-            return;
-        }
-        let mut targets = self.runtime.control_dial_targets();
-        let members = self.runtime.session.members.iter();
-        let stores = members.filter(|member| member.role == NodeRole::Store);
-        targets.extend(stores.map(|member| self.runtime.links.listen_address(member.ip, NodeRole::Store)));
-        let now = self.runtime.net.now();
-        self.runtime.links.set_dial_targets(now, targets);
-    }
-
     /// After a while no connections are accepted any more, and every answer closes its own; the process ends when all requests
     /// have been answered, or there is no more time.
     fn is_shutdown_complete(&mut self) -> bool {
--- a/crates/server/src/edge/lookups.rs
+++ b/crates/server/src/edge/lookups.rs
@@ -106,6 +106,7 @@
         request_ids.into_iter().for_each(|request_id| self.store_gave_no_answer(request_id));
     }
 
+    /// A time-out of a lookup is over: perhaps the one of the store that is asked now.
     pub(super) fn lookup_timeout(&mut self, request_id: u64) {
         let now = self.runtime.net.now();
         let Some(lookup) = self.lookups.get(&request_id) else { return };
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -9,6 +9,7 @@
 mod cli;
 mod control_node;
 mod control_plane;
+mod dial_targets;
 mod disk;
 mod edge;
 mod inspection;
--- a/crates/server/src/report.rs
+++ b/crates/server/src/report.rs
@@ -8,7 +8,8 @@
 use stileroute_queue::Node;
 use stileroute_wal::Statistics;
 
-fn seconds(ms: Millis) -> f64 {
+/// Milliseconds as the seconds that metrics have.
+pub fn seconds(ms: Millis) -> f64 {
     ms as f64 / 1000.0
 }
 
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -109,7 +109,9 @@
             events.into_iter().for_each(|event| self.event(event));
             self.answer_inquiries();
             self.runtime.maintain_session();
-            self.set_dial_targets();
+            // Of two stores the one with the lower address opens the connection.
+            let own_ip = self.runtime.boot.ip;
+            self.runtime.update_dial_targets(|store| store.ip > own_ip);
             let now = self.runtime.net.now();
             self.queue.hears_control_group = self.runtime.has_fresh_session();
             // Counted from the last update: the session was alive then, and other nodes count it for so long after its end.
@@ -144,20 +146,6 @@
             || self.runtime.is_grace_period_over(SHUTDOWN_RESERVE_MS)
     }
 
-    /// Says with whom connections are to be opened from here. Of two stores the one with the lower address opens it.
-    fn set_dial_targets(&mut self) {
-        if !self.runtime.take_topology_change() {
-            return;
-        }
-        let mut targets = self.runtime.control_dial_targets();
-        let own_ip = self.runtime.boot.ip;
-        let members = self.runtime.session.members.iter();
-        let stores = members.filter(|member| member.role == NodeRole::Store && member.ip > own_ip);
-        targets.extend(stores.map(|member| self.runtime.links.listen_address(member.ip, NodeRole::Store)));
-        let now = self.runtime.net.now();
-        self.runtime.links.set_dial_targets(now, targets);
-    }
-
     /// Edges send nothing more to a store that drains.
     fn notify_edges_of_draining(&mut self) {
         for edge in self.runtime.links.nodes_with_role(NodeRole::Edge) {
--- a/crates/server/src/store/link_events.rs
+++ b/crates/server/src/store/link_events.rs
@@ -12,6 +12,7 @@
 const UNKNOWN_ZONE: usize = usize::MAX >> 1;
 
 impl Store {
+    /// Takes in what happened on a link.
     pub(super) fn link_event(&mut self, link_event: LinkEvent) {
         let now = self.runtime.net.now();
         match link_event {
--- a/crates/server/src/store/report.rs
+++ b/crates/server/src/store/report.rs
@@ -3,16 +3,11 @@
 use super::Store;
 use crate::inspection::Inspect;
 use crate::metrics::Exposition;
-use crate::net::Millis;
 use crate::node::NodeRuntime;
-use crate::report::disk_metrics;
+use crate::report::{disk_metrics, seconds};
 use jzon::JsonValue;
 use stileroute_queue::{End, Key, ServiceView, StageCounts};
 
-fn seconds(ms: Millis) -> f64 {
-    ms as f64 / 1000.0
-}
-
 impl Store {
     fn messages_as_json(&self) -> JsonValue {
         let stages = self.queue.stage_counts(self.runtime.net.now());
