--- a/crates/server/tests/check_config.rs
+++ b/crates/server/tests/check_config.rs
@@ -4,7 +4,7 @@
 use std::process::Command;
 
 /// What control nodes refuse with 413 beyond.
-const LARGEST: usize = 4 << 20;
+const MAX_CONFIGURATION_BYTES: usize = 4 << 20;
 
 /// A valid configuration of so many bytes; keys that are not known are passed over.
 fn configuration(bytes: usize) -> String {
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_configuration_beyond_what_control_nodes_take_is_refused_by_the_check() {
+fn check_config_rejects_a_configuration_that_control_nodes_would_reject() {
     let file = std::env::temp_dir().join(format!("configuration-{}.json", std::process::id()));
     let check = |bytes: usize| {
         fs::write(&file, configuration(bytes)).unwrap();
@@ -21,10 +21,10 @@
         let output = command.args(["check", "config"]).arg(&file).output().unwrap();
         (output.status.code(), String::from_utf8_lossy(&[output.stdout, output.stderr].concat()).into_owned())
     };
-    let (taken, text) = check(LARGEST);
-    assert_eq!(taken, Some(0), "{text}");
-    let (refused, text) = check(LARGEST + 1);
-    assert_eq!(refused, Some(2), "{text}");
+    let (accepted, text) = check(MAX_CONFIGURATION_BYTES);
+    assert_eq!(accepted, Some(0), "{text}");
+    let (rejected, text) = check(MAX_CONFIGURATION_BYTES + 1);
+    assert_eq!(rejected, Some(2), "{text}");
     assert!(text.contains("4194305 bytes; at most 4194304 can be sent"), "{text}");
     fs::remove_file(&file).unwrap();
 }
--- a/crates/server/tests/control_log.rs
+++ b/crates/server/tests/control_log.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 use group::Group;
-use machine::{Fault, CHECKPOINT_AFTER};
+use machine::{Fault, CHECKPOINT_AFTER_BYTES};
 use stileroute_wal::Step;
 
 const CHANGES: u64 = 1000;
@@ -40,11 +40,11 @@
 ];
 const FAULTS: [Fault; 3] = [Fault::Kill, Fault::PowerLoss, Fault::DiskLoss];
 
-/// The old snapshot and the new, the segment that the new one covers, which takes one record beyond `CHECKPOINT_AFTER`, and the
+/// The old snapshot and the new, the segment that the new one covers, which takes one record beyond `CHECKPOINT_AFTER_BYTES`, and the
 /// one that is written to: here nothing is appended while a checkpoint runs.
 fn disk_bound() -> u64 {
     let record = BODY_BYTES as u64 + RECORD_OVERHEAD;
-    2 * record + (CHECKPOINT_AFTER + record) + record
+    2 * record + (CHECKPOINT_AFTER_BYTES + record) + record
 }
 
 #[test]
--- a/crates/server/tests/control_log/machine.rs
+++ b/crates/server/tests/control_log/machine.rs
@@ -12,7 +12,7 @@
 
 use crate::power::{write, Disk, Files};
 
-pub const CHECKPOINT_AFTER: u64 = 4 << 10;
+pub const CHECKPOINT_AFTER_BYTES: u64 = 4 << 10;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
@@ -94,7 +94,7 @@
             Ok(())
         };
         let options = Options {
-            checkpoint_after_bytes: CHECKPOINT_AFTER,
+            checkpoint_after_bytes: CHECKPOINT_AFTER_BYTES,
             max_sync_delay: Duration::from_secs(3600),
             step_hook: Some(Arc::new(hook)),
             operation_observer: Some(Arc::new(move |operation: Operation| {
--- a/crates/server/tests/large_configurations.rs
+++ b/crates/server/tests/large_configurations.rs
@@ -18,12 +18,12 @@
 use stileroute_wal::{Options, StateMachine, Step, Wal, MAX_RECORD_BYTES};
 
 /// Bytes of the largest configuration.
-const LARGEST: usize = 8 << 20;
+const MAX_CONFIGURATION_BYTES: usize = 8 << 20;
 /// As many routes with all their keys as go into it.
 const ROUTES: usize = 25_000;
 /// As the control node has it.
-const CHECKPOINT_AFTER: u64 = 4 << 20;
-const ROOM: u64 = 128 << 20;
+const CHECKPOINT_AFTER_BYTES: u64 = 4 << 20;
+const DISK_CAPACITY_BYTES: u64 = 128 << 20;
 
 fn configuration(revision: u64, routes: usize) -> Vec<u8> {
     let route = |number: usize| {
@@ -42,9 +42,9 @@
 }
 
 #[derive(Default)]
-struct Ledger(PersistedState);
+struct ControlRecords(PersistedState);
 
-impl StateMachine for Ledger {
+impl StateMachine for ControlRecords {
     fn apply(&mut self, record: &[u8]) {
         self.0.apply(postcard::from_bytes(record).expect("a record"));
     }
@@ -78,7 +78,11 @@
 
 fn read_within_bounds() {
     let body = configuration(1, ROUTES);
-    assert!(body.len() <= LARGEST && body.len() > LARGEST / 8 * 7, "{} bytes", body.len());
+    assert!(
+        body.len() <= MAX_CONFIGURATION_BYTES && body.len() > MAX_CONFIGURATION_BYTES / 8 * 7,
+        "{} bytes",
+        body.len()
+    );
     let (before, since) = (memory::live(), Instant::now());
     memory::peak_since(before);
     let config = Config::read(&body).expect("it is valid");
@@ -104,7 +108,12 @@
 fn fits_a_record() {
     let retirement = |node| Retirement { node, name: "n".repeat(255), stage: RetirementStage::Complete };
     let retirements = (0..MAX_RETIREMENTS as u32).map(retirement).collect();
-    let state = ControlState { serial: u64::MAX, version: u64::MAX, body: vec![b'x'; LARGEST], retirements };
+    let state = ControlState {
+        serial: u64::MAX,
+        version: u64::MAX,
+        body: vec![b'x'; MAX_CONFIGURATION_BYTES],
+        retirements,
+    };
     let record = postcard::to_stdvec(&Record::ControlState(state)).expect("encodes");
     println!("the largest value takes {} bytes, a record may have {MAX_RECORD_BYTES}", record.len());
     assert!(record.len() <= MAX_RECORD_BYTES, "{} bytes", record.len());
@@ -117,20 +126,20 @@
     let dir = std::env::temp_dir().join(format!("large-configurations-{}", std::process::id()));
     let _ = fs::remove_dir_all(&dir);
     let (peak, snapshots) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
-    let (peak_, snapshots_, hooked): (_, _, PathBuf) = (peak.clone(), snapshots.clone(), dir.clone());
+    let (hook_peak, hook_snapshots, hooked): (_, _, PathBuf) = (peak.clone(), snapshots.clone(), dir.clone());
     let hook = move |step| {
         if step == Step::RenameSnapshot {
-            peak_.fetch_max(folder_bytes(&hooked), Ordering::Relaxed);
+            hook_peak.fetch_max(folder_bytes(&hooked), Ordering::Relaxed);
             let files = fs::read_dir(&hooked).into_iter().flatten().flatten();
             let unfinished = files.filter(|file| file.file_name().to_string_lossy().ends_with(".tmp"));
             let bytes: u64 = unfinished.filter_map(|file| Some(file.metadata().ok()?.len())).sum();
-            snapshots_.fetch_add(bytes, Ordering::Relaxed);
+            hook_snapshots.fetch_add(bytes, Ordering::Relaxed);
         }
         Ok(())
     };
     let options = || Options {
-        checkpoint_after_bytes: CHECKPOINT_AFTER,
-        capacity_bytes: ROOM,
+        checkpoint_after_bytes: CHECKPOINT_AFTER_BYTES,
+        capacity_bytes: DISK_CAPACITY_BYTES,
         ..Options::new("watch")
     };
     let (answer, answers) = channel();
@@ -138,34 +147,34 @@
     let before = memory::live();
     memory::peak_since(before);
     let hooked = Options { step_hook: Some(Arc::new(hook)), ..options() };
-    let (book, _) = Wal::open::<Ledger>(&dir, hooked, done).expect("opens");
+    let (log, _) = Wal::open::<ControlRecords>(&dir, hooked, done).expect("opens");
     let since = Instant::now();
     for serial in 1..=changes {
-        book.append(serial, vec![postcard::to_stdvec(&value(serial, &body)).expect("encodes")], true);
+        log.append(serial, vec![postcard::to_stdvec(&value(serial, &body)).expect("encodes")], true);
         let (ticket, result) = answers.recv_timeout(Duration::from_secs(60)).expect("an answer");
         assert!(ticket == serial && result.is_ok(), "{ticket}: {result:?}");
         peak.fetch_max(folder_bytes(&dir), Ordering::Relaxed);
     }
-    let (took, figures) = (since.elapsed(), book.statistics());
-    book.close();
+    let (took, statistics) = (since.elapsed(), log.statistics());
+    log.close();
     let most = memory::peak_since(before);
-    let written = figures.bytes + snapshots.load(Ordering::Relaxed);
+    let written = statistics.bytes + snapshots.load(Ordering::Relaxed);
     let amplified = written as f64 / (changes * body.len() as u64) as f64;
     let peak = peak.load(Ordering::Relaxed);
     let since = Instant::now();
-    let (_, ledger) = Wal::open::<Ledger>(&dir, options(), |_, _| {}).expect("opens");
+    let (_, records) = Wal::open::<ControlRecords>(&dir, options(), |_, _| {}).expect("opens");
     let opened = since.elapsed();
     println!(
         "{changes} changes of {} bytes in {took:?}: written {amplified:.2} times, {} checkpoints, folder {peak} bytes at most, \
          memory {most} bytes at most, read at the start in {opened:?}",
         body.len(),
-        figures.checkpoints,
+        statistics.checkpoints,
     );
-    let kept = ledger.0.state.expect("a value");
+    let kept = records.0.state.expect("a value");
     assert!(kept.serial == changes && kept.body == body);
-    assert!(peak <= ROOM, "{peak} bytes");
+    assert!(peak <= DISK_CAPACITY_BYTES, "{peak} bytes");
     assert!(amplified <= 2.1, "written {amplified} times");
     // What is appended, in three forms, and what is folded, in four; a buffer that grows is there up to three times.
-    assert!(most < 16 * LARGEST, "{most} bytes of memory");
+    assert!(most < 16 * MAX_CONFIGURATION_BYTES, "{most} bytes of memory");
     let _ = fs::remove_dir_all(&dir);
 }
--- a/crates/server/tests/state.rs
+++ b/crates/server/tests/state.rs
@@ -8,9 +8,9 @@
 use stileroute_wal::{Options, StateMachine, Wal};
 
 #[derive(Default)]
-struct Nothing;
+struct NoState;
 
-impl StateMachine for Nothing {
+impl StateMachine for NoState {
     fn apply(&mut self, _: &[u8]) {}
     fn snapshot(&self, _: &mut dyn FnMut(&[u8])) {}
 }
@@ -26,9 +26,9 @@
         let state =
             ControlState { serial: 1, version: 1, body: CONFIGURATION.to_vec(), ..ControlState::default() };
         let record = postcard::to_stdvec(&Record::ControlState(state)).unwrap();
-        let (book, _) = Wal::open::<Nothing>(&machine.watch(), Options::new("watch"), |_, _| {}).unwrap();
-        book.append(1, vec![record], true);
-        book.close();
+        let (log, _) = Wal::open::<NoState>(&machine.watch(), Options::new("watch"), |_, _| {}).unwrap();
+        log.append(1, vec![record], true);
+        log.close();
         machine
     }
 
@@ -50,19 +50,19 @@
 }
 
 #[test]
-fn the_identity_is_told_and_a_file_of_another_machine_is_refused_by_name() {
+fn verify_shows_the_identity_and_names_a_file_of_another_machine() {
     let (one, other) = (Machine::new("one"), Machine::new("other"));
     let format = fs::read_to_string(one.watch().join("FORMAT")).unwrap();
     let identity = format.split_whitespace().last().unwrap().to_string();
-    let (code, told) = verify(&one.0);
-    assert!(code == Some(0) && told.contains(&format!("identity: {identity}")), "{code:?} {told}");
+    let (code, shown) = verify(&one.0);
+    assert!(code == Some(0) && shown.contains(&format!("identity: {identity}")), "{code:?} {shown}");
 
     fs::copy(other.watch().join("log-0000000001"), one.watch().join("log-0000000001")).unwrap();
-    let (code, told) = verify(&one.0);
-    let line = told.lines().find(|line| line.contains("log-0000000001")).unwrap_or_default();
+    let (code, shown) = verify(&one.0);
+    let line = shown.lines().find(|line| line.contains("log-0000000001")).unwrap_or_default();
     assert!(
         line.contains("folder: it was written in ") && line.ends_with(&format!("and this is {identity}")),
-        "{told}"
+        "{shown}"
     );
-    assert_eq!(code, Some(1), "{told}");
+    assert_eq!(code, Some(1), "{shown}");
 }
