--- a/crates/server/src/edge.rs
+++ b/crates/server/src/edge.rs
@@ -254,6 +254,6 @@
 }
 
 fn listen(net: &mut Net, address: SocketAddrV4, purpose: &'static str) -> Result<usize, StartError> {
-    net.listen(address, Some(RequestLimits::default()))
+    net.listen_http(address, RequestLimits::default())
         .map_err(|source| StartError::Listen { purpose, source })
 }
--- a/crates/server/src/edge/pending/tests.rs
+++ b/crates/server/src/edge/pending/tests.rs
@@ -37,23 +37,23 @@
         known_as_pending: None,
         is_inconclusive: false,
     };
-    let waits = || Some(KnownMessage { state: MessageState::Pending, body: None });
+    let waits = || Some(KnownMessage { status: MessageStatus::Pending, body: None });
     // The first was given up, and the second, asked since, knows the end.
     let mut lookup = asks(SECOND);
     assert_eq!(lookup.replied(FIRST, waits()), AfterReply::KeepWaiting);
     assert_eq!(lookup.known_as_pending, waits());
     assert_eq!(lookup.replied(FIRST, None), AfterReply::KeepWaiting);
-    let end = Some(KnownMessage { state: MessageState::Failed, body: None });
+    let end = Some(KnownMessage { status: MessageStatus::Failed, body: None });
     assert_matches!(
         lookup.replied(SECOND, end),
-        AfterReply::Answer(KnownMessage { state: MessageState::Failed, body: None })
+        AfterReply::Answer(KnownMessage { status: MessageStatus::Failed, body: None })
     );
     // The one that is asked leads on to the next, and the owner is believed at once.
     assert_eq!(asks(FIRST).replied(FIRST, waits()), AfterReply::AskNextStore);
     assert_eq!(asks(FIRST).replied(FIRST, None), AfterReply::AskNextStore);
     assert_matches!(asks(SECOND).replied(ORIGIN, waits()), AfterReply::Answer(_));
     assert_matches!(
-        asks(SECOND).replied(FIRST, Some(KnownMessage { state: MessageState::Failed, body: None })),
+        asks(SECOND).replied(FIRST, Some(KnownMessage { status: MessageStatus::Failed, body: None })),
         AfterReply::Answer(_)
     );
 }
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -13,6 +13,7 @@
 mod disk;
 mod edge;
 mod inspection;
+mod keepalive;
 mod links;
 mod metrics;
 mod net;
--- a/crates/server/src/protocol/tests.rs
+++ b/crates/server/src/protocol/tests.rs
@@ -68,8 +68,8 @@
     Frame::UpdateRequest { incarnation: 1, version: 128, config_version: 3, retirement }
 }
 
-fn lookup_result(known: Option<(MessageState, Option<Vec<u8>>)>) -> Frame {
-    let result = known.map(|(state, body)| KnownMessage { state, body });
+fn lookup_result(known: Option<(MessageStatus, Option<Vec<u8>>)>) -> Frame {
+    let result = known.map(|(status, body)| KnownMessage { status, body });
     Frame::LookupResult { request_id: 1, result }
 }
 
@@ -112,9 +112,9 @@
         Frame::Draining,
         Frame::Lookup { request_id: 2, key: KEY, include_body: true },
         lookup_result(None),
-        lookup_result(Some((MessageState::Pending, None))),
-        lookup_result(Some((MessageState::Complete { seal: "s".to_string() }, Some(vec![1, 2])))),
-        lookup_result(Some((MessageState::Failed, None))),
+        lookup_result(Some((MessageStatus::Pending, None))),
+        lookup_result(Some((MessageStatus::Complete { seal: "s".to_string() }, Some(vec![1, 2])))),
+        lookup_result(Some((MessageStatus::Failed, None))),
         Frame::Queue(PeerMessage::Replicated(vec![KEY])),
         Frame::ControlGroup(group::Message::Stored { epoch: 1, write_id: 2 }),
         Frame::Sessions(vec![member(NodeRole::Store, None, RetirementState::NotRetiring)]),
--- a/crates/server/src/report.rs
+++ b/crates/server/src/report.rs
@@ -119,13 +119,13 @@
         let help = "Frames that could not be read.";
         metrics.counter("stileroute_links_unread_total", help, &[], self.links.undecodable_frames);
         let zone = |is_far: bool| if is_far { "other" } else { "own" };
-        for ((about, is_far), sent) in &self.links.sent {
-            let labels = [("about", *about), ("zone", zone(*is_far))];
+        for (kind, sent) in &self.links.sent {
+            let labels = [("about", kind.category), ("zone", zone(kind.crosses_zones))];
             let help = "Frames to other processes, by what they are about.";
             metrics.counter("stileroute_said_total", help, &labels, sent.frames);
         }
-        for ((about, is_far), sent) in &self.links.sent {
-            let labels = [("about", *about), ("zone", zone(*is_far))];
+        for (kind, sent) in &self.links.sent {
+            let labels = [("about", kind.category), ("zone", zone(kind.crosses_zones))];
             let help = "Bytes to other processes, by what they are about.";
             metrics.counter("stileroute_said_bytes_total", help, &labels, sent.bytes);
         }
--- a/crates/server/tests/control_log/machine.rs
+++ b/crates/server/tests/control_log/machine.rs
@@ -151,13 +151,13 @@
         let mut monitor = self.monitor.lock().unwrap();
         let Some(disk) = monitor.struck.take() else { return };
         let files = match fault {
-            Fault::Kill => disk.seen(),
-            Fault::PowerLoss => disk.drawn(draw_random),
+            Fault::Kill => disk.visible_files(),
+            Fault::PowerLoss => disk.random_outcome(draw_random),
             Fault::DiskLoss => Files::new(),
         };
         write(&self.dir, &files);
         // A killed process leaves the system what it has not synced; power may yet be lost.
-        monitor.disk = if fault == Fault::Kill { disk } else { Disk::holding(&files) };
+        monitor.disk = if fault == Fault::Kill { disk } else { Disk::with_durable_files(&files) };
     }
 
     fn segments(&self) -> usize {
