--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,9 +1,6 @@
 //! `stilerouted`: the whole ingest and dispatch service in one program; the first word is the role. See docs/system.md for
 //! its design and docs/server.md for running it.
 
-// Left: the flags of a connection in `net` (`Conn`, and `Dialogue` of the server).
-#![allow(clippy::struct_excessive_bools)]
-
 mod callback_url;
 mod calls;
 mod cli;
