--- a/crates/server/src/store/report.rs
+++ b/crates/server/src/store/report.rs
@@ -24,11 +24,15 @@
     }
 
     fn service_as_json(&self, service: ServiceView) -> JsonValue {
-        let executors = service.executor_shares.into_iter();
-        let executors =
-            executors.map(|(id, share, out)| jzon::object! { "id" => id, "share" => share, "out" => out });
-        let rate_limit = service.rate_limit.map(|(rate, holder, is_here)| {
-            jzon::object! { "rate_per_s" => rate, "holder" => self.runtime.node_name(holder), "here" => is_here }
+        let executors = service.executor_shares.into_iter().map(|executor| {
+            jzon::object! { "id" => executor.id, "share" => executor.share, "out" => executor.in_flight }
+        });
+        let rate_limit = service.rate_limit.map(|limit| {
+            jzon::object! {
+                "rate_per_s" => limit.rate_per_s,
+                "holder" => self.runtime.node_name(limit.token_holder),
+                "here" => limit.is_held_here,
+            }
         });
         jzon::object! {
             "service" => service.name,
@@ -54,12 +58,12 @@
 
     /// The other stores.
     fn stores_as_json(&self) -> JsonValue {
-        let stores = self.queue.peer_views().map(|(node, is_connected, is_member, is_draining)| {
+        let stores = self.queue.peer_views().map(|store| {
             jzon::object! {
-                "node" => self.runtime.node_name(node),
-                "connected" => is_connected,
-                "member" => is_member,
-                "leaving" => is_draining,
+                "node" => self.runtime.node_name(store.node),
+                "connected" => store.is_connected,
+                "member" => store.is_member,
+                "leaving" => store.is_draining,
             }
         });
         stores.collect::<Vec<_>>().into()
@@ -70,10 +74,10 @@
         write_queue_metrics(metrics, &services);
         write_retry_metrics(metrics, &services);
         for service in &services {
-            let Some((_, _, is_here)) = service.rate_limit else { continue };
+            let Some(limit) = &service.rate_limit else { continue };
             let help = "1: this store hands out the service's tokens.";
             let labels = [("service", service.name.as_str())];
-            metrics.gauge("stileroute_tokens_holder", help, &labels, u8::from(is_here));
+            metrics.gauge("stileroute_tokens_holder", help, &labels, u8::from(limit.is_held_here));
         }
     }
 
