--- a/crates/server/src/cli/args.rs
+++ b/crates/server/src/cli/args.rs
@@ -1,18 +1,15 @@
 //! The options and commands that the command line knows. Types and variants have plain comments: `gumdrop` would print doc
 //! comments as part of the help.
 
-use super::discovery::EntryPoint;
-use super::orders::RetireRequest;
+use super::error::CommandError;
 use super::output::OutputFormat;
-use super::CommandError;
+use super::query::{settings_file_of_environment, EntryPoint, Query};
 use crate::protocol::NodeRole;
 use gumdrop::Options;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 use tracing::Level;
 
-/// Names the settings file where no option does.
-const SETTINGS_VARIABLE: &str = "STILEROUTE_BOOT";
 /// Says how much is logged where no option does.
 const LOG_VARIABLE: &str = "STILEROUTE_LOG";
 
@@ -235,20 +232,6 @@
     }
 }
 
-/// The settings file that the environment names.
-pub fn settings_file_of_environment() -> Option<PathBuf> {
-    std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from)
-}
-
-/// Where a command begins to look for the running system, and how it prints what it finds.
-#[derive(Clone, Copy, Debug)]
-pub struct Query<'a> {
-    /// Where to begin.
-    pub entry: EntryPoint<'a>,
-    /// How the result is printed.
-    pub format: OutputFormat,
-}
-
 fn query<'a>(at: &'a Option<String>, json: bool, settings: Option<&'a Path>) -> Query<'a> {
     let entry = EntryPoint { at: at.as_deref(), settings };
     Query { entry, format: OutputFormat::from_json_flag(json) }
@@ -268,6 +251,15 @@
     }
 }
 
+/// What `retire` asks for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RetireRequest {
+    /// The store is to be emptied.
+    Begin,
+    /// Only how far it is.
+    Status,
+}
+
 impl RetireOptions {
     /// The query that these options make, with the settings file that `--boot` names.
     pub fn query<'a>(&'a self, settings: Option<&'a Path>) -> Query<'a> {
--- a/crates/server/src/cli/control_api.rs
+++ b/crates/server/src/cli/control_api.rs
@@ -1,9 +1,10 @@
 //! A client of the calls that control nodes take from operators. A call is sent to one control node after another until one
 //! gives a clear answer; sent twice, none of them does harm.
 
-use super::discovery::{EntryPoint, Fleet};
-use super::orders::OrderError;
-use super::CommandError;
+use super::discovery::Fleet;
+use super::error::CommandError;
+use super::order_error::OrderError;
+use super::query::EntryPoint;
 use jzon::JsonValue;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
--- a/crates/server/src/cli/figures.rs
+++ b/crates/server/src/cli/figures.rs
@@ -1,10 +1,9 @@
 //! `stilerouted figures`: the counters of one process.
 
-use super::args::Query;
-use super::discovery::SettingsScope;
+use super::error::CommandError;
 use super::internal_client::ask;
 use super::output::{print, ExitStatus, OutputFormat};
-use super::CommandError;
+use super::query::{Query, SettingsScope};
 use crate::protocol::Frame;
 use jzon::JsonValue;
 
--- a/crates/server/src/cli/message.rs
+++ b/crates/server/src/cli/message.rs
@@ -1,11 +1,11 @@
 //! `stilerouted message`: what each store knows of one message.
 
-use super::args::Query;
 use super::discovery::Fleet;
+use super::error::CommandError;
 use super::internal_client::ask_for_json;
 use super::output::{print, ExitStatus, OutputFormat};
+use super::query::Query;
 use super::status::joined;
-use super::CommandError;
 use crate::protocol::Frame;
 use jzon::JsonValue;
 use stileroute_queue::{Key, KeyLocation};
--- a/crates/server/src/cli/orders.rs
+++ b/crates/server/src/cli/orders.rs
@@ -3,73 +3,18 @@
 
 mod differences;
 
-use super::args::Query;
+use super::args::RetireRequest;
 use super::control_api::{ControlApi, Reply};
+use super::error::CommandError;
+use super::order_error::OrderError;
 use super::output::{print, ExitStatus, OutputFormat};
-use super::CommandError;
+use super::query::Query;
 use crate::calls::content_digest;
 use differences::differences;
 use jzon::JsonValue;
 use std::path::Path;
 use stileroute_config::Config;
 
-/// Why an order has no result.
-#[derive(Debug, thiserror::Error)]
-pub enum OrderError {
-    /// Processes answer, but no control node among them.
-    #[error("unclear: no control node is known")]
-    NoControlNode,
-    /// No control node gave a clear answer in time.
-    #[error("unclear, send it again: {last}")]
-    NoClearAnswer {
-        /// What the last one said, or why it said nothing.
-        last: String,
-    },
-    /// A control node answered what this command does not expect.
-    #[error("unclear: {reason}")]
-    Unclear {
-        /// Status and reason of the answer.
-        reason: String,
-    },
-    /// There is nothing to read yet.
-    #[error("no configuration is in force yet")]
-    NothingInForce,
-    /// The configuration can't be used as it is.
-    #[error("refused: {reason}")]
-    ConfigurationRejected {
-        /// Status and reason of the answer.
-        reason: String,
-    },
-    /// The store may not be retired.
-    #[error("refused: {reason}")]
-    RetirementRejected {
-        /// Status and reason of the answer.
-        reason: String,
-    },
-    /// There is no such store, or it is not to be retired.
-    #[error("{name}: {reason}")]
-    UnknownStore {
-        /// The name that was given.
-        name: String,
-        /// Status and reason of the answer.
-        reason: String,
-    },
-}
-
-impl OrderError {
-    fn exit_status(&self) -> ExitStatus {
-        match self {
-            OrderError::NoControlNode | OrderError::NoClearAnswer { .. } | OrderError::Unclear { .. } => {
-                ExitStatus::Unclear
-            }
-            OrderError::NothingInForce | OrderError::RetirementRejected { .. } => ExitStatus::Differs,
-            OrderError::ConfigurationRejected { .. } | OrderError::UnknownStore { .. } => {
-                ExitStatus::Unusable
-            }
-        }
-    }
-}
-
 /// How an order ended.
 #[derive(Debug)]
 struct Outcome {
@@ -221,15 +166,6 @@
     Ok(outcome.with_detail("differences", parts))
 }
 
-/// What `retire` asks for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RetireRequest {
-    /// The store is to be emptied.
-    Begin,
-    /// Only how far it is.
-    Status,
-}
-
 /// Orders a store to be emptied, or says how far it is.
 ///
 /// # Errors
--- a/crates/server/src/cli/status.rs
+++ b/crates/server/src/cli/status.rs
@@ -1,10 +1,10 @@
 //! `stilerouted status`: the nodes, the control group and the services of a running system.
 
-use super::args::Query;
 use super::discovery::{Fleet, ProcessReport, UnreachableProcess};
+use super::error::CommandError;
 use super::output::{print, ExitStatus, OutputFormat};
+use super::query::Query;
 use super::services::services;
-use super::CommandError;
 use crate::protocol::NodeRole;
 use jzon::JsonValue;
 
--- a/crates/server/src/inspection.rs
+++ b/crates/server/src/inspection.rs
@@ -1,47 +1,18 @@
 //! The questions of operators to one process: from the command line over the internal protocol, and from whoever collects
 //! metrics.
 
+use crate::inquiry::{Inquiry, Question};
 use crate::links::LinkEvent;
 use crate::metrics::Exposition;
-use crate::net::{ConnectionId, Event, Response};
+use crate::net::{Event, Response};
 use crate::node::NodeRuntime;
 use crate::protocol::{Frame, NodeRole};
 use jzon::JsonValue;
-use stileroute_queue::{Key, Node};
+use stileroute_queue::Key;
 
 /// Path of the metrics on the listener for them.
 const METRICS_PATH: &str = "/metrics";
 
-/// What somebody wants to know.
-pub enum Inquiry {
-    /// A question of a command line, which is answered under `request_id`.
-    FromCommandLine {
-        /// The visitor's node id.
-        from: Node,
-        /// The id that the answer carries.
-        request_id: u64,
-        /// What is asked.
-        question: Question,
-    },
-    /// A request to the listener for metrics.
-    FromCollector {
-        /// Its connection.
-        connection: ConnectionId,
-        /// Whether it asks for the metrics, and not for anything else.
-        is_for_metrics: bool,
-    },
-}
-
-/// What a command line asks.
-pub enum Question {
-    /// All that the process reports of itself.
-    Report,
-    /// What it knows of one message.
-    Trace(Key),
-    /// Its metrics.
-    Metrics,
-}
-
 /// The question in a frame of a command line, and the id for the answer.
 fn question_of(frame: &Frame) -> Option<(u64, Question)> {
     match frame {
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -9,6 +9,7 @@
 mod dial_targets;
 mod disk;
 mod edge;
+mod inquiry;
 mod inspection;
 mod keepalive;
 mod links;
--- a/crates/server/src/node.rs
+++ b/crates/server/src/node.rs
@@ -1,6 +1,6 @@
 //! What every role has: its settings, its loop, its links, its session with a control node, and how it is told to end.
 
-use crate::inspection::Inquiry;
+use crate::inquiry::Inquiry;
 use crate::links::{LinkEvent, Links};
 use crate::net::{Event, Millis, Net, RequestLimits};
 use crate::protocol::{
