--- a/crates/server/tests/interface.rs
+++ b/crates/server/tests/interface.rs
@@ -285,43 +285,55 @@
     let message = fleet.delivered_message();
     let waiting = fleet.waiting_message();
 
-    let until_as_recorded = |file: &str, show: &dyn Fn(&Fleet) -> String| {
-        let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/interface").join(file);
-        let recorded = fs::read_to_string(path).unwrap_or_default();
-        let shown = fleet.eventually(|| (show(&fleet) == recorded).then_some(()));
-        if shown.is_none() {
-            assert_as_recorded(file, &show(&fleet));
-        }
-    };
-    until_as_recorded("status.txt", &|fleet| {
+    eventually_as_recorded(&fleet, "status.txt", &|fleet| {
         let output = fleet.ask(&["status"]);
         without_numbers(&String::from_utf8_lossy(&output.stdout))
     });
-    until_as_recorded("status-json.txt", &status_keys);
-    until_as_recorded("message-delivered.txt", &|fleet| trace(fleet, &message));
-    until_as_recorded("message-waiting.txt", &|fleet| trace(fleet, &waiting));
-    for (class, address) in fleet.addresses() {
-        let figures = |fleet: &Fleet| {
-            let output = fleet.ask_at(&address, &["figures"]);
-            metrics(&String::from_utf8_lossy(&output.stdout).replace(&*fleet.net, "NET"))
-        };
-        until_as_recorded(&format!("figures-{class}.txt"), &figures);
-        let shown = fleet.ask_at(&address, &["figures"]);
-        let names: BTreeSet<String> = String::from_utf8_lossy(&shown.stdout)
-            .lines()
-            .filter(|line| !line.starts_with('#'))
-            .filter_map(|line| Some(line.rsplit_once(' ')?.0.to_string()))
-            .collect();
-        let output = fleet.ask_at(&address, &["figures", "--json"]);
-        let json = jzon::parse(&String::from_utf8_lossy(&output.stdout)).unwrap();
-        let keys: BTreeSet<String> = json.entries().map(|(key, _)| key.to_string()).collect();
-        assert!(names.is_subset(&keys), "each sample is a key of the object: {names:?} {keys:?}");
+    eventually_as_recorded(&fleet, "status-json.txt", &status_keys);
+    eventually_as_recorded(&fleet, "message-delivered.txt", &|fleet| trace(fleet, &message));
+    eventually_as_recorded(&fleet, "message-waiting.txt", &|fleet| trace(fleet, &waiting));
+    fleet.addresses().iter().for_each(|(class, address)| check_figures(&fleet, class, address));
+    assert_as_recorded("orders.txt", &orders(&fleet));
+    NODES.iter().for_each(|node| fleet.end(node.0));
+    let state = state_of(&fleet, "store-1", "hold") + &state_of(&fleet, "core-1", "watch");
+    assert_as_recorded("state.txt", &state);
+}
+
+/// Waits until what is shown is as recorded: it follows what the system does.
+fn eventually_as_recorded(fleet: &Fleet, file: &str, show: &dyn Fn(&Fleet) -> String) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/interface").join(file);
+    let recorded = fs::read_to_string(path).unwrap_or_default();
+    let shown = fleet.eventually(|| (show(fleet) == recorded).then_some(()));
+    if shown.is_none() {
+        assert_as_recorded(file, &show(fleet));
     }
+}
 
-    let mut orders = String::new();
+/// The figures of one process, as text and as JSON.
+fn check_figures(fleet: &Fleet, class: &str, address: &str) {
+    let figures = |fleet: &Fleet| {
+        let output = fleet.ask_at(address, &["figures"]);
+        metrics(&String::from_utf8_lossy(&output.stdout).replace(&*fleet.net, "NET"))
+    };
+    eventually_as_recorded(fleet, &format!("figures-{class}.txt"), &figures);
+    let shown = fleet.ask_at(address, &["figures"]);
+    let names: BTreeSet<String> = String::from_utf8_lossy(&shown.stdout)
+        .lines()
+        .filter(|line| !line.starts_with('#'))
+        .filter_map(|line| Some(line.rsplit_once(' ')?.0.to_string()))
+        .collect();
+    let output = fleet.ask_at(address, &["figures", "--json"]);
+    let json = jzon::parse(&String::from_utf8_lossy(&output.stdout)).unwrap();
+    let keys: BTreeSet<String> = json.entries().map(|(key, _)| key.to_string()).collect();
+    assert!(names.is_subset(&keys), "each sample is a key of the object: {names:?} {keys:?}");
+}
+
+/// What the orders of operators print, and how they end.
+fn orders(fleet: &Fleet) -> String {
     let (own, other, lower) = fleet.configurations();
     let nobody = format!("{}.200:17300", fleet.net);
     let replaced = [(fleet.dir.to_str().unwrap(), "DIR"), (&*fleet.net, "NET")];
+    let mut text = String::new();
     for words in [
         &["apply", &own][..],
         &["apply", &own, "--json"],
@@ -340,34 +352,34 @@
         &["retire", "store-1", "--json"],
         &["message", "1.2.3"],
     ] {
-        orders += &transcript(words, &fleet.ask(words), &replaced);
+        text += &transcript(words, &fleet.ask(words), &replaced);
     }
     for words in [&["status", "--at", &nobody][..], &["read", "--at", &nobody], &["figures", "--at", &nobody]]
     {
-        orders += &transcript(words, &run(words), &replaced);
+        text += &transcript(words, &run(words), &replaced);
     }
-    assert_as_recorded("orders.txt", &orders);
-    NODES.iter().for_each(|node| fleet.end(node.0));
+    text
+}
 
-    let mut state = String::new();
-    for (name, folder) in [("store-1", "hold"), ("core-1", "watch")] {
-        let path = fleet.dir.join(name);
-        let output = run(&["state", "verify", path.to_str().unwrap()]);
-        let lines = String::from_utf8_lossy(&output.stdout).to_string();
-        let fields: Vec<&str> = lines.lines().filter_map(|line| line.split(": ").next()).collect();
-        let fields: Vec<&str> = fields.into_iter().filter(|field| !field.contains('-')).collect();
-        state += &format!("{name}: exit code {:?}\n{}\n", output.status.code(), fields.join("\n"));
-        let output = run(&["state", "verify", "--json", path.to_str().unwrap()]);
-        let json = jzon::parse(&String::from_utf8_lossy(&output.stdout)).unwrap();
-        state += &keys(&format!("{name} as JSON"), &without_kinds(&json, folder));
-        let kinds: BTreeSet<&str> = json[folder]["records_by_kind"].entries().map(|(kind, _)| kind).collect();
-        let known: &[&str] = match folder {
-            "hold" => &["born", "put", "end", "called", "own", "drop", "retire"],
-            _ => &["watch", "state", "state of an older build", "lent"],
-        };
-        assert!(!kinds.is_empty() && kinds.iter().all(|kind| known.contains(kind)), "{kinds:?}");
-    }
-    assert_as_recorded("state.txt", &state);
+/// What `state verify` shows of a node that has ended.
+fn state_of(fleet: &Fleet, name: &str, folder: &str) -> String {
+    let path = fleet.dir.join(name);
+    let output = run(&["state", "verify", path.to_str().unwrap()]);
+    let lines = String::from_utf8_lossy(&output.stdout).to_string();
+    let fields = lines.lines().filter_map(|line| line.split(": ").next());
+    // Files, whose names have a hyphen, may be more or fewer.
+    let fields: Vec<&str> = fields.filter(|field| !field.contains('-')).collect();
+    let mut text = format!("{name}: exit code {:?}\n{}\n", output.status.code(), fields.join("\n"));
+    let output = run(&["state", "verify", "--json", path.to_str().unwrap()]);
+    let json = jzon::parse(&String::from_utf8_lossy(&output.stdout)).unwrap();
+    text += &keys(&format!("{name} as JSON"), &without_kinds(&json, folder));
+    let kinds: BTreeSet<&str> = json[folder]["records_by_kind"].entries().map(|(kind, _)| kind).collect();
+    let known: &[&str] = match folder {
+        "hold" => &["born", "put", "end", "called", "own", "drop", "retire"],
+        _ => &["watch", "state", "state of an older build", "lent"],
+    };
+    assert!(!kinds.is_empty() && kinds.iter().all(|kind| known.contains(kind)), "{kinds:?}");
+    text
 }
 
 /// Which kinds of records there are depends on the course of things.
