--- a/crates/server/src/cli/control_api.rs
+++ b/crates/server/src/cli/control_api.rs
@@ -1,9 +1,10 @@
 //! A client of the calls that control nodes take from operators. A call is sent to one control node after another until one
 //! gives a clear answer; sent twice, none of them does harm.
 
-use super::discovery::{EntryPoint, Fleet};
-use super::orders::OrderError;
-use super::CommandError;
+use super::discovery::Fleet;
+use super::error::CommandError;
+use super::order_error::OrderError;
+use super::query::EntryPoint;
 use jzon::JsonValue;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
@@ -60,7 +61,7 @@
         format!("{} {}", self.status, reason.unwrap_or_default())
     }
 
-    /// Whether it settles the call; otherwise another control node is asked.
+    /// Whether it decides the call; otherwise another control node is asked.
     fn is_clear(&self) -> bool {
         self.status < 500 && ![408, 429].contains(&self.status)
     }
--- a/crates/server/src/node.rs
+++ b/crates/server/src/node.rs
@@ -6,7 +6,7 @@
 
 pub use session::Session;
 
-use crate::inspection::Inquiry;
+use crate::inquiry::Inquiry;
 use crate::links::{LinkEvent, Links};
 use crate::net::{Event, ListenerId, Millis, Net, RequestLimits};
 use crate::protocol::{Frame, NodeRole, PeerInfo, PROTOCOL_VERSION};
