--- a/crates/model-check/tests/queue_planted.rs
+++ b/crates/model-check/tests/queue_planted.rs
@@ -3,14 +3,14 @@
 // Not finished yet: what these lints name is still to be documented or divided.
 #![allow(clippy::struct_excessive_bools, clippy::too_many_lines)]
 
-#[path = "../../queue/tests/world/mod.rs"]
-mod world;
+#[path = "../../queue/tests/simulation/mod.rs"]
+mod simulation;
 
+use simulation::{retirement_scenarios, Act, Does, Fault, Prepare, World};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::rc::Rc;
 use stileroute_model_check::queue::QUEUE_FAULTS;
 use stileroute_queue::{PlantedFault, Queue};
-use world::{emptied, Act, Does, Fault, Prepare, World};
 
 type Day = fn(&Prepare);
 
@@ -23,12 +23,12 @@
     (PlantedFault::DropUnsent, a_copy_that_was_replaced_is_still_there),
     (PlantedFault::EndUnkept, all_lose_power_after_the_end),
     (PlantedFault::HandedTwice, one_of_two_copies_gets_it),
-    (PlantedFault::TermUnraised, emptied::an_owner_is_gone),
-    (PlantedFault::RetiredEarly, emptied::a_message_is_handed_over_late),
-    (PlantedFault::RelievedForever, emptied::a_message_is_handed_over_late),
-    (PlantedFault::OrphansUnheeded, emptied::an_owner_is_gone),
-    (PlantedFault::EndsGoAlong, emptied::ends_are_asked_for_later),
-    (PlantedFault::EndsGoAlong, emptied::ends_outlive_two_disks),
+    (PlantedFault::TermUnraised, retirement_scenarios::an_owner_is_gone),
+    (PlantedFault::RetiredEarly, retirement_scenarios::a_message_is_handed_over_late),
+    (PlantedFault::RelievedForever, retirement_scenarios::a_message_is_handed_over_late),
+    (PlantedFault::OrphansUnheeded, retirement_scenarios::an_owner_is_gone),
+    (PlantedFault::EndsGoAlong, retirement_scenarios::ends_are_asked_for_later),
+    (PlantedFault::EndsGoAlong, retirement_scenarios::ends_outlive_two_disks),
 ];
 
 fn planted(fault: Option<PlantedFault>) -> Prepare {
--- a/crates/queue/src/ends.rs
+++ b/crates/queue/src/end_transfer.rs
@@ -2,9 +2,9 @@
 //! knows; and when one is lost for good, or back with another disk, those that knew ends together with it pass them on. Else a
 //! question within `status_s` is answered as if there had been no such message.
 
+use crate::fault_injection::PlantedFault;
 use crate::message::{End, Key, Message, Millis, Node, ReplicatedMessage};
 use crate::peer_message::{PeerMessage, TransferredEnd};
-use crate::planted::PlantedFault;
 use crate::queue::{Effect, Entry, PendingWrite, Queue, Stage};
 use crate::record::Record;
 use crate::repair::RATE;
@@ -75,7 +75,7 @@
         if nothing || self.planted(PlantedFault::EndsGoAlong) {
             return;
         }
-        let able = |p: &crate::copies::Peer| p.listed && p.connected && !p.leaving;
+        let able = |p: &crate::replication::Peer| p.listed && p.connected && !p.leaving;
         let others: Vec<Node> = self.peers.iter().filter(|(_, p)| able(p)).map(|(node, _)| *node).collect();
         let leaves = usize::from(self.is_retiring);
         let wanted = others.len().min(self.settings.replica_count + leaves);
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -3,36 +3,36 @@
 
 // Not finished yet: what these lints name is still to be documented or divided.
 #![allow(clippy::struct_excessive_bools, clippy::too_many_lines, missing_docs)]
-mod copies;
 mod duplicates;
-mod ends;
+mod end_transfer;
+mod fault_injection;
 mod message;
 mod ordering;
 mod peer_message;
-mod planted;
 mod queue;
 mod record;
 mod repair;
 mod repeats;
-mod retire;
+mod replication;
+mod retirement;
 mod service_queue;
 mod state_table;
 mod tokens;
 
+#[cfg(feature = "planted")]
+pub use fault_injection::PlantedFault;
 pub use message::{End, Key, KeyLocation, Message, Millis, Node, PutError, ReplicatedMessage};
 pub use ordering::preferred_store;
 pub use peer_message::{
     AcceptedHandover, EndNotice, EntrySummary, GroupMessage, GroupPosition, HandoverOffer, KeyRange,
     Ownership, PeerMessage, RangeDigest, TransferredEnd,
 };
-#[cfg(feature = "planted")]
-pub use planted::PlantedFault;
 pub use queue::{
     first_number, AttemptOutcome, Effect, Entry, MessageState, Queue, QueueMetrics, QueueSettings, Stage,
     ToleratedLosses,
 };
 pub use queue::{MessageView, ServiceView, StageCounts};
 pub use record::Record;
-pub use retire::RetirementState;
+pub use retirement::RetirementState;
 pub use service_queue::{Executor, RetryCounts};
 pub use state_table::{StateTable, StoredEnd, StoredMessage};
--- a/crates/queue/src/ordering.rs
+++ b/crates/queue/src/ordering.rs
@@ -233,7 +233,7 @@
         let Asking { row: name, key, answered, found, beyond, landing, told, .. } = asking;
         // An accepted message lies on `losses` + 1 stores: if no more than `losses` are silent, all are
         // named.
-        let there = |p: &crate::copies::Peer| p.listed || !p.written_off;
+        let there = |p: &crate::replication::Peer| p.listed || !p.written_off;
         let silent = self.peers.iter().filter(|(node, p)| there(p) && !answered.contains(node)).count();
         let enough = silent <= self.settings.replica_count && self.knows_members;
         let row = self.ordering.row(&name);
--- a/crates/queue/src/queue.rs
+++ b/crates/queue/src/queue.rs
@@ -18,11 +18,11 @@
     AttemptOutcome, Effect, Entry, MessageState, QueueMetrics, QueueSettings, Stage, ToleratedLosses,
 };
 
-use crate::copies::Peer;
+#[cfg(feature = "planted")]
+use crate::fault_injection::PlantedFault;
 use crate::message::{End, Key, Message, Millis, Node, ReplicatedMessage};
 use crate::peer_message::GroupPosition;
-#[cfg(feature = "planted")]
-use crate::planted::PlantedFault;
+use crate::replication::Peer;
 use crate::service_queue::{Executor, ServiceQueue};
 use crate::state_table::{StateTable, StoredEnd, StoredMessage};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
@@ -59,7 +59,7 @@
     /// Live, or with a call-back owed, by owner: what is compared with others and looked through when one is
     /// gone. All entries, with those that ended in the last minutes, are a hundred times as many.
     pub(crate) live_by_owner: BTreeSet<(Node, Key)>,
-    /// Ownership here and on too few disks: when to see to each.
+    /// Owned here and on too few disks: when to see to each.
     pub(crate) under_replicated: BTreeSet<(Millis, Key)>,
     pub(crate) under_replicated_since: Option<Millis>,
     pub(crate) repair_budget: crate::repair::Bytes,
@@ -94,7 +94,7 @@
     pub(crate) is_retirement_durable: bool,
     pub(crate) released_by: BTreeSet<Node>,
     /// Ends that go to others before this store is gone.
-    pub(crate) end_replication: crate::ends::Passing,
+    pub(crate) end_replication: crate::end_transfer::Passing,
     /// The control nodes hear this store: without them and without a peer it may be the one that is cut off.
     pub hears_control_group: bool,
     /// So long without a word of them that they may call its session lapsed.
--- a/crates/queue/src/queue/completion.rs
+++ b/crates/queue/src/queue/completion.rs
@@ -1,9 +1,9 @@
 //! The end of a message: recorded, told to those that hold copies, and forgotten in time.
 
 use super::{Queue, Stage};
+use crate::fault_injection::PlantedFault;
 use crate::message::{End, Key, Millis};
 use crate::peer_message::EndNotice;
-use crate::planted::PlantedFault;
 use crate::record::Record;
 
 /// Ends are told to the copies in batches, at the latest after so long.
--- a/crates/queue/src/queue/delivery.rs
+++ b/crates/queue/src/queue/delivery.rs
@@ -2,9 +2,9 @@
 
 use super::token_holders::token_holder;
 use super::{AttemptOutcome, Effect, Queue, Stage, UPKEEP};
+use crate::fault_injection::PlantedFault;
 use crate::message::{End, Key, Millis};
 use crate::peer_message::{GroupPosition, PeerMessage};
-use crate::planted::PlantedFault;
 use crate::service_queue::{Retry, Selection};
 use stileroute_dispatch::types::{Outcome as Judged, Time};
 
--- a/crates/queue/src/queue/intake.rs
+++ b/crates/queue/src/queue/intake.rs
@@ -1,9 +1,9 @@
 //! Taking a message: its copies are chosen, and it is answered for once all of its disks have it.
 
 use super::{Effect, Entry, PendingWrite, Queue, Stage};
+use crate::fault_injection::PlantedFault;
 use crate::message::{Key, Message, Millis, Node, PutError, ReplicatedMessage};
 use crate::peer_message::AcceptedHandover;
-use crate::planted::PlantedFault;
 use crate::record::Record;
 
 /// Messages that are kept for others to pick up at the most.
@@ -40,7 +40,7 @@
         entry.stage = Stage::Persisting;
         entry.ticket = Some(ticket);
         entry.unconfirmed = std::iter::once(self.settings.node).chain(copies.iter().copied()).collect();
-        let look = now + crate::copies::COPY_WAIT;
+        let look = now + crate::replication::COPY_WAIT;
         entry.persist_check_at = Some(look);
         self.entries.insert(key, entry);
         self.persisting.insert((look, key));
--- a/crates/queue/src/queue/token_holders.rs
+++ b/crates/queue/src/queue/token_holders.rs
@@ -1,9 +1,9 @@
 //! Which store hands out the tokens of a service, and how the others ask it for some.
 
 use super::{Effect, Queue};
-use crate::copies::Peer;
 use crate::message::{Millis, Node};
 use crate::peer_message::PeerMessage;
+use crate::replication::Peer;
 use std::collections::BTreeMap;
 
 /// Who hands out the tokens of a service.
--- a/crates/queue/src/queue/types.rs
+++ b/crates/queue/src/queue/types.rs
@@ -188,7 +188,7 @@
     /// Words of those that held a duty before, refused; times that nothing was started here for others might have taken over.
     pub stale_claims: u64,
     pub fence_activations: u64,
-    /// Ownership here and on too few disks, as of now; how long it took until none was, the last time.
+    /// Owned here and on too few disks, as of now; how long it took until none was, the last time.
     pub under_replicated: usize,
     pub last_under_replication_ms: u64,
     pub repaired: u64,
--- a/crates/queue/src/repair.rs
+++ b/crates/queue/src/repair.rs
@@ -1,9 +1,9 @@
 //! Copies that are missing, made again at a bounded rate; and what two stores hold, compared by sums over
 //! ranges and mended from the newer: of two owners the higher term holds, and an end holds always.
 
+use crate::fault_injection::PlantedFault;
 use crate::message::{Key, Millis, Node};
 use crate::peer_message::{EntrySummary, KeyRange, PeerMessage, RangeDigest};
-use crate::planted::PlantedFault;
 use crate::queue::{Effect, Entry, PendingWrite, Queue, Stage};
 use crate::record::Record;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/queue/src/copies.rs
+++ b/crates/queue/src/replication.rs
@@ -3,12 +3,12 @@
 mod connections;
 mod fence;
 mod handover;
-mod notes;
 mod outbox;
 mod ownership;
+mod peer_messages;
 mod placement;
 mod release;
-mod take_over;
+mod takeover;
 
 use crate::message::{Key, Millis, Node};
 use crate::queue::{Entry, Queue};
--- a/crates/queue/src/copies/handover.rs
+++ b/crates/queue/src/replication/handover.rs
@@ -1,8 +1,8 @@
 //! Leaving in order: what waits is given to those that hold the copies.
 
+use crate::fault_injection::PlantedFault;
 use crate::message::{Key, Millis, Node};
 use crate::peer_message::{HandoverOffer, PeerMessage};
-use crate::planted::PlantedFault;
 use crate::queue::{Effect, Entry, Queue, Stage};
 
 impl Queue {
--- a/crates/queue/src/copies/ownership.rs
+++ b/crates/queue/src/replication/ownership.rs
@@ -1,8 +1,8 @@
 //! Who owns a message and whether it has ended: two stores settle that, and the newer word holds.
 
+use crate::fault_injection::PlantedFault;
 use crate::message::{End, Key, Millis, Node};
 use crate::peer_message::{EndNotice, EntrySummary, KeyRange, Ownership, PeerMessage};
-use crate::planted::PlantedFault;
 use crate::queue::{Effect, Queue, Stage};
 use crate::record::Record;
 use crate::repair::range;
--- a/crates/queue/src/copies/notes.rs
+++ b/crates/queue/src/replication/peer_messages.rs
@@ -1,6 +1,6 @@
 //! Each kind of note of another store, and what is done about it.
 
-use super::take_over::LINE;
+use super::takeover::LINE;
 use crate::message::{Millis, Node};
 use crate::peer_message::{AcceptedHandover, Ownership, PeerMessage};
 use crate::queue::{Effect, Queue, Stage};
--- a/crates/queue/src/copies/placement.rs
+++ b/crates/queue/src/replication/placement.rs
@@ -1,9 +1,9 @@
 //! Where the copies of a message lie, and how they are made and confirmed.
 
 use super::COPY_WAIT;
+use crate::fault_injection::PlantedFault;
 use crate::message::{Key, Millis, Node, ReplicatedMessage};
 use crate::peer_message::{EndNotice, PeerMessage};
-use crate::planted::PlantedFault;
 use crate::queue::{Effect, PendingWrite, Queue, Stage};
 use crate::record::Record;
 use std::collections::BTreeSet;
--- a/crates/queue/src/copies/release.rs
+++ b/crates/queue/src/replication/release.rs
@@ -1,8 +1,8 @@
 //! Starting what was read from disk, or waited behind a fence, once those that hold copies have spoken.
 
 use super::{ASK, PATIENCE};
+use crate::fault_injection::PlantedFault;
 use crate::message::{Key, Millis, Node};
-use crate::planted::PlantedFault;
 use crate::queue::{Entry, Queue, Stage};
 
 impl Queue {
--- a/crates/queue/src/copies/take_over.rs
+++ b/crates/queue/src/replication/takeover.rs
@@ -1,9 +1,9 @@
 //! Taking over what another store owned: one that is gone, or one that gives it away in order.
 
 use super::{Peer, ASK, GONE};
+use crate::fault_injection::PlantedFault;
 use crate::message::{Key, Millis, Node};
 use crate::peer_message::{AcceptedHandover, HandoverOffer, Ownership};
-use crate::planted::PlantedFault;
 use crate::queue::{PendingWrite, Queue, Stage};
 use crate::record::Record;
 
--- a/crates/queue/src/retire.rs
+++ b/crates/queue/src/retirement.rs
@@ -1,12 +1,12 @@
 //! Emptying a store for good: it takes nothing more, gives what it owns to those that hold the copies, and the others make
 //! the copies that lie here anew elsewhere. It is empty when all of them have said that they count on it no longer.
 
-use crate::copies::Peer;
+use crate::fault_injection::PlantedFault;
 use crate::message::{Key, Millis, Node};
 use crate::peer_message::PeerMessage;
-use crate::planted::PlantedFault;
 use crate::queue::{Effect, PendingWrite, Queue};
 use crate::record::Record;
+use crate::replication::Peer;
 
 /// How often one that retires is told that nobody counts on it: a word lost with a connection comes again.
 const TELL: Millis = 500;
--- a/crates/queue/tests/faults.rs
+++ b/crates/queue/tests/faults.rs
@@ -3,10 +3,10 @@
 // Not finished yet: what these lints name is still to be documented or divided.
 #![allow(clippy::struct_excessive_bools, clippy::too_many_lines)]
 
-mod world;
+mod simulation;
 
+use simulation::{Act, Does, Fault, World};
 use stileroute_queue::RetirementState;
-use world::{Act, Does, Fault, World};
 
 /// A mixed day of four seconds: what fails, what is refused, what is silent, what is delayed.
 fn day(seed: u64) -> World {
--- a/crates/queue/tests/retire.rs
+++ b/crates/queue/tests/retirement.rs
@@ -3,34 +3,34 @@
 // Not finished yet: what these lints name is still to be documented or divided.
 #![allow(clippy::struct_excessive_bools, clippy::too_many_lines)]
 
-mod world;
+mod simulation;
 
+use simulation::{as_it_is, retirement_scenarios, Act, Does, Fault, World};
 use stileroute_queue::RetirementState;
-use world::{as_it_is, emptied, Act, Does, Fault, World};
 
 #[test]
 fn a_message_that_is_handed_over_late_is_copied_before_it_is_empty() {
-    emptied::a_message_is_handed_over_late(&as_it_is());
+    retirement_scenarios::a_message_is_handed_over_late(&as_it_is());
 }
 
 #[test]
 fn copies_of_an_owner_that_is_gone_are_given_away_first() {
-    emptied::an_owner_is_gone(&as_it_is());
+    retirement_scenarios::an_owner_is_gone(&as_it_is());
 }
 
 #[test]
 fn an_emptied_store_is_not_counted_on_again() {
-    emptied::another_is_lost_later(&as_it_is());
+    retirement_scenarios::another_is_lost_later(&as_it_is());
 }
 
 #[test]
 fn ends_are_passed_on() {
-    emptied::ends_are_asked_for_later(&as_it_is());
+    retirement_scenarios::ends_are_asked_for_later(&as_it_is());
 }
 
 #[test]
 fn ends_are_passed_on_when_another_disk_that_held_them_is_lost() {
-    emptied::ends_outlive_two_disks(&as_it_is());
+    retirement_scenarios::ends_outlive_two_disks(&as_it_is());
 }
 
 /// The others have heard of the order, and it was not on its disk when the power went: it is as any other store.
--- a/crates/queue/tests/repeats.rs
+++ b/crates/queue/tests/retries.rs
@@ -3,11 +3,11 @@
 // Not finished yet: what these lints name is still to be documented or divided.
 #![allow(clippy::struct_excessive_bools, clippy::too_many_lines)]
 
-mod world;
+mod simulation;
 
+use simulation::{config, WALL};
 use std::collections::{BTreeMap, HashMap};
 use stileroute_queue::*;
-use world::{config, WALL};
 
 const STORES: usize = 3;
 const EXECUTORS: usize = 9;
--- a/crates/queue/tests/world/mod.rs
+++ b/crates/queue/tests/simulation/mod.rs
@@ -2,7 +2,7 @@
 //! thread and in virtual time. What is checked is what the stand-ins have seen, and what lies on the disks.
 #![allow(dead_code)]
 
-pub mod emptied;
+pub mod retirement_scenarios;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
--- a/crates/queue/tests/words.rs
+++ b/crates/queue/tests/single_store.rs
@@ -3,12 +3,12 @@
 // Not finished yet: what these lints name is still to be documented or divided.
 #![allow(clippy::struct_excessive_bools, clippy::too_many_lines)]
 
-mod world;
+mod simulation;
 
 use assert_matches::assert_matches;
+use simulation::{config, WALL};
 use std::collections::HashMap;
 use stileroute_queue::*;
-use world::{config, WALL};
 
 const ME: Node = 1;
 const B: Node = 2;
