--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -4,14 +4,21 @@
 // Not finished yet: what these lints name is still to be documented or divided.
 #![allow(clippy::struct_excessive_bools, clippy::too_many_lines, missing_docs)]
 mod duplicates;
+mod end_replication;
 mod end_transfer;
 mod fault_injection;
+mod fifo_groups;
+mod live_index;
 mod message;
 mod ordering;
+mod outbox;
+mod peer;
 mod peer_message;
+mod planted_fault;
 mod queue;
 mod record;
 mod repair;
+mod repair_budget;
 mod repeats;
 mod replication;
 mod retirement;
@@ -19,14 +26,14 @@
 mod state_table;
 mod tokens;
 
-#[cfg(feature = "planted")]
-pub use fault_injection::PlantedFault;
 pub use message::{End, Key, KeyLocation, Message, Millis, Node, PutError, ReplicatedMessage};
 pub use ordering::preferred_store;
 pub use peer_message::{
     AcceptedHandover, EndNotice, EntrySummary, GroupMessage, GroupPosition, HandoverOffer, KeyRange,
     Ownership, PeerMessage, RangeDigest, TransferredEnd,
 };
+#[cfg(feature = "planted")]
+pub use planted_fault::PlantedFault;
 pub use queue::{
     first_number, AttemptOutcome, Effect, Entry, MessageState, Queue, QueueMetrics, QueueSettings, Stage,
     ToleratedLosses,
--- /dev/null
+++ b/crates/queue/src/live_index.rs
@@ -0,0 +1,43 @@
+//! Iteration over the live messages of one owner: all entries, with those that ended in the last minutes, are a hundred times
+//! as many.
+
+use crate::message::{Key, Node};
+use crate::queue::{Entry, Queue, Stage};
+
+impl Entry {
+    /// The message has ended, and its callback is delivered or was not wanted: nothing is left to do.
+    pub(crate) fn is_settled(&self) -> bool {
+        self.end.is_some() && !self.callback_pending
+    }
+}
+
+impl Queue {
+    /// Live messages, and ended ones with a callback pending, that a store owns.
+    pub(crate) fn owned_by_node(&self, node: Node) -> impl Iterator<Item = (Key, &Entry)> {
+        let from_node = self.live_by_owner.range((node, Key::default())..);
+        let keys = from_node.take_while(move |(owner, _)| *owner == node);
+        keys.filter_map(|(_, key)| Some((*key, self.entries.get(key)?)))
+    }
+
+    /// Live messages, and ended ones with a callback pending, that this store owns.
+    pub(crate) fn owned_here(&self) -> impl Iterator<Item = (Key, &Entry)> {
+        self.owned_by_node(self.settings.node)
+    }
+
+    /// Each store that owns a live message which lies here, this one too.
+    pub(crate) fn owners(&self) -> impl Iterator<Item = Node> + '_ {
+        let first_from = |node: Node| {
+            let mut from_node = self.live_by_owner.range((node, Key::default())..);
+            from_node.next().map(|(owner, _)| *owner)
+        };
+        std::iter::successors(first_from(0), move |last| first_from(last.checked_add(1)?))
+    }
+
+    /// What this store and another should both hold.
+    pub(crate) fn shared_with(&self, node: Node) -> impl Iterator<Item = (Key, &Entry)> {
+        let entries = self.live_by_owner.iter().filter_map(|(_, key)| Some((*key, self.entries.get(key)?)));
+        entries.filter(move |(_, entry)| {
+            entry.stage != Stage::Persisting && (entry.owner == node || entry.replicas.contains(&node))
+        })
+    }
+}
--- /dev/null
+++ b/crates/queue/src/planted_fault.rs
@@ -0,0 +1,58 @@
+//! The faults that the search in `crates/model-check/`, or a test, must find.
+
+/// A fault of which a property has to tell. Each undoes one rule of the queue.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PlantedFault {
+    /// A message is acknowledged when the owner's disk has it, and no replica yet.
+    EarlyAnswer,
+    /// A replica is confirmed before its record is synced.
+    CopyUnsynced,
+    /// A fenced store starts messages that others may have taken over.
+    FenceUnheeded,
+    /// After a start messages are released before the stores that hold replicas have reconciled.
+    ReleasedEarly,
+    /// A slow replica is replaced by another, and the list of replicas on disk stays the old one.
+    OldCopyList,
+    /// The store of a slow replica that was replaced is not told to drop the message.
+    DropUnsent,
+    /// An end is sent to others and not kept on disk.
+    EndUnkept,
+    /// A message is offered to all stores that hold replicas of it, not to one.
+    HandedTwice,
+    /// A takeover does not raise the term.
+    TermUnraised,
+    /// A message that was taken over is started before others could object that it has ended.
+    TakenUnasked,
+    /// A store reports that it is empty when it owns nothing, whoever relies on its replicas.
+    RetiredEarly,
+    /// What a store has said once, that it needs no replica here, stands whatever it says later.
+    RelievedForever,
+    /// A store reports that it is empty while it holds replicas of what a lost store owned.
+    OrphansUnheeded,
+    /// A replica is relied on though its store has not confirmed it since this store started.
+    CopiesUnconfirmed,
+    /// The ends that a retiring store knows are lost with it.
+    EndsGoAlong,
+}
+
+#[cfg(feature = "planted")]
+impl PlantedFault {
+    /// All faults, in the order of their definition.
+    pub const ALL: [PlantedFault; 15] = [
+        PlantedFault::EarlyAnswer,
+        PlantedFault::CopyUnsynced,
+        PlantedFault::FenceUnheeded,
+        PlantedFault::ReleasedEarly,
+        PlantedFault::OldCopyList,
+        PlantedFault::DropUnsent,
+        PlantedFault::EndUnkept,
+        PlantedFault::HandedTwice,
+        PlantedFault::TermUnraised,
+        PlantedFault::TakenUnasked,
+        PlantedFault::RetiredEarly,
+        PlantedFault::RelievedForever,
+        PlantedFault::OrphansUnheeded,
+        PlantedFault::CopiesUnconfirmed,
+        PlantedFault::EndsGoAlong,
+    ];
+}
--- a/crates/queue/src/queue.rs
+++ b/crates/queue/src/queue.rs
@@ -18,11 +18,11 @@
     AttemptOutcome, Effect, Entry, MessageState, QueueMetrics, QueueSettings, Stage, ToleratedLosses,
 };
 
-#[cfg(feature = "planted")]
-use crate::fault_injection::PlantedFault;
 use crate::message::{End, Key, Message, Millis, Node, ReplicatedMessage};
+use crate::peer::Peer;
 use crate::peer_message::GroupPosition;
-use crate::replication::Peer;
+#[cfg(feature = "planted")]
+use crate::planted_fault::PlantedFault;
 use crate::service_queue::{Executor, ServiceQueue};
 use crate::state_table::{StateTable, StoredEnd, StoredMessage};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
@@ -62,8 +62,8 @@
     /// Owned here and on too few disks: when to see to each.
     pub(crate) under_replicated: BTreeSet<(Millis, Key)>,
     pub(crate) under_replicated_since: Option<Millis>,
-    pub(crate) repair_budget: crate::repair::Bytes,
-    pub(crate) ordering: crate::ordering::Rows,
+    pub(crate) repair_budget: crate::repair_budget::RepairBudget,
+    pub(crate) ordering: crate::fifo_groups::FifoGroups,
     /// To be taken over by then, if their owner is not back.
     pub(crate) orphans: BTreeSet<(Millis, Key)>,
     /// Their owner has said that it has lost them with its disk.
@@ -94,7 +94,7 @@
     pub(crate) is_retirement_durable: bool,
     pub(crate) released_by: BTreeSet<Node>,
     /// Ends that go to others before this store is gone.
-    pub(crate) end_replication: crate::end_transfer::Passing,
+    pub(crate) end_replication: crate::end_replication::EndReplication,
     /// The control nodes hear this store: without them and without a peer it may be the one that is cut off.
     pub hears_control_group: bool,
     /// So long without a word of them that they may call its session lapsed.
@@ -259,7 +259,11 @@
             entry.repair_at.map(|at| self.under_replicated.remove(&(at, key)));
             entry.indexed_owner.map(|owner| self.live_by_owner.remove(&(owner, key)));
             if let Some(row) = entry.order_slot {
-                self.ordering.leave(&row.0, GroupPosition { accepted_at_ms: row.1, key }, entry.is_announced);
+                self.ordering.remove(
+                    &row.0,
+                    GroupPosition { accepted_at_ms: row.1, key },
+                    entry.is_announced,
+                );
             }
             self.unreleased.remove(&key);
             self.handovers.remove(&key);
@@ -282,10 +286,10 @@
         if entry.order_slot != row {
             if let Some(old) = std::mem::replace(&mut entry.order_slot, row) {
                 let position = GroupPosition { accepted_at_ms: old.1, key };
-                self.ordering.leave(&old.0, position, entry.is_announced && entry.end.is_some());
+                self.ordering.remove(&old.0, position, entry.is_announced && entry.end.is_some());
             }
             if let Some(new) = &entry.order_slot {
-                self.ordering.enter(&new.0, GroupPosition { accepted_at_ms: new.1, key });
+                self.ordering.insert(&new.0, GroupPosition { accepted_at_ms: new.1, key });
             }
         }
         if filed != Some(self.settings.node) {
--- a/crates/queue/src/queue/call_backs.rs
+++ b/crates/queue/src/queue/call_backs.rs
@@ -45,7 +45,7 @@
         let mut next = Millis::MAX;
         let mut out = Vec::new();
         // A receiver takes few connections from all stores together, and resets what is beyond: with many stores each has less.
-        let calls = (RECEIVER / (1 + self.peers.values().filter(|p| p.listed).count())).clamp(1, CALLS);
+        let calls = (RECEIVER / (1 + self.peers.values().filter(|p| p.is_member).count())).clamp(1, CALLS);
         for (place, receiver) in &mut self.callback_receivers {
             // One that fails is tried with one call at a time, and less and less often.
             let most = if receiver.consecutive_failures > 0 { 1 } else { calls };
@@ -95,7 +95,7 @@
         self.reindex(key);
         self.metrics.callbacks_delivered += 1;
         self.record(&Record::CallbackDelivered { key }, false);
-        copies.into_iter().for_each(|to| self.to(to).called.push(key));
+        copies.into_iter().for_each(|to| self.outbox(to).callbacks_delivered.push(key));
         self.flush_ends_at.get_or_insert(now + TELL);
     }
 }
--- a/crates/queue/src/queue/completion.rs
+++ b/crates/queue/src/queue/completion.rs
@@ -1,9 +1,9 @@
 //! The end of a message: recorded, told to those that hold copies, and forgotten in time.
 
 use super::{Queue, Stage};
-use crate::fault_injection::PlantedFault;
 use crate::message::{End, Key, Millis};
 use crate::peer_message::EndNotice;
+use crate::planted_fault::PlantedFault;
 use crate::record::Record;
 
 /// Ends are told to the copies in batches, at the latest after so long.
@@ -40,7 +40,7 @@
             );
         }
         for to in told {
-            self.to(to).ends.push(EndNotice { key, end: end.clone(), callback_pending: owed });
+            self.outbox(to).ends.push(EndNotice { key, end: end.clone(), callback_pending: owed });
         }
         self.flush_ends_at.get_or_insert(now + TELL);
         self.handovers.remove(&key);
@@ -52,7 +52,7 @@
 
     /// Those who ask are told of it for so long.
     pub(crate) fn schedule_forget(&mut self, now: Millis, key: Key) {
-        self.end_replication.again();
+        self.end_replication.mark_incomplete();
         self.forgetting.push_back((now + self.settings.status_retention_ms + 60_000, key));
     }
 
@@ -81,6 +81,6 @@
 
     /// Tells all ends now.
     pub fn flush_ends(&mut self) {
-        self.tell_ends();
+        self.send_ends();
     }
 }
--- a/crates/queue/src/queue/delivery.rs
+++ b/crates/queue/src/queue/delivery.rs
@@ -2,9 +2,9 @@
 
 use super::token_holders::token_holder;
 use super::{AttemptOutcome, Effect, Queue, Stage, UPKEEP};
-use crate::fault_injection::PlantedFault;
 use crate::message::{End, Key, Millis};
 use crate::peer_message::{GroupPosition, PeerMessage};
+use crate::planted_fault::PlantedFault;
 use crate::service_queue::{Retry, Selection};
 use stileroute_dispatch::types::{Outcome as Judged, Time};
 
@@ -22,7 +22,7 @@
             return self.withdraw(key);
         }
         if self.is_draining {
-            self.hand_over(key);
+            self.offer(key);
             return;
         }
         let start = entry.due_at.max(entry.not_before);
@@ -138,7 +138,7 @@
                     }
                 }
                 let attempt = self.next_attempt;
-                let stores = 1 + self.peers.values().filter(|p| p.listed || p.connected).count();
+                let stores = 1 + self.peers.values().filter(|p| p.is_member || p.is_connected).count();
                 service_queue.connection_share = (service_queue.max_connections / stores).max(2);
                 let avoid = entry
                     .last_failed_on
--- a/crates/queue/src/queue/intake.rs
+++ b/crates/queue/src/queue/intake.rs
@@ -1,9 +1,9 @@
 //! Taking a message: its copies are chosen, and it is answered for once all of its disks have it.
 
 use super::{Effect, Entry, PendingWrite, Queue, Stage};
-use crate::fault_injection::PlantedFault;
 use crate::message::{Key, Message, Millis, Node, PutError, ReplicatedMessage};
 use crate::peer_message::AcceptedHandover;
+use crate::planted_fault::PlantedFault;
 use crate::record::Record;
 
 /// Messages that are kept for others to pick up at the most.
@@ -15,7 +15,7 @@
 impl Queue {
     /// A message from an edge.
     pub fn put(&mut self, now: Millis, ticket: u64, message: Message) {
-        let copies = self.choose(now, &[], &[], self.settings.replica_count);
+        let copies = self.choose_replica_stores(now, &[], &[], self.settings.replica_count);
         if self.is_draining
             || self.is_disk_stalled(now)
             || copies.len() < self.settings.replica_count
@@ -40,14 +40,14 @@
         entry.stage = Stage::Persisting;
         entry.ticket = Some(ticket);
         entry.unconfirmed = std::iter::once(self.settings.node).chain(copies.iter().copied()).collect();
-        let look = now + crate::replication::COPY_WAIT;
+        let look = now + crate::peer::REPLICA_CONFIRM_LIMIT;
         entry.persist_check_at = Some(look);
         self.entries.insert(key, entry);
         self.persisting.insert((look, key));
         self.reindex(key);
         self.update_expiry(key);
-        if self.put_in_row(now, key) {
-            self.embark(key, now);
+        if self.place_in_group(now, key) {
+            self.persist_new_message(now, key);
         }
     }
 
@@ -66,7 +66,7 @@
                     // Not on disk it would be forgotten: the operator asks again.
                     self.is_retiring = ok;
                 }
-                (PendingWrite::EndFrom(from, key), true) => self.to(from).ends_kept.push(key),
+                (PendingWrite::EndFrom(from, key), true) => self.outbox(from).ends_stored.push(key),
                 // It is sent again.
                 (PendingWrite::EndFrom(..), false) => self.metrics.failed_writes += 1,
                 (PendingWrite::Ownership(key), true) => self.confirm_persisted(now, key, self.settings.node),
@@ -74,14 +74,14 @@
                     self.metrics.failed_writes += 1;
                     self.roll_back(key);
                 }
-                (PendingWrite::ReplicaFor(from, key), true) => self.to(from).copied.push(key),
+                (PendingWrite::ReplicaFor(from, key), true) => self.outbox(from).replicated.push(key),
                 (PendingWrite::ReplicaFor(from, key), false) => {
                     self.metrics.failed_writes += 1;
                     // Only what it wrote for the sender: it may own the message by now.
                     if self.entries.get(&key).is_some_and(|e| e.stage == Stage::Replica && e.owner == from) {
                         self.record(&Record::Dropped { key }, false);
                         self.remove(key);
-                        self.to(from).not_copied.push(key);
+                        self.outbox(from).replication_rejected.push(key);
                     }
                 }
                 // With a disk that refuses, too: the message lies on both disks, and the one that gave it
@@ -92,7 +92,7 @@
                     let term =
                         self.entries.get(&key).filter(|e| e.owner == self.settings.node).map(|e| e.term);
                     if let Some(term) = term {
-                        self.to(from).handed.push(AcceptedHandover { key, term });
+                        self.outbox(from).handover_accepted.push(AcceptedHandover { key, term });
                     }
                 }
             }
@@ -104,7 +104,7 @@
         let Some(entry) = self.entries.get(&key).filter(|e| e.stage == Stage::Persisting) else { return };
         let (ticket, copies) = (entry.ticket, entry.replicas.clone());
         self.record(&Record::Dropped { key }, false);
-        copies.into_iter().for_each(|to| self.to(to).drop.push(key));
+        copies.into_iter().for_each(|to| self.outbox(to).drops.push(key));
         self.remove(key);
         self.report_unknown_outcome(ticket);
     }
@@ -116,7 +116,7 @@
         entry.unconfirmed.retain(|missing| *missing != node && !early);
         if entry.stage != Stage::Persisting && was > entry.unconfirmed.len() && entry.unconfirmed.is_empty() {
             self.metrics.repaired += 1;
-            return self.look_at_copies(now, key);
+            return self.check_replication(now, key);
         }
         if entry.stage != Stage::Persisting || !entry.unconfirmed.is_empty() {
             return;
--- a/crates/queue/src/queue/report.rs
+++ b/crates/queue/src/queue/report.rs
@@ -133,6 +133,6 @@
 
     /// Other stores: whether connected, a member, about to end.
     pub fn peer_views(&self) -> impl Iterator<Item = (Node, bool, bool, bool)> + '_ {
-        self.peers.iter().map(|(node, p)| (*node, p.connected, p.listed, p.leaving))
+        self.peers.iter().map(|(node, p)| (*node, p.is_connected, p.is_member, p.is_draining()))
     }
 }
--- a/crates/queue/src/queue/timers.rs
+++ b/crates/queue/src/queue/timers.rs
@@ -23,10 +23,10 @@
             .for_each(|b| b.paused = lapsed);
         let slept = now > self.last_upkeep_at + UPKEEP + FROZEN;
         let long = now > self.last_upkeep_at + UPKEEP + MISSED;
-        self.look_after_fence(now, slept, long);
+        self.update_fence(now, slept, long);
         if slept {
             // It has slept: others may have taken messages in its place, and it has not heard of that yet.
-            self.ordering.changed = now;
+            self.ordering.peers_changed_at = now;
         }
         while let Some((at, key)) = self.delayed.first().copied().filter(|(at, _)| *at <= now) {
             self.delayed.remove(&(at, key));
@@ -72,19 +72,19 @@
             self.last_upkeep_at = now;
             self.service_queues.iter_mut().for_each(|service_queue| service_queue.upkeep(fine));
             self.assign_token_holders(now);
-            self.look_after(now);
+            self.check_peers(now);
         }
-        self.look_after_landing(now);
+        self.replace_overdue(now);
         self.repair(now);
-        self.move_up(now);
+        self.advance_groups(now);
         let calls = self.start_callbacks(now);
         self.start_attempts(now, fine);
         self.next_dispatch_at = self.next_dispatch_at.min(calls);
         if self.flush_ends_at.is_some_and(|at| at <= now) {
             self.flush_ends_at = None;
-            self.tell_ends();
+            self.send_ends();
         }
-        self.tell();
+        self.send_gathered();
     }
 
     /// When `tick` is wanted next.
@@ -94,8 +94,8 @@
             first(&self.delayed),
             first(&self.expiring),
             first(&self.persisting),
-            self.next_repair(),
-            self.ordering.next(),
+            self.next_repair_at(),
+            self.ordering.next_check_at(),
             self.flush_ends_at.unwrap_or(Millis::MAX),
             self.last_upkeep_at + UPKEEP,
             self.next_dispatch_at,
--- a/crates/queue/src/queue/token_holders.rs
+++ b/crates/queue/src/queue/token_holders.rs
@@ -2,14 +2,14 @@
 
 use super::{Effect, Queue};
 use crate::message::{Millis, Node};
+use crate::peer::Peer;
 use crate::peer_message::PeerMessage;
-use crate::replication::Peer;
 use std::collections::BTreeMap;
 
 /// Who hands out the tokens of a service.
 pub(crate) fn token_holder(service: &str, me: Node, peers: &BTreeMap<Node, Peer>) -> Node {
     let weight = |node: Node| stileroute_dispatch::types::mark(&format!("{service}/{node}"));
-    let all = peers.iter().filter(|(_, p)| p.listed && !p.leaving).map(|(node, _)| *node);
+    let all = peers.iter().filter(|(_, p)| p.is_member && !p.is_draining()).map(|(node, _)| *node);
     all.chain(std::iter::once(me)).max_by_key(|node| weight(*node)).unwrap_or(me)
 }
 
@@ -17,8 +17,8 @@
     /// Who hands out the tokens of each service: the first of the stores that are members, in an order of its
     /// own for each service, so that the duties are spread.
     pub(crate) fn assign_token_holders(&mut self, now: Millis) {
-        let nodes = 1 + self.peers.values().filter(|p| p.listed).count();
-        let place = self.peers.iter().filter(|(node, p)| p.listed && **node < self.settings.node).count();
+        let nodes = 1 + self.peers.values().filter(|p| p.is_member).count();
+        let place = self.peers.iter().filter(|(node, p)| p.is_member && **node < self.settings.node).count();
         for service_queue in &mut self.service_queues {
             service_queue.nodes(place, nodes);
             let Some(bucket) = &mut service_queue.token_bucket else { continue };
--- a/crates/queue/src/repair.rs
+++ b/crates/queue/src/repair.rs
@@ -1,157 +1,34 @@
-//! Copies that are missing, made again at a bounded rate; and what two stores hold, compared by sums over
-//! ranges and mended from the newer: of two owners the higher term holds, and an end holds always.
+//! Repair: replicas that are missing are made again, at a bounded rate.
 
-use crate::fault_injection::PlantedFault;
 use crate::message::{Key, Millis, Node};
-use crate::peer_message::{EntrySummary, KeyRange, PeerMessage, RangeDigest};
-use crate::queue::{Effect, Entry, PendingWrite, Queue, Stage};
-use crate::record::Record;
-use std::collections::{BTreeMap, BTreeSet};
+use crate::peer::ReplicaStatus;
+use crate::peer_message::Ownership;
+use crate::planted_fault::PlantedFault;
+use crate::queue::{Entry, PendingWrite, Queue, Stage};
 
-/// A store that is no member and not connected for so long holds no copies any more. An orderly restart is
-/// shorter.
-const WRITTEN_OFF: Millis = 5000;
-/// Bytes a second of copies made anew. Three times what a store takes in at the busiest hour that is known
-/// (130 messages of 1.2 KB a second, twice), so the messages of some seconds are safe again in a second or
-/// two; and a fiftieth of the narrowest link, so no delivery waits for it.
-pub const RATE: u64 = 1_000_000;
-/// And so many at once: a tenth of a second.
-const BURST: u64 = RATE / 10;
-/// How often copies are made while some are missing.
-const STEP: Millis = 50;
-/// A copy made anew is confirmed by then, or sent again.
-const CONFIRM: Millis = 3000;
-/// Where nobody can take a copy: looked at again after so long.
-const NOBODY: Millis = 1000;
-/// Digests are compared so often, of messages that are older than the second figure: what is on its way would
-/// always differ.
-const COMPARE: (Millis, Millis) = (10_000, 2000);
-/// Numbers in a range: a power of two.
-const PART: u32 = 10;
-/// What a message weighs beside its body.
-const AROUND: u64 = 400;
+/// The replicas of a store that is no member and not connected for so long are made anew. An orderly restart is shorter.
+const WRITE_OFF_DELAY: Millis = 5000;
 
-/// Bytes that may be sent.
-#[derive(Debug, Default)]
-pub(crate) struct Bytes {
-    held: i64,
-    at: Millis,
-}
-
-impl Bytes {
-    fn fill(&mut self, now: Millis) {
-        self.held = (self.held + (now.saturating_sub(self.at) * RATE / 1000) as i64).min(BURST as i64);
-        self.at = now;
-    }
-    /// One that is larger than what is held goes all the same, and is paid for afterwards.
-    fn take(&mut self, bytes: u64) {
-        self.held -= bytes as i64;
-    }
-}
-
-pub(crate) fn range(owner: Node, key: Key) -> KeyRange {
-    KeyRange { owner, block: key.number >> PART }
-}
-
-fn mixed(key: Key, entry: &Entry) -> u64 {
-    let ended = u64::from(entry.end.is_some());
-    [u64::from(key.origin), key.number, u64::from(entry.owner), u64::from(entry.term), ended].iter().fold(
-        0x9e37_79b9_7f4a_7c15,
-        |mix, part| {
-            let mix = (mix ^ part).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-            let mix = (mix ^ (mix >> 29)).wrapping_mul(0x94d0_49bb_1331_11eb);
-            mix ^ (mix >> 32)
-        },
-    )
-}
-
-impl Queue {
-    /// Live messages, and ended ones with a call-back owed, that a node owns.
-    pub(crate) fn owned_by_node(&self, node: Node) -> impl Iterator<Item = (Key, &Entry)> {
-        let keys =
-            self.live_by_owner.range((node, Key::default())..).take_while(move |(owner, _)| *owner == node);
-        keys.filter_map(|(_, key)| Some((*key, self.entries.get(key)?)))
-    }
-
-    /// Who owns any of what lies here.
-    pub(crate) fn owners(&self) -> impl Iterator<Item = Node> + '_ {
-        let from =
-            |node: Node| self.live_by_owner.range((node, Key::default())..).next().map(|(owner, _)| *owner);
-        std::iter::successors(from(0), move |last| from(last.checked_add(1)?))
-    }
+/// How often replicas are made while some are missing.
+const REPAIR_INTERVAL: Millis = 50;
 
-    pub(crate) fn owned_here(&self) -> impl Iterator<Item = (Key, &Entry)> {
-        self.owned_by_node(self.settings.node)
-    }
-
-    /// What this store and another should both hold.
-    fn common(&self, node: Node) -> impl Iterator<Item = (Key, &Entry)> {
-        let all = self.live_by_owner.iter().filter_map(|(_, key)| Some((*key, self.entries.get(key)?)));
-        all.filter(move |(_, e)| {
-            e.stage != Stage::Persisting && (e.owner == node || e.replicas.contains(&node))
-        })
-    }
+/// A replica made anew that is not confirmed for so long is sent again.
+const REPAIR_CONFIRM_LIMIT: Millis = 3000;
 
-    // ---- Comparing ----
+/// Where no store can take a replica the message is looked at again after so long.
+const NO_STORE_RETRY_DELAY: Millis = 1000;
 
-    fn sums(&self, now: Millis, node: Node, over: u64) -> BTreeMap<KeyRange, (u32, u64)> {
-        let mut sums: BTreeMap<KeyRange, (u32, u64)> = BTreeMap::new();
-        for (key, entry) in self.common(node).filter(|(_, e)| e.age_ms(now) >= over) {
-            let sum = sums.entry(range(entry.owner, key)).or_default();
-            *sum = (sum.0 + 1, sum.1 ^ mixed(key, entry));
-        }
-        sums
-    }
-
-    pub(crate) fn compare(&mut self, now: Millis, node: Node, over: u64) {
-        self.peers.entry(node).or_default().compared = now;
-        self.metrics.digest_comparisons += 1;
-        let sums = self.sums(now, node, over).into_iter();
-        let sums = sums.map(|(range, (count, mix))| RangeDigest { range, count, hash: mix }).collect();
-        self.emit(Effect::Send {
-            to: node,
-            message: PeerMessage::Digests { disk_id: self.settings.disk_id, min_age_ms: over, digests: sums },
-        });
-    }
+/// How often digests are compared with each store.
+const COMPARISON_INTERVAL: Millis = 10_000;
 
-    /// Lists what differs, or says that nothing does.
-    pub(crate) fn digests(&mut self, now: Millis, from: Node, disk: u64, over: u64, theirs: &[RangeDigest]) {
-        self.seen_disk(from, disk);
-        self.metrics.digest_comparisons += 1;
-        let mut mine = self.sums(now, from, over);
-        let mut differ: BTreeSet<KeyRange> = BTreeSet::new();
-        for sum in theirs {
-            if mine.remove(&sum.range) != Some((sum.count, sum.hash)) {
-                differ.insert(sum.range);
-            }
-        }
-        differ.extend(mine.into_keys());
-        self.metrics.differing_ranges += differ.len() as u64;
-        if differ.is_empty() {
-            self.emit(Effect::Send { to: from, message: PeerMessage::Reconciled });
-            return self.stood(now, from);
-        }
-        self.list_ranges(from, differ.into_iter().collect(), true);
-    }
+/// Messages younger than this are left out of comparisons: what is on its way would always differ.
+const COMPARISON_MIN_AGE_MS: u64 = 2000;
 
-    pub(crate) fn list_ranges(&mut self, to: Node, ranges: Vec<KeyRange>, answer: bool) {
-        let asked: BTreeSet<&KeyRange> = ranges.iter().collect();
-        let live = self.common(to).filter(|(key, e)| asked.contains(&range(e.owner, *key)));
-        let live = live
-            .map(|(key, e)| EntrySummary { key, owner: e.owner, term: e.term, has_ended: e.end.is_some() })
-            .collect();
-        let note = PeerMessage::RangeContents {
-            disk_id: self.settings.disk_id,
-            reply_wanted: answer,
-            ranges,
-            entries: live,
-        };
-        self.emit(Effect::Send { to, message: note });
-    }
+/// Estimated bytes of a replica beside its body.
+const REPLICA_OVERHEAD_BYTES: u64 = 400;
 
-    // ---- Making copies again ----
-
-    fn see_to(&mut self, at: Millis, key: Key) {
+impl Queue {
+    fn schedule_repair(&mut self, at: Millis, key: Key) {
         let Some(entry) = self.entries.get_mut(&key) else { return };
         if let Some(old) = entry.repair_at.replace(at) {
             self.under_replicated.remove(&(old, key));
@@ -159,154 +36,185 @@
         self.under_replicated.insert((at, key));
     }
 
-    /// After a change: too few copies are made more.
-    pub(crate) fn look_at_copies(&mut self, now: Millis, key: Key) {
+    /// After a change of a message's replicas: schedules a repair if it has too few, and ends one if it has enough.
+    pub(crate) fn check_replication(&mut self, now: Millis, key: Key) {
         let Some(entry) = self.entries.get_mut(&key) else { return };
-        let enough = entry.replicas.len() >= self.settings.replica_count && entry.unconfirmed.is_empty();
-        if enough || entry.owner != self.settings.node {
-            entry.repair_at.take().map(|at| self.under_replicated.remove(&(at, key)));
-        } else {
+        let has_enough = entry.replicas.len() >= self.settings.replica_count && entry.unconfirmed.is_empty();
+        if !has_enough && entry.owner == self.settings.node {
             self.under_replicated_since.get_or_insert(now);
-            self.see_to(now, key);
+            self.schedule_repair(now, key);
+        } else if let Some(at) = entry.repair_at.take() {
+            self.under_replicated.remove(&(at, key));
         }
     }
 
-    /// All that are counted on have said, since they were last connected, what they hold. A copy that was on its way when this
-    /// store ended is read from disk as if it had been made.
-    pub(crate) fn is_confirmed(&self, entry: &Entry) -> bool {
-        let spoken = |node: &Node| self.peers.get(node).is_some_and(|peer| peer.stood);
-        entry.replicas.iter().all(spoken) || self.planted(PlantedFault::CopiesUnconfirmed)
+    /// All stores with replicas of a message have said, since they were last connected, what they hold. A replica that was on
+    /// its way when this store ended is read from disk as if it had been made.
+    pub(crate) fn are_replicas_confirmed(&self, entry: &Entry) -> bool {
+        let is_reconciled = |node: &Node| self.peers.get(node).is_some_and(|peer| peer.is_reconciled);
+        entry.replicas.iter().all(is_reconciled) || self.planted(PlantedFault::CopiesUnconfirmed)
     }
 
-    fn mine(&mut self, key: Key) -> Option<&mut Entry> {
-        let me = self.settings.node;
-        let live = |e: &&mut Entry| {
-            e.owner == me && e.stage != Stage::Persisting && (e.end.is_none() || e.callback_pending)
-        };
-        self.entries.get_mut(&key).filter(live)
+    /// A message that is owned here, is stored, and of which something is left to do.
+    fn owned_entry_mut(&mut self, key: Key) -> Option<&mut Entry> {
+        let node = self.settings.node;
+        let entry = self.entries.get_mut(&key);
+        entry.filter(|entry| entry.owner == node && entry.stage != Stage::Persisting && !entry.is_settled())
     }
 
-    /// A store that should hold a copy has none yet.
-    pub(crate) fn not_yet_on(&mut self, now: Millis, key: Key, node: Node) {
-        if self.is_emptied(node) {
-            return self.not_on(now, key, node);
+    /// A store that should hold a replica has none yet.
+    pub(crate) fn replica_missing(&mut self, now: Millis, key: Key, node: Node) {
+        if self.is_peer_retiring(node) {
+            return self.replica_lost(now, key, node);
         }
-        let Some(entry) = self.mine(key) else { return };
+        let Some(entry) = self.owned_entry_mut(key) else { return };
         if !entry.replicas.contains(&node) {
             entry.replicas.push(node);
         }
         if !entry.unconfirmed.contains(&node) {
             entry.unconfirmed.push(node);
         }
-        self.look_at_copies(now, key);
+        self.check_replication(now, key);
     }
 
-    /// A store that should hold a copy has no room for it, or is gone.
-    pub(crate) fn not_on(&mut self, now: Millis, key: Key, node: Node) {
-        let Some(entry) = self.mine(key) else { return };
-        entry.replicas.retain(|copy| *copy != node);
-        entry.unconfirmed.retain(|copy| *copy != node);
-        self.look_at_copies(now, key);
+    /// A store that should hold a replica has no room for it, or is gone.
+    pub(crate) fn replica_lost(&mut self, now: Millis, key: Key, node: Node) {
+        let Some(entry) = self.owned_entry_mut(key) else { return };
+        entry.replicas.retain(|replica| *replica != node);
+        entry.unconfirmed.retain(|replica| *replica != node);
+        self.check_replication(now, key);
     }
 
-    /// A store holds a copy that was not counted: too few are there, so it counts again.
-    pub(crate) fn adopt(&mut self, now: Millis, key: Key, node: Node) {
-        if self.is_emptied(node) {
+    /// A store holds a replica that was not counted: too few are there, so it counts again.
+    pub(crate) fn adopt_replica(&mut self, now: Millis, key: Key, node: Node) {
+        if self.is_peer_retiring(node) {
             return;
         }
-        let Some(entry) = self.mine(key) else { return };
+        let Some(entry) = self.owned_entry_mut(key) else { return };
         entry.replicas.push(node);
-        let (owner, term, copies) = (entry.owner, entry.term, entry.replicas.clone());
-        self.record(&Record::OwnerChanged { key, owner, term, replicas: copies }, true);
-        self.look_at_copies(now, key);
+        let ownership =
+            Ownership { key, owner: entry.owner, term: entry.term, replicas: entry.replicas.clone() };
+        self.record_ownership(&ownership);
+        self.check_replication(now, key);
+    }
+
+    /// A connection is lost, and with it the repaired replicas that were on their way.
+    pub(crate) fn drop_repairs_in_flight_to(&mut self, now: Millis, node: Node) {
+        let keys = self.under_replicated.iter().map(|(_, key)| *key);
+        let is_in_flight =
+            |key: &Key| self.entries.get(key).is_some_and(|entry| entry.unconfirmed.contains(&node));
+        let lost: Vec<Key> = keys.filter(is_in_flight).collect();
+        for key in lost {
+            self.replica_lost(now, key, node);
+        }
     }
 
-    /// The connection is gone, and the copies that were on their way with it.
-    pub(crate) fn lost_on_the_way(&mut self, now: Millis, node: Node) {
-        let all = self.under_replicated.iter().map(|(_, key)| *key);
-        let on_way = |key: &Key| self.entries.get(key).is_some_and(|e| e.unconfirmed.contains(&node));
-        let lost: Vec<Key> = all.filter(on_way).collect();
-        lost.into_iter().for_each(|key| self.not_on(now, key, node));
+    /// Writes off the replicas of stores that are gone for good, and compares digests with the others when it is time.
+    pub(crate) fn check_replica_holders(&mut self, now: Millis) {
+        for node in self.write_off_gone_peers(now) {
+            self.end_replication.store_lost(node);
+            let held = self.owned_here().filter(|(_, entry)| entry.replicas.contains(&node));
+            let held: Vec<Key> = held.map(|(key, _)| key).collect();
+            for key in held {
+                self.replica_lost(now, key, node);
+            }
+        }
+        let node = self.settings.node;
+        let due = self.peers.iter().filter(|(other, peer)| {
+            // Of two stores the lower one begins.
+            node < **other
+                && peer.is_connected
+                && peer.is_reconciled
+                && now >= peer.compared_at + COMPARISON_INTERVAL
+        });
+        let due: Vec<Node> = due.map(|(node, _)| *node).collect();
+        for node in due {
+            self.send_digests(now, node, COMPARISON_MIN_AGE_MS);
+        }
     }
 
-    /// Stores that are gone for good hold no copies any more; and digests are compared when it is time.
-    pub(crate) fn look_at_holders(&mut self, now: Millis) {
-        let Queue { peers, hears_control_group: heard, knows_members: acquainted, settings: terms, .. } =
-            self;
-        let (mut gone, mut compare) = (Vec::new(), Vec::new());
-        for (node, peer) in peers {
-            let here = peer.listed || peer.connected;
-            if here {
-                peer.written_off = false;
-            } else if *heard && *acquainted && !peer.written_off && now > peer.since + WRITTEN_OFF {
-                peer.written_off = true;
+    /// The stores whose replicas no longer count from now on.
+    fn write_off_gone_peers(&mut self, now: Millis) -> Vec<Node> {
+        let may_write_off = self.hears_control_group && self.knows_members;
+        let mut gone = Vec::new();
+        for (node, peer) in &mut self.peers {
+            if peer.is_present() {
+                peer.replica_status = ReplicaStatus::CountedOn;
+            } else if may_write_off
+                && !peer.is_written_off()
+                && now > peer.connection_changed_at + WRITE_OFF_DELAY
+            {
+                peer.replica_status = ReplicaStatus::WrittenOff;
                 gone.push(*node);
             }
-            if peer.connected && peer.stood && terms.node < *node && now >= peer.compared + COMPARE.0 {
-                compare.push(*node);
-            }
         }
-        for node in gone {
-            self.end_replication.lost(node);
-            let held = self.owned_here().filter(|(_, e)| e.replicas.contains(&node));
-            let held: Vec<Key> = held.map(|(key, _)| key).collect();
-            held.into_iter().for_each(|key| self.not_on(now, key, node));
-        }
-        compare.into_iter().for_each(|node| self.compare(now, node, COMPARE.1));
+        gone
     }
 
-    pub(crate) fn next_repair(&self) -> Millis {
-        self.under_replicated.first().map_or(Millis::MAX, |(at, _)| (*at).max(self.repair_budget.at + STEP))
+    /// When [`Queue::repair`] has something to do.
+    pub(crate) fn next_repair_at(&self) -> Millis {
+        let first = self.under_replicated.first();
+        first.map_or(Millis::MAX, |(at, _)| (*at).max(self.repair_budget.filled_at() + REPAIR_INTERVAL))
     }
 
+    /// Sends missing replicas, as many as the budget allows.
     pub(crate) fn repair(&mut self, now: Millis) {
         if self.under_replicated.is_empty() {
-            if let Some(since) = self.under_replicated_since.take() {
-                self.metrics.last_under_replication_ms = now.saturating_sub(since);
-                tracing::info!(
-                    ms = self.metrics.last_under_replication_ms,
-                    "all messages are on enough disks again"
-                );
-            }
-            self.metrics.under_replicated = 0;
-            return;
+            return self.repair_completed(now);
         }
         self.metrics.under_replicated = self.under_replicated.len();
-        if now < self.next_repair() {
+        if now < self.next_repair_at() {
             return;
         }
         self.repair_budget.fill(now);
         while let Some((_, key)) = self.under_replicated.first().copied().filter(|(at, _)| *at <= now) {
-            if self.repair_budget.held <= 0 {
+            if self.repair_budget.is_exhausted() {
                 break;
             }
-            let Some(entry) = self.mine(key) else {
-                self.under_replicated.pop_first();
-                continue;
-            };
-            let (size, copies) = (entry.message.body.len() as u64 + AROUND, entry.replicas.clone());
-            let lacking = self.settings.replica_count.saturating_sub(copies.len());
-            let new = self.choose(now, &copies, &copies, lacking);
-            let Some(entry) = self.entries.get_mut(&key) else { return };
-            entry.unconfirmed.extend(&new);
-            entry.replicas.extend(&new);
-            let (me, term, copies) = (self.settings.node, entry.term, entry.replicas.clone());
-            let missing = entry.unconfirmed.clone();
-            let to: Vec<Node> =
-                missing.into_iter().filter(|n| self.peers.get(n).is_some_and(|p| p.connected)).collect();
-            if to.is_empty() {
-                self.see_to(now + NOBODY, key);
-                continue;
-            }
-            self.repair_budget.take(size * to.len() as u64);
-            self.metrics.repaired_bytes += size * to.len() as u64;
-            // Known on disk before the copy is: after a restart those that hold copies are waited for.
-            if !new.is_empty() {
-                self.record(&Record::OwnerChanged { key, owner: me, term, replicas: copies }, true);
-                self.after_write(PendingWrite::Ownership(key));
-            }
-            to.into_iter().for_each(|to| self.copy_anew(now, key, to));
-            self.see_to(now + CONFIRM, key);
+            self.repair_message(now, key);
+        }
+    }
+
+    fn repair_completed(&mut self, now: Millis) {
+        if let Some(since) = self.under_replicated_since.take() {
+            self.metrics.last_under_replication_ms = now.saturating_sub(since);
+            let ms = self.metrics.last_under_replication_ms;
+            tracing::info!(ms, "all messages are on enough disks again");
+        }
+        self.metrics.under_replicated = 0;
+    }
+
+    /// Sends the missing replicas of one message, and chooses stores for those that have none.
+    fn repair_message(&mut self, now: Millis, key: Key) {
+        let Some(entry) = self.owned_entry_mut(key) else {
+            self.under_replicated.pop_first();
+            return;
+        };
+        let replica_bytes = entry.message.body.len() as u64 + REPLICA_OVERHEAD_BYTES;
+        let present = entry.replicas.clone();
+        let lacking = self.settings.replica_count.saturating_sub(present.len());
+        let added = self.choose_replica_stores(now, &present, &present, lacking);
+        let Some(entry) = self.entries.get_mut(&key) else { return };
+        entry.unconfirmed.extend(&added);
+        entry.replicas.extend(&added);
+        let ownership =
+            Ownership { key, owner: self.settings.node, term: entry.term, replicas: entry.replicas.clone() };
+        let is_connected = |node: &Node| self.peers.get(node).is_some_and(|peer| peer.is_connected);
+        let receivers: Vec<Node> = entry.unconfirmed.iter().copied().filter(is_connected).collect();
+        if receivers.is_empty() {
+            return self.schedule_repair(now + NO_STORE_RETRY_DELAY, key);
+        }
+        let bytes = replica_bytes * receivers.len() as u64;
+        self.repair_budget.take(bytes);
+        self.metrics.repaired_bytes += bytes;
+        // Known on disk before the replica is sent: after a restart the stores in the list are waited for.
+        if !added.is_empty() {
+            self.record_ownership(&ownership);
+            self.after_write(PendingWrite::Ownership(key));
+        }
+        for to in receivers {
+            self.resend_replica(now, key, to);
         }
+        self.schedule_repair(now + REPAIR_CONFIRM_LIMIT, key);
     }
 }
--- a/crates/queue/src/replication.rs
+++ b/crates/queue/src/replication.rs
@@ -1,78 +1,77 @@
-//! Other stores, as this one knows them: connections, copies of messages, and who delivers what.
+//! Replication between stores: who owns a message, where its replicas lie, and how two stores come to agree on both.
 
 mod connections;
 mod fence;
 mod handover;
-mod outbox;
 mod ownership;
 mod peer_messages;
 mod placement;
+mod reconciliation;
 mod release;
+mod replicas;
 mod takeover;
 
 use crate::message::{Key, Millis, Node};
-use crate::queue::{Entry, Queue};
-use outbox::Outbox;
+use crate::outbox::Outbox;
+use crate::peer_message::PeerMessage;
+use crate::queue::{Effect, Entry, Queue};
 
-/// A copy that is not confirmed for so long is asked of another store: well before an edge gives up a silent
-/// store (200 ms).
-pub const COPY_WAIT: Millis = 120;
+/// A store that is no member and not connected for so long has lost what it owned to the stores that hold replicas.
+const TAKEOVER_DELAY: Millis = 2000;
 
-/// A store that is no member and not connected for so long has lost what it owned to its copies.
-const GONE: Millis = 2000;
+/// After its start, or a fence, a store waits so long for those that hold replicas of what it owned.
+const RECONCILIATION_LIMIT: Millis = 3000;
 
-/// After its start a store waits so long for those that hold copies of what it owned.
-const PATIENCE: Millis = 3000;
+/// A message that others may have run waits so long before it starts here: whoever knows that it has ended, or has a newer
+/// owner, objects in that time.
+const OBJECTION_WINDOW: Millis = 100;
 
-/// What was taken over because its owner is gone waits so long: others may know that it has ended, or who has it, and say so.
-const ASK: Millis = 100;
+impl Queue {
+    /// What is sent to that store at the end of the turn.
+    pub(crate) fn outbox(&mut self, node: Node) -> &mut Outbox {
+        &mut self.peers.entry(node).or_default().outbox
+    }
 
-/// Another store.
-#[derive(Debug, Default)]
-pub struct Peer {
-    pub zone: usize,
-    pub connected: bool,
-    pub leaving: bool,
-    /// It is to be emptied for good, and when it was last told that nobody counts on it.
-    pub(crate) retiring: bool,
-    pub(crate) relieved_at: Millis,
-    /// It is a member, as the control nodes tell.
-    pub listed: bool,
-    pub(crate) since: Millis,
-    /// When what it owned was last looked for.
-    looked: Millis,
-    /// What it owned was not there any more when it was last looked for.
-    pub(crate) written_off: bool,
-    /// When digests were last compared.
-    pub(crate) compared: Millis,
-    /// Its disk had no room: others are asked for copies until then.
-    pub(crate) full_until: Millis,
-    disk: Option<u64>,
-    /// It has said all about what both hold, on this connection.
-    pub(crate) stood: bool,
-    out: Outbox,
-}
+    /// Sends a message to all stores that are connected.
+    pub(crate) fn send_to_connected(&mut self, message: &PeerMessage) {
+        let connected = self.peers.iter().filter(|(_, peer)| peer.is_connected);
+        let connected: Vec<Node> = connected.map(|(node, _)| *node).collect();
+        for to in connected {
+            self.emit(Effect::Send { to, message: message.clone() });
+        }
+    }
 
-impl Peer {
-    pub fn new(now: Millis) -> Peer {
-        Peer { since: now, ..Peer::default() }
+    /// Sends the batches of ends and of delivered callbacks.
+    pub(crate) fn send_ends(&mut self) {
+        self.flush_ends_at = None;
+        self.send_from_outboxes(Outbox::take_ends);
     }
-}
 
-impl Queue {
-    pub(crate) fn to(&mut self, node: Node) -> &mut Outbox {
-        &mut self.peers.entry(node).or_default().out
+    /// Sends what has gathered in this turn, but for the batches of ends.
+    pub(crate) fn send_gathered(&mut self) {
+        self.send_from_outboxes(Outbox::take_messages);
+    }
+
+    fn send_from_outboxes(&mut self, take: fn(&mut Outbox) -> Vec<PeerMessage>) {
+        let mut messages = Vec::new();
+        for (node, peer) in self.peers.iter_mut().filter(|(_, peer)| peer.is_connected) {
+            messages.extend(take(&mut peer.outbox).into_iter().map(|message| (*node, message)));
+        }
+        for (to, message) in messages {
+            self.emit(Effect::Send { to, message });
+        }
     }
 
-    fn owner(&self, key: Key) -> Node {
-        self.entries.get(&key).map_or(Node::MAX, |e| e.owner)
+    /// The owner of a message; no node has the identifier that stands for an unknown message.
+    fn owner_of(&self, key: Key) -> Node {
+        self.entries.get(&key).map_or(Node::MAX, |entry| entry.owner)
     }
 
-    /// How many that hold a copy, and are here, come before this store. One that is no longer named comes
-    /// last.
-    fn line(&self, entry: &Entry) -> u64 {
-        let here = |node: &Node| self.peers.get(node).is_some_and(|p| p.connected);
+    /// How many connected stores come before this one in the list of replicas: the first takes over at once. A store that the
+    /// list no longer names comes last.
+    fn takeover_rank(&self, entry: &Entry) -> u64 {
+        let is_connected = |node: &Node| self.peers.get(node).is_some_and(|peer| peer.is_connected);
         let before = entry.replicas.iter().take_while(|node| **node != self.settings.node);
-        before.filter(|node| here(node)).count() as u64
+        before.filter(|node| is_connected(node)).count() as u64
     }
 }
--- a/crates/queue/src/replication/connections.rs
+++ b/crates/queue/src/replication/connections.rs
@@ -1,53 +1,50 @@
-//! Members and connections: what is said to a store that comes, and done about one that is gone.
+//! Membership and connections: what is sent to a store that connects, and done about one that is gone.
 
-use super::{Outbox, Peer};
 use crate::message::{Key, Millis, Node};
+use crate::outbox::Outbox;
+use crate::peer::{Peer, Peers, ServiceState};
 use crate::peer_message::{EndNotice, PeerMessage};
 use crate::queue::{Effect, Queue};
 
+fn members_of(peers: &Peers) -> Vec<Node> {
+    peers.iter().filter(|(_, peer)| peer.is_member).map(|(node, _)| *node).collect()
+}
+
 impl Queue {
-    /// The stores that are members, as the control nodes tell.
+    /// Sets the stores that are members, each with the index of its zone, as the control group says.
     pub fn set_members(&mut self, now: Millis, stores: &[(Node, usize)]) {
         self.knows_members = true;
-        let listed = |peers: &std::collections::BTreeMap<Node, Peer>| -> Vec<Node> {
-            peers.iter().filter(|(_, p)| p.listed).map(|(node, _)| *node).collect()
-        };
-        let before = listed(&self.peers);
+        let before = members_of(&self.peers);
         for peer in self.peers.values_mut() {
-            peer.listed = false;
+            peer.is_member = false;
         }
         for (node, zone) in stores.iter().filter(|(node, _)| *node != self.settings.node) {
             let peer = self.peers.entry(*node).or_insert_with(|| Peer::new(now));
-            (peer.zone, peer.listed) = (*zone, true);
+            peer.zone = *zone;
+            peer.is_member = true;
         }
-        if listed(&self.peers) != before {
-            self.ordering.changed = now;
+        if members_of(&self.peers) != before {
+            self.ordering.peers_changed_at = now;
         }
         self.assign_token_holders(now);
     }
 
-    /// A connection to another store is open: each says what it holds in common with the other.
+    /// A connection to another store is open: each tells the other what it holds in common with it.
     pub fn peer_connected(&mut self, now: Millis, node: Node) {
         let peer = self.peers.entry(node).or_default();
-        (peer.connected, peer.leaving, peer.stood, peer.since) = (true, false, false, now);
-        // One that is to be emptied yet says so again: an order that was lost with its power is none.
-        peer.retiring = false;
-        peer.out = Outbox::default();
-        self.ordering.changed = now;
+        peer.is_connected = true;
+        peer.is_reconciled = false;
+        peer.connection_changed_at = now;
+        // One that is still retiring says so again: an order that was lost with its power is none.
+        peer.service = ServiceState::InService;
+        peer.outbox = Outbox::default();
+        self.ordering.peers_changed_at = now;
         self.emit(Effect::Send { to: node, message: PeerMessage::DiskId(self.settings.disk_id) });
         // One of the two begins: the other answers with what differs.
         if self.settings.node < node {
-            self.compare(now, node, 0);
+            self.send_digests(now, node, 0);
         }
-        // Ends that were told while it was away, or got lost with the connection.
-        let mine = self.owned_here().filter(|(_, e)| e.replicas.contains(&node));
-        let owed: Vec<EndNotice> = mine
-            .filter_map(|(key, e)| {
-                Some(EndNotice { key, end: e.end.clone()?, callback_pending: e.callback_pending })
-            })
-            .collect();
-        self.to(node).ends.extend(owed);
-        self.flush_ends_at.get_or_insert(now);
+        self.send_known_ends(now, node);
         if self.is_draining {
             self.emit(Effect::Send { to: node, message: PeerMessage::Draining });
         }
@@ -56,42 +53,57 @@
         }
     }
 
+    /// Ends that were sent while it was away, or got lost with the connection.
+    fn send_known_ends(&mut self, now: Millis, node: Node) {
+        let shared = self.owned_here().filter(|(_, entry)| entry.replicas.contains(&node));
+        let ends = shared.filter_map(|(key, entry)| {
+            let end = entry.end.clone()?;
+            Some(EndNotice { key, end, callback_pending: entry.callback_pending })
+        });
+        let ends: Vec<EndNotice> = ends.collect();
+        self.outbox(node).ends.extend(ends);
+        self.flush_ends_at.get_or_insert(now);
+    }
+
+    /// The connection to another store is lost.
     pub fn peer_disconnected(&mut self, now: Millis, node: Node) {
         let peer = self.peers.entry(node).or_default();
-        (peer.connected, peer.stood, peer.since) = (false, false, now);
-        peer.out = Outbox::default();
+        peer.is_connected = false;
+        peer.is_reconciled = false;
+        peer.connection_changed_at = now;
+        peer.outbox = Outbox::default();
         self.released_by.remove(&node);
-        self.end_replication.gone(node);
-        let waiting: Vec<Key> = self
-            .persisting
-            .iter()
-            .map(|(_, key)| *key)
-            .filter(|key| self.entries.get(key).is_some_and(|e| e.unconfirmed.contains(&node)))
-            .collect();
-        for key in waiting {
-            self.copy_elsewhere(now, key, Some(node));
+        self.end_replication.forget_store(node);
+        let persisting = self.persisting.iter().map(|(_, key)| *key);
+        let is_unconfirmed =
+            |key: &Key| self.entries.get(key).is_some_and(|entry| entry.unconfirmed.contains(&node));
+        let unconfirmed: Vec<Key> = persisting.filter(is_unconfirmed).collect();
+        for key in unconfirmed {
+            self.replace_unconfirmed(now, key, Some(node));
         }
-        // It may have taken these or not. They stay as they are until it says so, here or after the next
+        // It may have accepted these or not. They stay as they are until it says so, here or after the next
         // start; but nobody waits for its answer any more.
         self.handovers.retain(|_, to| *to != node);
-        self.lost_on_the_way(now, node);
-        self.row_lost(now, node);
+        self.drop_repairs_in_flight_to(now, node);
+        self.stop_awaiting_answers_of(now, node);
     }
 
-    pub(crate) fn seen_disk(&mut self, from: Node, disk: u64) {
+    /// Another store has identified its disk.
+    pub(super) fn disk_identified(&mut self, from: Node, disk_id: u64) {
         let peer = self.peers.entry(from).or_default();
-        if peer.disk.replace(disk).is_some_and(|old| old != disk) {
+        if peer.disk_id.replace(disk_id).is_some_and(|known| known != disk_id) {
             tracing::info!(node = from, "a store is back with another disk");
-            self.end_replication.lost(from);
+            self.end_replication.store_lost(from);
         }
     }
 
-    /// All that another store had to say about what both hold has been said.
-    pub(crate) fn stood(&mut self, now: Millis, from: Node) {
-        let first = !std::mem::replace(&mut self.peers.entry(from).or_default().stood, true);
-        self.release(now);
-        if self.is_draining && first {
-            self.hand_all_over();
+    /// Another store has said all that it knows about what both hold.
+    pub(super) fn peer_reconciled(&mut self, now: Millis, from: Node) {
+        let peer = self.peers.entry(from).or_default();
+        let was_reconciled = std::mem::replace(&mut peer.is_reconciled, true);
+        self.release_suspended(now);
+        if self.is_draining && !was_reconciled {
+            self.offer_all();
         }
     }
 }
--- a/crates/queue/src/replication/peer_messages.rs
+++ b/crates/queue/src/replication/peer_messages.rs
@@ -1,148 +1,81 @@
-//! Each kind of note of another store, and what is done about it.
+//! Dispatch of what other stores send.
 
-use super::takeover::LINE;
 use crate::message::{Millis, Node};
-use crate::peer_message::{AcceptedHandover, Ownership, PeerMessage};
-use crate::queue::{Effect, Queue, Stage};
-use crate::record::Record;
+use crate::ordering::ReceivedQuery;
+use crate::peer::ServiceState;
+use crate::peer_message::{GroupPosition, PeerMessage};
+use crate::queue::{Effect, Queue};
 
 impl Queue {
-    /// A note of another store.
-    pub fn handle_peer_message(&mut self, now: Millis, from: Node, note: PeerMessage) {
-        match note {
-            PeerMessage::Replicate(all) => {
-                all.into_iter().for_each(|shared| self.keep_copy(now, from, shared))
+    /// Acts on a message of another store.
+    pub fn handle_peer_message(&mut self, now: Millis, from: Node, message: PeerMessage) {
+        match message {
+            PeerMessage::Replicate(replicas) => {
+                replicas.into_iter().for_each(|replica| self.store_replica(now, from, replica));
             }
             PeerMessage::Replicated(keys) => {
-                keys.into_iter().for_each(|key| self.confirm_persisted(now, key, from))
+                keys.into_iter().for_each(|key| self.confirm_persisted(now, key, from));
             }
-            PeerMessage::ReplicationRejected(keys) => {
-                self.peers.entry(from).or_default().full_until = now + 2000;
-                for key in keys {
-                    self.copy_elsewhere(now, key, Some(from));
-                    self.not_on(now, key, from);
-                }
-            }
-            PeerMessage::Ended(all) => all.into_iter().for_each(|notice| self.told_end(now, notice)),
+            PeerMessage::ReplicationRejected(keys) => self.replication_rejected(now, from, keys),
+            PeerMessage::Ended(notices) => self.apply_end_notices(now, notices),
             PeerMessage::CallbacksDelivered(keys) => {
-                for key in keys {
-                    // Of one that has not ended here all is needed yet.
-                    if let Some(entry) = self.entries.get_mut(&key).filter(|e| e.end.is_some()) {
-                        entry.callback_pending = false;
-                        entry.discard_content();
-                        self.reindex(key);
-                        self.record(&Record::CallbackDelivered { key }, false);
-                    }
-                }
-            }
-            PeerMessage::OwnershipChanged(all) => {
-                for owned in all {
-                    self.contradict(now, from, &owned);
-                    self.owned_by(now, owned);
-                }
-            }
-            PeerMessage::Drop(keys) => {
-                for key in keys {
-                    match self.entries.get(&key).filter(|e| e.end.is_none()).map(|e| e.owner == from) {
-                        Some(true) => {
-                            self.remove(key);
-                            self.record(&Record::Dropped { key }, false);
-                        }
-                        Some(false) => self.metrics.stale_claims += 1,
-                        None => {}
-                    }
-                }
-            }
-            PeerMessage::LostWithDisk(keys) => {
-                for key in keys {
-                    // Of several that hold a copy one takes over at once, and the others if it does not.
-                    let mine = self.entries.get(&key).filter(|e| e.owner == from);
-                    let Some(line) = mine.map(|e| self.line(e)) else { continue };
-                    match line {
-                        0 => self.take_over(now, key, None),
-                        _ => {
-                            self.lost_by_owner.insert(key, from);
-                            self.orphans.insert((now + line * LINE, key));
-                        }
-                    }
-                }
+                keys.into_iter().for_each(|key| self.callback_told_delivered(key));
             }
+            PeerMessage::OwnershipChanged(told) => self.ownership_told(now, from, told),
+            PeerMessage::Drop(keys) => self.drop_told(from, keys),
+            PeerMessage::LostWithDisk(keys) => self.take_over_lost(now, from, keys),
             PeerMessage::RequestReplicas(keys) => {
-                keys.into_iter().for_each(|key| self.not_yet_on(now, key, from));
-            }
-            PeerMessage::Digests { disk_id: disk, min_age_ms: over, digests: sums } => {
-                self.digests(now, from, disk, over, &sums)
-            }
-            PeerMessage::RangeContents { disk_id: disk, reply_wanted: answer, ranges, entries: live } => {
-                self.standing(now, from, disk, &ranges, live);
-                if answer {
-                    self.list_ranges(from, ranges, false);
+                keys.into_iter().for_each(|key| self.replica_missing(now, key, from));
+            }
+            PeerMessage::DiskId(disk_id) => self.disk_identified(from, disk_id),
+            PeerMessage::Digests { disk_id, min_age_ms, digests } => {
+                self.disk_identified(from, disk_id);
+                self.compare_digests(now, from, min_age_ms, &digests);
+            }
+            PeerMessage::RangeContents { disk_id, reply_wanted, ranges, entries } => {
+                self.disk_identified(from, disk_id);
+                self.reconcile_ranges(now, from, &ranges, entries);
+                if reply_wanted {
+                    self.send_range_contents(from, ranges, false);
                 }
                 self.emit(Effect::Send { to: from, message: PeerMessage::Reconciled });
             }
-            PeerMessage::Reconciled => self.stood(now, from),
-            PeerMessage::DiskId(disk) => self.seen_disk(from, disk),
-            PeerMessage::Handover(keys) => {
-                for handed in keys {
-                    self.take_over(now, handed.key, Some((from, handed)));
-                }
-            }
-            PeerMessage::HandoverAccepted(keys) => {
-                for AcceptedHandover { key, term } in keys {
-                    self.handovers.remove(&key);
-                    self.counted_on_by(from);
-                    let Some(entry) = self.entries.get(&key) else { continue };
-                    self.metrics.handed_over += 1;
-                    let mut copies = entry.replicas.clone();
-                    copies.retain(|node| *node != from);
-                    copies.push(self.settings.node);
-                    self.owned_by(now, Ownership { key, owner: from, term, replicas: copies });
-                }
-            }
-            PeerMessage::HandoverRejected(keys) => {
-                for key in keys {
-                    self.handovers.remove(&key);
-                    if self.is_retiring {
-                        // It holds no copy after all: it gets one, or another does, before it is asked again.
-                        if let Some(entry) =
-                            self.entries.get_mut(&key).filter(|e| e.stage == Stage::Suspended)
-                        {
-                            entry.stage = Stage::Waiting;
-                        }
-                        self.not_on(now, key, from);
-                    }
-                }
-            }
-            PeerMessage::GroupQuery {
-                query_id: number,
-                group: row,
-                accepted_at_ms: taken,
-                key,
-                is_announcement: announced,
-            } => {
-                self.row_asked(now, from, (number, row, taken, key, announced));
-            }
-            PeerMessage::GroupQueryReply { query_id: number, min_accepted_at_ms: beyond, live } => {
-                self.row_told(now, from, number, beyond, live)
-            }
-            PeerMessage::GroupMessagesEnded(all) => self.row_done(all),
-            PeerMessage::Draining => {
-                self.ordering.changed = now;
-                self.peers.entry(from).or_default().leaving = true;
-                self.assign_token_holders(now);
-            }
-            PeerMessage::Retiring => {
-                let peer = self.peers.entry(from).or_default();
-                (peer.leaving, peer.retiring) = (true, true);
-                self.assign_token_holders(now);
-            }
+            PeerMessage::Reconciled => self.peer_reconciled(now, from),
+            PeerMessage::Handover(offers) => self.accept_handover(now, from, offers),
+            PeerMessage::HandoverAccepted(accepted) => self.handover_accepted(now, from, accepted),
+            PeerMessage::HandoverRejected(keys) => self.handover_rejected(now, from, keys),
+            PeerMessage::GroupQuery { query_id, group, accepted_at_ms, key, is_announcement } => {
+                let position = GroupPosition { accepted_at_ms, key };
+                let query = ReceivedQuery { query_id, group, position, is_announcement };
+                self.answer_group_query(now, from, query);
+            }
+            PeerMessage::GroupQueryReply { query_id, min_accepted_at_ms, live } => {
+                self.group_query_answered(now, from, query_id, min_accepted_at_ms, live);
+            }
+            PeerMessage::GroupMessagesEnded(ended) => self.group_messages_ended(ended),
+            PeerMessage::Draining => self.peer_drains(now, from),
+            PeerMessage::Retiring => self.peer_retires(now, from),
             PeerMessage::NoReplicasNeeded => {
                 self.released_by.insert(from);
             }
-            PeerMessage::TransferEnds(ends) => self.keep_ends(now, from, ends),
-            PeerMessage::EndsStored(keys) => self.end_replication.kept(from, keys),
+            PeerMessage::TransferEnds(ends) => self.store_ends(now, from, ends),
+            PeerMessage::EndsStored(keys) => self.end_replication.confirm(from, keys),
             PeerMessage::RequestTokens { service, count } => self.tokens_wanted(now, from, service, count),
             PeerMessage::GrantTokens { service, count } => self.tokens_received(now, from, &service, count),
         }
     }
+
+    fn peer_drains(&mut self, now: Millis, node: Node) {
+        self.ordering.peers_changed_at = now;
+        let peer = self.peers.entry(node).or_default();
+        if peer.service == ServiceState::InService {
+            peer.service = ServiceState::Draining;
+        }
+        self.assign_token_holders(now);
+    }
+
+    fn peer_retires(&mut self, now: Millis, node: Node) {
+        self.peers.entry(node).or_default().service = ServiceState::Retiring;
+        self.assign_token_holders(now);
+    }
 }
--- /dev/null
+++ b/crates/queue/src/replication/reconciliation.rs
@@ -0,0 +1,231 @@
+//! Reconciliation of two stores (anti-entropy): digests over ranges show where they differ, and of those ranges each lists
+//! what it holds. Owners, replicas and ends are then set right by the newer claim.
+
+use super::ownership::claim;
+use crate::message::{Key, Millis, Node};
+use crate::peer_message::{EntrySummary, KeyRange, Ownership, PeerMessage, RangeDigest};
+use crate::queue::{Effect, Entry, Queue, Stage};
+use std::collections::{BTreeMap, BTreeSet, HashSet};
+
+/// Bits of a message number that tell messages of one range apart.
+const RANGE_BITS: u32 = 10;
+
+fn range_of(owner: Node, key: Key) -> KeyRange {
+    KeyRange { owner, block: key.number >> RANGE_BITS }
+}
+
+/// Hash of a message's state, by the mixing steps of SplitMix64 (Steele, Lea and Flood, 2014).
+fn state_hash(key: Key, entry: &Entry) -> u64 {
+    let has_ended = u64::from(entry.end.is_some());
+    let parts = [u64::from(key.origin), key.number, u64::from(entry.owner), u64::from(entry.term), has_ended];
+    parts.iter().fold(0x9e37_79b9_7f4a_7c15, |hash, part| {
+        let hash = (hash ^ part).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let hash = (hash ^ (hash >> 29)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        hash ^ (hash >> 32)
+    })
+}
+
+/// Count and hash of the messages of one range.
+#[derive(Clone, Copy, Default, PartialEq)]
+struct Digest {
+    count: u32,
+    hash: u64,
+}
+
+/// What the other store has to change, found from what it listed.
+#[derive(Default)]
+struct Corrections {
+    ownership: Vec<Ownership>,
+    replicas_wanted: Vec<Key>,
+    drops: Vec<Key>,
+    lost_with_disk: Vec<Key>,
+}
+
+impl Corrections {
+    fn into_messages(self) -> impl Iterator<Item = PeerMessage> {
+        let ownership = (!self.ownership.is_empty()).then_some(PeerMessage::OwnershipChanged(self.ownership));
+        let wanted =
+            (!self.replicas_wanted.is_empty()).then_some(PeerMessage::RequestReplicas(self.replicas_wanted));
+        let drops = (!self.drops.is_empty()).then_some(PeerMessage::Drop(self.drops));
+        let lost =
+            (!self.lost_with_disk.is_empty()).then_some(PeerMessage::LostWithDisk(self.lost_with_disk));
+        [ownership, wanted, drops, lost].into_iter().flatten()
+    }
+}
+
+impl Queue {
+    fn digests_with(&self, now: Millis, node: Node, min_age_ms: u64) -> BTreeMap<KeyRange, Digest> {
+        let mut digests: BTreeMap<KeyRange, Digest> = BTreeMap::new();
+        let shared = self.shared_with(node).filter(|(_, entry)| entry.age_ms(now) >= min_age_ms);
+        for (key, entry) in shared {
+            let digest = digests.entry(range_of(entry.owner, key)).or_default();
+            digest.count += 1;
+            digest.hash ^= state_hash(key, entry);
+        }
+        digests
+    }
+
+    /// Begins to compare with another store. Messages younger than `min_age_ms` are left out: what is on its way would always
+    /// differ.
+    pub(crate) fn send_digests(&mut self, now: Millis, node: Node, min_age_ms: u64) {
+        self.peers.entry(node).or_default().compared_at = now;
+        self.metrics.digest_comparisons += 1;
+        let digests = self.digests_with(now, node, min_age_ms).into_iter();
+        let digests =
+            digests.map(|(range, digest)| RangeDigest { range, count: digest.count, hash: digest.hash });
+        let digests = digests.collect();
+        let message = PeerMessage::Digests { disk_id: self.settings.disk_id, min_age_ms, digests };
+        self.emit(Effect::Send { to: node, message });
+    }
+
+    /// Answers the digests of another store: lists what differs, or says that nothing does.
+    pub(super) fn compare_digests(
+        &mut self,
+        now: Millis,
+        from: Node,
+        min_age_ms: u64,
+        theirs: &[RangeDigest],
+    ) {
+        self.metrics.digest_comparisons += 1;
+        let mut ours = self.digests_with(now, from, min_age_ms);
+        let mut differing: BTreeSet<KeyRange> = BTreeSet::new();
+        for RangeDigest { range, count, hash } in theirs {
+            if ours.remove(range) != Some(Digest { count: *count, hash: *hash }) {
+                differing.insert(*range);
+            }
+        }
+        differing.extend(ours.into_keys());
+        self.metrics.differing_ranges += differing.len() as u64;
+        if differing.is_empty() {
+            self.emit(Effect::Send { to: from, message: PeerMessage::Reconciled });
+            return self.peer_reconciled(now, from);
+        }
+        self.send_range_contents(from, differing.into_iter().collect(), true);
+    }
+
+    /// Lists all that is in these ranges and that both stores should hold.
+    pub(super) fn send_range_contents(&mut self, to: Node, ranges: Vec<KeyRange>, reply_wanted: bool) {
+        let wanted: BTreeSet<&KeyRange> = ranges.iter().collect();
+        let listed =
+            self.shared_with(to).filter(|(key, entry)| wanted.contains(&range_of(entry.owner, *key)));
+        let entries = listed.map(|(key, entry)| EntrySummary {
+            key,
+            owner: entry.owner,
+            term: entry.term,
+            has_ended: entry.end.is_some(),
+        });
+        let entries = entries.collect();
+        let disk_id = self.settings.disk_id;
+        let message = PeerMessage::RangeContents { disk_id, reply_wanted, ranges, entries };
+        self.emit(Effect::Send { to, message });
+    }
+
+    /// Sets right what two stores hold in common, from what the other has listed of these ranges.
+    pub(super) fn reconcile_ranges(
+        &mut self,
+        now: Millis,
+        from: Node,
+        ranges: &[KeyRange],
+        theirs: Vec<EntrySummary>,
+    ) {
+        let named: HashSet<Key> = theirs.iter().map(|summary| summary.key).collect();
+        let mut corrections = Corrections::default();
+        for summary in theirs {
+            if self.entries.contains_key(&summary.key) {
+                self.reconcile_entry(now, from, summary, &mut corrections);
+            } else {
+                self.reconcile_unknown(from, summary, &mut corrections);
+            }
+        }
+        // What it should hold and does not: it has lost its disk, or never got the replica.
+        let wanted: HashSet<&KeyRange> = ranges.iter().collect();
+        let node = self.settings.node;
+        let unnamed = self
+            .owned_here()
+            .filter(|(key, _)| wanted.contains(&range_of(node, *key)) && !named.contains(key));
+        let missing =
+            unnamed.filter(|(_, entry)| entry.stage != Stage::Persisting && entry.replicas.contains(&from));
+        let missing: Vec<Key> = missing.map(|(key, _)| key).collect();
+        for key in missing {
+            self.replica_missing(now, key, from);
+        }
+        // What it owned and does not name it has ended, never finished persisting, or lost: it says which, for
+        // this store has named it. Taken over on its silence alone the message would run twice.
+        self.send_ends();
+        for message in corrections.into_messages() {
+            self.emit(Effect::Send { to: from, message });
+        }
+    }
+
+    /// The other store holds a message that is not known here.
+    fn reconcile_unknown(&self, from: Node, summary: EntrySummary, corrections: &mut Corrections) {
+        let EntrySummary { key, owner, .. } = summary;
+        let node = self.settings.node;
+        if owner == from {
+            corrections.replicas_wanted.push(key);
+        } else if owner == node {
+            let was_accepted_here = key.origin == node;
+            if was_accepted_here && self.is_number_of_present_disk(key.number) {
+                // A replica of what this store has never finished persisting: nobody was told that it is kept.
+                corrections.drops.push(key);
+            } else {
+                // A replica of what was lost with the disk before this one, or of what another store had accepted, this
+                // store has taken over, and its disk has lost.
+                corrections.lost_with_disk.push(key);
+            }
+        }
+    }
+
+    /// Both stores hold a message.
+    fn reconcile_entry(
+        &mut self,
+        now: Millis,
+        from: Node,
+        summary: EntrySummary,
+        corrections: &mut Corrections,
+    ) {
+        let EntrySummary { key, owner, term, has_ended } = summary;
+        let Some(entry) = self.entries.get(&key) else { return };
+        if entry.end.is_some() {
+            if !has_ended {
+                let notice = self.end_notice(key);
+                self.outbox(from).ends.extend(notice);
+            }
+            return;
+        }
+        if has_ended {
+            // Its end comes in answer to what this store lists.
+            return;
+        }
+        if claim(entry.term, entry.owner) > claim(term, owner) {
+            corrections.ownership.extend(self.ownership(key));
+        } else if entry.owner == self.settings.node
+            && entry.stage != Stage::Persisting
+            && !entry.replicas.contains(&from)
+        {
+            self.reconcile_surplus_replica(now, from, key, corrections);
+        } else {
+            let replicas = entry.replicas.clone();
+            self.apply_ownership(now, Ownership { key, owner, term, replicas });
+        }
+    }
+
+    /// The other store holds a replica that is not in the list: it was replaced by another. If that one is safe it is
+    /// dropped; else it is as good as a new one.
+    fn reconcile_surplus_replica(
+        &mut self,
+        now: Millis,
+        from: Node,
+        key: Key,
+        corrections: &mut Corrections,
+    ) {
+        let Some(entry) = self.entries.get(&key) else { return };
+        let has_enough = entry.repair_at.is_none() && entry.unconfirmed.is_empty();
+        if !has_enough {
+            self.adopt_replica(now, key, from);
+        } else if self.are_replicas_confirmed(entry) {
+            corrections.drops.push(key);
+        }
+        // Else it is not known, before the others have reconciled, whether they have theirs.
+    }
+}
--- a/crates/queue/src/replication/release.rs
+++ b/crates/queue/src/replication/release.rs
@@ -1,59 +1,64 @@
-//! Starting what was read from disk, or waited behind a fence, once those that hold copies have spoken.
+//! Release: messages that were read from disk, or waited behind a fence, start once the stores with replicas have been heard.
 
-use super::{ASK, PATIENCE};
-use crate::fault_injection::PlantedFault;
+use super::{OBJECTION_WINDOW, RECONCILIATION_LIMIT};
 use crate::message::{Key, Millis, Node};
+use crate::planted_fault::PlantedFault;
 use crate::queue::{Entry, Queue, Stage};
 
 impl Queue {
-    /// Messages read from disk go on once all that hold copies have spoken, or are not there.
-    pub(super) fn release(&mut self, now: Millis) {
+    /// Releases messages read from disk once all stores with replicas have reconciled, or are not there.
+    pub(super) fn release_suspended(&mut self, now: Millis) {
         if self.unreleased.is_empty() {
             return;
         }
-        let spoken = |node: &Node| match self.peers.get(node) {
-            Some(peer) => peer.stood || (!peer.connected && now > PATIENCE),
-            None => now > PATIENCE,
+        let is_over = now > RECONCILIATION_LIMIT;
+        let is_heard = |node: &Node| match self.peers.get(node) {
+            Some(peer) => peer.is_reconciled || (!peer.is_connected && is_over),
+            None => is_over,
         };
-        let early = self.planted(PlantedFault::ReleasedEarly);
-        let ready = |key: &Key| early || self.entries.get(key).is_none_or(|e| e.replicas.iter().all(spoken));
-        let free: Vec<Key> = self.unreleased.iter().copied().filter(ready).collect();
-        for key in free {
+        let is_early = self.planted(PlantedFault::ReleasedEarly);
+        let is_ready = |key: &Key| {
+            is_early || self.entries.get(key).is_none_or(|entry| entry.replicas.iter().all(is_heard))
+        };
+        let ready: Vec<Key> = self.unreleased.iter().copied().filter(is_ready).collect();
+        for key in ready {
             self.unreleased.remove(&key);
-            self.ask_before_start(now, key);
-            if let Some(entry) = self.entries.get_mut(&key).filter(|e| e.stage == Stage::Suspended) {
+            self.announce_before_start(now, key);
+            let entry = self.entries.get_mut(&key);
+            if let Some(entry) = entry.filter(|entry| entry.stage == Stage::Suspended) {
                 entry.stage = Stage::Waiting;
             }
             self.schedule(now, key);
         }
     }
 
-    /// After a fence: what waited meanwhile.
-    pub(super) fn ask_before_all(&mut self, now: Millis) {
-        let waiting = self.owned_here().filter(|(_, e)| e.stage == Stage::Waiting);
+    /// After a fence: announces all that waits, so that others can object.
+    pub(super) fn announce_all_waiting(&mut self, now: Millis) {
+        let waiting = self.owned_here().filter(|(_, entry)| entry.stage == Stage::Waiting);
         let waiting: Vec<Key> = waiting.map(|(key, _)| key).collect();
         for key in waiting {
-            self.ask_before_start(now, key);
+            self.announce_before_start(now, key);
             self.unschedule(key);
             self.schedule(now, key);
         }
     }
 
-    /// One that holds a copy is not back, and may have given it to another and be gone for good: whoever knows of an end, or
-    /// of a newer owner, says so before it is started here.
-    fn ask_before_start(&mut self, now: Millis, key: Key) {
-        let open = |e: &&Entry| matches!(e.stage, Stage::Suspended | Stage::Waiting);
-        let Some(entry) = self.entries.get(&key).filter(open) else { return };
-        let spoken = |node: &Node| self.peers.get(node).is_some_and(|peer| peer.stood);
-        let unasked = self.planted(PlantedFault::TakenUnasked) || self.planted(PlantedFault::ReleasedEarly);
-        if entry.replicas.iter().all(spoken) || unasked {
+    /// A store that holds a replica is not back, and may have handed the message to another and be gone for good: whoever knows
+    /// of an end, or of a newer owner, objects before it is started here.
+    fn announce_before_start(&mut self, now: Millis, key: Key) {
+        let is_open = |entry: &&Entry| matches!(entry.stage, Stage::Suspended | Stage::Waiting);
+        let Some(entry) = self.entries.get(&key).filter(is_open) else { return };
+        let is_reconciled = |node: &Node| self.peers.get(node).is_some_and(|peer| peer.is_reconciled);
+        let is_unasked =
+            self.planted(PlantedFault::TakenUnasked) || self.planted(PlantedFault::ReleasedEarly);
+        if is_unasked || entry.replicas.iter().all(is_reconciled) {
             return;
         }
-        let owned = self.owned(key);
-        let all = self.peers.values_mut().filter(|p| p.connected);
-        all.for_each(|p| p.out.own.extend(owned.clone()));
+        if let Some(ownership) = self.ownership(key) {
+            self.announce_ownership(&ownership);
+        }
         if let Some(entry) = self.entries.get_mut(&key) {
-            entry.not_before = entry.not_before.max(now + ASK);
+            entry.not_before = entry.not_before.max(now + OBJECTION_WINDOW);
         }
     }
 }
--- a/crates/queue/src/replication/takeover.rs
+++ b/crates/queue/src/replication/takeover.rs
@@ -1,105 +1,158 @@
-//! Taking over what another store owned: one that is gone, or one that gives it away in order.
+//! Takeover: this store becomes the owner of what another owned, which is gone or hands it over.
 
-use super::{Peer, ASK, GONE};
-use crate::fault_injection::PlantedFault;
+use super::{OBJECTION_WINDOW, TAKEOVER_DELAY};
 use crate::message::{Key, Millis, Node};
+use crate::peer::Peer;
 use crate::peer_message::{AcceptedHandover, HandoverOffer, Ownership};
+use crate::planted_fault::PlantedFault;
 use crate::queue::{PendingWrite, Queue, Stage};
 use crate::record::Record;
 
-/// The next in line waits so much longer, for the first may be about to take over.
-pub(super) const LINE: Millis = 1500;
+/// Each next store in the list of replicas waits so much longer before it takes over, for the one before may be about to.
+const TAKEOVER_STAGGER: Millis = 1500;
+
+/// How often the messages of a store that is gone are listed again.
+const ORPHAN_LISTING_INTERVAL: Millis = 3000;
+
+/// Takeovers in one turn at the most: the rest is not late by that, and deliveries go on between.
+const MAX_TAKEOVERS_PER_TURN: usize = 500;
 
 impl Queue {
-    /// This store delivers a message from now on. `from`: the one that gives it away in order.
-    pub(super) fn take_over(&mut self, now: Millis, key: Key, from: Option<(Node, HandoverOffer)>) {
-        let me = self.settings.node;
-        let raised = u32::from(!self.planted(PlantedFault::TermUnraised));
-        let asks = !self.planted(PlantedFault::TakenUnasked);
-        let giver = from.map(|(node, _)| node);
-        let Some(entry) = self.entries.get_mut(&key) else {
-            if let Some(giver) = giver {
-                self.to(giver).not_handed.push(key);
+    /// Another store offers messages that it owned.
+    pub(super) fn accept_handover(&mut self, now: Millis, from: Node, offers: Vec<HandoverOffer>) {
+        for offer in offers {
+            let Some(entry) = self.entries.get_mut(&offer.key) else {
+                self.outbox(from).handover_rejected.push(offer.key);
+                continue;
+            };
+            if entry.owner == self.settings.node || entry.is_settled() {
+                let accepted = AcceptedHandover { key: offer.key, term: entry.term };
+                self.outbox(from).handover_accepted.push(accepted);
+                continue;
             }
-            return;
-        };
-        let before = entry.owner;
-        if before == me || (entry.end.is_some() && !entry.callback_pending) {
-            let term = entry.term;
-            if let Some(giver) = giver {
-                self.to(giver).handed.push(AcceptedHandover { key, term });
+            entry.term = entry.term.max(offer.term);
+            entry.failed_attempts = entry.failed_attempts.max(offer.attempts);
+            self.become_owner(now, offer.key, Some(from));
+        }
+    }
+
+    /// The owner of these messages has lost them with its disk: of several stores that hold replicas one takes over at once,
+    /// and the others if it does not.
+    pub(super) fn take_over_lost(&mut self, now: Millis, from: Node, keys: Vec<Key>) {
+        for key in keys {
+            let entry = self.entries.get(&key).filter(|entry| entry.owner == from);
+            let Some(rank) = entry.map(|entry| self.takeover_rank(entry)) else { continue };
+            if rank == 0 {
+                self.take_over(now, key);
+            } else {
+                self.lost_by_owner.insert(key, from);
+                self.orphans.insert((now + rank * TAKEOVER_STAGGER, key));
             }
-            return;
         }
-        entry.owner = me;
-        if let Some((_, handed)) = from {
-            (entry.term, entry.failed_attempts) =
-                (entry.term.max(handed.term), entry.failed_attempts.max(handed.attempts));
+    }
+
+    /// The owner of a message is gone: this store owns it from now on.
+    fn take_over(&mut self, now: Millis, key: Key) {
+        let entry = self.entries.get(&key);
+        if entry.is_some_and(|entry| entry.owner != self.settings.node && !entry.is_settled()) {
+            self.become_owner(now, key, None);
         }
-        entry.term += raised;
-        entry.replicas.retain(|node| *node != me && *node != before);
+    }
+
+    /// This store delivers a message from now on. `giver`: the store that hands it over.
+    fn become_owner(&mut self, now: Millis, key: Key, giver: Option<Node>) {
+        let node = self.settings.node;
+        let is_term_raised = !self.planted(PlantedFault::TermUnraised);
+        let awaits_objections = giver.is_none() && !self.planted(PlantedFault::TakenUnasked);
+        let Some(entry) = self.entries.get_mut(&key) else { return };
+        let former_owner = std::mem::replace(&mut entry.owner, node);
+        entry.term += u32::from(is_term_raised);
+        entry.replicas.retain(|replica| *replica != node && *replica != former_owner);
         entry.replicas.extend(giver);
-        let (term, ended) = (entry.term, entry.end.is_some());
-        if giver.is_none() && asks {
-            entry.not_before = entry.not_before.max(now + ASK);
-        }
         entry.unconfirmed.clear();
-        let copies = entry.replicas.clone();
-        if !ended && entry.stage != Stage::InFlight {
+        if awaits_objections {
+            entry.not_before = entry.not_before.max(now + OBJECTION_WINDOW);
+        }
+        let has_ended = entry.end.is_some();
+        if !has_ended && entry.stage != Stage::InFlight {
             entry.stage = Stage::Waiting;
         }
+        let ownership = Ownership { key, owner: node, term: entry.term, replicas: entry.replicas.clone() };
         self.reindex(key);
-        // The one that had it may come back with an empty disk, or not at all: others get a copy.
-        self.look_at_copies(now, key);
+        // The former owner may come back with an empty disk, or not at all: others get a replica.
+        self.check_replication(now, key);
         self.update_expiry(key);
         self.metrics.taken_over += 1;
-        self.record(&Record::OwnerChanged { key, owner: me, term, replicas: copies.clone() }, true);
+        self.record_ownership(&ownership);
         match giver {
             Some(giver) => self.after_write(PendingWrite::TakenOverFrom(giver, key)),
-            None => {
-                // All are told, for another may hold a copy that nobody knows of any more, and would take
-                // over too.
-                let owned = Ownership { key, owner: me, term, replicas: copies.clone() };
-                let all = self.peers.values_mut().filter(|p| p.connected);
-                all.for_each(|p| p.out.own.push(owned.clone()));
-            }
+            // All are told, for another may hold a replica that nobody knows of any more, and would take over too.
+            None => self.announce_ownership(&ownership),
         }
-        if ended {
+        if has_ended {
             self.queue_callback(key);
         } else {
             self.schedule(now, key);
         }
     }
 
-    /// Looks for stores that are gone, and for messages that have waited long enough for those that are not
-    /// back.
-    pub(crate) fn look_after(&mut self, now: Millis) {
-        let heard = self.hears_control_group && self.knows_members;
-        let gone =
-            |p: &Peer| heard && !p.connected && !p.listed && now > p.since + GONE && now >= p.looked + 3000;
-        let gone: Vec<Node> = self.peers.iter().filter(|(_, p)| gone(p)).map(|(node, _)| *node).collect();
+    /// Tells all connected stores who owns a message.
+    pub(super) fn announce_ownership(&mut self, ownership: &Ownership) {
+        for peer in self.peers.values_mut().filter(|peer| peer.is_connected) {
+            peer.outbox.ownership.push(ownership.clone());
+        }
+    }
+
+    /// Writes to disk who owns a message, so that the record is synced before what depends on it goes on.
+    pub(crate) fn record_ownership(&mut self, ownership: &Ownership) {
+        let Ownership { key, owner, term, replicas } = ownership.clone();
+        self.record(&Record::OwnerChanged { key, owner, term, replicas }, true);
+    }
+
+    /// What has to be looked at a few times a second: stores that are gone, messages to take over, replicas, and ends.
+    pub(crate) fn check_peers(&mut self, now: Millis) {
+        let may_take_over = self.hears_control_group && self.knows_members;
+        if may_take_over {
+            self.list_orphans(now);
+        }
+        self.take_over_orphans(now, may_take_over);
+        self.release_suspended(now);
+        self.check_replica_holders(now);
+        self.check_retirements(now);
+        self.transfer_ends(now);
+    }
+
+    /// Lists the messages of stores that are gone, with the time at which this store takes each over.
+    fn list_orphans(&mut self, now: Millis) {
+        let is_gone = |peer: &Peer| {
+            !peer.is_present()
+                && now > peer.connection_changed_at + TAKEOVER_DELAY
+                && now >= peer.orphans_listed_at + ORPHAN_LISTING_INTERVAL
+        };
+        let gone = self.peers.iter().filter(|(_, peer)| is_gone(peer));
+        let gone: Vec<Node> = gone.map(|(node, _)| *node).collect();
         for node in gone {
-            self.peers.entry(node).or_default().looked = now;
-            let mut orphans: Vec<(u64, Key)> =
-                self.owned_by_node(node).map(|(key, e)| (self.line(e), key)).collect();
-            orphans.sort_unstable();
-            self.orphans.extend(orphans.into_iter().map(|(line, key)| (now + line * LINE, key)));
+            self.peers.entry(node).or_default().orphans_listed_at = now;
+            let owned = self.owned_by_node(node);
+            let orphans: Vec<(Millis, Key)> =
+                owned.map(|(key, entry)| (now + self.takeover_rank(entry) * TAKEOVER_STAGGER, key)).collect();
+            self.orphans.extend(orphans);
         }
-        // So many in one turn: the rest is not late by that, and deliveries go on between.
-        for _ in 0..500 {
-            let Some((_, key)) = self.orphans.first().copied().filter(|(at, _)| *at <= now) else { break };
+    }
+
+    /// Takes over messages whose owner is not back in time.
+    fn take_over_orphans(&mut self, now: Millis, may_take_over: bool) {
+        for _ in 0..MAX_TAKEOVERS_PER_TURN {
+            let due = self.orphans.first().copied().filter(|(at, _)| *at <= now);
+            let Some((_, key)) = due else { break };
             self.orphans.pop_first();
-            // Whoever owns it may be back, or another.
-            let owner = self.owner(key);
-            let back = self.peers.get(&owner).is_none_or(|p| p.connected);
-            let lost = self.lost_by_owner.remove(&key);
-            if heard && (lost == Some(owner) || !back) {
-                self.take_over(now, key, None);
+            // The owner may be back, or another store may own the message.
+            let owner = self.owner_of(key);
+            let is_back = self.peers.get(&owner).is_none_or(|peer| peer.is_connected);
+            let is_lost = self.lost_by_owner.remove(&key) == Some(owner);
+            if may_take_over && (is_lost || !is_back) {
+                self.take_over(now, key);
             }
         }
-        self.release(now);
-        self.look_at_holders(now);
-        self.look_after_retiring(now);
-        self.pass_ends_on(now);
     }
 }
--- a/crates/queue/src/retirement.rs
+++ b/crates/queue/src/retirement.rs
@@ -1,15 +1,15 @@
-//! Emptying a store for good: it takes nothing more, gives what it owns to those that hold the copies, and the others make
-//! the copies that lie here anew elsewhere. It is empty when all of them have said that they count on it no longer.
+//! Retirement of a store: it accepts nothing more and hands over what it owns to stores that hold replicas, and the others
+//! make the replicas that lie here anew elsewhere. It is empty when all of them have said that they need no replica here.
 
-use crate::fault_injection::PlantedFault;
 use crate::message::{Key, Millis, Node};
+use crate::peer::Peer;
 use crate::peer_message::PeerMessage;
+use crate::planted_fault::PlantedFault;
 use crate::queue::{Effect, PendingWrite, Queue};
 use crate::record::Record;
-use crate::replication::Peer;
 
-/// How often one that retires is told that nobody counts on it: a word lost with a connection comes again.
-const TELL: Millis = 500;
+/// How often a retiring store is told that none of its replicas is needed: a message lost with a connection comes again.
+const RELEASE_INTERVAL: Millis = 500;
 
 /// How far the retirement of a store has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,9 +33,9 @@
 }
 
 impl Queue {
-    /// Ordered by an operator. It holds over restarts: the order is on disk before it is confirmed.
+    /// Retires the store, as an operator has ordered. It holds over restarts: the order is on disk before it is confirmed.
     pub fn retire(&mut self, now: Millis) {
-        if std::mem::replace(&mut self.is_retiring, true) {
+        if self.is_retiring {
             return;
         }
         self.record(&Record::RetirementOrdered, true);
@@ -45,80 +45,94 @@
 
     pub(crate) fn begin_retiring(&mut self, now: Millis) {
         self.is_retiring = true;
-        let peers: Vec<Node> =
-            self.peers.iter().filter(|(_, p)| p.connected).map(|(node, _)| *node).collect();
-        for to in peers {
-            self.emit(Effect::Send { to, message: PeerMessage::Retiring });
-        }
+        self.send_to_connected(&PeerMessage::Retiring);
         self.begin_draining(now);
     }
 
-    /// Whether it retires, and the order is on disk, and if so whether every copy lies elsewhere.
+    /// How far the retirement has come.
     pub fn retirement_state(&self) -> RetirementState {
         if !self.is_retirement_durable {
             return RetirementState::NotOrdered;
         }
-        let empty = self.owned_here().next().is_none()
+        let owns_nothing = self.owned_here().next().is_none()
             && self.unfinished_count() == 0
             && self.flush_ends_at.is_none();
         if self.planted(PlantedFault::RetiredEarly) {
-            return RetirementState::ordered(empty);
+            return RetirementState::ordered(owns_nothing);
         }
-        let empty = empty && self.owners_count_on_nothing() && self.ends_lie_elsewhere();
-        let mut others = self.peers.iter().filter(|(_, p)| p.listed).peekable();
-        // Cut off, or before it knows them, it can't speak for the others.
-        let known = others.peek().is_some() && self.hears_control_group && self.knows_members;
-        let others_agree = others.all(|(node, p)| p.connected && self.released_by.contains(node));
-        RetirementState::ordered(empty && known && others_agree)
+        let is_empty = owns_nothing
+            && self.is_released_by_owners()
+            && self.are_ends_transferred()
+            && self.is_released_by_members();
+        RetirementState::ordered(is_empty)
     }
 
-    fn ends_lie_elsewhere(&self) -> bool {
-        self.end_replication.done() || self.planted(PlantedFault::EndsGoAlong)
+    fn are_ends_transferred(&self) -> bool {
+        self.end_replication.is_complete() || self.planted(PlantedFault::EndsGoAlong)
     }
 
-    /// Of every copy that lies here the owner has said that it counts on none. One whose owner is gone may be the only one
-    /// that is left: it is taken over, and given away, first.
-    fn owners_count_on_nothing(&self) -> bool {
-        let free = |node: Node| {
-            self.released_by.contains(&node) && self.peers.get(&node).is_some_and(|peer| peer.connected)
+    /// Each member has said that it needs no replica here. Cut off, or before it knows them, this store can't tell.
+    fn is_released_by_members(&self) -> bool {
+        let mut members = self.peers.iter().filter(|(_, peer)| peer.is_member).peekable();
+        let are_members_known = members.peek().is_some() && self.hears_control_group && self.knows_members;
+        are_members_known && members.all(|(node, peer)| peer.is_connected && self.released_by.contains(node))
+    }
+
+    /// Of each replica that lies here the owner has said that it needs none. One whose owner is gone may be the only one
+    /// that is left: it is taken over, and handed over, first.
+    fn is_released_by_owners(&self) -> bool {
+        let has_released = |node: Node| {
+            let is_connected = self.peers.get(&node).is_some_and(|peer| peer.is_connected);
+            is_connected && self.released_by.contains(&node)
         };
-        self.owners().all(free) || self.planted(PlantedFault::OrphansUnheeded)
+        self.owners().all(has_released) || self.planted(PlantedFault::OrphansUnheeded)
     }
 
-    /// A store names this one as holder of a copy: what it said before, that it counts on none, holds no longer.
-    pub(crate) fn counted_on_by(&mut self, node: Node) {
+    /// A store relies on a replica here: what it said before, that it needs none, holds no longer.
+    pub(crate) fn needs_replicas_again(&mut self, node: Node) {
         if !self.planted(PlantedFault::RelievedForever) {
             self.released_by.remove(&node);
         }
     }
 
-    /// It is to be emptied: no copy that lies there is counted on.
-    pub(crate) fn is_emptied(&self, node: Node) -> bool {
-        self.peers.get(&node).is_some_and(|peer| peer.retiring)
+    /// The other store is being retired: no replica that lies there is relied on.
+    pub(crate) fn is_peer_retiring(&self, node: Node) -> bool {
+        self.peers.get(&node).is_some_and(Peer::is_retiring)
     }
 
-    /// Another store retires: what it holds for this one is copied elsewhere, at the rate of repair.
-    pub(crate) fn look_after_retiring(&mut self, now: Millis) {
+    /// Goes on with this store's retirement, and with that of others: their replicas are made elsewhere, at the rate of
+    /// repair, and they are told once none is needed.
+    pub(crate) fn check_retirements(&mut self, now: Millis) {
         if self.is_retiring {
-            self.hand_all_over();
+            self.offer_all();
         }
         if self.fenced_since.is_some() {
-            // Those that hold copies may have taken over, and are asked first.
+            // The stores with replicas may have taken over, and are heard first.
             return;
         }
-        let told = |p: &Peer| p.retiring && p.stood && now >= p.relieved_at + TELL;
-        let retiring = self.peers.iter().filter(|(_, p)| told(p));
-        let retiring: Vec<Node> = retiring.map(|(node, _)| *node).collect();
-        for node in retiring {
-            let counted = self.owned_here().filter(|(_, e)| e.replicas.contains(&node)).map(|(key, _)| key);
-            let counted: Vec<Key> = counted.collect();
-            let free = counted.is_empty() && self.under_replicated.is_empty();
-            let free = free && self.owned_here().all(|(_, entry)| self.is_confirmed(entry));
-            counted.into_iter().for_each(|key| self.not_on(now, key, node));
-            if free {
-                self.peers.entry(node).or_default().relieved_at = now;
-                self.emit(Effect::Send { to: node, message: PeerMessage::NoReplicasNeeded });
-            }
+        let is_due = |peer: &Peer| {
+            peer.is_retiring() && peer.is_reconciled && now >= peer.told_unneeded_at + RELEASE_INTERVAL
+        };
+        let due = self.peers.iter().filter(|(_, peer)| is_due(peer));
+        let due: Vec<Node> = due.map(|(node, _)| *node).collect();
+        for node in due {
+            self.release_peer(now, node);
+        }
+    }
+
+    /// Makes elsewhere what a retiring store holds, or tells it that it holds nothing that is needed.
+    fn release_peer(&mut self, now: Millis, node: Node) {
+        let held = self.owned_here().filter(|(_, entry)| entry.replicas.contains(&node));
+        let held: Vec<Key> = held.map(|(key, _)| key).collect();
+        let is_unneeded = held.is_empty()
+            && self.under_replicated.is_empty()
+            && self.owned_here().all(|(_, entry)| self.are_replicas_confirmed(entry));
+        for key in held {
+            self.replica_lost(now, key, node);
+        }
+        if is_unneeded {
+            self.peers.entry(node).or_default().told_unneeded_at = now;
+            self.emit(Effect::Send { to: node, message: PeerMessage::NoReplicasNeeded });
         }
     }
 }
