--- /dev/null
+++ b/crates/server/src/cli/orders.rs
@@ -0,0 +1,267 @@
+//! The orders of operators: a configuration is applied, read or compared, a store is retired. What is in force is read back
+//! before a command says that it is.
+
+mod differences;
+
+use super::args::Query;
+use super::control_api::{ControlApi, Reply};
+use super::output::{print, ExitStatus, OutputFormat};
+use super::CommandError;
+use crate::calls::content_digest;
+use differences::differences;
+use jzon::JsonValue;
+use std::path::Path;
+use stileroute_config::Config;
+
+/// Why an order has no result.
+#[derive(Debug, thiserror::Error)]
+pub enum OrderError {
+    /// Processes answer, but no control node among them.
+    #[error("unclear: no control node is known")]
+    NoControlNode,
+    /// No control node gave a clear answer in time.
+    #[error("unclear, send it again: {last}")]
+    NoClearAnswer {
+        /// What the last one said, or why it said nothing.
+        last: String,
+    },
+    /// A control node answered what this command does not expect.
+    #[error("unclear: {reason}")]
+    Unclear {
+        /// Status and reason of the answer.
+        reason: String,
+    },
+    /// There is nothing to read yet.
+    #[error("no configuration is in force yet")]
+    NothingInForce,
+    /// The configuration can't be used as it is.
+    #[error("refused: {reason}")]
+    ConfigurationRejected {
+        /// Status and reason of the answer.
+        reason: String,
+    },
+    /// The store may not be retired.
+    #[error("refused: {reason}")]
+    RetirementRejected {
+        /// Status and reason of the answer.
+        reason: String,
+    },
+    /// There is no such store, or it is not to be retired.
+    #[error("{name}: {reason}")]
+    UnknownStore {
+        /// The name that was given.
+        name: String,
+        /// Status and reason of the answer.
+        reason: String,
+    },
+}
+
+impl OrderError {
+    fn exit_status(&self) -> ExitStatus {
+        match self {
+            OrderError::NoControlNode | OrderError::NoClearAnswer { .. } | OrderError::Unclear { .. } => {
+                ExitStatus::Unclear
+            }
+            OrderError::NothingInForce | OrderError::RetirementRejected { .. } => ExitStatus::Differs,
+            OrderError::ConfigurationRejected { .. } | OrderError::UnknownStore { .. } => {
+                ExitStatus::Unusable
+            }
+        }
+    }
+}
+
+/// How an order ended.
+#[derive(Debug)]
+struct Outcome {
+    status: ExitStatus,
+    /// For a reader.
+    text: String,
+    /// What the JSON has beside the text: an object.
+    details: JsonValue,
+}
+
+impl Outcome {
+    fn new(status: ExitStatus, text: impl Into<String>) -> Outcome {
+        Outcome { status, text: text.into(), details: JsonValue::new_object() }
+    }
+
+    fn with_detail(mut self, key: &str, value: impl Into<JsonValue>) -> Outcome {
+        self.details[key] = value.into();
+        self
+    }
+
+    fn print(self, format: OutputFormat) -> ExitStatus {
+        match format {
+            OutputFormat::Json => {
+                let is_success = self.status == ExitStatus::Success;
+                let mut object = jzon::object! { "ok" => is_success, "outcome" => self.text };
+                self.details.entries().for_each(|(key, value)| object[key] = value.clone());
+                print(&object.pretty(2));
+            }
+            OutputFormat::Text => print(&self.text),
+        }
+        self.status
+    }
+}
+
+impl From<OrderError> for Outcome {
+    fn from(error: OrderError) -> Outcome {
+        Outcome::new(error.exit_status(), error.to_string())
+    }
+}
+
+fn print_result(result: Result<Outcome, OrderError>, format: OutputFormat) -> ExitStatus {
+    result.unwrap_or_else(Outcome::from).print(format)
+}
+
+/// A configuration file that can be sent.
+struct ConfigurationFile {
+    body: Vec<u8>,
+    revision: u64,
+}
+
+impl ConfigurationFile {
+    fn read(path: &Path) -> Result<ConfigurationFile, CommandError> {
+        let file = || path.to_path_buf();
+        let body =
+            std::fs::read(path).map_err(|source| CommandError::UnreadableFile { file: file(), source })?;
+        match Config::read(&body) {
+            Ok(config) => Ok(ConfigurationFile { body, revision: config.revision }),
+            Err(faults) => Err(CommandError::Configuration { file: file(), faults }),
+        }
+    }
+
+    /// How this file relates to what is in force.
+    fn compare(&self, in_force: &[u8]) -> Outcome {
+        let (own, other) = (self.revision, revision_of(in_force));
+        let outcome = if self.body == in_force {
+            Outcome::new(ExitStatus::Success, format!("revision {own} is in force"))
+        } else if own == other {
+            let text = "CONFLICT: another content is in force under this number; read it, and send yours under a higher one";
+            Outcome::new(ExitStatus::Differs, format!("{text} (revision {own})"))
+        } else {
+            Outcome::new(ExitStatus::Differs, format!("revision {other} is in force, not {own}"))
+        };
+        outcome
+            .with_detail("revision", other)
+            .with_detail("digest", content_digest(in_force))
+            .with_detail("sent", content_digest(&self.body))
+    }
+}
+
+/// The revision of a configuration; 0 where it can't be read.
+fn revision_of(body: &[u8]) -> u64 {
+    Config::read(body).map_or(0, |config| config.revision)
+}
+
+/// Sends a configuration, and says whether it is in force.
+///
+/// # Errors
+///
+/// Where the file or the entry point can't be used, or no process answers.
+pub fn apply(path: &Path, query: &Query<'_>) -> Result<ExitStatus, CommandError> {
+    let file = ConfigurationFile::read(path)?;
+    let control = ControlApi::find(&query.entry)?;
+    Ok(print_result(send(&file, &control), query.format))
+}
+
+fn send(file: &ConfigurationFile, control: &ControlApi) -> Result<Outcome, OrderError> {
+    let reply = control.call("POST", "/v1/settings/replace", &file.body)?;
+    if reply.status != 200 {
+        return Err(OrderError::ConfigurationRejected { reason: reply.reason() });
+    }
+    // The answer is of one moment: since then another operator may have sent a newer one.
+    Ok(file.compare(&control.configuration_in_force()?))
+}
+
+/// Shows the configuration that is in force, as it was sent.
+///
+/// # Errors
+///
+/// Where the entry point can't be used, or no process answers.
+pub fn read(query: &Query<'_>) -> Result<ExitStatus, CommandError> {
+    let control = ControlApi::find(&query.entry)?;
+    let body = match control.configuration_in_force() {
+        Ok(body) => body,
+        Err(error) => return Ok(Outcome::from(error).print(query.format)),
+    };
+    let text = String::from_utf8_lossy(&body);
+    match query.format {
+        OutputFormat::Json => {
+            let object = jzon::object! {
+                "revision" => revision_of(&body),
+                "digest" => content_digest(&body),
+                "configuration" => jzon::parse(&text).unwrap_or(JsonValue::Null),
+            };
+            print(&object.pretty(2));
+        }
+        OutputFormat::Text => print(&text),
+    }
+    Ok(ExitStatus::Success)
+}
+
+/// Says whether a file is what is in force, and else what differs.
+///
+/// # Errors
+///
+/// Where the file or the entry point can't be used, or no process answers.
+pub fn diff(path: &Path, query: &Query<'_>) -> Result<ExitStatus, CommandError> {
+    let file = ConfigurationFile::read(path)?;
+    let control = ControlApi::find(&query.entry)?;
+    Ok(print_result(compare_parts(&file, &control), query.format))
+}
+
+fn compare_parts(file: &ConfigurationFile, control: &ControlApi) -> Result<Outcome, OrderError> {
+    let in_force = control.configuration_in_force()?;
+    let mut outcome = file.compare(&in_force);
+    let parts = differences(&in_force, &file.body);
+    for part in &parts {
+        outcome.text += &format!("\n  {part}");
+    }
+    Ok(outcome.with_detail("differences", parts))
+}
+
+/// What `retire` asks for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RetireRequest {
+    /// The store is to be emptied.
+    Begin,
+    /// Only how far it is.
+    Status,
+}
+
+/// Orders a store to be emptied, or says how far it is.
+///
+/// # Errors
+///
+/// Where the name or the entry point can't be used, or no process answers.
+pub fn retire(name: &str, request: RetireRequest, query: &Query<'_>) -> Result<ExitStatus, CommandError> {
+    let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
+    if name.is_empty() || !name.chars().all(is_allowed) {
+        return Err(CommandError::InvalidNodeName(name.to_string()));
+    }
+    let control = ControlApi::find(&query.entry)?;
+    let reply = match request {
+        RetireRequest::Status => control.call("GET", &format!("/v1/retire/{name}/read"), b""),
+        RetireRequest::Begin => control.call("POST", &format!("/v1/retire/{name}/begin"), b"{}"),
+    };
+    Ok(print_result(reply.and_then(|reply| retirement(name, &reply)), query.format))
+}
+
+/// What an answer says of a retirement.
+fn retirement(name: &str, reply: &Reply) -> Result<Outcome, OrderError> {
+    let state = reply.json()["state"].as_str().unwrap_or("ordered").to_string();
+    let (status, text) = match (reply.status, state.as_str()) {
+        (200, "complete") => (ExitStatus::Success, format!("{name} is empty: take it away with its disk")),
+        (200, "rolling") => (ExitStatus::Differs, format!("{name} is being emptied: leave it running")),
+        (200, _) => {
+            (ExitStatus::Success, format!("{name} has the order: ask with --status until it is empty"))
+        }
+        (404, _) => return Err(OrderError::UnknownStore { name: name.to_string(), reason: reply.reason() }),
+        _ => return Err(OrderError::RetirementRejected { reason: reply.reason() }),
+    };
+    Ok(Outcome::new(status, text).with_detail("state", state))
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/server/src/cli/verify.rs
@@ -0,0 +1,191 @@
+//! `stilerouted state verify`: reads the data folder of a machine whose process is stopped, and changes nothing in it.
+
+use super::output::{print, ExitStatus, OutputFormat};
+use jzon::JsonValue;
+use std::collections::BTreeMap;
+use std::path::Path;
+use stileroute_config::Config;
+use stileroute_control_group::{PersistedState, Record as ControlRecord};
+use stileroute_queue::{End, Record as MessageRecord, StateTable};
+use stileroute_wal::{FileState, ReadError, Report};
+
+/// Where a store has its log, in its data folder.
+const STORE_FOLDER: &str = "hold";
+/// Where a control node has its log, in its data folder.
+const CONTROL_FOLDER: &str = "watch";
+/// Under this kind records are counted that can't be decoded.
+const UNREADABLE_KIND: &str = "unread";
+
+/// How many records there are of each kind.
+#[derive(Default)]
+struct KindCounts(BTreeMap<&'static str, u64>);
+
+impl KindCounts {
+    fn add(&mut self, kind: &'static str) {
+        *self.0.entry(kind).or_default() += 1;
+    }
+
+    fn as_json(&self) -> JsonValue {
+        let mut object = JsonValue::new_object();
+        self.0.iter().for_each(|(kind, count)| object[*kind] = (*count).into());
+        object
+    }
+}
+
+/// Reads the log of a store, and says what its records amount to.
+fn verify_store(folder: &Path) -> Result<JsonValue, ReadError> {
+    let (mut table, mut kinds) = (StateTable::default(), KindCounts::default());
+    let report =
+        stileroute_wal::verify(folder, &mut |bytes| match postcard::from_bytes::<MessageRecord>(bytes) {
+            Ok(record) => {
+                kinds.add(message_record_kind(&record));
+                table.apply_record(record);
+            }
+            Err(_) => kinds.add(UNREADABLE_KIND),
+        })?;
+    let ends = || table.messages.values().filter_map(|message| message.end.as_ref());
+    let live = table.messages.values().filter(|message| message.end.is_none()).count();
+    let complete = ends().filter(|stored| matches!(stored.end, End::Complete { .. })).count();
+    let failed = ends().filter(|stored| stored.end == End::Failed).count();
+    let callbacks_owed = ends().filter(|stored| stored.callback_pending).count();
+    let mut object = files_as_json(&report);
+    object["disk"] = table.disk_id.map(|disk| format!("{disk:016x}")).into();
+    object["records_by_kind"] = kinds.as_json();
+    object["live"] = live.into();
+    object["complete"] = complete.into();
+    object["failed"] = failed.into();
+    object["callbacks_owed"] = callbacks_owed.into();
+    Ok(object)
+}
+
+fn message_record_kind(record: &MessageRecord) -> &'static str {
+    match record {
+        MessageRecord::IncarnationStarted { .. } => "born",
+        MessageRecord::Put { .. } => "put",
+        MessageRecord::Ended { .. } => "end",
+        MessageRecord::CallbackDelivered { .. } => "called",
+        MessageRecord::OwnerChanged { .. } => "own",
+        MessageRecord::Dropped { .. } => "drop",
+        MessageRecord::RetirementOrdered => "retire",
+    }
+}
+
+/// Reads the log of a control node, and says what its records amount to.
+fn verify_control_node(folder: &Path) -> Result<JsonValue, ReadError> {
+    let (mut persisted, mut kinds) = (PersistedState::default(), KindCounts::default());
+    let report =
+        stileroute_wal::verify(folder, &mut |bytes| match postcard::from_bytes::<ControlRecord>(bytes) {
+            Ok(record) => {
+                kinds.add(control_record_kind(&record));
+                persisted.apply(record);
+            }
+            Err(_) => kinds.add(UNREADABLE_KIND),
+        })?;
+    let (view, state) = (persisted.view.as_ref(), persisted.state.as_ref());
+    let configuration_reads = state.is_none_or(|state| Config::read(&state.body).is_ok());
+    let mut object = files_as_json(&report);
+    object["records_by_kind"] = kinds.as_json();
+    object["epoch"] = view.map_or(0, |view| view.epoch).into();
+    object["primary"] = view.map(|view| view.primary.to_string()).into();
+    object["version"] = state.map_or(0, |state| state.version).into();
+    object["configuration_reads"] = configuration_reads.into();
+    Ok(object)
+}
+
+fn control_record_kind(record: &ControlRecord) -> &'static str {
+    match record {
+        ControlRecord::View(_) => "watch",
+        ControlRecord::ControlState(_) => "state",
+        ControlRecord::LegacyConfiguration(_) => "state of an older build",
+        ControlRecord::Vote(_) => "lent",
+    }
+}
+
+fn files_as_json(report: &Report) -> JsonValue {
+    let file_as_json = |file: &stileroute_wal::FileReport| {
+        jzon::object! {
+            "name" => file.name.clone(),
+            "records" => file.records,
+            "bytes" => file.bytes,
+            "state" => file_state_as_text(&file.state),
+        }
+    };
+    jzon::object! {
+        "opens" => report.opens(),
+        "identity" => report.identity.clone(),
+        "records" => report.records,
+        "bytes" => report.bytes,
+        "files" => report.files.iter().map(file_as_json).collect::<Vec<_>>(),
+    }
+}
+
+fn file_state_as_text(state: &FileState) -> String {
+    match state {
+        FileState::Complete => "whole".to_string(),
+        FileState::TornTail { offset, reason } => {
+            format!("torn at byte {offset}, cut off at the next start: {reason}")
+        }
+        FileState::Corrupted(reason) => format!("damaged: {reason}"),
+        FileState::Obsolete => "left over".to_string(),
+        FileState::Unrecognized => "foreign".to_string(),
+    }
+}
+
+/// A line for each value, then one for each file.
+fn folder_as_text(name: &str, folder: &JsonValue) -> String {
+    let mut text = format!("{name}:");
+    for (key, value) in folder.entries().filter(|(key, _)| *key != "files") {
+        text += &format!("\n  {}: {}", key.replace('_', " "), value_as_text(value));
+    }
+    for file in folder["files"].members() {
+        let (name, state) = (&file["name"], &file["state"]);
+        text += &format!("\n  {name}: {} records, {} bytes, {state}", file["records"], file["bytes"]);
+    }
+    text
+}
+
+fn value_as_text(value: &JsonValue) -> String {
+    match value {
+        JsonValue::Object(kinds) => {
+            let kinds: Vec<String> = kinds.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
+            kinds.join(", ")
+        }
+        other => other.as_str().map_or_else(|| other.dump(), str::to_string),
+    }
+}
+
+fn is_sound(folder: &JsonValue) -> bool {
+    let has_unreadable = folder["records_by_kind"][UNREADABLE_KIND].as_u64().unwrap_or(0) > 0;
+    folder["opens"] == true && !has_unreadable && folder["configuration_reads"] != false
+}
+
+/// Reads a data folder through. [`ExitStatus::Failure`] says that something is damaged, [`ExitStatus::Unusable`] that no role
+/// has its log there.
+pub fn verify(data_dir: &Path, format: OutputFormat) -> ExitStatus {
+    type Verify = fn(&Path) -> Result<JsonValue, ReadError>;
+    let roles: [(&str, Verify); 2] = [(STORE_FOLDER, verify_store), (CONTROL_FOLDER, verify_control_node)];
+    let mut folders = JsonValue::new_object();
+    for (name, verify_folder) in roles {
+        let folder = data_dir.join(name);
+        if folder.is_dir() {
+            folders[name] = verify_folder(&folder).unwrap_or_else(|error| {
+                jzon::object! { "opens" => false, "trouble" => error.to_string() }
+            });
+        }
+    }
+    if folders.is_empty() {
+        eprintln!("{}: all: holds neither hold nor watch", data_dir.display());
+        return ExitStatus::Unusable;
+    }
+    match format {
+        OutputFormat::Json => print(&folders.pretty(2)),
+        OutputFormat::Text => {
+            folders.entries().for_each(|(name, folder)| print(&folder_as_text(name, folder)));
+        }
+    }
+    if folders.entries().all(|(_, folder)| is_sound(folder)) {
+        ExitStatus::Success
+    } else {
+        ExitStatus::Failure
+    }
+}
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -3,21 +3,23 @@
 pub mod report;
 
 use crate::links::LinkEvent;
-use crate::net::planted::{planted, Planted};
-use crate::net::{Event, Failure, Millis, Reply};
-use crate::node::{lot, wall, Common};
+use crate::net::fault_injection::{is_injected, InjectedFault};
+use crate::net::{CallError, CallReply, Event, Millis};
+use crate::node::{random_seed, wall_clock_ms, NodeRuntime};
+use crate::protocol::{
+    ExecutorState, Frame, Heartbeat, KnownMessage, MessageState, NodeRole, RetirementState,
+};
 use crate::report::Told;
-use crate::signals::{ExecutorState, Found, Heartbeat, NodeRole, RetirementState, Signal};
 use std::collections::HashMap;
 use std::io::Write;
 use std::net::SocketAddrV4;
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 use stileroute_queue::{
-    first_number, AttemptOutcome, Effect, Executor, Key, MessageState, Node, Queue, QueueSettings, Record,
-    StateTable, ToleratedLosses,
+    first_number, AttemptOutcome, Effect, Executor, Key, Node, Queue, QueueSettings, Record, StateTable,
+    ToleratedLosses,
 };
-use stileroute_wal::{Options, Trouble, Wal};
+use stileroute_wal::{AppendError, Options, Wal};
 
 /// A receiver of call-backs has so long.
 const CALL: Millis = 3000;
@@ -30,10 +32,10 @@
 }
 
 pub struct Store {
-    common: Common,
+    common: NodeRuntime,
     queue: Queue,
     disk: Wal,
-    disk_said: Receiver<(u64, Result<(), Trouble>)>,
+    disk_said: Receiver<(u64, Result<(), AppendError>)>,
     servers: HashMap<String, Heartbeat>,
     out: HashMap<u64, Out>,
     next_ticket: u64,
@@ -45,7 +47,7 @@
 }
 
 impl Store {
-    pub fn new(mut common: Common) -> miette::Result<Store> {
+    pub fn new(mut common: NodeRuntime) -> miette::Result<Store> {
         let dir = common
             .boot
             .data_dir
@@ -64,7 +66,7 @@
             Options { capacity_bytes, max_sync_delay: Duration::from_millis(200), ..Options::new("hold") };
         let (disk, ledger) = Wal::open::<StateTable>(&dir, options, done)
             .map_err(|e| miette::miette!("{}: {e}", dir.display()))?;
-        let (number, first) = (ledger.disk_id.unwrap_or_else(lot), first_number(lot()));
+        let (number, first) = (ledger.disk_id.unwrap_or_else(random_seed), first_number(random_seed()));
         let record =
             postcard::to_stdvec(&Record::IncarnationStarted { disk_id: number, first_number: first })
                 .unwrap_or_default();
@@ -72,7 +74,7 @@
         let zone = common.boot.zones.keys().position(|zone| *zone == common.boot.zone).unwrap_or(0);
         let boot = &common.boot;
         let terms = QueueSettings {
-            node: common.links.me().node,
+            node: common.links.local().node,
             zone,
             disk_id: number,
             first_number: first,
@@ -83,11 +85,11 @@
             rate_window_ms: boot.bounds.ceiling_window_ms,
             rate_tolerance: boot.bounds.origin_overrun,
             status_retention_ms: boot.bounds.status_ms,
-            seed: lot(),
+            seed: random_seed(),
         };
         tracing::info!(messages = ledger.messages.len(), disk = number, "disk read");
         // Both clocks after the disk was read: with the steady one from before, delayed messages would run early.
-        let (now, wall) = (common.net.look(), wall());
+        let (now, wall) = (common.net.refresh_now(), wall_clock_ms());
         let queue = Queue::new(terms, ledger, now, wall);
         Ok(Store {
             common,
@@ -106,20 +108,20 @@
 
     pub fn run(mut self) -> miette::Result<()> {
         loop {
-            let (link_events, events) = self.common.turn(self.queue.next_deadline());
+            let (link_events, events) = self.common.poll(self.queue.next_deadline());
             link_events.into_iter().for_each(|link_event| self.link_event(link_event));
             events.into_iter().for_each(|event| self.event(event));
             self.inquiries();
-            self.common.keep_session();
+            self.common.maintain_session();
             self.connect();
-            self.queue.hears_control_group = self.common.fresh();
+            self.queue.hears_control_group = self.common.has_fresh_session();
             let now = self.common.net.now();
             // From the last answer on: the session stood then, and is counted for so long after its end.
             self.queue.session_may_have_lapsed =
-                now >= self.common.session.heard + stileroute_registry::SESSION_GRACE;
-            if self.common.told_to_end() {
-                for edge in self.common.links.class(NodeRole::Edge) {
-                    self.common.links.say(&mut self.common.net, edge, &Signal::Leaving);
+                now >= self.common.session.last_update_at + stileroute_registry::SESSION_GRACE;
+            if self.common.take_shutdown_request() {
+                for edge in self.common.links.nodes_with_role(NodeRole::Edge) {
+                    self.common.links.send(&mut self.common.net, edge, &Frame::Draining);
                 }
                 self.queue.begin_draining(now);
             }
@@ -129,12 +131,12 @@
                 stileroute_queue::RetirementState::InProgress => RetirementState::Draining,
                 stileroute_queue::RetirementState::Empty => RetirementState::Complete,
             };
-            self.common.retires(retirement);
+            self.common.report_retirement(retirement);
             for line in self.queue.take_dispatch_log() {
                 tracing::debug!("{line}");
             }
             if self.may_end(now) {
-                self.common.net.flush_all();
+                self.common.net.flush();
                 self.disk.close();
                 return Ok(());
             }
@@ -142,7 +144,7 @@
     }
 
     fn may_end(&mut self, now: Millis) -> bool {
-        let Some(since) = self.common.leaving_since else { return false };
+        let Some(since) = self.common.draining_since else { return false };
         let grace = self.common.boot.bounds.grace_ms.saturating_sub(1000);
         let done = self.queue.unfinished_count() == 0 && now > since + 150;
         if done && !self.flushed {
@@ -157,25 +159,25 @@
 
     /// Of two stores the one with the lower address opens the connection.
     fn connect(&mut self) {
-        if !self.common.stirred() {
+        if !self.common.take_topology_change() {
             return;
         }
-        let mut wanted = self.common.cores();
+        let mut wanted = self.common.control_dial_targets();
         let me = self.common.boot.ip;
         let stores = self.common.session.members.iter().filter(|m| m.role == NodeRole::Store && m.ip > me);
-        wanted.extend(stores.map(|m| self.common.links.address(m.ip, NodeRole::Store)));
+        wanted.extend(stores.map(|m| self.common.links.listen_address(m.ip, NodeRole::Store)));
         let now = self.common.net.now();
-        self.common.links.want(now, wanted);
+        self.common.links.set_dial_targets(now, wanted);
     }
 
     fn link_event(&mut self, link_event: LinkEvent) {
         let now = self.common.net.now();
         match link_event {
-            LinkEvent::Up(hello) if hello.class == NodeRole::Store => {
+            LinkEvent::Up(hello) if hello.role == NodeRole::Store => {
                 self.queue.peer_connected(now, hello.node)
             }
-            LinkEvent::Up(hello) if hello.class == NodeRole::Edge && self.queue.is_draining => {
-                self.common.links.say(&mut self.common.net, hello.node, &Signal::Leaving);
+            LinkEvent::Up(hello) if hello.role == NodeRole::Edge && self.queue.is_draining => {
+                self.common.links.send(&mut self.common.net, hello.node, &Frame::Draining);
             }
             LinkEvent::Up(_) => {}
             LinkEvent::Down(node, NodeRole::Store) => self.queue.peer_disconnected(now, node),
@@ -192,8 +194,8 @@
                 }
             }
             LinkEvent::Down(..) => {}
-            LinkEvent::Said(from, NodeRole::Control, Signal::News(news)) => {
-                let config = self.common.heard_news(from, &news);
+            LinkEvent::Received(from, NodeRole::Control, Frame::Update(news)) => {
+                let config = self.common.apply_update(from, &news);
                 if news.members.is_some() {
                     let zone = |name: &str| {
                         self.common.boot.zones.keys().position(|z| z == name).unwrap_or(usize::MAX >> 1)
@@ -216,7 +218,7 @@
                     match heartbeat.state {
                         ExecutorState::Offline => {
                             if let Some(old) = self.servers.remove(&heartbeat.id) {
-                                self.common.net.forget(old.address);
+                                self.common.net.close_idle_calls_to(old.address);
                             }
                         }
                         _ => {
@@ -224,7 +226,7 @@
                         }
                     }
                 }
-                let fine = self.common.net.fine();
+                let fine = self.common.net.now_tenths_ms();
                 if changed {
                     self.queue.set_executors(now, fine, self.listed());
                 }
@@ -232,38 +234,50 @@
                     self.queue.configure(now, fine, config);
                 }
             }
-            LinkEvent::Said(_, NodeRole::Edge, Signal::Superseded { id, print, kept }) => {
+            LinkEvent::Received(
+                _,
+                NodeRole::Edge,
+                Frame::Superseded { message_id: id, fingerprint: print, kept },
+            ) => {
                 self.queue.drop_superseded(&id, print, kept);
             }
-            LinkEvent::Said(from, NodeRole::Edge, Signal::Put { ticket, message }) => {
+            LinkEvent::Received(from, NodeRole::Edge, Frame::Submit { request_id: ticket, message }) => {
                 self.next_ticket += 1;
                 self.askers.insert(self.next_ticket, (from, ticket));
                 self.queue.put(now, self.next_ticket, message);
             }
-            LinkEvent::Said(from, NodeRole::Edge, Signal::Find { ticket, key, body }) => {
+            LinkEvent::Received(
+                from,
+                NodeRole::Edge,
+                Frame::Lookup { request_id: ticket, key, include_body: body },
+            ) => {
                 let found = self.queue.lookup(key).map(|(state, bytes)| {
-                    let bytes = bytes.filter(|_| body).map(<[u8]>::to_vec);
-                    let found = match state {
-                        MessageState::Waiting => Found::Waiting,
-                        MessageState::Complete { seal } => Found::Complete { seal },
-                        MessageState::Failed => Found::Failed,
+                    let body = bytes.filter(|_| body).map(<[u8]>::to_vec);
+                    let state = match state {
+                        stileroute_queue::MessageState::Waiting => MessageState::Pending,
+                        stileroute_queue::MessageState::Complete { seal } => MessageState::Complete { seal },
+                        stileroute_queue::MessageState::Failed => MessageState::Failed,
                     };
-                    (found, bytes)
+                    KnownMessage { state, body }
                 });
-                self.common.links.say(&mut self.common.net, from, &Signal::Found { ticket, found });
+                self.common.links.send(
+                    &mut self.common.net,
+                    from,
+                    &Frame::LookupResult { request_id: ticket, result: found },
+                );
             }
-            LinkEvent::Said(from, NodeRole::Store, Signal::PeerMessage(note)) => {
+            LinkEvent::Received(from, NodeRole::Store, Frame::Queue(note)) => {
                 self.queue.handle_peer_message(now, from, note)
             }
-            LinkEvent::Said(_, NodeRole::Control, Signal::Retire { node })
-                if node == self.common.links.me().node =>
+            LinkEvent::Received(_, NodeRole::Control, Frame::RetireStore { node })
+                if node == self.common.links.local().node =>
             {
                 self.queue.retire(now);
-                for edge in self.common.links.class(NodeRole::Edge) {
-                    self.common.links.say(&mut self.common.net, edge, &Signal::Leaving);
+                for edge in self.common.links.nodes_with_role(NodeRole::Edge) {
+                    self.common.links.send(&mut self.common.net, edge, &Frame::Draining);
                 }
             }
-            LinkEvent::Said(..) => {}
+            LinkEvent::Received(..) => {}
         }
     }
 
@@ -288,7 +302,7 @@
     fn event(&mut self, event: Event) {
         let now = self.common.net.now();
         match event {
-            Event::Woken => {
+            Event::WakeUp => {
                 while let Ok((ticket, result)) = self.disk_said.try_recv() {
                     let trouble = result.is_err();
                     if std::mem::replace(&mut self.disk_trouble, trouble) != trouble {
@@ -300,20 +314,20 @@
                     self.queue.write_completed(now, ticket, result.is_ok());
                 }
             }
-            Event::Replied { ticket, result } => self.replied(ticket, result),
+            Event::CallCompleted { call_id: ticket, result } => self.replied(ticket, result),
             _ => {}
         }
     }
 
-    fn replied(&mut self, ticket: u64, result: Result<Reply, Failure>) {
+    fn replied(&mut self, ticket: u64, result: Result<CallReply, CallError>) {
         let now = self.common.net.now();
         match self.out.remove(&ticket) {
             Some(Out::Attempt { attempt, id }) => {
-                let load = result.as_ref().ok().and_then(|reply| load(reply.load.as_deref()?));
+                let load = result.as_ref().ok().and_then(|reply| load(reply.server_load.as_deref()?));
                 self.tally.failed(result.as_ref().err());
                 let outcome = judge(&id, result);
                 self.tally.ended(&outcome);
-                let fine = self.common.net.fine();
+                let fine = self.common.net.now_tenths_ms();
                 self.queue.attempt_ended(now, fine, attempt, outcome, load);
             }
             Some(Out::Call(key)) => {
@@ -325,7 +339,7 @@
 
     fn carry_out(&mut self) {
         for _ in 0..8 {
-            let (now, fine) = (self.common.net.now(), self.common.net.fine());
+            let (now, fine) = (self.common.net.now(), self.common.net.now_tenths_ms());
             self.queue.tick(now, fine);
             let effects = self.queue.take_effects();
             if effects.is_empty() {
@@ -340,16 +354,20 @@
         match effect {
             Effect::Persist { ticket, records, sync } => {
                 self.disk.append(ticket, records, sync);
-                if planted(Planted::AnswerBeforeDisk) {
+                if is_injected(InjectedFault::AnswerBeforeDisk) {
                     self.queue.write_completed(now, ticket, true);
                 }
             }
             Effect::Send { to, message: note } => {
-                self.common.links.say(&mut self.common.net, to, &Signal::PeerMessage(note));
+                self.common.links.send(&mut self.common.net, to, &Frame::Queue(note));
             }
             Effect::PutResult { ticket, result } => {
                 if let Some((edge, ticket)) = self.askers.remove(&ticket) {
-                    self.common.links.say(&mut self.common.net, edge, &Signal::Taken { ticket, result });
+                    self.common.links.send(
+                        &mut self.common.net,
+                        edge,
+                        &Frame::SubmitResult { request_id: ticket, result },
+                    );
                 }
             }
             Effect::StartAttempt {
@@ -385,7 +403,7 @@
                         self.out.insert(self.next_ticket, Out::Attempt { attempt, id });
                     }
                     Err(failure) => {
-                        let fine = self.common.net.fine();
+                        let fine = self.common.net.now_tenths_ms();
                         let outcome = judge(&id, Err(failure));
                         self.tally.ended(&outcome);
                         self.queue.attempt_ended(now, fine, attempt, outcome, None);
@@ -428,16 +446,16 @@
 }
 
 /// What an answer says of the attempt. One that names another request, or no seal, is no success.
-fn judge(id: &str, result: Result<Reply, Failure>) -> AttemptOutcome {
+fn judge(id: &str, result: Result<CallReply, CallError>) -> AttemptOutcome {
     let reply = match result {
         Ok(reply) => reply,
-        Err(Failure::NotConnected) => return AttemptOutcome::NotConnected,
-        Err(Failure::NoRoom) => return AttemptOutcome::NoFreeConnection,
-        Err(Failure::Broken) => return AttemptOutcome::ConnectionBroken,
-        Err(Failure::Late) => return AttemptOutcome::NoResponse,
-        Err(Failure::Garbled) => return AttemptOutcome::MalformedResponse,
+        Err(CallError::NotConnected) => return AttemptOutcome::NotConnected,
+        Err(CallError::NoCapacity) => return AttemptOutcome::NoFreeConnection,
+        Err(CallError::ConnectionLost) => return AttemptOutcome::ConnectionBroken,
+        Err(CallError::TimedOut) => return AttemptOutcome::NoResponse,
+        Err(CallError::InvalidReply) => return AttemptOutcome::MalformedResponse,
     };
-    if reply.id.as_deref() != Some(id) {
+    if reply.request_id.as_deref() != Some(id) {
         return AttemptOutcome::MalformedResponse;
     }
     match (reply.status, reply.seal) {
@@ -449,8 +467,8 @@
         (429, _) => AttemptOutcome::RateLimited,
         (503, _) => AttemptOutcome::ExecutorFull,
         (504, _) => AttemptOutcome::TimedOut,
-        (500, _) if !reply.not_run => AttemptOutcome::Failed,
-        _ if reply.not_run => AttemptOutcome::NotRun,
+        (500, _) if !reply.was_not_run => AttemptOutcome::Failed,
+        _ if reply.was_not_run => AttemptOutcome::NotRun,
         _ => AttemptOutcome::MalformedResponse,
     }
 }
