--- a/crates/queue/src/duplicates.rs
+++ b/crates/queue/src/duplicates.rs
@@ -3,8 +3,9 @@
 //! which one is kept, and the others drop theirs unless it runs already. It tells them again when a connection comes back: a
 //! store that was frozen reads what was sent to it before, and only then that nobody waits for it.
 
+use crate::entry::Stage;
 use crate::message::{Key, Message};
-use crate::queue::{Queue, Stage};
+use crate::queue::Queue;
 use crate::record::Record;
 
 /// Superseded messages that are remembered at the most.
--- a/crates/queue/src/end_transfer.rs
+++ b/crates/queue/src/end_transfer.rs
@@ -3,11 +3,14 @@
 //! ends together with it transfer them. Else a question within the time that states are kept would be answered as if there
 //! had been no such message.
 
+use crate::effect::Effect;
+use crate::entry::{Entry, Stage};
 use crate::message::{End, Key, Message, Millis, Node, ReplicatedMessage};
 use crate::peer::Peer;
 use crate::peer_message::{PeerMessage, TransferredEnd};
+use crate::pending_writes::PendingWrite;
 use crate::planted_fault::PlantedFault;
-use crate::queue::{Effect, Entry, PendingWrite, Queue, Stage};
+use crate::queue::Queue;
 use crate::record::Record;
 use crate::repair_budget::REPAIR_BYTES_PER_SECOND;
 use std::collections::BTreeMap;
@@ -21,7 +24,7 @@
 impl Queue {
     /// Transfers, at a bounded rate, the ends that too few other stores have confirmed.
     pub(crate) fn transfer_ends(&mut self, now: Millis) {
-        let is_wanted = self.is_retiring || self.end_replication.has_lost_stores();
+        let is_wanted = self.is_retiring() || self.end_replication.has_lost_stores();
         if self.end_replication.is_complete() || !is_wanted || self.planted(PlantedFault::EndsGoAlong) {
             return;
         }
@@ -29,7 +32,7 @@
         let able = self.peers.iter().filter(|(_, peer)| is_able(peer));
         let stores: Vec<Node> = able.map(|(node, _)| *node).collect();
         // A retiring store counts for none of the disks.
-        let own_disk = usize::from(self.is_retiring);
+        let own_disk = usize::from(self.is_retiring());
         let wanted = stores.len().min(self.settings.replica_count + own_disk);
         if wanted == 0 {
             return;
@@ -52,7 +55,7 @@
             }
         }
         if is_complete {
-            self.end_replication.complete(self.is_retiring);
+            self.end_replication.complete(self.is_retiring());
         }
         for (to, ends) in batches {
             self.end_replication.mark_sent(now, to, &ends);
@@ -61,7 +64,8 @@
     }
 
     fn is_end_transferred(&self, entry: &Entry) -> bool {
-        let is_concerned = || self.is_retiring || self.end_replication.concerns(entry.owner, &entry.replicas);
+        let is_concerned =
+            || self.is_retiring() || self.end_replication.concerns(entry.owner, &entry.replicas);
         entry.end.is_some() && is_concerned()
     }
 
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -3,30 +3,42 @@
 
 // Not finished yet: what these lints name is still to be documented or divided.
 #![allow(clippy::struct_excessive_bools, clippy::too_many_lines, missing_docs)]
+mod attempt_outcome;
+mod control_contact;
 mod duplicates;
+mod effect;
 mod end_replication;
 mod end_transfer;
+mod entry;
 mod fault_injection;
 mod fifo_groups;
 mod live_index;
 mod message;
+mod metrics;
 mod ordering;
 mod outbox;
 mod peer;
 mod peer_message;
+mod pending_writes;
 mod planted_fault;
 mod queue;
 mod record;
 mod repair;
 mod repair_budget;
-mod repeats;
 mod replication;
 mod retirement;
+mod retry_budget;
 mod service_queue;
+mod settings;
 mod state_table;
-mod tokens;
+mod token_bucket;
 
+pub use attempt_outcome::AttemptOutcome;
+pub use control_contact::ControlContact;
+pub use effect::Effect;
+pub use entry::{Entry, MessageState, Stage};
 pub use message::{End, Key, KeyLocation, Message, Millis, Node, PutError, ReplicatedMessage};
+pub use metrics::QueueMetrics;
 pub use ordering::preferred_store;
 pub use peer_message::{
     AcceptedHandover, EndNotice, EntrySummary, GroupMessage, GroupPosition, HandoverOffer, KeyRange,
@@ -34,12 +46,9 @@
 };
 #[cfg(feature = "planted")]
 pub use planted_fault::PlantedFault;
-pub use queue::{
-    first_number, AttemptOutcome, Effect, Entry, MessageState, Queue, QueueMetrics, QueueSettings, Stage,
-    ToleratedLosses,
-};
-pub use queue::{MessageView, ServiceView, StageCounts};
+pub use queue::{first_number, MessageView, PeerView, Queue, RateLimitView, ServiceView, StageCounts};
 pub use record::Record;
 pub use retirement::RetirementState;
-pub use service_queue::{Executor, RetryCounts};
+pub use service_queue::{Executor, ExecutorShare, RetryCounts};
+pub use settings::{QueueSettings, ToleratedLosses};
 pub use state_table::{StateTable, StoredEnd, StoredMessage};
--- a/crates/queue/src/live_index.rs
+++ b/crates/queue/src/live_index.rs
@@ -1,8 +1,9 @@
 //! Iteration over the live messages of one owner: all entries, with those that ended in the last minutes, are a hundred times
 //! as many.
 
+use crate::entry::{Entry, Stage};
 use crate::message::{Key, Node};
-use crate::queue::{Entry, Queue, Stage};
+use crate::queue::Queue;
 
 impl Entry {
     /// The message has ended, and its callback is delivered or was not wanted: nothing is left to do.
--- a/crates/queue/src/ordering.rs
+++ b/crates/queue/src/ordering.rs
@@ -7,11 +7,14 @@
 //! takes the next one knows of this one, wherever it is. A message that came in another way (taken over, handed over, read
 //! from disk) causes a query before it starts. No message waits for a higher one, so no two wait for each other.
 
+use crate::effect::Effect;
+use crate::entry::Stage;
 use crate::fifo_groups::{PendingQuery, QueryPurpose, GROUP_QUERY_INTERVAL};
 use crate::message::{Key, Millis, Node};
 use crate::peer::Peer;
 use crate::peer_message::{GroupMessage, GroupPosition, PeerMessage};
-use crate::queue::{Effect, PendingWrite, Queue, Stage};
+use crate::pending_writes::PendingWrite;
+use crate::queue::Queue;
 use crate::record::Record;
 use std::collections::BTreeSet;
 
@@ -46,7 +49,7 @@
         let members = || self.peers.iter().filter(|(_, peer)| peer.is_member);
         let nodes = members().map(|(node, _)| *node).chain([self.settings.node]);
         self.knows_members
-            && self.hears_control_group
+            && self.control_contact.is_heard
             && members().all(|(_, peer)| peer.is_connected && !peer.is_draining())
             && preferred_store(group, nodes) == Some(self.settings.node)
             && self.ordering.is_current(group)
@@ -64,8 +67,8 @@
         let knows_group = self.knows_group(&name);
         if let Some(entry) = self.entries.get_mut(&key) {
             entry.message.accepted_at_ms = entry.message.accepted_at_ms.max(min_accepted_at_ms);
-            entry.is_order_confirmed = true;
-            entry.awaits_order_answers = !knows_group;
+            entry.order.is_confirmed = true;
+            entry.order.awaits_answers = !knows_group;
         }
         self.reindex(key);
         if knows_group {
@@ -80,7 +83,7 @@
         let Some(entry) = self.entries.get_mut(&key) else { return };
         let accepted_at_ms = entry.message.accepted_at_ms;
         let is_announcement = purpose == QueryPurpose::Announce;
-        entry.is_announced |= is_announcement;
+        entry.order.is_announced |= is_announcement;
         let query_id = self.ordering.next_query_id();
         let awaited = self.connected_peers();
         for to in &awaited {
@@ -184,7 +187,7 @@
         if is_moved {
             entry.message.accepted_at_ms = min_accepted_at_ms;
         }
-        entry.is_order_confirmed = true;
+        entry.order.is_confirmed = true;
         let position = GroupPosition { accepted_at_ms: entry.message.accepted_at_ms, key };
         // Earlier ones that no store names have ended. Of later ones nothing is known by that: those that came
         // since then and were announced here wait for them.
@@ -207,7 +210,7 @@
         let Some(entry) = self.entries.get_mut(&key).filter(|entry| entry.stage == Stage::Persisting) else {
             return;
         };
-        entry.awaits_order_answers = false;
+        entry.order.awaits_answers = false;
         let replicas = entry.replicas.clone();
         let Some(replica) = self.replicated_message(now, key) else { return };
         self.record(&Record::Put { replica: replica.clone() }, true);
@@ -222,7 +225,7 @@
         let Some(entry) = self.entries.get(&key) else { return false };
         let Some(name) = entry.message.ordering_key.clone() else { return true };
         let position = GroupPosition { accepted_at_ms: entry.message.accepted_at_ms, key };
-        let is_order_confirmed = entry.is_order_confirmed;
+        let is_order_confirmed = entry.order.is_confirmed;
         let group = self.ordering.group_mut(&name);
         if group.live.first() != Some(&position) {
             return false;
--- a/crates/queue/src/repair.rs
+++ b/crates/queue/src/repair.rs
@@ -1,10 +1,12 @@
 //! Repair: replicas that are missing are made again, at a bounded rate.
 
+use crate::entry::{Entry, Stage};
 use crate::message::{Key, Millis, Node};
 use crate::peer::ReplicaStatus;
 use crate::peer_message::Ownership;
+use crate::pending_writes::PendingWrite;
 use crate::planted_fault::PlantedFault;
-use crate::queue::{Entry, PendingWrite, Queue, Stage};
+use crate::queue::Queue;
 
 /// The replicas of a store that is no member and not connected for so long are made anew. An orderly restart is shorter.
 const WRITE_OFF_DELAY: Millis = 5000;
@@ -135,7 +137,7 @@
 
     /// The stores whose replicas no longer count from now on.
     fn write_off_gone_peers(&mut self, now: Millis) -> Vec<Node> {
-        let may_write_off = self.hears_control_group && self.knows_members;
+        let may_write_off = self.control_contact.is_heard && self.knows_members;
         let mut gone = Vec::new();
         for (node, peer) in &mut self.peers {
             if peer.is_present() {
--- a/crates/queue/src/replication.rs
+++ b/crates/queue/src/replication.rs
@@ -11,10 +11,12 @@
 mod replicas;
 mod takeover;
 
+use crate::effect::Effect;
+use crate::entry::Entry;
 use crate::message::{Key, Millis, Node};
 use crate::outbox::Outbox;
 use crate::peer_message::PeerMessage;
-use crate::queue::{Effect, Entry, Queue};
+use crate::queue::Queue;
 
 /// A store that is no member and not connected for so long has lost what it owned to the stores that hold replicas.
 const TAKEOVER_DELAY: Millis = 2000;
--- a/crates/queue/src/replication/connections.rs
+++ b/crates/queue/src/replication/connections.rs
@@ -1,10 +1,11 @@
 //! Membership and connections: what is sent to a store that connects, and done about one that is gone.
 
+use crate::effect::Effect;
 use crate::message::{Key, Millis, Node};
 use crate::outbox::Outbox;
 use crate::peer::{Peer, Peers, ServiceState};
 use crate::peer_message::{EndNotice, PeerMessage};
-use crate::queue::{Effect, Queue};
+use crate::queue::Queue;
 
 fn members_of(peers: &Peers) -> Vec<Node> {
     peers.iter().filter(|(_, peer)| peer.is_member).map(|(node, _)| *node).collect()
@@ -48,7 +49,7 @@
         if self.is_draining {
             self.emit(Effect::Send { to: node, message: PeerMessage::Draining });
         }
-        if self.is_retiring {
+        if self.is_retiring() {
             self.emit(Effect::Send { to: node, message: PeerMessage::Retiring });
         }
     }
--- a/crates/queue/src/replication/handover.rs
+++ b/crates/queue/src/replication/handover.rs
@@ -1,9 +1,10 @@
 //! Handover: a store that drains gives what waits to stores that hold replicas.
 
+use crate::entry::{Entry, Stage};
 use crate::message::{Key, Millis, Node};
 use crate::peer_message::{AcceptedHandover, HandoverOffer, Ownership, PeerMessage};
 use crate::planted_fault::PlantedFault;
-use crate::queue::{Entry, Queue, Stage};
+use crate::queue::Queue;
 
 impl Queue {
     /// Begins a graceful shutdown: the store accepts nothing more, and gives what waits to stores that hold replicas.
@@ -37,7 +38,7 @@
         let has_answered =
             |node: &Node| self.peers.get(node).is_none_or(|peer| peer.is_reconciled || !peer.is_present());
         let is_open = entry.stage == Stage::Suspended && !self.unreleased.contains(&key);
-        self.is_retiring && is_open && entry.replicas.iter().all(has_answered)
+        self.is_retiring() && is_open && entry.replicas.iter().all(has_answered)
     }
 
     /// Offers one message to a store that holds a confirmed replica: neither starts it until that one has accepted.
@@ -80,7 +81,7 @@
     pub(super) fn handover_rejected(&mut self, now: Millis, from: Node, keys: Vec<Key>) {
         for key in keys {
             self.handovers.remove(&key);
-            if self.is_retiring {
+            if self.is_retiring() {
                 // It holds no replica after all: it gets one, or another store does, before the message is offered again.
                 let entry = self.entries.get_mut(&key);
                 if let Some(entry) = entry.filter(|entry| entry.stage == Stage::Suspended) {
--- a/crates/queue/src/replication/ownership.rs
+++ b/crates/queue/src/replication/ownership.rs
@@ -1,9 +1,10 @@
 //! Ownership and ends: two stores that disagree settle both, and the newer claim holds.
 
+use crate::entry::Stage;
 use crate::message::{End, Key, Millis, Node};
 use crate::peer_message::{EndNotice, Ownership};
 use crate::planted_fault::PlantedFault;
-use crate::queue::{Queue, Stage};
+use crate::queue::Queue;
 use crate::record::Record;
 use std::cmp::Reverse;
 
--- a/crates/queue/src/replication/peer_messages.rs
+++ b/crates/queue/src/replication/peer_messages.rs
@@ -1,10 +1,11 @@
 //! Dispatch of what other stores send.
 
+use crate::effect::Effect;
 use crate::message::{Millis, Node};
 use crate::ordering::ReceivedQuery;
 use crate::peer::ServiceState;
 use crate::peer_message::{GroupPosition, PeerMessage};
-use crate::queue::{Effect, Queue};
+use crate::queue::Queue;
 
 impl Queue {
     /// Acts on a message of another store.
--- a/crates/queue/src/replication/reconciliation.rs
+++ b/crates/queue/src/replication/reconciliation.rs
@@ -2,9 +2,11 @@
 //! what it holds. Owners, replicas and ends are then set right by the newer claim.
 
 use super::ownership::claim;
+use crate::effect::Effect;
+use crate::entry::{Entry, Stage};
 use crate::message::{Key, Millis, Node};
 use crate::peer_message::{EntrySummary, KeyRange, Ownership, PeerMessage, RangeDigest};
-use crate::queue::{Effect, Entry, Queue, Stage};
+use crate::queue::Queue;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
 /// Bits of a message number that tell messages of one range apart.
--- a/crates/queue/src/replication/release.rs
+++ b/crates/queue/src/replication/release.rs
@@ -1,9 +1,10 @@
 //! Release: messages that were read from disk, or waited behind a fence, start once the stores with replicas have been heard.
 
 use super::{OBJECTION_WINDOW, RECONCILIATION_LIMIT};
+use crate::entry::{Entry, Stage};
 use crate::message::{Key, Millis, Node};
 use crate::planted_fault::PlantedFault;
-use crate::queue::{Entry, Queue, Stage};
+use crate::queue::Queue;
 
 impl Queue {
     /// Releases messages read from disk once all stores with replicas have reconciled, or are not there.
--- a/crates/queue/src/replication/replicas.rs
+++ b/crates/queue/src/replication/replicas.rs
@@ -1,11 +1,14 @@
 //! Replicas: how they are sent, stored, confirmed, and requested from another store when one is slow.
 
 use super::ownership::claim;
+use crate::effect::Effect;
+use crate::entry::Stage;
 use crate::message::{Key, Millis, Node, ReplicatedMessage};
 use crate::peer::REPLICA_CONFIRM_LIMIT;
 use crate::peer_message::{Ownership, PeerMessage};
+use crate::pending_writes::PendingWrite;
 use crate::planted_fault::PlantedFault;
-use crate::queue::{Effect, PendingWrite, Queue, Stage};
+use crate::queue::Queue;
 use crate::record::Record;
 
 /// A message that is not safe by then is rolled back: its edge gives up soon (400 ms) and asks another store, and a
@@ -80,7 +83,7 @@
         let next_check_at = (now + REPLICA_CONFIRM_LIMIT).min(now + (PERSIST_LIMIT - age_ms)).max(now + 1);
         entry.persist_check_at = Some(next_check_at);
         self.persisting.insert((next_check_at, key));
-        if entry.awaits_order_answers {
+        if entry.order.awaits_answers {
             // Nothing has been sent yet: stores that are gone by then are replaced at the next check.
             return;
         }
--- a/crates/queue/src/replication/takeover.rs
+++ b/crates/queue/src/replication/takeover.rs
@@ -1,11 +1,13 @@
 //! Takeover: this store becomes the owner of what another owned, which is gone or hands it over.
 
 use super::{OBJECTION_WINDOW, TAKEOVER_DELAY};
+use crate::entry::Stage;
 use crate::message::{Key, Millis, Node};
 use crate::peer::Peer;
 use crate::peer_message::{AcceptedHandover, HandoverOffer, Ownership};
+use crate::pending_writes::PendingWrite;
 use crate::planted_fault::PlantedFault;
-use crate::queue::{PendingWrite, Queue, Stage};
+use crate::queue::Queue;
 use crate::record::Record;
 
 /// Each next store in the list of replicas waits so much longer before it takes over, for the one before may be about to.
@@ -111,7 +113,7 @@
 
     /// What has to be looked at a few times a second: stores that are gone, messages to take over, replicas, and ends.
     pub(crate) fn check_peers(&mut self, now: Millis) {
-        let may_take_over = self.hears_control_group && self.knows_members;
+        let may_take_over = self.control_contact.is_heard && self.knows_members;
         if may_take_over {
             self.list_orphans(now);
         }
--- a/crates/queue/src/retirement.rs
+++ b/crates/queue/src/retirement.rs
@@ -1,11 +1,13 @@
 //! Retirement of a store: it accepts nothing more and hands over what it owns to stores that hold replicas, and the others
 //! make the replicas that lie here anew elsewhere. It is empty when all of them have said that they need no replica here.
 
+use crate::effect::Effect;
 use crate::message::{Key, Millis, Node};
 use crate::peer::Peer;
 use crate::peer_message::PeerMessage;
+use crate::pending_writes::PendingWrite;
 use crate::planted_fault::PlantedFault;
-use crate::queue::{Effect, PendingWrite, Queue};
+use crate::queue::{Queue, RetirementOrder};
 use crate::record::Record;
 
 /// How often a retiring store is told that none of its replicas is needed: a message lost with a connection comes again.
@@ -35,23 +37,23 @@
 impl Queue {
     /// Retires the store, as an operator has ordered. It holds over restarts: the order is on disk before it is confirmed.
     pub fn retire(&mut self, now: Millis) {
-        if self.is_retiring {
+        if self.is_retiring() {
             return;
         }
+        self.retirement = RetirementOrder::Pending;
         self.record(&Record::RetirementOrdered, true);
         self.after_write(PendingWrite::Retirement);
         self.begin_retiring(now);
     }
 
     pub(crate) fn begin_retiring(&mut self, now: Millis) {
-        self.is_retiring = true;
         self.send_to_connected(&PeerMessage::Retiring);
         self.begin_draining(now);
     }
 
     /// How far the retirement has come.
     pub fn retirement_state(&self) -> RetirementState {
-        if !self.is_retirement_durable {
+        if self.retirement != RetirementOrder::Durable {
             return RetirementState::NotOrdered;
         }
         let owns_nothing = self.owned_here().next().is_none()
@@ -74,7 +76,8 @@
     /// Each member has said that it needs no replica here. Cut off, or before it knows them, this store can't tell.
     fn is_released_by_members(&self) -> bool {
         let mut members = self.peers.iter().filter(|(_, peer)| peer.is_member).peekable();
-        let are_members_known = members.peek().is_some() && self.hears_control_group && self.knows_members;
+        let are_members_known =
+            members.peek().is_some() && self.control_contact.is_heard && self.knows_members;
         are_members_known && members.all(|(node, peer)| peer.is_connected && self.released_by.contains(node))
     }
 
@@ -103,7 +106,7 @@
     /// Goes on with this store's retirement, and with that of others: their replicas are made elsewhere, at the rate of
     /// repair, and they are told once none is needed.
     pub(crate) fn check_retirements(&mut self, now: Millis) {
-        if self.is_retiring {
+        if self.is_retiring() {
             self.offer_all();
         }
         if self.fenced_since.is_some() {
--- a/crates/queue/tests/simulation/events.rs
+++ b/crates/queue/tests/simulation/events.rs
@@ -58,14 +58,16 @@
             Event::Thaw { at, life } => {
                 if life > 0 {
                     self.with(at, |queue, _| {
-                        (queue.hears_control_group, queue.session_may_have_lapsed) = (false, true);
+                        (queue.control_contact.is_heard, queue.control_contact.session_may_have_lapsed) =
+                            (false, true);
                     });
                 }
             }
             Event::ControlLost { at, life, lapsed } => {
                 if self.stores[at].incarnation == life && self.stores[at].control.is_isolated {
                     self.with(at, |queue, _| {
-                        (queue.session_may_have_lapsed, queue.hears_control_group) = (true, lapsed);
+                        (queue.control_contact.session_may_have_lapsed, queue.control_contact.is_heard) =
+                            (true, lapsed);
                     });
                 }
             }
--- a/crates/queue/tests/simulation/processes.rs
+++ b/crates/queue/tests/simulation/processes.rs
@@ -131,7 +131,8 @@
                 continue;
             }
             if let Some((queue, now)) = self.queue(at) {
-                (queue.hears_control_group, queue.session_may_have_lapsed) = (true, false);
+                (queue.control_contact.is_heard, queue.control_contact.session_may_have_lapsed) =
+                    (true, false);
                 queue.set_members(now, &all);
             }
         }
