--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -1,8 +1,6 @@
 //! The durable queue of one store: messages, their replicas, attempts, ends, callbacks and rate limits. A state
 //! machine: events and a clock go in, [`Effect`]s come out; sockets, disk and time are the program's.
 
-// Not finished yet: what these lints name is still to be documented or divided.
-#![allow(clippy::struct_excessive_bools, clippy::too_many_lines, missing_docs)]
 mod attempt_outcome;
 mod control_contact;
 mod duplicates;
