--- a/crates/queue/src/queue.rs
+++ b/crates/queue/src/queue.rs
@@ -14,15 +14,15 @@
 pub use report::{MessageView, PeerView, RateLimitView, ServiceView, StageCounts};
 
 use crate::control_contact::ControlContact;
-use crate::copies::Peer;
 use crate::effect::Effect;
 use crate::entry::{Entry, MessageState, OrderSlot, Stage};
 use crate::message::{End, Key, Message, Millis, Node, ReplicatedMessage};
 use crate::metrics::QueueMetrics;
+use crate::peer::Peer;
 use crate::peer_message::GroupPosition;
 use crate::pending_writes::PendingWrites;
 #[cfg(feature = "planted")]
-use crate::planted::PlantedFault;
+use crate::planted_fault::PlantedFault;
 use crate::service_queue::{Executor, ServiceQueue};
 use crate::settings::QueueSettings;
 use crate::state_table::{StateTable, StoredEnd, StoredMessage};
@@ -76,7 +76,7 @@
     /// Messages that have not ended, or whose call-back is pending, by owner: what is compared with other stores and searched
     /// when one is gone. The table with its ended messages is about a hundred times as large.
     pub(crate) live_by_owner: BTreeSet<(Node, Key)>,
-    pub(crate) ordering: crate::ordering::Rows,
+    pub(crate) ordering: crate::fifo_groups::FifoGroups,
 
     /// Messages that are due at a later time.
     delayed: BTreeSet<(Millis, Key)>,
@@ -89,7 +89,7 @@
     /// Messages owned here that have too few replicas, by the time at which repair looks at them.
     pub(crate) under_replicated: BTreeSet<(Millis, Key)>,
     pub(crate) under_replicated_since: Option<Millis>,
-    pub(crate) repair_budget: crate::repair::Bytes,
+    pub(crate) repair_budget: crate::repair_budget::RepairBudget,
     /// Messages accepted under a configuration that has not arrived here.
     awaiting_config: HashSet<Key>,
     /// Messages read from disk that wait for the stores that hold replicas.
@@ -131,7 +131,7 @@
     /// Stores that have said that they count on no replica here.
     pub(crate) released_by: BTreeSet<Node>,
     /// Ends that are passed on to other stores.
-    pub(crate) end_replication: crate::ends::Passing,
+    pub(crate) end_replication: crate::end_replication::EndReplication,
     /// Since when no attempt is started, for others may have taken over.
     pub(crate) fenced_since: Option<Millis>,
     #[cfg(feature = "planted")]
@@ -303,7 +303,7 @@
             self.live_by_owner.remove(&(owner, key));
         }
         if let Some(slot) = entry.order.slot {
-            self.ordering.leave(
+            self.ordering.remove(
                 &slot.order_key,
                 GroupPosition { accepted_at_ms: slot.accepted_at_ms, key },
                 entry.order.is_announced,
@@ -353,14 +353,14 @@
         }
         if let Some(former) = std::mem::replace(&mut entry.order.slot, slot) {
             let is_end_announced = entry.order.is_announced && entry.end.is_some();
-            self.ordering.leave(
+            self.ordering.remove(
                 &former.order_key,
                 GroupPosition { accepted_at_ms: former.accepted_at_ms, key },
                 is_end_announced,
             );
         }
         if let Some(slot) = &entry.order.slot {
-            self.ordering.enter(&slot.order_key, GroupPosition { accepted_at_ms: slot.accepted_at_ms, key });
+            self.ordering.insert(&slot.order_key, GroupPosition { accepted_at_ms: slot.accepted_at_ms, key });
         }
     }
 
--- a/crates/queue/src/queue/callbacks.rs
+++ b/crates/queue/src/queue/callbacks.rs
@@ -80,7 +80,7 @@
 
     /// Starts the call-backs that may go now. Gives the time at which the next one may.
     pub(super) fn start_callbacks(&mut self, now: Millis) -> Millis {
-        let stores = 1 + self.peers.values().filter(|peer| peer.listed).count();
+        let stores = 1 + self.peers.values().filter(|peer| peer.is_member).count();
         let max_calls = (MAX_CALLS_PER_RECEIVER / stores).clamp(1, MAX_CALLS_PER_STORE);
         let mut next_start = Millis::MAX;
         for (name, receiver) in &mut self.callbacks.receivers {
@@ -138,7 +138,7 @@
         self.metrics.callbacks_delivered += 1;
         self.record(&Record::CallbackDelivered { key }, false);
         for replica in replicas {
-            self.to(replica).called.push(key);
+            self.outbox(replica).callbacks_delivered.push(key);
         }
         self.flush_ends_at.get_or_insert(now + END_BATCH_INTERVAL_MS);
     }
