--- a/crates/server/src/store/report.rs
+++ b/crates/server/src/store/report.rs
@@ -29,8 +29,7 @@
     }
 
     fn service_as_json(&self, service: ServiceView) -> JsonValue {
-        let executors = service.executor_shares.into_iter();
-        let executors = executors.map(|executor| {
+        let executors = service.executor_shares.into_iter().map(|executor| {
             jzon::object! { "id" => executor.id, "share" => executor.share, "out" => executor.in_flight }
         });
         let rate_limit = service.rate_limit.map(|limit| {
@@ -64,12 +63,12 @@
 
     /// The other stores.
     fn stores_as_json(&self) -> JsonValue {
-        let stores = self.queue.peer_views().map(|peer| {
+        let stores = self.queue.peer_views().map(|store| {
             jzon::object! {
-                "node" => self.runtime.node_name(peer.node),
-                "connected" => peer.is_connected,
-                "member" => peer.is_member,
-                "leaving" => peer.is_draining,
+                "node" => self.runtime.node_name(store.node),
+                "connected" => store.is_connected,
+                "member" => store.is_member,
+                "leaving" => store.is_draining,
             }
         });
         stores.collect::<Vec<_>>().into()
@@ -80,7 +79,7 @@
         write_queue_metrics(metrics, &services);
         write_retry_metrics(metrics, &services);
         for service in &services {
-            let Some(limit) = service.rate_limit else { continue };
+            let Some(limit) = &service.rate_limit else { continue };
             let help = "1: this store hands out the service's tokens.";
             let labels = [("service", service.name.as_str())];
             metrics.gauge("stileroute_tokens_holder", help, &labels, u8::from(limit.is_held_here));
