--- a/crates/queue/src/queue/report.rs
+++ b/crates/queue/src/queue/report.rs
@@ -186,9 +186,9 @@
     pub fn peer_views(&self) -> impl Iterator<Item = PeerView> + '_ {
         self.peers.iter().map(|(node, peer)| PeerView {
             node: *node,
-            is_connected: peer.connected,
-            is_member: peer.listed,
-            is_draining: peer.leaving,
+            is_connected: peer.is_connected,
+            is_member: peer.is_member,
+            is_draining: peer.is_draining(),
         })
     }
 }
