--- a/crates/model-check/src/budget.rs
+++ b/crates/model-check/src/budget.rs
@@ -1,6 +1,6 @@
 //! How many choices a path may still take.
 
-use crate::choices::Choice;
+use crate::choice::Choice;
 
 /// How many choices a path may still take.
 #[derive(Clone, Copy, Debug)]
--- a/crates/model-check/src/lib.rs
+++ b/crates/model-check/src/lib.rs
@@ -8,6 +8,8 @@
 //! [`queue`].
 
 mod budget;
+mod checks;
+mod choice;
 mod choices;
 mod invariants;
 mod proof;
@@ -17,7 +19,7 @@
 mod search;
 mod simulation;
 
-pub use choices::Choice;
+pub use choice::Choice;
 pub use invariants::{Invariants, Property, Violation};
 pub use proof::{ExpectedViolation, EXCESSIVE_DRIFT, PLAN, PLANTED_FAULTS, THREE_NODES};
 pub use search::{explore, find, replay, ChoicePath, Counterexample, Statistics};
--- a/crates/model-check/src/search.rs
+++ b/crates/model-check/src/search.rs
@@ -2,7 +2,7 @@
 //! how many.
 
 use crate::budget::Budget;
-use crate::choices::Choice;
+use crate::choice::Choice;
 use crate::invariants::Violation;
 use crate::simulation::{Bounds, Simulation};
 use std::collections::HashMap;
