--- a/crates/control-group/src/backup.rs
+++ b/crates/control-group/src/backup.rs
@@ -69,7 +69,7 @@
         })
     }
 
-    /// Whether the sender is the primary of the own view. If not, one of the two is told of the newer view.
+    /// Whether the sender is the primary of the own view. If not, the one with the older view learns of the newer.
     fn is_from_primary(&mut self, from: NodeId, epoch: u64, view: &View) -> bool {
         if epoch < view.epoch {
             // Else the sender has proposed the later view itself, and will hear that it is granted.
--- a/crates/control-group/src/control_state.rs
+++ b/crates/control-group/src/control_state.rs
@@ -18,7 +18,7 @@
 }
 
 impl ControlState {
-    /// Tells two values with one serial apart: one of them was abandoned, and must not be taken for the other.
+    /// Distinguishes two values with one serial: one of them was abandoned, and must not be taken for the other.
     ///
     /// It guards against confusion, not against an attacker: each heartbeat carries it, so it is short.
     pub fn digest(&self) -> u64 {
--- a/crates/control-group/src/message.rs
+++ b/crates/control-group/src/message.rs
@@ -13,7 +13,8 @@
         /// The primary of the epoch before has stepped down and named the sender, so its lease need not run out first.
         by_handover: bool,
     },
-    /// The sender has this view on disk. It is named whole: a candidate that lost power may propose another of the same epoch.
+    /// The sender has this view on disk. The epoch alone would not name it: a candidate that lost power may propose another view
+    /// of the same epoch.
     Granted {
         /// The view as it was proposed.
         view: View,
--- a/crates/control-group/src/node_state.rs
+++ b/crates/control-group/src/node_state.rs
@@ -1,4 +1,4 @@
-//! The parts of a node's state that several of the modules above share.
+//! The parts of a node's state that several modules share.
 
 use crate::{ControlState, Millis, NodeId, View};
 use std::collections::BTreeMap;
@@ -29,29 +29,16 @@
 #[derive(Clone, Debug, Hash)]
 pub(crate) enum OnPersisted {
     /// Tell the proposer that its view is granted.
-    SendGrant {
-        to: NodeId,
-        view: View,
-    },
+    SendGrant { to: NodeId, view: View },
     /// Count this node's own grant of the view that it proposes.
-    CountOwnGrant {
-        view: View,
-    },
+    CountOwnGrant { view: View },
     /// Act by a view that another has proposed.
-    ConfirmView {
-        view: View,
-    },
+    ConfirmView { view: View },
     /// Tell the primary that its value is stored.
-    SendStored {
-        to: NodeId,
-        epoch: u64,
-        write_id: u64,
-        state: ControlState,
-    },
+    SendStored { to: NodeId, epoch: u64, write_id: u64, state: ControlState },
     /// Count this node's own replica.
-    CountOwnReplica {
-        write_id: u64,
-    },
+    CountOwnReplica { write_id: u64 },
+    /// The record is written for a restart only.
     Nothing,
 }
 
--- a/crates/control-group/src/proposal.rs
+++ b/crates/control-group/src/proposal.rs
@@ -10,8 +10,9 @@
     pub view: View,
     /// The view that it takes the place of: a majority of its voters has to grant the new one too.
     pub previous: View,
+    /// Nodes that have it on their disk.
     pub grants: BTreeSet<NodeId>,
-    /// They have given their vote in this epoch to another.
+    /// Nodes that have given their vote in this epoch to another.
     pub refusals: BTreeSet<NodeId>,
     pub proposed_at: Millis,
     /// The primary before has stepped down and named this node.
--- a/crates/control-group/src/role.rs
+++ b/crates/control-group/src/role.rs
@@ -25,14 +25,16 @@
 /// What a primary keeps for as long as it leads.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Leadership {
+    /// When the view was granted.
     pub began_at: Millis,
     pub next_heartbeat_at: Millis,
     /// When the last heartbeat was sent that each node has acknowledged.
     pub acked: BTreeMap<NodeId, Millis>,
-    /// They have said that their disk holds no value.
+    /// Nodes that have said that their disk holds no value.
     pub without_state: BTreeSet<NodeId>,
     /// The write under way: one at a time.
     pub write: Option<ReplicatedWrite>,
+    /// Requests that wait for the write under way.
     pub queue: VecDeque<QueuedRequest>,
     /// Another membership that is asked for.
     pub membership_change: Option<Proposal>,
--- a/crates/control-group/src/voter.rs
+++ b/crates/control-group/src/voter.rs
@@ -81,7 +81,7 @@
         is_membership_current && view.replicas.contains(&candidate)
     }
 
-    /// Grants a view; the proposer is told only when the view is on disk.
+    /// Grants a view. The grant is sent only when the view is on disk.
     fn grant(&mut self, to: NodeId, view: View) {
         if self.durable_epoch >= view.epoch {
             return self.send(to, Message::Granted { view });
--- a/crates/model-check/src/checks.rs
+++ b/crates/model-check/src/checks.rs
@@ -24,7 +24,8 @@
             return;
         };
         let before = node.observed.committed.replace(state.clone());
-        let goes_back = |before: &ControlState| state.serial < before.serial || state.version < before.version;
+        let goes_back =
+            |before: &ControlState| state.serial < before.serial || state.version < before.version;
         if let Some(before) = before.filter(goes_back) {
             let describe = |state: &ControlState| format!("{} (serial {})", state.version, state.serial);
             let (before, now) = (describe(&before), describe(&state));
