--- a/crates/queue/src/queue/delivery.rs
+++ b/crates/queue/src/queue/delivery.rs
@@ -91,7 +91,7 @@
         };
         let service = &config.services[route.service].name;
         let Some(index) = self.service_queue_index.get(service).copied() else { return };
-        let is_late = now > entry.due_at + route.run_target_ms;
+        let is_late = now > entry.due_at + route.completion_target_ms;
         let position = QueuePosition { is_late, priority: route.priority, due_at: entry.due_at, key };
         entry.queue_slot = Some(ServiceQueueSlot { service_queue: index, position });
         self.service_queues[index].enter(position, entry.has_run);
@@ -195,7 +195,7 @@
         };
         let route = &config.routes[route];
         // Too late for its latency target: messages that can still meet theirs go first.
-        if !position.is_late && now > position.due_at + route.run_target_ms {
+        if !position.is_late && now > position.due_at + route.completion_target_ms {
             let late = QueuePosition { is_late: true, ..position };
             entry.queue_slot = Some(ServiceQueueSlot { service_queue: index, position: late });
             service_queue.replace(&position, late, entry.has_run);
@@ -315,7 +315,7 @@
         let Some(entry) = self.entries.get_mut(&key) else { return };
         let max_attempts = self.config.as_ref().and_then(|config| {
             let route = config.route(&entry.message.host, &entry.message.target)?;
-            Some(config.routes[route].max_tries)
+            Some(config.routes[route].max_attempts)
         });
         if max_attempts.is_some_and(|max_attempts| entry.failed_attempts >= max_attempts) {
             return self.finish(now, key, End::Failed);
--- a/crates/server/src/cli/check.rs
+++ b/crates/server/src/cli/check.rs
@@ -6,7 +6,7 @@
 use crate::settings::{self, Findings};
 use jzon::JsonValue;
 use std::path::Path;
-use stileroute_config::{Boot, Config, Fault};
+use stileroute_config::{Config, FaultReason, NodeSettings, SettingsFault};
 
 /// Checks an operator's configuration.
 pub fn check_config(path: &Path, format: OutputFormat) -> ExitStatus {
@@ -20,29 +20,31 @@
         }
         Err(faults) => {
             // Control nodes read configurations that come without a file: here they have one.
-            let faults = faults.into_iter().map(|fault| Fault { file: file.clone(), ..fault }).collect();
+            let faults =
+                faults.into_iter().map(|fault| SettingsFault { file: file.clone(), ..fault }).collect();
             print_findings("", &Findings { faults, warnings: Vec::new() }, format)
         }
     }
 }
 
-fn read_config(path: &Path) -> Result<Config, Vec<Fault>> {
-    let fault_of_file = |reason| vec![Fault { file: String::new(), key: String::new(), reason }];
-    let body = std::fs::read(path).map_err(|error| fault_of_file(format!("cannot be read: {error}")))?;
+fn read_config(path: &Path) -> Result<Config, Vec<SettingsFault>> {
+    let fault_of_file = |reason| vec![SettingsFault { file: String::new(), key: String::new(), reason }];
+    let body =
+        std::fs::read(path).map_err(|error| fault_of_file(FaultReason::Unreadable(error.to_string())))?;
     // Control nodes reject it with 413 before they read it.
     if body.len() > LARGEST_CONFIGURATION {
         let reason = format!("{} bytes; at most {LARGEST_CONFIGURATION} can be sent", body.len());
-        return Err(fault_of_file(reason));
+        return Err(fault_of_file(FaultReason::FailedCheck(reason)));
     }
-    Config::read(&body).map_err(|faults| faults.0)
+    Config::parse(&body).map_err(|faults| faults.faults)
 }
 
 /// Checks a settings file, for the roles that its `serves` names.
 pub fn check_boot(path: &Path, format: OutputFormat) -> ExitStatus {
-    let boot = match Boot::read(path) {
+    let boot = match NodeSettings::read(path) {
         Ok(boot) => boot,
         Err(faults) => {
-            return print_findings("", &Findings { faults: faults.0, warnings: Vec::new() }, format);
+            return print_findings("", &Findings { faults: faults.faults, warnings: Vec::new() }, format);
         }
     };
     let file = path.display().to_string();
@@ -89,12 +91,12 @@
     }
 }
 
-fn faults_as_json(faults: &[Fault]) -> JsonValue {
-    let as_json = |fault: &Fault| {
+fn faults_as_json(faults: &[SettingsFault]) -> JsonValue {
+    let as_json = |fault: &SettingsFault| {
         jzon::object! {
             "file" => fault.file.clone(),
             "key" => fault.key.clone(),
-            "reason" => fault.reason.clone(),
+            "reason" => fault.reason.to_string(),
         }
     };
     faults.iter().map(as_json).collect::<Vec<_>>().into()
--- a/crates/server/src/net/server/parser.rs
+++ b/crates/server/src/net/server/parser.rs
@@ -5,7 +5,7 @@
 
 use super::message::{Request, RequestLimits};
 use httparse::{Header, Status};
-use stileroute_http1::{self as http1, framing, has_token, header, Chunks, Framing};
+use stileroute_http1::{self as http1, body_framing, has_token, header_value, ChunkedDecoder, Framing};
 
 /// Most headers of a request.
 const MAX_HEADERS: usize = 64;
@@ -70,13 +70,13 @@
         return Ok(Parsed::Incomplete { expects_continue: false });
     };
     // `httparse` accepts lines that end with a bare LF; RFC 9112, 2.2 leaves that to the reader, so that readers differ.
-    let has_ambiguous_lines = !http1::lines_are_whole(&bytes[..head_length]);
-    let has_repeated_header = SINGLE_HEADERS.iter().any(|name| http1::repeated(head.headers, name));
+    let has_ambiguous_lines = !http1::has_crlf_line_endings(&bytes[..head_length]);
+    let has_repeated_header = SINGLE_HEADERS.iter().any(|name| http1::is_repeated(head.headers, name));
     if has_ambiguous_lines || has_repeated_header {
         return Err(RequestError::Malformed);
     }
     // RFC 9112, 6: by `Transfer-Encoding` or `Content-Length`, and rejected with both or with an unclear one.
-    let body_framing = framing(head.headers, head.version).ok_or(RequestError::Malformed)?;
+    let body_framing = body_framing(head.headers, head.version).map_err(|_| RequestError::Malformed)?;
     let Some(body) = parse_body(&bytes[head_length..], body_framing, limits)? else {
         let expects_continue = has_token(head.headers, "Expect", "100-continue");
         return Ok(Parsed::Incomplete { expects_continue });
@@ -125,25 +125,26 @@
         }
         Some(Framing::Chunked) => parse_chunked_body(bytes, limits),
         // Only a response may end with the connection (RFC 9112, 6.3).
-        Some(Framing::ToEnd) => Err(RequestError::Malformed),
+        Some(Framing::UntilClose) => Err(RequestError::Malformed),
     }
 }
 
 /// Takes a body in chunks (RFC 9112, 7.1). It is too large as soon as its content is, complete or not.
 fn parse_chunked_body(bytes: &[u8], limits: &RequestLimits) -> Result<Option<Body>, RequestError> {
-    let mut chunks = Chunks::default();
+    let mut chunks = ChunkedDecoder::default();
     let mut content = Vec::new();
-    let length =
-        chunks.feed(bytes, |chunk| content.extend_from_slice(chunk)).map_err(|_| RequestError::Malformed)?;
+    let length = chunks
+        .decode(bytes, |chunk| content.extend_from_slice(chunk))
+        .map_err(|_| RequestError::Malformed)?;
     if content.len() > limits.max_body_bytes {
         return Err(RequestError::BodyTooLarge);
     }
-    Ok(chunks.done().then_some(Body { content, length }))
+    Ok(chunks.is_done().then_some(Body { content, length }))
 }
 
 fn request_of(head: &httparse::Request, body: Vec<u8>) -> Result<Request, RequestError> {
     let headers: &[Header] = head.headers;
-    let text = |name| header(headers, name).map(str::to_string);
+    let text = |name| header_value(headers, name).map(str::to_string);
     Ok(Request {
         method: head.method.unwrap_or_default().to_string(),
         target: head.path.unwrap_or_default().to_string(),
@@ -160,9 +161,9 @@
 
 /// A header that holds a number of milliseconds.
 fn milliseconds(headers: &[Header], name: &str) -> Result<Option<u64>, RequestError> {
-    match header(headers, name) {
+    match header_value(headers, name) {
         None => Ok(None),
-        Some(text) if http1::is_number(text) => text.parse().map(Some).map_err(|_| RequestError::Malformed),
+        Some(text) if http1::is_decimal(text) => text.parse().map(Some).map_err(|_| RequestError::Malformed),
         Some(_) => Err(RequestError::Malformed),
     }
 }
--- a/crates/server/src/shutdown.rs
+++ b/crates/server/src/shutdown.rs
@@ -8,7 +8,7 @@
     /// Whether the process has to end now, with whatever is still in flight. `reserve_ms` is what ending itself takes of the
     /// grace period that the settings give.
     pub fn is_grace_period_over(&self, reserve_ms: Millis) -> bool {
-        let grace_ms = self.boot.bounds.grace_ms.saturating_sub(reserve_ms);
+        let grace_ms = self.boot.bounds.shutdown_grace_ms.saturating_sub(reserve_ms);
         self.draining_since.is_some_and(|since| self.net.now() > since + grace_ms)
     }
 
