--- a/crates/queue/src/queue/delivery.rs
+++ b/crates/queue/src/queue/delivery.rs
@@ -7,7 +7,7 @@
 use crate::entry::{ExecutorRef, ServiceQueueSlot, Stage};
 use crate::message::{End, Key, Millis};
 use crate::peer_message::{GroupPosition, PeerMessage};
-use crate::planted::PlantedFault;
+use crate::planted_fault::PlantedFault;
 use crate::service_queue::{QueuePosition, Retry, Selection, SettledAttempt};
 use std::ops::ControlFlow;
 use stileroute_dispatch::types::{Outcome as DispatchOutcome, Time};
@@ -59,7 +59,7 @@
             return self.withdraw(key);
         }
         if self.is_draining {
-            return self.hand_over(key);
+            return self.offer(key);
         }
         let start_at = entry.due_at.max(entry.not_before);
         if start_at > now {
@@ -91,7 +91,7 @@
         };
         let service = &config.services[route.service].name;
         let Some(index) = self.service_queue_index.get(service).copied() else { return };
-        let is_late = now > entry.due_at + route.run_target_ms;
+        let is_late = now > entry.due_at + route.completion_target_ms;
         let position = QueuePosition { is_late, priority: route.priority, due_at: entry.due_at, key };
         entry.queue_slot = Some(ServiceQueueSlot { service_queue: index, position });
         self.service_queues[index].enter(position, entry.has_run);
@@ -195,7 +195,7 @@
         };
         let route = &config.routes[route];
         // Too late for its latency target: messages that can still meet theirs go first.
-        if !position.is_late && now > position.due_at + route.run_target_ms {
+        if !position.is_late && now > position.due_at + route.completion_target_ms {
             let late = QueuePosition { is_late: true, ..position };
             entry.queue_slot = Some(ServiceQueueSlot { service_queue: index, position: late });
             service_queue.replace(&position, late, entry.has_run);
@@ -231,7 +231,7 @@
     }
 
     fn select_executor(&mut self, now: Millis, dispatch_time: Time, index: usize, key: Key) -> Selection {
-        let stores = 1 + self.peers.values().filter(|peer| peer.listed || peer.connected).count();
+        let stores = 1 + self.peers.values().filter(|peer| peer.is_member || peer.is_connected).count();
         let Some(entry) = self.entries.get(&key) else { return Selection::WaitUntil(now) };
         let service_queue = &mut self.service_queues[index];
         service_queue.connection_share = (service_queue.max_connections / stores).max(MIN_CONNECTION_SHARE);
@@ -315,7 +315,7 @@
         let Some(entry) = self.entries.get_mut(&key) else { return };
         let max_attempts = self.config.as_ref().and_then(|config| {
             let route = config.route(&entry.message.host, &entry.message.target)?;
-            Some(config.routes[route].max_tries)
+            Some(config.routes[route].max_attempts)
         });
         if max_attempts.is_some_and(|max_attempts| entry.failed_attempts >= max_attempts) {
             return self.finish(now, key, End::Failed);
--- a/crates/queue/src/queue/intake.rs
+++ b/crates/queue/src/queue/intake.rs
@@ -6,7 +6,7 @@
 use crate::message::{Key, Message, Millis, Node, PutError, ReplicatedMessage};
 use crate::peer_message::AcceptedHandover;
 use crate::pending_writes::PendingWrite;
-use crate::planted::PlantedFault;
+use crate::planted_fault::PlantedFault;
 use crate::record::Record;
 
 /// Most messages that the table holds, ended ones among them.
@@ -15,7 +15,7 @@
 impl Queue {
     /// A message has come from an edge. The answer is an [`Effect::PutResult`] with the same `ticket`.
     pub fn put(&mut self, now: Millis, ticket: u64, message: Message) {
-        let replicas = self.choose(now, &[], &[], self.settings.replica_count);
+        let replicas = self.choose_replica_stores(now, &[], &[], self.settings.replica_count);
         if self.must_reject(now, replicas.len()) {
             self.metrics.rejected += 1;
             self.emit(Effect::PutResult { ticket, result: Err(PutError::Rejected) });
@@ -38,14 +38,14 @@
         entry.stage = Stage::Persisting;
         entry.ticket = Some(ticket);
         entry.unconfirmed = unconfirmed;
-        let check_at = now + crate::copies::COPY_WAIT;
+        let check_at = now + crate::peer::REPLICA_CONFIRM_LIMIT;
         entry.persist_check_at = Some(check_at);
         self.entries.insert(key, entry);
         self.persisting.insert((check_at, key));
         self.reindex(key);
         self.update_expiry(key);
-        if self.put_in_row(now, key) {
-            self.embark(key, now);
+        if self.place_in_group(now, key) {
+            self.persist_new_message(now, key);
         }
     }
 
@@ -75,9 +75,9 @@
     fn write_succeeded(&mut self, now: Millis, wait: PendingWrite) {
         match wait {
             PendingWrite::Ownership(key) => self.confirm_persisted(now, key, self.settings.node),
-            PendingWrite::ReplicaFor(owner, key) => self.to(owner).copied.push(key),
+            PendingWrite::ReplicaFor(owner, key) => self.outbox(owner).replicated.push(key),
             PendingWrite::TakenOverFrom(former_owner, key) => self.confirm_handover(former_owner, key),
-            PendingWrite::EndFrom(sender, key) => self.to(sender).ends_kept.push(key),
+            PendingWrite::EndFrom(sender, key) => self.outbox(sender).ends_stored.push(key),
             PendingWrite::Retirement => self.retirement = RetirementOrder::Durable,
         }
     }
@@ -108,7 +108,7 @@
     fn confirm_handover(&mut self, former_owner: Node, key: Key) {
         let entry = self.entries.get(&key).filter(|entry| entry.owner == self.settings.node);
         if let Some(term) = entry.map(|entry| entry.term) {
-            self.to(former_owner).handed.push(AcceptedHandover { key, term });
+            self.outbox(former_owner).handover_accepted.push(AcceptedHandover { key, term });
         }
     }
 
@@ -118,7 +118,7 @@
         if self.entries.get(&key).is_some_and(is_replica) {
             self.record(&Record::Dropped { key }, false);
             self.remove(key);
-            self.to(owner).not_copied.push(key);
+            self.outbox(owner).replication_rejected.push(key);
         }
     }
 
@@ -130,7 +130,7 @@
         let (ticket, replicas) = (entry.ticket, entry.replicas.clone());
         self.record(&Record::Dropped { key }, false);
         for replica in replicas {
-            self.to(replica).drop.push(key);
+            self.outbox(replica).drops.push(key);
         }
         self.remove(key);
         self.report_unknown_outcome(ticket);
@@ -149,7 +149,7 @@
             self.accept(now, key);
         } else if unconfirmed_before > 0 {
             self.metrics.repaired += 1;
-            self.look_at_copies(now, key);
+            self.check_replication(now, key);
         }
     }
 
--- a/crates/queue/src/queue/report.rs
+++ b/crates/queue/src/queue/report.rs
@@ -124,7 +124,7 @@
 
     fn rate_limit_view(&self, service_queue: &ServiceQueue) -> Option<RateLimitView> {
         let config = self.config.as_ref()?;
-        let rate_per_s = config.services[config.service(&service_queue.name)?].rate_per_s;
+        let rate_per_s = config.services[config.service(&service_queue.name)?].rate_limit_per_s;
         (rate_per_s > 0.0).then(|| RateLimitView {
             rate_per_s,
             token_holder: token_holder(&service_queue.name, self.settings.node, &self.peers),
@@ -186,9 +186,9 @@
     pub fn peer_views(&self) -> impl Iterator<Item = PeerView> + '_ {
         self.peers.iter().map(|(node, peer)| PeerView {
             node: *node,
-            is_connected: peer.connected,
-            is_member: peer.listed,
-            is_draining: peer.leaving,
+            is_connected: peer.is_connected,
+            is_member: peer.is_member,
+            is_draining: peer.is_draining(),
         })
     }
 }
--- /dev/null
+++ b/crates/queue/src/retirement.rs
@@ -0,0 +1,141 @@
+//! Retirement of a store: it accepts nothing more and hands over what it owns to stores that hold replicas, and the others
+//! make the replicas that lie here anew elsewhere. It is empty when all of them have said that they need no replica here.
+
+use crate::effect::Effect;
+use crate::message::{Key, Millis, Node};
+use crate::peer::Peer;
+use crate::peer_message::PeerMessage;
+use crate::pending_writes::PendingWrite;
+use crate::planted_fault::PlantedFault;
+use crate::queue::{Queue, RetirementOrder};
+use crate::record::Record;
+
+/// How often a retiring store is told that none of its replicas is needed: a message lost with a connection comes again.
+const RELEASE_INTERVAL: Millis = 500;
+
+/// How far the retirement of a store has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RetirementState {
+    /// The store is in service, or the order is not on disk yet.
+    NotOrdered,
+    /// The order is on disk; messages or ends that lie here do not all lie elsewhere yet.
+    InProgress,
+    /// No other store relies on anything here: the store may be removed with its disk.
+    Empty,
+}
+
+impl RetirementState {
+    fn ordered(is_empty: bool) -> RetirementState {
+        if is_empty {
+            RetirementState::Empty
+        } else {
+            RetirementState::InProgress
+        }
+    }
+}
+
+impl Queue {
+    /// Retires the store, as an operator has ordered. It holds over restarts: the order is on disk before it is confirmed.
+    pub fn retire(&mut self, now: Millis) {
+        if self.is_retiring() {
+            return;
+        }
+        self.retirement = RetirementOrder::Pending;
+        self.record(&Record::RetirementOrdered, true);
+        self.after_write(PendingWrite::Retirement);
+        self.begin_retiring(now);
+    }
+
+    pub(crate) fn begin_retiring(&mut self, now: Millis) {
+        self.send_to_connected(&PeerMessage::Retiring);
+        self.begin_draining(now);
+    }
+
+    /// How far the retirement has come.
+    pub fn retirement_state(&self) -> RetirementState {
+        if self.retirement != RetirementOrder::Durable {
+            return RetirementState::NotOrdered;
+        }
+        let owns_nothing = self.owned_here().next().is_none()
+            && self.unfinished_count() == 0
+            && self.flush_ends_at.is_none();
+        if self.planted(PlantedFault::RetiredEarly) {
+            return RetirementState::ordered(owns_nothing);
+        }
+        let is_empty = owns_nothing
+            && self.is_released_by_owners()
+            && self.are_ends_transferred()
+            && self.is_released_by_members();
+        RetirementState::ordered(is_empty)
+    }
+
+    fn are_ends_transferred(&self) -> bool {
+        self.end_replication.is_complete() || self.planted(PlantedFault::EndsGoAlong)
+    }
+
+    /// Each member has said that it needs no replica here. Cut off, or before it knows them, this store can't tell.
+    fn is_released_by_members(&self) -> bool {
+        let mut members = self.peers.iter().filter(|(_, peer)| peer.is_member).peekable();
+        let are_members_known =
+            members.peek().is_some() && self.control_contact.is_heard && self.knows_members;
+        are_members_known && members.all(|(node, peer)| peer.is_connected && self.released_by.contains(node))
+    }
+
+    /// Of each replica that lies here the owner has said that it needs none. One whose owner is gone may be the only one
+    /// that is left: it is taken over, and handed over, first.
+    fn is_released_by_owners(&self) -> bool {
+        let has_released = |node: Node| {
+            let is_connected = self.peers.get(&node).is_some_and(|peer| peer.is_connected);
+            is_connected && self.released_by.contains(&node)
+        };
+        self.owners().all(has_released) || self.planted(PlantedFault::OrphansUnheeded)
+    }
+
+    /// A store relies on a replica here: what it said before, that it needs none, holds no longer.
+    pub(crate) fn needs_replicas_again(&mut self, node: Node) {
+        if !self.planted(PlantedFault::RelievedForever) {
+            self.released_by.remove(&node);
+        }
+    }
+
+    /// The other store is being retired: no replica that lies there is relied on.
+    pub(crate) fn is_peer_retiring(&self, node: Node) -> bool {
+        self.peers.get(&node).is_some_and(Peer::is_retiring)
+    }
+
+    /// Goes on with this store's retirement, and with that of others: their replicas are made elsewhere, at the rate of
+    /// repair, and they are told once none is needed.
+    pub(crate) fn check_retirements(&mut self, now: Millis) {
+        if self.is_retiring() {
+            self.offer_all();
+        }
+        if self.fenced_since.is_some() {
+            // The stores with replicas may have taken over, and are heard first.
+            return;
+        }
+        let is_due = |peer: &Peer| {
+            peer.is_retiring() && peer.is_reconciled && now >= peer.told_unneeded_at + RELEASE_INTERVAL
+        };
+        let due = self.peers.iter().filter(|(_, peer)| is_due(peer));
+        let due: Vec<Node> = due.map(|(node, _)| *node).collect();
+        for node in due {
+            self.release_peer(now, node);
+        }
+    }
+
+    /// Makes elsewhere what a retiring store holds, or tells it that it holds nothing that is needed.
+    fn release_peer(&mut self, now: Millis, node: Node) {
+        let held = self.owned_here().filter(|(_, entry)| entry.replicas.contains(&node));
+        let held: Vec<Key> = held.map(|(key, _)| key).collect();
+        let is_unneeded = held.is_empty()
+            && self.under_replicated.is_empty()
+            && self.owned_here().all(|(_, entry)| self.are_replicas_confirmed(entry));
+        for key in held {
+            self.replica_lost(now, key, node);
+        }
+        if is_unneeded {
+            self.peers.entry(node).or_default().told_unneeded_at = now;
+            self.emit(Effect::Send { to: node, message: PeerMessage::NoReplicasNeeded });
+        }
+    }
+}
--- a/crates/server/src/edge.rs
+++ b/crates/server/src/edge.rs
@@ -8,7 +8,7 @@
 use crate::inspection::Inspect;
 use crate::links::LinkEvent;
 use crate::net::{ConnectionId, Event, Millis, Net, Request, RequestLimits, Response};
-use crate::node::NodeRuntime;
+use crate::node::{NodeRuntime, Polled};
 use crate::protocol::{Frame, NodeRole};
 use crate::start_error::StartError;
 use pending::{PendingLookup, PendingSubmission};
@@ -79,8 +79,8 @@
     /// Where a setting is missing or an address is taken.
     pub fn new(mut runtime: NodeRuntime) -> Result<Edge, StartError> {
         let missing = |key| StartError::MissingSetting { key, role: "this role" };
-        let front = runtime.boot.front.ok_or(missing("bind_addresses.front"))?;
-        let readiness = runtime.boot.readiness.ok_or(missing("bind_addresses.readiness"))?;
+        let front = runtime.boot.front_address.ok_or(missing("bind_addresses.front"))?;
+        let readiness = runtime.boot.readiness_address.ok_or(missing("bind_addresses.readiness"))?;
         let front_listener = listen(&mut runtime.net, front, "front")?;
         let readiness_listener = listen(&mut runtime.net, readiness, "readiness")?;
         Ok(Edge {
@@ -103,13 +103,13 @@
     pub fn run(mut self) {
         loop {
             let until = self.timeouts.first().map_or(Millis::MAX, |(at, _)| *at);
-            let (link_events, events) = self.runtime.poll(until);
+            let Polled { link_events, events } = self.runtime.poll(until);
             link_events.into_iter().for_each(|link_event| self.link_event(link_event));
             events.into_iter().for_each(|event| self.event(event));
             self.answer_inquiries();
             self.handle_timeouts();
             self.runtime.maintain_session();
-            self.set_dial_targets();
+            self.runtime.update_dial_targets(|_| true);
             self.runtime.take_shutdown_request();
             if self.is_shutdown_complete() {
                 return self.runtime.net.flush();
@@ -117,19 +117,6 @@
         }
     }
 
-    /// Says with whom connections are to be opened from here: control nodes, and all stores.
-    fn set_dial_targets(&mut self) {
-        if !self.runtime.take_topology_change() {
-            return;
-        }
-        let mut targets = self.runtime.control_dial_targets();
-        let members = self.runtime.session.members.iter();
-        let stores = members.filter(|member| member.role == NodeRole::Store);
-        targets.extend(stores.map(|member| self.runtime.links.listen_address(member.ip, NodeRole::Store)));
-        let now = self.runtime.net.now();
-        self.runtime.links.set_dial_targets(now, targets);
-    }
-
     /// After a while no connections are accepted any more, and every answer closes its own; the process ends when all requests
     /// have been answered, or there is no more time.
     fn is_shutdown_complete(&mut self) -> bool {
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,16 +1,15 @@
 //! `stilerouted`: the whole ingest and dispatch service in one program; the first word is the role. See docs/system.md for
 //! its design and docs/server.md for running it.
 
-// Left: the flags of a connection in `net` (`Conn`, and `Dialogue` of the server).
-#![allow(clippy::struct_excessive_bools)]
-
 mod callback_url;
 mod calls;
 mod cli;
 mod control_node;
 mod control_plane;
+mod dial_targets;
 mod disk;
 mod edge;
+mod inquiry;
 mod inspection;
 mod keepalive;
 mod links;
@@ -32,7 +31,7 @@
 use protocol::NodeRole;
 use std::path::Path;
 use std::process::ExitCode;
-use stileroute_config::Boot;
+use stileroute_config::NodeSettings;
 
 fn main() -> ExitCode {
     let args = Args::parse_args_default_or_exit();
@@ -55,7 +54,7 @@
         return Err(CommandError::FiguresNotLoopback);
     }
     let boot = settings::read(&path, class).map_err(CommandError::Settings)?;
-    let boot = Boot { figures: args.figures.or(boot.figures), ..boot };
+    let boot = NodeSettings { metrics_address: args.figures.or(boot.metrics_address), ..boot };
     match run(boot, &path, class) {
         Ok(()) => Ok(ExitStatus::Success),
         Err(report) => Err(CommandError::Role { settings: path, report }),
@@ -68,8 +67,8 @@
     log.with_writer(std::io::stderr).init();
 }
 
-fn run(boot: Boot, path: &Path, class: NodeRole) -> miette::Result<()> {
-    tracing::info!(node = boot.node_name, role = %class, first = boot.first_start, "starts");
+fn run(boot: NodeSettings, path: &Path, class: NodeRole) -> miette::Result<()> {
+    tracing::info!(node = boot.node_name, role = %class, first = boot.is_first_start, "starts");
     let runtime = NodeRuntime::start(boot, path, class)?;
     match class {
         NodeRole::Edge => edge::Edge::new(runtime)?.run(),
--- a/crates/server/src/net/client/reply.rs
+++ b/crates/server/src/net/client/reply.rs
@@ -2,7 +2,7 @@
 
 use crate::net::Millis;
 use httparse::{Header, Status};
-use stileroute_http1::{framing, has_token, header, repeated, Chunks, Framing};
+use stileroute_http1::{body_framing, has_token, header_value, is_repeated, ChunkedDecoder, Framing};
 
 /// Most bytes of one reply with its head and framing.
 pub(in crate::net) const MAX_REPLY_BYTES: usize = 1 << 20;
@@ -93,23 +93,23 @@
     is_bodiless: bool,
 ) -> ParsedReply {
     let headers: &[Header] = head.headers;
-    if SINGLE_HEADERS.iter().any(|name| repeated(headers, name)) {
+    if SINGLE_HEADERS.iter().any(|name| is_repeated(headers, name)) {
         return ParsedReply::Malformed;
     }
     let status = head.code.unwrap_or(0);
     let reply = reply_of(status, headers);
-    let Some(body_framing) = framing(headers, head.version) else { return ParsedReply::Malformed };
+    let Ok(body_framing) = body_framing(headers, head.version) else { return ParsedReply::Malformed };
     let body_length = match body_framing {
         // These end with their head, whatever that says of a body (RFC 9112, 6.3).
         _ if is_bodiless || status == 204 || status == 304 => 0,
-        None | Some(Framing::ToEnd) => return ParsedReply::CompleteAtEnd { reply },
+        None | Some(Framing::UntilClose) => return ParsedReply::CompleteAtEnd { reply },
         Some(Framing::Length(length)) if length > MAX_REPLY_BYTES => return ParsedReply::Malformed,
         Some(Framing::Length(length)) if bytes.len() - head_end < length => return ParsedReply::Incomplete,
         Some(Framing::Length(length)) => length,
         Some(Framing::Chunked) => {
-            let mut chunks = Chunks::default();
-            let Ok(length) = chunks.feed(&bytes[head_end..], |_| {}) else { return ParsedReply::Malformed };
-            if !chunks.done() {
+            let mut chunks = ChunkedDecoder::default();
+            let Ok(length) = chunks.decode(&bytes[head_end..], |_| {}) else { return ParsedReply::Malformed };
+            if !chunks.is_done() {
                 return incomplete(bytes);
             }
             length
@@ -117,7 +117,7 @@
     };
     // RFC 9112, 9.3: HTTP/1.0 keeps no connection open unless it is asked to.
     let is_last = has_token(headers, "Connection", "close") || head.version == Some(0);
-    let keep_alive_ms = keep_alive_ms(header(headers, "Keep-Alive"));
+    let keep_alive_ms = keep_alive_ms(header_value(headers, "Keep-Alive"));
     ParsedReply::Complete {
         reply,
         length: head_end + body_length,
@@ -126,11 +126,11 @@
 }
 
 fn reply_of(status: u16, headers: &[Header]) -> CallReply {
-    let text = |name| header(headers, name).map(str::to_string);
+    let text = |name| header_value(headers, name).map(str::to_string);
     CallReply {
         status,
         seal: text("X-Server-Seal"),
-        was_not_run: header(headers, "X-Not-Run").is_some(),
+        was_not_run: header_value(headers, "X-Not-Run").is_some(),
         server_load: text("X-Server-Load"),
         request_id: text("X-Request-Id"),
     }
--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -6,7 +6,7 @@
 use crate::protocol::NodeRole;
 use std::net::SocketAddrV4;
 use std::path::Path;
-use stileroute_config::{Boot, Fault, Faults};
+use stileroute_config::{ConfigError, FaultReason, NodeSettings, PortRange, SettingsFault};
 
 /// Machines that may be lost at once, at most: for more, each message would go to more stores than any deployment has.
 const MAX_MACHINE_LOSSES: usize = 8;
@@ -21,28 +21,32 @@
 const MIN_USUAL_GRACE_MS: u64 = 3500;
 /// Milliseconds between heartbeats that can be set.
 const HEARTBEAT_INTERVALS_MS: std::ops::RangeInclusive<u64> = 10..=600_000;
-/// The largest factor that `bounds.origin_overrun` can set.
+/// The largest factor that `bounds.rate_limit_overrun` can set.
 const MAX_ORIGIN_OVERRUN: f64 = 100.0;
 
 /// What a check found.
 #[derive(Debug, Default)]
 pub struct Findings {
     /// What the program cannot work with.
-    pub faults: Vec<Fault>,
+    pub faults: Vec<SettingsFault>,
     /// What may surprise.
-    pub warnings: Vec<Fault>,
+    pub warnings: Vec<SettingsFault>,
 }
 
 /// Collects what is found in one file.
 struct Check<'a> {
     file: &'a str,
-    boot: &'a Boot,
+    boot: &'a NodeSettings,
     findings: Findings,
 }
 
 impl Check<'_> {
-    fn fault(&self, key: &str, reason: impl Into<String>) -> Fault {
-        Fault { file: self.file.to_string(), key: key.to_string(), reason: reason.into() }
+    fn fault(&self, key: &str, reason: impl Into<String>) -> SettingsFault {
+        SettingsFault {
+            file: self.file.to_string(),
+            key: key.to_string(),
+            reason: FaultReason::FailedCheck(reason.into()),
+        }
     }
 
     /// A fault, unless the condition holds.
@@ -61,25 +65,25 @@
 
     fn check_all_roles(&mut self) {
         let boot = self.boot;
-        let (first, last) = boot.internal_ports;
+        let PortRange { first, last } = boot.internal_ports;
         let reason = "must span three ports at least, one for each role";
         self.require(last >= first.saturating_add(2), "internal_ports", reason);
         self.require(!boot.seeds.is_empty(), "seed_nodes", "must name one control node at least");
         self.require(!boot.ip.is_unspecified(), "ip", "must be the machine's own address");
         self.check_bind_addresses();
-        let is_usual = HEARTBEAT_INTERVALS_MS.contains(&boot.beat_interval_ms);
+        let is_usual = HEARTBEAT_INTERVALS_MS.contains(&boot.heartbeat_interval_ms);
         self.require(is_usual, "beat_interval_ms", "must be from 10 to 600000");
         self.check_limits();
     }
 
     fn check_bind_addresses(&mut self) {
         let boot = self.boot;
-        let (first, last) = boot.internal_ports;
+        let PortRange { first, last } = boot.internal_ports;
         let addresses: [(&str, Option<SocketAddrV4>); 4] = [
-            ("bind_addresses.front", boot.front),
-            ("bind_addresses.readiness", boot.readiness),
-            ("bind_addresses.control", boot.control),
-            ("bind_addresses.figures", boot.figures),
+            ("bind_addresses.front", boot.front_address),
+            ("bind_addresses.readiness", boot.readiness_address),
+            ("bind_addresses.control", boot.control_address),
+            ("bind_addresses.figures", boot.metrics_address),
         ];
         for (index, (key, address)) in addresses.iter().enumerate() {
             let Some(address) = address else { continue };
@@ -88,7 +92,7 @@
             let same = addresses[..index].iter().find(|(_, other)| *other == Some(*address));
             self.require(same.is_none(), key, format!("is {} too", same.map_or("", |(key, _)| key)));
         }
-        let is_loopback = boot.figures.is_none_or(|address| address.ip().is_loopback());
+        let is_loopback = boot.metrics_address.is_none_or(|address| address.ip().is_loopback());
         let reason = "must be a loopback address: anyone who reaches it may read it";
         self.require(is_loopback, "bind_addresses.figures", reason);
     }
@@ -96,29 +100,33 @@
     fn check_limits(&mut self) {
         let boot = self.boot;
         let reason = format!("must be {MIN_OPEN_FILES} or more");
-        self.require(boot.means.max_open_files >= MIN_OPEN_FILES, "limits.max_open_files", reason);
+        self.require(boot.resources.max_open_files >= MIN_OPEN_FILES, "limits.max_open_files", reason);
         let reason = format!("must be {MAX_MACHINE_LOSSES} or less");
-        self.require(boot.losses.machines <= MAX_MACHINE_LOSSES, "tolerate.machine_losses", reason);
-        let zones = boot.zones.len();
+        self.require(boot.fault_tolerance.machines <= MAX_MACHINE_LOSSES, "tolerate.machine_losses", reason);
+        let zones = boot.zone_regions.len();
         let reason = format!("must be less than the {zones} there are");
-        self.require(boot.losses.zones < zones, "tolerate.zones", reason);
-        self.require(boot.bounds.grace_ms <= DAY_MS, "bounds.grace_s", "must be a day or less");
-        let is_usual = boot.bounds.grace_ms >= MIN_USUAL_GRACE_MS;
+        self.require(boot.fault_tolerance.zones < zones, "tolerate.zones", reason);
+        self.require(boot.bounds.shutdown_grace_ms <= DAY_MS, "bounds.grace_s", "must be a day or less");
+        let is_usual = boot.bounds.shutdown_grace_ms >= MIN_USUAL_GRACE_MS;
         self.expect(is_usual, "bounds.grace_s", "an edge needs 3.5 s to end in order");
     }
 
     fn check_edge(&mut self) {
         let boot = self.boot;
-        self.require(boot.front.is_some(), "bind_addresses.front", "missing, and an edge needs it");
-        self.require(boot.readiness.is_some(), "bind_addresses.readiness", "missing, and an edge needs it");
+        self.require(boot.front_address.is_some(), "bind_addresses.front", "missing, and an edge needs it");
+        self.require(
+            boot.readiness_address.is_some(),
+            "bind_addresses.readiness",
+            "missing, and an edge needs it",
+        );
     }
 
     fn check_store(&mut self) {
         let bounds = &self.boot.bounds;
-        self.require(bounds.status_ms <= DAY_MS, "bounds.status_s", "must be a day or less");
+        self.require(bounds.status_retention_ms <= DAY_MS, "bounds.status_s", "must be a day or less");
         let reason = "must be above 0 and a day or less";
-        self.require((1..=DAY_MS).contains(&bounds.ceiling_window_ms), "bounds.ceiling_window_s", reason);
-        let overrun = bounds.origin_overrun;
+        self.require((1..=DAY_MS).contains(&bounds.rate_limit_window_ms), "bounds.ceiling_window_s", reason);
+        let overrun = bounds.rate_limit_overrun;
         self.require(overrun <= MAX_ORIGIN_OVERRUN, "bounds.origin_overrun", "must be 100 or less");
         self.expect(overrun >= 1.0, "bounds.origin_overrun", "below 1 counts as 1");
         self.check_disk(NodeRole::Store);
@@ -127,8 +135,8 @@
     fn check_control_node(&mut self) {
         let boot = self.boot;
         let reason = "missing, and a control node needs it";
-        self.require(boot.control.is_some(), "bind_addresses.control", reason);
-        let has_majority = boot.seeds.len() > 2 * boot.losses.machines;
+        self.require(boot.control_address.is_some(), "bind_addresses.control", reason);
+        let has_majority = boot.seeds.len() > 2 * boot.fault_tolerance.machines;
         let reason = "the seeds are too few to have a majority after so many losses";
         self.expect(has_majority, "tolerate.machine_losses", reason);
         self.check_disk(NodeRole::Control);
@@ -137,7 +145,7 @@
     fn check_disk(&mut self, class: NodeRole) {
         let has_folder = self.boot.data_dir.is_some();
         self.require(has_folder, "data_dir", format!("missing, and a {class} needs it"));
-        let disk_mb = self.boot.means.disk_mb;
+        let disk_mb = self.boot.resources.disk_mb;
         let is_usable = disk_mb == 0 || (MIN_DISK_MB..=MAX_DISK_MB).contains(&disk_mb);
         let reason = format!("must be 0 (unknown) or from {MIN_DISK_MB} to {MAX_DISK_MB}");
         self.require(is_usable, "limits.disk_mb", reason);
@@ -145,7 +153,7 @@
 }
 
 /// Checks settings for the given roles. `file` is the name that faults and warnings give.
-pub fn check(file: &str, boot: &Boot, classes: &[NodeRole]) -> Findings {
+pub fn check(file: &str, boot: &NodeSettings, classes: &[NodeRole]) -> Findings {
     let mut check = Check { file, boot, findings: Findings::default() };
     check.check_all_roles();
     for class in classes {
@@ -164,8 +172,8 @@
 /// # Errors
 ///
 /// All that is wrong with them.
-pub fn read(path: &Path, class: NodeRole) -> Result<Boot, Faults> {
-    let boot = Boot::read(path)?;
+pub fn read(path: &Path, class: NodeRole) -> Result<NodeSettings, ConfigError> {
+    let boot = NodeSettings::read(path)?;
     let findings = check(&path.display().to_string(), &boot, &[class]);
     for warning in findings.warnings {
         tracing::warn!("{warning}");
@@ -173,6 +181,6 @@
     if findings.faults.is_empty() {
         Ok(boot)
     } else {
-        Err(Faults(findings.faults))
+        Err(ConfigError { faults: findings.faults })
     }
 }
--- a/crates/server/src/store/link_events.rs
+++ b/crates/server/src/store/link_events.rs
@@ -12,6 +12,7 @@
 const UNKNOWN_ZONE: usize = usize::MAX >> 1;
 
 impl Store {
+    /// Takes in what happened on a link.
     pub(super) fn link_event(&mut self, link_event: LinkEvent) {
         let now = self.runtime.net.now();
         match link_event {
@@ -128,7 +129,7 @@
 
     /// A zone's place among those that the settings name.
     fn zone_number(&self, zone: &str) -> Option<usize> {
-        self.runtime.boot.zones.keys().position(|name| name == zone)
+        self.runtime.boot.zone_regions.keys().position(|name| name == zone)
     }
 
     /// The executors as the queue takes them, by service, in the order of their ids.
@@ -140,7 +141,7 @@
             let executor = Executor {
                 id: heartbeat.id.clone(),
                 address: heartbeat.address,
-                zone: self.zone_number(&heartbeat.zone).unwrap_or(self.runtime.boot.zones.len()),
+                zone: self.zone_number(&heartbeat.zone).unwrap_or(self.runtime.boot.zone_regions.len()),
                 capacity: f64::from(heartbeat.capacity),
                 is_serving: heartbeat.state == ExecutorState::Serving,
                 warm_up_left_ms: heartbeat.warmup_left_ms,
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -109,7 +109,7 @@
     // Where the machine stalls, links break and are logged; thirty messages would be many more lines.
     let more = lines().into_iter().zip(before).map(|(after, before)| after - before).max();
     assert!(more < Some(25), "{}", fleet.log("store-1"));
-    assert!(fleet.log("edge-1").contains("hears the control nodes"), "{}", fleet.log("edge-1"));
+    assert!(fleet.log("edge-1").contains("control nodes are reachable"), "{}", fleet.log("edge-1"));
 }
 
 fn check_status_text(fleet: &Fleet) {
