--- a/crates/server/src/control_node.rs
+++ b/crates/server/src/control_node.rs
@@ -58,17 +58,17 @@
     /// Where a setting is missing, the log can't be opened, or the address is taken.
     pub fn new(mut runtime: NodeRuntime) -> Result<ControlNode, StartError> {
         let missing = StartError::MissingSetting { key: "bind_addresses.control", role: "this role" };
-        let address = runtime.boot.control.ok_or(missing)?;
+        let address = runtime.boot.control_address.ok_or(missing)?;
         let options = Options { checkpoint_after_bytes: CHECKPOINT_AFTER_BYTES, ..Options::new(LOG_SCHEMA) };
         let (disk, records) = Disk::open::<DiskRecords>(&runtime, "a control node", options)?;
         let boot = &runtime.boot;
         let settings = GroupSettings {
-            survives_domain_loss: boot.losses.places(),
+            survives_domain_loss: boot.fault_tolerance.covers_failure_domains(),
             ..GroupSettings::new(
                 address,
                 boot.seeds.clone(),
-                boot.first_start,
-                boot.losses.machines,
+                boot.is_first_start,
+                boot.fault_tolerance.machines,
                 random_seed(),
             )
         };
@@ -79,7 +79,7 @@
             .map_err(|source| StartError::Listen { purpose: "control", source })?;
         let now = runtime.net.now();
         let own_member = member_of(runtime.links.local(), 0);
-        let registry = Registry::new(own_member, random_seed(), runtime.boot.beat_interval_ms, now);
+        let registry = Registry::new(own_member, random_seed(), runtime.boot.heartbeat_interval_ms, now);
         let group = ControlGroup::new(settings, records.0, now);
         let epoch = group.view().map_or(0, |view| view.epoch);
         tracing::info!(blank = group.is_awaiting_view(), epoch, "disk read");
@@ -212,7 +212,7 @@
         let known = self.runtime.config.as_ref().map_or(0, |config| config.revision);
         if state.version > 0 && state.version != known {
             tracing::info!(version = state.version, "configuration in force");
-            self.runtime.config = Config::read(&state.body).ok().map(Arc::new);
+            self.runtime.config = Config::parse(&state.body).ok().map(Arc::new);
         }
     }
 }
--- a/crates/server/src/edge.rs
+++ b/crates/server/src/edge.rs
@@ -79,8 +79,8 @@
     /// Where a setting is missing or an address is taken.
     pub fn new(mut runtime: NodeRuntime) -> Result<Edge, StartError> {
         let missing = |key| StartError::MissingSetting { key, role: "this role" };
-        let front = runtime.boot.front.ok_or(missing("bind_addresses.front"))?;
-        let readiness = runtime.boot.readiness.ok_or(missing("bind_addresses.readiness"))?;
+        let front = runtime.boot.front_address.ok_or(missing("bind_addresses.front"))?;
+        let readiness = runtime.boot.readiness_address.ok_or(missing("bind_addresses.readiness"))?;
         let front_listener = listen(&mut runtime.net, front, "front")?;
         let readiness_listener = listen(&mut runtime.net, readiness, "readiness")?;
         Ok(Edge {
