--- a/crates/queue/src/peer.rs
+++ b/crates/queue/src/peer.rs
@@ -48,8 +48,8 @@
     pub(crate) connection_changed_at: Millis,
     /// Whether it accepts messages.
     pub(crate) service: ServiceState,
-    /// When it was last told that this store needs no replica there.
-    pub(crate) told_unneeded_at: Millis,
+    /// When it was last sent that this store needs no replica there.
+    pub(crate) released_at: Millis,
     /// When the messages that it owned were last listed for a takeover.
     pub(crate) orphans_listed_at: Millis,
     /// Whether its replicas count.
--- a/crates/queue/src/peer_message.rs
+++ b/crates/queue/src/peer_message.rs
@@ -69,7 +69,7 @@
     pub term: u32,
 }
 
-/// The end of a message, told to the stores that hold a replica of it.
+/// The end of a message, sent to the stores that hold a replica of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndNotice {
     /// Which message.
--- a/crates/queue/src/repair.rs
+++ b/crates/queue/src/repair.rs
@@ -113,11 +113,11 @@
 
     /// Writes off the replicas of stores that are gone for good, and compares digests with the others when it is time.
     pub(crate) fn check_replica_holders(&mut self, now: Millis) {
-        for node in self.write_off_gone_peers(now) {
+        for node in self.write_off_absent_peers(now) {
             self.end_replication.store_lost(node);
-            let held = self.owned_here().filter(|(_, entry)| entry.replicas.contains(&node));
-            let held: Vec<Key> = held.map(|(key, _)| key).collect();
-            for key in held {
+            let replicated = self.owned_here().filter(|(_, entry)| entry.replicas.contains(&node));
+            let replicated: Vec<Key> = replicated.map(|(key, _)| key).collect();
+            for key in replicated {
                 self.replica_lost(now, key, node);
             }
         }
@@ -136,9 +136,9 @@
     }
 
     /// The stores whose replicas no longer count from now on.
-    fn write_off_gone_peers(&mut self, now: Millis) -> Vec<Node> {
+    fn write_off_absent_peers(&mut self, now: Millis) -> Vec<Node> {
         let may_write_off = self.control_contact.is_heard && self.knows_members;
-        let mut gone = Vec::new();
+        let mut written_off = Vec::new();
         for (node, peer) in &mut self.peers {
             if peer.is_present() {
                 peer.replica_status = ReplicaStatus::CountedOn;
@@ -147,10 +147,10 @@
                 && now > peer.connection_changed_at + WRITE_OFF_DELAY
             {
                 peer.replica_status = ReplicaStatus::WrittenOff;
-                gone.push(*node);
+                written_off.push(*node);
             }
         }
-        gone
+        written_off
     }
 
     /// When [`Queue::repair`] has something to do.
--- a/crates/queue/src/replication/ownership.rs
+++ b/crates/queue/src/replication/ownership.rs
@@ -32,14 +32,14 @@
         for EndNotice { key, end, callback_pending } in notices {
             let Some(entry) = self.entries.get(&key) else { continue };
             if entry.end.is_none() {
-                self.end_told(now, key, end, callback_pending);
+                self.close_with_end(now, key, end, callback_pending);
             } else if !callback_pending && entry.callback_pending {
-                self.callback_told_delivered(key);
+                self.callback_delivered_elsewhere(key);
             }
         }
     }
 
-    fn end_told(&mut self, now: Millis, key: Key, end: End, callback_pending: bool) {
+    fn close_with_end(&mut self, now: Millis, key: Key, end: End, callback_pending: bool) {
         if !self.planted(PlantedFault::EndUnkept) {
             let ended_at_ms = self.wall_clock_ms(now);
             self.record(&Record::Ended { key, end: end.clone(), callback_pending, ended_at_ms }, false);
@@ -49,7 +49,7 @@
 
     /// Another store says that the callback of a message was delivered. Of one that has not ended here all content is still
     /// needed.
-    pub(super) fn callback_told_delivered(&mut self, key: Key) {
+    pub(super) fn callback_delivered_elsewhere(&mut self, key: Key) {
         let Some(entry) = self.entries.get_mut(&key).filter(|entry| entry.end.is_some()) else { return };
         entry.callback_pending = false;
         entry.discard_content();
@@ -58,8 +58,8 @@
     }
 
     /// Another store says who owns messages.
-    pub(super) fn ownership_told(&mut self, now: Millis, from: Node, told: Vec<Ownership>) {
-        for ownership in told {
+    pub(super) fn apply_ownership_changes(&mut self, now: Millis, from: Node, claims: Vec<Ownership>) {
+        for ownership in claims {
             if ownership.owner == from {
                 self.object_to(now, &ownership);
             }
@@ -67,7 +67,7 @@
         }
     }
 
-    /// A store claims a message that is known here to have ended, or to have a newer owner: it is told so.
+    /// A store claims a message that is known here to have ended, or to have a newer owner: it is notified.
     fn object_to(&mut self, now: Millis, claimed: &Ownership) {
         let Some(entry) = self.entries.get(&claimed.key) else { return };
         let (term, owner) = (entry.term, entry.owner);
@@ -122,7 +122,7 @@
     }
 
     /// The owner of these messages has discarded them.
-    pub(super) fn drop_told(&mut self, from: Node, keys: Vec<Key>) {
+    pub(super) fn apply_drops(&mut self, from: Node, keys: Vec<Key>) {
         for key in keys {
             let Some(entry) = self.entries.get(&key).filter(|entry| entry.end.is_none()) else { continue };
             if entry.owner == from {
--- a/crates/queue/src/replication/peer_messages.rs
+++ b/crates/queue/src/replication/peer_messages.rs
@@ -20,10 +20,10 @@
             PeerMessage::ReplicationRejected(keys) => self.replication_rejected(now, from, keys),
             PeerMessage::Ended(notices) => self.apply_end_notices(now, notices),
             PeerMessage::CallbacksDelivered(keys) => {
-                keys.into_iter().for_each(|key| self.callback_told_delivered(key));
+                keys.into_iter().for_each(|key| self.callback_delivered_elsewhere(key));
             }
-            PeerMessage::OwnershipChanged(told) => self.ownership_told(now, from, told),
-            PeerMessage::Drop(keys) => self.drop_told(from, keys),
+            PeerMessage::OwnershipChanged(claims) => self.apply_ownership_changes(now, from, claims),
+            PeerMessage::Drop(keys) => self.apply_drops(from, keys),
             PeerMessage::LostWithDisk(keys) => self.take_over_lost(now, from, keys),
             PeerMessage::RequestReplicas(keys) => {
                 keys.into_iter().for_each(|key| self.replica_missing(now, key, from));
--- a/crates/queue/src/replication/reconciliation.rs
+++ b/crates/queue/src/replication/reconciliation.rs
@@ -168,7 +168,7 @@
         } else if owner == node {
             let was_accepted_here = key.origin == node;
             if was_accepted_here && self.is_number_of_present_disk(key.number) {
-                // A replica of what this store has never finished persisting: nobody was told that it is kept.
+                // A replica of what this store has never finished persisting: its acceptance was never acknowledged.
                 corrections.drops.push(key);
             } else {
                 // A replica of what was lost with the disk before this one, or of what another store had accepted, this
--- a/crates/queue/src/replication/replicas.rs
+++ b/crates/queue/src/replication/replicas.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Requests one replica of a new message from another store. The slow store may have it all the same and is told to drop
+    /// Requests one replica of a new message from another store. The slow store may have it all the same and is asked to drop
     /// it: else both would take over. `before`: the list of replicas before any was replaced.
     fn replace_replica(&mut self, now: Millis, key: Key, slow: Node, before: &[Node]) {
         // Others get the replicas of the next messages: each would wait here as long as this one has.
--- a/crates/queue/src/replication/takeover.rs
+++ b/crates/queue/src/replication/takeover.rs
@@ -88,7 +88,7 @@
         self.record_ownership(&ownership);
         match giver {
             Some(giver) => self.after_write(PendingWrite::TakenOverFrom(giver, key)),
-            // All are told, for another may hold a replica that nobody knows of any more, and would take over too.
+            // All are notified, for another may hold a replica that nobody knows of any more, and would take over too.
             None => self.announce_ownership(&ownership),
         }
         if has_ended {
@@ -126,14 +126,14 @@
 
     /// Lists the messages of stores that are gone, with the time at which this store takes each over.
     fn list_orphans(&mut self, now: Millis) {
-        let is_gone = |peer: &Peer| {
+        let is_lost = |peer: &Peer| {
             !peer.is_present()
                 && now > peer.connection_changed_at + TAKEOVER_DELAY
                 && now >= peer.orphans_listed_at + ORPHAN_LISTING_INTERVAL
         };
-        let gone = self.peers.iter().filter(|(_, peer)| is_gone(peer));
-        let gone: Vec<Node> = gone.map(|(node, _)| *node).collect();
-        for node in gone {
+        let lost = self.peers.iter().filter(|(_, peer)| is_lost(peer));
+        let lost: Vec<Node> = lost.map(|(node, _)| *node).collect();
+        for node in lost {
             self.peers.entry(node).or_default().orphans_listed_at = now;
             let owned = self.owned_by_node(node);
             let orphans: Vec<(Millis, Key)> =
--- a/crates/queue/src/retirement.rs
+++ b/crates/queue/src/retirement.rs
@@ -10,7 +10,7 @@
 use crate::queue::{Queue, RetirementOrder};
 use crate::record::Record;
 
-/// How often a retiring store is told that none of its replicas is needed: a message lost with a connection comes again.
+/// How often a retiring store is sent that none of its replicas is needed, should the message get lost with a connection.
 const RELEASE_INTERVAL: Millis = 500;
 
 /// How far the retirement of a store has come.
@@ -104,7 +104,7 @@
     }
 
     /// Goes on with this store's retirement, and with that of others: their replicas are made elsewhere, at the rate of
-    /// repair, and they are told once none is needed.
+    /// repair, and they are notified once none is needed.
     pub(crate) fn check_retirements(&mut self, now: Millis) {
         if self.is_retiring() {
             self.offer_all();
@@ -114,7 +114,7 @@
             return;
         }
         let is_due = |peer: &Peer| {
-            peer.is_retiring() && peer.is_reconciled && now >= peer.told_unneeded_at + RELEASE_INTERVAL
+            peer.is_retiring() && peer.is_reconciled && now >= peer.released_at + RELEASE_INTERVAL
         };
         let due = self.peers.iter().filter(|(_, peer)| is_due(peer));
         let due: Vec<Node> = due.map(|(node, _)| *node).collect();
@@ -125,16 +125,16 @@
 
     /// Makes elsewhere what a retiring store holds, or tells it that it holds nothing that is needed.
     fn release_peer(&mut self, now: Millis, node: Node) {
-        let held = self.owned_here().filter(|(_, entry)| entry.replicas.contains(&node));
-        let held: Vec<Key> = held.map(|(key, _)| key).collect();
-        let is_unneeded = held.is_empty()
+        let replicated = self.owned_here().filter(|(_, entry)| entry.replicas.contains(&node));
+        let replicated: Vec<Key> = replicated.map(|(key, _)| key).collect();
+        let is_unneeded = replicated.is_empty()
             && self.under_replicated.is_empty()
             && self.owned_here().all(|(_, entry)| self.are_replicas_confirmed(entry));
-        for key in held {
+        for key in replicated {
             self.replica_lost(now, key, node);
         }
         if is_unneeded {
-            self.peers.entry(node).or_default().told_unneeded_at = now;
+            self.peers.entry(node).or_default().released_at = now;
             self.emit(Effect::Send { to: node, message: PeerMessage::NoReplicasNeeded });
         }
     }
--- a/crates/queue/src/state_table.rs
+++ b/crates/queue/src/state_table.rs
@@ -44,7 +44,7 @@
     pub messages: HashMap<Key, StoredMessage>,
     /// Records that could not be decoded.
     pub unreadable_records: u64,
-    /// The latest end that was recorded: by it old ends are told, not by the clock.
+    /// The latest end that was recorded: the age of other ends is measured from it, not from the clock.
     latest_end_ms: u64,
 }
 
