--- a/crates/queue/src/entry.rs
+++ b/crates/queue/src/entry.rs
@@ -71,11 +71,10 @@
     pub accepted_at_ms: u64,
 }
 
-/// What ordered delivery needs to know of a message.
+/// What ordered delivery needs to know of a message. Flags alone, so that they lie in the padding of [`Entry`], of which a store
+/// has very many.
 #[derive(Debug, Default)]
 pub(crate) struct OrderState {
-    /// Where the index of ordered messages has it; `None` if it has no order key or has ended.
-    pub slot: Option<Box<OrderSlot>>,
     /// Other stores have been told of it, and are told of its end.
     pub is_announced: bool,
     /// Enough of the other stores have said which earlier messages they know.
@@ -130,6 +129,8 @@
     pub(crate) repair_at: Option<Millis>,
     /// The owner under which the index of live messages has it.
     pub(crate) indexed_owner: Option<Node>,
+    /// Where the index of ordered messages has it; `None` if it has no order key or has ended.
+    pub(crate) order_slot: Option<Box<OrderSlot>>,
     /// Its part in ordered delivery.
     pub(crate) order: OrderState,
     /// Where it waits for an executor.
@@ -161,6 +162,7 @@
             persist_check_at: None,
             repair_at: None,
             indexed_owner: None,
+            order_slot: None,
             order: OrderState::default(),
             queue_slot: None,
         }
--- a/crates/queue/src/queue.rs
+++ b/crates/queue/src/queue.rs
@@ -302,7 +302,7 @@
         if let Some(owner) = entry.indexed_owner {
             self.live_by_owner.remove(&(owner, key));
         }
-        if let Some(slot) = entry.order.slot {
+        if let Some(slot) = entry.order_slot {
             self.ordering.remove(
                 &slot.order_key,
                 GroupPosition { accepted_at_ms: slot.accepted_at_ms, key },
@@ -348,10 +348,10 @@
         let slot = order_key.map(|order_key| {
             Box::new(OrderSlot { order_key: order_key.clone(), accepted_at_ms: entry.message.accepted_at_ms })
         });
-        if entry.order.slot == slot {
+        if entry.order_slot == slot {
             return;
         }
-        if let Some(former) = std::mem::replace(&mut entry.order.slot, slot) {
+        if let Some(former) = std::mem::replace(&mut entry.order_slot, slot) {
             let is_end_announced = entry.order.is_announced && entry.end.is_some();
             self.ordering.remove(
                 &former.order_key,
@@ -359,7 +359,7 @@
                 is_end_announced,
             );
         }
-        if let Some(slot) = &entry.order.slot {
+        if let Some(slot) = &entry.order_slot {
             self.ordering.insert(&slot.order_key, GroupPosition { accepted_at_ms: slot.accepted_at_ms, key });
         }
     }
