--- /dev/null
+++ b/crates/config/src/node_settings.rs
@@ -0,0 +1,243 @@
+//! The settings file of a process: what it is told about itself, its machine and its surroundings.
+
+use crate::document::{parse_object, MAX_TEXT_BYTES};
+use crate::error::ConfigError;
+use crate::fault_collector::FaultCollector;
+use crate::fault_tolerance::FaultTolerance;
+use crate::reason::FaultReason;
+use crate::section::Section;
+use crate::time_bounds::TimeBounds;
+use crate::values;
+use jzon::JsonValue;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fs::File;
+use std::io::Read;
+use std::net::{Ipv4Addr, SocketAddrV4};
+use std::path::{Path, PathBuf};
+
+const DEFAULT_HEARTBEAT_INTERVAL_MS: u64 = 1200;
+
+/// The settings of one process. Those that are missing take the safe side or the usual figure.
+#[derive(Clone, Debug, PartialEq)]
+pub struct NodeSettings {
+    /// Unique in the system; the node's identifier is derived from it.
+    pub node_name: String,
+    /// The key `role`: the deployment's name for what the machine does. The command line decides what the process does.
+    pub role: String,
+    /// The class of the machine.
+    pub machine_class: String,
+    /// The parts of the system that the machine runs: `edge`, `storage` or `control`.
+    pub serves: Vec<String>,
+    /// The machine's own address.
+    pub ip: Ipv4Addr,
+    /// The failure domain that the machine is in.
+    pub zone: String,
+    /// The region of that zone.
+    pub region: String,
+    /// The region of each zone of the system, the own one among them.
+    pub zone_regions: BTreeMap<String, String>,
+    /// Where an edge takes clients' requests.
+    pub front_address: Option<SocketAddrV4>,
+    /// Where an edge says whether it is ready.
+    pub readiness_address: Option<SocketAddrV4>,
+    /// Where a control node takes the calls of executors and operators.
+    pub control_address: Option<SocketAddrV4>,
+    /// Where metrics can be read; nothing listens where none is set.
+    pub metrics_address: Option<SocketAddrV4>,
+    /// Ports for the traffic between nodes.
+    pub internal_ports: PortRange,
+    /// Control nodes to begin with. After the first start of the system any of them may be down, or gone for good.
+    pub seeds: Vec<SocketAddrV4>,
+    /// The system starts for the first time ever, so that an empty disk is no loss of data.
+    pub is_first_start: bool,
+    /// The key `counted`: read and checked, but no process acts on it.
+    pub is_counted: bool,
+    /// What of the machine the process may use.
+    pub resources: ResourceLimits,
+    /// Where the process keeps its files; `None` for one that keeps nothing.
+    pub data_dir: Option<PathBuf>,
+    /// How often executors send heartbeats.
+    pub heartbeat_interval_ms: u64,
+    /// Which losses must be tolerated.
+    pub fault_tolerance: FaultTolerance,
+    /// The bounds of the deployment's guarantees.
+    pub bounds: TimeBounds,
+}
+
+/// The ports from `first` to `last`, both included.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct PortRange {
+    /// The lowest port.
+    pub first: u16,
+    /// The highest port.
+    pub last: u16,
+}
+
+/// What of the machine a process may use, from the key `limits`.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ResourceLimits {
+    /// Share of one processor.
+    pub cpu_share: f64,
+    /// Memory in MB.
+    pub memory_mb: u64,
+    /// File descriptors.
+    pub max_open_files: u64,
+    /// Network bandwidth in Mbit/s.
+    pub bandwidth_mbps: f64,
+    /// Disk space in MB; 0 where it is unknown.
+    pub disk_mb: u64,
+}
+
+/// How far away another node is; the nearer is the lesser.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum ZoneDistance {
+    /// In this node's own zone.
+    SameZone,
+    /// In another zone of its region.
+    SameRegion,
+    /// In another region, or in a zone that the settings do not name.
+    OtherRegion,
+}
+
+impl NodeSettings {
+    /// Reads a settings file. It may be replaced while it is read: what is cut short is refused, and may be read again.
+    ///
+    /// # Errors
+    ///
+    /// Where the file cannot be read, or all that is wrong with its text.
+    pub fn read(path: &Path) -> Result<NodeSettings, ConfigError> {
+        let name = path.display().to_string();
+        let mut bytes = Vec::new();
+        let limit = MAX_TEXT_BYTES as u64 + 1;
+        match File::open(path).and_then(|file| file.take(limit).read_to_end(&mut bytes)) {
+            Ok(_) => NodeSettings::from_bytes(&name, &bytes),
+            Err(error) => {
+                let reason = FaultReason::Unreadable(error.to_string());
+                Err(FaultCollector::new(&name).refuse(reason))
+            }
+        }
+    }
+
+    /// Reads the text of a settings file; `file` is what faults name.
+    ///
+    /// # Errors
+    ///
+    /// All that is wrong with the text.
+    pub fn parse(file: &str, text: &str) -> Result<NodeSettings, ConfigError> {
+        NodeSettings::from_bytes(file, text.as_bytes())
+    }
+
+    fn from_bytes(file: &str, bytes: &[u8]) -> Result<NodeSettings, ConfigError> {
+        let faults = FaultCollector::new(file);
+        let object = match parse_object(bytes) {
+            Ok(object) => object,
+            Err(reason) => return Err(faults.refuse(reason)),
+        };
+        let mut settings = NodeSettings::from_section(Section::root(&object, &faults));
+        let own_region = || settings.region.clone();
+        settings.zone_regions.entry(settings.zone.clone()).or_insert_with(own_region);
+        faults.finish(settings)
+    }
+
+    fn from_section(root: Section) -> NodeSettings {
+        let bind = root.section("bind_addresses");
+        NodeSettings {
+            node_name: root.text("node_name"),
+            role: root.text("role"),
+            machine_class: root.text("machine_class"),
+            serves: read_list(root, "serves", "a list of text", values::text),
+            ip: read_ip(root),
+            zone: root.text("zone"),
+            region: root.text("region"),
+            zone_regions: root.value("zones", Some(BTreeMap::new()), "an object of text", zone_regions),
+            front_address: bind.address("front"),
+            readiness_address: bind.address("readiness"),
+            control_address: bind.address("control"),
+            metrics_address: bind.address("figures"),
+            internal_ports: root.value("internal_ports", None, "two ports, the lower first", port_range),
+            seeds: read_list(root, "seed_nodes", "a list of ip:port", values::address),
+            is_first_start: root.flag("first_start"),
+            is_counted: root.flag("counted"),
+            resources: ResourceLimits::from_section(root.section("limits")),
+            data_dir: root.value("data_dir", Some(None), "a path or null", path_or_null),
+            heartbeat_interval_ms: root.duration_ms("beat_interval_ms", Some(DEFAULT_HEARTBEAT_INTERVAL_MS)),
+            fault_tolerance: FaultTolerance::from_section(root.section("tolerate")),
+            bounds: TimeBounds::from_section(root.section("bounds")),
+        }
+    }
+
+    /// The region of each zone as a number, in the order of the zones: equal numbers are the same region.
+    pub fn region_numbers(&self) -> Vec<usize> {
+        let names: BTreeSet<&String> = self.zone_regions.values().collect();
+        let number = |name: &String| names.iter().position(|other| *other == name).unwrap_or(0);
+        self.zone_regions.values().map(number).collect()
+    }
+
+    /// How far away a zone is.
+    pub fn distance_to(&self, zone: &str) -> ZoneDistance {
+        if zone == self.zone {
+            return ZoneDistance::SameZone;
+        }
+        match self.zone_regions.get(zone) {
+            Some(region) if *region == self.region => ZoneDistance::SameRegion,
+            _ => ZoneDistance::OtherRegion,
+        }
+    }
+
+    /// Whether stores in these zones, one entry for each store, are enough to tolerate the losses that the settings name.
+    pub fn are_stores_sufficient<'a>(&self, zones: impl Iterator<Item = &'a str>) -> bool {
+        let stores: Vec<&str> = zones.collect();
+        let zones: BTreeSet<&str> = stores.iter().copied().collect();
+        let regions: BTreeSet<Option<&String>> =
+            zones.iter().map(|zone| self.zone_regions.get(*zone)).collect();
+        stores.len() > self.fault_tolerance.additional_replicas()
+            && zones.len() > self.fault_tolerance.zones
+            && regions.len() > self.fault_tolerance.regions
+    }
+}
+
+impl ResourceLimits {
+    fn from_section(section: Section) -> ResourceLimits {
+        ResourceLimits {
+            cpu_share: section.non_negative("cpu_share", 0.25),
+            memory_mb: section.unsigned("memory_mb", Some(256)),
+            max_open_files: section.unsigned("max_open_files", Some(4096)),
+            bandwidth_mbps: section.non_negative("bandwidth_mbps", 1000.0),
+            disk_mb: section.unsigned("disk_mb", Some(0)),
+        }
+    }
+}
+
+fn read_list<T>(
+    section: Section,
+    key: &str,
+    expected: &'static str,
+    read: impl Fn(&JsonValue) -> Option<T>,
+) -> Vec<T> {
+    section.value(key, Some(Vec::new()), expected, |value| values::list(value, &read))
+}
+
+fn read_ip(root: Section) -> Ipv4Addr {
+    let read = |value: &JsonValue| value.as_str()?.parse().ok().map(Some);
+    root.value("ip", None, "an IPv4 address", read).unwrap_or(Ipv4Addr::UNSPECIFIED)
+}
+
+fn path_or_null(value: &JsonValue) -> Option<Option<PathBuf>> {
+    match value {
+        JsonValue::Null => Some(None),
+        other => values::text(other).map(|path| Some(PathBuf::from(path))),
+    }
+}
+
+fn zone_regions(value: &JsonValue) -> Option<BTreeMap<String, String>> {
+    let entries = value.as_object()?.iter();
+    entries.map(|(zone, region)| Some((zone.to_string(), values::text(region)?))).collect()
+}
+
+fn port_range(value: &JsonValue) -> Option<PortRange> {
+    let ports = values::list(value, |port| u16::try_from(values::unsigned(port)?).ok())?;
+    match ports[..] {
+        [first, last] if 0 < first && first <= last => Some(PortRange { first, last }),
+        _ => None,
+    }
+}
--- a/crates/server/src/disk.rs
+++ b/crates/server/src/disk.rs
@@ -42,7 +42,7 @@
             let _ = sender.send((ticket, result));
             let _ = waker.wake();
         };
-        let capacity_bytes = node.boot.means.disk_mb << 20;
+        let capacity_bytes = node.boot.resources.disk_mb << 20;
         let options = Options { capacity_bytes, max_sync_delay: MAX_SYNC_DELAY, ..options };
         let (log, state) = Wal::open::<S>(&folder, options, on_result)
             .map_err(|source| StartError::Log { folder: folder.clone(), source })?;
