--- a/crates/server/src/cli/discovery.rs
+++ b/crates/server/src/cli/discovery.rs
@@ -1,65 +1,20 @@
 //! Finds all processes of a running system, from one of them or from a settings file.
 
-use super::args::settings_file_of_environment;
+use super::error::CommandError;
 use super::internal_client::{ask_for_json, AskError};
-use super::CommandError;
+use super::query::{EntryPoint, SettingsScope};
 use crate::links;
 use crate::protocol::{Frame, NodeRole};
 use jzon::JsonValue;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::net::SocketAddrV4;
-use std::path::{Path, PathBuf};
-use stileroute_config::NodeSettings;
 
 /// Processes that are asked at the same time, each by a thread.
 const PARALLEL_REQUESTS: usize = 32;
 /// Processes that are asked at most.
 const MAX_PROCESSES: usize = 5000;
 
-/// Where a search for the running system begins.
-#[derive(Clone, Copy, Debug)]
-pub struct EntryPoint<'a> {
-    /// What `--at` says: the internal address of a process, or a settings file.
-    pub at: Option<&'a str>,
-    /// The settings file that `--boot` names.
-    pub settings: Option<&'a Path>,
-}
-
-/// Which processes a settings file leads to.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SettingsScope {
-    /// Those of its own machine.
-    Machine,
-    /// Those of its own machine, and the seeds.
-    MachineAndSeeds,
-}
-
-impl EntryPoint<'_> {
-    /// Internal addresses at which the search begins; at some of them there may be no process.
-    ///
-    /// # Errors
-    ///
-    /// Where no settings file is named, or the one that is can't be used.
-    pub fn addresses(&self, scope: SettingsScope) -> Result<Vec<SocketAddrV4>, CommandError> {
-        if let Some(address) = self.at.and_then(|at| at.parse().ok()) {
-            return Ok(vec![address]);
-        }
-        let file = self.at.map(PathBuf::from).or_else(|| self.settings.map(Path::to_path_buf));
-        let file = file.or_else(settings_file_of_environment);
-        let file = file.ok_or(CommandError::NoSettingsFile { option: "--at" })?;
-        let boot = NodeSettings::read(&file).map_err(CommandError::Settings)?;
-        let ports = (boot.internal_ports.first, boot.internal_ports.last);
-        let address = |ip, class| links::listen_address(ports, ip, class);
-        let classes = [NodeRole::Edge, NodeRole::Store, NodeRole::Control];
-        let mut addresses = classes.map(|class| address(boot.ip, class)).to_vec();
-        if scope == SettingsScope::MachineAndSeeds {
-            addresses.extend(boot.seeds.iter().map(|seed| address(*seed.ip(), NodeRole::Control)));
-        }
-        Ok(addresses)
-    }
-}
-
 /// What a process answered.
 pub struct ProcessReport {
     /// Its internal address.
@@ -69,13 +24,13 @@
 }
 
 /// A process that did not answer.
-pub struct SilentProcess {
+pub struct UnreachableProcess {
     /// Its node name, where another process names it.
     name: Option<String>,
     error: AskError,
 }
 
-impl fmt::Display for SilentProcess {
+impl fmt::Display for UnreachableProcess {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.name {
             Some(name) => write!(formatter, "{name}: {}", self.error),
@@ -90,7 +45,7 @@
     /// What each process reports, by its node name.
     pub reports: BTreeMap<String, ProcessReport>,
     /// Those that a report names and that do not answer; where nobody answers, all that were asked.
-    pub silent: BTreeMap<SocketAddrV4, SilentProcess>,
+    pub unreachable: BTreeMap<SocketAddrV4, UnreachableProcess>,
 }
 
 impl Fleet {
@@ -104,7 +59,7 @@
         search.run(entry.addresses(SettingsScope::MachineAndSeeds)?);
         let fleet = search.into_fleet();
         if fleet.reports.is_empty() {
-            let reasons = fleet.silent.values().map(SilentProcess::to_string).collect();
+            let reasons = fleet.unreachable.values().map(UnreachableProcess::to_string).collect();
             return Err(CommandError::NoAnswer { reasons });
         }
         Ok(fleet)
@@ -165,7 +120,7 @@
         let report = match answer {
             Ok(report) => report,
             Err(error) => {
-                self.fleet.silent.insert(address, SilentProcess { name: None, error });
+                self.fleet.unreachable.insert(address, UnreachableProcess { name: None, error });
                 return;
             }
         };
@@ -180,12 +135,12 @@
     }
 
     fn into_fleet(mut self) -> Fleet {
-        // At an address of the settings file there may be no process: only those that somebody names count as silent.
+        // At an address of the settings file there may be no process: only those that somebody names count as unreachable.
         if !self.fleet.reports.is_empty() {
-            self.fleet.silent.retain(|address, _| self.names.contains_key(address));
+            self.fleet.unreachable.retain(|address, _| self.names.contains_key(address));
         }
-        for (address, silent) in &mut self.fleet.silent {
-            silent.name = self.names.get(address).cloned();
+        for (address, process) in &mut self.fleet.unreachable {
+            process.name = self.names.get(address).cloned();
         }
         self.fleet
     }
