--- a/crates/queue/src/effect.rs
+++ b/crates/queue/src/effect.rs
@@ -45,7 +45,7 @@
         /// How many connections this store may open to that executor.
         max_connections: usize,
     },
-    /// Post an end to the sender's call-back URL; the result goes to
+    /// Post an end to the sender's callback URL; the result goes to
     /// [`Queue::callback_ended`](crate::Queue::callback_ended).
     CallBack {
         /// The message that has ended.
--- a/crates/queue/src/entry.rs
+++ b/crates/queue/src/entry.rs
@@ -63,10 +63,10 @@
     pub position: QueuePosition,
 }
 
-/// Where a message stands among those of the same order key.
+/// Where a message stands among those of the same ordering key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct OrderSlot {
-    pub order_key: String,
+    pub ordering_key: String,
     /// Time of day at which the message was accepted, in milliseconds: the first part of the order.
     pub accepted_at_ms: u64,
 }
@@ -75,7 +75,7 @@
 /// has very many.
 #[derive(Debug, Default)]
 pub(crate) struct OrderState {
-    /// Other stores have been told of it, and are told of its end.
+    /// It has been announced to other stores, which are notified of its end, too.
     pub is_announced: bool,
     /// Enough of the other stores have said which earlier messages they know.
     pub is_confirmed: bool,
@@ -117,7 +117,7 @@
     pub(crate) last_failed_on: Option<ExecutorRef>,
     /// How it ended.
     pub end: Option<End>,
-    /// It has ended and the receiver of its call-back has not been told.
+    /// It has ended and the receiver of its callback has not acknowledged it.
     pub callback_pending: bool,
     /// Stores, this one among them, that have not confirmed their replica.
     pub(crate) unconfirmed: Vec<Node>,
@@ -129,7 +129,7 @@
     pub(crate) repair_at: Option<Millis>,
     /// The owner under which the index of live messages has it.
     pub(crate) indexed_owner: Option<Node>,
-    /// Where the index of ordered messages has it; `None` if it has no order key or has ended.
+    /// Where the index of ordered messages has it; `None` if it has no ordering key or has ended.
     pub(crate) order_slot: Option<Box<OrderSlot>>,
     /// Its part in ordered delivery.
     pub(crate) order: OrderState,
@@ -169,7 +169,7 @@
     }
 
     /// Frees the content of a message that has ended, but for what is still needed: identity and URL for a pending
-    /// call-back, and the body of a failed message, which operators may ask for.
+    /// callback, and the body of a failed message, which operators may ask for.
     pub(crate) fn discard_content(&mut self) {
         let message = std::mem::take(&mut self.message);
         if self.callback_pending {
--- a/crates/queue/src/metrics.rs
+++ b/crates/queue/src/metrics.rs
@@ -7,7 +7,7 @@
     pub accepted: u64,
     /// Messages not accepted: draining, a stalled disk, too few peers for the replicas, or a full table.
     pub rejected: u64,
-    /// Messages that may run although their sender could not be told that they were accepted.
+    /// Messages that may run although their sender got no acknowledgement.
     pub outcome_unknown: u64,
     /// Messages that ended completed.
     pub completed: u64,
@@ -21,9 +21,9 @@
     pub attempts: u64,
     /// Attempts started after one that did not complete.
     pub retries: u64,
-    /// Call-backs started.
+    /// Callbacks started.
     pub callbacks_started: u64,
-    /// Call-backs that their receiver has accepted.
+    /// Callbacks that their receiver has accepted.
     pub callbacks_delivered: u64,
     /// Messages taken over from another store.
     pub taken_over: u64,
--- a/crates/queue/src/pending_writes.rs
+++ b/crates/queue/src/pending_writes.rs
@@ -13,11 +13,11 @@
 pub(crate) enum PendingWrite {
     /// A message owned here, or its new owner, is recorded: this store's own replica is then durable.
     Ownership(Key),
-    /// A replica is kept for another store, which is told.
+    /// A replica is kept for its owner, which is notified.
     ReplicaFor(Node, Key),
-    /// A message was handed over by another store, which is told.
+    /// A message was handed over by another store, which is notified.
     TakenOverFrom(Node, Key),
-    /// An end is kept for another store, which is told.
+    /// An end is kept for another store, which is notified.
     EndFrom(Node, Key),
     /// The order to retire this store is recorded.
     Retirement,
--- a/crates/queue/src/queue.rs
+++ b/crates/queue/src/queue.rs
@@ -73,7 +73,7 @@
     pub metrics: QueueMetrics,
 
     pub(crate) entries: HashMap<Key, Entry>,
-    /// Messages that have not ended, or whose call-back is pending, by owner: what is compared with other stores and searched
+    /// Messages that have not ended, or whose callback is pending, by owner: what is compared with other stores and searched
     /// when one is gone. The table with its ended messages is about a hundred times as large.
     pub(crate) live_by_owner: BTreeSet<(Node, Key)>,
     pub(crate) ordering: crate::fifo_groups::FifoGroups,
@@ -304,7 +304,7 @@
         }
         if let Some(slot) = entry.order_slot {
             self.ordering.remove(
-                &slot.order_key,
+                &slot.ordering_key,
                 GroupPosition { accepted_at_ms: slot.accepted_at_ms, key },
                 entry.order.is_announced,
             );
@@ -344,9 +344,12 @@
 
     fn reindex_order(&mut self, key: Key) {
         let Some(entry) = self.entries.get_mut(&key) else { return };
-        let order_key = entry.message.ordering_key.as_ref().filter(|_| entry.end.is_none());
-        let slot = order_key.map(|order_key| {
-            Box::new(OrderSlot { order_key: order_key.clone(), accepted_at_ms: entry.message.accepted_at_ms })
+        let ordering_key = entry.message.ordering_key.as_ref().filter(|_| entry.end.is_none());
+        let slot = ordering_key.map(|ordering_key| {
+            Box::new(OrderSlot {
+                ordering_key: ordering_key.clone(),
+                accepted_at_ms: entry.message.accepted_at_ms,
+            })
         });
         if entry.order_slot == slot {
             return;
@@ -354,13 +357,14 @@
         if let Some(former) = std::mem::replace(&mut entry.order_slot, slot) {
             let is_end_announced = entry.order.is_announced && entry.end.is_some();
             self.ordering.remove(
-                &former.order_key,
+                &former.ordering_key,
                 GroupPosition { accepted_at_ms: former.accepted_at_ms, key },
                 is_end_announced,
             );
         }
         if let Some(slot) = &entry.order_slot {
-            self.ordering.insert(&slot.order_key, GroupPosition { accepted_at_ms: slot.accepted_at_ms, key });
+            self.ordering
+                .insert(&slot.ordering_key, GroupPosition { accepted_at_ms: slot.accepted_at_ms, key });
         }
     }
 
@@ -394,7 +398,7 @@
         attempts + self.persisting.len() + self.handovers.len()
     }
 
-    /// How many messages have not ended or have a call-back pending, replicas included.
+    /// How many messages have not ended or have a callback pending, replicas included.
     pub fn live_count(&self) -> usize {
         self.live_by_owner.len()
     }
--- a/crates/queue/src/queue/callbacks.rs
+++ b/crates/queue/src/queue/callbacks.rs
@@ -1,4 +1,4 @@
-//! Call-backs: a queue for each receiver, with few connections, and longer pauses after failures.
+//! Callbacks: a queue for each receiver, with few connections, and longer pauses after failures.
 
 use super::completion::END_BATCH_INTERVAL_MS;
 use super::Queue;
@@ -19,15 +19,15 @@
 /// The pause doubles with each failure up to this.
 const BACKOFF_LIMIT_MS: Millis = 2000;
 
-/// Call-backs that wait, and those that have been started.
+/// Callbacks that wait, and those that have been started.
 #[derive(Debug, Default)]
 pub(super) struct Callbacks {
     receivers: HashMap<String, Receiver>,
-    /// Call-backs that have not ended, and their receiver: when one ends, its message may be gone from the table.
+    /// Callbacks that have not ended, and their receiver: when one ends, its message may be gone from the table.
     in_flight: HashMap<Key, String>,
 }
 
-/// One receiver of call-backs.
+/// One receiver of callbacks.
 #[derive(Debug, Default)]
 struct Receiver {
     in_flight: usize,
@@ -36,7 +36,7 @@
     queue: VecDeque<Key>,
 }
 
-/// Host and port of a URL: call-backs to one of them share a queue.
+/// Host and port of a URL: callbacks to one of them share a queue.
 fn receiver_of(url: &str) -> &str {
     let rest = url.strip_prefix("http://").unwrap_or(url);
     rest.split('/').next().unwrap_or_default()
@@ -69,7 +69,7 @@
 }
 
 impl Queue {
-    /// Puts the call-back of a message that has ended into its receiver's queue.
+    /// Puts the callback of a message that has ended into its receiver's queue.
     pub(crate) fn queue_callback(&mut self, key: Key) {
         let Some(url) = self.entries.get(&key).and_then(|entry| entry.message.callback_url.as_deref()) else {
             return;
@@ -78,7 +78,7 @@
         self.callbacks.receivers.entry(receiver).or_default().queue.push_back(key);
     }
 
-    /// Starts the call-backs that may go now. Gives the time at which the next one may.
+    /// Starts the callbacks that may go now. Gives the time at which the next one may.
     pub(super) fn start_callbacks(&mut self, now: Millis) -> Millis {
         let stores = 1 + self.peers.values().filter(|peer| peer.is_member).count();
         let max_calls = (MAX_CALLS_PER_RECEIVER / stores).clamp(1, MAX_CALLS_PER_STORE);
--- a/crates/queue/src/queue/delivery.rs
+++ b/crates/queue/src/queue/delivery.rs
@@ -182,10 +182,10 @@
             service_queue.leave(&position);
             return Candidate::Moved;
         };
-        // An earlier message of the same order key may have come to light since: then this one waits again.
+        // An earlier message of the same ordering key may have come to light since: then this one waits again.
         let order_position = GroupPosition { accepted_at_ms: entry.message.accepted_at_ms, key };
-        let order_key = entry.message.ordering_key.as_ref();
-        if order_key.is_some_and(|order_key| !self.ordering.is_first(order_key, order_position)) {
+        let ordering_key = entry.message.ordering_key.as_ref();
+        if ordering_key.is_some_and(|ordering_key| !self.ordering.is_first(ordering_key, order_position)) {
             entry.queue_slot = None;
             service_queue.leave(&position);
             return Candidate::Moved;
--- a/crates/queue/src/queue/intake.rs
+++ b/crates/queue/src/queue/intake.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    /// A message could not be persisted here: its replicas are dropped, and its sender is told that the outcome is unknown.
+    /// A message could not be persisted here: its replicas are dropped, and its sender learns that the outcome is unknown.
     pub(crate) fn roll_back(&mut self, key: Key) {
         let Some(entry) = self.entries.get(&key).filter(|entry| entry.stage == Stage::Persisting) else {
             return;
--- a/crates/queue/src/queue/report.rs
+++ b/crates/queue/src/queue/report.rs
@@ -53,7 +53,7 @@
     pub replica: usize,
     /// In [`Stage::Ended`].
     pub ended: usize,
-    /// Ended messages owned here whose call-back has not been accepted.
+    /// Ended messages owned here whose callback has not been accepted.
     pub callbacks_pending: usize,
     /// How far the oldest message owned here that has not ended is past its due time, in milliseconds.
     pub oldest_overdue_ms: Millis,
@@ -86,7 +86,7 @@
     pub bytes: usize,
     /// How it ended.
     pub end: Option<End>,
-    /// Its call-back has not been accepted.
+    /// Its callback has not been accepted.
     pub callback_pending: bool,
 }
 
--- a/crates/queue/src/queue/timers.rs
+++ b/crates/queue/src/queue/timers.rs
@@ -9,11 +9,11 @@
 use std::collections::BTreeSet;
 use stileroute_dispatch::types::Time;
 
-/// A turn that comes so much too late comes after the process was suspended.
-const SUSPENDED_AFTER_MS: Millis = 500;
+/// A turn that comes so much too late comes after a pause of the whole process.
+const PROCESS_PAUSE_LIMIT_MS: Millis = 500;
 
-/// After a suspension longer than this, others may have taken over what is owned here.
-const TAKEN_OVER_AFTER_MS: Millis = 1200;
+/// After a pause longer than this, others may have taken over what is owned here.
+const TAKEOVER_POSSIBLE_AFTER_MS: Millis = 1200;
 
 impl Queue {
     /// Does what is due. To be called at the end of each turn, before [`take_effects`](Queue::take_effects).
@@ -22,7 +22,7 @@
     pub fn tick(&mut self, now: Millis, dispatch_time: Time) {
         self.last_tick_at = now;
         self.pause_token_buckets();
-        self.notice_suspension(now);
+        self.notice_process_pause(now);
         self.start_delayed(now);
         self.fail_expired(now);
         self.forget_due(now);
@@ -51,13 +51,13 @@
         }
     }
 
-    /// A process that was suspended may have been taken over from without having heard of it.
-    fn notice_suspension(&mut self, now: Millis) {
+    /// A process that stood still may have been taken over from without having heard of it.
+    fn notice_process_pause(&mut self, now: Millis) {
         let expected = self.last_upkeep_at + UPKEEP_INTERVAL_MS;
-        let was_suspended = now > expected + SUSPENDED_AFTER_MS;
-        let may_be_taken_over = now > expected + TAKEN_OVER_AFTER_MS;
-        self.update_fence(now, was_suspended, may_be_taken_over);
-        if was_suspended {
+        let was_paused = now > expected + PROCESS_PAUSE_LIMIT_MS;
+        let may_be_taken_over = now > expected + TAKEOVER_POSSIBLE_AFTER_MS;
+        self.update_fence(now, was_paused, may_be_taken_over);
+        if was_paused {
             self.ordering.peers_changed_at = now;
         }
     }
--- a/crates/queue/src/service_queue/selection.rs
+++ b/crates/queue/src/service_queue/selection.rs
@@ -99,9 +99,8 @@
                 Step::Push { executor } if executor < self.executors.len() => {
                     let is_retry = retry.is_some();
                     let push = op.pushes.len().saturating_sub(1);
-                    self.count_start(executor, is_retry);
                     let started = InFlightAttempt { key, executor, sent_at: now, op, push, is_retry };
-                    self.in_flight.insert(attempt, started);
+                    self.start(attempt, started);
                     return Selection::Send { executor };
                 }
                 _ if passed_over > 0 => match &mut retry {
@@ -192,10 +191,10 @@
         self.dispatcher.settle(dispatch_time, op, push, DispatchOutcome::Withheld, &[]);
     }
 
-    fn count_start(&mut self, executor: usize, is_retry: bool) {
-        let state = &mut self.executors[executor];
+    fn start(&mut self, attempt: u64, started: InFlightAttempt) {
+        let state = &mut self.executors[started.executor];
         state.in_flight += 1;
-        if is_retry {
+        if started.is_retry {
             state.retries_in_flight += 1;
             self.retries_stuck_since = None;
             self.retry_budget.spend();
@@ -206,6 +205,7 @@
             self.retry_budget.add_first_attempt();
             self.retry_counts.first_attempts += 1;
         }
+        self.in_flight.insert(attempt, started);
     }
 
     /// Whether a retry may go to an executor: not to the one that failed it, and no more than this store's share of the slots,
--- a/crates/queue/src/settings.rs
+++ b/crates/queue/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a store is told at its start: who it is, how many losses to survive, and the limits it keeps to.
+//! What a store is configured with at its start: its identity, how many losses to survive, and the limits it keeps to.
 
 use crate::message::Node;
 
