--- a/crates/queue/src/entry.rs
+++ b/crates/queue/src/entry.rs
@@ -63,20 +63,19 @@
     pub position: QueuePosition,
 }
 
-/// Where a message stands among those of the same order key.
+/// Where a message stands among those of the same ordering key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct OrderSlot {
-    pub order_key: String,
+    pub ordering_key: String,
     /// Time of day at which the message was accepted, in milliseconds: the first part of the order.
     pub accepted_at_ms: u64,
 }
 
-/// What ordered delivery needs to know of a message.
+/// What ordered delivery needs to know of a message. Flags alone, so that they lie in the padding of [`Entry`], of which a store
+/// has very many.
 #[derive(Debug, Default)]
 pub(crate) struct OrderState {
-    /// Where the index of ordered messages has it; `None` if it has no order key or has ended.
-    pub slot: Option<Box<OrderSlot>>,
-    /// Other stores have been told of it, and are told of its end.
+    /// It has been announced to other stores, which are notified of its end, too.
     pub is_announced: bool,
     /// Enough of the other stores have said which earlier messages they know.
     pub is_confirmed: bool,
@@ -118,7 +117,7 @@
     pub(crate) last_failed_on: Option<ExecutorRef>,
     /// How it ended.
     pub end: Option<End>,
-    /// It has ended and the receiver of its call-back has not been told.
+    /// It has ended and the receiver of its callback has not acknowledged it.
     pub callback_pending: bool,
     /// Stores, this one among them, that have not confirmed their replica.
     pub(crate) unconfirmed: Vec<Node>,
@@ -130,6 +129,8 @@
     pub(crate) repair_at: Option<Millis>,
     /// The owner under which the index of live messages has it.
     pub(crate) indexed_owner: Option<Node>,
+    /// Where the index of ordered messages has it; `None` if it has no ordering key or has ended.
+    pub(crate) order_slot: Option<Box<OrderSlot>>,
     /// Its part in ordered delivery.
     pub(crate) order: OrderState,
     /// Where it waits for an executor.
@@ -161,13 +162,14 @@
             persist_check_at: None,
             repair_at: None,
             indexed_owner: None,
+            order_slot: None,
             order: OrderState::default(),
             queue_slot: None,
         }
     }
 
     /// Frees the content of a message that has ended, but for what is still needed: identity and URL for a pending
-    /// call-back, and the body of a failed message, which operators may ask for.
+    /// callback, and the body of a failed message, which operators may ask for.
     pub(crate) fn discard_content(&mut self) {
         let message = std::mem::take(&mut self.message);
         if self.callback_pending {
