--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -6,7 +6,7 @@
 use stileroute_capacity::report::{json, tables, Fleets, Units};
 use stileroute_capacity::run::{run, FleetSettings};
 use stileroute_capacity::store_cost::{comparison_cost, executor_heap, message_cost, service_cost};
-use stileroute_config::Faults;
+use stileroute_config::ConfigError;
 
 /// Smallest fleet: six of its nodes are control nodes.
 const MIN_NODES: usize = 10;
@@ -57,7 +57,7 @@
     }
 }
 
-fn measure_units() -> Result<Units, Faults> {
+fn measure_units() -> Result<Units, ConfigError> {
     let services = SERVICES_AND_STORES.map(|(services, stores)| service_cost(services, stores));
     let comparisons = COMPARED_MESSAGES.map(comparison_cost);
     Ok(Units {
--- a/crates/capacity/src/store_cost.rs
+++ b/crates/capacity/src/store_cost.rs
@@ -6,7 +6,7 @@
 use crate::traffic::Volume;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use stileroute_config::{Config, Faults};
+use stileroute_config::{Config, ConfigError};
 use stileroute_queue::{Millis, Queue};
 
 /// Executors that deliver the measured messages.
@@ -47,7 +47,7 @@
 /// # Errors
 ///
 /// As [`Stores::new`].
-pub fn message_cost(count: usize) -> Result<MessageCost, Faults> {
+pub fn message_cost(count: usize) -> Result<MessageCost, ConfigError> {
     let mut stores = Stores::new(2, 1, 1)?;
     stores.frames = BTreeMap::new();
     stores.disk = Volume::default();
@@ -99,10 +99,10 @@
 /// # Errors
 ///
 /// The configuration has faults, which would be a fault of [`configuration`].
-pub fn service_cost(services: usize, stores: usize) -> Result<ServiceCost, Faults> {
+pub fn service_cost(services: usize, stores: usize) -> Result<ServiceCost, ConfigError> {
     let text = configuration(services, RATE_LIMIT_PER_S);
     let cpu_before = thread_cpu_ns();
-    let config = Config::read(text.as_bytes())?;
+    let config = Config::parse(text.as_bytes())?;
     let read_ns = thread_cpu_ns() - cpu_before;
     let config = Arc::new(config);
     let (mut queue, heap_bytes) = heap_of(|| {
@@ -140,7 +140,7 @@
 /// # Errors
 ///
 /// As [`Stores::new`].
-pub fn executor_heap(count: usize) -> Result<f64, Faults> {
+pub fn executor_heap(count: usize) -> Result<f64, ConfigError> {
     let mut stores = Stores::new(1, 1, 0)?;
     let before = live_bytes();
     stores.set_executors(count);
@@ -163,7 +163,7 @@
 /// # Errors
 ///
 /// As [`Stores::new`].
-pub fn comparison_cost(count: usize) -> Result<ComparisonCost, Faults> {
+pub fn comparison_cost(count: usize) -> Result<ComparisonCost, ConfigError> {
     let mut stores = Stores::new(2, 1, 1)?;
     (0..count).for_each(|number| stores.submit(number));
     stores.frames = BTreeMap::new();
--- a/crates/capacity/src/stores.rs
+++ b/crates/capacity/src/stores.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
-use stileroute_config::{Config, Faults};
+use stileroute_config::{Config, ConfigError};
 use stileroute_queue::{
     first_number, AttemptOutcome, Effect, Executor, Message, Millis, Node, PeerMessage, Queue, QueueSettings,
     StateTable, ToleratedLosses,
@@ -141,8 +141,8 @@
     /// # Errors
     ///
     /// The configuration has faults, which would be a fault of [`configuration`].
-    pub fn new(count: usize, services: usize, replica_count: usize) -> Result<Stores, Faults> {
-        let config = Arc::new(Config::read(configuration(services, 0.0).as_bytes())?);
+    pub fn new(count: usize, services: usize, replica_count: usize) -> Result<Stores, ConfigError> {
+        let config = Arc::new(Config::parse(configuration(services, 0.0).as_bytes())?);
         let nodes = store_nodes(count);
         let mut stores = Stores {
             now: 0,
--- /dev/null
+++ b/crates/config/src/section.rs
@@ -0,0 +1,154 @@
+//! Typed reading of the fields of one JSON object, with the path of each key for the faults.
+
+use crate::fault_collector::FaultCollector;
+use crate::reason::FaultReason;
+use crate::values::{self, describe};
+use jzon::object::Object;
+use jzon::JsonValue;
+use std::net::SocketAddrV4;
+use std::sync::OnceLock;
+
+/// An object within a text, and where it is.
+#[derive(Clone, Copy)]
+pub struct Section<'a> {
+    faults: &'a FaultCollector,
+    object: &'a Object,
+    /// The key of the object, or of the list that it is in; empty for the outermost object.
+    key: &'static str,
+    /// The position of the object in its list, if it is in one.
+    index: Option<usize>,
+}
+
+impl<'a> Section<'a> {
+    /// The outermost object of a text.
+    pub fn root(object: &'a Object, faults: &'a FaultCollector) -> Section<'a> {
+        Section { faults, object, key: "", index: None }
+    }
+
+    /// Notes a fault at a key of this object.
+    pub fn fault(&self, key: &str, reason: FaultReason) {
+        self.faults.add(self.path(key), reason);
+    }
+
+    fn path(&self, key: &str) -> String {
+        match (self.key, self.index) {
+            ("", _) => key.to_string(),
+            (own, Some(index)) => format!("{own}[{index}].{key}"),
+            (own, None) => format!("{own}.{key}"),
+        }
+    }
+
+    fn wrong_value(&self, key: &str, expected: &'static str, value: &JsonValue) {
+        self.fault(key, FaultReason::WrongValue { expected, found: describe(value) });
+    }
+
+    /// The value of a key as `read` converts it, or the default where the key is missing and there is one. Otherwise a fault is
+    /// noted, and what is returned is a placeholder. `expected` says in words what `read` takes.
+    pub fn value<T: Default>(
+        &self,
+        key: &str,
+        default: Option<T>,
+        expected: &'static str,
+        read: impl Fn(&JsonValue) -> Option<T>,
+    ) -> T {
+        let Some(value) = self.object.get(key) else {
+            return default.unwrap_or_else(|| {
+                self.fault(key, FaultReason::Missing);
+                T::default()
+            });
+        };
+        read(value).unwrap_or_else(|| {
+            self.wrong_value(key, expected, value);
+            T::default()
+        })
+    }
+
+    /// Text that is required and not empty.
+    pub fn text(&self, key: &str) -> String {
+        self.value(key, None, "text that is not empty", values::text)
+    }
+
+    /// A flag, off where it is missing.
+    pub fn flag(&self, key: &str) -> bool {
+        self.value(key, Some(false), "true or false", JsonValue::as_bool)
+    }
+
+    /// A whole number from 0 up; required where there is no default.
+    pub fn unsigned(&self, key: &str, default: Option<u64>) -> u64 {
+        self.value(key, default, "a whole number from 0 up", values::unsigned)
+    }
+
+    /// A whole number from 0 up that fits a narrower type.
+    pub fn narrow_unsigned<T: TryFrom<u64> + Default>(&self, key: &str, default: T) -> T {
+        let read = |value: &JsonValue| T::try_from(values::unsigned(value)?).ok();
+        self.value(key, Some(default), "a whole number from 0 up that is not too large", read)
+    }
+
+    /// A finite number that is not negative.
+    pub fn non_negative(&self, key: &str, default: f64) -> f64 {
+        self.value(key, Some(default), "a finite number from 0 up", values::non_negative)
+    }
+
+    /// A span of time in ms; required where there is no default. Keys that end in `_s` hold seconds, others milliseconds; either
+    /// may have a fraction.
+    pub fn duration_ms(&self, key: &str, default: Option<u64>) -> u64 {
+        let unit_ms = if key.ends_with("_s") { 1000.0 } else { 1.0 };
+        let expected = "a span of time from 0 up that is not too long";
+        self.value(key, default, expected, |value| values::duration_ms(value, unit_ms))
+    }
+
+    /// An address; `None` where the key is missing or null.
+    pub fn address(&self, key: &str) -> Option<SocketAddrV4> {
+        let read = |value: &JsonValue| match value {
+            JsonValue::Null => Some(None),
+            other => values::address(other).map(Some),
+        };
+        self.value(key, Some(None), "ip:port or null", read)
+    }
+
+    /// The object under a key; an empty one where it is missing.
+    pub fn section(&self, key: &'static str) -> Section<'a> {
+        static EMPTY: OnceLock<Object> = OnceLock::new();
+        let object = match self.object.get(key) {
+            Some(JsonValue::Object(object)) => object,
+            Some(other) => {
+                self.wrong_value(key, "an object", other);
+                EMPTY.get_or_init(Object::new)
+            }
+            None => EMPTY.get_or_init(Object::new),
+        };
+        Section { object, key, index: None, ..*self }
+    }
+
+    /// The objects in the list under a key, which is required, with their indices. Of a list that is too long none is read.
+    pub fn sections(&self, key: &'static str, limit: usize) -> Vec<Section<'a>> {
+        match self.object.get(key) {
+            Some(JsonValue::Array(values)) if values.len() <= limit => self.elements(key, values),
+            Some(JsonValue::Array(_)) => {
+                self.fault(key, FaultReason::TooManyEntries { limit });
+                Vec::new()
+            }
+            Some(other) => {
+                self.wrong_value(key, "a list", other);
+                Vec::new()
+            }
+            None => {
+                self.fault(key, FaultReason::Missing);
+                Vec::new()
+            }
+        }
+    }
+
+    fn elements(&self, key: &'static str, values: &'a [JsonValue]) -> Vec<Section<'a>> {
+        let element = |(index, value): (usize, &'a JsonValue)| match value {
+            JsonValue::Object(object) => Some(Section { object, key, index: Some(index), ..*self }),
+            other => {
+                let found = describe(other);
+                let reason = FaultReason::WrongValue { expected: "an object", found };
+                self.faults.add(format_args!("{key}[{index}]"), reason);
+                None
+            }
+        };
+        values.iter().enumerate().filter_map(element).collect()
+    }
+}
--- a/crates/queue/src/queue/report.rs
+++ b/crates/queue/src/queue/report.rs
@@ -124,7 +124,7 @@
 
     fn rate_limit_view(&self, service_queue: &ServiceQueue) -> Option<RateLimitView> {
         let config = self.config.as_ref()?;
-        let rate_per_s = config.services[config.service(&service_queue.name)?].rate_per_s;
+        let rate_per_s = config.services[config.service(&service_queue.name)?].rate_limit_per_s;
         (rate_per_s > 0.0).then(|| RateLimitView {
             rate_per_s,
             token_holder: token_holder(&service_queue.name, self.settings.node, &self.peers),
--- a/crates/server/src/cli/discovery.rs
+++ b/crates/server/src/cli/discovery.rs
@@ -10,7 +10,7 @@
 use std::fmt;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
-use stileroute_config::Boot;
+use stileroute_config::NodeSettings;
 
 /// Processes that are asked at the same time, each by a thread.
 const PARALLEL_REQUESTS: usize = 32;
@@ -48,8 +48,9 @@
         let file = self.at.map(PathBuf::from).or_else(|| self.settings.map(Path::to_path_buf));
         let file = file.or_else(settings_file_of_environment);
         let file = file.ok_or(CommandError::NoSettingsFile { option: "--at" })?;
-        let boot = Boot::read(&file).map_err(CommandError::Settings)?;
-        let address = |ip, class| links::listen_address(boot.internal_ports, ip, class);
+        let boot = NodeSettings::read(&file).map_err(CommandError::Settings)?;
+        let ports = (boot.internal_ports.first, boot.internal_ports.last);
+        let address = |ip, class| links::listen_address(ports, ip, class);
         let classes = [NodeRole::Edge, NodeRole::Store, NodeRole::Control];
         let mut addresses = classes.map(|class| address(boot.ip, class)).to_vec();
         if scope == SettingsScope::MachineAndSeeds {
--- a/crates/server/src/node.rs
+++ b/crates/server/src/node.rs
@@ -17,7 +17,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
-use stileroute_config::{Boot, Config};
+use stileroute_config::{Config, NodeSettings};
 use stileroute_queue::Node;
 
 /// How often [`NodeRuntime::take_topology_change`] is true without a change, for what depends on time alone.
@@ -84,7 +84,7 @@
 /// What every role has.
 pub struct NodeRuntime {
     /// The settings of this machine.
-    pub boot: Boot,
+    pub boot: NodeSettings,
     /// The event loop.
     pub net: Net,
     /// The connections with peers.
@@ -115,16 +115,21 @@
     /// # Errors
     ///
     /// An address can't be bound, or the system gives no poll or no signal handler.
-    pub fn start(boot: Boot, settings_path: &Path, role: NodeRole) -> Result<NodeRuntime, NodeStartError> {
+    pub fn start(
+        boot: NodeSettings,
+        settings_path: &Path,
+        role: NodeRole,
+    ) -> Result<NodeRuntime, NodeStartError> {
         let (least, most) = CONNECTION_LIMIT_RANGE;
-        let max_connections = boot.means.max_open_files.saturating_sub(RESERVED_FILE_DESCRIPTORS);
+        let max_connections = boot.resources.max_open_files.saturating_sub(RESERVED_FILE_DESCRIPTORS);
         let max_connections = max_connections.clamp(least, most) as usize;
         let (mut net, waker) = Net::new(max_connections).map_err(NodeStartError::EventLoop)?;
         let signals = ProcessSignals::register().map_err(NodeStartError::Signal)?;
-        let links = Links::new(local_peer_info(&boot, role), boot.internal_ports);
+        let links =
+            Links::new(local_peer_info(&boot, role), (boot.internal_ports.first, boot.internal_ports.last));
         let address = links.listen_address(boot.ip, role);
         net.listen_peers(address).map_err(|source| NodeStartError::InternalAddress { address, source })?;
-        let metrics_listener = listen_for_metrics(&mut net, boot.figures)?;
+        let metrics_listener = listen_for_metrics(&mut net, boot.metrics_address)?;
         Ok(NodeRuntime {
             session: Session::new(&boot.seeds),
             boot,
@@ -199,12 +204,12 @@
             Ok(boot) if boot.ip == self.boot.ip && boot.node_name == self.boot.node_name => {
                 self.session.add_seeds(&boot.seeds);
                 self.boot.bounds = boot.bounds;
-                self.boot.losses = boot.losses;
+                self.boot.fault_tolerance = boot.fault_tolerance;
                 tracing::info!("settings reloaded");
             }
             Ok(_) => tracing::warn!("settings name another node: not reloaded"),
             Err(faults) => {
-                for fault in &faults.0 {
+                for fault in &faults.faults {
                     tracing::warn!("{fault}");
                 }
             }
@@ -212,7 +217,7 @@
     }
 }
 
-fn local_peer_info(boot: &Boot, role: NodeRole) -> PeerInfo {
+fn local_peer_info(boot: &NodeSettings, role: NodeRole) -> PeerInfo {
     PeerInfo {
         protocol_version: PROTOCOL_VERSION,
         node: node_id(&boot.node_name),
@@ -221,7 +226,7 @@
         zone: boot.zone.clone(),
         ip: boot.ip,
         incarnation: random_seed(),
-        control_address: boot.control,
+        control_address: boot.control_address,
     }
 }
 
--- a/crates/server/src/node/session.rs
+++ b/crates/server/src/node/session.rs
@@ -151,7 +151,7 @@
         let rotation = self.links.local().node & 31;
         let candidates = self.links.peers(NodeRole::Control).map(|peer| {
             let avoided_until = self.session.avoided_until(peer.node);
-            (avoided_until, self.boot.far(&peer.zone), peer.node.rotate_left(rotation), peer.node)
+            (avoided_until, self.boot.distance_to(&peer.zone), peer.node.rotate_left(rotation), peer.node)
         });
         candidates.min().map(|(.., node)| node)
     }
@@ -236,7 +236,7 @@
 
     /// Puts a configuration in force if it is newer than the present one: a process never goes back to an older one.
     fn apply_config(&mut self, body: &[u8]) -> Option<Arc<Config>> {
-        let config = match Config::read(body) {
+        let config = match Config::parse(body) {
             Ok(config) => config,
             Err(faults) => {
                 tracing::error!(%faults, "invalid configuration received");
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -210,19 +210,22 @@
     table: &StateTable,
 ) -> QueueSettings {
     let boot = &runtime.boot;
-    let zone = boot.zones.keys().position(|zone| *zone == boot.zone).unwrap_or(0);
+    let zone = boot.zone_regions.keys().position(|zone| *zone == boot.zone).unwrap_or(0);
     QueueSettings {
         node: runtime.links.local().node,
         zone,
         disk_id,
         first_number,
         earlier_first_numbers: table.incarnation_first_numbers.clone(),
-        replica_count: boot.losses.copies(),
-        region_of_zone: boot.regions(),
-        tolerated_losses: ToleratedLosses { zones: boot.losses.zones, regions: boot.losses.regions },
-        rate_window_ms: boot.bounds.ceiling_window_ms,
-        rate_tolerance: boot.bounds.origin_overrun,
-        status_retention_ms: boot.bounds.status_ms,
+        replica_count: boot.fault_tolerance.additional_replicas(),
+        region_of_zone: boot.region_numbers(),
+        tolerated_losses: ToleratedLosses {
+            zones: boot.fault_tolerance.zones,
+            regions: boot.fault_tolerance.regions,
+        },
+        rate_window_ms: boot.bounds.rate_limit_window_ms,
+        rate_tolerance: boot.bounds.rate_limit_overrun,
+        status_retention_ms: boot.bounds.status_retention_ms,
         seed: random_seed(),
     }
 }
