--- a/crates/server/src/net/server/connection/generated.rs
+++ b/crates/server/src/net/server/connection/generated.rs
@@ -214,7 +214,7 @@
             let read = connection.receive(&mut input, &LIMITS);
             assert!(
                 !matches!(read, Received::Partial { wants_continue: true, .. }),
-                "seed {seed}: expected again"
+                "seed {seed}: sent a second time"
             );
         }
         assert!(connection.is_in_progress(), "seed {seed}");
