--- a/crates/capacity/src/simulation/node.rs
+++ b/crates/capacity/src/simulation/node.rs
@@ -53,6 +53,7 @@
 
 /// A node whose process runs.
 pub(super) struct RunningNode {
+    /// What the node does and knows.
     pub state: NodeState,
     /// When it takes its next turn if nothing reaches it before.
     pub deadline: Millis,
