--- a/crates/queue/src/queue/configuration.rs
+++ b/crates/queue/src/queue/configuration.rs
@@ -38,7 +38,8 @@
             return *index;
         }
         let routes = config.routes.iter().filter(|route| config.services[route.service].name == service.name);
-        let run_target_ms = routes.map(|route| route.run_target_ms).min().unwrap_or(DEFAULT_RUN_TARGET_MS);
+        let run_target_ms =
+            routes.map(|route| route.completion_target_ms).min().unwrap_or(DEFAULT_RUN_TARGET_MS);
         let seed = self.settings.seed ^ mark(&service.name);
         let service_queue =
             ServiceQueue::new(&service.name, self.settings.zone, INITIAL_STORE_COUNT, run_target_ms, seed);
@@ -50,10 +51,10 @@
 
     fn configure_service(&mut self, now: Millis, dispatch_time: Time, index: usize, service: &Service) {
         let service_queue = &mut self.service_queues[index];
-        service_queue.max_connections = service.max_conns.max(1) as usize;
+        service_queue.max_connections = service.max_connections.max(1) as usize;
         service_queue.has_fixed_endpoint = service.endpoint.is_some();
         let limit = RateLimit {
-            rate_per_s: service.rate_per_s,
+            rate_per_s: service.rate_limit_per_s,
             window_ms: self.settings.rate_window_ms,
             tolerance: self.settings.rate_tolerance,
         };
--- a/crates/server/src/cli/error.rs
+++ b/crates/server/src/cli/error.rs
@@ -2,7 +2,7 @@
 
 use super::output::ExitStatus;
 use std::path::PathBuf;
-use stileroute_config::Faults;
+use stileroute_config::ConfigError;
 
 /// Why a command could not be run. Its text goes to standard error as it is.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
@@ -32,7 +32,7 @@
     InvalidNodeName(String),
     /// The settings file can't be used; one line for each fault.
     #[error("{0}")]
-    Settings(Faults),
+    Settings(ConfigError),
     /// A configuration file can't be read.
     #[error("{}: cannot be read: {source}", file.display())]
     UnreadableFile {
@@ -47,7 +47,7 @@
         /// Its path.
         file: PathBuf,
         /// All that is wrong with it.
-        faults: Faults,
+        faults: ConfigError,
     },
     /// No process answered; one line for each that was asked.
     #[error("{}", .reasons.join("\n"))]
--- a/crates/server/src/cli/orders.rs
+++ b/crates/server/src/cli/orders.rs
@@ -70,7 +70,7 @@
         let file = || path.to_path_buf();
         let body =
             std::fs::read(path).map_err(|source| CommandError::UnreadableFile { file: file(), source })?;
-        match Config::read(&body) {
+        match Config::parse(&body) {
             Ok(config) => Ok(ConfigurationFile { body, revision: config.revision }),
             Err(faults) => Err(CommandError::Configuration { file: file(), faults }),
         }
@@ -96,7 +96,7 @@
 
 /// The revision of a configuration; 0 where it can't be read.
 fn revision_of(body: &[u8]) -> u64 {
-    Config::read(body).map_or(0, |config| config.revision)
+    Config::parse(body).map_or(0, |config| config.revision)
 }
 
 /// Sends a configuration, and says whether it is in force.
--- a/crates/server/src/cli/query.rs
+++ b/crates/server/src/cli/query.rs
@@ -6,7 +6,7 @@
 use crate::protocol::NodeRole;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
-use stileroute_config::Boot;
+use stileroute_config::NodeSettings;
 
 /// Names the settings file where no option does.
 const SETTINGS_VARIABLE: &str = "STILEROUTE_BOOT";
@@ -56,8 +56,9 @@
         let file = self.at.map(PathBuf::from).or_else(|| self.settings.map(Path::to_path_buf));
         let file = file.or_else(settings_file_of_environment);
         let file = file.ok_or(CommandError::NoSettingsFile { option: "--at" })?;
-        let boot = Boot::read(&file).map_err(CommandError::Settings)?;
-        let address = |ip, class| links::listen_address(boot.internal_ports, ip, class);
+        let boot = NodeSettings::read(&file).map_err(CommandError::Settings)?;
+        let ports = (boot.internal_ports.first, boot.internal_ports.last);
+        let address = |ip, class| links::listen_address(ports, ip, class);
         let classes = [NodeRole::Edge, NodeRole::Store, NodeRole::Control];
         let mut addresses = classes.map(|class| address(boot.ip, class)).to_vec();
         if scope == SettingsScope::MachineAndSeeds {
--- a/crates/server/src/store/tests.rs
+++ b/crates/server/src/store/tests.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use stileroute_config::{Boot, Config};
+use stileroute_config::{Config, NodeSettings, PortRange};
 use stileroute_queue::{AttemptOutcome, Message};
 
 const CONFIG: &[u8] =
@@ -38,12 +38,12 @@
         );
         let file = dir.join("boot.json");
         std::fs::write(&file, text).unwrap();
-        let mut boot = Boot::read(&file).unwrap();
-        (boot.ip, boot.internal_ports) = (Ipv4Addr::LOCALHOST, (0, 0));
+        let mut boot = NodeSettings::read(&file).unwrap();
+        (boot.ip, boot.internal_ports) = (Ipv4Addr::LOCALHOST, PortRange::default());
         let mut store =
             Store::new(NodeRuntime::start(boot, Path::new(""), NodeRole::Store).unwrap()).unwrap();
         let (now, fine) = (store.runtime.net.now(), store.runtime.net.now_tenths_ms());
-        store.queue.configure(now, fine, Arc::new(Config::read(CONFIG).unwrap()));
+        store.queue.configure(now, fine, Arc::new(Config::parse(CONFIG).unwrap()));
         store.apply_queue_effects();
         StoreAlone { store, dir }
     }
