--- a/crates/queue/src/queue/token_holders.rs
+++ b/crates/queue/src/queue/token_holders.rs
@@ -1,9 +1,9 @@
 //! Which store hands out the tokens of a service's rate limit, and how the others get some.
 
 use super::Queue;
-use crate::copies::Peer;
 use crate::effect::Effect;
 use crate::message::{Millis, Node};
+use crate::peer::Peer;
 use crate::peer_message::PeerMessage;
 use crate::token_bucket::TokenBucket;
 use std::collections::BTreeMap;
@@ -16,7 +16,8 @@
 /// spread over the stores.
 pub(crate) fn token_holder(service: &str, own_node: Node, peers: &BTreeMap<Node, Peer>) -> Node {
     let weight = |node: Node| mark(&format!("{service}/{node}"));
-    let members = peers.iter().filter(|(_, peer)| peer.listed && !peer.leaving).map(|(node, _)| *node);
+    let members =
+        peers.iter().filter(|(_, peer)| peer.is_member && !peer.is_draining()).map(|(node, _)| *node);
     members.chain(std::iter::once(own_node)).max_by_key(|node| weight(*node)).unwrap_or(own_node)
 }
 
@@ -25,8 +26,8 @@
     /// the retry slots.
     pub(crate) fn assign_token_holders(&mut self, now: Millis) {
         let own_node = self.settings.node;
-        let stores = 1 + self.peers.values().filter(|peer| peer.listed).count();
-        let own_index = self.peers.iter().filter(|(node, peer)| peer.listed && **node < own_node).count();
+        let stores = 1 + self.peers.values().filter(|peer| peer.is_member).count();
+        let own_index = self.peers.iter().filter(|(node, peer)| peer.is_member && **node < own_node).count();
         let may_hold = self.control_contact.is_heard && self.knows_members && !self.is_draining;
         for service_queue in &mut self.service_queues {
             service_queue.set_store_position(own_index, stores);
--- a/crates/server/src/control_node.rs
+++ b/crates/server/src/control_node.rs
@@ -12,7 +12,7 @@
 use crate::inspection::Inspect;
 use crate::links::LinkEvent;
 use crate::net::{Event, Millis, RequestLimits};
-use crate::node::{random_seed, NodeRuntime};
+use crate::node::{random_seed, NodeRuntime, Polled};
 use crate::protocol::{Frame, NodeRole};
 use crate::start_error::StartError;
 use disk_records::DiskRecords;
@@ -100,7 +100,7 @@
     pub fn run(mut self) {
         loop {
             let until = self.plane.next_deadline(self.runtime.net.now());
-            let (link_events, events) = self.runtime.poll(until);
+            let Polled { link_events, events } = self.runtime.poll(until);
             link_events.into_iter().for_each(|link_event| self.link_event(link_event));
             events.into_iter().for_each(|event| self.event(event));
             self.answer_inquiries();
--- a/crates/server/src/edge.rs
+++ b/crates/server/src/edge.rs
@@ -8,7 +8,7 @@
 use crate::inspection::Inspect;
 use crate::links::LinkEvent;
 use crate::net::{ConnectionId, Event, Millis, Net, Request, RequestLimits, Response};
-use crate::node::NodeRuntime;
+use crate::node::{NodeRuntime, Polled};
 use crate::protocol::{Frame, NodeRole};
 use crate::start_error::StartError;
 use pending::{PendingLookup, PendingSubmission};
@@ -103,7 +103,7 @@
     pub fn run(mut self) {
         loop {
             let until = self.timeouts.first().map_or(Millis::MAX, |(at, _)| *at);
-            let (link_events, events) = self.runtime.poll(until);
+            let Polled { link_events, events } = self.runtime.poll(until);
             link_events.into_iter().for_each(|link_event| self.link_event(link_event));
             events.into_iter().for_each(|event| self.event(event));
             self.answer_inquiries();
--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -12,7 +12,7 @@
 use crate::disk::Disk;
 use crate::inspection::Inspect;
 use crate::net::{Event, Millis};
-use crate::node::{random_seed, wall_clock_ms, NodeRuntime};
+use crate::node::{random_seed, wall_clock_ms, NodeRuntime, Polled};
 use crate::protocol::{Frame, Heartbeat, NodeRole, RetirementState};
 use crate::start_error::StartError;
 use delivery_statistics::DeliveryStatistics;
@@ -104,7 +104,7 @@
     /// Runs until the process is told to end and is done.
     pub fn run(mut self) {
         loop {
-            let (link_events, events) = self.runtime.poll(self.queue.next_deadline());
+            let Polled { link_events, events } = self.runtime.poll(self.queue.next_deadline());
             link_events.into_iter().for_each(|link_event| self.link_event(link_event));
             events.into_iter().for_each(|event| self.event(event));
             self.answer_inquiries();
