--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -21,8 +21,8 @@
 const MIN_USUAL_GRACE_MS: u64 = 3500;
 /// Milliseconds between heartbeats that can be set.
 const HEARTBEAT_INTERVALS_MS: std::ops::RangeInclusive<u64> = 10..=600_000;
-/// The largest factor that `bounds.rate_limit_overrun` can set.
-const MAX_ORIGIN_OVERRUN: f64 = 100.0;
+/// The largest factor that the key `bounds.origin_overrun` can set.
+const MAX_RATE_LIMIT_OVERRUN: f64 = 100.0;
 
 /// What a check found.
 #[derive(Debug, Default)]
@@ -127,7 +127,7 @@
         let reason = "must be above 0 and a day or less";
         self.require((1..=DAY_MS).contains(&bounds.rate_limit_window_ms), "bounds.ceiling_window_s", reason);
         let overrun = bounds.rate_limit_overrun;
-        self.require(overrun <= MAX_ORIGIN_OVERRUN, "bounds.origin_overrun", "must be 100 or less");
+        self.require(overrun <= MAX_RATE_LIMIT_OVERRUN, "bounds.origin_overrun", "must be 100 or less");
         self.expect(overrun >= 1.0, "bounds.origin_overrun", "below 1 counts as 1");
         self.check_disk(NodeRole::Store);
     }
