--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,6 +1,6 @@
-//! What the system is told by operators: the settings file of each process, and the configuration that all share.
+//! The two inputs of operators: the settings file of each process, and the configuration that all processes share.
 //!
-//! [`NodeSettings`] is what a process is told about itself and its machine, [`Config`] which routes and services there are. Both
+//! [`NodeSettings`] describes a process and its machine, [`Config`] which routes and services there are. Both
 //! are read from JSON by hand, field by field: unknown fields are ignored, missing ones get a default or are a fault, and all
 //! faults of a text are reported at once in a [`ConfigError`]. Whatever the bytes, reading ends in a value or in faults, never
 //! in a panic.
--- a/crates/config/src/node_settings.rs
+++ b/crates/config/src/node_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process: what it is told about itself, its machine and its surroundings.
+//! The settings file of a process: its name, addresses and place in the system, and the limits it works within.
 
 use crate::document::{parse_object, MAX_TEXT_BYTES};
 use crate::error::ConfigError;
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -3,7 +3,7 @@
 use assert_matches::assert_matches;
 use stileroute_config::{Config, HttpLimits, RouteKind};
 
-const WHOLE: &str = r#"{"revision":12,"future":[{}],"routes":[
+const COMPLETE: &str = r#"{"revision":12,"future":[{}],"routes":[
  {"name":"jetty","hostname":"Ferry.example","path_prefix":"/quay/","route_type":"deferred","timeout_ms":1500,
   "target_ms":80,"priority":2,"backend":"crane","max_tries":4,"in_order":true,"max_wait_s":7.25,"callback_url":true,
   "run_target_ms":1200},
@@ -20,9 +20,9 @@
 }
 
 #[test]
-fn a_whole_configuration_is_read() {
-    let config = Config::parse(WHOLE.as_bytes()).unwrap();
-    assert_eq!((config.revision, &config.body[..]), (12, WHOLE.as_bytes()));
+fn a_complete_configuration_is_read() {
+    let config = Config::parse(COMPLETE.as_bytes()).unwrap();
+    assert_eq!((config.revision, &config.body[..]), (12, COMPLETE.as_bytes()));
     let limits = HttpLimits {
         max_header_bytes: 16_384,
         max_body_bytes: 5000,
@@ -64,7 +64,7 @@
         ("canal.example:x", "/any", None),
         ("", "/any", None),
     ];
-    let config = Config::parse(WHOLE.as_bytes()).unwrap();
+    let config = Config::parse(COMPLETE.as_bytes()).unwrap();
     for (host, path, route) in rows {
         assert_eq!(config.route(host, path), route, "{host} {path}");
     }
@@ -86,7 +86,7 @@
 
 #[test]
 fn what_is_wrong_is_refused_by_its_key() {
-    // What is put in the place of what, and the key and the reason that are told.
+    // What is replaced by what, and the key and the reason that are then reported.
     let rows = [
         ("\"revision\":12,", "", "revision: missing"),
         (":12,", ":-1,", "revision: must be a whole number from 0 up, is -1.0"),
@@ -141,28 +141,28 @@
         ("10.9.8.7:8099", "10.9.8.7:0", "backends[1].endpoint: must be"),
         ("\"endpoint\":null", "\"endpoint\":false", "backends[0].endpoint: must be"),
     ];
-    for (of, with, told) in rows {
-        assert!(WHOLE.contains(of), "{of}");
-        let faults = faults(WHOLE.replacen(of, with, 1));
-        assert!(faults.starts_with(&format!("configuration: {told}")), "{of} -> {with}: {faults}");
+    for (of, with, expected) in rows {
+        assert!(COMPLETE.contains(of), "{of}");
+        let faults = faults(COMPLETE.replacen(of, with, 1));
+        assert!(faults.starts_with(&format!("configuration: {expected}")), "{of} -> {with}: {faults}");
         assert_eq!(faults.lines().count(), 1, "{faults}");
     }
     for (of, with) in
         [(":12,", ":12.0,"), (":12,", ":18446744073709551615,"), ("y\":2", "y\":-9223372036854775808")]
     {
-        assert_eq!(faults(WHOLE.replacen(of, with, 1)), "");
+        assert_eq!(faults(COMPLETE.replacen(of, with, 1)), "");
     }
 }
 
 #[test]
-fn all_faults_are_told_at_once_and_a_flood_is_counted() {
-    let many = WHOLE.replace("1500", "0").replace(":12,", ":-1,").replace("8099", "no\\nline");
-    let told = faults(many);
-    assert_eq!(told.lines().count(), 3, "{told}");
-    // What follows from a fault is told too.
-    let told = faults(WHOLE.replace("\"backends\":[", "\"backends\":{},\"b\":["));
-    assert!(told.starts_with("configuration: backends: must be a list, is an object\n"), "{told}");
-    assert_eq!(told.lines().count(), 4, "{told}");
+fn all_faults_are_reported_at_once_and_a_flood_is_counted() {
+    let many = COMPLETE.replace("1500", "0").replace(":12,", ":-1,").replace("8099", "no\\nline");
+    let expected = faults(many);
+    assert_eq!(expected.lines().count(), 3, "{expected}");
+    // What follows from a fault is reported too.
+    let expected = faults(COMPLETE.replace("\"backends\":[", "\"backends\":{},\"b\":["));
+    assert!(expected.starts_with("configuration: backends: must be a list, is an object\n"), "{expected}");
+    assert_eq!(expected.lines().count(), 4, "{expected}");
     let flood = faults(format!("{{\"routes\":[{}0]}}", "0,".repeat(5000)));
     assert_eq!(flood.lines().count(), 65);
     assert!(flood.ends_with("more faults are not told"), "{flood}");
@@ -178,17 +178,17 @@
         (format!("{{\"a\":1{}}}", "0".repeat(40_000)), "holds a number of more than"),
         (format!("{{\"routes\":[{}0]}}", "0,".repeat(100_000)), "routes: holds more than 100000"),
     ];
-    for (body, told) in rows {
-        assert!(faults(&body).contains(told), "{told}");
+    for (body, expected) in rows {
+        assert!(faults(&body).contains(expected), "{expected}");
     }
 }
 
 #[test]
 fn cut_short_or_with_any_byte_changed_it_brings_nothing_down() {
-    for cut in 0..WHOLE.len() {
-        assert_matches!(Config::parse(&WHOLE.as_bytes()[..cut]), Err(faults) if !faults.faults.is_empty(), "{cut}");
+    for cut in 0..COMPLETE.len() {
+        assert_matches!(Config::parse(&COMPLETE.as_bytes()[..cut]), Err(faults) if !faults.faults.is_empty(), "{cut}");
     }
-    let mut body = WHOLE.as_bytes().to_vec();
+    let mut body = COMPLETE.as_bytes().to_vec();
     for at in 0..body.len() {
         for byte in
             [0, 0x0c, b'"', b'\\', b'0', b'-', b'e', b'}', b',', 0xc3, 0xff, body[at] ^ 1, body[at] ^ 0x20]
--- a/crates/config/tests/node_settings.rs
+++ b/crates/config/tests/node_settings.rs
@@ -5,7 +5,7 @@
 use stileroute_config::ZoneDistance::{OtherRegion, SameRegion, SameZone};
 use stileroute_config::{FaultTolerance, NodeSettings, PortRange};
 
-const WHOLE: &str = r#"{"node_name":"gate-3","role":"keeper","machine_class":"stone","serves":["edge","control"],
+const COMPLETE: &str = r#"{"node_name":"gate-3","role":"keeper","machine_class":"stone","serves":["edge","control"],
  "ip":"10.9.0.3","zone":"weir-a","region":"weir","zones":{"weir-b":"weir","dune-a":"dune"},
  "bind_addresses":{"front":"10.9.0.3:8011","control":"10.9.0.3:8012"},"internal_ports":[7100,7115],
  "seed_nodes":["10.9.0.4:8012"],"first_start":true,"counted":true,"limits":{"cpu_share":0.5,"disk_mb":64},
@@ -13,8 +13,8 @@
  "bounds":{"catch_up_s":4.35,"seed_lag_s":2,"contact_ms":3500,"origin_overrun":1.25},"config_mode":"new"}"#;
 
 #[test]
-fn a_whole_file_is_read_and_what_is_missing_is_usual() {
-    let boot = NodeSettings::parse("node.json", WHOLE).unwrap();
+fn a_complete_file_is_read_and_what_is_missing_gets_its_default() {
+    let boot = NodeSettings::parse("node.json", COMPLETE).unwrap();
     assert_eq!(
         (boot.node_name.as_str(), boot.role.as_str(), boot.machine_class.as_str()),
         ("gate-3", "keeper", "stone")
@@ -59,10 +59,13 @@
         ("4.35", "-1", "bounds.catch_up_s: must be a span of time"),
         ("{\"catch_up_s\":4.35", "7,\"x\":{\"y\":1", "bounds: must be an object, is 7.0"),
     ];
-    for (of, with, told) in rows {
-        assert!(WHOLE.contains(of), "{of}");
-        let faults = NodeSettings::parse("node.json", &WHOLE.replacen(of, with, 1)).unwrap_err();
-        assert!(faults.to_string().starts_with(&format!("node.json: {told}")), "{of} -> {with}: {faults}");
+    for (of, with, expected) in rows {
+        assert!(COMPLETE.contains(of), "{of}");
+        let faults = NodeSettings::parse("node.json", &COMPLETE.replacen(of, with, 1)).unwrap_err();
+        assert!(
+            faults.to_string().starts_with(&format!("node.json: {expected}")),
+            "{of} -> {with}: {faults}"
+        );
         assert_eq!(faults.faults.len(), 1, "{faults}");
     }
     let faults = NodeSettings::parse("a\nb", "{}").unwrap_err();
@@ -74,18 +77,18 @@
 fn a_file_is_read_from_disk_and_refused_when_cut_short() {
     let path = std::env::temp_dir().join(format!("charter-boot-{}.json", std::process::id()));
     assert_matches!(NodeSettings::read(&path), Err(faults) if faults.faults[0].reason.to_string().starts_with("cannot be read"));
-    std::fs::write(&path, WHOLE).unwrap();
+    std::fs::write(&path, COMPLETE).unwrap();
     let read = NodeSettings::read(&path);
     std::fs::remove_file(&path).unwrap();
-    assert_eq!(read, NodeSettings::parse("node.json", WHOLE));
-    for cut in 0..WHOLE.len() {
-        assert_matches!(NodeSettings::parse("node.json", &WHOLE[..cut]), Err(_), "{cut}");
+    assert_eq!(read, NodeSettings::parse("node.json", COMPLETE));
+    for cut in 0..COMPLETE.len() {
+        assert_matches!(NodeSettings::parse("node.json", &COMPLETE[..cut]), Err(_), "{cut}");
     }
 }
 
 #[test]
-fn places_and_losses() {
-    let boot = NodeSettings::parse("node.json", WHOLE).unwrap();
+fn distances_and_tolerated_losses() {
+    let boot = NodeSettings::parse("node.json", COMPLETE).unwrap();
     // Zones in order: dune-a, weir-a (the own one), weir-b.
     assert_eq!(boot.region_numbers(), [0, 1, 1]);
     assert_eq!(
--- a/crates/registry/src/executors.rs
+++ b/crates/registry/src/executors.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 
-/// Control nodes tell each other so often which executors sent heartbeats; changes they tell at once.
+/// Control nodes tell each other so often which executors sent heartbeats; changes at once.
 pub const HEARTBEAT_GOSSIP_INTERVAL: Millis = 500;
 /// Most executors that are kept.
 const MAX_EXECUTORS: usize = 20_000;
@@ -43,7 +43,7 @@
     }
 }
 
-/// All executors, and which of them the other control nodes have still to be told of.
+/// All executors, and which of them have still to be broadcast to the other control nodes.
 pub struct ExecutorTable {
     records: HashMap<String, ExecutorRecord>,
     /// Those that sent a heartbeat here since the last routine broadcast.
@@ -82,7 +82,7 @@
         self.changed_in
     }
 
-    /// Notes that the other control nodes have to be told of an executor, with the next broadcast if it has changed.
+    /// Notes that an executor has to be broadcast: with the next routine broadcast, or at once if it has changed.
     pub fn queue_broadcast(&mut self, id: String, has_changed: bool) {
         if has_changed {
             self.unsent_changes.push(id.clone());
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Sets an executor offline that has deregistered. Returns whether that was news.
+    /// Sets an executor offline that has deregistered. Returns whether it was not offline before.
     pub fn deregister(&mut self, version: &mut VersionCounter, id: &str) -> bool {
         let Some(record) = self.records.get_mut(id).filter(|record| !record.is_offline()) else {
             return false;
@@ -158,7 +158,7 @@
         true
     }
 
-    /// What the other control nodes have to be told: with a routine broadcast of all that sent heartbeats here, otherwise only
+    /// What has to be broadcast now: in a routine broadcast all that sent heartbeats here, otherwise only
     /// of those that changed.
     pub fn take_unsent(&mut self, now: Millis, is_routine: bool) -> Vec<Heartbeat> {
         let mut ids = std::mem::take(&mut self.unsent_changes);
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Which nodes and executors are present, as one control node knows it, and who has to be told of it.
+//! Which nodes and executors are present, as one control node knows it, and which changes have to be sent to whom.
 //!
 //! A state machine without I/O: heartbeats, polls, connections and a monotonic clock go in, [`RegistryEffect`]s come out.
 //!
--- a/crates/registry/src/membership.rs
+++ b/crates/registry/src/membership.rs
@@ -53,7 +53,7 @@
     changed_in: u64,
     /// The members have to be computed again.
     is_stale: bool,
-    /// The other control nodes have not been told of the present sessions.
+    /// The sessions have changed since they were broadcast last.
     has_unsent_sessions: bool,
     last_broadcast: Millis,
 }
@@ -138,7 +138,7 @@
                 && old.member.incarnation == member.incarnation
                 && old.member.retirement == member.retirement
         });
-        // Only operators look at it, and any control node may be asked: so the peers have to know, but no member list changes.
+        // Only operators look at it, and they may ask any control node: so the peers have to know, but no member list changes.
         let has_other_config = old.is_none_or(|old| old.member.config_version != member.config_version);
         if !is_same {
             tracing::info!(node = member.name, role = %member.role, "session");
--- a/crates/registry/src/messages.rs
+++ b/crates/registry/src/messages.rs
@@ -23,7 +23,7 @@
     /// Keeps the configuration and this registry.
     #[strum(serialize = "core")]
     Control,
-    /// The operators' command line: it connects, asks and disconnects, and never becomes a member.
+    /// The operators' command line: it connects, requests a report and disconnects, and never becomes a member.
     #[strum(serialize = "visitor")]
     CommandLine,
 }
@@ -82,7 +82,7 @@
     Offline,
 }
 
-/// What an executor reports of itself with each heartbeat, and what nodes are told of it.
+/// What an executor reports of itself with each heartbeat, and what nodes are sent about it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Unique to one start of the executor.
@@ -121,6 +121,6 @@
     pub config: Option<Vec<u8>>,
     /// All members, if there was any change among them.
     pub members: Option<Vec<Member>>,
-    /// Executors, of which only stores are told.
+    /// Executors; empty for nodes that are not stores.
     pub executors: Vec<Heartbeat>,
 }
--- a/crates/registry/src/polls.rs
+++ b/crates/registry/src/polls.rs
@@ -10,7 +10,7 @@
 
 /// A node's question for what is new to it.
 pub struct Poll {
-    /// The incarnation of the control node that gave `version`; 0 if the node has been told nothing.
+    /// The incarnation of the control node that gave `version`; 0 if the node has had no update.
     pub incarnation: u64,
     /// The version that the node has.
     pub version: u64,
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -264,11 +264,12 @@
         }
     }
 
-    /// The executors that have changed since a version; those that are offline only if the node may have been told of them.
+    /// The executors that have changed since a version; those that are offline only if the node may know them.
     fn executors_since(&self, now: Millis, since: u64, with_offline: bool) -> Vec<Heartbeat> {
         let changed = self.executors.records().filter(|record| record.changed_in > since);
-        let told = changed.filter(|record| with_offline || record.heartbeat.state != ExecutorState::Offline);
-        told.map(|record| record.aged_heartbeat(now)).collect()
+        let relevant =
+            changed.filter(|record| with_offline || record.heartbeat.state != ExecutorState::Offline);
+        relevant.map(|record| record.aged_heartbeat(now)).collect()
     }
 }
 
--- a/crates/registry/src/version.rs
+++ b/crates/registry/src/version.rs
@@ -1,6 +1,6 @@
-//! The counter of changes by which nodes say how much they have been told.
+//! The counter of changes by which nodes say how recent their view is.
 
-/// Counts the changes of a registry, from 1 on: 0 is the version of a node that has been told nothing.
+/// Counts the changes of a registry, from 1 on: 0 is the version of a node that has had no update.
 pub struct VersionCounter(u64);
 
 impl VersionCounter {
