--- /dev/null
+++ b/crates/operator-file/tests/faults.rs
@@ -0,0 +1,144 @@
+//! The whole text of every fault that reading a file reports, with line, column and key.
+
+use stileroute_operator_file::{load, read, Fault, Keys};
+
+/// The faults of a file, line by line.
+fn faults(text: &str, sections: impl FnOnce(&Keys)) -> Vec<String> {
+    let read = read("f.toml", text, |keys| {
+        sections(keys);
+        Some(())
+    });
+    read.err().unwrap_or_default().iter().map(Fault::to_string).collect()
+}
+
+#[test]
+fn each_kind_of_value_has_its_faults() {
+    type Ask = fn(&Keys);
+    let cases: [(&str, Ask, &str); 32] = [
+        ("a = 1", |keys| drop(keys.text("a")), "f.toml:1:1: a: must be a text in quotes, not a whole number"),
+        ("\na = ''", |keys| drop(keys.text("a")), "f.toml:2:1: a: is empty"),
+        (
+            "a = 1.5",
+            |keys| drop(keys.word("a", &[("x", 1)])),
+            "f.toml:1:1: a: must be a word in quotes, not a number",
+        ),
+        ("a = 'q'", |keys| drop(keys.word("a", &[("x", 1), ("y", 2)])), "f.toml:1:1: a: 'q' is none of x, y"),
+        (
+            "  a = 'slwo'",
+            |keys| drop(keys.word("a", &[("slow", 1)])),
+            "f.toml:1:3: a: 'slwo' is none of slow; did you mean 'slow'?",
+        ),
+        (
+            "a = true",
+            |keys| drop(keys.time("a")),
+            "f.toml:1:1: a: must be a time with its unit, as \"250ms\", not true or false",
+        ),
+        ("a = '5'", |keys| drop(keys.time("a")), "f.toml:1:1: a: '5' has no unit: ms, s, m or h"),
+        ("a = ''", |keys| drop(keys.time("a")), "f.toml:1:1: a: '' has no unit: ms, s, m or h"),
+        ("a = '25h'", |keys| drop(keys.time("a")), "f.toml:1:1: a: '25h' is more than 24h"),
+        ("a = []", |keys| drop(keys.flag("a")), "f.toml:1:1: a: must be true or false, not a list"),
+        ("a = {}", |keys| drop(keys.number("a", 0.0..=1.0)), "f.toml:1:1: a: must be a number, not a table"),
+        ("a = 2", |keys| drop(keys.number("a", 0.0..=1.5)), "f.toml:1:1: a: must be from 0 to 1.5"),
+        ("a = nan", |keys| drop(keys.number("a", 0.0..=1.5)), "f.toml:1:1: a: must be from 0 to 1.5"),
+        (
+            "a = 1979-05-27",
+            |keys| drop(keys.count("a", 1..=3)),
+            "f.toml:1:1: a: must be a whole number, not a date",
+        ),
+        ("a = 4", |keys| drop(keys.count("a", 1..=3)), "f.toml:1:1: a: must be a whole number from 1 to 3"),
+        ("a = -1", |keys| drop(keys.count("a", 0..=3)), "f.toml:1:1: a: must be a whole number from 0 to 3"),
+        ("a = 'x'", |keys| drop(keys.texts("a")), "f.toml:1:1: a: must be a list of texts, not a text"),
+        ("a = []", |keys| drop(keys.texts("a")), "f.toml:1:1: a: is an empty list"),
+        ("a = ['x', 1]", |keys| drop(keys.texts("a")), "f.toml:1:11: a: must be a text, not a whole number"),
+        ("a = 1", |keys| drop(keys.table("a")), "f.toml:1:1: a: must be a table, not a whole number"),
+        ("a = 1", |keys| drop(keys.tables("a")), "f.toml:1:1: a: must be a list of tables: [[a]]"),
+        ("a = [{}, 1]", |keys| drop(keys.tables("a")), "f.toml:1:10: a[1]: must be a table"),
+        ("[a]\nb = 1", |keys| drop(keys.named("a")), "f.toml:2:1: a.b: must be a table"),
+        ("[a]\nb = 1", |keys| drop(keys.pairs("a")), "f.toml:2:1: a.b: must be a text, not a whole number"),
+        ("a = 1", |keys| drop(keys.named("a")), "f.toml:1:1: a: must be a table, not a whole number"),
+        ("x = 1", |_| (), "f.toml:1:1: x: is not known"),
+        ("wiat = 1", |keys| drop(keys.flag("wait")), "f.toml:1:1: wiat: is not known; did you mean 'wait'?"),
+        (
+            "[a]\nb.c = 1",
+            |keys| {
+                let inner = keys.table("a").and_then(|a| a.table("b")).expect("a table");
+                assert_eq!(inner.place().to_string(), "line 2, a.b");
+                drop(inner.flag("c"));
+            },
+            "f.toml:2:3: a.b.c: must be true or false, not a whole number",
+        ),
+        (
+            "[[a]]\n[[a]]\nb = 1",
+            |keys| keys.tables("a").into_iter().for_each(|entry| entry.finish()),
+            "f.toml:3:1: a[1].b: is not known",
+        ),
+        (
+            "[a.b]\nc = 1",
+            |keys| {
+                for (name, inner) in keys.named("a") {
+                    assert_eq!((name.value.as_str(), name.place.line, name.place.column), ("b", 1, 4));
+                    inner.finish();
+                }
+            },
+            "f.toml:2:1: a.b.c: is not known",
+        ),
+        ("a = 1\na = 2", |_| (), "f.toml:2:1: file: duplicate key"),
+        (
+            "",
+            |keys| {
+                keys.faults().say(keys.place(), "one\ntwo", Some(stileroute_operator_file::Rule::DrainsKept))
+            },
+            "f.toml:1:1: file: one two [rule 3]",
+        ),
+    ];
+    for (text, ask, expected) in cases {
+        assert_eq!(faults(text, ask), [expected], "{text:?}");
+    }
+    let wrong = faults("a = '5 parsecs'", |keys| drop(keys.time("a")));
+    assert_eq!(wrong.len(), 1);
+    assert!(wrong[0].starts_with("f.toml:1:1: a: '5 parsecs' is no time: "), "{wrong:?}");
+}
+
+#[test]
+fn what_is_right_is_read() {
+    let text =
+        "text = 't'\nword = 'y'\ntime = '1m 0.25s'\nflag = true\nnumber = 0x10\nfloat = 0.5\ncount = 3\n\
+                texts = ['a', 'b']\n[pairs]\nk = 'v'\n";
+    let read = read("f.toml", text, |keys| {
+        assert_eq!(keys.text("text")?.value, "t");
+        assert_eq!(keys.word("word", &[("x", 1), ("y", 2)])?.value, 2);
+        assert!(*keys.flag("flag")?);
+        assert_eq!(*keys.number("number", 0.0..=16.0)?, 16.0);
+        assert_eq!(*keys.number("float", 0.0..=1.0)?, 0.5);
+        assert_eq!(*keys.count("count", 0..=3)?, 3);
+        let texts: Vec<String> = keys.texts("texts")?.value.iter().map(|text| text.value.clone()).collect();
+        assert_eq!(texts, ["a", "b"]);
+        let pairs = keys.pairs("pairs");
+        assert_eq!((pairs[0].0.value.as_str(), pairs[0].1.as_str(), pairs.len()), ("k", "v", 1));
+        assert!(
+            keys.text("none").is_none() && keys.tables("none").is_empty() && keys.named("none").is_empty()
+        );
+        Some(())
+    });
+    let faults: Vec<String> = read.err().unwrap_or_default().iter().map(Fault::to_string).collect();
+    assert_eq!(faults, ["f.toml:3:1: time: is not known"], "nobody asked for the time");
+    let time = |text: &str| {
+        let text = format!("time = '{text}'");
+        stileroute_operator_file::read("f.toml", &text, |keys| keys.time("time").map(|time| time.value))
+    };
+    assert_eq!(time("1m 30s 250ms"), Ok(902_500));
+    assert_eq!(time("24h"), Ok(864_000_000));
+    assert_eq!(time("100us"), Ok(1));
+}
+
+#[test]
+fn a_file_that_cannot_be_read_has_one_fault() {
+    let path = std::env::temp_dir().join(format!("stileroute-operator-file-{}.toml", std::process::id()));
+    let faults = load(&path).unwrap_err();
+    let texts: Vec<String> = faults.iter().map(Fault::to_string).collect();
+    assert_eq!(texts, [format!("{}:1:1: file: No such file or directory (os error 2)", path.display())]);
+    std::fs::write(&path, "a = 1\n").unwrap();
+    let text = load(&path);
+    std::fs::remove_file(&path).unwrap();
+    assert_eq!(text, Ok("a = 1\n".to_string()));
+}
