--- a/crates/node/src/life/members.rs
+++ b/crates/node/src/life/members.rs
@@ -4,7 +4,7 @@
 use stileroute_dispatch::types::Time;
 use stileroute_gossip::wire::Key;
 use stileroute_gossip::Settings;
-use stileroute_operator_file::{Keys, Place, Set};
+use stileroute_operator_file::{Located, Position, Section};
 
 #[derive(Debug)]
 pub struct MembersAt {
@@ -17,43 +17,43 @@
 }
 
 /// Reads the section; the faults are told by the keys.
-pub fn read(table: &Keys, may_talk: bool) -> Option<MembersAt> {
-    let at = |place: Place, text: &str| -> Option<SocketAddrV4> {
+pub fn read(table: &Section, may_talk: bool) -> Option<MembersAt> {
+    let at = |place: Position, text: &str| -> Option<SocketAddrV4> {
         let found: Option<SocketAddrV4> = text.parse().ok();
         if found.is_none() {
-            table.faults().say(place, format!("'{text}' is no IPv4 address with a port"), None);
+            table.log().add(place, format!("'{text}' is no IPv4 address with a port"), None);
         }
         found
     };
     if !may_talk {
-        table.faults().say(
-            table.place(),
+        table.log().add(
+            table.position(),
             "settings.caps.peers does not allow messages among instances",
             None,
         );
     }
-    let address = |given: Option<Set<String>>| given.and_then(|set| at(set.place, &set.value));
+    let address = |given: Option<Located<String>>| given.and_then(|set| at(set.position, &set.value));
     let listen_text = table.text("listen");
     let missing = listen_text.is_none();
     let listen = address(listen_text);
     let advertise = address(table.text("advertise"));
     if missing {
-        table.faults().say(table.place(), "needs listen, an address for messages of others", None);
+        table.log().add(table.position(), "needs listen, an address for messages of others", None);
     } else if listen.is_some_and(|at| at.ip() == &Ipv4Addr::UNSPECIFIED) && advertise.is_none() {
-        table.faults().say(
-            table.place(),
+        table.log().add(
+            table.position(),
             "listens on all hosts: others need to be told one, by advertise",
             None,
         );
     }
     let mut seeds = Vec::new();
     for seed in table.texts("seeds").map(|set| set.value).unwrap_or_default() {
-        seeds.extend(at(seed.place, &seed.value));
+        seeds.extend(at(seed.position, &seed.value));
     }
     let key = table.text("key-file").and_then(|file| match key_of(&file.value) {
         Ok(key) => Some(key),
         Err(reason) => {
-            table.faults().say(file.place, format!("{}: {reason}", file.value), None);
+            table.log().add(file.position, format!("{}: {reason}", file.value), None);
             None
         }
     });
@@ -63,7 +63,7 @@
         if (least..=600_000).contains(&every.value) {
             (settings.every, settings.timeout) = (every.value, every.value * 3 / 10);
         } else {
-            table.faults().say(every.place, "must be from 200ms to 1m", None);
+            table.log().add(every.position, "must be from 200ms to 1m", None);
         }
     }
     let all = table.flag("all").is_some_and(|set| set.value);
--- a/crates/node/src/life/operator.rs
+++ b/crates/node/src/life/operator.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::sync::Arc;
 use stileroute_dispatch::types::Terms;
-use stileroute_operator_file::{load, Fault, Keys};
+use stileroute_operator_file::{load, Fault, Section};
 use stileroute_route_limits::table::Table;
 use stileroute_route_limits::Ground;
 
@@ -29,7 +29,7 @@
 }
 
 pub fn check(file: &str, text: &str, ground: &Ground) -> Result<Operator, Vec<Fault>> {
-    stileroute_operator_file::read(file, text, |keys: &Keys| {
+    stileroute_operator_file::read(file, text, |keys: &Section| {
         let routes = Table::read(keys, ground);
         let json = keys.table("log").and_then(|table| {
             let json = table.word("form", &[("text", false), ("json", true)]);
--- a/crates/node/src/life/words.rs
+++ b/crates/node/src/life/words.rs
@@ -4,7 +4,7 @@
 use super::start::{self, Start};
 use clap::{CommandFactory, Parser, Subcommand};
 use std::path::{Path, PathBuf};
-use stileroute_operator_file::Place;
+use stileroute_operator_file::Position;
 use stileroute_route_limits::pattern::{Path as Route, Request};
 use stileroute_route_limits::table::{Kind, Rule};
 use stileroute_route_limits::Ground;
@@ -136,7 +136,7 @@
         let shown = effective.shown(&ground);
         lines.push("what holds:".to_string());
         for (key, value, place, rule) in shown {
-            let Place { line, .. } = place;
+            let Position { line, .. } = place;
             lines.push(format!("  {key} = {value}  (line {line}, {})", table.rules[rule as usize].name));
         }
         let (_, ttl, own) = &ground.categories[at];
--- a/crates/operator-file/tests/faults.rs
+++ b/crates/operator-file/tests/faults.rs
@@ -1,9 +1,9 @@
 //! The whole text of every fault that reading a file reports, with line, column and key.
 
-use stileroute_operator_file::{load, read, Fault, Keys};
+use stileroute_operator_file::{load, read, Fault, Section};
 
 /// The faults of a file, line by line.
-fn faults(text: &str, sections: impl FnOnce(&Keys)) -> Vec<String> {
+fn faults(text: &str, sections: impl FnOnce(&Section)) -> Vec<String> {
     let read = read("f.toml", text, |keys| {
         sections(keys);
         Some(())
@@ -13,7 +13,7 @@
 
 #[test]
 fn each_kind_of_value_has_its_faults() {
-    type Ask = fn(&Keys);
+    type Ask = fn(&Section);
     let cases: [(&str, Ask, &str); 32] = [
         ("a = 1", |keys| drop(keys.text("a")), "f.toml:1:1: a: must be a text in quotes, not a whole number"),
         ("\na = ''", |keys| drop(keys.text("a")), "f.toml:2:1: a: is empty"),
@@ -53,16 +53,20 @@
         ("a = 1", |keys| drop(keys.table("a")), "f.toml:1:1: a: must be a table, not a whole number"),
         ("a = 1", |keys| drop(keys.tables("a")), "f.toml:1:1: a: must be a list of tables: [[a]]"),
         ("a = [{}, 1]", |keys| drop(keys.tables("a")), "f.toml:1:10: a[1]: must be a table"),
-        ("[a]\nb = 1", |keys| drop(keys.named("a")), "f.toml:2:1: a.b: must be a table"),
-        ("[a]\nb = 1", |keys| drop(keys.pairs("a")), "f.toml:2:1: a.b: must be a text, not a whole number"),
-        ("a = 1", |keys| drop(keys.named("a")), "f.toml:1:1: a: must be a table, not a whole number"),
+        ("[a]\nb = 1", |keys| drop(keys.named_tables("a")), "f.toml:2:1: a.b: must be a table"),
+        (
+            "[a]\nb = 1",
+            |keys| drop(keys.named_texts("a")),
+            "f.toml:2:1: a.b: must be a text, not a whole number",
+        ),
+        ("a = 1", |keys| drop(keys.named_tables("a")), "f.toml:1:1: a: must be a table, not a whole number"),
         ("x = 1", |_| (), "f.toml:1:1: x: is not known"),
         ("wiat = 1", |keys| drop(keys.flag("wait")), "f.toml:1:1: wiat: is not known; did you mean 'wait'?"),
         (
             "[a]\nb.c = 1",
             |keys| {
                 let inner = keys.table("a").and_then(|a| a.table("b")).expect("a table");
-                assert_eq!(inner.place().to_string(), "line 2, a.b");
+                assert_eq!(inner.position().to_string(), "line 2, a.b");
                 drop(inner.flag("c"));
             },
             "f.toml:2:3: a.b.c: must be true or false, not a whole number",
@@ -75,8 +79,8 @@
         (
             "[a.b]\nc = 1",
             |keys| {
-                for (name, inner) in keys.named("a") {
-                    assert_eq!((name.value.as_str(), name.place.line, name.place.column), ("b", 1, 4));
+                for (name, inner) in keys.named_tables("a") {
+                    assert_eq!((name.value.as_str(), name.position.line, name.position.column), ("b", 1, 4));
                     inner.finish();
                 }
             },
@@ -86,7 +90,7 @@
         (
             "",
             |keys| {
-                keys.faults().say(keys.place(), "one\ntwo", Some(stileroute_operator_file::Rule::DrainsKept))
+                keys.log().add(keys.position(), "one\ntwo", Some(stileroute_operator_file::Rule::DrainsKept))
             },
             "f.toml:1:1: file: one two [rule 3]",
         ),
@@ -113,10 +117,12 @@
         assert_eq!(*keys.count("count", 0..=3)?, 3);
         let texts: Vec<String> = keys.texts("texts")?.value.iter().map(|text| text.value.clone()).collect();
         assert_eq!(texts, ["a", "b"]);
-        let pairs = keys.pairs("pairs");
+        let pairs = keys.named_texts("pairs");
         assert_eq!((pairs[0].0.value.as_str(), pairs[0].1.as_str(), pairs.len()), ("k", "v", 1));
         assert!(
-            keys.text("none").is_none() && keys.tables("none").is_empty() && keys.named("none").is_empty()
+            keys.text("none").is_none()
+                && keys.tables("none").is_empty()
+                && keys.named_tables("none").is_empty()
         );
         Some(())
     });
@@ -142,3 +148,33 @@
     std::fs::remove_file(&path).unwrap();
     assert_eq!(text, Ok("a = 1\n".to_string()));
 }
+
+#[test]
+fn all_faults_are_reported_at_once_with_their_positions() {
+    let text =
+        "wait = \"5\"\nshare = 2\nnmae = \"x\"\nmode = \"slwo\"\n[inner]\nflag = 1\nlong = \"99999h\"\n";
+    let faults = stileroute_operator_file::read("f.toml", text, |keys| {
+        keys.time("wait");
+        keys.number("share", 0.0..=1.0);
+        keys.text("name");
+        keys.word("mode", &[("slow", 1), ("fast", 2)]);
+        let inner = keys.table("inner")?;
+        inner.flag("flag");
+        inner.time("long");
+        inner.finish();
+        Some(())
+    })
+    .unwrap_err();
+    let texts: Vec<String> = faults.iter().map(Fault::to_string).collect();
+    let expected = [
+        "f.toml:1:1: wait: '5' has no unit: ms, s, m or h",
+        "f.toml:2:1: share: must be from 0 to 1",
+        "f.toml:3:1: nmae: is not known; did you mean 'name'?",
+        "f.toml:4:1: mode: 'slwo' is none of slow, fast; did you mean 'slow'?",
+        "f.toml:6:1: inner.flag: must be true or false, not a whole number",
+        "f.toml:7:1: inner.long: '99999h' is more than 24h",
+    ];
+    assert_eq!(texts, expected);
+    let faults = stileroute_operator_file::read("f.toml", "a = \n", |_| Some(())).unwrap_err();
+    assert!(faults.len() == 1 && faults[0].position.line == 1, "{faults:?}");
+}
--- a/crates/route-limits/src/check.rs
+++ b/crates/route-limits/src/check.rs
@@ -12,26 +12,26 @@
 use crate::Ground;
 use std::collections::BTreeSet;
 use stileroute_dispatch::types::{Effect, Scope, Time};
-use stileroute_operator_file::{Faults, Place, Rule as Broken, Set};
+use stileroute_operator_file::{FaultLog, Located, Position, Rule as Broken};
 
 /// The settings, as the last rule of all.
 const SETTINGS: usize = usize::MAX;
 
 /// Looks a key up in some limits.
-type Key<T> = fn(&Limits) -> &Option<Set<T>>;
+type Key<T> = fn(&Limits) -> &Option<Located<T>>;
 
 /// A key as some rule sets it.
 #[derive(Clone)]
 struct Of<'a, T> {
     rule: usize,
     value: T,
-    place: &'a Place,
+    place: &'a Position,
 }
 
 struct Check<'a> {
     table: &'a Table,
     ground: &'a Ground,
-    faults: &'a Faults,
+    faults: &'a FaultLog,
     any: &'a Pattern,
     /// Pairs that were told for one category need not be told for the next.
     told: BTreeSet<(usize, usize, &'static str)>,
@@ -64,7 +64,7 @@
             if let Some(set) =
                 key(&own.limits).as_ref().filter(|_| own.pattern.category.is_none_or(|c| c == category))
             {
-                all.push(Of { rule, value: set.value, place: &set.place });
+                all.push(Of { rule, value: set.value, place: &set.position });
             }
         }
         all
@@ -114,7 +114,7 @@
                 continue;
             }
             let place = own.place.clone();
-            self.faults.say(place, format!("{reason} (category {})", self.category_name(category)), broken);
+            self.faults.add(place, format!("{reason} (category {})", self.category_name(category)), broken);
         }
     }
 
@@ -159,7 +159,7 @@
                 // Told at the one that stands later in the file: it was added to what was well.
                 let place = if one.place.line >= two.place.line { one.place } else { two.place };
                 let told = format!("{whole} (category {})", self.category_name(category));
-                self.faults.say(place.clone(), told, broken);
+                self.faults.add(place.clone(), told, broken);
             }
             let Some(reason) = else_.and_then(|value| bad(one.value, value)) else { continue };
             if self.told.contains(&(one.rule, SETTINGS, code))
@@ -168,7 +168,7 @@
                 continue;
             }
             self.told.insert((one.rule, SETTINGS, code));
-            self.faults.say(
+            self.faults.add(
                 one.place.clone(),
                 format!("{reason} (category {})", self.category_name(category)),
                 broken,
@@ -336,7 +336,7 @@
             if let Some(before) = by.filter(|_| !reached) {
                 let reason =
                     format!("nothing of it ever holds: '{}' goes before it ({})", before.name, before.place);
-                self.faults.say(rule.place.clone(), reason, None);
+                self.faults.add(rule.place.clone(), reason, None);
             }
         }
     }
@@ -358,17 +358,17 @@
 }
 
 /// Checks a table against the settings, for all requests that can come; what is wrong goes to the faults.
-pub fn check(table: &Table, ground: &Ground, faults: &Faults) {
+pub fn check(table: &Table, ground: &Ground, faults: &FaultLog) {
     let any = Pattern::default();
     let mut check = Check { table, ground, faults, any: &any, told: BTreeSet::new() };
     for category in 0..ground.categories.len() {
         check.category(category);
     }
     check.unreached();
-    let budget: Option<&Set<Budget>> = table.node_budget.as_ref();
+    let budget: Option<&Located<Budget>> = table.node_budget.as_ref();
     if let Some(budget) = budget.filter(|budget| budget.value.part == 0.0 && budget.value.least < 1.0) {
-        faults.say(
-            budget.place.clone(),
+        faults.add(
+            budget.position.clone(),
             "no further push would ever be left: set pushes = 1 in [defaults] for that",
             None,
         );
--- a/crates/route-limits/src/limits.rs
+++ b/crates/route-limits/src/limits.rs
@@ -2,7 +2,7 @@
 
 use crate::Ground;
 use stileroute_dispatch::types::{Effect, Scope, Time};
-use stileroute_operator_file::{nearest, Keys, Set};
+use stileroute_operator_file::{suggestion, Located, Section};
 
 /// Further pushes as a part of first ones, over a window, with so many free in it at the least.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -23,24 +23,24 @@
 /// What may be set; each key by itself, with its place.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Limits {
-    pub connect: Option<Set<Time>>,
-    pub no_start: Option<Set<Time>>,
-    pub no_progress: Option<Set<Time>>,
-    pub op: Option<Set<Time>>,
-    pub pushes: Option<Set<usize>>,
-    pub pause: Option<Set<Time>>,
-    pub pause_spread: Option<Set<f64>>,
-    pub copy_after: Option<Set<f64>>,
-    pub budget: Option<Set<Budget>>,
-    pub in_hand: Option<Set<usize>>,
-    pub wait: Option<Set<Time>>,
-    pub waiting: Option<Set<usize>>,
+    pub connect: Option<Located<Time>>,
+    pub no_start: Option<Located<Time>>,
+    pub no_progress: Option<Located<Time>>,
+    pub op: Option<Located<Time>>,
+    pub pushes: Option<Located<usize>>,
+    pub pause: Option<Located<Time>>,
+    pub pause_spread: Option<Located<f64>>,
+    pub copy_after: Option<Located<f64>>,
+    pub budget: Option<Located<Budget>>,
+    pub in_hand: Option<Located<usize>>,
+    pub wait: Option<Located<Time>>,
+    pub waiting: Option<Located<usize>>,
     /// A bit for each kind and domain.
-    pub kinds: Option<Set<u64>>,
-    pub domains: Option<Set<u64>>,
-    pub effect: Option<Set<Narrowed>>,
-    pub resend_within: Option<Set<Time>>,
-    pub resend_group: Option<Set<Scope>>,
+    pub kinds: Option<Located<u64>>,
+    pub domains: Option<Located<u64>>,
+    pub effect: Option<Located<Narrowed>>,
+    pub resend_within: Option<Located<Time>>,
+    pub resend_group: Option<Located<Scope>>,
 }
 
 /// The keys of limits as a file writes them.
@@ -115,17 +115,17 @@
     }
 
     /// The retry budget of a table.
-    pub fn read_budget(keys: &Keys) -> Option<Set<Budget>> {
+    pub fn read_budget(keys: &Section) -> Option<Located<Budget>> {
         let table = keys.table("retry-budget")?;
-        let place = table.place();
+        let place = table.position();
         let part = table.number("part", 0.0..=1.0);
         let window = table.time("window");
         let least = table.number("least", 0.0..=1e6);
         if let Some(window) = window.as_ref().filter(|w| !(10_000..=36_000_000).contains(&w.value)) {
-            table.faults().say(window.place.clone(), "must be from 1s to 1h", None);
+            table.log().add(window.position.clone(), "must be from 1s to 1h", None);
         }
         if part.is_none() {
-            table.faults().say(place.clone(), "needs a part of 0 to 1: part = 0.2", None);
+            table.log().add(place.clone(), "needs a part of 0 to 1: part = 0.2", None);
         }
         table.finish();
         let value = Budget {
@@ -133,11 +133,11 @@
             window: window.map_or(100_000, |window| window.value).max(10_000),
             least: least.map_or(3.0, |least| least.value),
         };
-        Some(Set { value, place })
+        Some(Located { value, position: place })
     }
 
     /// Reads the keys of a table that limits may have.
-    pub fn read(keys: &Keys, ground: &Ground) -> Limits {
+    pub fn read(keys: &Section, ground: &Ground) -> Limits {
         let mask = |key: &str, names: &[String], what: &str| {
             let given = keys.texts(key)?;
             let mut bits = 0;
@@ -145,26 +145,26 @@
                 match names.iter().position(|own| *own == name.value) {
                     Some(at) if at < 63 => bits |= 1 << at,
                     Some(_) => {
-                        keys.faults().say(
-                            name.place.clone(),
+                        keys.log().add(
+                            name.position.clone(),
                             format!("of more than 63 {what}s none can be named"),
                             None,
                         );
                     }
                     None => {
                         let all: Vec<&str> = names.iter().map(String::as_str).collect();
-                        let near = nearest(name, &all);
+                        let near = suggestion(name, &all);
                         let reason = format!("there is no {what} '{}'{near}", name.value);
-                        keys.faults().say(name.place.clone(), reason, None);
+                        keys.log().add(name.position.clone(), reason, None);
                     }
                 }
             }
-            (bits != 0).then_some(Set { value: bits, place: given.place })
+            (bits != 0).then_some(Located { value: bits, position: given.position })
         };
         let positive = |key: &str| {
             let time = keys.time(key)?;
             if time.value <= 0 {
-                keys.faults().say(time.place, "must be more than nothing", None);
+                keys.log().add(time.position, "must be more than nothing", None);
                 return None;
             }
             Some(time)
--- a/crates/route-limits/src/table.rs
+++ b/crates/route-limits/src/table.rs
@@ -5,7 +5,7 @@
 use crate::{check, Ground};
 use std::collections::HashMap;
 use stileroute_dispatch::types::{self, Effect, Time};
-use stileroute_operator_file::{nearest, Keys, Place, Set};
+use stileroute_operator_file::{suggestion, Located, Position, Section};
 
 /// Where a rule comes from; in the order of precedence, the last first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -20,7 +20,7 @@
 pub struct Rule {
     pub kind: Kind,
     pub name: String,
-    pub place: Place,
+    pub place: Position,
     pub pattern: Pattern,
     /// With what it inherits.
     pub limits: Limits,
@@ -31,7 +31,7 @@
 pub struct Table {
     pub rules: Vec<Rule>,
     /// Further pushes of the whole node.
-    pub node_budget: Option<Set<Budget>>,
+    pub node_budget: Option<Located<Budget>>,
     pub tenant_header: Option<String>,
     /// Headers that some rule looks at, in lower case, the tenant's included.
     pub headers: Vec<String>,
@@ -126,7 +126,7 @@
 /// One key that holds: its value, and the rule that sets it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Held<'a, T> {
-    pub set: &'a Set<T>,
+    pub set: &'a Located<T>,
     pub rule: u32,
 }
 
@@ -154,7 +154,7 @@
 
 impl Effective<'_> {
     /// Key, value as it reads, and its rule, of each key that is set.
-    pub fn shown(&self, ground: &Ground) -> Vec<(&'static str, String, Place, u32)> {
+    pub fn shown(&self, ground: &Ground) -> Vec<(&'static str, String, Position, u32)> {
         let time = |time: &Time| format!("{} ms", *time as f64 / 10.0);
         let names = |bits: &u64, names: &[String]| {
             let on = names.iter().enumerate().filter(|(at, _)| bits >> at & 1 == 1);
@@ -164,7 +164,7 @@
         macro_rules! line {
             ($key:ident, $name:expr, $show:expr) => {
                 if let Some(held) = &self.$key {
-                    all.push(($name, $show(&held.set.value), held.set.place.clone(), held.rule));
+                    all.push(($name, $show(&held.set.value), held.set.position.clone(), held.rule));
                 }
             };
         }
@@ -193,7 +193,7 @@
 
 impl Table {
     /// Reads the routes of a file and checks them against the ground; faults go to the reader.
-    pub fn read(keys: &Keys, ground: &Ground) -> Option<Table> {
+    pub fn read(keys: &Section, ground: &Ground) -> Option<Table> {
         let mut rules = Vec::new();
         let (mut node_budget, mut tenant_header) = (None, None);
         if let Some(node) = keys.table("node") {
@@ -203,7 +203,7 @@
         }
         if let Some(table) = keys.table("defaults") {
             let limits = Limits::read(&table, ground);
-            let place = table.place();
+            let place = table.position();
             table.finish();
             rules.push(Rule {
                 kind: Kind::Defaults,
@@ -213,7 +213,7 @@
                 limits,
             });
         }
-        for (name, table) in keys.named("category") {
+        for (name, table) in keys.named_tables("category") {
             let limits = Limits::read(&table, ground);
             if let Some(category) = category(&name, ground, &table) {
                 let pattern = Pattern { category: Some(category), ..Pattern::default() };
@@ -221,7 +221,7 @@
                 rules.push(Rule {
                     kind: Kind::Category,
                     name: own,
-                    place: name.place.clone(),
+                    place: name.position.clone(),
                     pattern,
                     limits,
                 });
@@ -231,7 +231,7 @@
         rules.extend(read_routes(keys, ground, tenant_header.is_some()));
         let mut table = Table { rules, node_budget, tenant_header, ..Table::default() };
         table.arrange(ground);
-        check::check(&table, ground, keys.faults());
+        check::check(&table, ground, keys.log());
         Some(table)
     }
 
@@ -304,12 +304,12 @@
     }
 }
 
-fn category(name: &Set<String>, ground: &Ground, keys: &Keys) -> Option<usize> {
+fn category(name: &Located<String>, ground: &Ground, keys: &Section) -> Option<usize> {
     let found = ground.categories.iter().position(|(own, ..)| *own == name.value);
     if found.is_none() {
         let all: Vec<&str> = ground.categories.iter().map(|(name, ..)| name.as_str()).collect();
-        let reason = format!("there is no category '{}'{}", name.value, nearest(name, &all));
-        keys.faults().say(name.place.clone(), reason, None);
+        let reason = format!("there is no category '{}'{}", name.value, suggestion(name, &all));
+        keys.log().add(name.position.clone(), reason, None);
     }
     found
 }
@@ -317,19 +317,19 @@
 /// A route as it stands in the file, before it inherits.
 struct Draft {
     rule: Rule,
-    inherits: Option<Set<String>>,
+    inherits: Option<Located<String>>,
     /// It is only inherited from.
     base: bool,
 }
 
-fn read_routes(keys: &Keys, ground: &Ground, tenants: bool) -> Vec<Rule> {
-    let faults = keys.faults();
+fn read_routes(keys: &Section, ground: &Ground, tenants: bool) -> Vec<Rule> {
+    let faults = keys.log();
     let mut drafts: Vec<Draft> = Vec::new();
     for table in keys.tables("route") {
-        let place = table.place();
+        let place = table.position();
         let name = table.text("name");
         if name.is_none() {
-            faults.say(place.clone(), "a route needs a name", None);
+            faults.add(place.clone(), "a route needs a name", None);
         }
         let inherits = table.text("inherits");
         let base = table.flag("base").is_some_and(|flag| flag.value);
@@ -338,7 +338,7 @@
             Some(own) => {
                 let pattern = read_pattern(&own, ground, tenants);
                 if base {
-                    faults.say(own.place(), "a base is only inherited from, and matches nothing", None);
+                    faults.add(own.position(), "a base is only inherited from, and matches nothing", None);
                 }
                 own.finish();
                 pattern
@@ -347,17 +347,17 @@
         };
         if pattern.is_none() && !base {
             let plain = "matches nothing: it needs a match with a condition, or base = true";
-            faults.say(place.clone(), plain, None);
+            faults.add(place.clone(), plain, None);
         }
         table.finish();
         let Some(name) = name else { continue };
         if let Some(before) = drafts.iter().find(|draft| draft.rule.name == name.value) {
             let reason = format!("the name '{}' is taken by the route at {}", name.value, before.rule.place);
-            faults.say(name.place.clone(), reason, None);
+            faults.add(name.position.clone(), reason, None);
             continue;
         }
         let pattern = pattern.unwrap_or_default();
-        let rule = Rule { kind: Kind::Route, name: name.value, place: name.place, pattern, limits };
+        let rule = Rule { kind: Kind::Route, name: name.value, place: name.position, pattern, limits };
         drafts.push(Draft { rule, inherits, base });
     }
     let mut rules = Vec::new();
@@ -367,13 +367,17 @@
         while let Some(from) = &at.inherits {
             if way.contains(&from.value.as_str()) {
                 way.push(&from.value);
-                faults.say(from.place.clone(), format!("inherits in a circle: {}", way.join(" from ")), None);
+                faults.add(
+                    from.position.clone(),
+                    format!("inherits in a circle: {}", way.join(" from ")),
+                    None,
+                );
                 break;
             }
             let Some(next) = drafts.iter().find(|draft| draft.rule.name == from.value) else {
                 let all: Vec<&str> = drafts.iter().map(|draft| draft.rule.name.as_str()).collect();
-                let reason = format!("there is no route '{}'{}", from.value, nearest(&from.value, &all));
-                faults.say(from.place.clone(), reason, None);
+                let reason = format!("there is no route '{}'{}", from.value, suggestion(&from.value, &all));
+                faults.add(from.position.clone(), reason, None);
                 break;
             };
             rule.limits = rule.limits.or(&next.rule.limits);
@@ -388,20 +392,20 @@
 }
 
 /// The conditions of a route; none where there are none, or one is wrong.
-fn read_pattern(keys: &Keys, ground: &Ground, tenants: bool) -> Option<Pattern> {
-    let faults = keys.faults();
+fn read_pattern(keys: &Section, ground: &Ground, tenants: bool) -> Option<Pattern> {
+    let faults = keys.log();
     let mut pattern = Pattern::default();
     let mut wrong = false;
     if let Some(path) = keys.text("path") {
         match Path::read(&path) {
             Ok(_) if path.value.starts_with("/-/") => {
                 wrong = true;
-                faults.say(path.place, "no request reaches it: the node answers /-/ itself", None);
+                faults.add(path.position, "no request reaches it: the node answers /-/ itself", None);
             }
             Ok(own) => pattern.path = own,
             Err(reason) => {
                 wrong = true;
-                faults.say(path.place, reason, None);
+                faults.add(path.position, reason, None);
             }
         }
     }
@@ -411,15 +415,15 @@
     }
     if let Some(tenant) = keys.text("tenant") {
         if !tenants {
-            faults.say(tenant.place.clone(), "no request reaches it: node.tenant-header is not set", None);
+            faults.add(tenant.position.clone(), "no request reaches it: node.tenant-header is not set", None);
             wrong = true;
         }
         pattern.tenant = Some(tenant.value);
     }
     if let Some(method) = keys.text("method") {
         if method.value != "POST" {
-            faults.say(
-                method.place,
+            faults.add(
+                method.position,
                 format!("no request reaches it: {} is not served, only POST", method.value),
                 None,
             );
@@ -428,11 +432,11 @@
             pattern.method = Some(method.value);
         }
     }
-    for (name, value) in keys.pairs("header") {
+    for (name, value) in keys.named_texts("header") {
         pattern.headers.insert(name.value.to_ascii_lowercase(), value);
     }
     if pattern == Pattern::default() && !wrong {
-        faults.say(keys.place(), "has no condition: what holds for all goes to [defaults]", None);
+        faults.add(keys.position(), "has no condition: what holds for all goes to [defaults]", None);
         wrong = true;
     }
     (!wrong).then_some(pattern)
--- a/crates/route-limits/tests/files.rs
+++ b/crates/route-limits/tests/files.rs
@@ -160,7 +160,7 @@
         let faults = read(text).expect_err(text);
         let told: Vec<String> = faults.iter().map(Fault::to_string).collect();
         let found =
-            faults.iter().any(|fault| fault.place.line == *line && fault.to_string().contains(reason));
+            faults.iter().any(|fault| fault.position.line == *line && fault.to_string().contains(reason));
         assert!(found, "{text}\nline {line}: {reason}\n{told:#?}");
         assert!(told.iter().all(|line| line.lines().count() == 1), "{told:?}");
     }
