--- a/crates/capacity/src/control_node.rs
+++ b/crates/capacity/src/control_node.rs
@@ -37,7 +37,8 @@
         let settings =
             GroupSettings::new(address, seeds.clone(), disk.is_none(), TOLERATED_LOSSES, peer.incarnation);
         let disk = disk.unwrap_or_default();
-        let registry = Registry::new(member_of(peer, 0), peer.incarnation, crate::heartbeat::INTERVAL, now);
+        let registry =
+            Registry::new(member_of(peer, 0), peer.incarnation, crate::heartbeat::HEARTBEAT_INTERVAL, now);
         let group = ControlGroup::new(settings, disk.clone(), now);
         ControlNode {
             plane: ControlPlane::new(group, registry, seeds),
--- a/crates/queue/src/queue/delivery.rs
+++ b/crates/queue/src/queue/delivery.rs
@@ -7,7 +7,7 @@
 use crate::entry::{ExecutorRef, ServiceQueueSlot, Stage};
 use crate::message::{End, Key, Millis};
 use crate::peer_message::{GroupPosition, PeerMessage};
-use crate::planted::PlantedFault;
+use crate::planted_fault::PlantedFault;
 use crate::service_queue::{QueuePosition, Retry, Selection, SettledAttempt};
 use std::ops::ControlFlow;
 use stileroute_dispatch::types::{Outcome as DispatchOutcome, Time};
@@ -59,7 +59,7 @@
             return self.withdraw(key);
         }
         if self.is_draining {
-            return self.hand_over(key);
+            return self.offer(key);
         }
         let start_at = entry.due_at.max(entry.not_before);
         if start_at > now {
@@ -231,7 +231,7 @@
     }
 
     fn select_executor(&mut self, now: Millis, dispatch_time: Time, index: usize, key: Key) -> Selection {
-        let stores = 1 + self.peers.values().filter(|peer| peer.listed || peer.connected).count();
+        let stores = 1 + self.peers.values().filter(|peer| peer.is_member || peer.is_connected).count();
         let Some(entry) = self.entries.get(&key) else { return Selection::WaitUntil(now) };
         let service_queue = &mut self.service_queues[index];
         service_queue.connection_share = (service_queue.max_connections / stores).max(MIN_CONNECTION_SHARE);
--- a/crates/queue/src/queue/timers.rs
+++ b/crates/queue/src/queue/timers.rs
@@ -29,17 +29,17 @@
         if now >= self.last_upkeep_at + UPKEEP_INTERVAL_MS {
             self.run_upkeep(now, dispatch_time);
         }
-        self.look_after_landing(now);
+        self.replace_overdue(now);
         self.repair(now);
-        self.move_up(now);
+        self.advance_groups(now);
         let next_callback_at = self.start_callbacks(now);
         self.start_attempts(now, dispatch_time);
         self.next_dispatch_at = self.next_dispatch_at.min(next_callback_at);
         if self.flush_ends_at.is_some_and(|at| at <= now) {
             self.flush_ends_at = None;
-            self.tell_ends();
+            self.send_ends();
         }
-        self.tell();
+        self.send_gathered();
     }
 
     fn pause_token_buckets(&mut self) {
@@ -56,9 +56,9 @@
         let expected = self.last_upkeep_at + UPKEEP_INTERVAL_MS;
         let was_suspended = now > expected + SUSPENDED_AFTER_MS;
         let may_be_taken_over = now > expected + TAKEN_OVER_AFTER_MS;
-        self.look_after_fence(now, was_suspended, may_be_taken_over);
+        self.update_fence(now, was_suspended, may_be_taken_over);
         if was_suspended {
-            self.ordering.changed = now;
+            self.ordering.peers_changed_at = now;
         }
     }
 
@@ -117,7 +117,7 @@
             service_queue.run_upkeep(dispatch_time);
         }
         self.assign_token_holders(now);
-        self.look_after(now);
+        self.check_peers(now);
     }
 
     /// When [`tick`](Queue::tick) has to be called next, if nothing else happens before.
@@ -127,8 +127,8 @@
             first(&self.delayed),
             first(&self.expiring),
             first(&self.persisting),
-            self.next_repair(),
-            self.ordering.next(),
+            self.next_repair_at(),
+            self.ordering.next_check_at(),
             self.flush_ends_at.unwrap_or(Millis::MAX),
             self.last_upkeep_at + UPKEEP_INTERVAL_MS,
             self.next_dispatch_at,
--- /dev/null
+++ b/crates/queue/src/replication/ownership.rs
@@ -0,0 +1,136 @@
+//! Ownership and ends: two stores that disagree settle both, and the newer claim holds.
+
+use crate::entry::Stage;
+use crate::message::{End, Key, Millis, Node};
+use crate::peer_message::{EndNotice, Ownership};
+use crate::planted_fault::PlantedFault;
+use crate::queue::Queue;
+use crate::record::Record;
+use std::cmp::Reverse;
+
+/// Orders claims to own a message: the greatest holds. That is the one with the higher term, and of equal terms the one of
+/// the lower node.
+pub(super) fn claim(term: u32, owner: Node) -> (u32, Reverse<Node>) {
+    (term, Reverse(owner))
+}
+
+impl Queue {
+    /// Who owns a message, for all that is known here.
+    pub(super) fn ownership(&self, key: Key) -> Option<Ownership> {
+        let entry = self.entries.get(&key)?;
+        Some(Ownership { key, owner: entry.owner, term: entry.term, replicas: entry.replicas.clone() })
+    }
+
+    /// The end of a message, as this store sends it to others; `None` while the message is live or unknown.
+    pub(super) fn end_notice(&self, key: Key) -> Option<EndNotice> {
+        let entry = self.entries.get(&key)?;
+        Some(EndNotice { key, end: entry.end.clone()?, callback_pending: entry.callback_pending })
+    }
+
+    /// Another store says that messages have ended.
+    pub(super) fn apply_end_notices(&mut self, now: Millis, notices: Vec<EndNotice>) {
+        for EndNotice { key, end, callback_pending } in notices {
+            let Some(entry) = self.entries.get(&key) else { continue };
+            if entry.end.is_none() {
+                self.end_told(now, key, end, callback_pending);
+            } else if !callback_pending && entry.callback_pending {
+                self.callback_told_delivered(key);
+            }
+        }
+    }
+
+    fn end_told(&mut self, now: Millis, key: Key, end: End, callback_pending: bool) {
+        if !self.planted(PlantedFault::EndUnkept) {
+            let ended_at_ms = self.wall_clock_ms(now);
+            self.record(&Record::Ended { key, end: end.clone(), callback_pending, ended_at_ms }, false);
+        }
+        self.close_entry(now, key, end, callback_pending);
+    }
+
+    /// Another store says that the callback of a message was delivered. Of one that has not ended here all content is still
+    /// needed.
+    pub(super) fn callback_told_delivered(&mut self, key: Key) {
+        let Some(entry) = self.entries.get_mut(&key).filter(|entry| entry.end.is_some()) else { return };
+        entry.callback_pending = false;
+        entry.discard_content();
+        self.reindex(key);
+        self.record(&Record::CallbackDelivered { key }, false);
+    }
+
+    /// Another store says who owns messages.
+    pub(super) fn ownership_told(&mut self, now: Millis, from: Node, told: Vec<Ownership>) {
+        for ownership in told {
+            if ownership.owner == from {
+                self.object_to(now, &ownership);
+            }
+            self.apply_ownership(now, ownership);
+        }
+    }
+
+    /// A store claims a message that is known here to have ended, or to have a newer owner: it is told so.
+    fn object_to(&mut self, now: Millis, claimed: &Ownership) {
+        let Some(entry) = self.entries.get(&claimed.key) else { return };
+        let (term, owner) = (entry.term, entry.owner);
+        if let Some(notice) = self.end_notice(claimed.key) {
+            self.outbox(claimed.owner).ends.push(notice);
+            self.flush_ends_at.get_or_insert(now);
+        } else if claim(term, owner) > claim(claimed.term, claimed.owner) {
+            let known = self.ownership(claimed.key);
+            self.outbox(claimed.owner).ownership.extend(known);
+        }
+    }
+
+    /// Applies a claim to own a message, if it is newer than what is known here.
+    pub(super) fn apply_ownership(&mut self, now: Millis, ownership: Ownership) {
+        let Ownership { key, owner, term, replicas } = ownership;
+        let Some(entry) = self.entries.get_mut(&key) else { return };
+        let is_newer = claim(term, owner) > claim(entry.term, entry.owner);
+        self.metrics.stale_claims += u64::from(!is_newer && owner != entry.owner);
+        if !is_newer || entry.is_settled() {
+            return;
+        }
+        entry.owner = owner;
+        entry.term = term;
+        entry.replicas.clone_from(&replicas);
+        if replicas.contains(&self.settings.node) {
+            self.needs_replicas_again(owner);
+        }
+        let Some(entry) = self.entries.get_mut(&key) else { return };
+        let ticket = entry.ticket.take();
+        if let Some(at) = entry.persist_check_at.take() {
+            self.persisting.remove(&(at, key));
+        }
+        let is_owned_here = owner == self.settings.node;
+        let has_ended = entry.end.is_some();
+        let is_in_flight = entry.stage == Stage::InFlight;
+        if !has_ended && !is_in_flight {
+            entry.stage = if is_owned_here { Stage::Suspended } else { Stage::Replica };
+        }
+        self.record(&Record::OwnerChanged { key, owner, term, replicas }, is_owned_here);
+        self.reindex(key);
+        self.handovers.remove(&key);
+        self.unreleased.remove(&key);
+        self.unschedule(key);
+        self.report_unknown_outcome(ticket);
+        if is_owned_here && has_ended {
+            self.queue_callback(key);
+        } else if is_owned_here && !is_in_flight {
+            // It was taken over here, and that was lost with the power. Others may have gone on since.
+            self.unreleased.insert(key);
+            self.release_suspended(now);
+        }
+    }
+
+    /// The owner of these messages has discarded them.
+    pub(super) fn drop_told(&mut self, from: Node, keys: Vec<Key>) {
+        for key in keys {
+            let Some(entry) = self.entries.get(&key).filter(|entry| entry.end.is_none()) else { continue };
+            if entry.owner == from {
+                self.remove(key);
+                self.record(&Record::Dropped { key }, false);
+            } else {
+                self.metrics.stale_claims += 1;
+            }
+        }
+    }
+}
