--- a/crates/testbed/test-processes-long.sh
+++ b/crates/testbed/test-processes-long.sh
@@ -9,7 +9,7 @@
 mkdir -p "$out"
 code=0
 # A day of the crates/testbed/experiments folder with more to it: its name, what it is called here, lines before its tables, lines after.
-day() { printf 'extends = "%s"\nname = "%s"\n%s\n%s\n' "$PWD/rig/experiments/$1.toml" "$2" "$3" "$4" >"$out/$2.toml"; }
+day() { printf 'extends = "%s"\nname = "%s"\n%s\n%s\n' "$PWD/crates/testbed/experiments/$1.toml" "$2" "$3" "$4" >"$out/$2.toml"; }
 # Plays it in one way.
 run() {
     $rig "$1" "$out/$2.toml" --out "$out/$2-$1.json" >"$out/$2-$1.txt"
