--- a/crates/registry/src/effect.rs
+++ b/crates/registry/src/effect.rs
@@ -1,37 +1,43 @@
-//! What a registry asks its program to send.
+//! The messages that the registry asks the control node to send.
 
 use crate::messages::{Heartbeat, Member, MembershipUpdate, NodeId};
 
-/// A message that the program has to send. Any of them may be lost: what it says is said again.
+/// A message for the control node to send. Losing any of them is harmless, because the registry repeats its
+/// content later.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RegistryEffect {
-    /// Answer a node's poll.
+    /// Answers a node's long poll.
     SendUpdate {
         /// The node that polled.
         to: NodeId,
-        /// The answer.
+        /// The membership update that answers the poll.
         update: MembershipUpdate,
     },
-    /// Tell every connected control node which nodes have a session here; the list replaces the one before.
+    /// Sends every connected control node the complete list of nodes that have a session here. The list
+    /// replaces the previous one.
     BroadcastSessions(Vec<Member>),
-    /// Tell control nodes of executors, wherever these send their heartbeats: one that has just connected of all, and those of an
-    /// earlier version of each heartbeat.
+    /// Sends executor records to control nodes, regardless of which control node receives the heartbeats. A
+    /// control node that has just connected gets the whole table; control nodes of an earlier release get every
+    /// heartbeat that arrives here.
     SendHeartbeats {
-        /// The control nodes.
+        /// The receiving control nodes.
         to: Vec<NodeId>,
-        /// The executors, those that are offline too.
+        /// The executors' heartbeats, including those of offline executors.
         heartbeats: Vec<Heartbeat>,
     },
-    /// Tell control nodes of executors that send their heartbeats here, or have done so and are offline.
+    /// Sends control nodes the executors whose heartbeats arrive at this control node, including those that
+    /// have since gone offline.
     SendHeldExecutors {
-        /// Control nodes that take this one's word for it.
+        /// The receiving control nodes; each relies on this control node to report when these executors go
+        /// offline.
         to: Vec<NodeId>,
-        /// The executors.
+        /// The executors' heartbeats.
         heartbeats: Vec<Heartbeat>,
     },
-    /// Tell a control node that has just connected that its word is taken for the executors that it holds.
+    /// Tells a newly connected control node that this one relies on it to report when the executors that it
+    /// holds (those whose heartbeats it receives) go offline.
     SayHolderAware {
-        /// The control node.
+        /// The newly connected control node.
         to: NodeId,
     },
 }
--- a/crates/registry/src/executors.rs
+++ b/crates/registry/src/executors.rs
@@ -1,60 +1,67 @@
-//! The table of executors, merged from heartbeats that came here or to other control nodes.
+//! The executor table, merged from heartbeats that arrive at this control node and from those that other
+//! control nodes forward.
 
 use crate::messages::{ExecutorState, Heartbeat, Millis, NodeId};
 use crate::version::VersionCounter;
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Control nodes tell each other so often which executors sent heartbeats; changes at once.
+/// Interval at which control nodes send each other the executors that sent heartbeats; changes of an executor
+/// are sent at once.
 pub const HEARTBEAT_GOSSIP_INTERVAL: Millis = 500;
-/// Most executors that are kept.
+/// Maximum number of executors in the table.
 const MAX_EXECUTORS: usize = 20_000;
-/// An executor that is offline is remembered for so long, so that its late heartbeats don't bring it back.
+/// How long an offline executor is remembered, so that its delayed heartbeats do not bring it back online.
 const TOMBSTONE_RETENTION: Millis = 60_000;
-/// An executor is silent after 3.2 intervals of heartbeats and this allowance: three may be lost, or be late.
-const SILENCE_ALLOWANCE: Millis = 300;
+/// Added to 3.2 heartbeat intervals to give the time-out after which an executor is offline: three heartbeats
+/// in a row may be lost or late.
+const HEARTBEAT_TIMEOUT_ALLOWANCE: Millis = 300;
 
-/// A control node repeats so often which executors send it their heartbeats. In between it tells others only of changes.
+/// Interval at which a control node repeats to its peers which executors send it their heartbeats. Between
+/// repetitions it sends only changes.
 pub const HOLDER_REFRESH_INTERVAL: Millis = 10_000;
-/// What another control node holds counts as silent so long after its last heartbeat that is known here, beyond the usual limit.
-/// That node says it sooner, unless it is itself partitioned from the rest.
-const HOLDER_SILENCE_ALLOWANCE: Millis = HOLDER_REFRESH_INTERVAL + 2_000;
-
-/// The sequence of an executor that has left: no heartbeat comes after it. An identifier stands for one start of an executor, so
-/// whatever arrives under it later was sent before it left. A process of an earlier version ignores it for the same reason.
+/// Added to the heartbeat time-out of an executor whose heartbeats go to another control node, because that
+/// node repeats them only every `HOLDER_REFRESH_INTERVAL`. That node reports an executor offline sooner, unless
+/// it is itself partitioned from the rest.
+const PEER_HELD_TIMEOUT_ALLOWANCE: Millis = HOLDER_REFRESH_INTERVAL + 2_000;
+
+/// The sequence number of an executor that has deregistered, so that no heartbeat can follow it. An executor
+/// identifier belongs to one start of the process, so a heartbeat that arrives under it later was sent before
+/// the executor left. Control nodes of an earlier release ignore such a heartbeat for the same reason.
 pub const FINAL_SEQUENCE: u64 = u64::MAX;
 
-/// Which control node receives the heartbeats of an executor, and says when they stop.
+/// The control node that receives an executor's heartbeats and reports when they stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Holder {
-    /// None that is known and connected: each control node waits for its heartbeats by itself.
+    /// No connected control node is known to receive the heartbeats: each control node applies the heartbeat
+    /// time-out by itself.
     Unknown,
-    /// This one.
+    /// This control node receives the heartbeats.
     Own,
-    /// Another one, which is connected.
+    /// Another, connected control node receives the heartbeats.
     Peer(NodeId),
 }
 
-/// What a heartbeat has changed in the table.
+/// What a heartbeat has changed in the executor table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Merged {
-    /// Nothing: a later one is known.
+    /// Nothing: a later heartbeat of the executor is already known, or the table is full.
     Outdated,
-    /// The time of the last heartbeat.
+    /// Only the time of the executor's last heartbeat.
     Refreshed,
-    /// More than that.
+    /// The executor's state, address, backend or capacity, or the executor is new.
     Changed,
 }
 
-/// One executor, as its latest heartbeat describes it.
+/// One executor, as described by its latest heartbeat.
 #[derive(Clone, Debug)]
 pub struct ExecutorRecord {
-    /// The latest heartbeat; its state may have been set to offline since.
+    /// The latest heartbeat. Its state may have been set to offline after it arrived.
     pub heartbeat: Heartbeat,
-    /// When the executor sent a heartbeat last, on this process's clock.
+    /// When the executor last sent a heartbeat, on this process's monotonic clock.
     pub last_heard: Millis,
-    /// The version of its last change.
-    pub(crate) changed_in: u64,
+    /// The registry version of this executor's last change.
+    pub(crate) last_change_version: u64,
     holder: Holder,
 }
 
@@ -65,10 +72,11 @@
 
     fn set_offline(&mut self, version: u64) {
         self.heartbeat.state = ExecutorState::Offline;
-        self.changed_in = version;
+        self.last_change_version = version;
     }
 
-    /// The heartbeat as it is passed on now: with its age, and with as much less of the warm-up left.
+    /// The heartbeat as it is forwarded at `now`: `age_ms` is the time since it was sent, and the remaining
+    /// warm-up is shorter by that age.
     pub(crate) fn aged_heartbeat(&self, now: Millis) -> Heartbeat {
         let age_ms = now.saturating_sub(self.last_heard);
         let warmup_left_ms = self.heartbeat.warmup_left_ms.saturating_sub(age_ms);
@@ -76,7 +84,7 @@
     }
 }
 
-/// An executor of which nothing is known but that it has left.
+/// A placeholder heartbeat for an executor of which only its deregistration is known.
 fn unknown_executor(id: &str) -> Heartbeat {
     Heartbeat {
         id: id.to_string(),
@@ -91,20 +99,21 @@
     }
 }
 
-/// All executors, and which of them have still to be broadcast to the other control nodes.
+/// All executors, and those of them that have yet to be broadcast to the other control nodes.
 pub struct ExecutorTable {
     records: HashMap<String, ExecutorRecord>,
-    /// Those that sent a heartbeat here since the last routine broadcast.
+    /// Identifiers of the executors that sent a heartbeat here since the last routine broadcast.
     unsent: Vec<String>,
-    /// Those of them with a change since the last broadcast of any kind.
+    /// Identifiers of the executors in `unsent` that have changed since the last broadcast of any kind.
     unsent_changes: Vec<String>,
-    /// Who is or was at an address, so that a new executor is not compared with all others.
+    /// Identifiers of the executors that have used each address, so that a new executor need not be compared
+    /// with the whole table.
     by_address: HashMap<SocketAddrV4, Vec<String>>,
-    /// The version of the last change of any executor.
-    changed_in: u64,
-    /// One that is silent for longer is offline.
-    silence_limit: Millis,
-    /// When this node was last partitioned from the other control nodes.
+    /// The registry version of the last change of any executor.
+    last_change_version: u64,
+    /// An executor without a heartbeat for longer than this is set offline.
+    heartbeat_timeout: Millis,
+    /// When this control node was last partitioned from the others.
     last_partitioned: Millis,
 }
 
@@ -115,8 +124,8 @@
             unsent: Vec::new(),
             unsent_changes: Vec::new(),
             by_address: HashMap::new(),
-            changed_in: 0,
-            silence_limit: heartbeat_interval * 16 / 5 + SILENCE_ALLOWANCE,
+            last_change_version: 0,
+            heartbeat_timeout: heartbeat_interval * 16 / 5 + HEARTBEAT_TIMEOUT_ALLOWANCE,
             last_partitioned: now,
         }
     }
@@ -125,12 +134,12 @@
         self.records.values()
     }
 
-    /// The version of the last change of any executor.
-    pub fn changed_in(&self) -> u64 {
-        self.changed_in
+    /// The registry version of the last change of any executor.
+    pub fn last_change_version(&self) -> u64 {
+        self.last_change_version
     }
 
-    /// Notes that an executor has to be broadcast: with the next routine broadcast, or at once if it has changed.
+    /// Queues an executor for broadcast: at once if it has changed, otherwise with the next routine broadcast.
     pub fn queue_broadcast(&mut self, id: String, has_changed: bool) {
         if has_changed {
             self.unsent_changes.push(id.clone());
@@ -138,7 +147,7 @@
         self.unsent.push(id);
     }
 
-    /// A heartbeat came to this control node.
+    /// Merges a heartbeat that an executor sent to this control node.
     pub fn receive(&mut self, version: &mut VersionCounter, now: Millis, heartbeat: Heartbeat) {
         let id = heartbeat.id.clone();
         let merged = self.merge(version, now, heartbeat);
@@ -147,14 +156,14 @@
         self.queue_broadcast(id, is_new_here || merged == Merged::Changed);
     }
 
-    /// Another control node passed on heartbeats, of executors that may send them anywhere.
+    /// Merges heartbeats that another control node forwarded; the executors may send them to any control node.
     pub fn merge_table(&mut self, version: &mut VersionCounter, now: Millis, heartbeats: Vec<Heartbeat>) {
         for heartbeat in heartbeats {
             self.merge(version, now, heartbeat);
         }
     }
 
-    /// Another control node told of executors that send it their heartbeats.
+    /// Merges the executors that another control node reports as sending it their heartbeats.
     pub fn merge_held(
         &mut self,
         version: &mut VersionCounter,
@@ -169,13 +178,15 @@
             if merged != Merged::Outdated {
                 record.holder = Holder::Peer(from);
             } else if record.holder == Holder::Own {
-                // A late heartbeat came there. Whoever took it for the latest has to hear of the one that came here.
+                // The peer received a delayed heartbeat. Control nodes that took it for the latest have to be
+                // sent the later one that arrived here.
                 self.queue_broadcast(id, true);
             }
         }
     }
 
-    /// A control node is not connected any more: for what it held the silence is counted here, from now on.
+    /// Handles the disconnection of a control node: the heartbeat time-out of each online executor that it held
+    /// starts here, at `now`.
     pub fn holder_lost(&mut self, now: Millis, peer: NodeId) {
         let is_held_there = |record: &&mut ExecutorRecord| record.holder == Holder::Peer(peer);
         for record in self.records.values_mut().filter(is_held_there) {
@@ -186,26 +197,26 @@
         }
     }
 
-    /// The executors that send their heartbeats here.
+    /// The online executors that send their heartbeats to this control node.
     pub fn held_here(&self, now: Millis) -> Vec<Heartbeat> {
         let held =
             self.records.values().filter(|record| record.holder == Holder::Own && !record.is_offline());
         held.map(|record| record.aged_heartbeat(now)).collect()
     }
 
-    /// Merges a heartbeat that came here or to another control node.
+    /// Merges a heartbeat into the table, whichever control node received it.
     fn merge(&mut self, version: &mut VersionCounter, now: Millis, heartbeat: Heartbeat) -> Merged {
-        let heard = now.saturating_sub(heartbeat.age_ms);
+        let heard_at = now.saturating_sub(heartbeat.age_ms);
         let Some(record) = self.records.get_mut(&heartbeat.id) else {
-            return self.insert(version, heard, heartbeat);
+            return self.insert(version, heard_at, heartbeat);
         };
         let sequence = record.heartbeat.sequence;
-        let is_older = heartbeat.sequence < sequence;
-        let is_from_before_end = record.is_offline() && heartbeat.sequence == sequence;
-        if is_older || is_from_before_end {
+        let is_outdated = heartbeat.sequence < sequence;
+        let is_from_before_offline = record.is_offline() && heartbeat.sequence == sequence;
+        if is_outdated || is_from_before_offline {
             return Merged::Outdated;
         }
-        record.last_heard = record.last_heard.max(heard);
+        record.last_heard = record.last_heard.max(heard_at);
         let old = std::mem::replace(&mut record.heartbeat, heartbeat);
         let new = &record.heartbeat;
         let is_same = old.state == new.state
@@ -215,8 +226,8 @@
         if is_same {
             return Merged::Refreshed;
         }
-        self.changed_in = version.advance();
-        record.changed_in = self.changed_in;
+        self.last_change_version = version.advance();
+        record.last_change_version = self.last_change_version;
         if old.address != new.address {
             self.by_address.entry(new.address).or_default().push(new.id.clone());
         }
@@ -224,34 +235,41 @@
         Merged::Changed
     }
 
-    /// Adds an executor that is not known yet, if there is room for it.
-    fn insert(&mut self, version: &mut VersionCounter, heard: Millis, heartbeat: Heartbeat) -> Merged {
+    /// Adds an executor that is not yet in the table, unless the table is full.
+    fn insert(&mut self, version: &mut VersionCounter, heard_at: Millis, heartbeat: Heartbeat) -> Merged {
         if self.records.len() >= MAX_EXECUTORS {
             return Merged::Outdated;
         }
-        self.changed_in = version.advance();
-        self.end_predecessors(heartbeat.address, heard);
+        self.last_change_version = version.advance();
+        self.set_predecessors_offline(heartbeat.address, heard_at);
         self.by_address.entry(heartbeat.address).or_default().push(heartbeat.id.clone());
         tracing::info!(id = heartbeat.id, service = heartbeat.backend, state = %heartbeat.state, "executor");
         let id = heartbeat.id.clone();
         let holder = Holder::Unknown;
-        let record = ExecutorRecord { heartbeat, last_heard: heard, changed_in: self.changed_in, holder };
+        let record = ExecutorRecord {
+            heartbeat,
+            last_heard: heard_at,
+            last_change_version: self.last_change_version,
+            holder,
+        };
         self.records.insert(id, record);
         Merged::Changed
     }
 
-    /// A new executor at an address ends those that were there: the address may be another service's now.
-    fn end_predecessors(&mut self, address: SocketAddrV4, heard: Millis) {
+    /// Sets offline the executors that were at the address of a new executor, because the address may now
+    /// belong to another service.
+    fn set_predecessors_offline(&mut self, address: SocketAddrV4, heard_at: Millis) {
         for id in self.by_address.get(&address).into_iter().flatten() {
             let Some(record) = self.records.get_mut(id) else { continue };
-            let is_there = record.heartbeat.address == address && !record.is_offline();
-            if is_there && record.last_heard <= heard {
-                record.set_offline(self.changed_in);
+            let is_online_here = record.heartbeat.address == address && !record.is_offline();
+            if is_online_here && record.last_heard <= heard_at {
+                record.set_offline(self.last_change_version);
             }
         }
     }
 
-    /// Sets an executor offline for good that has deregistered, known or not. Returns whether that is new.
+    /// Sets a deregistered executor offline for good, whether or not it is in the table. Returns whether the
+    /// table changed: not for a second deregistration, nor for an unknown executor if the table is full.
     pub fn deregister(&mut self, version: &mut VersionCounter, now: Millis, id: &str) -> bool {
         if self.records.get(id).is_some_and(|record| record.heartbeat.sequence == FINAL_SEQUENCE) {
             return false;
@@ -259,34 +277,35 @@
         if self.records.len() >= MAX_EXECUTORS && !self.records.contains_key(id) {
             return false;
         }
-        self.changed_in = version.advance();
+        self.last_change_version = version.advance();
         let unknown = || ExecutorRecord {
             heartbeat: unknown_executor(id),
             last_heard: now,
-            changed_in: 0,
+            last_change_version: 0,
             holder: Holder::Unknown,
         };
         let record = self.records.entry(id.to_string()).or_insert_with(unknown);
-        record.set_offline(self.changed_in);
+        record.set_offline(self.last_change_version);
         record.heartbeat.sequence = FINAL_SEQUENCE;
         record.last_heard = now;
-        tracing::info!(id, "executor left");
+        tracing::info!(id, "executor deregistered");
         true
     }
 
-    /// Whether there are changes that no control node has been told of.
+    /// Whether there are executor changes that have not been broadcast to the other control nodes.
     pub fn has_changes(&self) -> bool {
         !self.unsent_changes.is_empty()
     }
 
-    /// The executors that have changed, or send their heartbeats here since a short time ago: all control nodes are told at once.
+    /// Takes the executors to broadcast at once: those that have changed, and those that have only now begun to
+    /// send their heartbeats here.
     pub fn take_changes(&mut self, now: Millis) -> Vec<Heartbeat> {
         let ids = std::mem::take(&mut self.unsent_changes);
         self.aged_heartbeats(now, ids)
     }
 
-    /// The executors that sent heartbeats here since the last call: a control node of an earlier version is told of each
-    /// heartbeat.
+    /// Takes the executors that sent heartbeats here since the last call. They are sent to control nodes of an
+    /// earlier release, which need every heartbeat.
     pub fn take_routine(&mut self, now: Millis) -> Vec<Heartbeat> {
         let ids = std::mem::take(&mut self.unsent);
         self.aged_heartbeats(now, ids)
@@ -299,32 +318,33 @@
         records.map(|record| record.aged_heartbeat(now)).collect()
     }
 
-    /// Sets executors offline that are silent, and forgets those that have been offline for long. While this node is
-    /// partitioned from the other control nodes, and for the silence limit afterwards, nobody is silent: executors send their
-    /// heartbeats to the others.
+    /// Sets executors offline whose heartbeat time-out has passed, and forgets those that have been offline for
+    /// the tombstone retention. While this control node is partitioned from the others, and for one heartbeat
+    /// time-out afterwards, no executor is set offline, because executors send their heartbeats to the other
+    /// control nodes.
     pub fn expire(&mut self, version: &mut VersionCounter, now: Millis, is_in_contact: bool) {
         if !is_in_contact {
             self.last_partitioned = now;
         }
-        if now > self.last_partitioned + self.silence_limit {
-            self.expire_silent(version, now);
+        if now > self.last_partitioned + self.heartbeat_timeout {
+            self.expire_timed_out(version, now);
         }
         self.forget_tombstones(now);
     }
 
-    fn expire_silent(&mut self, version: &mut VersionCounter, now: Millis) {
-        let silence_limit = self.silence_limit;
-        let is_silent = |record: &&mut ExecutorRecord| {
+    fn expire_timed_out(&mut self, version: &mut VersionCounter, now: Millis) {
+        let heartbeat_timeout = self.heartbeat_timeout;
+        let has_timed_out = |record: &&mut ExecutorRecord| {
             let allowance = match record.holder {
-                Holder::Peer(_) => HOLDER_SILENCE_ALLOWANCE,
+                Holder::Peer(_) => PEER_HELD_TIMEOUT_ALLOWANCE,
                 Holder::Own | Holder::Unknown => 0,
             };
-            !record.is_offline() && now > record.last_heard + silence_limit + allowance
+            !record.is_offline() && now > record.last_heard + heartbeat_timeout + allowance
         };
-        for record in self.records.values_mut().filter(is_silent) {
-            self.changed_in = version.advance();
-            record.set_offline(self.changed_in);
-            tracing::info!(id = record.heartbeat.id, "executor silent");
+        for record in self.records.values_mut().filter(has_timed_out) {
+            self.last_change_version = version.advance();
+            record.set_offline(self.last_change_version);
+            tracing::info!(id = record.heartbeat.id, "executor offline: heartbeat time-out");
             if record.holder == Holder::Own {
                 self.unsent_changes.push(record.heartbeat.id.clone());
             }
@@ -332,18 +352,18 @@
     }
 
     fn forget_tombstones(&mut self, now: Millis) {
-        let before = self.records.len();
+        let count_before = self.records.len();
         self.records
             .retain(|_, record| !record.is_offline() || now < record.last_heard + TOMBSTONE_RETENTION);
-        if self.records.len() == before {
+        if self.records.len() == count_before {
             return;
         }
         let records = &self.records;
-        let is_there = |address: &SocketAddrV4, id: &String| {
+        let is_at_address = |address: &SocketAddrV4, id: &String| {
             records.get(id).is_some_and(|record| record.heartbeat.address == *address)
         };
         self.by_address.retain(|address, ids| {
-            ids.retain(|id| is_there(address, id));
+            ids.retain(|id| is_at_address(address, id));
             !ids.is_empty()
         });
     }
--- a/crates/registry/src/group_contact.rs
+++ b/crates/registry/src/group_contact.rs
@@ -1,16 +1,18 @@
-//! Contact of this control node with the others, as the registry is told of it.
+//! How recently this control node was known to be in contact with the others, as the program reports it to the
+//! registry.
 
 use crate::messages::Millis;
 
-/// A contact that is older than this is no longer fresh. While all is well it is confirmed with every heartbeat of the primary.
-const FRESHNESS_LIMIT: Millis = 600;
+/// Maximum age of a contact that counts as fresh. In normal operation every heartbeat of the primary confirms
+/// the contact.
+const CONTACT_FRESHNESS_LIMIT: Millis = 600;
 
-/// Whether this control node knows that the others have not gone on without it.
+/// Whether this control node knows that the other control nodes have not continued without it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GroupContact {
-    /// It hears no primary that holds the lease, nor is it one.
+    /// This control node is not the primary and hears no primary that holds the lease.
     Lost,
-    /// It was in contact so long ago.
+    /// This control node was last in contact with the others `age` milliseconds ago.
     Held {
         /// Milliseconds since the last confirmed contact.
         age: Millis,
@@ -18,13 +20,14 @@
 }
 
 impl GroupContact {
-    /// Contact at this moment.
+    /// A contact that was confirmed at this moment.
     pub const NOW: GroupContact = GroupContact::Held { age: 0 };
 
-    /// `last_contact` is the time of the last confirmed contact, if it still counts.
+    /// The contact at `now`. `last_contact` is the time of the last confirmed contact, or `None` if that
+    /// contact no longer counts.
     pub fn since(last_contact: Option<Millis>, now: Millis) -> GroupContact {
         match last_contact {
-            Some(at) => GroupContact::Held { age: now.saturating_sub(at) },
+            Some(contact_time) => GroupContact::Held { age: now.saturating_sub(contact_time) },
             None => GroupContact::Lost,
         }
     }
@@ -34,10 +37,11 @@
     }
 
     pub(crate) fn is_fresh(self) -> bool {
-        matches!(self, GroupContact::Held { age } if age <= FRESHNESS_LIMIT)
+        matches!(self, GroupContact::Held { age } if age <= CONTACT_FRESHNESS_LIMIT)
     }
 
-    /// What a node is told with an update. A configuration is sent without contact too, and says nothing of any.
+    /// The contact age that a node is sent with a membership update, in milliseconds. Updates that carry a
+    /// configuration are also sent without contact; their age is then `u64::MAX`, which claims no contact.
     pub(crate) fn age_ms(self) -> u64 {
         match self {
             GroupContact::Held { age } => age,
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,21 +1,25 @@
-//! Which nodes and executors are present, as one control node knows it, and which changes have to be sent to whom.
+//! Tracks which nodes and executors are present, as one control node knows it, and which updates have to be sent to
+//! which node.
 //!
-//! A state machine without I/O: heartbeats, polls, connections and a monotonic clock go in, [`RegistryEffect`]s come out.
+//! The registry is a state machine without I/O: its inputs are heartbeats, polls, connections and a monotonic clock, its
+//! outputs are [`RegistryEffect`]s.
 //!
-//! - **Executors** send heartbeats to any control node, which passes them on to its peers: each control node has the whole
-//!   table. Records are merged by the sequence number of the heartbeat, so a late or repeated one changes nothing. This is
-//!   anti-entropy by version, as in Scuttlebutt (van Renesse et al., *Efficient Reconciliation and Flow Control for
-//!   Anti-Entropy Protocols*, 2008), over direct connections between all control nodes.
-//! - **Nodes** poll one control node and thereby hold a session with it. A node is a member while it has a session with any
-//!   control node, and for a short grace period afterwards, because most that disconnect are back at once.
+//! - **Executors** send heartbeats to any control node, which forwards them to its peers, so each control node has the
+//!   complete executor table. Records are merged by the sequence number of the heartbeat, so a delayed or repeated heartbeat
+//!   changes nothing. This is anti-entropy by version, as in Scuttlebutt (van Renesse et al., *Efficient Reconciliation and
+//!   Flow Control for Anti-Entropy Protocols*, 2008), over direct connections between all control nodes.
+//! - **Nodes** poll one control node and thereby hold a session with it. A store is a member while it has a session with any
+//!   control node, and for a short grace period afterwards, because most nodes that disconnect reconnect at once. A connected
+//!   control node is a member too; nodes of other roles never are.
 //! - **Updates** answer the polls. A node names the version that it has and is answered as soon as there is a newer one, or
 //!   after a time-out: a long poll (RFC 6202, section 2).
 //!
-//! An executor or node that is silent for too long is considered offline; there is no separate state of suspicion as in SWIM
-//! (Das et al., 2002), but a control node that is partitioned from the others declares nobody offline.
+//! An executor without a heartbeat and a node without a session for longer than a limit are considered offline. There is no
+//! separate state of suspicion as in SWIM (Das et al., 2002), but a control node that is partitioned from the others sets no
+//! executor offline.
 //!
-//! Nothing is kept on disk. After a start the table fills within one interval of heartbeats, and until then no node that has a
-//! list is sent a shorter one.
+//! Nothing is stored on disk. After a start the executor table fills within one heartbeat interval. Until then a node that
+//! already has an executor list is not sent a new one, which could be shorter.
 
 mod effect;
 mod executors;
--- a/crates/registry/src/messages.rs
+++ b/crates/registry/src/messages.rs
@@ -1,59 +1,60 @@
-//! The messages and identifiers that control nodes, other nodes and executors exchange about who is present.
+//! Messages and identifiers that control nodes, other nodes and executors exchange about the nodes and
+//! executors that are present.
 //!
-//! Everything here that is `Serialize` travels as postcard, which encodes by the order of fields and variants: never reorder,
-//! add or remove one. Only a frame's last field may be added, if it can be absent: earlier releases don't read it.
-//! `tests/wire_bytes.rs` fixes the bytes.
+//! Every `Serialize` type in this module is sent as postcard, which encodes fields and variants by position:
+//! never reorder, add or remove one. The only exception is a new last field of a frame that may be absent,
+//! because earlier releases do not send or read it. `tests/wire_bytes.rs` checks the encoded bytes.
 
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// A point or span of time in milliseconds; points are on the monotonic clock of this process.
+/// A point in time or a duration, in milliseconds. Points in time are on the monotonic clock of this process.
 pub type Millis = u64;
 
 /// Identifies a node by a hash of its name.
 pub type NodeId = u32;
 
-/// What a process of the system does.
+/// The role of a process in the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display)]
 #[strum(serialize_all = "lowercase")]
 pub enum NodeRole {
-    /// Accepts clients' requests and hands them to stores.
+    /// Accepts requests from clients and forwards them to stores.
     Edge,
-    /// Keeps messages and delivers them to executors; it alone is sent the list of executors.
+    /// Stores messages and delivers them to executors. It is the only role that is sent the executor table.
     Store,
-    /// Keeps the configuration and this registry.
+    /// Stores the configuration and runs this registry.
     #[strum(serialize = "core")]
     Control,
-    /// The operators' command line: it connects, requests a report and disconnects, and never becomes a member.
+    /// The operators' command line. It connects, requests a report and disconnects, and never becomes a member.
     #[strum(serialize = "visitor")]
     CommandLine,
 }
 
-/// A node that is present, as it described itself when its session began.
+/// A node that is present, as it described itself in its latest poll or connection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
     /// The node's identifier.
     pub node: NodeId,
     /// The name in the node's settings file.
     pub name: String,
-    /// What the node does.
+    /// The node's role.
     pub role: NodeRole,
-    /// The failure domain that the node runs in.
+    /// The failure domain in which the node runs.
     pub zone: String,
-    /// The address of its machine.
+    /// The IP address of the node's machine.
     pub ip: Ipv4Addr,
-    /// Distinguishes this start of the node's process from earlier and later ones; 0 in a membership list.
+    /// Distinguishes this start of the node's process from earlier and later ones; 0 in a member list.
     pub incarnation: u64,
-    /// Where a control node takes heartbeats and operators' calls; `None` for other roles.
+    /// The address at which a control node accepts heartbeats and operators' requests; `None` for other roles.
     pub control_address: Option<SocketAddrV4>,
-    /// The version of the configuration that the node has; 0 in a membership list, or if it has none.
+    /// The version of the configuration that the node has; 0 if it has none, and always 0 in a member list.
     pub config_version: u64,
-    /// How far the node's retirement has come.
+    /// The progress of the node's retirement.
     pub retirement: RetirementState,
 }
 
-/// How far a store has come in handing its messages to others, after operators ordered its retirement. It never goes back:
-/// the greater of two reports is the newer one.
+/// How far a store has handed over its messages to other stores after operators ordered its retirement. The
+/// state never goes back, so the greater of two reported states is the newer one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, strum::Display,
 )]
@@ -63,74 +64,79 @@
     #[default]
     #[strum(serialize = "no")]
     NotRetiring,
-    /// The store is handing over its messages.
+    /// The store is handing over its messages to other stores.
     #[strum(serialize = "rolling")]
     Draining,
-    /// The store holds nothing any more and may be switched off.
+    /// The store has no messages left and may be switched off.
     Complete,
 }
 
-/// Whether an executor takes work.
+/// Whether an executor accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display)]
 #[strum(serialize_all = "lowercase")]
 pub enum ExecutorState {
-    /// It takes new work.
+    /// The executor accepts new requests.
     Serving,
-    /// It finishes what it has and takes nothing new.
+    /// The executor finishes its current requests and accepts no new ones.
     Draining,
-    /// It deregistered, missed its heartbeats for too long, or another executor registered at its address.
+    /// The executor deregistered, its heartbeat time-out passed, or another executor registered at its address.
     #[strum(serialize = "gone")]
     Offline,
 }
 
-/// What an executor reports of itself with each heartbeat, and what nodes are sent about it.
+/// The state that an executor reports in each heartbeat; control nodes forward it to their peers and to stores.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Unique to one start of the executor.
+    /// Identifier that is unique to one start of the executor.
     pub id: String,
-    /// The service that it executes requests of.
+    /// The service whose requests the executor handles.
     pub backend: String,
-    /// Where it takes requests.
+    /// The address at which the executor accepts requests.
     pub address: SocketAddrV4,
-    /// The failure domain that it runs in.
+    /// The failure domain in which the executor runs.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// The number of requests that the executor handles at the same time.
     pub capacity: u32,
-    /// Whether it takes work.
+    /// Whether the executor accepts requests.
     pub state: ExecutorState,
-    /// For so long from now it is still warming up, and is to get less work (slow start).
+    /// Remaining warm-up time in milliseconds, during which the executor should get fewer requests (slow
+    /// start).
     pub warmup_left_ms: u64,
-    /// Rises with each heartbeat of this executor, so that a delayed or repeated one is recognised.
+    /// Sequence number that increases with each heartbeat of the executor, so that a delayed or repeated
+    /// heartbeat is recognised.
     pub sequence: u64,
-    /// How long ago the executor sent it; 0 as it arrives.
+    /// Milliseconds since the executor sent this heartbeat; 0 on arrival from the executor.
     pub age_ms: u64,
 }
 
-/// The answer to a node's poll: what changed since the version that it named.
+/// The answer to a node's poll: everything that has changed since the version that the poll named.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MembershipUpdate {
-    /// The control node's incarnation, to which `version` belongs: another process counts from the start.
+    /// The incarnation of the control node that counts `version`. Each process counts its versions from the
+    /// start, so versions of different incarnations cannot be compared.
     pub incarnation: u64,
-    /// What to name in the next poll.
+    /// The version for the node to name in its next poll.
     pub version: u64,
-    /// The control node does not hear the primary: its view may be stale, and the node should poll another. All else is empty.
+    /// The control node does not hear the primary, so its view may be stale and the node should poll another
+    /// control node. All other fields are empty.
     pub is_partitioned: bool,
-    /// `executors` is the full list and replaces the one before; otherwise it holds only those that changed.
+    /// Whether `executors` is the complete list, which replaces the node's previous one; otherwise it holds
+    /// only executors that have changed.
     pub is_complete: bool,
-    /// The bytes of the configuration in force, if it is newer than the node's.
+    /// The encoded configuration in force, if it is newer than the node's.
     #[serde(with = "serde_bytes")]
     pub config: Option<Vec<u8>>,
-    /// All members, if there was any change among them.
+    /// The complete member list, if it has changed.
     pub members: Option<Vec<Member>>,
-    /// Executors; empty for nodes that are not stores.
+    /// Executors that are new or changed; empty for nodes that are not stores.
     pub executors: Vec<Heartbeat>,
-    /// How long ago the control node last knew that it is not cut off from the others, in milliseconds. Control nodes of earlier
-    /// releases don't say: then 0.
+    /// Milliseconds since the control node last knew that it was not partitioned from the other control nodes;
+    /// 0 if absent, because control nodes of earlier releases do not send it.
     #[serde(deserialize_with = "zero_if_absent")]
     pub contact_age_ms: u64,
 }
 
-/// Reads the last field of a frame, which earlier releases don't send.
+/// Reads the last field of a frame as 0 if it is absent, because earlier releases do not send it.
 fn zero_if_absent<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     Ok(u64::deserialize(deserializer).unwrap_or_default())
 }
--- a/crates/registry/src/version.rs
+++ b/crates/registry/src/version.rs
@@ -1,6 +1,6 @@
-//! The counter of changes by which nodes say how recent their view is.
+//! The version counter of the registry: nodes name a version when they poll, to say how recent their view is.
 
-/// Counts the changes of a registry, from 1 on: 0 is the version of a node that has had no update.
+/// Counts the changes of a registry, starting at 1. Version 0 stands for a node that has not had an update.
 pub struct VersionCounter(u64);
 
 impl VersionCounter {
