--- a/crates/crash-buffer/src/error.rs
+++ b/crates/crash-buffer/src/error.rs
@@ -1,39 +1,40 @@
-//! Why a buffer can't be opened, or takes no record.
+//! Errors of opening a crash buffer and of inserting a record.
 
 use std::io;
 use std::path::PathBuf;
 
-/// Why a buffer can't be opened.
+/// The reason why a crash buffer cannot be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// The system refused to create, read or map the file.
+    /// A system call to create, read or map the file failed.
     #[error("crash buffer: {action} {}: {source}", file.display())]
     File {
-        /// What was tried, such as "mapping".
+        /// The operation that failed, such as "mapping".
         action: &'static str,
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
-        /// What the system said.
+        /// The error that the system call returned.
         source: io::Error,
     },
-    /// The file is of another program or version. It is left as it is.
-    #[error("crash buffer: {}: it is not of this format", file.display())]
+    /// The file belongs to another program or another version of the format, or has another number of slots. It
+    /// is left unchanged.
+    #[error("crash buffer: {}: the file has an unknown format or another number of slots", file.display())]
     UnknownFormat {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
     },
 }
 
-/// Why a record was not taken.
+/// The reason why a record was not inserted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InsertError {
     /// No slot is free.
-    #[error("crash buffer: all slots are used")]
+    #[error("crash buffer is full: no free slot")]
     Full,
-    /// The record is empty, or longer than a slot.
-    #[error("crash buffer: a record of {bytes} bytes does not fit a slot")]
+    /// The record is empty, or longer than a slot can hold.
+    #[error("crash buffer: a record of {bytes} bytes does not fit into a slot")]
     UnfitRecord {
-        /// Its length in bytes.
+        /// The length of the record in bytes.
         bytes: usize,
     },
 }
--- a/crates/crash-buffer/src/slot.rs
+++ b/crates/crash-buffer/src/slot.rs
@@ -1,16 +1,17 @@
-//! The bytes of a slot: a checksum, the length of the record, and the record.
+//! The encoding of a slot: a checksum, the length of the record, and the record.
 
-/// Bytes of a slot.
+/// Size of a slot in bytes.
 pub const SLOT_BYTES: usize = 256;
-/// Offset of the length, after the checksum.
+/// Offset of the record length in a slot, in bytes: the checksum comes before it.
 const LENGTH_OFFSET: usize = 4;
-/// Offset of the record, after the length.
+/// Offset of the record in a slot, in bytes: the checksum and the length come before it.
 const RECORD_OFFSET: usize = 8;
 
-/// The longest record in bytes.
+/// Maximum length of a record in bytes.
 pub const MAX_RECORD_BYTES: usize = SLOT_BYTES - RECORD_OFFSET;
 
-/// Writes a record of at most [`MAX_RECORD_BYTES`] into a slot. The checksum comes last: a slot that was written in part is free.
+/// Writes a record of at most [`MAX_RECORD_BYTES`] into a slot. The checksum is written last, so that a partly
+/// written slot counts as free.
 pub fn write(slot: &mut [u8], record: &[u8]) {
     clear(slot);
     let length = (record.len() as u32).to_le_bytes();
@@ -19,12 +20,12 @@
     slot[..LENGTH_OFFSET].copy_from_slice(&checksum(length, record).to_le_bytes());
 }
 
-/// Makes a slot free.
+/// Frees a slot by zeroing its checksum and length.
 pub fn clear(slot: &mut [u8]) {
     slot[..RECORD_OFFSET].fill(0);
 }
 
-/// The record of a slot; `None` where it is free, or was written in part.
+/// Returns the record of a slot, or `None` if the slot is free or was only partly written.
 pub fn read(slot: &[u8]) -> Option<&[u8]> {
     let length = [slot[4], slot[5], slot[6], slot[7]];
     let stored_checksum = u32::from_le_bytes([slot[0], slot[1], slot[2], slot[3]]);
