--- a/crates/crash-buffer/src/error.rs
+++ b/crates/crash-buffer/src/error.rs
@@ -11,7 +11,7 @@
     File {
         /// The operation that failed, such as "mapping".
         action: &'static str,
-        /// The path of the file.
+        /// The path of the buffer file.
         file: PathBuf,
         /// The error that the system call returned.
         source: io::Error,
@@ -20,7 +20,7 @@
     /// is left unchanged.
     #[error("crash buffer: {}: the file has an unknown format or another number of slots", file.display())]
     UnknownFormat {
-        /// The path of the file.
+        /// The path of the buffer file.
         file: PathBuf,
     },
 }
@@ -28,7 +28,7 @@
 /// The reason why a record was not inserted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InsertError {
-    /// No slot is free.
+    /// The crash buffer is full: no slot is free.
     #[error("crash buffer is full: no free slot")]
     Full,
     /// The record is empty, or longer than a slot can hold.
--- a/crates/crash-buffer/src/file.rs
+++ b/crates/crash-buffer/src/file.rs
@@ -8,7 +8,7 @@
 use crate::error::OpenError;
 use crate::slot::{self, SLOT_BYTES};
 
-/// Size of the header in bytes, which is the offset of the first slot: one memory page.
+/// Size of the file header in bytes, which is also the offset of the first slot: one memory page.
 pub const HEADER_BYTES: usize = 4096;
 /// The format name and version at the start of the header. The size of a slot in bytes and the number of slots
 /// follow.
--- a/crates/crash-buffer/tests/crash_buffer.rs
+++ b/crates/crash-buffer/tests/crash_buffer.rs
@@ -81,7 +81,7 @@
     buffer.insert(b"a record").unwrap();
     buffer.insert(b"another").unwrap();
     drop(buffer);
-    // Sets to zero each byte of the first slot that a power failure may have left unwritten.
+    // A power failure may leave any byte of the first slot unwritten: sets each of them to zero in turn.
     let complete = std::fs::read(&file).unwrap();
     for offset in 0..8 + b"a record".len() {
         let mut torn = complete.clone();
--- a/crates/registry/src/effect.rs
+++ b/crates/registry/src/effect.rs
@@ -20,7 +20,7 @@
     /// control node that has just connected gets the whole table; control nodes of an earlier release get every
     /// heartbeat that arrives here.
     SendHeartbeats {
-        /// The receiving control nodes.
+        /// The control nodes to which the heartbeats are sent.
         to: Vec<NodeId>,
         /// The executors' heartbeats, including those of offline executors.
         heartbeats: Vec<Heartbeat>,
@@ -31,13 +31,13 @@
         /// The receiving control nodes; each relies on this control node to report when these executors go
         /// offline.
         to: Vec<NodeId>,
-        /// The executors' heartbeats.
+        /// Heartbeats of the executors that this control node holds or held.
         heartbeats: Vec<Heartbeat>,
     },
     /// Tells a newly connected control node that this one relies on it to report when the executors that it
     /// holds (those whose heartbeats it receives) go offline.
     SayHolderAware {
-        /// The newly connected control node.
+        /// The newly connected control node that is told.
         to: NodeId,
     },
 }
--- a/crates/registry/src/executors.rs
+++ b/crates/registry/src/executors.rs
@@ -36,20 +36,20 @@
     /// No connected control node is known to receive the heartbeats: each control node applies the heartbeat
     /// time-out by itself.
     Unknown,
-    /// This control node receives the heartbeats.
+    /// This control node receives the heartbeats of the executor.
     Own,
-    /// Another, connected control node receives the heartbeats.
+    /// Another control node, which is connected, receives the heartbeats of the executor.
     Peer(NodeId),
 }
 
 /// What a heartbeat has changed in the executor table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Merged {
-    /// Nothing: a later heartbeat of the executor is already known, or the table is full.
+    /// The heartbeat changed nothing: a later heartbeat of the executor is already known, or the table is full.
     Outdated,
-    /// Only the time of the executor's last heartbeat.
+    /// The heartbeat updated only the time at which the executor was last heard.
     Refreshed,
-    /// The executor's state, address, backend or capacity, or the executor is new.
+    /// The heartbeat changed the executor's state, address, backend or capacity, or the executor is new.
     Changed,
 }
 
--- a/crates/registry/tests/departures.rs
+++ b/crates/registry/tests/departures.rs
@@ -1,4 +1,5 @@
-//! An executor that has left stays gone: a heartbeat that was on its way when it left does not bring it back, wherever it comes.
+//! Tests that a deregistered executor stays offline. They guard against a heartbeat that was in flight when the
+//! executor deregistered and that brings it back online, on whichever control node it arrives.
 
 mod support;
 
@@ -21,7 +22,7 @@
     registry.executors().any(|executor| executor.heartbeat.state == ExecutorState::Serving)
 }
 
-/// What a control node tells the others of executors.
+/// Returns the heartbeats that a control node sends to the others when it is ticked at `now`.
 fn broadcasts(registry: &mut Registry, now: Millis) -> Vec<Heartbeat> {
     registry.tick(now, GroupContact::NOW, None);
     let effects = registry.take_effects().into_iter();
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn a_late_heartbeat_does_not_bring_back_an_executor_that_has_left() {
+fn a_late_heartbeat_does_not_bring_back_a_deregistered_executor() {
     let mut registry = control_node(1);
     registry.record_heartbeat(3000, heartbeat(4));
     assert!(is_serving(&registry));
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn a_late_heartbeat_by_way_of_another_control_node_does_not_either() {
+fn a_late_heartbeat_at_another_control_node_does_not_bring_back_a_deregistered_executor() {
     let (mut first, mut second) = (control_node(1), control_node(2));
     first.record_heartbeat(3000, heartbeat(4));
     second.merge_peer_heartbeats(3001, broadcasts(&mut first, 3001));
@@ -57,9 +58,10 @@
     assert!(!is_serving(&first) && !is_serving(&second));
 }
 
-/// All control nodes were started anew, and one hears of the executor first that it leaves.
+/// All control nodes were restarted, and the first thing that one of them learns about the executor is its
+/// deregistration.
 #[test]
-fn an_executor_that_nobody_knew_before_it_left_is_remembered_everywhere() {
+fn deregistration_of_an_unknown_executor_is_remembered_by_all_control_nodes() {
     let (mut first, mut second) = (control_node(1), control_node(2));
     first.deregister_executor(3100, "e");
     second.merge_peer_heartbeats(3102, broadcasts(&mut first, 3101));
@@ -69,7 +71,7 @@
 }
 
 #[test]
-fn an_executor_that_was_only_silent_is_back_with_its_next_heartbeat() {
+fn an_executor_that_timed_out_is_online_again_with_its_next_heartbeat() {
     let mut registry = control_node(1);
     registry.record_heartbeat(3000, heartbeat(4));
     registry.tick(9000, GroupContact::NOW, None);
--- a/crates/registry/tests/support/mod.rs
+++ b/crates/registry/tests/support/mod.rs
@@ -1,12 +1,12 @@
-//! Members and heartbeats for the tests of the registry.
+//! Members and heartbeats that the registry tests share.
 
-// Each file of tests uses its part of it.
+// Each test file includes this module and uses only some of its functions.
 #![allow(dead_code)]
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use stileroute_registry::*;
 
-/// A node of this role, at an address of its own if it is a control node.
+/// Creates a node with this role. A control node gets an address of its own.
 pub fn member(node: NodeId, role: NodeRole) -> Member {
     let control =
         (role == NodeRole::Control).then(|| SocketAddrV4::new(Ipv4Addr::LOCALHOST, 9000 + node as u16));
@@ -24,7 +24,7 @@
     }
 }
 
-/// A heartbeat of an executor at this port, with this count.
+/// Creates a heartbeat of the executor at this port, with this sequence number.
 pub fn heartbeat(id: &str, port: u16, sequence: u64, state: ExecutorState) -> Heartbeat {
     Heartbeat {
         id: id.into(),
--- a/crates/registry/tests/wire_bytes.rs
+++ b/crates/registry/tests/wire_bytes.rs
@@ -1,5 +1,5 @@
-//! The postcard bytes of every type that control nodes send each other and to nodes: they must never change, or processes of
-//! two versions misread each other.
+//! Tests the postcard bytes of every type that control nodes send to each other and to nodes. The bytes must
+//! never change, because processes of two releases would misread each other's messages.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -7,7 +7,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use stileroute_registry::*;
 
-/// Fails unless `value` encodes to just these bytes, and they decode to the same value.
+/// Fails unless `value` encodes to exactly these bytes and they decode to the same value.
 fn assert_bytes<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, hex: &str) {
     let bytes = postcard::to_stdvec(value).expect("encodes");
     let encoded: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn node_classes_keep_their_bytes_and_texts() {
+fn node_roles_keep_their_bytes_and_texts() {
     let cases = [
         (NodeRole::Edge, "00", "edge"),
         (NodeRole::Store, "01", "store"),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn stages_of_a_retirement_keep_their_bytes_and_texts() {
+fn retirement_states_keep_their_bytes_and_texts() {
     let cases = [
         (RetirementState::NotRetiring, "00", "no"),
         (RetirementState::Draining, "01", "rolling"),
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn states_of_an_executor_keep_their_bytes_and_texts() {
+fn executor_states_keep_their_bytes_and_texts() {
     let cases = [
         (ExecutorState::Serving, "00", "serving"),
         (ExecutorState::Draining, "01", "draining"),
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn news_keep_their_bytes() {
+fn membership_updates_keep_their_bytes() {
     assert_bytes(&MembershipUpdate::default(), "0000000000000000");
     let full = MembershipUpdate {
         incarnation: 77,
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn an_update_of_an_earlier_release_has_no_age_of_contact() {
+fn an_update_of_an_earlier_release_decodes_with_contact_age_0() {
     let earlier = [0x4d, 0xac, 0x02, 0, 0, 0, 0, 0];
     let update: MembershipUpdate = postcard::from_bytes(&earlier).expect("decodes");
     assert_eq!((update.incarnation, update.version, update.contact_age_ms), (77, 300, 0));
