--- a/crates/registry/src/executors.rs
+++ b/crates/registry/src/executors.rs
@@ -320,8 +320,8 @@
 
     /// Sets executors offline whose heartbeat time-out has passed, and forgets those that have been offline for
     /// the tombstone retention. While this control node is partitioned from the others, and for one heartbeat
-    /// time-out afterwards, no executor is set offline, because executors send their heartbeats to the other
-    /// control nodes.
+    /// time-out afterwards, missing heartbeats set no executor offline, because executors send their heartbeats
+    /// to the other control nodes.
     pub fn expire(&mut self, version: &mut VersionCounter, now: Millis, is_in_contact: bool) {
         if !is_in_contact {
             self.last_partitioned = now;
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -16,7 +16,7 @@
 //!
 //! An executor without a heartbeat and a node without a session for longer than a limit are considered offline. There is no
 //! separate state of suspicion as in SWIM (Das et al., 2002), but a control node that is partitioned from the others sets no
-//! executor offline.
+//! executor offline for missing heartbeats.
 //!
 //! Nothing is stored on disk. After a start the executor table fills within one heartbeat interval. Until then a node that
 //! already has an executor list is not sent a new one, which could be shorter.
