--- a/crates/route-limits/examples/cost.rs
+++ b/crates/route-limits/examples/cost.rs
@@ -1,4 +1,5 @@
-//! What a look at the routes costs, and what their check at load does: `cargo run --release --example cost`.
+//! Measures the cost of matching and admitting a request, and of the check at load, by the number of routes:
+//! `cargo run --release --example cost`.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -11,7 +12,7 @@
 
 fn main() {
     let category = |name: &str, effect| {
-        let own = Category {
+        let category = Category {
             target: SECOND,
             stretch: 0.0,
             effect,
@@ -20,7 +21,7 @@
             kind: None,
             priority: 0,
         };
-        (name.to_string(), 9 * SECOND, own)
+        (name.to_string(), 9 * SECOND, category)
     };
     let ground = Ground {
         categories: vec![category("lookup", Effect::Redeliverable), category("booking", Effect::AtMostOnce)],
@@ -31,22 +32,22 @@
     for count in [10, 100, 1_000, 10_000] {
         let mut text = "[node]\ntenant-header = 'X-Tenant'\n[defaults]\npushes = 3\nop = '5s'\n".to_string();
         for number in 0..count {
-            // A mixture: exact paths, templates, prefixes, tenants.
-            let matched = match number % 4 {
+            // A quarter each of exact paths, paths with a wildcard, prefixes and tenants.
+            let condition = match number % 4 {
                 0 => format!("path = '/api/{number}/run'"),
                 1 => format!("path = '/api/{number}/{{x}}', category = 'lookup'"),
                 2 => format!("path = '/bulk/{number}/*'"),
                 _ => format!("tenant = 't{number}'"),
             };
             text += &format!(
-                "[[route]]\nname = 'r{number}'\nmatch = {{ {matched} }}\nno-start = '{}ms'\nop = '{}ms'\n",
+                "[[route]]\nname = 'r{number}'\nmatch = {{ {condition} }}\nno-start = '{}ms'\nop = '{}ms'\n",
                 100 + number % 50,
                 1000 + number % 500
             );
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         let table = stileroute_operator_file::read("cost.toml", &text, |keys| Table::read(keys, &ground));
-        let checked = begun.elapsed().as_secs_f64() * 1e3;
+        let check_ms = started.elapsed().as_secs_f64() * 1e3;
         let table = match table {
             Ok(table) => Arc::new(table),
             Err(faults) => panic!("{}", faults[0]),
@@ -54,26 +55,26 @@
         let paths: Vec<String> = (0..1024).map(|n| format!("/api/{}/run", (n * 7919) % count)).collect();
         let tenants: Vec<String> = (0..1024).map(|n| format!("t{}", (n * 104_729) % count)).collect();
         let request = |n: usize| (paths[n % 1024].as_str(), Some(tenants[n % 1024].as_str()));
-        let rounds = 400_000;
+        let iterations = 400_000;
         let mut matching = Vec::new();
-        let begun = Instant::now();
-        for n in 0..rounds {
+        let started = Instant::now();
+        for n in 0..iterations {
             let (path, tenant) = request(n);
             let request = Request { path, method: "POST", category: n % 2, tenant, header: &|_| None };
             table.matching(&request, &mut matching);
-            black_box(table.effective(&matching).op.map(|held| held.set.value));
+            black_box(table.effective(&matching).op_timeout.map(|limit| limit.setting.value));
         }
-        let matched = begun.elapsed().as_nanos() as f64 / rounds as f64;
+        let match_ns = started.elapsed().as_nanos() as f64 / iterations as f64;
         let mut gate = Gate::new(table);
-        let begun = Instant::now();
-        for n in 0..rounds {
+        let started = Instant::now();
+        for n in 0..iterations {
             let (path, tenant) = request(n);
             let request = Request { path, method: "POST", category: n % 2, tenant, header: &|_| None };
             if let Entry::In(pass) = gate.enter(n as i64, n as u64, &request) {
                 black_box(pass);
             }
         }
-        let entered = begun.elapsed().as_nanos() as f64 / rounds as f64;
-        println!("{count:>7} {checked:>12.1} {matched:>12.0} {entered:>12.0}");
+        let enter_ns = started.elapsed().as_nanos() as f64 / iterations as f64;
+        println!("{count:>7} {check_ms:>12.1} {match_ns:>12.0} {enter_ns:>12.0}");
     }
 }
--- a/crates/route-limits/src/budget.rs
+++ b/crates/route-limits/src/budget.rs
@@ -1,101 +1,108 @@
-//! What is counted while ops run: retry budgets, places in hand, own running times. Told the time, not reading it.
+//! Counters that a node keeps while requests run: pushes per retry budget, requests in flight, run times. The caller passes
+//! in the current time; no clock is read here.
 
-use crate::limits::Budget;
+use crate::limits::RetryBudget;
 use hdrhistogram::Histogram;
 use std::collections::VecDeque;
 use stileroute_dispatch::types::Time;
 
-const SLOTS: usize = 16;
+/// A sliding window is counted in this many buckets of equal length.
+const WINDOW_BUCKETS: usize = 16;
 
-/// First and further pushes over a sliding window, in sixteen parts of it: what is counted is between the window
-/// and a sixteenth more.
+/// Counts first pushes and retries over a sliding window. The window has 16 buckets that expire whole, so the time that is
+/// counted lies between the window's length and 1/16 more.
 #[derive(Clone, Debug)]
-pub struct Window {
-    span: Time,
-    slots: [(f64, f64); SLOTS],
-    /// The latest part that holds something, counted from the beginning of time.
-    at: Time,
+pub struct PushWindow {
+    length: Time,
+    buckets: [(f64, f64); WINDOW_BUCKETS],
+    /// Number of the newest bucket in use, counted in bucket lengths from time 0.
+    latest_bucket: Time,
 }
 
-impl Window {
-    pub fn new(span: Time) -> Window {
-        Window { span: span.max(SLOTS as Time), slots: [(0.0, 0.0); SLOTS], at: 0 }
+impl PushWindow {
+    pub fn new(length: Time) -> PushWindow {
+        PushWindow {
+            length: length.max(WINDOW_BUCKETS as Time),
+            buckets: [(0.0, 0.0); WINDOW_BUCKETS],
+            latest_bucket: 0,
+        }
     }
 
-    /// A change of the window keeps what is counted, as if it had been spread so all along.
-    pub fn resize(&mut self, span: Time) {
-        self.span = span.max(SLOTS as Time);
+    /// Changes the length of the window. The counts stay in their buckets, as if the window had always had the new length.
+    pub fn resize(&mut self, length: Time) {
+        self.length = length.max(WINDOW_BUCKETS as Time);
     }
 
-    fn turn(&mut self, now: Time) -> usize {
-        let at = now / (self.span / SLOTS as Time).max(1);
-        let gone = (at - self.at).clamp(0, SLOTS as Time);
-        for step in 0..gone {
-            self.slots[((at - step) % SLOTS as Time) as usize] = (0.0, 0.0);
+    /// Clears the buckets that have expired by `now`, and returns the index of the newest bucket.
+    fn advance(&mut self, now: Time) -> usize {
+        let current_bucket = now / (self.length / WINDOW_BUCKETS as Time).max(1);
+        let expired = (current_bucket - self.latest_bucket).clamp(0, WINDOW_BUCKETS as Time);
+        for step in 0..expired {
+            self.buckets[((current_bucket - step) % WINDOW_BUCKETS as Time) as usize] = (0.0, 0.0);
         }
-        self.at = self.at.max(at);
-        (self.at % SLOTS as Time) as usize
+        self.latest_bucket = self.latest_bucket.max(current_bucket);
+        (self.latest_bucket % WINDOW_BUCKETS as Time) as usize
     }
 
-    pub fn first(&mut self, now: Time) {
-        let slot = self.turn(now);
-        self.slots[slot].0 += 1.0;
+    pub fn record_first(&mut self, now: Time) {
+        let bucket = self.advance(now);
+        self.buckets[bucket].0 += 1.0;
     }
 
-    pub fn further(&mut self, now: Time) {
-        let slot = self.turn(now);
-        self.slots[slot].1 += 1.0;
+    pub fn record_retry(&mut self, now: Time) {
+        let bucket = self.advance(now);
+        self.buckets[bucket].1 += 1.0;
     }
 
     /// First and further pushes within the window.
     pub fn counts(&mut self, now: Time) -> (f64, f64) {
-        self.turn(now);
-        self.slots.iter().fold((0.0, 0.0), |sum, slot| (sum.0 + slot.0, sum.1 + slot.1))
+        self.advance(now);
+        self.buckets.iter().fold((0.0, 0.0), |sum, bucket| (sum.0 + bucket.0, sum.1 + bucket.1))
     }
 
-    /// Zero where one more further push is within the budget; else until when it may be again.
-    pub fn spent(&mut self, now: Time, budget: &Budget) -> Time {
-        let (firsts, furthers) = self.counts(now);
-        if furthers + 1.0 <= budget.part * firsts + budget.least {
+    /// How long until the budget allows one more retry; zero if it allows it now.
+    pub fn retry_delay(&mut self, now: Time, budget: &RetryBudget) -> Time {
+        let (first_pushes, retries) = self.counts(now);
+        if retries + 1.0 <= budget.ratio * first_pushes + budget.min_retries {
             return 0;
         }
-        // When the oldest further pushes have left the window.
-        let part = (self.span / SLOTS as Time).max(1);
-        let age = (0..SLOTS as Time)
-            .rev()
-            .find(|age| self.slots[((self.at - age).rem_euclid(SLOTS as Time)) as usize].1 > 0.0);
-        age.map_or(part, |age| (SLOTS as Time - age) * part).max(1)
+        // The delay ends when the bucket with the oldest retries leaves the window.
+        let bucket_length = (self.length / WINDOW_BUCKETS as Time).max(1);
+        let age = (0..WINDOW_BUCKETS as Time).rev().find(|age| {
+            self.buckets[((self.latest_bucket - age).rem_euclid(WINDOW_BUCKETS as Time)) as usize].1 > 0.0
+        });
+        age.map_or(bucket_length, |age| (WINDOW_BUCKETS as Time - age) * bucket_length).max(1)
     }
 }
 
-/// Who asked for a place, and until when it waits.
+/// A queued request for an in-flight slot, and the time at which its wait ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Waiter {
     ticket: u64,
     until: Time,
 }
 
-/// What becomes of an op that asks for a place.
+/// The result of asking for an in-flight slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Place {
-    In,
-    /// It waits until then at the longest.
-    Waits(Time),
-    /// Come back after this.
-    Full(Time),
+pub enum SlotOutcome {
+    Acquired,
+    /// No slot is free: the request is queued until this time at the latest.
+    Queued(Time),
+    /// No slot is free and the queue is full: the caller may retry after this delay.
+    Rejected(Time),
 }
 
-/// Places in hand with a bounded wait, first come, first served.
+/// Limits the requests in flight. Those beyond the limit wait in a bounded FIFO queue.
 #[derive(Clone, Debug, Default)]
-pub struct Places {
+pub struct InFlightSlots {
     taken: usize,
     waiters: VecDeque<Waiter>,
-    /// A place is free again about so often, in tenths of a millisecond.
-    turn: f64,
-    left: Option<Time>,
+    /// Moving average of the time between two releases of a slot, in tenths of a millisecond.
+    release_interval: f64,
+    last_release: Option<Time>,
 }
 
-impl Places {
+impl InFlightSlots {
     pub fn taken(&self) -> usize {
         self.taken
     }
@@ -104,33 +111,44 @@
         self.waiters.len()
     }
 
-    /// Asks for a place among `most`, with `waiting` who may wait so long.
-    pub fn ask(&mut self, now: Time, ticket: u64, most: usize, waiting: usize, wait: Time) -> Place {
-        if self.taken < most && self.waiters.is_empty() {
+    /// Takes one of `max_in_flight` slots. With none free, it queues the request for up to `max_wait`, if fewer than
+    /// `max_queued` are queued.
+    pub fn acquire(
+        &mut self,
+        now: Time,
+        ticket: u64,
+        max_in_flight: usize,
+        max_queued: usize,
+        max_wait: Time,
+    ) -> SlotOutcome {
+        if self.taken < max_in_flight && self.waiters.is_empty() {
             self.taken += 1;
-            return Place::In;
+            return SlotOutcome::Acquired;
         }
-        if wait > 0 && self.waiters.len() < waiting {
-            let until = now + wait;
+        if max_wait > 0 && self.waiters.len() < max_queued {
+            let until = now + max_wait;
             self.waiters.push_back(Waiter { ticket, until });
-            return Place::Waits(until);
+            return SlotOutcome::Queued(until);
         }
-        // When all that wait have had their turn.
-        Place::Full(((self.waiters.len() + 1) as f64 * self.turn).clamp(100.0, 100_000.0) as Time)
+        // An estimate of when the whole queue, and one more, will have got a slot; from 10 ms to 10 s.
+        SlotOutcome::Rejected(
+            ((self.waiters.len() + 1) as f64 * self.release_interval).clamp(100.0, 100_000.0) as Time,
+        )
     }
 
-    /// A place is free: whoever has waited longest has it now.
-    pub fn leave(&mut self, now: Time, most: usize) -> Option<u64> {
+    /// Releases a slot, and returns the ticket of the request that gets it: the longest-queued one.
+    pub fn release(&mut self, now: Time, max_in_flight: usize) -> Option<u64> {
         self.taken = self.taken.saturating_sub(1);
-        if let Some(last) = self.left.replace(now) {
-            self.turn += 0.1 * ((now - last) as f64 - self.turn);
+        if let Some(last) = self.last_release.replace(now) {
+            self.release_interval += 0.1 * ((now - last) as f64 - self.release_interval);
         }
-        self.next(most)
+        self.admit_next(max_in_flight)
     }
 
-    /// Who comes in next, while there are places: also after there have become more of them.
-    pub fn next(&mut self, most: usize) -> Option<u64> {
-        if self.taken >= most {
+    /// Gives a free slot to the longest-queued request and returns its ticket. Also to be called after `max_in_flight` has
+    /// grown.
+    pub fn admit_next(&mut self, max_in_flight: usize) -> Option<u64> {
+        if self.taken >= max_in_flight {
             return None;
         }
         let waiter = self.waiters.pop_front()?;
@@ -138,48 +156,50 @@
         Some(waiter.ticket)
     }
 
-    /// It waits no longer; false if it has a place, or never waited.
-    pub fn quit(&mut self, ticket: u64) -> bool {
+    /// Removes a request from the queue; false if it is not queued, because it has a slot or never waited.
+    pub fn cancel_wait(&mut self, ticket: u64) -> bool {
         let before = self.waiters.len();
         self.waiters.retain(|waiter| waiter.ticket != ticket);
         self.waiters.len() < before
     }
 }
 
-/// Own running times, older ones fading: those of the last whole span and of the one that is being filled.
+/// Histograms of recent run times. `recent` has the last complete period and the current one, so that older run times are
+/// forgotten; `current` has the current period alone.
 #[derive(Clone, Debug)]
-pub struct Times {
-    both: Histogram<u32>,
-    new: Histogram<u32>,
+pub struct RunTimes {
+    recent: Histogram<u32>,
+    current: Histogram<u32>,
 }
 
-/// So many times make a span, and fewer tell nothing about a quantile.
-const SPAN: u64 = 512;
-const ENOUGH: u64 = 32;
+/// The number of run times after which a new period begins.
+const RUN_TIMES_PER_PERIOD: u64 = 512;
+/// A quantile of fewer run times than this is not meaningful, and not returned.
+const MIN_RUN_TIMES: u64 = 32;
 
-impl Default for Times {
-    fn default() -> Times {
-        // From a tenth of a millisecond to a day at two digits; the bounds are right by construction.
+impl Default for RunTimes {
+    fn default() -> RunTimes {
+        // From 0.1 ms to 24 h with two significant digits. These constants are valid bounds, so `new_with_bounds` cannot fail.
         let empty = || Histogram::new_with_bounds(1, 864_000_000, 2).unwrap_or_else(|_| unreachable!());
-        Times { both: empty(), new: empty() }
+        RunTimes { recent: empty(), current: empty() }
     }
 }
 
-impl Times {
-    pub fn add(&mut self, time: Time) {
-        let time = time.max(1) as u64;
-        self.new.saturating_record(time);
-        self.both.saturating_record(time);
-        if self.new.len() >= SPAN {
-            std::mem::swap(&mut self.both, &mut self.new);
-            self.new.reset();
+impl RunTimes {
+    pub fn record(&mut self, run_time: Time) {
+        let run_time = run_time.max(1) as u64;
+        self.current.saturating_record(run_time);
+        self.recent.saturating_record(run_time);
+        if self.current.len() >= RUN_TIMES_PER_PERIOD {
+            std::mem::swap(&mut self.recent, &mut self.current);
+            self.current.reset();
         }
     }
 
-    /// The running time that such a part of the ops stays under; none as long as too few are known. It is asked for
-    /// with each op, so nothing is added up here.
-    pub fn quantile(&self, part: f64) -> Option<Time> {
-        (self.both.len() >= ENOUGH).then(|| self.both.value_at_quantile(part) as Time)
+    /// The run time that this fraction of requests does not exceed; `None` while fewer than `MIN_RUN_TIMES` are known. It is
+    /// called for each request, so it reads one histogram and merges none.
+    pub fn quantile(&self, fraction: f64) -> Option<Time> {
+        (self.recent.len() >= MIN_RUN_TIMES).then(|| self.recent.value_at_quantile(fraction) as Time)
     }
 }
 
@@ -187,50 +207,58 @@
 mod tests {
     use super::*;
 
-    const S: Time = 10_000;
+    const SECOND: Time = 10_000;
 
     #[test]
-    fn a_budget_holds_over_any_window_and_says_when_to_come_back() {
-        let budget = Budget { part: 0.2, window: 16 * S, least: 2.0 };
-        let mut window = Window::new(budget.window);
-        (0..100).for_each(|n| window.first(n * S / 20));
-        // 100 first pushes within five seconds: 20 further ones and two free.
+    fn retry_budget_holds_over_the_window_and_returns_the_delay() {
+        let budget = RetryBudget { ratio: 0.2, window: 16 * SECOND, min_retries: 2.0 };
+        let mut window = PushWindow::new(budget.window);
+        (0..100).for_each(|n| window.record_first(n * SECOND / 20));
+        // 100 first pushes within 5 s allow 20 retries by the ratio of 0.2, and the minimum of two.
         let mut sent = 0;
-        while window.spent(5 * S, &budget) == 0 && sent < 1000 {
-            window.further(5 * S);
+        while window.retry_delay(5 * SECOND, &budget) == 0 && sent < 1000 {
+            window.record_retry(5 * SECOND);
             sent += 1;
         }
         assert_eq!(sent, 22);
-        let back = window.spent(5 * S, &budget);
-        assert!((10 * S..=16 * S).contains(&back), "{back}");
-        // When that time has passed there is room again; and no sooner than the further ones have left.
-        assert!(window.spent(5 * S + back - 2 * S, &budget) > 0);
-        assert_eq!(window.spent(5 * S + back, &budget), 0);
-        assert_eq!(window.counts(60 * S), (0.0, 0.0));
+        let retry_after = window.retry_delay(5 * SECOND, &budget);
+        assert!((10 * SECOND..=16 * SECOND).contains(&retry_after), "{retry_after}");
+        // The budget allows a retry again after that delay, and not before the earlier retries have left the window.
+        assert!(window.retry_delay(5 * SECOND + retry_after - 2 * SECOND, &budget) > 0);
+        assert_eq!(window.retry_delay(5 * SECOND + retry_after, &budget), 0);
+        assert_eq!(window.counts(60 * SECOND), (0.0, 0.0));
     }
 
     #[test]
-    fn places_are_given_first_come_and_waits_are_bounded() {
-        let mut places = Places::default();
-        assert_eq!((places.ask(0, 1, 2, 1, S), places.ask(0, 2, 2, 1, S)), (Place::In, Place::In));
-        assert_eq!(places.ask(0, 3, 2, 1, S), Place::Waits(S));
-        assert!(matches!(places.ask(0, 4, 2, 1, S), Place::Full(back) if back > 0));
-        assert_eq!(places.leave(5, 2), Some(3));
-        assert_eq!((places.leave(6, 2), places.taken(), places.waiting()), (None, 1, 0));
-        // One that has waited in vain leaves no gap, and a smaller number of places is reached by leaving.
-        assert_eq!((places.ask(7, 5, 2, 1, S), places.ask(7, 6, 1, 1, S)), (Place::In, Place::Waits(7 + S)));
-        assert!(places.quit(6) && !places.quit(6));
-        assert_eq!((places.leave(8, 1), places.leave(9, 1), places.taken()), (None, None, 0));
+    fn slots_are_granted_in_fifo_order_and_the_queue_is_bounded() {
+        let mut slots = InFlightSlots::default();
+        assert_eq!(
+            (slots.acquire(0, 1, 2, 1, SECOND), slots.acquire(0, 2, 2, 1, SECOND)),
+            (SlotOutcome::Acquired, SlotOutcome::Acquired)
+        );
+        assert_eq!(slots.acquire(0, 3, 2, 1, SECOND), SlotOutcome::Queued(SECOND));
+        assert!(
+            matches!(slots.acquire(0, 4, 2, 1, SECOND), SlotOutcome::Rejected(retry_after) if retry_after > 0)
+        );
+        assert_eq!(slots.release(5, 2), Some(3));
+        assert_eq!((slots.release(6, 2), slots.taken(), slots.waiting()), (None, 1, 0));
+        // A cancelled wait takes up no slot, and a lowered limit is reached as slots are released.
+        assert_eq!(
+            (slots.acquire(7, 5, 2, 1, SECOND), slots.acquire(7, 6, 1, 1, SECOND)),
+            (SlotOutcome::Acquired, SlotOutcome::Queued(7 + SECOND))
+        );
+        assert!(slots.cancel_wait(6) && !slots.cancel_wait(6));
+        assert_eq!((slots.release(8, 1), slots.release(9, 1), slots.taken()), (None, None, 0));
     }
 
     #[test]
-    fn quantiles_follow_what_ran_lately() {
-        let mut times = Times::default();
-        assert_eq!(times.quantile(0.9), None);
-        (1..=100).for_each(|n| times.add(n * 10));
-        let before = times.quantile(0.9).unwrap();
+    fn quantiles_follow_recent_run_times() {
+        let mut run_times = RunTimes::default();
+        assert_eq!(run_times.quantile(0.9), None);
+        (1..=100).for_each(|n| run_times.record(n * 10));
+        let before = run_times.quantile(0.9).unwrap();
         assert!((880..=920).contains(&before), "{before}");
-        (0..2000).for_each(|_| times.add(50));
-        assert!(times.quantile(0.99).unwrap() <= 51);
+        (0..2000).for_each(|_| run_times.record(50));
+        assert!(run_times.quantile(0.99).unwrap() <= 51);
     }
 }
--- a/crates/route-limits/src/check.rs
+++ b/crates/route-limits/src/check.rs
@@ -1,87 +1,99 @@
-//! Whether what the rules come to is safe, for every request that can reach them.
+//! Checks, when a file is loaded, that the limits are safe for every request that its rules can match.
 //!
-//! Of each key the first rule in precedence that matches and sets it holds. So whatever two keys come to for some
-//! request is set by a pair of rules (or by one, and the settings below all rules). Each pair that is bad together is
-//! looked at: is there a request that both match, and for which no rule before them sets the same key? Conditions are
-//! on dimensions without end (segments, tenants, headers), but for the category, which is fixed first; so rules before
-//! a pair leave no request over only if one of them covers all that both match. `docs/routes.md` has the argument.
+//! For each key, the matching rule of highest precedence that sets it applies. The values of two keys that apply to a request
+//! are therefore set by a pair of rules, or by one rule and the platform's settings, which apply below all rules. For each pair
+//! of rules with conflicting values, the check asks whether there is a request that both match and for which no rule of higher
+//! precedence sets the same key. The category is fixed first; the other conditions are on dimensions with endlessly many values
+//! (path segments, tenants, headers). So rules of higher precedence shadow the pair for all requests only if one of them alone
+//! covers every request that both rules match. `docs/routes.md` has the proof.
 
-use crate::limits::{inside, narrowness, Budget, Limits, Narrowed};
+use crate::limits::{narrowness, scope_within, EffectOverride, Limits, RetryBudget};
 use crate::pattern::Pattern;
 use crate::table::{Kind, Rule, Table};
 use crate::Ground;
 use std::collections::BTreeSet;
 use stileroute_dispatch::types::{Effect, Scope, Time};
-use stileroute_operator_file::{FaultLog, Located, Position, Rule as Broken};
+use stileroute_operator_file::{FaultLog, Located, Position, Rule as SafetyRule};
 
-/// The settings, as the last rule of all.
+/// Stands for the platform's settings where the number of a rule is expected; they have the lowest precedence.
 const SETTINGS: usize = usize::MAX;
 
-/// Looks a key up in some limits.
-type Key<T> = fn(&Limits) -> &Option<Located<T>>;
+/// Returns one limit of a set of limits.
+type LimitGetter<T> = fn(&Limits) -> &Option<Located<T>>;
 
-/// A key as some rule sets it.
+/// The value of one limit, with the rule that sets it and its position in the file.
 #[derive(Clone)]
-struct Of<'a, T> {
+struct RuleSetting<'a, T> {
     rule: usize,
     value: T,
-    place: &'a Position,
+    position: &'a Position,
 }
 
-struct Check<'a> {
+struct Checker<'a> {
     table: &'a Table,
     ground: &'a Ground,
     faults: &'a FaultLog,
-    any: &'a Pattern,
-    /// Pairs that were told for one category need not be told for the next.
-    told: BTreeSet<(usize, usize, &'static str)>,
+    match_all: &'a Pattern,
+    /// The conflicts that are reported already, as two rules and a code, so that none is repeated for another category.
+    reported: BTreeSet<(usize, usize, &'static str)>,
 }
 
-const CONNECT: Key<Time> = |l| &l.connect;
-const NO_START: Key<Time> = |l| &l.no_start;
-const NO_PROGRESS: Key<Time> = |l| &l.no_progress;
-const OP: Key<Time> = |l| &l.op;
-const PUSHES: Key<usize> = |l| &l.pushes;
-const PAUSE: Key<Time> = |l| &l.pause;
-const COPY_AFTER: Key<f64> = |l| &l.copy_after;
-const WAIT: Key<Time> = |l| &l.wait;
-const KINDS: Key<u64> = |l| &l.kinds;
-const EFFECT: Key<Narrowed> = |l| &l.effect;
-const RESEND_WITHIN: Key<Time> = |l| &l.resend_within;
-const RESEND_GROUP: Key<Scope> = |l| &l.resend_group;
+const CONNECT_TIMEOUT: LimitGetter<Time> = |limits| &limits.connect_timeout;
+const START_TIMEOUT: LimitGetter<Time> = |limits| &limits.start_timeout;
+const PROGRESS_TIMEOUT: LimitGetter<Time> = |limits| &limits.progress_timeout;
+const OP_TIMEOUT: LimitGetter<Time> = |limits| &limits.op_timeout;
+const MAX_PUSHES: LimitGetter<usize> = |limits| &limits.max_pushes;
+const RETRY_BACKOFF: LimitGetter<Time> = |limits| &limits.retry_backoff;
+const HEDGE_QUANTILE: LimitGetter<f64> = |limits| &limits.hedge_quantile;
+const MAX_QUEUE_WAIT: LimitGetter<Time> = |limits| &limits.max_queue_wait;
+const KINDS: LimitGetter<u64> = |limits| &limits.kinds;
+const EFFECT: LimitGetter<EffectOverride> = |limits| &limits.effect;
+const RESEND_WINDOW: LimitGetter<Time> = |limits| &limits.resend_window;
+const RESEND_SCOPE: LimitGetter<Scope> = |limits| &limits.resend_scope;
 
-impl<'a> Check<'a> {
+impl<'a> Checker<'a> {
     fn pattern(&self, rule: usize) -> &'a Pattern {
         let table: &'a Table = self.table;
-        table.rules.get(rule).map_or(self.any, |rule| &rule.pattern)
+        table.rules.get(rule).map_or(self.match_all, |rule| &rule.pattern)
     }
 
-    /// The rules that set a key, for requests of a category.
-    fn of<T: Copy + 'static>(&self, category: usize, key: Key<T>) -> Vec<Of<'a, T>> {
+    /// The settings of one limit in all rules that can match requests of a category.
+    fn settings_of<T: Copy + 'static>(
+        &self,
+        category: usize,
+        getter: LimitGetter<T>,
+    ) -> Vec<RuleSetting<'a, T>> {
         let table: &'a Table = self.table;
         let mut all = Vec::new();
         for (rule, own) in table.rules.iter().enumerate() {
-            if let Some(set) =
-                key(&own.limits).as_ref().filter(|_| own.pattern.category.is_none_or(|c| c == category))
+            if let Some(setting) =
+                getter(&own.limits).as_ref().filter(|_| own.pattern.category.is_none_or(|c| c == category))
             {
-                all.push(Of { rule, value: set.value, place: &set.position });
+                all.push(RuleSetting { rule, value: setting.value, position: &setting.position });
             }
         }
         all
     }
 
-    /// Some request of the category is met by both rules, and no rule before the first sets the first key, nor one
-    /// before the second the second.
-    fn reached<A, B>(&self, category: usize, first: usize, a: Key<A>, second: usize, b: Key<B>) -> bool {
-        let (one, two) = (self.pattern(first), self.pattern(second));
+    /// Whether some request of the category matches both rules, while no rule of higher precedence than the first sets the first
+    /// limit, and none of higher precedence than the second sets the second limit.
+    fn is_reachable<A, B>(
+        &self,
+        category: usize,
+        first_rule: usize,
+        first_getter: LimitGetter<A>,
+        second_rule: usize,
+        second_getter: LimitGetter<B>,
+    ) -> bool {
+        let (first_pattern, second_pattern) = (self.pattern(first_rule), self.pattern(second_rule));
         let shadows = |number: usize| {
             let rule = &self.table.rules[number];
-            let sets = (number < first && a(&rule.limits).is_some())
-                || (number < second && b(&rule.limits).is_some());
-            sets && rule.pattern.covers(one, two, category)
+            let sets_key = (number < first_rule && first_getter(&rule.limits).is_some())
+                || (number < second_rule && second_getter(&rule.limits).is_some());
+            sets_key && rule.pattern.covers_overlap(first_pattern, second_pattern, category)
         };
-        let last = first.min(self.table.rules.len()).max(second.min(self.table.rules.len()));
-        one.meets(two) && !(0..last).any(shadows)
+        let last = first_rule.min(self.table.rules.len()).max(second_rule.min(self.table.rules.len()));
+        first_pattern.overlaps(second_pattern) && !(0..last).any(shadows)
     }
 
     fn name(&self, rule: usize) -> String {
@@ -97,257 +109,352 @@
         &ground.categories[category].0
     }
 
-    /// One key against the category alone. `bad` gives the reason.
-    fn alone<T: Copy + 'static>(
+    /// Checks each value of one limit against the category. `conflict` returns the reason why a value is not allowed.
+    fn check_limit<T: Copy + 'static>(
         &mut self,
         category: usize,
-        key: Key<T>,
+        getter: LimitGetter<T>,
         code: &'static str,
-        broken: Option<Broken>,
-        bad: impl Fn(T) -> Option<String>,
+        broken_rule: Option<SafetyRule>,
+        conflict: impl Fn(T) -> Option<String>,
     ) {
-        for own in self.of(category, key) {
-            let Some(reason) = bad(own.value) else { continue };
-            if !self.reached(category, own.rule, key, own.rule, key)
-                || !self.told.insert((own.rule, own.rule, code))
+        for own in self.settings_of(category, getter) {
+            let Some(reason) = conflict(own.value) else { continue };
+            if !self.is_reachable(category, own.rule, getter, own.rule, getter)
+                || !self.reported.insert((own.rule, own.rule, code))
             {
                 continue;
             }
-            let place = own.place.clone();
-            self.faults.add(place, format!("{reason} (category {})", self.category_name(category)), broken);
+            let position = own.position.clone();
+            self.faults.add(
+                position,
+                format!("{reason} (category {})", self.category_name(category)),
+                broken_rule,
+            );
         }
     }
 
-    /// Two keys that are bad together for some values. The second may stand in the settings alone: `else_`.
+    /// Checks the values of two limits that may conflict. `settings_value` is the value of the second limit in the platform's
+    /// settings, where no rule sets it.
     #[allow(clippy::too_many_arguments)]
-    fn pair<A: Copy + PartialOrd + 'static, B: Copy + PartialOrd + 'static>(
+    fn check_pair<A: Copy + PartialOrd + 'static, B: Copy + PartialOrd + 'static>(
         &mut self,
         category: usize,
-        (a, name_a): (Key<A>, &str),
-        (b, name_b): (Key<B>, &str),
-        else_: Option<B>,
+        (first_getter, first_name): (LimitGetter<A>, &str),
+        (second_getter, second_name): (LimitGetter<B>, &str),
+        settings_value: Option<B>,
         code: &'static str,
-        broken: Option<Broken>,
-        bad: impl Fn(A, B) -> Option<String>,
+        broken_rule: Option<SafetyRule>,
+        conflict: impl Fn(A, B) -> Option<String>,
     ) {
-        let (firsts, seconds) = (self.of(category, a), self.of(category, b));
-        // Rules share few values: whether two are bad together is asked once for each two values.
-        let groups = by_value(&seconds);
-        let mut before: Option<A> = None;
-        let mut met: Vec<&Of<B>> = Vec::new();
-        for one in by_value(&firsts).into_iter().flatten() {
-            if before.is_none_or(|value| value != one.value) {
-                let bad = groups.iter().filter(|group| bad(one.value, group[0].value).is_some());
-                met = bad.flatten().copied().collect();
-                before = Some(one.value);
+        let (first_settings, second_settings) =
+            (self.settings_of(category, first_getter), self.settings_of(category, second_getter));
+        // Rules share few distinct values, so `conflict` is called once for each pair of values, not of rules.
+        let groups = by_value(&second_settings);
+        let mut previous_value: Option<A> = None;
+        let mut conflicting: Vec<&RuleSetting<B>> = Vec::new();
+        for first in by_value(&first_settings).into_iter().flatten() {
+            if previous_value.is_none_or(|value| value != first.value) {
+                let conflicting_groups =
+                    groups.iter().filter(|group| conflict(first.value, group[0].value).is_some());
+                conflicting = conflicting_groups.flatten().copied().collect();
+                previous_value = Some(first.value);
             }
-            for two in &met {
-                let Some(reason) = bad(one.value, two.value) else { continue };
-                if self.told.contains(&(one.rule, two.rule, code))
-                    || !self.reached(category, one.rule, a, two.rule, b)
+            for second in &conflicting {
+                let Some(reason) = conflict(first.value, second.value) else { continue };
+                if self.reported.contains(&(first.rule, second.rule, code))
+                    || !self.is_reachable(category, first.rule, first_getter, second.rule, second_getter)
                 {
                     continue;
                 }
-                self.told.insert((one.rule, two.rule, code));
-                let whole = if one.rule == two.rule && one.place.line == two.place.line {
+                self.reported.insert((first.rule, second.rule, code));
+                let message = if first.rule == second.rule && first.position.line == second.position.line {
                     reason
                 } else {
-                    let (left, right) = (self.name(one.rule), self.name(two.rule));
-                    let (l, r) = (one.place.line, two.place.line);
-                    format!("{reason}: {name_a} of {left} (line {l}) meets {name_b} of {right} (line {r})")
+                    let (left, right) = (self.name(first.rule), self.name(second.rule));
+                    let (left_line, right_line) = (first.position.line, second.position.line);
+                    format!("{reason}: {first_name} of {left} (line {left_line}) meets {second_name} of {right} (line {right_line})")
                 };
-                // Told at the one that stands later in the file: it was added to what was well.
-                let place = if one.place.line >= two.place.line { one.place } else { two.place };
-                let told = format!("{whole} (category {})", self.category_name(category));
-                self.faults.add(place.clone(), told, broken);
+                // The fault is reported at the later line of the two, which was probably added to a file that was valid.
+                let position = if first.position.line >= second.position.line {
+                    first.position
+                } else {
+                    second.position
+                };
+                let text = format!("{message} (category {})", self.category_name(category));
+                self.faults.add(position.clone(), text, broken_rule);
             }
-            let Some(reason) = else_.and_then(|value| bad(one.value, value)) else { continue };
-            if self.told.contains(&(one.rule, SETTINGS, code))
-                || !self.reached(category, one.rule, a, SETTINGS, b)
+            let Some(reason) = settings_value.and_then(|value| conflict(first.value, value)) else {
+                continue;
+            };
+            if self.reported.contains(&(first.rule, SETTINGS, code))
+                || !self.is_reachable(category, first.rule, first_getter, SETTINGS, second_getter)
             {
                 continue;
             }
-            self.told.insert((one.rule, SETTINGS, code));
+            self.reported.insert((first.rule, SETTINGS, code));
             self.faults.add(
-                one.place.clone(),
+                first.position.clone(),
                 format!("{reason} (category {})", self.category_name(category)),
-                broken,
+                broken_rule,
             );
         }
     }
 
-    /// All keys for the requests of one category.
-    fn category(&mut self, category: usize) {
-        self.effect(category);
-        self.copies_and_pushes(category);
-        self.times_within_ttl(category);
-        self.times_within_each_other(category);
-        self.deduplication(category);
-        self.kind(category);
+    /// Checks all limits for the requests of one category.
+    fn check_category(&mut self, category: usize) {
+        self.check_effect(category);
+        self.check_hedging_and_pushes(category);
+        self.check_timeouts_within_ttl(category);
+        self.check_nested_timeouts(category);
+        self.check_deduplication(category);
+        self.check_executor_kind(category);
     }
 
-    fn effect_of(&self, category: usize) -> Effect {
+    fn category_effect(&self, category: usize) -> Effect {
         let (_, _, settings) = &self.ground.categories[category];
         settings.effect
     }
 
-    /// The effect may only be narrower than the category's.
-    fn effect(&mut self, category: usize) {
-        let own = narrowness(self.effect_of(category));
-        self.alone(category, EFFECT, "effect", Some(Broken::NoEffectTwice), |to| {
-            let narrowed = match to {
-                Narrowed::Redeliverable => 0,
-                Narrowed::Deduplicated => 1,
-                Narrowed::AtMostOnce => 2,
+    /// A route may set only an effect that is as narrow as the category's, or narrower.
+    fn check_effect(&mut self, category: usize) {
+        let own = narrowness(self.category_effect(category));
+        self.check_limit(category, EFFECT, "effect", Some(SafetyRule::NoEffectTwice), |override_to| {
+            let override_narrowness = match override_to {
+                EffectOverride::Redeliverable => 0,
+                EffectOverride::Deduplicated => 1,
+                EffectOverride::AtMostOnce => 2,
             };
-            if narrowed < own {
+            if override_narrowness < own {
                 let reason = "an op could run twice: the effect may only be narrower than the category's";
                 return Some(reason.to_string());
             }
-            (to == Narrowed::Deduplicated && own == 0).then(|| {
+            (override_to == EffectOverride::Deduplicated && own == 0).then(|| {
                 "no executor drops a repeat of this category, so it can't be deduplicated".to_string()
             })
         });
     }
 
-    /// Second copies and further pushes need an effect and settings that allow them.
-    fn copies_and_pushes(&mut self, category: usize) {
-        let twice = Some(Broken::NoEffectTwice);
-        let (most, copies) = (self.ground.terms.max_pushes, self.ground.terms.second_copies);
-        let base = match self.effect_of(category) {
-            Effect::Redeliverable => Narrowed::Redeliverable,
-            Effect::Deduplicated { .. } => Narrowed::Deduplicated,
-            Effect::AtMostOnce => Narrowed::AtMostOnce,
+    /// Hedged pushes and retries need an effect and platform settings that allow them.
+    fn check_hedging_and_pushes(&mut self, category: usize) {
+        let duplicates_effect = Some(SafetyRule::NoEffectTwice);
+        let (settings_max_pushes, hedging_allowed) =
+            (self.ground.terms.max_pushes, self.ground.terms.second_copies);
+        let category_override = match self.category_effect(category) {
+            Effect::Redeliverable => EffectOverride::Redeliverable,
+            Effect::Deduplicated { .. } => EffectOverride::Deduplicated,
+            Effect::AtMostOnce => EffectOverride::AtMostOnce,
         };
-        let (copy_after, effect) = ((COPY_AFTER, "copy-after"), (EFFECT, "effect"));
-        self.pair(category, copy_after, effect, Some(base), "copy", twice, |_, to| {
-            (to == Narrowed::AtMostOnce || base == Narrowed::AtMostOnce)
-                .then(|| "a second copy of an at-most-once op would run it twice".to_string())
-        });
-        self.alone(category, COPY_AFTER, "copies", twice, |_| {
-            (!copies).then(|| "the settings forbid two pushes at once, and a second copy is one".to_string())
-        });
-        self.alone(category, PUSHES, "pushes", None, |pushes| {
-            (pushes > most)
-                .then(|| format!("{pushes} pushes are more than the {most} that the settings allow"))
+        let (hedge_quantile, effect) = ((HEDGE_QUANTILE, "copy-after"), (EFFECT, "effect"));
+        self.check_pair(
+            category,
+            hedge_quantile,
+            effect,
+            Some(category_override),
+            "copy",
+            duplicates_effect,
+            |_, override_to| {
+                (override_to == EffectOverride::AtMostOnce || category_override == EffectOverride::AtMostOnce)
+                    .then(|| "a second copy of an at-most-once op would run it twice".to_string())
+            },
+        );
+        self.check_limit(category, HEDGE_QUANTILE, "copies", duplicates_effect, |_| {
+            (!hedging_allowed)
+                .then(|| "the settings forbid two pushes at once, and a second copy is one".to_string())
         });
-        let pushes = (PUSHES, "pushes");
-        self.pair(category, copy_after, pushes, Some(most), "copy-pushes", None, |_, pushes| {
-            (pushes < 2).then(|| "a second copy is a push, and there is only one".to_string())
+        self.check_limit(category, MAX_PUSHES, "pushes", None, |max_pushes| {
+            (max_pushes > settings_max_pushes).then(|| {
+                format!("{max_pushes} pushes are more than the {settings_max_pushes} that the settings allow")
+            })
         });
+        let max_pushes = (MAX_PUSHES, "pushes");
+        self.check_pair(
+            category,
+            hedge_quantile,
+            max_pushes,
+            Some(settings_max_pushes),
+            "copy-pushes",
+            None,
+            |_, max_pushes| {
+                (max_pushes < 2).then(|| "a second copy is a push, and there is only one".to_string())
+            },
+        );
     }
 
-    /// No time is longer than the TTL of the category.
-    fn times_within_ttl(&mut self, category: usize) {
-        let lost = Some(Broken::NoOpLost);
+    /// No time-out may be longer than the TTL of the category.
+    fn check_timeouts_within_ttl(&mut self, category: usize) {
+        let loses_request = Some(SafetyRule::NoOpLost);
         let ttl = self.ground.ttl(category);
-        let over =
+        let longer_than_ttl =
             |time: Time| (time > ttl).then(|| format!("{} is longer than the TTL of {}", ms(time), ms(ttl)));
-        self.alone(category, OP, "op-ttl", lost, over);
-        self.alone(category, CONNECT, "connect-ttl", None, over);
-        self.alone(category, NO_START, "no-start-ttl", None, over);
-        self.alone(category, NO_PROGRESS, "no-progress-ttl", None, over);
-        self.alone(category, PAUSE, "pause-ttl", None, over);
-        self.alone(category, WAIT, "wait-ttl", lost, over);
+        self.check_limit(category, OP_TIMEOUT, "op-ttl", loses_request, longer_than_ttl);
+        self.check_limit(category, CONNECT_TIMEOUT, "connect-ttl", None, longer_than_ttl);
+        self.check_limit(category, START_TIMEOUT, "no-start-ttl", None, longer_than_ttl);
+        self.check_limit(category, PROGRESS_TIMEOUT, "no-progress-ttl", None, longer_than_ttl);
+        self.check_limit(category, RETRY_BACKOFF, "pause-ttl", None, longer_than_ttl);
+        self.check_limit(category, MAX_QUEUE_WAIT, "wait-ttl", loses_request, longer_than_ttl);
     }
 
-    /// A time that is part of another is shorter than it.
-    fn times_within_each_other(&mut self, category: usize) {
-        let lost = Some(Broken::NoOpLost);
-        let beyond = |what: &'static str| {
-            move |time: Time, op: Time| {
-                (time >= op).then(|| format!("{what} of {} leaves nothing of the op's {}", ms(time), ms(op)))
+    /// A time-out for one stage of a request must be shorter than that of the whole request, and connecting to an executor may
+    /// take no longer than the start that it is part of.
+    fn check_nested_timeouts(&mut self, category: usize) {
+        let loses_request = Some(SafetyRule::NoOpLost);
+        let not_shorter_than_op = |what: &'static str| {
+            move |time: Time, op_timeout: Time| {
+                (time >= op_timeout)
+                    .then(|| format!("{what} of {} leaves nothing of the op's {}", ms(time), ms(op_timeout)))
             }
         };
-        let (connect, no_start) = ((CONNECT, "connect"), (NO_START, "no-start"));
-        let (no_progress, op) = ((NO_PROGRESS, "no-progress"), (OP, "op"));
-        self.pair(category, connect, op, None, "connect-op", None, beyond("connect"));
-        self.pair(category, no_start, op, None, "no-start-op", None, beyond("no-start"));
-        self.pair(category, no_progress, op, None, "progress-op", None, beyond("no-progress"));
-        self.pair(category, (PAUSE, "pause"), op, None, "pause-op", None, beyond("pause"));
-        self.pair(category, (WAIT, "wait"), op, None, "wait-op", lost, beyond("wait"));
-        self.pair(category, connect, no_start, None, "connect-start", None, |connect, start| {
-            (connect > start).then(|| {
-                let (start, connect) = (ms(start), ms(connect));
-                format!("a push would be called off after {start} while it connects for {connect}")
-            })
-        });
+        let (connect_timeout, start_timeout) = ((CONNECT_TIMEOUT, "connect"), (START_TIMEOUT, "no-start"));
+        let (progress_timeout, op_timeout) = ((PROGRESS_TIMEOUT, "no-progress"), (OP_TIMEOUT, "op"));
+        self.check_pair(
+            category,
+            connect_timeout,
+            op_timeout,
+            None,
+            "connect-op",
+            None,
+            not_shorter_than_op("connect"),
+        );
+        self.check_pair(
+            category,
+            start_timeout,
+            op_timeout,
+            None,
+            "no-start-op",
+            None,
+            not_shorter_than_op("no-start"),
+        );
+        self.check_pair(
+            category,
+            progress_timeout,
+            op_timeout,
+            None,
+            "progress-op",
+            None,
+            not_shorter_than_op("no-progress"),
+        );
+        self.check_pair(
+            category,
+            (RETRY_BACKOFF, "pause"),
+            op_timeout,
+            None,
+            "pause-op",
+            None,
+            not_shorter_than_op("pause"),
+        );
+        self.check_pair(
+            category,
+            (MAX_QUEUE_WAIT, "wait"),
+            op_timeout,
+            None,
+            "wait-op",
+            loses_request,
+            not_shorter_than_op("wait"),
+        );
+        self.check_pair(
+            category,
+            connect_timeout,
+            start_timeout,
+            None,
+            "connect-start",
+            None,
+            |connect_timeout, start| {
+                (connect_timeout > start).then(|| {
+                    let (start, connect_timeout) = (ms(start), ms(connect_timeout));
+                    format!(
+                        "a push would be called off after {start} while it connects for {connect_timeout}"
+                    )
+                })
+            },
+        );
     }
 
-    /// Repeats stay within the window and the group in which executors drop them.
-    fn deduplication(&mut self, category: usize) {
-        let twice = Some(Broken::NoEffectTwice);
-        let Effect::Deduplicated { scope, window } = self.effect_of(category) else { return };
-        self.alone(category, RESEND_WITHIN, "window", twice, |within| {
-            let reason =
-                || format!("{} is longer than the {} in which repeats are dropped", ms(within), ms(window));
-            (within > window).then(reason)
+    /// A request may be resent only within the time window and the scope in which executors drop duplicates of it.
+    fn check_deduplication(&mut self, category: usize) {
+        let duplicates_effect = Some(SafetyRule::NoEffectTwice);
+        let Effect::Deduplicated { scope, window } = self.category_effect(category) else { return };
+        self.check_limit(category, RESEND_WINDOW, "window", duplicates_effect, |resend_window| {
+            let reason = || {
+                format!(
+                    "{} is longer than the {} in which repeats are dropped",
+                    ms(resend_window),
+                    ms(window)
+                )
+            };
+            (resend_window > window).then(reason)
         });
-        self.alone(category, RESEND_GROUP, "group", twice, |to| {
-            let reason =
-                || format!("{to:?} is not within the group that drops repeats, {scope:?}").to_lowercase();
-            (!inside(to, scope)).then(reason)
+        self.check_limit(category, RESEND_SCOPE, "group", duplicates_effect, |scope_override| {
+            let reason = || {
+                format!("{scope_override:?} is not within the group that drops repeats, {scope:?}")
+                    .to_lowercase()
+            };
+            (!scope_within(scope_override, scope)).then(reason)
         });
     }
 
-    /// The kind of executor that the category needs is not left out.
-    fn kind(&mut self, category: usize) {
+    /// The executor kind that the category needs must be among the allowed kinds.
+    fn check_executor_kind(&mut self, category: usize) {
         let (_, _, settings) = &self.ground.categories[category];
         let Some(kind) = settings.kind else { return };
         let name = self.ground.kinds.get(kind).cloned().unwrap_or_default();
-        self.alone(category, KINDS, "kind", Some(Broken::NoOpLost), |bits| {
+        self.check_limit(category, KINDS, "kind", Some(SafetyRule::NoOpLost), |bits| {
             (bits >> kind.min(63) & 1 == 0)
                 .then(|| format!("the category runs only on kind '{name}', which is left out"))
         });
     }
 
-    /// A rule of which, for every category, all keys are set by rules before it that match whatever it matches.
-    fn unreached(&mut self) {
+    /// Reports each rule that never applies: for every category, all of its limits are set by rules of higher precedence that
+    /// match every request that it matches.
+    fn report_shadowed_rules(&mut self) {
         let table: &'a Table = self.table;
-        let sets: Vec<u32> = table.rules.iter().map(|rule| rule.limits.set()).collect();
+        let set_bits: Vec<u32> = table.rules.iter().map(|rule| rule.limits.set_limits()).collect();
         for (number, rule) in table.rules.iter().enumerate() {
-            let before = (0..number).filter(|before| sets[*before] & sets[number] != 0);
+            let earlier = (0..number).filter(|earlier| set_bits[*earlier] & set_bits[number] != 0);
             let covering: Vec<usize> =
-                before.filter(|n| table.rules[*n].pattern.path.covers_one(&rule.pattern.path)).collect();
-            if covering.is_empty() || sets[number] == 0 {
+                earlier.filter(|n| table.rules[*n].pattern.path.covers_path(&rule.pattern.path)).collect();
+            if covering.is_empty() || set_bits[number] == 0 {
                 continue;
             }
             let shadowed = |category: usize, key: u32| {
-                let covers = |before: &&Rule| before.pattern.covers(&rule.pattern, &rule.pattern, category);
-                let setting = covering.iter().filter(|before| sets[**before] >> key & 1 == 1);
-                setting.map(|before| &table.rules[*before]).find(covers)
+                let covers =
+                    |earlier: &&Rule| earlier.pattern.covers_overlap(&rule.pattern, &rule.pattern, category);
+                let setting = covering.iter().filter(|earlier| set_bits[**earlier] >> key & 1 == 1);
+                setting.map(|earlier| &table.rules[*earlier]).find(covers)
             };
             let categories = 0..self.ground.categories.len();
             let mut own = categories.filter(|c| rule.pattern.category.is_none_or(|category| category == *c));
-            let keys = || (0..u32::BITS).filter(|key| sets[number] >> key & 1 == 1);
-            let mut by = None;
-            let reached = own.any(|category| {
-                keys().any(|key| {
-                    let before = shadowed(category, key);
-                    by = before.or(by);
-                    before.is_none()
+            let set_keys = || (0..u32::BITS).filter(|key| set_bits[number] >> key & 1 == 1);
+            let mut shadowing_rule = None;
+            let is_reachable = own.any(|category| {
+                set_keys().any(|key| {
+                    let earlier = shadowed(category, key);
+                    shadowing_rule = earlier.or(shadowing_rule);
+                    earlier.is_none()
                 })
             });
-            if let Some(before) = by.filter(|_| !reached) {
-                let reason =
-                    format!("nothing of it ever holds: '{}' goes before it ({})", before.name, before.place);
+            if let Some(earlier) = shadowing_rule.filter(|_| !is_reachable) {
+                let reason = format!(
+                    "nothing of it ever holds: '{}' goes before it ({})",
+                    earlier.name, earlier.place
+                );
                 self.faults.add(rule.place.clone(), reason, None);
             }
         }
     }
 }
 
-/// A time in ms, as faults show it.
+/// A time in ms, as text for error messages.
 fn ms(time: Time) -> String {
     format!("{} ms", time as f64 / 10.0)
 }
 
-/// Keys in groups of the same value.
-fn by_value<'b, 'a, T: Copy + PartialOrd>(all: &'b [Of<'a, T>]) -> Vec<Vec<&'b Of<'a, T>>> {
-    let mut sorted: Vec<&Of<T>> = all.iter().collect();
-    // Values are finite numbers or words, so that each two compare.
+/// The settings of a limit, grouped by value.
+fn by_value<'b, 'a, T: Copy + PartialOrd>(all: &'b [RuleSetting<'a, T>]) -> Vec<Vec<&'b RuleSetting<'a, T>>> {
+    let mut sorted: Vec<&RuleSetting<T>> = all.iter().collect();
+    // Values are finite numbers or enum variants, so any two can be compared.
     sorted.sort_by(|a, b| a.value.partial_cmp(&b.value).unwrap_or(std::cmp::Ordering::Equal));
-    let mut groups: Vec<Vec<&Of<T>>> = Vec::new();
+    let mut groups: Vec<Vec<&RuleSetting<T>>> = Vec::new();
     for own in sorted {
         match groups.last_mut().filter(|group| group[0].value == own.value) {
             Some(group) => group.push(own),
@@ -357,16 +464,17 @@
     groups
 }
 
-/// Checks a table against the settings, for all requests that can come; what is wrong goes to the faults.
+/// Checks a table against the platform's settings for all possible requests, and adds what it finds to `faults`.
 pub fn check(table: &Table, ground: &Ground, faults: &FaultLog) {
-    let any = Pattern::default();
-    let mut check = Check { table, ground, faults, any: &any, told: BTreeSet::new() };
+    let match_all = Pattern::default();
+    let mut checker = Checker { table, ground, faults, match_all: &match_all, reported: BTreeSet::new() };
     for category in 0..ground.categories.len() {
-        check.category(category);
+        checker.check_category(category);
     }
-    check.unreached();
-    let budget: Option<&Located<Budget>> = table.node_budget.as_ref();
-    if let Some(budget) = budget.filter(|budget| budget.value.part == 0.0 && budget.value.least < 1.0) {
+    checker.report_shadowed_rules();
+    let budget: Option<&Located<RetryBudget>> = table.node_budget.as_ref();
+    if let Some(budget) = budget.filter(|budget| budget.value.ratio == 0.0 && budget.value.min_retries < 1.0)
+    {
         faults.add(
             budget.position.clone(),
             "no further push would ever be left: set pushes = 1 in [defaults] for that",
--- a/crates/route-limits/src/gate.rs
+++ b/crates/route-limits/src/gate.rs
@@ -1,8 +1,8 @@
-//! What routes come to while ops run: the limits that an op comes in with, and what is counted for them. Limits stay
-//! with the op; counts are kept by the name of the rule that sets them, and so outlive a new file.
+//! Admission of requests under the routes in force. An admitted request keeps the limits that it was admitted with. Counters of
+//! budgets and of in-flight slots are kept by the name of the rule that sets them, so they survive a reload of the file.
 
-use crate::budget::{Place, Places, Times, Window};
-use crate::limits::Budget;
+use crate::budget::{InFlightSlots, PushWindow, RunTimes, SlotOutcome};
+use crate::limits::RetryBudget;
 use crate::pattern::Request;
 use crate::table::Table;
 use std::cell::RefCell;
@@ -11,64 +11,64 @@
 use std::sync::Arc;
 use stileroute_dispatch::types::{Limits, Time};
 
-/// A retry budget with what is counted against it.
+/// A retry budget, and the window that counts the pushes of all requests under it.
 #[derive(Clone, Debug)]
-struct Purse {
-    budget: Budget,
-    window: Rc<RefCell<Window>>,
+struct TrackedBudget {
+    budget: RetryBudget,
+    window: Rc<RefCell<PushWindow>>,
 }
 
-impl Purse {
-    fn spent(&self, now: Time) -> Time {
-        self.window.borrow_mut().spent(now, &self.budget)
+impl TrackedBudget {
+    fn retry_delay(&self, now: Time) -> Time {
+        self.window.borrow_mut().retry_delay(now, &self.budget)
     }
 }
 
-/// Places of a rule, with the bound that holds for this op.
+/// The in-flight slots of a rule, with the limit that applies to this request.
 #[derive(Clone, Debug)]
-struct Seat {
-    places: Rc<RefCell<Places>>,
-    most: usize,
+struct SlotReservation {
+    slots: Rc<RefCell<InFlightSlots>>,
+    max_in_flight: usize,
 }
 
-/// What an op came in with, to its end.
+/// An admitted or queued request: the limits and counters that apply to it until it ends.
 #[derive(Clone, Debug)]
 pub struct Pass {
     pub limits: Limits,
     pub route: Rc<str>,
-    /// The longest that the op, and one connection, may take.
+    /// The longest that the whole request may take; `connect` limits the set-up of one connection.
     pub op: Time,
     pub connect: Option<Time>,
-    purses: [Option<Purse>; 2],
-    seat: Option<Seat>,
-    pushes: usize,
-    times: Option<Rc<RefCell<Times>>>,
+    tracked_budgets: [Option<TrackedBudget>; 2],
+    reservation: Option<SlotReservation>,
+    push_count: usize,
+    run_times: Option<Rc<RefCell<RunTimes>>>,
 }
 
-/// What becomes of an op at the door.
+/// The answer to a request for admission.
 pub enum Entry {
     In(Pass),
-    /// It waits for a place until then.
+    /// No in-flight slot is free: the request is queued until this time at the latest.
     Waits(Pass, Time),
-    /// No place, and no room to wait: come back after this.
+    /// No in-flight slot is free and the queue is full: the client may retry after this delay.
     Full(Time),
 }
 
-/// The routes in force and what is counted.
+/// The routes in force, and the counters of their limits.
 #[derive(Default)]
 pub struct Gate {
     table: Arc<Table>,
-    /// Names, and what is counted, by rule.
-    names: Vec<Rc<str>>,
-    windows: HashMap<String, Rc<RefCell<Window>>>,
-    places: HashMap<String, Rc<RefCell<Places>>>,
-    times: Vec<Option<Rc<RefCell<Times>>>>,
-    node: Option<Purse>,
-    unnamed: Option<Rc<str>>,
-    matching: Vec<u32>,
+    /// The name of each rule, by its number in the table.
+    rule_names: Vec<Rc<str>>,
+    windows: HashMap<String, Rc<RefCell<PushWindow>>>,
+    slots: HashMap<String, Rc<RefCell<InFlightSlots>>>,
+    run_times: Vec<Option<Rc<RefCell<RunTimes>>>>,
+    node_budget: Option<TrackedBudget>,
+    no_route_name: Option<Rc<str>>,
+    matching_rules: Vec<u32>,
 }
 
-/// Under this name the node's own budget is counted.
+/// The name under which the pushes of the whole node are counted.
 const NODE: &str = "node";
 
 impl Gate {
@@ -82,134 +82,158 @@
         &self.table
     }
 
-    /// Takes new routes. Counts of rules that go on under their names go on too.
+    /// Replaces the routes, after a reload of the file. A rule whose name is in the new table too keeps its counters; those of
+    /// other rules are dropped.
     pub fn turn(&mut self, table: Arc<Table>) {
-        self.names = table.rules.iter().map(|rule| Rc::from(rule.name.as_str())).collect();
-        let copies = table.rules.iter().any(|rule| rule.limits.copy_after.is_some());
-        // Own running times are kept only where some rule asks for a quantile of them.
-        self.times.resize(if copies { table.categories() } else { 0 }, None);
-        let budget = table.node_budget.as_ref().map(|set| set.value);
-        self.node = budget.map(|budget| Purse { budget, window: self.window(NODE, budget.window) });
-        let known = |name: &String| name == NODE || table.rules.iter().any(|rule| rule.name == *name);
-        self.windows.retain(|name, _| known(name));
-        self.places.retain(|name, _| known(name));
+        self.rule_names = table.rules.iter().map(|rule| Rc::from(rule.name.as_str())).collect();
+        let hedging = table.rules.iter().any(|rule| rule.limits.hedge_quantile.is_some());
+        // Run times are recorded only if a rule sends hedged pushes after a quantile of them (`copy-after`).
+        self.run_times.resize(if hedging { table.category_count() } else { 0 }, None);
+        let budget = table.node_budget.as_ref().map(|setting| setting.value);
+        self.node_budget =
+            budget.map(|budget| TrackedBudget { budget, window: self.window(NODE, budget.window) });
+        let is_known = |name: &String| name == NODE || table.rules.iter().any(|rule| rule.name == *name);
+        self.windows.retain(|name, _| is_known(name));
+        self.slots.retain(|name, _| is_known(name));
         self.table = table;
     }
 
-    fn window(&mut self, name: &str, span: Time) -> Rc<RefCell<Window>> {
+    fn window(&mut self, name: &str, length: Time) -> Rc<RefCell<PushWindow>> {
         if let Some(window) = self.windows.get(name) {
-            window.borrow_mut().resize(span);
+            window.borrow_mut().resize(length);
             return window.clone();
         }
-        let window = Rc::new(RefCell::new(Window::new(span)));
+        let window = Rc::new(RefCell::new(PushWindow::new(length)));
         self.windows.insert(name.to_string(), window.clone());
         window
     }
 
-    /// Lets an op in, has it wait, or turns it away.
+    /// Admits a request, queues it or rejects it.
     pub fn enter(&mut self, now: Time, ticket: u64, request: &Request) -> Entry {
-        let mut matching = std::mem::take(&mut self.matching);
+        let mut matching_rules = std::mem::take(&mut self.matching_rules);
         let table = self.table.clone();
-        table.matching(request, &mut matching);
-        let held = table.effective(&matching);
-        let value = |time: &Option<crate::table::Held<Time>>| time.as_ref().map(|held| held.set.value);
+        table.matching(request, &mut matching_rules);
+        let effective = table.effective(&matching_rules);
+        let limit_value = |limit: &Option<crate::table::EffectiveLimit<Time>>| {
+            limit.as_ref().map(|limit| limit.setting.value)
+        };
         let category = request.category;
-        let effect = table.effect(category, &held);
-        let own = stileroute_dispatch::types::Limits::default();
-        let times = self.times_of(category);
-        let copy_after =
-            held.copy_after.as_ref().and_then(|held| times.as_ref()?.borrow().quantile(held.set.value));
+        let effect = table.effect(category, &effective);
+        let unlimited = stileroute_dispatch::types::Limits::default();
+        let run_times = self.run_times_of(category);
+        let copy_after = effective
+            .hedge_quantile
+            .as_ref()
+            .and_then(|limit| run_times.as_ref()?.borrow().quantile(limit.setting.value));
         let limits = Limits {
-            pushes: held.pushes.as_ref().map_or(own.pushes, |held| held.set.value),
-            no_start: value(&held.no_start).unwrap_or(own.no_start),
-            no_progress: value(&held.no_progress).unwrap_or(own.no_progress),
-            pause: value(&held.pause).unwrap_or(0),
-            pause_spread: held.pause_spread.as_ref().map_or(0.0, |held| held.set.value),
-            copy_after: copy_after.unwrap_or(own.copy_after),
-            kinds: held.kinds.as_ref().map_or(own.kinds, |held| held.set.value),
-            domains: held.domains.as_ref().map_or(own.domains, |held| held.set.value),
-            effect: (!matching.is_empty()).then_some(effect),
+            pushes: effective.max_pushes.as_ref().map_or(unlimited.pushes, |limit| limit.setting.value),
+            no_start: limit_value(&effective.start_timeout).unwrap_or(unlimited.no_start),
+            no_progress: limit_value(&effective.progress_timeout).unwrap_or(unlimited.no_progress),
+            pause: limit_value(&effective.retry_backoff).unwrap_or(0),
+            pause_spread: effective.backoff_spread.as_ref().map_or(0.0, |limit| limit.setting.value),
+            copy_after: copy_after.unwrap_or(unlimited.copy_after),
+            kinds: effective.kinds.as_ref().map_or(unlimited.kinds, |limit| limit.setting.value),
+            domains: effective.domains.as_ref().map_or(unlimited.domains, |limit| limit.setting.value),
+            effect: (!matching_rules.is_empty()).then_some(effect),
             over_budget: 0,
         };
-        let purse = held.budget.as_ref().map(|held| {
-            let budget = held.set.value;
-            Purse { budget, window: self.window(&table.rules[held.rule as usize].name, budget.window) }
+        let tracked_budget = effective.retry_budget.as_ref().map(|limit| {
+            let budget = limit.setting.value;
+            TrackedBudget {
+                budget,
+                window: self.window(&table.rules[limit.rule as usize].name, budget.window),
+            }
         });
-        let seat = held.in_hand.as_ref().map(|held| {
-            let name = &table.rules[held.rule as usize].name;
-            let places = self.places.entry(name.clone()).or_default().clone();
-            Seat { places, most: held.set.value }
+        let reservation = effective.max_in_flight.as_ref().map(|limit| {
+            let name = &table.rules[limit.rule as usize].name;
+            let slots = self.slots.entry(name.clone()).or_default().clone();
+            SlotReservation { slots, max_in_flight: limit.setting.value }
         });
-        let first = matching.iter().find(|n| table.rules[**n as usize].kind == crate::table::Kind::Route);
-        let route = match first {
-            Some(number) => self.names[*number as usize].clone(),
-            None => self.unnamed.get_or_insert_with(|| Rc::from("-")).clone(),
+        let first_route =
+            matching_rules.iter().find(|n| table.rules[**n as usize].kind == crate::table::Kind::Route);
+        let route = match first_route {
+            Some(number) => self.rule_names[*number as usize].clone(),
+            None => self.no_route_name.get_or_insert_with(|| Rc::from("-")).clone(),
         };
         let pass = Pass {
             limits,
             route,
-            op: value(&held.op).unwrap_or(Time::MAX / 4),
-            connect: value(&held.connect),
-            purses: [purse, self.node.clone()],
-            seat,
-            pushes: 0,
-            times,
+            op: limit_value(&effective.op_timeout).unwrap_or(Time::MAX / 4),
+            connect: limit_value(&effective.connect_timeout),
+            tracked_budgets: [tracked_budget, self.node_budget.clone()],
+            reservation,
+            push_count: 0,
+            run_times,
         };
-        let (wait, waiting) =
-            (value(&held.wait).unwrap_or(0), held.waiting.as_ref().map_or(64, |held| held.set.value));
-        self.matching = matching;
-        let Some(seat) = &pass.seat else { return Entry::In(pass) };
-        let place = seat.places.borrow_mut().ask(now, ticket, seat.most, waiting, wait);
-        match place {
-            Place::In => Entry::In(pass),
-            Place::Waits(until) => Entry::Waits(pass, until),
-            Place::Full(back) => Entry::Full(back),
+        let (max_queue_wait, max_queued) = (
+            limit_value(&effective.max_queue_wait).unwrap_or(0),
+            effective.max_queued.as_ref().map_or(64, |limit| limit.setting.value),
+        );
+        self.matching_rules = matching_rules;
+        let Some(reservation) = &pass.reservation else { return Entry::In(pass) };
+        let outcome = reservation.slots.borrow_mut().acquire(
+            now,
+            ticket,
+            reservation.max_in_flight,
+            max_queued,
+            max_queue_wait,
+        );
+        match outcome {
+            SlotOutcome::Acquired => Entry::In(pass),
+            SlotOutcome::Queued(until) => Entry::Waits(pass, until),
+            SlotOutcome::Rejected(retry_after) => Entry::Full(retry_after),
         }
     }
 
-    fn times_of(&mut self, category: usize) -> Option<Rc<RefCell<Times>>> {
-        let times = self.times.get_mut(category)?;
-        Some(times.get_or_insert_with(Rc::default).clone())
+    fn run_times_of(&mut self, category: usize) -> Option<Rc<RefCell<RunTimes>>> {
+        let run_times = self.run_times.get_mut(category)?;
+        Some(run_times.get_or_insert_with(Rc::default).clone())
     }
 }
 
 impl Pass {
-    /// Before the module is asked: how long until a further push is within the budgets; zero for now.
+    /// How long until the retry budgets allow another push; zero if they allow it now. The caller sets this in the request's
+    /// limits before each call of the dispatcher. The first push needs no budget.
     pub fn over_budget(&self, now: Time) -> Time {
-        if self.pushes == 0 {
+        if self.push_count == 0 {
             return 0;
         }
-        self.purses.iter().flatten().map(|purse| purse.spent(now)).max().unwrap_or(0)
+        self.tracked_budgets
+            .iter()
+            .flatten()
+            .map(|tracked_budget| tracked_budget.retry_delay(now))
+            .max()
+            .unwrap_or(0)
     }
 
-    /// A push goes out.
+    /// Counts a push that is sent, in the budgets of its rule and of the node.
     pub fn pushed(&mut self, now: Time) {
-        for purse in self.purses.iter().flatten() {
-            let mut window = purse.window.borrow_mut();
-            if self.pushes == 0 {
-                window.first(now);
+        for tracked_budget in self.tracked_budgets.iter().flatten() {
+            let mut window = tracked_budget.window.borrow_mut();
+            if self.push_count == 0 {
+                window.record_first(now);
             } else {
-                window.further(now);
+                window.record_retry(now);
             }
         }
-        self.pushes += 1;
+        self.push_count += 1;
     }
 
-    /// An op was acked after its push had run so long.
-    pub fn ran(&self, time: Time) {
-        if let Some(times) = &self.times {
-            times.borrow_mut().add(time);
+    /// Records the run time of an acknowledged push.
+    pub fn ran(&self, run_time: Time) {
+        if let Some(run_times) = &self.run_times {
+            run_times.borrow_mut().record(run_time);
         }
     }
 
-    /// The op is over, or leaves without having had a place. Who has its place now.
+    /// Releases the request's slot, or its place in the queue. Returns the ticket of the queued request that gets the slot.
     pub fn leave(&mut self, now: Time, ticket: u64) -> Option<u64> {
-        let seat = self.seat.take()?;
-        let mut places = seat.places.borrow_mut();
-        if places.quit(ticket) {
+        let reservation = self.reservation.take()?;
+        let mut slots = reservation.slots.borrow_mut();
+        if slots.cancel_wait(ticket) {
             return None;
         }
-        places.leave(now, seat.most)
+        slots.release(now, reservation.max_in_flight)
     }
 }
 
@@ -242,25 +266,25 @@
     }
 
     #[test]
-    fn budgets_and_places_outlive_a_new_file_and_limits_stay_with_the_op() {
+    fn counters_survive_a_reload_and_admitted_requests_keep_their_limits() {
         let text =
             "[defaults]\npushes = 2\nretry-budget = { part = 0.0, window = '20s', least = 1 }\nin-hand = 1\n";
         let mut gate = Gate::new(table(text));
-        let Entry::In(mut first) = enter(&mut gate, 0, 1) else { panic!("no place") };
+        let Entry::In(mut first) = enter(&mut gate, 0, 1) else { panic!("not admitted") };
         first.pushed(0);
         assert_eq!(first.over_budget(0), 0);
         first.pushed(SECOND);
-        // The one free further push is spent, and the one place taken; a new file changes neither count.
+        // The budget's minimum of one retry is used up, and the one slot is taken; a reload changes neither counter.
         gate.turn(table(
             &text.replace("pushes = 2", "pushes = 4").replace("window = '20s'", "window = '40s'"),
         ));
         assert!(first.over_budget(2 * SECOND) > 0 && first.limits.pushes == 2);
-        assert!(matches!(enter(&mut gate, 2 * SECOND, 2), Entry::Full(back) if back > 0));
+        assert!(matches!(enter(&mut gate, 2 * SECOND, 2), Entry::Full(retry_after) if retry_after > 0));
         assert_eq!(first.leave(2 * SECOND, 1), None);
-        let Entry::In(mut second) = enter(&mut gate, 3 * SECOND, 3) else { panic!("no place") };
+        let Entry::In(mut second) = enter(&mut gate, 3 * SECOND, 3) else { panic!("not admitted") };
         second.pushed(3 * SECOND);
         assert!(second.over_budget(3 * SECOND) > 0 && second.limits.pushes == 4);
-        // One that asks for more places finds them at once; a rule that is gone takes its counts with it.
+        // A raised in-flight limit applies at once, and a rule that is gone loses its counters.
         gate.turn(table("[defaults]\nin-hand = 2\n"));
         assert!(matches!(enter(&mut gate, 4 * SECOND, 4), Entry::In(_)));
         gate.turn(table("[category.c]\nin-hand = 1\n"));
--- a/crates/route-limits/src/lib.rs
+++ b/crates/route-limits/src/lib.rs
@@ -1,10 +1,11 @@
-//! Routes: which limits hold for an op by path, category, tenant, method and header; whether what they come to is
-//! safe for every request that can reach them; retry budgets, places in hand and own running times. No I/O, no clock.
+//! Routes: the limits that apply to a request by its path, category, tenant, method and headers; a check at load that these
+//! limits are safe for every possible request; retry budgets, in-flight limits and recorded run times. The crate does no I/O and
+//! reads no clock.
 //!
-//! A route only narrows what the module may do. `docs/routes.md` tells the order of precedence and why the check at
-//! load is enough.
+//! A route can only narrow what the dispatcher may do. `docs/routes.md` has the order of precedence, and the proof that the check
+//! at load is sufficient.
 
-// Not finished yet: the public items are still to be documented.
+// Not every public item has documentation, or its errors described, yet.
 #![allow(clippy::missing_errors_doc, missing_docs)]
 
 pub mod budget;
@@ -19,15 +20,15 @@
 use stileroute_dispatch::types::{Category, Terms, Time};
 use thiserror::Error;
 
-/// The dispatcher does not accept the settings, for this reason.
+/// The reason why the dispatcher rejects the platform's settings.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{0}")]
 pub struct SettingsError(String);
 
-/// What the platform's settings say, as far as routes are held against it.
+/// The parts of the platform's settings that routes are checked against.
 #[derive(Clone, Debug, Default)]
 pub struct Ground {
-    /// Categories with their names and TTLs (zero: none told).
+    /// The name, TTL (zero if none is set) and settings of each category.
     pub categories: Vec<(String, Time, Category)>,
     pub kinds: Vec<String>,
     pub domains: Vec<String>,
@@ -35,7 +36,7 @@
 }
 
 impl Ground {
-    /// What the settings object says.
+    /// Reads the settings that the control plane posts.
     pub fn of(posted: &Posted) -> Result<Ground, SettingsError> {
         let tariff = posted.tariff().map_err(SettingsError)?;
         let names = posted.categories().into_iter().zip(posted.ttls());
@@ -44,7 +45,7 @@
         Ok(Ground { categories, kinds, domains, terms: tariff.terms })
     }
 
-    /// The longest that an op of a category is kept.
+    /// The longest that a request of a category is kept; without a TTL in the settings, longer than any time that can be set.
     pub fn ttl(&self, category: usize) -> Time {
         match self.categories[category].1 {
             0 => Time::MAX / 4,
--- a/crates/route-limits/src/pattern.rs
+++ b/crates/route-limits/src/pattern.rs
@@ -1,150 +1,176 @@
-//! What a route matches. Each condition is on one dimension, so that two patterns meet where they meet in each, and
-//! one covers the other where it does in each.
+//! The patterns that routes match requests by. Each condition is on one dimension (path, category, tenant, method, a header). So
+//! two patterns overlap if they overlap in each dimension, and one covers another if it does so in each dimension.
 
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Why a text is no condition on a path.
+/// Why a text is not a valid path pattern.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PathError {
-    /// It does not begin with a slash.
+    /// The path pattern does not begin with a slash.
     #[error("'{0}' does not begin with '/'")]
     NoLeadingSlash(String),
-    /// It has a space, a query or a fragment.
+    /// The path pattern has a space or other non-graphic character, a query or a fragment.
     #[error("'{0}' is no path: no space, '?' or '#'")]
     ForbiddenCharacter(String),
-    /// Braces stand around a part of a segment, or around nothing.
+    /// Braces enclose only a part of a segment, or no name.
     #[error("'{0}': a free segment is '{{name}}', whole")]
-    PartlyFreeSegment(String),
-    /// A prefix has a free segment.
+    PartialWildcardSegment(String),
+    /// A prefix pattern has a wildcard segment.
     #[error("a prefix has no free segments")]
-    FreeSegmentInPrefix,
-    /// A star stands elsewhere than at the end.
+    WildcardInPrefix,
+    /// A star is not the whole last segment.
     #[error("'*' stands only at the end, as a segment of its own")]
     MisplacedStar,
 }
 
-/// A condition on the path, by segments. A query is not part of it, and nothing is decoded.
+/// A condition on a request's path, by segments. The query is ignored, and percent-encoding is not decoded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Path {
     #[default]
     Any,
-    /// All segments; `None` is one that is free. With none free the path is exact.
+    /// All segments of the path; `None` is a wildcard that matches any one segment. Without wildcards the path is exact.
     Whole(Vec<Option<String>>),
-    /// The first segments, and whatever follows.
+    /// The first segments of the path; any segments may follow.
     Prefix(Vec<String>),
 }
 
-/// Segments of a path, without what stands before its first slash.
+/// The segments of a path, without its query. A path that does not begin with a slash has one empty segment.
 pub fn segments(path: &str) -> impl Iterator<Item = &str> + Clone {
     path.split('?').next().unwrap_or_default().strip_prefix('/').unwrap_or_default().split('/')
 }
 
 impl Path {
-    /// `/a/b` is exact, `/a/{x}` leaves one segment free, `/a/*` is a prefix.
-    pub fn read(text: &str) -> Result<Path, PathError> {
+    /// Parses a path pattern: `/a/b` is exact, `/a/{x}` has one wildcard segment, `/a/*` is a prefix.
+    pub fn parse(text: &str) -> Result<Path, PathError> {
         if !text.starts_with('/') {
             return Err(PathError::NoLeadingSlash(text.to_string()));
         }
-        if !text.bytes().all(|b| b.is_ascii_graphic()) || text.contains(['?', '#']) {
+        if !text.bytes().all(|byte| byte.is_ascii_graphic()) || text.contains(['?', '#']) {
             return Err(PathError::ForbiddenCharacter(text.to_string()));
         }
-        let all: Vec<&str> = segments(text).collect();
-        let free = |segment: &str| segment.starts_with('{') && segment.ends_with('}') && segment.len() > 2;
-        for segment in &all {
-            if segment.contains(['{', '}']) && !free(segment) {
-                return Err(PathError::PartlyFreeSegment(segment.to_string()));
+        let segments_given: Vec<&str> = segments(text).collect();
+        let is_wildcard =
+            |segment: &str| segment.starts_with('{') && segment.ends_with('}') && segment.len() > 2;
+        for segment in &segments_given {
+            if segment.contains(['{', '}']) && !is_wildcard(segment) {
+                return Err(PathError::PartialWildcardSegment(segment.to_string()));
             }
         }
-        if let Some((last, first)) = all.split_last().filter(|(last, _)| **last == "*") {
+        if let Some((last, leading)) = segments_given.split_last().filter(|(last, _)| **last == "*") {
             debug_assert_eq!(*last, "*");
-            // A prefix with a free segment would make two routes cover a third together, which no pairwise check sees.
-            if first.iter().any(|segment| free(segment) || segment.contains('*')) {
-                return Err(PathError::FreeSegmentInPrefix);
+            // With wildcards in prefixes, two routes together could cover a third, which the pairwise safety check cannot
+            // detect.
+            if leading.iter().any(|segment| is_wildcard(segment) || segment.contains('*')) {
+                return Err(PathError::WildcardInPrefix);
             }
-            return Ok(match first.is_empty() {
+            return Ok(match leading.is_empty() {
                 true => Path::Any,
-                false => Path::Prefix(first.iter().map(|segment| segment.to_string()).collect()),
+                false => Path::Prefix(leading.iter().map(|segment| segment.to_string()).collect()),
             });
         }
-        if all.iter().any(|segment| segment.contains('*')) {
+        if segments_given.iter().any(|segment| segment.contains('*')) {
             return Err(PathError::MisplacedStar);
         }
-        Ok(Path::Whole(all.iter().map(|s| (!free(s)).then(|| s.to_string())).collect()))
+        Ok(Path::Whole(
+            segments_given
+                .iter()
+                .map(|segment| (!is_wildcard(segment)).then(|| segment.to_string()))
+                .collect(),
+        ))
     }
 
     pub fn matches(&self, path: &str) -> bool {
         match self {
             Path::Any => true,
-            Path::Whole(own) => {
-                let mut given = segments(path);
-                own.iter().all(|s| given.next().is_some_and(|g| s.as_ref().is_none_or(|s| s == g)))
-                    && given.next().is_none()
+            Path::Whole(expected) => {
+                let mut actual = segments(path);
+                expected.iter().all(|segment| {
+                    actual.next().is_some_and(|actual_segment| {
+                        segment.as_ref().is_none_or(|segment| segment == actual_segment)
+                    })
+                }) && actual.next().is_none()
             }
-            Path::Prefix(own) => {
-                let mut given = segments(path);
-                own.iter().all(|s| given.next().is_some_and(|g| s == g))
+            Path::Prefix(expected) => {
+                let mut actual = segments(path);
+                expected
+                    .iter()
+                    .all(|segment| actual.next().is_some_and(|actual_segment| segment == actual_segment))
             }
         }
     }
 
-    /// Some path matches both.
-    pub fn meets(&self, other: &Path) -> bool {
+    /// Whether some path matches both patterns.
+    pub fn overlaps(&self, other: &Path) -> bool {
         match (self, other) {
             (Path::Any, _) | (_, Path::Any) => true,
-            (Path::Prefix(a), Path::Prefix(b)) => a.iter().zip(b).all(|(a, b)| a == b),
-            (Path::Prefix(a), Path::Whole(b)) | (Path::Whole(b), Path::Prefix(a)) => {
-                a.len() <= b.len() && a.iter().zip(b).all(|(a, b)| b.as_ref().is_none_or(|b| a == b))
+            (Path::Prefix(first), Path::Prefix(second)) => {
+                first.iter().zip(second).all(|(first, second)| first == second)
             }
-            (Path::Whole(a), Path::Whole(b)) => {
-                let same = |(a, b): (&Option<String>, &Option<String>)| a.is_none() || b.is_none() || a == b;
-                a.len() == b.len() && a.iter().zip(b).all(same)
+            (Path::Prefix(first), Path::Whole(second)) | (Path::Whole(second), Path::Prefix(first)) => {
+                first.len() <= second.len()
+                    && first
+                        .iter()
+                        .zip(second)
+                        .all(|(first, second)| second.as_ref().is_none_or(|second| first == second))
+            }
+            (Path::Whole(first), Path::Whole(second)) => {
+                let compatible = |(first, second): (&Option<String>, &Option<String>)| {
+                    first.is_none() || second.is_none() || first == second
+                };
+                first.len() == second.len() && first.iter().zip(second).all(compatible)
             }
         }
     }
 
-    /// Every path that matches both of the two others matches this one. They must meet.
-    fn covers(&self, a: &Path, b: &Path) -> bool {
-        // Of the paths that match both, each segment is given by one of them or free.
-        let known = |at: usize| -> Option<&str> {
-            [a, b].into_iter().find_map(|path| match path {
+    /// Whether every path that matches both `first` and `second` matches this pattern. The two must overlap.
+    fn covers_overlap(&self, first: &Path, second: &Path) -> bool {
+        // Of the paths that match both, each segment is fixed by one of the two patterns, or may be anything.
+        let fixed_segment = |index: usize| -> Option<&str> {
+            [first, second].into_iter().find_map(|path| match path {
                 Path::Any => None,
-                Path::Whole(own) => own.get(at).and_then(|s| s.as_deref()),
-                Path::Prefix(own) => own.get(at).map(String::as_str),
+                Path::Whole(expected) => expected.get(index).and_then(|segment| segment.as_deref()),
+                Path::Prefix(expected) => expected.get(index).map(String::as_str),
             })
         };
-        let length = [a, b].into_iter().find_map(|path| match path {
-            Path::Whole(own) => Some(own.len()),
+        let length = [first, second].into_iter().find_map(|path| match path {
+            Path::Whole(expected) => Some(expected.len()),
             _ => None,
         });
         match self {
             Path::Any => true,
-            Path::Prefix(own) => own.iter().enumerate().all(|(at, s)| known(at) == Some(s)),
-            Path::Whole(own) => {
-                length == Some(own.len())
-                    && own.iter().enumerate().all(|(at, s)| s.as_ref().is_none_or(|s| known(at) == Some(s)))
+            Path::Prefix(expected) => {
+                expected.iter().enumerate().all(|(index, segment)| fixed_segment(index) == Some(segment))
+            }
+            Path::Whole(expected) => {
+                length == Some(expected.len())
+                    && expected.iter().enumerate().all(|(index, segment)| {
+                        segment.as_ref().is_none_or(|segment| fixed_segment(index) == Some(segment))
+                    })
             }
         }
     }
 
-    /// Every path that matches the other matches this one.
-    pub fn covers_one(&self, other: &Path) -> bool {
-        self.meets(other) && self.covers(other, other)
+    /// Whether every path that matches `other` matches this pattern.
+    pub fn covers_path(&self, other: &Path) -> bool {
+        self.overlaps(other) && self.covers_overlap(other, other)
     }
 
-    /// How specific it is: exact before templates before prefixes; of templates the one with more fixed segments, of
-    /// prefixes the longer.
-    fn rank(&self) -> (u8, usize) {
+    /// The precedence of a path pattern, higher for a more specific one: exact paths come before those with wildcards, and these
+    /// before prefixes. More fixed segments take precedence among paths with wildcards, and longer ones among prefixes.
+    fn precedence(&self) -> (u8, usize) {
         match self {
             Path::Any => (0, 0),
-            Path::Prefix(own) => (1, own.len()),
-            Path::Whole(own) if own.iter().any(Option::is_none) => (2, own.iter().flatten().count()),
-            Path::Whole(own) => (3, own.len()),
+            Path::Prefix(expected) => (1, expected.len()),
+            Path::Whole(expected) if expected.iter().any(Option::is_none) => {
+                (2, expected.iter().flatten().count())
+            }
+            Path::Whole(expected) => (3, expected.len()),
         }
     }
 }
 
-/// All conditions of a route. A header's name is in lower case.
+/// All conditions of a route. Header names are in lower case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pattern {
     pub path: Path,
@@ -154,18 +180,18 @@
     pub headers: BTreeMap<String, String>,
 }
 
-/// A request, as far as routes look at it.
+/// The properties of a request that routes match.
 pub struct Request<'a> {
     pub path: &'a str,
     pub method: &'a str,
     pub category: usize,
     pub tenant: Option<&'a str>,
-    /// The value of a header by its name in lower case.
+    /// Returns the value of a header, by its name in lower case.
     pub header: &'a dyn Fn(&str) -> Option<&'a str>,
 }
 
 impl Pattern {
-    /// All but the path.
+    /// Whether all conditions but the one on the path match.
     pub fn matches_rest(&self, request: &Request) -> bool {
         self.category.is_none_or(|category| category == request.category)
             && self.tenant.as_deref().is_none_or(|tenant| request.tenant == Some(tenant))
@@ -177,40 +203,42 @@
         self.path.matches(request.path) && self.matches_rest(request)
     }
 
-    /// Some request matches both.
-    pub fn meets(&self, other: &Pattern) -> bool {
-        fn same<T: PartialEq>(a: &Option<T>, b: &Option<T>) -> bool {
-            a.is_none() || b.is_none() || a == b
+    /// Whether some request matches both patterns.
+    pub fn overlaps(&self, other: &Pattern) -> bool {
+        fn compatible<T: PartialEq>(first: &Option<T>, second: &Option<T>) -> bool {
+            first.is_none() || second.is_none() || first == second
         }
-        let headers = |name: &String, value: &String| other.headers.get(name).is_none_or(|own| own == value);
-        same(&self.category, &other.category)
-            && same(&self.tenant, &other.tenant)
-            && same(&self.method, &other.method)
+        let headers =
+            |name: &String, value: &String| other.headers.get(name).is_none_or(|expected| expected == value);
+        compatible(&self.category, &other.category)
+            && compatible(&self.tenant, &other.tenant)
+            && compatible(&self.method, &other.method)
             && self.headers.iter().all(|(name, value)| headers(name, value))
-            && self.path.meets(&other.path)
+            && self.path.overlaps(&other.path)
     }
 
-    /// Every request of a category that matches both of the two others matches this one. They must meet.
-    pub fn covers(&self, a: &Pattern, b: &Pattern, category: usize) -> bool {
-        fn given<T: PartialEq>(own: &Option<T>, a: &Option<T>, b: &Option<T>) -> bool {
-            own.is_none() || own == a || own == b
+    /// Whether every request of a category that matches both `first` and `second` matches this pattern. The two must overlap.
+    pub fn covers_overlap(&self, first: &Pattern, second: &Pattern, category: usize) -> bool {
+        fn implied<T: PartialEq>(expected: &Option<T>, first: &Option<T>, second: &Option<T>) -> bool {
+            expected.is_none() || expected == first || expected == second
         }
         let header = |name: &String, value: &String| {
-            a.headers.get(name) == Some(value) || b.headers.get(name) == Some(value)
+            first.headers.get(name) == Some(value) || second.headers.get(name) == Some(value)
         };
-        self.category.is_none_or(|own| own == category)
-            && given(&self.tenant, &a.tenant, &b.tenant)
-            && given(&self.method, &a.method, &b.method)
+        self.category.is_none_or(|expected| expected == category)
+            && implied(&self.tenant, &first.tenant, &second.tenant)
+            && implied(&self.method, &first.method, &second.method)
             && self.headers.iter().all(|(name, value)| header(name, value))
-            && self.path.covers(&a.path, &b.path)
+            && self.path.covers_overlap(&first.path, &second.path)
     }
 
-    /// The order of precedence, the higher first: the path, then how many other conditions there are. What covers
-    /// another is never before it.
-    pub fn rank(&self) -> (u8, usize, usize) {
-        let (kind, length) = self.path.rank();
-        let one = usize::from;
-        let others = one(self.category.is_some()) + one(self.tenant.is_some()) + one(self.method.is_some());
-        (kind, length, others + self.headers.len())
+    /// The precedence of a pattern, higher for a more specific one: first by its path, then by the number of its other
+    /// conditions. A pattern that covers another never takes precedence over it.
+    pub fn precedence(&self) -> (u8, usize, usize) {
+        let (path_kind, length) = self.path.precedence();
+        let count = usize::from;
+        let other_conditions =
+            count(self.category.is_some()) + count(self.tenant.is_some()) + count(self.method.is_some());
+        (path_kind, length, other_conditions + self.headers.len())
     }
 }
--- a/crates/route-limits/src/read.rs
+++ b/crates/route-limits/src/read.rs
@@ -1,4 +1,4 @@
-//! Reading of the routes of a file: from its sections to the rules of a table, which is then checked.
+//! Reads the routes of an operator's file into the rules of a table, and checks the table.
 
 use crate::check::check;
 use crate::limits::Limits;
@@ -8,12 +8,12 @@
 use stileroute_operator_file::{suggestion, Located, Section};
 
 impl Table {
-    /// Reads the routes of a file and checks them against the ground; faults go to the reader.
+    /// Reads the routes of a file and checks them against the platform's settings. Faults are added to the log of `keys`.
     pub fn read(keys: &Section, ground: &Ground) -> Option<Table> {
         let mut rules = Vec::new();
         let (mut node_budget, mut tenant_header) = (None, None);
         if let Some(node) = keys.table("node") {
-            node_budget = Limits::read_budget(&node);
+            node_budget = Limits::read_retry_budget(&node);
             tenant_header = node.text("tenant-header").map(|name| name.value.to_ascii_lowercase());
             node.finish();
         }
@@ -33,10 +33,10 @@
             let limits = Limits::read(&table, ground);
             if let Some(category) = category(&name, ground, &table) {
                 let pattern = Pattern { category: Some(category), ..Pattern::default() };
-                let own = format!("category {}", name.value);
+                let rule_name = format!("category {}", name.value);
                 rules.push(Rule {
                     kind: Kind::Category,
-                    name: own,
+                    name: rule_name,
                     place: name.position.clone(),
                     pattern,
                     limits,
@@ -52,7 +52,7 @@
 }
 
 fn category(name: &Located<String>, ground: &Ground, keys: &Section) -> Option<usize> {
-    let found = ground.categories.iter().position(|(own, ..)| *own == name.value);
+    let found = ground.categories.iter().position(|(known, ..)| *known == name.value);
     if found.is_none() {
         let all: Vec<&str> = ground.categories.iter().map(|(name, ..)| name.as_str()).collect();
         let reason = format!("there is no category '{}'{}", name.value, suggestion(name, &all));
@@ -61,17 +61,17 @@
     found
 }
 
-/// A route as it stands in the file, before it inherits.
-struct Draft {
+/// A route as the file has it, before limits are inherited.
+struct RouteDraft {
     rule: Rule,
     inherits: Option<Located<String>>,
-    /// It is only inherited from.
-    base: bool,
+    /// The route matches no requests: other routes inherit from it.
+    is_base: bool,
 }
 
-fn read_routes(keys: &Section, ground: &Ground, tenants: bool) -> Vec<Rule> {
+fn read_routes(keys: &Section, ground: &Ground, has_tenant_header: bool) -> Vec<Rule> {
     let faults = keys.log();
-    let mut drafts: Vec<Draft> = Vec::new();
+    let mut drafts: Vec<RouteDraft> = Vec::new();
     for table in keys.tables("route") {
         let place = table.position();
         let name = table.text("name");
@@ -79,44 +79,48 @@
             faults.add(place.clone(), "a route needs a name", None);
         }
         let inherits = table.text("inherits");
-        let base = table.flag("base").is_some_and(|flag| flag.value);
+        let is_base = table.flag("base").is_some_and(|flag| flag.value);
         let limits = Limits::read(&table, ground);
         let pattern = match table.table("match") {
-            Some(own) => {
-                let pattern = read_pattern(&own, ground, tenants);
-                if base {
-                    faults.add(own.position(), "a base is only inherited from, and matches nothing", None);
+            Some(conditions) => {
+                let pattern = read_pattern(&conditions, ground, has_tenant_header);
+                if is_base {
+                    faults.add(
+                        conditions.position(),
+                        "a base is only inherited from, and matches nothing",
+                        None,
+                    );
                 }
-                own.finish();
+                conditions.finish();
                 pattern
             }
             None => None,
         };
-        if pattern.is_none() && !base {
-            let plain = "matches nothing: it needs a match with a condition, or base = true";
-            faults.add(place.clone(), plain, None);
+        if pattern.is_none() && !is_base {
+            let reason = "matches nothing: it needs a match with a condition, or base = true";
+            faults.add(place.clone(), reason, None);
         }
         table.finish();
         let Some(name) = name else { continue };
-        if let Some(before) = drafts.iter().find(|draft| draft.rule.name == name.value) {
-            let reason = format!("the name '{}' is taken by the route at {}", name.value, before.rule.place);
+        if let Some(earlier) = drafts.iter().find(|draft| draft.rule.name == name.value) {
+            let reason = format!("the name '{}' is taken by the route at {}", name.value, earlier.rule.place);
             faults.add(name.position.clone(), reason, None);
             continue;
         }
         let pattern = pattern.unwrap_or_default();
         let rule = Rule { kind: Kind::Route, name: name.value, place: name.position, pattern, limits };
-        drafts.push(Draft { rule, inherits, base });
+        drafts.push(RouteDraft { rule, inherits, is_base });
     }
     let mut rules = Vec::new();
     for draft in &drafts {
         let mut rule = draft.rule.clone();
-        let (mut at, mut way) = (draft, vec![draft.rule.name.as_str()]);
-        while let Some(from) = &at.inherits {
-            if way.contains(&from.value.as_str()) {
-                way.push(&from.value);
+        let (mut current, mut inheritance_chain) = (draft, vec![draft.rule.name.as_str()]);
+        while let Some(from) = &current.inherits {
+            if inheritance_chain.contains(&from.value.as_str()) {
+                inheritance_chain.push(&from.value);
                 faults.add(
                     from.position.clone(),
-                    format!("inherits in a circle: {}", way.join(" from ")),
+                    format!("inherits in a circle: {}", inheritance_chain.join(" from ")),
                     None,
                 );
                 break;
@@ -128,42 +132,42 @@
                 break;
             };
             rule.limits = rule.limits.or(&next.rule.limits);
-            way.push(&from.value);
-            at = next;
+            inheritance_chain.push(&from.value);
+            current = next;
         }
-        if !draft.base {
+        if !draft.is_base {
             rules.push(rule);
         }
     }
     rules
 }
 
-/// The conditions of a route; none where there are none, or one is wrong.
-fn read_pattern(keys: &Section, ground: &Ground, tenants: bool) -> Option<Pattern> {
+/// Reads the conditions of a route; `None` if there are none, or one is invalid.
+fn read_pattern(keys: &Section, ground: &Ground, has_tenant_header: bool) -> Option<Pattern> {
     let faults = keys.log();
     let mut pattern = Pattern::default();
-    let mut wrong = false;
+    let mut invalid = false;
     if let Some(path) = keys.text("path") {
-        match Path::read(&path) {
+        match Path::parse(&path) {
             Ok(_) if path.value.starts_with("/-/") => {
-                wrong = true;
+                invalid = true;
                 faults.add(path.position, "no request reaches it: the node answers /-/ itself", None);
             }
-            Ok(own) => pattern.path = own,
+            Ok(parsed) => pattern.path = parsed,
             Err(error) => {
-                wrong = true;
+                invalid = true;
                 faults.add(path.position, error.to_string(), None);
             }
         }
     }
     if let Some(name) = keys.text("category") {
         pattern.category = category(&name, ground, keys);
-        wrong |= pattern.category.is_none();
+        invalid |= pattern.category.is_none();
     }
     if let Some(tenant) = keys.text("tenant") {
-        if !tenants {
+        if !has_tenant_header {
             faults.add(tenant.position.clone(), "no request reaches it: node.tenant-header is not set", None);
-            wrong = true;
+            invalid = true;
         }
         pattern.tenant = Some(tenant.value);
     }
@@ -174,7 +178,7 @@
                 format!("no request reaches it: {} is not served, only POST", method.value),
                 None,
             );
-            wrong = true;
+            invalid = true;
         } else {
             pattern.method = Some(method.value);
         }
@@ -182,9 +186,9 @@
     for (name, value) in keys.named_texts("header") {
         pattern.headers.insert(name.value.to_ascii_lowercase(), value);
     }
-    if pattern == Pattern::default() && !wrong {
+    if pattern == Pattern::default() && !invalid {
         faults.add(keys.position(), "has no condition: what holds for all goes to [defaults]", None);
-        wrong = true;
+        invalid = true;
     }
-    (!wrong).then_some(pattern)
+    (!invalid).then_some(pattern)
 }
--- a/crates/route-limits/src/table.rs
+++ b/crates/route-limits/src/table.rs
@@ -1,13 +1,14 @@
-//! The routes of a file in their order of precedence, and what they come to for a request.
+//! The rules of a file in their order of precedence, and the limits that they set for a request.
 
-use crate::limits::{each, narrowed, Budget, Limits};
+use crate::limits::{for_each_limit, narrowed_effect, Limits, RetryBudget};
 use crate::pattern::{segments, Path, Pattern, Request};
 use crate::Ground;
 use std::collections::HashMap;
 use stileroute_dispatch::types::{self, Effect, Time};
 use stileroute_operator_file::{Located, Position};
 
-/// Where a rule comes from; in the order of precedence, the last first.
+/// The section of the file that a rule comes from, in rising order of precedence: routes override categories, and these the
+/// defaults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
     Defaults,
@@ -15,215 +16,238 @@
     Route,
 }
 
-/// One rule: limits that hold where its pattern matches, unless one before it sets the same key.
+/// A rule: limits for the requests that its pattern matches. A limit applies unless a matching rule of higher precedence sets it
+/// too.
 #[derive(Clone, Debug)]
 pub struct Rule {
     pub kind: Kind,
     pub name: String,
     pub place: Position,
     pub pattern: Pattern,
-    /// With what it inherits.
+    /// The limits of the rule, with those that it inherits.
     pub limits: Limits,
 }
 
-/// The rules of a file, the first in precedence first.
+/// The rules of a file, sorted by falling precedence.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     pub rules: Vec<Rule>,
-    /// Further pushes of the whole node.
-    pub node_budget: Option<Located<Budget>>,
+    /// The retry budget of the whole node.
+    pub node_budget: Option<Located<RetryBudget>>,
     pub tenant_header: Option<String>,
-    /// Headers that some rule looks at, in lower case, the tenant's included.
+    /// The names, in lower case, of all headers that rules match, with the tenant header.
     pub headers: Vec<String>,
-    index: Index,
-    effects: Vec<Effect>,
+    index: RuleIndex,
+    category_effects: Vec<Effect>,
 }
 
-/// Rules by path; those without one by tenant, else by category.
+/// An index to find the rules that may match a request: a trie by path; rules without a path by tenant, else by category.
 #[derive(Clone, Debug, Default)]
-struct Index {
-    nodes: Vec<Node>,
-    by_tenant: HashMap<String, Vec<u32>>,
-    by_category: Vec<Vec<u32>>,
-    rest: Vec<u32>,
+struct RuleIndex {
+    path_nodes: Vec<PathNode>,
+    tenant_rules: HashMap<String, Vec<u32>>,
+    category_rules: Vec<Vec<u32>>,
+    unconditional_rules: Vec<u32>,
 }
 
+/// A node of the path trie. A `complete_path_rules` entry matches paths that end here, a `prefix_rules` entry all that go on, too.
 #[derive(Clone, Debug, Default)]
-struct Node {
-    fixed: HashMap<String, usize>,
-    free: Option<usize>,
-    whole: Vec<u32>,
-    prefix: Vec<u32>,
+struct PathNode {
+    literal_children: HashMap<String, usize>,
+    wildcard_child: Option<usize>,
+    complete_path_rules: Vec<u32>,
+    prefix_rules: Vec<u32>,
 }
 
-impl Index {
-    fn new(rules: &[Rule], categories: usize) -> Index {
-        let mut index = Index { nodes: vec![Node::default()], ..Index::default() };
-        index.by_category.resize(categories, Vec::new());
+impl RuleIndex {
+    fn new(rules: &[Rule], categories: usize) -> RuleIndex {
+        let mut index = RuleIndex { path_nodes: vec![PathNode::default()], ..RuleIndex::default() };
+        index.category_rules.resize(categories, Vec::new());
         for (number, rule) in rules.iter().enumerate() {
             let number = number as u32;
             match &rule.pattern.path {
                 Path::Any => match (&rule.pattern.tenant, rule.pattern.category) {
-                    (Some(tenant), _) => index.by_tenant.entry(tenant.clone()).or_default().push(number),
-                    (None, Some(category)) => index.by_category[category].push(number),
-                    (None, None) => index.rest.push(number),
+                    (Some(tenant), _) => index.tenant_rules.entry(tenant.clone()).or_default().push(number),
+                    (None, Some(category)) => index.category_rules[category].push(number),
+                    (None, None) => index.unconditional_rules.push(number),
                 },
-                Path::Whole(own) => {
-                    let at = own.iter().fold(0, |at, segment| index.step(at, segment.as_deref()));
-                    index.nodes[at].whole.push(number);
+                Path::Whole(path_segments) => {
+                    let node_id = path_segments
+                        .iter()
+                        .fold(0, |node_id, segment| index.child_or_insert(node_id, segment.as_deref()));
+                    index.path_nodes[node_id].complete_path_rules.push(number);
                 }
-                Path::Prefix(own) => {
-                    let at = own.iter().fold(0, |at, segment| index.step(at, Some(segment)));
-                    index.nodes[at].prefix.push(number);
+                Path::Prefix(path_segments) => {
+                    let node_id = path_segments
+                        .iter()
+                        .fold(0, |node_id, segment| index.child_or_insert(node_id, Some(segment)));
+                    index.path_nodes[node_id].prefix_rules.push(number);
                 }
             }
         }
         index
     }
 
-    fn step(&mut self, at: usize, segment: Option<&str>) -> usize {
-        let next = self.nodes.len();
+    fn child_or_insert(&mut self, node_id: usize, segment: Option<&str>) -> usize {
+        let child = self.path_nodes.len();
         let found = match segment {
-            Some(segment) => *self.nodes[at].fixed.entry(segment.to_string()).or_insert(next),
-            None => *self.nodes[at].free.get_or_insert(next),
+            Some(segment) => {
+                *self.path_nodes[node_id].literal_children.entry(segment.to_string()).or_insert(child)
+            }
+            None => *self.path_nodes[node_id].wildcard_child.get_or_insert(child),
         };
-        if found == next {
-            self.nodes.push(Node::default());
+        if found == child {
+            self.path_nodes.push(PathNode::default());
         }
         found
     }
 
-    /// Every rule whose path may match, in no order.
+    /// Collects, in no particular order, every rule whose path matches; the other conditions may still fail.
     fn candidates(&self, request: &Request, out: &mut Vec<u32>) {
-        out.extend(&self.rest);
-        out.extend(self.by_category.get(request.category).into_iter().flatten());
+        out.extend(&self.unconditional_rules);
+        out.extend(self.category_rules.get(request.category).into_iter().flatten());
         if let Some(tenant) = request.tenant {
-            out.extend(self.by_tenant.get(tenant).into_iter().flatten());
+            out.extend(self.tenant_rules.get(tenant).into_iter().flatten());
         }
-        if self.nodes.len() > 1 {
+        if self.path_nodes.len() > 1 {
             self.walk(0, segments(request.path), out);
         }
     }
 
-    fn walk<'a>(&self, at: usize, mut left: impl Iterator<Item = &'a str> + Clone, out: &mut Vec<u32>) {
-        let node = &self.nodes[at];
-        out.extend(&node.prefix);
-        match left.next() {
-            None => out.extend(&node.whole),
+    fn walk<'a>(
+        &self,
+        node_id: usize,
+        mut remaining_segments: impl Iterator<Item = &'a str> + Clone,
+        out: &mut Vec<u32>,
+    ) {
+        let current_node = &self.path_nodes[node_id];
+        out.extend(&current_node.prefix_rules);
+        match remaining_segments.next() {
+            None => out.extend(&current_node.complete_path_rules),
             Some(segment) => {
-                // The depth is that of the deepest rule, not of the path.
-                if let Some(next) = node.fixed.get(segment) {
-                    self.walk(*next, left.clone(), out);
+                // The recursion is no deeper than the rule with the most segments, however long the request's path is.
+                if let Some(child) = current_node.literal_children.get(segment) {
+                    self.walk(*child, remaining_segments.clone(), out);
                 }
-                if let Some(next) = node.free {
-                    self.walk(next, left, out);
+                if let Some(child) = current_node.wildcard_child {
+                    self.walk(child, remaining_segments, out);
                 }
             }
         }
     }
 }
 
-/// One key that holds: its value, and the rule that sets it.
+/// A limit that applies to a request: its setting in the file, and the number of the rule that sets it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Held<'a, T> {
-    pub set: &'a Located<T>,
+pub struct EffectiveLimit<'a, T> {
+    pub setting: &'a Located<T>,
     pub rule: u32,
 }
 
-/// What the matching rules come to: each key from the first rule that sets it.
+/// The limits that apply to a request: each is set by the matching rule of highest precedence that has it.
 #[derive(Debug, Default)]
-pub struct Effective<'a> {
-    pub connect: Option<Held<'a, Time>>,
-    pub no_start: Option<Held<'a, Time>>,
-    pub no_progress: Option<Held<'a, Time>>,
-    pub op: Option<Held<'a, Time>>,
-    pub pushes: Option<Held<'a, usize>>,
-    pub pause: Option<Held<'a, Time>>,
-    pub pause_spread: Option<Held<'a, f64>>,
-    pub copy_after: Option<Held<'a, f64>>,
-    pub budget: Option<Held<'a, Budget>>,
-    pub in_hand: Option<Held<'a, usize>>,
-    pub wait: Option<Held<'a, Time>>,
-    pub waiting: Option<Held<'a, usize>>,
-    pub kinds: Option<Held<'a, u64>>,
-    pub domains: Option<Held<'a, u64>>,
-    pub effect: Option<Held<'a, crate::limits::Narrowed>>,
-    pub resend_within: Option<Held<'a, Time>>,
-    pub resend_group: Option<Held<'a, types::Scope>>,
+pub struct EffectiveLimits<'a> {
+    pub connect_timeout: Option<EffectiveLimit<'a, Time>>,
+    pub start_timeout: Option<EffectiveLimit<'a, Time>>,
+    pub progress_timeout: Option<EffectiveLimit<'a, Time>>,
+    pub op_timeout: Option<EffectiveLimit<'a, Time>>,
+    pub max_pushes: Option<EffectiveLimit<'a, usize>>,
+    pub retry_backoff: Option<EffectiveLimit<'a, Time>>,
+    pub backoff_spread: Option<EffectiveLimit<'a, f64>>,
+    pub hedge_quantile: Option<EffectiveLimit<'a, f64>>,
+    pub retry_budget: Option<EffectiveLimit<'a, RetryBudget>>,
+    pub max_in_flight: Option<EffectiveLimit<'a, usize>>,
+    pub max_queue_wait: Option<EffectiveLimit<'a, Time>>,
+    pub max_queued: Option<EffectiveLimit<'a, usize>>,
+    pub kinds: Option<EffectiveLimit<'a, u64>>,
+    pub domains: Option<EffectiveLimit<'a, u64>>,
+    pub effect: Option<EffectiveLimit<'a, crate::limits::EffectOverride>>,
+    pub resend_window: Option<EffectiveLimit<'a, Time>>,
+    pub resend_scope: Option<EffectiveLimit<'a, types::Scope>>,
 }
 
-impl Effective<'_> {
-    /// Key, value as it reads, and its rule, of each key that is set.
+impl EffectiveLimits<'_> {
+    /// For each limit that is set: its key, its value as text, its position in the file and the number of its rule.
     pub fn shown(&self, ground: &Ground) -> Vec<(&'static str, String, Position, u32)> {
         let time = |time: &Time| format!("{} ms", *time as f64 / 10.0);
         let names = |bits: &u64, names: &[String]| {
-            let on = names.iter().enumerate().filter(|(at, _)| bits >> at & 1 == 1);
-            on.map(|(_, name)| name.as_str()).collect::<Vec<_>>().join(", ")
+            let selected = names.iter().enumerate().filter(|(bit, _)| bits >> bit & 1 == 1);
+            selected.map(|(_, name)| name.as_str()).collect::<Vec<_>>().join(", ")
         };
         let mut all = Vec::new();
-        macro_rules! line {
-            ($key:ident, $name:expr, $show:expr) => {
-                if let Some(held) = &self.$key {
-                    all.push(($name, $show(&held.set.value), held.set.position.clone(), held.rule));
+        macro_rules! push_line {
+            ($key:ident, $name:expr, $format_value:expr) => {
+                if let Some(limit) = &self.$key {
+                    all.push((
+                        $name,
+                        $format_value(&limit.setting.value),
+                        limit.setting.position.clone(),
+                        limit.rule,
+                    ));
                 }
             };
         }
-        line!(connect, "connect", time);
-        line!(no_start, "no-start", time);
-        line!(no_progress, "no-progress", time);
-        line!(op, "op", time);
-        line!(pushes, "pushes", |pushes: &usize| pushes.to_string());
-        line!(pause, "pause", time);
-        line!(pause_spread, "pause-spread", |spread: &f64| spread.to_string());
-        line!(copy_after, "copy-after", |part: &f64| format!("the {part} quantile of own running times"));
-        line!(budget, "retry-budget", |b: &Budget| {
-            format!("{} of first pushes over {}, {} free", b.part, time(&b.window), b.least)
+        push_line!(connect_timeout, "connect", time);
+        push_line!(start_timeout, "no-start", time);
+        push_line!(progress_timeout, "no-progress", time);
+        push_line!(op_timeout, "op", time);
+        push_line!(max_pushes, "pushes", |max_pushes: &usize| max_pushes.to_string());
+        push_line!(retry_backoff, "pause", time);
+        push_line!(backoff_spread, "pause-spread", |spread: &f64| spread.to_string());
+        push_line!(hedge_quantile, "copy-after", |quantile: &f64| format!(
+            "the {quantile} quantile of own running times"
+        ));
+        push_line!(retry_budget, "retry-budget", |b: &RetryBudget| {
+            format!("{} of first pushes over {}, {} free", b.ratio, time(&b.window), b.min_retries)
         });
-        line!(in_hand, "in-hand", |count: &usize| count.to_string());
-        line!(wait, "wait", time);
-        line!(waiting, "waiting", |count: &usize| count.to_string());
-        line!(kinds, "kinds", |bits: &u64| names(bits, &ground.kinds));
-        line!(domains, "domains", |bits: &u64| names(bits, &ground.domains));
-        line!(effect, "effect", |to: &crate::limits::Narrowed| format!("{to:?}").to_lowercase());
-        line!(resend_within, "resend-within", time);
-        line!(resend_group, "resend-group", |scope: &types::Scope| format!("{scope:?}").to_lowercase());
+        push_line!(max_in_flight, "in-hand", |count: &usize| count.to_string());
+        push_line!(max_queue_wait, "wait", time);
+        push_line!(max_queued, "waiting", |count: &usize| count.to_string());
+        push_line!(kinds, "kinds", |bits: &u64| names(bits, &ground.kinds));
+        push_line!(domains, "domains", |bits: &u64| names(bits, &ground.domains));
+        push_line!(effect, "effect", |override_to: &crate::limits::EffectOverride| format!(
+            "{override_to:?}"
+        )
+        .to_lowercase());
+        push_line!(resend_window, "resend-within", time);
+        push_line!(resend_scope, "resend-group", |scope: &types::Scope| format!("{scope:?}").to_lowercase());
         all
     }
 }
 
 impl Table {
-    /// A table of these rules, in order and with its index, but unchecked.
+    /// Makes a table of these rules, sorted and indexed, without checking that they are safe.
     pub(crate) fn new(
         rules: Vec<Rule>,
-        node_budget: Option<Located<Budget>>,
+        node_budget: Option<Located<RetryBudget>>,
         tenant_header: Option<String>,
         ground: &Ground,
     ) -> Table {
         let mut table = Table { rules, node_budget, tenant_header, ..Table::default() };
-        table.arrange(ground);
+        table.sort_and_index(ground);
         table
     }
 
-    /// Puts the rules in order and makes the index.
-    fn arrange(&mut self, ground: &Ground) {
-        // A stable sort: of equals the first in the file goes before.
-        self.rules.sort_by_key(|rule| std::cmp::Reverse((rule.kind, rule.pattern.rank())));
+    /// Sorts the rules by precedence and builds the index.
+    fn sort_and_index(&mut self, ground: &Ground) {
+        // The sort is stable: of rules with equal precedence, the one that is earlier in the file takes precedence.
+        self.rules.sort_by_key(|rule| std::cmp::Reverse((rule.kind, rule.pattern.precedence())));
         let mut headers: Vec<String> =
             self.rules.iter().flat_map(|rule| rule.pattern.headers.keys().cloned()).collect();
         headers.extend(self.tenant_header.clone());
         headers.sort();
         headers.dedup();
         self.headers = headers;
-        self.index = Index::new(&self.rules, ground.categories.len());
-        self.effects = ground.categories.iter().map(|(_, _, category)| category.effect).collect();
+        self.index = RuleIndex::new(&self.rules, ground.categories.len());
+        self.category_effects = ground.categories.iter().map(|(_, _, category)| category.effect).collect();
     }
 
-    /// A table of these rules, unchecked; for tests and measurements.
-    pub fn of(rules: Vec<Rule>, ground: &Ground) -> Table {
+    /// Makes a table of these rules without checking that they are safe; for tests and measurements.
+    pub fn unchecked(rules: Vec<Rule>, ground: &Ground) -> Table {
         Table::new(rules, None, None, ground)
     }
 
-    /// The rules that match a request, the first in precedence first.
+    /// Puts the numbers of the rules that match a request into `out`, by falling precedence.
     pub fn matching(&self, request: &Request, out: &mut Vec<u32>) {
         out.clear();
         self.index.candidates(request, out);
@@ -231,38 +255,37 @@
         out.sort_unstable();
     }
 
-    /// What these rules come to.
-    pub fn effective(&self, matching: &[u32]) -> Effective<'_> {
-        let mut effective = Effective::default();
+    /// The limits that apply to a request that these rules match.
+    pub fn effective(&self, matching: &[u32]) -> EffectiveLimits<'_> {
+        let mut effective = EffectiveLimits::default();
         for number in matching {
             let limits = &self.rules[*number as usize].limits;
-            macro_rules! take {
+            macro_rules! first_setting {
                 ($($key:ident),*) => { $(
                     if effective.$key.is_none() {
-                        effective.$key = limits.$key.as_ref().map(|set| Held { set, rule: *number });
+                        effective.$key = limits.$key.as_ref().map(|setting| EffectiveLimit { setting, rule: *number });
                     }
                 )* };
             }
-            each!(take);
+            for_each_limit!(first_setting);
         }
         effective
     }
 
-    /// How many categories there are.
-    pub fn categories(&self) -> usize {
-        self.effects.len()
+    pub fn category_count(&self) -> usize {
+        self.category_effects.len()
     }
 
-    /// The effect that holds for a category under what is effective.
-    pub fn effect(&self, category: usize, effective: &Effective) -> Effect {
-        let to = effective.effect.as_ref().map(|held| held.set.value);
-        let within = effective.resend_within.as_ref().map(|held| held.set.value);
-        let group = effective.resend_group.as_ref().map(|held| held.set.value);
-        narrowed(self.effects[category], to, within, group)
+    /// The effect of a category's request under these limits.
+    pub fn effect(&self, category: usize, effective: &EffectiveLimits) -> Effect {
+        let override_to = effective.effect.as_ref().map(|limit| limit.setting.value);
+        let window = effective.resend_window.as_ref().map(|limit| limit.setting.value);
+        let scope = effective.resend_scope.as_ref().map(|limit| limit.setting.value);
+        narrowed_effect(self.category_effects[category], override_to, window, scope)
     }
 
-    /// The name of the first real route among those that match.
-    pub fn name(&self, matching: &[u32]) -> &str {
+    /// The name of the matching route of highest precedence; `-` if only defaults or a category match.
+    pub fn route_name(&self, matching: &[u32]) -> &str {
         matching
             .iter()
             .map(|number| &self.rules[*number as usize])
--- a/crates/route-limits/tests/common/mod.rs
+++ b/crates/route-limits/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The ground that the tests of routes stand on.
+//! The platform's settings that the tests of routes share, and functions that read a file against them.
 #![allow(dead_code)]
 
 use stileroute_dispatch::types::{Category, Effect, Scope, Terms, SECOND};
--- a/crates/route-limits/tests/files.rs
+++ b/crates/route-limits/tests/files.rs
@@ -1,15 +1,14 @@
-//! Files that are refused, each with the line and the reason that stand beside it; and the check at load held against
-//! every request of a small world.
+//! Tests that invalid files are rejected with the expected line and reason, and that similar valid files load.
 
 mod common;
 use common::{ground, read};
 use stileroute_operator_file::Fault;
 
-/// A file, the line of its fault, and what is said of it. The ground: `lookup` (redeliverable, TTL 5 s), `notice`
-/// (deduplicated by domain within 3 s, TTL 5 s, only on kind large), `booking` (at-most-once, TTL 9 s), five pushes,
-/// copies allowed.
-const BAD: &[(&str, usize, &str)] = &[
-    // Read at all.
+/// Invalid files, each with the line of its fault and a part of the message. The platform has the categories `lookup`
+/// (redeliverable, TTL 5 s), `notice` (deduplicated by failure domain within 3 s, TTL 5 s, runs only on executor kind large) and
+/// `booking` (at-most-once, TTL 9 s); it allows five pushes, and hedged ones.
+const INVALID_FILES: &[(&str, usize, &str)] = &[
+    // Syntax, unknown keys and values of the wrong type.
     ("[defaults\n", 1, "file"),
     ("x = 1\n", 1, "x: is not known"),
     ("[defaults]\npushs = 2\n", 2, "did you mean 'pushes'?"),
@@ -42,7 +41,7 @@
     ("[node]\ntenant = 'x'\n", 2, "did you mean 'tenant-header'?"),
     ("[category.lokup]\npushes = 2\n", 1, "there is no category 'lokup'; did you mean 'lookup'?"),
     ("[category]\nlookup = 3\n", 2, "must be a table"),
-    // Routes by themselves.
+    // Faults of a single route.
     ("[route]\nname = 'a'\n", 1, "must be a list of tables"),
     ("[[route]]\nmatch = { path = '/a' }\npushes = 1\n", 1, "a route needs a name"),
     ("[[route]]\nname = ''\nmatch = { path = '/a' }\n", 2, "is empty"),
@@ -80,7 +79,7 @@
         6,
         "nothing of it ever holds: 'a' goes before it",
     ),
-    // Against the settings.
+    // Limits that conflict with the platform's settings.
     ("[defaults]\npushes = 6\n", 2, "6 pushes are more than the 5 that the settings allow"),
     ("[category.lookup]\nop = '6s'\n", 2, "6000 ms is longer than the TTL of 5000 ms (category lookup) [rule 1]"),
     ("[defaults]\nop = '6s'\n", 2, "(category lookup)"),
@@ -99,7 +98,7 @@
     ("[category.notice]\nresend-group = 'all'\n", 2, "not within the group that drops repeats"),
     ("[category.notice]\nresend-group = 'cell'\n", 2, "not within the group that drops repeats, domain"),
     ("[category.notice]\nkinds = ['small']\n", 2, "runs only on kind 'large', which is left out"),
-    // Two keys together, of one rule or of two.
+    // Two limits that conflict, set by one rule or by two.
     ("[category.lookup]\nop = '1s'\nno-start = '1s'\n", 3, "no-start of 1000 ms leaves nothing of the op's 1000 ms"),
     ("[category.lookup]\nop = '1s'\nno-progress = '2s'\n", 3, "no-progress of 2000 ms"),
     ("[category.lookup]\nop = '1s'\npause = '2s'\n", 3, "pause of 2000 ms"),
@@ -125,7 +124,7 @@
         8,
         "no-start of route 'slow' (line 4) meets op of route 'short' (line 8)",
     ),
-    // Three deep, by inheritance on one side only.
+    // A conflict through three levels of inheritance.
     (
         "[[route]]\nname = 'grand'\nbase = true\nno-start = '3s'\n\
          [[route]]\nname = 'mother'\nbase = true\ninherits = 'grand'\npushes = 2\n\
@@ -136,13 +135,13 @@
     ),
 ];
 
-/// Files that are well, though they look like some above.
-const GOOD: &[&str] = &[
+/// Valid files that resemble some of the invalid ones above.
+const VALID_FILES: &[&str] = &[
     "",
     "[defaults]\npushes = 5\nretry-budget = { part = 0.2 }\n",
     "[category.lookup]\nop = '5s'\ncopy-after = 0.95\n",
     "[node]\ntenant-header = 'X-Tenant'\n[[route]]\nname = 'a'\nmatch = { tenant = 't' }\nin-hand = 5\nwait = '1s'\n",
-    // The one goes before the other wherever both match, so that they never come together.
+    // Wherever both routes match, the more specific one takes precedence, so the conflicting limits never apply together.
     "[[route]]\nname = 'slow'\nmatch = { path = '/a/*' }\nno-start = '3s'\n\
      [[route]]\nname = 'short'\nmatch = { path = '/a/b' }\nop = '2s'\nno-start = '1s'\n",
     "[[route]]\nname = 'copies'\nmatch = { path = '/a/*', category = 'lookup' }\ncopy-after = 0.9\n\
@@ -154,31 +153,31 @@
 ];
 
 #[test]
-fn bad_files_are_refused_with_line_and_reason() {
-    assert!(BAD.len() >= 60, "{}", BAD.len());
-    for (text, line, reason) in BAD {
+fn invalid_files_are_rejected_with_line_and_reason() {
+    assert!(INVALID_FILES.len() >= 60, "{}", INVALID_FILES.len());
+    for (text, line, reason) in INVALID_FILES {
         let faults = read(text).expect_err(text);
-        let told: Vec<String> = faults.iter().map(Fault::to_string).collect();
+        let messages: Vec<String> = faults.iter().map(Fault::to_string).collect();
         let found =
             faults.iter().any(|fault| fault.position.line == *line && fault.to_string().contains(reason));
-        assert!(found, "{text}\nline {line}: {reason}\n{told:#?}");
-        assert!(told.iter().all(|line| line.lines().count() == 1), "{told:?}");
+        assert!(found, "{text}\nline {line}: {reason}\n{messages:#?}");
+        assert!(messages.iter().all(|line| line.lines().count() == 1), "{messages:?}");
     }
-    for text in GOOD {
-        let told = read(text).err().map(|faults| faults.iter().map(Fault::to_string).collect::<Vec<_>>());
-        assert_eq!(told, None, "{text}");
+    for text in VALID_FILES {
+        let messages = read(text).err().map(|faults| faults.iter().map(Fault::to_string).collect::<Vec<_>>());
+        assert_eq!(messages, None, "{text}");
     }
-    println!("routes: {} bad files refused", BAD.len());
+    println!("routes: {} bad files refused", INVALID_FILES.len());
 }
 
 #[test]
-fn copies_are_refused_where_the_settings_forbid_two_pushes_at_once() {
+fn hedging_is_rejected_where_the_settings_forbid_concurrent_pushes() {
     let mut ground = ground();
     ground.terms.second_copies = false;
     let text = "[category.lookup]\ncopy-after = 0.9\n";
     let faults = common::read_on(text, &ground).unwrap_err();
     assert!(faults[0].to_string().ends_with("(category lookup) [rule 2]"), "{}", faults[0]);
-    // All faults of a file at once.
+    // All faults of a file are reported at once.
     let text = "[defaults]\npushes = 9\nop = '5'\n[category.lookup]\ncopy-after = 0.9\nfoo = 1\n";
     assert_eq!(common::read_on(text, &ground).unwrap_err().len(), 4);
 }
