--- a/crates/operator-file/src/fault.rs
+++ b/crates/operator-file/src/fault.rs
@@ -1,4 +1,4 @@
-//! The faults of a file, and the log that collects them.
+//! The faults found in a file, and the log that collects them.
 
 use crate::position::Position;
 use std::cell::RefCell;
@@ -6,30 +6,30 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// One of the four rules of the system that a setting would break. The number is what operators see.
+/// One of the four safety rules of the system that a setting may break. Operators see its number in the messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rule {
+pub enum SafetyRule {
     /// No request is lost.
-    NoOpLost = 1,
+    NoRequestLost = 1,
     /// No request takes effect twice.
-    NoEffectTwice = 2,
-    /// Executors that drain are given nothing new.
-    DrainsKept = 3,
-    /// Executors that warm up are not overloaded.
-    ColdNotPushedOver = 4,
+    NoDuplicateEffect = 2,
+    /// Draining executors get no new requests.
+    NoNewWorkWhileDraining = 3,
+    /// Executors that are warming up are not overloaded.
+    NoOverloadWhileWarmingUp = 4,
 }
 
-/// What is wrong with a file; printed as `file:line:column: key: reason [rule 2]`.
+/// A fault in a file; printed as `file:line:column: key: reason [rule 2]`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
     /// The name of the file.
     pub file: String,
-    /// Where in it.
+    /// The position of the fault in the file.
     pub position: Position,
-    /// What is wrong, in one line.
+    /// What is wrong with the value or key, in one line.
     pub reason: String,
-    /// The rule that the setting would break, if that is the reason.
-    pub rule: Option<Rule>,
+    /// The safety rule that the setting would break, if that is the reason.
+    pub rule: Option<SafetyRule>,
 }
 
 impl fmt::Display for Fault {
@@ -55,16 +55,16 @@
 }
 
 impl FaultLog {
-    /// An empty log for a file of this name and text.
+    /// An empty log for a file with this name and text.
     pub fn new(file: &str, text: &str) -> Rc<FaultLog> {
-        let ends = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
-        let line_offsets = std::iter::once(0).chain(ends.map(|(offset, _)| offset + 1)).collect();
+        let line_ends = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
+        let line_offsets = std::iter::once(0).chain(line_ends.map(|(offset, _)| offset + 1)).collect();
         Rc::new(FaultLog { file: file.to_string(), line_offsets, faults: RefCell::default() })
     }
 
-    /// The position of a key at an offset in bytes.
+    /// The position of a key, by its offset in bytes.
     pub fn position(&self, offset: usize, key: &str) -> Position {
-        let line = self.line_offsets.partition_point(|begin| *begin <= offset).max(1);
+        let line = self.line_offsets.partition_point(|line_start| *line_start <= offset).max(1);
         let column = offset - self.line_offsets[line - 1] + 1;
         Position { line, column, key: key.to_string() }
     }
@@ -74,13 +74,13 @@
         self.line_offsets[position.line - 1] + position.column - 1
     }
 
-    /// Adds a fault. One that is there already is not added again; several lines of a reason are joined.
-    pub fn add(&self, position: Position, reason: impl Into<String>, rule: Option<Rule>) {
+    /// Adds a fault, unless the log has it already. A reason of several lines is joined into one.
+    pub fn add(&self, position: Position, reason: impl Into<String>, rule: Option<SafetyRule>) {
         let reason = reason.into().lines().collect::<Vec<_>>().join(" ");
         self.faults.borrow_mut().insert(Fault { file: self.file.clone(), position, reason, rule });
     }
 
-    /// All faults in the order of the file.
+    /// All faults, by their position in the file.
     pub fn faults(&self) -> Vec<Fault> {
         self.faults.borrow().iter().cloned().collect()
     }
--- a/crates/operator-file/src/lib.rs
+++ b/crates/operator-file/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads an operator's TOML file, and reports all faults of it at once.
+//! Reads an operator's TOML file, and reports all of its faults at once.
 //!
-//! Whoever knows a section asks its [`Section`] for the keys one by one. What is missing, wrong or unknown is collected in a
-//! [`FaultLog`], and each value keeps its [`Position`] in the file, for checks that come later. No section is known here, and
-//! only [`load`] does I/O.
+//! The caller, which knows the schema, asks a [`Section`] for its keys one by one. Wrong values and unknown keys are collected in
+//! a [`FaultLog`]. Each value keeps its [`Position`] in the file, so that later checks can report it. This crate knows no
+//! schema, and only [`load`] does I/O.
 
 mod fault;
 mod position;
@@ -10,7 +10,7 @@
 mod section;
 mod suggestion;
 
-pub use fault::{Fault, FaultLog, Rule};
+pub use fault::{Fault, FaultLog, SafetyRule};
 pub use position::{Located, Position};
 pub use read::{load, read};
 pub use section::Section;
--- a/crates/operator-file/src/position.rs
+++ b/crates/operator-file/src/position.rs
@@ -1,19 +1,19 @@
-//! Where things are in a file.
+//! Positions of keys and values in a file.
 
 use std::fmt;
 use std::ops::Deref;
 
-/// The key of faults that concern the file as a whole.
+/// The key that is shown for faults of the file as a whole.
 pub(crate) const WHOLE_FILE: &str = "file";
 
 /// A position in a file, and the key there.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// The line, from 1 on.
+    /// The line number, starting at 1.
     pub line: usize,
-    /// The column in bytes, from 1 on.
+    /// The column in bytes, starting at 1.
     pub column: usize,
-    /// The path of the key, as `route[2].wait`; `file` for the file as a whole.
+    /// The path of the key, such as `route[2].wait`; `file` for the file as a whole.
     pub key: String,
 }
 
@@ -23,12 +23,12 @@
     }
 }
 
-/// A value and where it comes from. It dereferences to the value.
+/// A value with its position in the file. It dereferences to the value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Located<T> {
-    /// The value.
+    /// The value that the file sets.
     pub value: T,
-    /// The position of its key, or of itself in a list.
+    /// The position of the value's key, or of the value itself in a list.
     pub position: Position,
 }
 
--- a/crates/operator-file/src/read.rs
+++ b/crates/operator-file/src/read.rs
@@ -1,4 +1,4 @@
-//! Reading of a whole file.
+//! Reads a complete file.
 
 use crate::fault::{Fault, FaultLog};
 use crate::position::{Position, WHOLE_FILE};
@@ -6,8 +6,8 @@
 use std::path::Path;
 use toml::de::DeTable;
 
-/// Reads the text of a file. `sections` is given the outermost table, asks it for all that it knows, and makes the value of it;
-/// `None` if anything is missing, which it has reported as a fault.
+/// Reads the text of a file. `read_sections` gets the outermost table, reads the keys that it knows, and returns the value that
+/// they make; or `None` if a key is missing or wrong, which it must have reported as a fault.
 ///
 /// # Errors
 ///
@@ -15,7 +15,7 @@
 pub fn read<T>(
     file: &str,
     text: &str,
-    sections: impl FnOnce(&Section) -> Option<T>,
+    read_sections: impl FnOnce(&Section) -> Option<T>,
 ) -> Result<T, Vec<Fault>> {
     let log = FaultLog::new(file, text);
     let table = match DeTable::parse(text) {
@@ -27,7 +27,7 @@
         }
     };
     let root = Section::root(log.clone(), table.get_ref());
-    let value = sections(&root);
+    let value = read_sections(&root);
     root.finish();
     let faults = log.faults();
     match value {
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 ///
-/// The one fault of a file that cannot be read.
+/// A single fault, with the reason why the file cannot be read.
 pub fn load(path: &Path) -> Result<String, Vec<Fault>> {
     std::fs::read_to_string(path).map_err(|error| {
         let position = Position { line: 1, column: 1, key: WHOLE_FILE.to_string() };
--- a/crates/operator-file/tests/faults.rs
+++ b/crates/operator-file/tests/faults.rs
@@ -1,20 +1,20 @@
-//! The whole text of every fault that reading a file reports, with line, column and key.
+//! Tests the complete text of every fault that reading a file can report, with line, column and key.
 
 use stileroute_operator_file::{load, read, Fault, Section};
 
-/// The faults of a file, line by line.
-fn faults(text: &str, sections: impl FnOnce(&Section)) -> Vec<String> {
+/// The faults of a file, one text each.
+fn faults(text: &str, read_sections: impl FnOnce(&Section)) -> Vec<String> {
     let read = read("f.toml", text, |keys| {
-        sections(keys);
+        read_sections(keys);
         Some(())
     });
     read.err().unwrap_or_default().iter().map(Fault::to_string).collect()
 }
 
 #[test]
-fn each_kind_of_value_has_its_faults() {
-    type Ask = fn(&Section);
-    let cases: [(&str, Ask, &str); 32] = [
+fn each_type_of_value_reports_its_faults() {
+    type ReadKeys = fn(&Section);
+    let cases: [(&str, ReadKeys, &str); 32] = [
         ("a = 1", |keys| drop(keys.text("a")), "f.toml:1:1: a: must be a text in quotes, not a whole number"),
         ("\na = ''", |keys| drop(keys.text("a")), "f.toml:2:1: a: is empty"),
         (
@@ -90,13 +90,17 @@
         (
             "",
             |keys| {
-                keys.log().add(keys.position(), "one\ntwo", Some(stileroute_operator_file::Rule::DrainsKept))
+                keys.log().add(
+                    keys.position(),
+                    "one\ntwo",
+                    Some(stileroute_operator_file::SafetyRule::NoNewWorkWhileDraining),
+                )
             },
             "f.toml:1:1: file: one two [rule 3]",
         ),
     ];
-    for (text, ask, expected) in cases {
-        assert_eq!(faults(text, ask), [expected], "{text:?}");
+    for (text, read_keys, expected) in cases {
+        assert_eq!(faults(text, read_keys), [expected], "{text:?}");
     }
     let wrong = faults("a = '5 parsecs'", |keys| drop(keys.time("a")));
     assert_eq!(wrong.len(), 1);
@@ -104,7 +108,7 @@
 }
 
 #[test]
-fn what_is_right_is_read() {
+fn valid_values_are_read() {
     let text =
         "text = 't'\nword = 'y'\ntime = '1m 0.25s'\nflag = true\nnumber = 0x10\nfloat = 0.5\ncount = 3\n\
                 texts = ['a', 'b']\n[pairs]\nk = 'v'\n";
@@ -127,7 +131,7 @@
         Some(())
     });
     let faults: Vec<String> = read.err().unwrap_or_default().iter().map(Fault::to_string).collect();
-    assert_eq!(faults, ["f.toml:3:1: time: is not known"], "nobody asked for the time");
+    assert_eq!(faults, ["f.toml:3:1: time: is not known"], "the key `time` was not asked for");
     let time = |text: &str| {
         let text = format!("time = '{text}'");
         stileroute_operator_file::read("f.toml", &text, |keys| keys.time("time").map(|time| time.value))
@@ -138,7 +142,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_read_has_one_fault() {
+fn an_unreadable_file_has_one_fault() {
     let path = std::env::temp_dir().join(format!("stileroute-operator-file-{}.toml", std::process::id()));
     let faults = load(&path).unwrap_err();
     let texts: Vec<String> = faults.iter().map(Fault::to_string).collect();
--- a/crates/route-limits/src/check.rs
+++ b/crates/route-limits/src/check.rs
@@ -13,7 +13,7 @@
 use crate::Ground;
 use std::collections::BTreeSet;
 use stileroute_dispatch::types::{Effect, Scope, Time};
-use stileroute_operator_file::{FaultLog, Located, Position, Rule as SafetyRule};
+use stileroute_operator_file::{FaultLog, Located, Position, SafetyRule};
 
 /// Stands for the platform's settings where the number of a rule is expected; they have the lowest precedence.
 const SETTINGS: usize = usize::MAX;
@@ -219,7 +219,7 @@
     /// A route may set only an effect that is as narrow as the category's, or narrower.
     fn check_effect(&mut self, category: usize) {
         let own = narrowness(self.category_effect(category));
-        self.check_limit(category, EFFECT, "effect", Some(SafetyRule::NoEffectTwice), |override_to| {
+        self.check_limit(category, EFFECT, "effect", Some(SafetyRule::NoDuplicateEffect), |override_to| {
             let override_narrowness = match override_to {
                 EffectOverride::Redeliverable => 0,
                 EffectOverride::Deduplicated => 1,
@@ -237,7 +237,7 @@
 
     /// Hedged pushes and retries need an effect and platform settings that allow them.
     fn check_hedging_and_pushes(&mut self, category: usize) {
-        let duplicates_effect = Some(SafetyRule::NoEffectTwice);
+        let duplicates_effect = Some(SafetyRule::NoDuplicateEffect);
         let (settings_max_pushes, hedging_allowed) =
             (self.ground.terms.max_pushes, self.ground.terms.second_copies);
         let category_override = match self.category_effect(category) {
@@ -283,7 +283,7 @@
 
     /// No time-out may be longer than the TTL of the category.
     fn check_timeouts_within_ttl(&mut self, category: usize) {
-        let loses_request = Some(SafetyRule::NoOpLost);
+        let loses_request = Some(SafetyRule::NoRequestLost);
         let ttl = self.ground.ttl(category);
         let longer_than_ttl =
             |time: Time| (time > ttl).then(|| format!("{} is longer than the TTL of {}", ms(time), ms(ttl)));
@@ -298,7 +298,7 @@
     /// A time-out for one stage of a request must be shorter than that of the whole request, and connecting to an executor may
     /// take no longer than the start that it is part of.
     fn check_nested_timeouts(&mut self, category: usize) {
-        let loses_request = Some(SafetyRule::NoOpLost);
+        let loses_request = Some(SafetyRule::NoRequestLost);
         let not_shorter_than_op = |what: &'static str| {
             move |time: Time, op_timeout: Time| {
                 (time >= op_timeout)
@@ -372,7 +372,7 @@
 
     /// A request may be resent only within the time window and the scope in which executors drop duplicates of it.
     fn check_deduplication(&mut self, category: usize) {
-        let duplicates_effect = Some(SafetyRule::NoEffectTwice);
+        let duplicates_effect = Some(SafetyRule::NoDuplicateEffect);
         let Effect::Deduplicated { scope, window } = self.category_effect(category) else { return };
         self.check_limit(category, RESEND_WINDOW, "window", duplicates_effect, |resend_window| {
             let reason = || {
@@ -398,7 +398,7 @@
         let (_, _, settings) = &self.ground.categories[category];
         let Some(kind) = settings.kind else { return };
         let name = self.ground.kinds.get(kind).cloned().unwrap_or_default();
-        self.check_limit(category, KINDS, "kind", Some(SafetyRule::NoOpLost), |bits| {
+        self.check_limit(category, KINDS, "kind", Some(SafetyRule::NoRequestLost), |bits| {
             (bits >> kind.min(63) & 1 == 0)
                 .then(|| format!("the category runs only on kind '{name}', which is left out"))
         });
