--- a/crates/operator-file/src/section.rs
+++ b/crates/operator-file/src/section.rs
@@ -100,7 +100,7 @@
             return self.reject(position, format!("'{given}' has no unit: ms, s, m or h"));
         }
         match humantime::parse_duration(given) {
-            Err(error) => self.reject(position, format!("'{given}' is no time: {error}")),
+            Err(error) => self.reject(position, format!("'{given}' is not a time: {error}")),
             Ok(time) => match Time::try_from(time.as_micros() / 100) {
                 Ok(value) if value <= MAX_TIME => Some(Located { value, position }),
                 _ => self.reject(position, format!("'{given}' is more than 24h")),
--- a/crates/operator-file/tests/faults.rs
+++ b/crates/operator-file/tests/faults.rs
@@ -104,7 +104,7 @@
     }
     let wrong = faults("a = '5 parsecs'", |keys| drop(keys.time("a")));
     assert_eq!(wrong.len(), 1);
-    assert!(wrong[0].starts_with("f.toml:1:1: a: '5 parsecs' is no time: "), "{wrong:?}");
+    assert!(wrong[0].starts_with("f.toml:1:1: a: '5 parsecs' is not a time: "), "{wrong:?}");
 }
 
 #[test]
--- a/crates/route-limits/src/check.rs
+++ b/crates/route-limits/src/check.rs
@@ -301,8 +301,9 @@
         let loses_request = Some(SafetyRule::NoRequestLost);
         let not_shorter_than_op = |what: &'static str| {
             move |time: Time, op_timeout: Time| {
-                (time >= op_timeout)
-                    .then(|| format!("{what} of {} leaves nothing of the op's {}", ms(time), ms(op_timeout)))
+                (time >= op_timeout).then(|| {
+                    format!("{what} of {} is not shorter than the op's {}", ms(time), ms(op_timeout))
+                })
             }
         };
         let (connect_timeout, start_timeout) = ((CONNECT_TIMEOUT, "connect"), (START_TIMEOUT, "no-start"));
@@ -363,7 +364,7 @@
                 (connect_timeout > start).then(|| {
                     let (start, connect_timeout) = (ms(start), ms(connect_timeout));
                     format!(
-                        "a push would be called off after {start} while it connects for {connect_timeout}"
+                        "a push would be cancelled after {start}, while it may connect for {connect_timeout}"
                     )
                 })
             },
@@ -435,7 +436,7 @@
             });
             if let Some(earlier) = shadowing_rule.filter(|_| !is_reachable) {
                 let reason = format!(
-                    "nothing of it ever holds: '{}' goes before it ({})",
+                    "it never applies: '{}' takes precedence over it ({})",
                     earlier.name, earlier.place
                 );
                 self.faults.add(rule.place.clone(), reason, None);
@@ -477,7 +478,7 @@
     {
         faults.add(
             budget.position.clone(),
-            "no further push would ever be left: set pushes = 1 in [defaults] for that",
+            "this budget allows no retry at all: set pushes = 1 in [defaults] for that",
             None,
         );
     }
--- a/crates/route-limits/src/limits.rs
+++ b/crates/route-limits/src/limits.rs
@@ -126,7 +126,7 @@
             table.log().add(window.position.clone(), "must be from 1s to 1h", None);
         }
         if ratio.is_none() {
-            table.log().add(table_position.clone(), "needs a part of 0 to 1: part = 0.2", None);
+            table.log().add(table_position.clone(), "needs a part from 0 to 1, such as part = 0.2", None);
         }
         table.finish();
         let value = RetryBudget {
@@ -148,7 +148,7 @@
                     Some(_) => {
                         keys.log().add(
                             name.position.clone(),
-                            format!("of more than 63 {what}s none can be named"),
+                            format!("only the first 63 {what}s of the settings can be named"),
                             None,
                         );
                     }
@@ -165,7 +165,7 @@
         let positive = |key: &str| {
             let time = keys.time(key)?;
             if time.value <= 0 {
-                keys.log().add(time.position, "must be more than nothing", None);
+                keys.log().add(time.position, "must be longer than 0", None);
                 return None;
             }
             Some(time)
--- a/crates/route-limits/src/pattern.rs
+++ b/crates/route-limits/src/pattern.rs
@@ -11,16 +11,16 @@
     #[error("'{0}' does not begin with '/'")]
     NoLeadingSlash(String),
     /// The path pattern has a space or other non-graphic character, a query or a fragment.
-    #[error("'{0}' is no path: no space, '?' or '#'")]
+    #[error("'{0}' is not a path: it must have no space, '?' or '#'")]
     ForbiddenCharacter(String),
     /// Braces enclose only a part of a segment, or no name.
-    #[error("'{0}': a free segment is '{{name}}', whole")]
+    #[error("'{0}': a wildcard must be a whole segment, as '{{name}}'")]
     PartialWildcardSegment(String),
     /// A prefix pattern has a wildcard segment.
-    #[error("a prefix has no free segments")]
+    #[error("a prefix must have no wildcard segments")]
     WildcardInPrefix,
     /// A star is not the whole last segment.
-    #[error("'*' stands only at the end, as a segment of its own")]
+    #[error("'*' must be the whole last segment")]
     MisplacedStar,
 }
 
--- a/crates/route-limits/src/read.rs
+++ b/crates/route-limits/src/read.rs
@@ -87,7 +87,7 @@
                 if is_base {
                     faults.add(
                         conditions.position(),
-                        "a base is only inherited from, and matches nothing",
+                        "a base must have no match: other routes inherit from it, and it matches no request itself",
                         None,
                     );
                 }
@@ -97,7 +97,7 @@
             None => None,
         };
         if pattern.is_none() && !is_base {
-            let reason = "matches nothing: it needs a match with a condition, or base = true";
+            let reason = "matches no request: it needs a match with a condition, or base = true";
             faults.add(place.clone(), reason, None);
         }
         table.finish();
@@ -120,7 +120,7 @@
                 inheritance_chain.push(&from.value);
                 faults.add(
                     from.position.clone(),
-                    format!("inherits in a circle: {}", inheritance_chain.join(" from ")),
+                    format!("inheritance cycle: {}", inheritance_chain.join(" from ")),
                     None,
                 );
                 break;
@@ -187,7 +187,7 @@
         pattern.headers.insert(name.value.to_ascii_lowercase(), value);
     }
     if pattern == Pattern::default() && !invalid {
-        faults.add(keys.position(), "has no condition: what holds for all goes to [defaults]", None);
+        faults.add(keys.position(), "has no condition: limits for all requests belong in [defaults]", None);
         invalid = true;
     }
     (!invalid).then_some(pattern)
--- a/crates/route-limits/src/table.rs
+++ b/crates/route-limits/src/table.rs
@@ -195,10 +195,10 @@
         push_line!(retry_backoff, "pause", time);
         push_line!(backoff_spread, "pause-spread", |spread: &f64| spread.to_string());
         push_line!(hedge_quantile, "copy-after", |quantile: &f64| format!(
-            "the {quantile} quantile of own running times"
+            "the {quantile} quantile of recorded run times"
         ));
         push_line!(retry_budget, "retry-budget", |b: &RetryBudget| {
-            format!("{} of first pushes over {}, {} free", b.ratio, time(&b.window), b.min_retries)
+            format!("{} of first pushes over {}, plus {}", b.ratio, time(&b.window), b.min_retries)
         });
         push_line!(max_in_flight, "in-hand", |count: &usize| count.to_string());
         push_line!(max_queue_wait, "wait", time);
