--- a/crates/route-limits/examples/cost.rs
+++ b/crates/route-limits/examples/cost.rs
@@ -23,7 +23,7 @@
         };
         (name.to_string(), 9 * SECOND, category)
     };
-    let ground = Ground {
+    let platform = Ground {
         categories: vec![category("lookup", Effect::Redeliverable), category("booking", Effect::AtMostOnce)],
         terms: Terms { max_pushes: 5, ..Terms::default() },
         ..Ground::default()
@@ -46,7 +46,7 @@
             );
         }
         let started = Instant::now();
-        let table = stileroute_operator_file::read("cost.toml", &text, |keys| Table::read(keys, &ground));
+        let table = stileroute_operator_file::read("cost.toml", &text, |keys| Table::read(keys, &platform));
         let check_ms = started.elapsed().as_secs_f64() * 1e3;
         let table = match table {
             Ok(table) => Arc::new(table),
@@ -65,13 +65,13 @@
             black_box(table.effective(&matching).op_timeout.map(|limit| limit.setting.value));
         }
         let match_ns = started.elapsed().as_nanos() as f64 / iterations as f64;
-        let mut gate = Gate::new(table);
+        let mut admission = Gate::new(table);
         let started = Instant::now();
         for n in 0..iterations {
             let (path, tenant) = request(n);
             let request = Request { path, method: "POST", category: n % 2, tenant, header: &|_| None };
-            if let Entry::In(pass) = gate.enter(n as i64, n as u64, &request) {
-                black_box(pass);
+            if let Entry::In(permit) = admission.enter(n as i64, n as u64, &request) {
+                black_box(permit);
             }
         }
         let enter_ns = started.elapsed().as_nanos() as f64 / iterations as f64;
--- a/crates/route-limits/src/check.rs
+++ b/crates/route-limits/src/check.rs
@@ -31,7 +31,7 @@
 
 struct Checker<'a> {
     table: &'a Table,
-    ground: &'a Ground,
+    platform: &'a Ground,
     faults: &'a FaultLog,
     match_all: &'a Pattern,
     /// The conflicts that are reported already, as two rules and a code, so that none is repeated for another category.
@@ -105,8 +105,8 @@
     }
 
     fn category_name(&self, category: usize) -> &'a str {
-        let ground: &'a Ground = self.ground;
-        &ground.categories[category].0
+        let platform: &'a Ground = self.platform;
+        &platform.categories[category].0
     }
 
     /// Checks each value of one limit against the category. `conflict` returns the reason why a value is not allowed.
@@ -212,7 +212,7 @@
     }
 
     fn category_effect(&self, category: usize) -> Effect {
-        let (_, _, settings) = &self.ground.categories[category];
+        let (_, _, settings) = &self.platform.categories[category];
         settings.effect
     }
 
@@ -239,7 +239,7 @@
     fn check_hedging_and_pushes(&mut self, category: usize) {
         let duplicates_effect = Some(SafetyRule::NoDuplicateEffect);
         let (settings_max_pushes, hedging_allowed) =
-            (self.ground.terms.max_pushes, self.ground.terms.second_copies);
+            (self.platform.terms.max_pushes, self.platform.terms.second_copies);
         let category_override = match self.category_effect(category) {
             Effect::Redeliverable => EffectOverride::Redeliverable,
             Effect::Deduplicated { .. } => EffectOverride::Deduplicated,
@@ -284,7 +284,7 @@
     /// No time-out may be longer than the TTL of the category.
     fn check_timeouts_within_ttl(&mut self, category: usize) {
         let loses_request = Some(SafetyRule::NoRequestLost);
-        let ttl = self.ground.ttl(category);
+        let ttl = self.platform.ttl(category);
         let longer_than_ttl =
             |time: Time| (time > ttl).then(|| format!("{} is longer than the TTL of {}", ms(time), ms(ttl)));
         self.check_limit(category, OP_TIMEOUT, "op-ttl", loses_request, longer_than_ttl);
@@ -396,9 +396,9 @@
 
     /// The executor kind that the category needs must be among the allowed kinds.
     fn check_executor_kind(&mut self, category: usize) {
-        let (_, _, settings) = &self.ground.categories[category];
+        let (_, _, settings) = &self.platform.categories[category];
         let Some(kind) = settings.kind else { return };
-        let name = self.ground.kinds.get(kind).cloned().unwrap_or_default();
+        let name = self.platform.kinds.get(kind).cloned().unwrap_or_default();
         self.check_limit(category, KINDS, "kind", Some(SafetyRule::NoRequestLost), |bits| {
             (bits >> kind.min(63) & 1 == 0)
                 .then(|| format!("the category runs only on kind '{name}', which is left out"))
@@ -423,7 +423,7 @@
                 let setting = covering.iter().filter(|earlier| set_bits[**earlier] >> key & 1 == 1);
                 setting.map(|earlier| &table.rules[*earlier]).find(covers)
             };
-            let categories = 0..self.ground.categories.len();
+            let categories = 0..self.platform.categories.len();
             let mut own = categories.filter(|c| rule.pattern.category.is_none_or(|category| category == *c));
             let set_keys = || (0..u32::BITS).filter(|key| set_bits[number] >> key & 1 == 1);
             let mut shadowing_rule = None;
@@ -466,10 +466,10 @@
 }
 
 /// Checks a table against the platform's settings for all possible requests, and adds what it finds to `faults`.
-pub fn check(table: &Table, ground: &Ground, faults: &FaultLog) {
+pub fn check(table: &Table, platform: &Ground, faults: &FaultLog) {
     let match_all = Pattern::default();
-    let mut checker = Checker { table, ground, faults, match_all: &match_all, reported: BTreeSet::new() };
-    for category in 0..ground.categories.len() {
+    let mut checker = Checker { table, platform, faults, match_all: &match_all, reported: BTreeSet::new() };
+    for category in 0..platform.categories.len() {
         checker.check_category(category);
     }
     checker.report_shadowed_rules();
--- a/crates/route-limits/src/gate.rs
+++ b/crates/route-limits/src/gate.rs
@@ -73,9 +73,9 @@
 
 impl Gate {
     pub fn new(table: Arc<Table>) -> Gate {
-        let mut gate = Gate::default();
-        gate.turn(table);
-        gate
+        let mut control = Gate::default();
+        control.turn(table);
+        control
     }
 
     pub fn table(&self) -> &Arc<Table> {
@@ -155,7 +155,7 @@
             Some(number) => self.rule_names[*number as usize].clone(),
             None => self.no_route_name.get_or_insert_with(|| Rc::from("-")).clone(),
         };
-        let pass = Pass {
+        let permit = Pass {
             limits,
             route,
             op: limit_value(&effective.op_timeout).unwrap_or(Time::MAX / 4),
@@ -170,7 +170,7 @@
             effective.max_queued.as_ref().map_or(64, |limit| limit.setting.value),
         );
         self.matching_rules = matching_rules;
-        let Some(reservation) = &pass.reservation else { return Entry::In(pass) };
+        let Some(reservation) = &permit.reservation else { return Entry::In(permit) };
         let outcome = reservation.slots.borrow_mut().acquire(
             now,
             ticket,
@@ -179,8 +179,8 @@
             max_queue_wait,
         );
         match outcome {
-            SlotOutcome::Acquired => Entry::In(pass),
-            SlotOutcome::Queued(until) => Entry::Waits(pass, until),
+            SlotOutcome::Acquired => Entry::In(permit),
+            SlotOutcome::Queued(until) => Entry::Waits(permit, until),
             SlotOutcome::Rejected(retry_after) => Entry::Full(retry_after),
         }
     }
@@ -254,40 +254,40 @@
             priority: 0,
         };
         let terms = Terms { max_pushes: 5, ..Terms::default() };
-        let ground =
+        let platform =
             Ground { categories: vec![("c".to_string(), 9 * SECOND, own)], terms, ..Ground::default() };
-        let read = stileroute_operator_file::read("t.toml", text, |keys| Table::read(keys, &ground));
+        let read = stileroute_operator_file::read("t.toml", text, |keys| Table::read(keys, &platform));
         Arc::new(read.unwrap_or_else(|faults| panic!("{}", faults[0])))
     }
 
-    fn enter(gate: &mut Gate, now: Time, ticket: u64) -> Entry {
+    fn enter(control: &mut Gate, now: Time, ticket: u64) -> Entry {
         let request = Request { path: "/a", method: "POST", category: 0, tenant: None, header: &|_| None };
-        gate.enter(now, ticket, &request)
+        control.enter(now, ticket, &request)
     }
 
     #[test]
     fn counters_survive_a_reload_and_admitted_requests_keep_their_limits() {
         let text =
             "[defaults]\npushes = 2\nretry-budget = { part = 0.0, window = '20s', least = 1 }\nin-hand = 1\n";
-        let mut gate = Gate::new(table(text));
-        let Entry::In(mut first) = enter(&mut gate, 0, 1) else { panic!("not admitted") };
+        let mut control = Gate::new(table(text));
+        let Entry::In(mut first) = enter(&mut control, 0, 1) else { panic!("not admitted") };
         first.pushed(0);
         assert_eq!(first.over_budget(0), 0);
         first.pushed(SECOND);
         // The budget's minimum of one retry is used up, and the one slot is taken; a reload changes neither counter.
-        gate.turn(table(
+        control.turn(table(
             &text.replace("pushes = 2", "pushes = 4").replace("window = '20s'", "window = '40s'"),
         ));
         assert!(first.over_budget(2 * SECOND) > 0 && first.limits.pushes == 2);
-        assert!(matches!(enter(&mut gate, 2 * SECOND, 2), Entry::Full(retry_after) if retry_after > 0));
+        assert!(matches!(enter(&mut control, 2 * SECOND, 2), Entry::Full(retry_after) if retry_after > 0));
         assert_eq!(first.leave(2 * SECOND, 1), None);
-        let Entry::In(mut second) = enter(&mut gate, 3 * SECOND, 3) else { panic!("not admitted") };
+        let Entry::In(mut second) = enter(&mut control, 3 * SECOND, 3) else { panic!("not admitted") };
         second.pushed(3 * SECOND);
         assert!(second.over_budget(3 * SECOND) > 0 && second.limits.pushes == 4);
         // A raised in-flight limit applies at once, and a rule that is gone loses its counters.
-        gate.turn(table("[defaults]\nin-hand = 2\n"));
-        assert!(matches!(enter(&mut gate, 4 * SECOND, 4), Entry::In(_)));
-        gate.turn(table("[category.c]\nin-hand = 1\n"));
-        assert!(matches!(enter(&mut gate, 5 * SECOND, 5), Entry::In(_)));
+        control.turn(table("[defaults]\nin-hand = 2\n"));
+        assert!(matches!(enter(&mut control, 4 * SECOND, 4), Entry::In(_)));
+        control.turn(table("[category.c]\nin-hand = 1\n"));
+        assert!(matches!(enter(&mut control, 5 * SECOND, 5), Entry::In(_)));
     }
 }
--- a/crates/route-limits/src/limits.rs
+++ b/crates/route-limits/src/limits.rs
@@ -138,7 +138,7 @@
     }
 
     /// Reads the limits of a table, and reports wrong values.
-    pub fn read(keys: &Section, ground: &Ground) -> Limits {
+    pub fn read(keys: &Section, platform: &Ground) -> Limits {
         let name_mask = |key: &str, names: &[String], what: &str| {
             let names_given = keys.texts(key)?;
             let mut bits = 0;
@@ -189,8 +189,8 @@
             max_in_flight: keys.count("in-hand", 1..=1_000_000),
             max_queue_wait: keys.time("wait"),
             max_queued: keys.count("waiting", 0..=100_000),
-            kinds: name_mask("kinds", &ground.kinds, "kind"),
-            domains: name_mask("domains", &ground.domains, "failure domain"),
+            kinds: name_mask("kinds", &platform.kinds, "kind"),
+            domains: name_mask("domains", &platform.domains, "failure domain"),
             effect: keys.word("effect", &effects),
             resend_window: keys.time("resend-within"),
             resend_scope: keys.word("resend-group", &scopes),
--- a/crates/route-limits/src/read.rs
+++ b/crates/route-limits/src/read.rs
@@ -9,7 +9,7 @@
 
 impl Table {
     /// Reads the routes of a file and checks them against the platform's settings. Faults are added to the log of `keys`.
-    pub fn read(keys: &Section, ground: &Ground) -> Option<Table> {
+    pub fn read(keys: &Section, platform: &Ground) -> Option<Table> {
         let mut rules = Vec::new();
         let (mut node_budget, mut tenant_header) = (None, None);
         if let Some(node) = keys.table("node") {
@@ -18,7 +18,7 @@
             node.finish();
         }
         if let Some(table) = keys.table("defaults") {
-            let limits = Limits::read(&table, ground);
+            let limits = Limits::read(&table, platform);
             let place = table.position();
             table.finish();
             rules.push(Rule {
@@ -30,8 +30,8 @@
             });
         }
         for (name, table) in keys.named_tables("category") {
-            let limits = Limits::read(&table, ground);
-            if let Some(category) = category(&name, ground, &table) {
+            let limits = Limits::read(&table, platform);
+            if let Some(category) = category(&name, platform, &table) {
                 let pattern = Pattern { category: Some(category), ..Pattern::default() };
                 let rule_name = format!("category {}", name.value);
                 rules.push(Rule {
@@ -44,17 +44,17 @@
             }
             table.finish();
         }
-        rules.extend(read_routes(keys, ground, tenant_header.is_some()));
-        let table = Table::new(rules, node_budget, tenant_header, ground);
-        check(&table, ground, keys.log());
+        rules.extend(read_routes(keys, platform, tenant_header.is_some()));
+        let table = Table::new(rules, node_budget, tenant_header, platform);
+        check(&table, platform, keys.log());
         Some(table)
     }
 }
 
-fn category(name: &Located<String>, ground: &Ground, keys: &Section) -> Option<usize> {
-    let found = ground.categories.iter().position(|(known, ..)| *known == name.value);
+fn category(name: &Located<String>, platform: &Ground, keys: &Section) -> Option<usize> {
+    let found = platform.categories.iter().position(|(known, ..)| *known == name.value);
     if found.is_none() {
-        let all: Vec<&str> = ground.categories.iter().map(|(name, ..)| name.as_str()).collect();
+        let all: Vec<&str> = platform.categories.iter().map(|(name, ..)| name.as_str()).collect();
         let reason = format!("there is no category '{}'{}", name.value, suggestion(name, &all));
         keys.log().add(name.position.clone(), reason, None);
     }
@@ -69,7 +69,7 @@
     is_base: bool,
 }
 
-fn read_routes(keys: &Section, ground: &Ground, has_tenant_header: bool) -> Vec<Rule> {
+fn read_routes(keys: &Section, platform: &Ground, has_tenant_header: bool) -> Vec<Rule> {
     let faults = keys.log();
     let mut drafts: Vec<RouteDraft> = Vec::new();
     for table in keys.tables("route") {
@@ -80,10 +80,10 @@
         }
         let inherits = table.text("inherits");
         let is_base = table.flag("base").is_some_and(|flag| flag.value);
-        let limits = Limits::read(&table, ground);
+        let limits = Limits::read(&table, platform);
         let pattern = match table.table("match") {
             Some(conditions) => {
-                let pattern = read_pattern(&conditions, ground, has_tenant_header);
+                let pattern = read_pattern(&conditions, platform, has_tenant_header);
                 if is_base {
                     faults.add(
                         conditions.position(),
@@ -143,7 +143,7 @@
 }
 
 /// Reads the conditions of a route; `None` if there are none, or one is invalid.
-fn read_pattern(keys: &Section, ground: &Ground, has_tenant_header: bool) -> Option<Pattern> {
+fn read_pattern(keys: &Section, platform: &Ground, has_tenant_header: bool) -> Option<Pattern> {
     let faults = keys.log();
     let mut pattern = Pattern::default();
     let mut invalid = false;
@@ -161,7 +161,7 @@
         }
     }
     if let Some(name) = keys.text("category") {
-        pattern.category = category(&name, ground, keys);
+        pattern.category = category(&name, platform, keys);
         invalid |= pattern.category.is_none();
     }
     if let Some(tenant) = keys.text("tenant") {
--- a/crates/route-limits/src/table.rs
+++ b/crates/route-limits/src/table.rs
@@ -168,7 +168,7 @@
 
 impl EffectiveLimits<'_> {
     /// For each limit that is set: its key, its value as text, its position in the file and the number of its rule.
-    pub fn shown(&self, ground: &Ground) -> Vec<(&'static str, String, Position, u32)> {
+    pub fn shown(&self, platform: &Ground) -> Vec<(&'static str, String, Position, u32)> {
         let time = |time: &Time| format!("{} ms", *time as f64 / 10.0);
         let names = |bits: &u64, names: &[String]| {
             let selected = names.iter().enumerate().filter(|(bit, _)| bits >> bit & 1 == 1);
@@ -203,8 +203,8 @@
         push_line!(max_in_flight, "in-hand", |count: &usize| count.to_string());
         push_line!(max_queue_wait, "wait", time);
         push_line!(max_queued, "waiting", |count: &usize| count.to_string());
-        push_line!(kinds, "kinds", |bits: &u64| names(bits, &ground.kinds));
-        push_line!(domains, "domains", |bits: &u64| names(bits, &ground.domains));
+        push_line!(kinds, "kinds", |bits: &u64| names(bits, &platform.kinds));
+        push_line!(domains, "domains", |bits: &u64| names(bits, &platform.domains));
         push_line!(effect, "effect", |override_to: &crate::limits::EffectOverride| format!(
             "{override_to:?}"
         )
@@ -221,15 +221,15 @@
         rules: Vec<Rule>,
         node_budget: Option<Located<RetryBudget>>,
         tenant_header: Option<String>,
-        ground: &Ground,
+        platform: &Ground,
     ) -> Table {
         let mut table = Table { rules, node_budget, tenant_header, ..Table::default() };
-        table.sort_and_index(ground);
+        table.sort_and_index(platform);
         table
     }
 
     /// Sorts the rules by precedence and builds the index.
-    fn sort_and_index(&mut self, ground: &Ground) {
+    fn sort_and_index(&mut self, platform: &Ground) {
         // The sort is stable: of rules with equal precedence, the one that is earlier in the file takes precedence.
         self.rules.sort_by_key(|rule| std::cmp::Reverse((rule.kind, rule.pattern.precedence())));
         let mut headers: Vec<String> =
@@ -238,13 +238,13 @@
         headers.sort();
         headers.dedup();
         self.headers = headers;
-        self.index = RuleIndex::new(&self.rules, ground.categories.len());
-        self.category_effects = ground.categories.iter().map(|(_, _, category)| category.effect).collect();
+        self.index = RuleIndex::new(&self.rules, platform.categories.len());
+        self.category_effects = platform.categories.iter().map(|(_, _, category)| category.effect).collect();
     }
 
     /// Makes a table of these rules without checking that they are safe; for tests and measurements.
-    pub fn unchecked(rules: Vec<Rule>, ground: &Ground) -> Table {
-        Table::new(rules, None, None, ground)
+    pub fn unchecked(rules: Vec<Rule>, platform: &Ground) -> Table {
+        Table::new(rules, None, None, platform)
     }
 
     /// Puts the numbers of the rules that match a request into `out`, by falling precedence.
--- a/crates/route-limits/tests/common/mod.rs
+++ b/crates/route-limits/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use stileroute_route_limits::table::Table;
 use stileroute_route_limits::Ground;
 
-pub fn ground() -> Ground {
+pub fn platform() -> Ground {
     let category = |effect, kind| Category {
         target: SECOND,
         stretch: 2.0,
@@ -40,9 +40,9 @@
 }
 
 pub fn read(text: &str) -> Result<Table, Vec<Fault>> {
-    read_on(text, &ground())
+    read_on(text, &platform())
 }
 
-pub fn read_on(text: &str, ground: &Ground) -> Result<Table, Vec<Fault>> {
-    stileroute_operator_file::read("bad.toml", text, |keys| Table::read(keys, ground))
+pub fn read_on(text: &str, platform: &Ground) -> Result<Table, Vec<Fault>> {
+    stileroute_operator_file::read("bad.toml", text, |keys| Table::read(keys, platform))
 }
--- a/crates/route-limits/tests/files.rs
+++ b/crates/route-limits/tests/files.rs
@@ -1,7 +1,7 @@
 //! Tests that invalid files are rejected with the expected line and reason, and that similar valid files load.
 
 mod common;
-use common::{ground, read};
+use common::{platform, read};
 use stileroute_operator_file::Fault;
 
 /// Invalid files, each with the line of its fault and a part of the message. The platform has the categories `lookup`
@@ -172,12 +172,12 @@
 
 #[test]
 fn hedging_is_rejected_where_the_settings_forbid_concurrent_pushes() {
-    let mut ground = ground();
-    ground.terms.second_copies = false;
+    let mut platform = platform();
+    platform.terms.second_copies = false;
     let text = "[category.lookup]\ncopy-after = 0.9\n";
-    let faults = common::read_on(text, &ground).unwrap_err();
+    let faults = common::read_on(text, &platform).unwrap_err();
     assert!(faults[0].to_string().ends_with("(category lookup) [rule 2]"), "{}", faults[0]);
     // All faults of a file are reported at once.
     let text = "[defaults]\npushes = 9\nop = '5'\n[category.lookup]\ncopy-after = 0.9\nfoo = 1\n";
-    assert_eq!(common::read_on(text, &ground).unwrap_err().len(), 4);
+    assert_eq!(common::read_on(text, &platform).unwrap_err().len(), 4);
 }
--- a/crates/route-limits/tests/safe.rs
+++ b/crates/route-limits/tests/safe.rs
@@ -6,7 +6,7 @@
 #![allow(clippy::too_many_lines)]
 
 mod common;
-use common::{ground, read_on};
+use common::{platform, read_on};
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -92,9 +92,9 @@
 }
 
 /// The first unsafe limit of one request, found without the code under test, from the limits and the platform's settings alone.
-fn violation(ground: &Ground, category: usize, effective: &EffectiveLimits) -> Option<&'static str> {
-    let (_, _, own) = &ground.categories[category];
-    let (ttl, category_effect) = (ground.ttl(category), own.effect);
+fn violation(platform: &Ground, category: usize, effective: &EffectiveLimits) -> Option<&'static str> {
+    let (_, _, own) = &platform.categories[category];
+    let (ttl, category_effect) = (platform.ttl(category), own.effect);
     let time = |limit: &Option<stileroute_route_limits::table::EffectiveLimit<Time>>| {
         limit.as_ref().map(|limit| limit.setting.value)
     };
@@ -106,7 +106,7 @@
         Some(EffectOverride::Deduplicated) => 1,
         Some(EffectOverride::AtMostOnce) => 2,
     };
-    let pushes = effective.max_pushes.as_ref().map_or(ground.terms.max_pushes, |limit| limit.setting.value);
+    let pushes = effective.max_pushes.as_ref().map_or(platform.terms.max_pushes, |limit| limit.setting.value);
     let op = time(&effective.op_timeout);
     let times = [
         &effective.connect_timeout,
@@ -121,7 +121,7 @@
     if effective.hedge_quantile.is_some() && (set == 2 || base == 2 || pushes < 2) {
         return Some("copy");
     }
-    if pushes > ground.terms.max_pushes {
+    if pushes > platform.terms.max_pushes {
         return Some("pushes");
     }
     if times.iter().chain([&&effective.op_timeout]).any(|t| time(t).is_some_and(|t| t > ttl)) {
@@ -151,10 +151,10 @@
 }
 
 /// Reads a file into a table and ignores the faults that the check finds.
-fn read_unchecked(text: &str, ground: &Ground) -> Option<Table> {
+fn read_unchecked(text: &str, platform: &Ground) -> Option<Table> {
     let mut table = None;
     let _ = stileroute_operator_file::read("f.toml", text, |keys| {
-        table = Table::read(keys, ground);
+        table = Table::read(keys, platform);
         table.as_ref().map(|_| ())
     });
     table
@@ -162,13 +162,13 @@
 
 #[test]
 fn a_file_loads_if_and_only_if_every_request_is_safe() {
-    let (ground, paths) = (ground(), paths());
+    let (platform, paths) = (platform(), paths());
     let mut rng = Pcg64Mcg::seed_from_u64(11);
     let (mut loaded, mut rejected, mut requests) = (0, 0, 0);
     for _ in 0..1500 {
         let text = random_file(&mut rng);
-        let Some(table) = read_unchecked(&text, &ground) else { continue };
-        let faults = read_on(&text, &ground).err().unwrap_or_default();
+        let Some(table) = read_unchecked(&text, &platform) else { continue };
+        let faults = read_on(&text, &platform).err().unwrap_or_default();
         // Files that cannot be read, or have a rule that never applies, are rejected for reasons other than safety: skip them.
         if faults.iter().any(|fault| !fault.reason.contains("(category ")) {
             continue;
@@ -188,7 +188,7 @@
                             .filter(|n| table.rules[*n as usize].pattern.matches(&request))
                             .collect();
                         assert_eq!(matching, plain, "{text}\n{path}");
-                        let violation = violation(&ground, category, &table.effective(&matching));
+                        let violation = violation(&platform, category, &table.effective(&matching));
                         found =
                             found
                                 .or(violation
@@ -210,20 +210,20 @@
 
 #[test]
 fn files_that_load_never_lead_to_a_forbidden_push() {
-    let ground = ground();
+    let platform = platform();
     let mut rng = Pcg64Mcg::seed_from_u64(5);
     let tariff = Tariff {
-        terms: ground.terms.clone(),
-        categories: ground.categories.iter().map(|(_, _, own)| own.clone()).collect(),
+        terms: platform.terms.clone(),
+        categories: platform.categories.iter().map(|(_, _, own)| own.clone()).collect(),
         overload_factor: 50.0,
         ..Tariff::default()
     };
     let (mut files, mut retries, mut hedged) = (0, 0, 0);
     while files < 300 {
         let text = random_file(&mut rng);
-        let Ok(table) = read_on(&text, &ground) else { continue };
+        let Ok(table) = read_on(&text, &platform) else { continue };
         files += 1;
-        let mut gate = Gate::new(Arc::new(table));
+        let mut admission = Gate::new(Arc::new(table));
         let mut dispatcher = Dispatcher::new(&tariff, files);
         let endpoint = |executor: usize| Listed {
             mark: 0,
@@ -243,20 +243,20 @@
             let path = paths.choose(&mut rng).unwrap();
             let header = |name: &str| (name == "x").then_some("1");
             let request = Request { path, method: "POST", category, tenant: Some("t"), header: &header };
-            let Entry::In(mut pass) = gate.enter(now, ticket as u64, &request) else { continue };
-            let effect = ground.categories[category].2.effect;
-            let deadline = now + ground.ttl(category).min(pass.op);
+            let Entry::In(mut permit) = admission.enter(now, ticket as u64, &request) else { continue };
+            let effect = platform.categories[category].2.effect;
+            let deadline = now + platform.ttl(category).min(permit.op);
             let ask = Ask {
                 category,
                 slots: 1.0,
                 memory: 0.0,
                 hint: None,
                 deadline,
-                limits: pass.limits,
+                limits: permit.limits,
                 tenant: 0,
                 key: 0,
             };
-            (0..8).for_each(|n| pass.ran(SECOND / 20 + n));
+            (0..8).for_each(|n| permit.ran(SECOND / 20 + n));
             let mut op = dispatcher.arrive(now, ask);
             let mut at = now;
             // For each push: when it was sent, its executor, and whether it may have run.
@@ -265,7 +265,7 @@
             for _ in 0..60 {
                 match step {
                     Step::Push { executor } => {
-                        assert!(sent.len() < ground.terms.max_pushes.min(pass.limits.pushes), "{text}");
+                        assert!(sent.len() < platform.terms.max_pushes.min(permit.limits.pushes), "{text}");
                         for (came, before, _) in sent.iter().filter(|s| s.2) {
                             match effect {
                                 Effect::AtMostOnce => panic!(
@@ -283,9 +283,9 @@
                             }
                         }
                         hedged += usize::from(op.pushes.iter().filter(|p| p.outcome.is_none()).count() > 1);
-                        assert!(pass.limits.kinds >> (executor / 4) & 1 == 1, "{text}");
+                        assert!(permit.limits.kinds >> (executor / 4) & 1 == 1, "{text}");
                         sent.push((at, executor, true));
-                        pass.pushed(at);
+                        permit.pushed(at);
                     }
                     Step::Stop { push } => {
                         // A cancelled push may still have run.
@@ -321,7 +321,7 @@
                         ];
                         let outcome = *outcomes.choose(&mut rng).unwrap();
                         sent[push].2 = !outcome.never_ran();
-                        op.limits.over_budget = pass.over_budget(at);
+                        op.limits.over_budget = permit.over_budget(at);
                         step = dispatcher.settle(at, &mut op, push, outcome, &[]);
                         continue;
                     }
