--- a/crates/node/src/desk/mod.rs
+++ b/crates/node/src/desk/mod.rs
@@ -20,7 +20,7 @@
 use stileroute_dispatch::policy::{Dispatcher, UPKEEP};
 use stileroute_dispatch::state::Memory;
 use stileroute_dispatch::types::{mark, Ask, Effect, Limits, Listed, Outcome, Step, Time, SECOND};
-use stileroute_route_limits::gate::{Entry, Gate, Pass};
+use stileroute_route_limits::admission::{Entry, Gate, Pass};
 use stileroute_route_limits::pattern::Request as Ways;
 use stileroute_route_limits::table::Table;
 
--- a/crates/node/src/desk/ops.rs
+++ b/crates/node/src/desk/ops.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 use stileroute_dispatch::types::{Op, Outcome, Time};
-use stileroute_route_limits::gate::Pass;
+use stileroute_route_limits::admission::Pass;
 
 /// One op, from its request to the outcome of its last push.
 pub struct Held {
--- a/crates/node/src/desk/queue.rs
+++ b/crates/node/src/desk/queue.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 use stileroute_dispatch::types::Time;
-use stileroute_route_limits::gate::Pass;
+use stileroute_route_limits::admission::Pass;
 
 pub struct Waiting {
     pub job: Arc<dyn Job>,
--- a/crates/route-limits/examples/cost.rs
+++ b/crates/route-limits/examples/cost.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 use stileroute_dispatch::types::{Category, Effect, Terms, SECOND};
-use stileroute_route_limits::gate::{Entry, Gate};
+use stileroute_route_limits::admission::{Entry, Gate};
 use stileroute_route_limits::pattern::Request;
 use stileroute_route_limits::table::Table;
 use stileroute_route_limits::Ground;
--- a/crates/route-limits/src/lib.rs
+++ b/crates/route-limits/src/lib.rs
@@ -8,9 +8,9 @@
 // Not every public item has documentation, or its errors described, yet.
 #![allow(clippy::missing_errors_doc, missing_docs)]
 
+pub mod admission;
 pub mod budget;
 pub mod check;
-pub mod gate;
 pub mod limits;
 pub mod pattern;
 mod read;
--- a/crates/route-limits/tests/safe.rs
+++ b/crates/route-limits/tests/safe.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use stileroute_dispatch::policy::Dispatcher;
 use stileroute_dispatch::types::{Ask, Effect, Listed, Outcome, Scope, Step, Tariff, Time, SECOND};
-use stileroute_route_limits::gate::{Entry, Gate};
+use stileroute_route_limits::admission::{Entry, Gate};
 use stileroute_route_limits::limits::{narrowness, EffectOverride};
 use stileroute_route_limits::pattern::{Path, Pattern, Request};
 use stileroute_route_limits::table::{EffectiveLimits, Table};
--- a/crates/testbed/src/sim/mod.rs
+++ b/crates/testbed/src/sim/mod.rs
@@ -27,7 +27,7 @@
 use stileroute_dispatch::policy::UPKEEP;
 use stileroute_dispatch::settings::Posted;
 use stileroute_dispatch::types::{Ask, Limits, Listed, Op, Outcome, Step, Tariff, Time, SECOND};
-use stileroute_route_limits::gate::{Entry, Gate, Pass};
+use stileroute_route_limits::admission::{Entry, Gate, Pass};
 use stileroute_route_limits::pattern::Request;
 use stileroute_route_limits::table::Table;
 
