--- a/crates/node/src/desk/mod.rs
+++ b/crates/node/src/desk/mod.rs
@@ -20,7 +20,7 @@
 use stileroute_dispatch::policy::{Dispatcher, UPKEEP};
 use stileroute_dispatch::state::Memory;
 use stileroute_dispatch::types::{mark, Ask, Effect, Limits, Listed, Outcome, Step, Time, SECOND};
-use stileroute_route_limits::admission::{Entry, Gate, Pass};
+use stileroute_route_limits::admission::{Admission, AdmissionControl, Permit};
 use stileroute_route_limits::pattern::Request as Ways;
 use stileroute_route_limits::table::Table;
 
@@ -115,7 +115,7 @@
     grace: Time,
     ending: Option<Ending>,
     /// Routes, where the operators have any, and ops that wait for a place of theirs.
-    gate: Option<Gate>,
+    gate: Option<AdmissionControl>,
     queue: Queue,
     /// Messages to other nodes, bad ones among theirs so far as logged, and when that may be logged again.
     peers: Option<Box<dyn Carrier>>,
@@ -151,7 +151,7 @@
             upkeep: clock.now(),
             grace: start.grace,
             ending: None,
-            gate: routes.map(Gate::new),
+            gate: routes.map(AdmissionControl::new),
             queue: Queue::default(),
             peers,
             bad: (0, 0),
@@ -289,7 +289,7 @@
             Event::Routes(table) => {
                 self.front.want(&table.headers);
                 if let Some(gate) = &mut self.gate {
-                    gate.turn(table);
+                    gate.replace_table(table);
                 }
             }
             Event::Fleet { likely, safe } => self.dispatcher.fleet(likely, safe),
@@ -314,16 +314,18 @@
             let header = |name: &str| job.header(name);
             let tenant = gate.table().tenant_header.as_deref().and_then(header);
             let (path, method) = (job.path(), job.method());
-            gate.enter(now, ticket, &Ways { path, method, category: asked.category, tenant, header: &header })
+            gate.admit(now, ticket, &Ways { path, method, category: asked.category, tenant, header: &header })
         };
         match entry {
-            Entry::In(pass) => self.open(now, ticket, job, asked, came, reply, Some(Box::new(pass))),
-            Entry::Waits(pass, until) => {
-                let until = until.min(came + asked.budget.min(pass.op));
+            Admission::Admitted(pass) => {
+                self.open(now, ticket, job, asked, came, reply, Some(Box::new(pass)))
+            }
+            Admission::Queued(pass, until) => {
+                let until = until.min(came + asked.budget.min(pass.op_timeout));
                 let waiting = Waiting { job, asked: *asked, came, reply, pass: Box::new(pass), until };
                 self.queue.put(ticket, waiting);
             }
-            Entry::Full(back) => self.turn_away(ticket, &*job, reply, came, back),
+            Admission::Rejected(back) => self.turn_away(ticket, &*job, reply, came, back),
         }
     }
 
@@ -356,8 +358,8 @@
     }
 
     /// An op's place is free.
-    fn free(&mut self, now: Time, ticket: u64, pass: &mut Pass) {
-        self.queue.admitted.extend(pass.leave(now, ticket));
+    fn free(&mut self, now: Time, ticket: u64, pass: &mut Permit) {
+        self.queue.admitted.extend(pass.release(now, ticket));
     }
 
     /// Opens an op at the module.
@@ -370,11 +372,11 @@
         asked: &Asked,
         came: Time,
         reply: Owed,
-        pass: Option<Box<Pass>>,
+        pass: Option<Box<Permit>>,
     ) {
         let mut deadline = came + asked.budget;
         if let Some(pass) = &pass {
-            deadline = deadline.min(came.saturating_add(pass.op));
+            deadline = deadline.min(came.saturating_add(pass.op_timeout));
         }
         if let Some(ending) = &self.ending {
             // Whether that is still enough for it is the module's to judge.
@@ -427,7 +429,7 @@
             self.outlet.leave(held.op.pushes[push].executor, "suspect");
         }
         if let Some(pass) = held.pass.as_ref().filter(|_| outcome == Outcome::Acked) {
-            pass.ran(now - held.pushes[push].sent);
+            pass.record_run_time(now - held.pushes[push].sent);
         }
         held.budget(now);
         let step = self.dispatcher.settle(now, &mut held.op, push, outcome, &load.unwrap_or_default());
@@ -448,7 +450,7 @@
                     let untried = link.is_none();
                     held.pushes.push(Out { link, given_up: None, withheld: false, sent: now });
                     if let Some(pass) = &mut held.pass {
-                        pass.pushed(now);
+                        pass.record_push(now);
                     }
                     if untried {
                         step = self.dispatcher.settle(now, &mut held.op, push, Outcome::Moot, &[]);
@@ -516,7 +518,7 @@
     fn push(&mut self, ticket: u64, push: usize, executor: usize, held: &Held) -> Option<Arc<dyn Link>> {
         let to = self.executors.get(executor)?.address?;
         let effect = self.dispatcher.effect(&held.op);
-        let connect = held.pass.as_ref().and_then(|pass| pass.connect);
+        let connect = held.pass.as_ref().and_then(|pass| pass.connect_timeout);
         let push = Push {
             ticket,
             push,
--- a/crates/node/src/desk/ops.rs
+++ b/crates/node/src/desk/ops.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 use stileroute_dispatch::types::{Op, Outcome, Time};
-use stileroute_route_limits::admission::Pass;
+use stileroute_route_limits::admission::Permit;
 
 /// One op, from its request to the outcome of its last push.
 pub struct Held {
@@ -15,7 +15,7 @@
     /// Its pushes by number.
     pub pushes: Vec<Out>,
     /// What routes let it do, where there are routes.
-    pub pass: Option<Box<Pass>>,
+    pub pass: Option<Box<Permit>>,
     pub came: Time,
 }
 
@@ -42,7 +42,7 @@
     /// Before the module is asked what is next: whether retry budgets leave a further push.
     pub fn budget(&mut self, now: Time) {
         if let Some(pass) = &self.pass {
-            self.op.limits.over_budget = pass.over_budget(now);
+            self.op.limits.over_budget = pass.retry_delay(now);
         }
     }
 
--- a/crates/node/src/desk/queue.rs
+++ b/crates/node/src/desk/queue.rs
@@ -4,14 +4,14 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 use stileroute_dispatch::types::Time;
-use stileroute_route_limits::admission::Pass;
+use stileroute_route_limits::admission::Permit;
 
 pub struct Waiting {
     pub job: Arc<dyn Job>,
     pub asked: Asked,
     pub came: Time,
     pub reply: Owed,
-    pub pass: Box<Pass>,
+    pub pass: Box<Permit>,
     pub until: Time,
 }
 
--- a/crates/node/src/life/members.rs
+++ b/crates/node/src/life/members.rs
@@ -57,7 +57,7 @@
         );
     }
     let mut seeds = Vec::new();
-    for seed in table.texts("seeds").map(|set| set.value).unwrap_or_default() {
+    for seed in table.text_list("seeds").map(|set| set.value).unwrap_or_default() {
         seeds.extend(at(seed.position, &seed.value));
     }
     let key = table.text("key-file").and_then(|file| match key_of(&file.value) {
--- a/crates/node/src/life/operator.rs
+++ b/crates/node/src/life/operator.rs
@@ -8,7 +8,7 @@
 use stileroute_dispatch::types::Terms;
 use stileroute_operator_file::{load, Fault, Section};
 use stileroute_route_limits::table::Table;
-use stileroute_route_limits::Ground;
+use stileroute_route_limits::PlatformSettings;
 
 /// The variable that names the file where the words of the command line don't.
 pub const VARIABLE: &str = "STILEROUTE_OPERATOR";
@@ -23,16 +23,16 @@
 }
 
 /// Reads and checks a file against the settings that hold.
-pub fn read(path: &Path, ground: &Ground) -> Result<Operator, Vec<Fault>> {
+pub fn read(path: &Path, ground: &PlatformSettings) -> Result<Operator, Vec<Fault>> {
     let text = load(path)?;
     check(&path.display().to_string(), &text, ground)
 }
 
-pub fn check(file: &str, text: &str, ground: &Ground) -> Result<Operator, Vec<Fault>> {
+pub fn check(file: &str, text: &str, ground: &PlatformSettings) -> Result<Operator, Vec<Fault>> {
     stileroute_operator_file::read(file, text, |keys: &Section| {
         let routes = Table::read(keys, ground);
         let json = keys.table("log").and_then(|table| {
-            let json = table.word("form", &[("text", false), ("json", true)]);
+            let json = table.choice("form", &[("text", false), ("json", true)]);
             table.finish();
             json
         });
@@ -58,13 +58,13 @@
 
 impl Start {
     /// What routes are held against.
-    pub fn ground(&self) -> Ground {
+    pub fn ground(&self) -> PlatformSettings {
         let mut categories = vec![None; self.tariff.categories.len()];
         for (name, kind) in &self.door.categories {
             let ttl = if kind.ttl == stileroute_dispatch::types::Time::MAX { 0 } else { kind.ttl };
             categories[kind.at] = Some((name.clone(), ttl, self.tariff.categories[kind.at].clone()));
         }
-        Ground {
+        PlatformSettings {
             categories: categories.into_iter().flatten().collect(),
             kinds: self.kinds.clone(),
             domains: self.domains.clone(),
--- a/crates/node/src/life/words.rs
+++ b/crates/node/src/life/words.rs
@@ -6,8 +6,8 @@
 use std::path::{Path, PathBuf};
 use stileroute_operator_file::Position;
 use stileroute_route_limits::pattern::{Path as Route, Request};
-use stileroute_route_limits::table::{Kind, Rule};
-use stileroute_route_limits::Ground;
+use stileroute_route_limits::table::{Rule, RuleKind};
+use stileroute_route_limits::PlatformSettings;
 
 /// stileroute: pushes jobs (ops) to workers (executors), beside each submitter.
 ///
@@ -62,7 +62,7 @@
 }
 
 /// The settings and, where one is named, the operators' file.
-fn both(path: Option<&Path>) -> Result<(Start, Ground, Option<Operator>), Vec<String>> {
+fn both(path: Option<&Path>) -> Result<(Start, PlatformSettings, Option<Operator>), Vec<String>> {
     let start = start::read(|name| std::env::var(name).ok()).map_err(|error| vec![error.to_string()])?;
     let ground = start.ground();
     let operator = match path {
@@ -102,7 +102,7 @@
         }
     }
 
-    fn needed(&self, what: &str) -> Result<(Start, Ground, Operator), Vec<String>> {
+    fn needed(&self, what: &str) -> Result<(Start, PlatformSettings, Operator), Vec<String>> {
         match both(self.operator.as_deref())? {
             (start, ground, Some(operator)) => Ok((start, ground, operator)),
             _ => one(format!("{what}: no operators' file: name one with --operator")),
@@ -133,7 +133,7 @@
         let mut lines = vec![format!("{} rules match, the first goes before the others:", matching.len())];
         lines.extend(matching.iter().map(|n| format!("  {}", listed(&table.rules[*n as usize], &ground))));
         let effective = table.effective(&matching);
-        let shown = effective.shown(&ground);
+        let shown = effective.describe(&ground);
         lines.push("what holds:".to_string());
         for (key, value, place, rule) in shown {
             let Position { line, .. } = place;
@@ -152,12 +152,12 @@
 }
 
 /// A rule in one line.
-fn listed(rule: &Rule, ground: &Ground) -> String {
+fn listed(rule: &Rule, ground: &PlatformSettings) -> String {
     let pattern = &rule.pattern;
     let mut conditions = Vec::new();
     match &pattern.path {
         Route::Any => {}
-        Route::Whole(own) => {
+        Route::Segments(own) => {
             let all: Vec<&str> = own.iter().map(|s| s.as_deref().unwrap_or("{}")).collect();
             conditions.push(format!("path /{}", all.join("/")));
         }
@@ -174,6 +174,6 @@
     }
     conditions.extend(pattern.headers.iter().map(|(name, value)| format!("header {name}={value}")));
     let what = if conditions.is_empty() { "everything".to_string() } else { conditions.join(", ") };
-    let kind = if rule.kind == Kind::Route { "route " } else { "" };
-    format!("{kind}{} (line {}): {what}", rule.name, rule.place.line)
+    let kind = if rule.kind == RuleKind::Route { "route " } else { "" };
+    format!("{kind}{} (line {}): {what}", rule.name, rule.position.line)
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -35,7 +35,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64};
 use std::sync::{Arc, RwLock};
 use stileroute_dispatch::types::mark;
-use stileroute_route_limits::Ground;
+use stileroute_route_limits::PlatformSettings;
 use store::figures::Figures;
 use store::outs::Outs;
 use store::pool::Pool;
@@ -74,7 +74,7 @@
 /// The operators' file, and what it was checked against.
 struct OperatorFile {
     path: PathBuf,
-    ground: Ground,
+    ground: PlatformSettings,
     content: Operator,
 }
 
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -6,11 +6,11 @@
 use crate::say;
 use crossbeam_channel::Sender;
 use std::path::PathBuf;
-use stileroute_route_limits::Ground;
+use stileroute_route_limits::PlatformSettings;
 
 /// Takes from the new configuration what may change while the node runs. A faulty one changes nothing.
 /// Both files are read before either is taken: the one must not go on under half of what was meant.
-pub fn turn(desk: &Sender<Event>, post: &Post, operator: Option<&(PathBuf, Ground)>) {
+pub fn turn(desk: &Sender<Event>, post: &Post, operator: Option<&(PathBuf, PlatformSettings)>) {
     let start = start::again(|name| std::env::var(name).ok());
     let routes = match operator.map(|(path, ground)| operator::read(path, ground)) {
         Some(Err(faults)) => {
--- a/crates/node/tests/routes.rs
+++ b/crates/node/tests/routes.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
-use stileroute_route_limits::limits::KEYS;
+use stileroute_route_limits::limits::LIMIT_KEYS;
 use stileroute_testbed::experiment::read;
 use stileroute_testbed::plan::Plan;
 use stileroute_testbed::play::play;
@@ -41,7 +41,7 @@
     let (code, out, err) = said(&run(&["check", path.to_str().unwrap()]));
     assert!(code == Some(0) && out.contains("well, 6 rules") && err.is_empty(), "{out}{err}");
     let text = std::fs::read_to_string(&path).unwrap();
-    for key in KEYS.iter().filter(|key| **key != "copy-after") {
+    for key in LIMIT_KEYS.iter().filter(|key| **key != "copy-after") {
         assert!(text.lines().any(|line| line.starts_with(&format!("{key} = "))), "{key}");
     }
 }
--- a/crates/operator-file/src/section.rs
+++ b/crates/operator-file/src/section.rs
@@ -80,7 +80,7 @@
     }
 
     /// Reads one of several words. The result is the value that `choices` pairs with the word.
-    pub fn word<T: Copy>(&self, key: &str, choices: &[(&str, T)]) -> Option<Located<T>> {
+    pub fn choice<T: Copy>(&self, key: &str, choices: &[(&str, T)]) -> Option<Located<T>> {
         let text = self.string(key, "a word in quotes")?;
         match choices.iter().find(|(choice, _)| *choice == text.value) {
             Some((_, value)) => Some(Located { value: *value, position: text.position }),
@@ -152,7 +152,7 @@
     }
 
     /// Reads a list of at least one text.
-    pub fn texts(&self, key: &str) -> Option<Located<Vec<Located<String>>>> {
+    pub fn text_list(&self, key: &str) -> Option<Located<Vec<Located<String>>>> {
         let (position, value) = self.find(key)?;
         let DeValue::Array(entries) = value.get_ref() else {
             return self
--- a/crates/operator-file/tests/faults.rs
+++ b/crates/operator-file/tests/faults.rs
@@ -19,13 +19,17 @@
         ("\na = ''", |keys| drop(keys.text("a")), "f.toml:2:1: a: is empty"),
         (
             "a = 1.5",
-            |keys| drop(keys.word("a", &[("x", 1)])),
+            |keys| drop(keys.choice("a", &[("x", 1)])),
             "f.toml:1:1: a: must be a word in quotes, not a number",
         ),
-        ("a = 'q'", |keys| drop(keys.word("a", &[("x", 1), ("y", 2)])), "f.toml:1:1: a: 'q' is none of x, y"),
+        (
+            "a = 'q'",
+            |keys| drop(keys.choice("a", &[("x", 1), ("y", 2)])),
+            "f.toml:1:1: a: 'q' is none of x, y",
+        ),
         (
             "  a = 'slwo'",
-            |keys| drop(keys.word("a", &[("slow", 1)])),
+            |keys| drop(keys.choice("a", &[("slow", 1)])),
             "f.toml:1:3: a: 'slwo' is none of slow; did you mean 'slow'?",
         ),
         (
@@ -47,9 +51,13 @@
         ),
         ("a = 4", |keys| drop(keys.count("a", 1..=3)), "f.toml:1:1: a: must be a whole number from 1 to 3"),
         ("a = -1", |keys| drop(keys.count("a", 0..=3)), "f.toml:1:1: a: must be a whole number from 0 to 3"),
-        ("a = 'x'", |keys| drop(keys.texts("a")), "f.toml:1:1: a: must be a list of texts, not a text"),
-        ("a = []", |keys| drop(keys.texts("a")), "f.toml:1:1: a: is an empty list"),
-        ("a = ['x', 1]", |keys| drop(keys.texts("a")), "f.toml:1:11: a: must be a text, not a whole number"),
+        ("a = 'x'", |keys| drop(keys.text_list("a")), "f.toml:1:1: a: must be a list of texts, not a text"),
+        ("a = []", |keys| drop(keys.text_list("a")), "f.toml:1:1: a: is an empty list"),
+        (
+            "a = ['x', 1]",
+            |keys| drop(keys.text_list("a")),
+            "f.toml:1:11: a: must be a text, not a whole number",
+        ),
         ("a = 1", |keys| drop(keys.table("a")), "f.toml:1:1: a: must be a table, not a whole number"),
         ("a = 1", |keys| drop(keys.tables("a")), "f.toml:1:1: a: must be a list of tables: [[a]]"),
         ("a = [{}, 1]", |keys| drop(keys.tables("a")), "f.toml:1:10: a[1]: must be a table"),
@@ -114,12 +122,13 @@
                 texts = ['a', 'b']\n[pairs]\nk = 'v'\n";
     let read = read("f.toml", text, |keys| {
         assert_eq!(keys.text("text")?.value, "t");
-        assert_eq!(keys.word("word", &[("x", 1), ("y", 2)])?.value, 2);
+        assert_eq!(keys.choice("word", &[("x", 1), ("y", 2)])?.value, 2);
         assert!(*keys.flag("flag")?);
         assert_eq!(*keys.number("number", 0.0..=16.0)?, 16.0);
         assert_eq!(*keys.number("float", 0.0..=1.0)?, 0.5);
         assert_eq!(*keys.count("count", 0..=3)?, 3);
-        let texts: Vec<String> = keys.texts("texts")?.value.iter().map(|text| text.value.clone()).collect();
+        let texts: Vec<String> =
+            keys.text_list("texts")?.value.iter().map(|text| text.value.clone()).collect();
         assert_eq!(texts, ["a", "b"]);
         let pairs = keys.named_texts("pairs");
         assert_eq!((pairs[0].0.value.as_str(), pairs[0].1.as_str(), pairs.len()), ("k", "v", 1));
@@ -161,7 +170,7 @@
         keys.time("wait");
         keys.number("share", 0.0..=1.0);
         keys.text("name");
-        keys.word("mode", &[("slow", 1), ("fast", 2)]);
+        keys.choice("mode", &[("slow", 1), ("fast", 2)]);
         let inner = keys.table("inner")?;
         inner.flag("flag");
         inner.time("long");
--- a/crates/route-limits/examples/cost.rs
+++ b/crates/route-limits/examples/cost.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 use std::time::Instant;
 use stileroute_dispatch::types::{Category, Effect, Terms, SECOND};
-use stileroute_route_limits::admission::{Entry, Gate};
+use stileroute_route_limits::admission::{Admission, AdmissionControl};
 use stileroute_route_limits::pattern::Request;
 use stileroute_route_limits::table::Table;
-use stileroute_route_limits::Ground;
+use stileroute_route_limits::PlatformSettings;
 
 fn main() {
     let category = |name: &str, effect| {
@@ -23,10 +23,10 @@
         };
         (name.to_string(), 9 * SECOND, category)
     };
-    let platform = Ground {
+    let platform = PlatformSettings {
         categories: vec![category("lookup", Effect::Redeliverable), category("booking", Effect::AtMostOnce)],
         terms: Terms { max_pushes: 5, ..Terms::default() },
-        ..Ground::default()
+        ..PlatformSettings::default()
     };
     println!("{:>7} {:>12} {:>12} {:>12}", "routes", "check ms", "match ns", "enter ns");
     for count in [10, 100, 1_000, 10_000] {
@@ -65,12 +65,12 @@
             black_box(table.effective(&matching).op_timeout.map(|limit| limit.setting.value));
         }
         let match_ns = started.elapsed().as_nanos() as f64 / iterations as f64;
-        let mut admission = Gate::new(table);
+        let mut admission = AdmissionControl::new(table);
         let started = Instant::now();
         for n in 0..iterations {
             let (path, tenant) = request(n);
             let request = Request { path, method: "POST", category: n % 2, tenant, header: &|_| None };
-            if let Entry::In(permit) = admission.enter(n as i64, n as u64, &request) {
+            if let Admission::Admitted(permit) = admission.admit(n as i64, n as u64, &request) {
                 black_box(permit);
             }
         }
--- a/crates/route-limits/src/admission.rs
+++ b/crates/route-limits/src/admission.rs
@@ -33,12 +33,12 @@
 
 /// An admitted or queued request: the limits and counters that apply to it until it ends.
 #[derive(Clone, Debug)]
-pub struct Pass {
+pub struct Permit {
     pub limits: Limits,
     pub route: Rc<str>,
     /// The longest that the whole request may take; `connect` limits the set-up of one connection.
-    pub op: Time,
-    pub connect: Option<Time>,
+    pub op_timeout: Time,
+    pub connect_timeout: Option<Time>,
     tracked_budgets: [Option<TrackedBudget>; 2],
     reservation: Option<SlotReservation>,
     push_count: usize,
@@ -46,17 +46,17 @@
 }
 
 /// The answer to a request for admission.
-pub enum Entry {
-    In(Pass),
+pub enum Admission {
+    Admitted(Permit),
     /// No in-flight slot is free: the request is queued until this time at the latest.
-    Waits(Pass, Time),
+    Queued(Permit, Time),
     /// No in-flight slot is free and the queue is full: the client may retry after this delay.
-    Full(Time),
+    Rejected(Time),
 }
 
 /// The routes in force, and the counters of their limits.
 #[derive(Default)]
-pub struct Gate {
+pub struct AdmissionControl {
     table: Arc<Table>,
     /// The name of each rule, by its number in the table.
     rule_names: Vec<Rc<str>>,
@@ -71,10 +71,10 @@
 /// The name under which the pushes of the whole node are counted.
 const NODE: &str = "node";
 
-impl Gate {
-    pub fn new(table: Arc<Table>) -> Gate {
-        let mut control = Gate::default();
-        control.turn(table);
+impl AdmissionControl {
+    pub fn new(table: Arc<Table>) -> AdmissionControl {
+        let mut control = AdmissionControl::default();
+        control.replace_table(table);
         control
     }
 
@@ -84,7 +84,7 @@
 
     /// Replaces the routes, after a reload of the file. A rule whose name is in the new table too keeps its counters; those of
     /// other rules are dropped.
-    pub fn turn(&mut self, table: Arc<Table>) {
+    pub fn replace_table(&mut self, table: Arc<Table>) {
         self.rule_names = table.rules.iter().map(|rule| Rc::from(rule.name.as_str())).collect();
         let hedging = table.rules.iter().any(|rule| rule.limits.hedge_quantile.is_some());
         // Run times are recorded only if a rule sends hedged pushes after a quantile of them (`copy-after`).
@@ -109,7 +109,7 @@
     }
 
     /// Admits a request, queues it or rejects it.
-    pub fn enter(&mut self, now: Time, ticket: u64, request: &Request) -> Entry {
+    pub fn admit(&mut self, now: Time, ticket: u64, request: &Request) -> Admission {
         let mut matching_rules = std::mem::take(&mut self.matching_rules);
         let table = self.table.clone();
         table.matching(request, &mut matching_rules);
@@ -150,16 +150,16 @@
             SlotReservation { slots, max_in_flight: limit.setting.value }
         });
         let first_route =
-            matching_rules.iter().find(|n| table.rules[**n as usize].kind == crate::table::Kind::Route);
+            matching_rules.iter().find(|n| table.rules[**n as usize].kind == crate::table::RuleKind::Route);
         let route = match first_route {
             Some(number) => self.rule_names[*number as usize].clone(),
             None => self.no_route_name.get_or_insert_with(|| Rc::from("-")).clone(),
         };
-        let permit = Pass {
+        let permit = Permit {
             limits,
             route,
-            op: limit_value(&effective.op_timeout).unwrap_or(Time::MAX / 4),
-            connect: limit_value(&effective.connect_timeout),
+            op_timeout: limit_value(&effective.op_timeout).unwrap_or(Time::MAX / 4),
+            connect_timeout: limit_value(&effective.connect_timeout),
             tracked_budgets: [tracked_budget, self.node_budget.clone()],
             reservation,
             push_count: 0,
@@ -170,7 +170,7 @@
             effective.max_queued.as_ref().map_or(64, |limit| limit.setting.value),
         );
         self.matching_rules = matching_rules;
-        let Some(reservation) = &permit.reservation else { return Entry::In(permit) };
+        let Some(reservation) = &permit.reservation else { return Admission::Admitted(permit) };
         let outcome = reservation.slots.borrow_mut().acquire(
             now,
             ticket,
@@ -179,9 +179,9 @@
             max_queue_wait,
         );
         match outcome {
-            SlotOutcome::Acquired => Entry::In(permit),
-            SlotOutcome::Queued(until) => Entry::Waits(permit, until),
-            SlotOutcome::Rejected(retry_after) => Entry::Full(retry_after),
+            SlotOutcome::Acquired => Admission::Admitted(permit),
+            SlotOutcome::Queued(until) => Admission::Queued(permit, until),
+            SlotOutcome::Rejected(retry_after) => Admission::Rejected(retry_after),
         }
     }
 
@@ -191,10 +191,10 @@
     }
 }
 
-impl Pass {
+impl Permit {
     /// How long until the retry budgets allow another push; zero if they allow it now. The caller sets this in the request's
     /// limits before each call of the dispatcher. The first push needs no budget.
-    pub fn over_budget(&self, now: Time) -> Time {
+    pub fn retry_delay(&self, now: Time) -> Time {
         if self.push_count == 0 {
             return 0;
         }
@@ -207,7 +207,7 @@
     }
 
     /// Counts a push that is sent, in the budgets of its rule and of the node.
-    pub fn pushed(&mut self, now: Time) {
+    pub fn record_push(&mut self, now: Time) {
         for tracked_budget in self.tracked_budgets.iter().flatten() {
             let mut window = tracked_budget.window.borrow_mut();
             if self.push_count == 0 {
@@ -220,14 +220,14 @@
     }
 
     /// Records the run time of an acknowledged push.
-    pub fn ran(&self, run_time: Time) {
+    pub fn record_run_time(&self, run_time: Time) {
         if let Some(run_times) = &self.run_times {
             run_times.borrow_mut().record(run_time);
         }
     }
 
     /// Releases the request's slot, or its place in the queue. Returns the ticket of the queued request that gets the slot.
-    pub fn leave(&mut self, now: Time, ticket: u64) -> Option<u64> {
+    pub fn release(&mut self, now: Time, ticket: u64) -> Option<u64> {
         let reservation = self.reservation.take()?;
         let mut slots = reservation.slots.borrow_mut();
         if slots.cancel_wait(ticket) {
@@ -240,7 +240,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::Ground;
+    use crate::PlatformSettings;
     use stileroute_dispatch::types::{Category, Effect, Terms, SECOND};
 
     fn table(text: &str) -> Arc<Table> {
@@ -254,40 +254,47 @@
             priority: 0,
         };
         let terms = Terms { max_pushes: 5, ..Terms::default() };
-        let platform =
-            Ground { categories: vec![("c".to_string(), 9 * SECOND, own)], terms, ..Ground::default() };
+        let platform = PlatformSettings {
+            categories: vec![("c".to_string(), 9 * SECOND, own)],
+            terms,
+            ..PlatformSettings::default()
+        };
         let read = stileroute_operator_file::read("t.toml", text, |keys| Table::read(keys, &platform));
         Arc::new(read.unwrap_or_else(|faults| panic!("{}", faults[0])))
     }
 
-    fn enter(control: &mut Gate, now: Time, ticket: u64) -> Entry {
+    fn enter(control: &mut AdmissionControl, now: Time, ticket: u64) -> Admission {
         let request = Request { path: "/a", method: "POST", category: 0, tenant: None, header: &|_| None };
-        control.enter(now, ticket, &request)
+        control.admit(now, ticket, &request)
     }
 
     #[test]
     fn counters_survive_a_reload_and_admitted_requests_keep_their_limits() {
         let text =
             "[defaults]\npushes = 2\nretry-budget = { part = 0.0, window = '20s', least = 1 }\nin-hand = 1\n";
-        let mut control = Gate::new(table(text));
-        let Entry::In(mut first) = enter(&mut control, 0, 1) else { panic!("not admitted") };
-        first.pushed(0);
-        assert_eq!(first.over_budget(0), 0);
-        first.pushed(SECOND);
+        let mut control = AdmissionControl::new(table(text));
+        let Admission::Admitted(mut first) = enter(&mut control, 0, 1) else { panic!("not admitted") };
+        first.record_push(0);
+        assert_eq!(first.retry_delay(0), 0);
+        first.record_push(SECOND);
         // The budget's minimum of one retry is used up, and the one slot is taken; a reload changes neither counter.
-        control.turn(table(
+        control.replace_table(table(
             &text.replace("pushes = 2", "pushes = 4").replace("window = '20s'", "window = '40s'"),
         ));
-        assert!(first.over_budget(2 * SECOND) > 0 && first.limits.pushes == 2);
-        assert!(matches!(enter(&mut control, 2 * SECOND, 2), Entry::Full(retry_after) if retry_after > 0));
-        assert_eq!(first.leave(2 * SECOND, 1), None);
-        let Entry::In(mut second) = enter(&mut control, 3 * SECOND, 3) else { panic!("not admitted") };
-        second.pushed(3 * SECOND);
-        assert!(second.over_budget(3 * SECOND) > 0 && second.limits.pushes == 4);
+        assert!(first.retry_delay(2 * SECOND) > 0 && first.limits.pushes == 2);
+        assert!(
+            matches!(enter(&mut control, 2 * SECOND, 2), Admission::Rejected(retry_after) if retry_after > 0)
+        );
+        assert_eq!(first.release(2 * SECOND, 1), None);
+        let Admission::Admitted(mut second) = enter(&mut control, 3 * SECOND, 3) else {
+            panic!("not admitted")
+        };
+        second.record_push(3 * SECOND);
+        assert!(second.retry_delay(3 * SECOND) > 0 && second.limits.pushes == 4);
         // A raised in-flight limit applies at once, and a rule that is gone loses its counters.
-        control.turn(table("[defaults]\nin-hand = 2\n"));
-        assert!(matches!(enter(&mut control, 4 * SECOND, 4), Entry::In(_)));
-        control.turn(table("[category.c]\nin-hand = 1\n"));
-        assert!(matches!(enter(&mut control, 5 * SECOND, 5), Entry::In(_)));
+        control.replace_table(table("[defaults]\nin-hand = 2\n"));
+        assert!(matches!(enter(&mut control, 4 * SECOND, 4), Admission::Admitted(_)));
+        control.replace_table(table("[category.c]\nin-hand = 1\n"));
+        assert!(matches!(enter(&mut control, 5 * SECOND, 5), Admission::Admitted(_)));
     }
 }
--- a/crates/route-limits/src/check.rs
+++ b/crates/route-limits/src/check.rs
@@ -9,8 +9,8 @@
 
 use crate::limits::{narrowness, scope_within, EffectOverride, Limits, RetryBudget};
 use crate::pattern::Pattern;
-use crate::table::{Kind, Rule, Table};
-use crate::Ground;
+use crate::table::{Rule, RuleKind, Table};
+use crate::PlatformSettings;
 use std::collections::BTreeSet;
 use stileroute_dispatch::types::{Effect, Scope, Time};
 use stileroute_operator_file::{FaultLog, Located, Position, SafetyRule};
@@ -31,7 +31,7 @@
 
 struct Checker<'a> {
     table: &'a Table,
-    platform: &'a Ground,
+    platform: &'a PlatformSettings,
     faults: &'a FaultLog,
     match_all: &'a Pattern,
     /// The conflicts that are reported already, as two rules and a code, so that none is repeated for another category.
@@ -99,13 +99,13 @@
     fn name(&self, rule: usize) -> String {
         match self.table.rules.get(rule) {
             None => "the settings".to_string(),
-            Some(rule) if rule.kind == Kind::Route => format!("route '{}'", rule.name),
+            Some(rule) if rule.kind == RuleKind::Route => format!("route '{}'", rule.name),
             Some(rule) => format!("[{}]", rule.name.replace(' ', ".")),
         }
     }
 
     fn category_name(&self, category: usize) -> &'a str {
-        let platform: &'a Ground = self.platform;
+        let platform: &'a PlatformSettings = self.platform;
         &platform.categories[category].0
     }
 
@@ -437,9 +437,9 @@
             if let Some(earlier) = shadowing_rule.filter(|_| !is_reachable) {
                 let reason = format!(
                     "it never applies: '{}' takes precedence over it ({})",
-                    earlier.name, earlier.place
+                    earlier.name, earlier.position
                 );
-                self.faults.add(rule.place.clone(), reason, None);
+                self.faults.add(rule.position.clone(), reason, None);
             }
         }
     }
@@ -466,7 +466,7 @@
 }
 
 /// Checks a table against the platform's settings for all possible requests, and adds what it finds to `faults`.
-pub fn check(table: &Table, platform: &Ground, faults: &FaultLog) {
+pub fn check(table: &Table, platform: &PlatformSettings, faults: &FaultLog) {
     let match_all = Pattern::default();
     let mut checker = Checker { table, platform, faults, match_all: &match_all, reported: BTreeSet::new() };
     for category in 0..platform.categories.len() {
--- a/crates/route-limits/src/lib.rs
+++ b/crates/route-limits/src/lib.rs
@@ -27,7 +27,7 @@
 
 /// The parts of the platform's settings that routes are checked against.
 #[derive(Clone, Debug, Default)]
-pub struct Ground {
+pub struct PlatformSettings {
     /// The name, TTL (zero if none is set) and settings of each category.
     pub categories: Vec<(String, Time, Category)>,
     pub kinds: Vec<String>,
@@ -35,14 +35,14 @@
     pub terms: Terms,
 }
 
-impl Ground {
+impl PlatformSettings {
     /// Reads the settings that the control plane posts.
-    pub fn of(posted: &Posted) -> Result<Ground, SettingsError> {
+    pub fn from_posted(posted: &Posted) -> Result<PlatformSettings, SettingsError> {
         let tariff = posted.tariff().map_err(SettingsError)?;
         let names = posted.categories().into_iter().zip(posted.ttls());
         let categories = names.zip(tariff.categories).map(|((name, ttl), own)| (name, ttl, own)).collect();
         let (kinds, domains) = (posted.shapes.clone(), posted.failure_domains.clone());
-        Ok(Ground { categories, kinds, domains, terms: tariff.terms })
+        Ok(PlatformSettings { categories, kinds, domains, terms: tariff.terms })
     }
 
     /// The longest that a request of a category is kept; without a TTL in the settings, longer than any time that can be set.
--- a/crates/route-limits/src/limits.rs
+++ b/crates/route-limits/src/limits.rs
@@ -1,6 +1,6 @@
 //! The limits that a route, a category or the defaults may set, and how they are read.
 
-use crate::Ground;
+use crate::PlatformSettings;
 use stileroute_dispatch::types::{Effect, Scope, Time};
 use stileroute_operator_file::{suggestion, Located, Section};
 
@@ -45,7 +45,7 @@
 }
 
 /// The keys of limits in the operator's file, in the order of the fields of [`Limits`].
-pub const KEYS: [&str; 17] = [
+pub const LIMIT_KEYS: [&str; 17] = [
     "connect",
     "no-start",
     "no-progress",
@@ -100,7 +100,7 @@
         for_each_limit!(merge)
     }
 
-    /// A bit for each limit that is set, in the order of [`KEYS`].
+    /// A bit for each limit that is set, in the order of [`LIMIT_KEYS`].
     pub fn set_limits(&self) -> u32 {
         let mut bits = 0;
         let mut bit = 0;
@@ -138,9 +138,9 @@
     }
 
     /// Reads the limits of a table, and reports wrong values.
-    pub fn read(keys: &Section, platform: &Ground) -> Limits {
+    pub fn read(keys: &Section, platform: &PlatformSettings) -> Limits {
         let name_mask = |key: &str, names: &[String], what: &str| {
-            let names_given = keys.texts(key)?;
+            let names_given = keys.text_list(key)?;
             let mut bits = 0;
             for name in &names_given.value {
                 match names.iter().position(|known| *known == name.value) {
@@ -191,9 +191,9 @@
             max_queued: keys.count("waiting", 0..=100_000),
             kinds: name_mask("kinds", &platform.kinds, "kind"),
             domains: name_mask("domains", &platform.domains, "failure domain"),
-            effect: keys.word("effect", &effects),
+            effect: keys.choice("effect", &effects),
             resend_window: keys.time("resend-within"),
-            resend_scope: keys.word("resend-group", &scopes),
+            resend_scope: keys.choice("resend-group", &scopes),
         }
     }
 }
--- a/crates/route-limits/src/pattern.rs
+++ b/crates/route-limits/src/pattern.rs
@@ -30,7 +30,7 @@
     #[default]
     Any,
     /// All segments of the path; `None` is a wildcard that matches any one segment. Without wildcards the path is exact.
-    Whole(Vec<Option<String>>),
+    Segments(Vec<Option<String>>),
     /// The first segments of the path; any segments may follow.
     Prefix(Vec<String>),
 }
@@ -72,7 +72,7 @@
         if segments_given.iter().any(|segment| segment.contains('*')) {
             return Err(PathError::MisplacedStar);
         }
-        Ok(Path::Whole(
+        Ok(Path::Segments(
             segments_given
                 .iter()
                 .map(|segment| (!is_wildcard(segment)).then(|| segment.to_string()))
@@ -83,7 +83,7 @@
     pub fn matches(&self, path: &str) -> bool {
         match self {
             Path::Any => true,
-            Path::Whole(expected) => {
+            Path::Segments(expected) => {
                 let mut actual = segments(path);
                 expected.iter().all(|segment| {
                     actual.next().is_some_and(|actual_segment| {
@@ -107,14 +107,14 @@
             (Path::Prefix(first), Path::Prefix(second)) => {
                 first.iter().zip(second).all(|(first, second)| first == second)
             }
-            (Path::Prefix(first), Path::Whole(second)) | (Path::Whole(second), Path::Prefix(first)) => {
+            (Path::Prefix(first), Path::Segments(second)) | (Path::Segments(second), Path::Prefix(first)) => {
                 first.len() <= second.len()
                     && first
                         .iter()
                         .zip(second)
                         .all(|(first, second)| second.as_ref().is_none_or(|second| first == second))
             }
-            (Path::Whole(first), Path::Whole(second)) => {
+            (Path::Segments(first), Path::Segments(second)) => {
                 let compatible = |(first, second): (&Option<String>, &Option<String>)| {
                     first.is_none() || second.is_none() || first == second
                 };
@@ -129,12 +129,12 @@
         let fixed_segment = |index: usize| -> Option<&str> {
             [first, second].into_iter().find_map(|path| match path {
                 Path::Any => None,
-                Path::Whole(expected) => expected.get(index).and_then(|segment| segment.as_deref()),
+                Path::Segments(expected) => expected.get(index).and_then(|segment| segment.as_deref()),
                 Path::Prefix(expected) => expected.get(index).map(String::as_str),
             })
         };
         let length = [first, second].into_iter().find_map(|path| match path {
-            Path::Whole(expected) => Some(expected.len()),
+            Path::Segments(expected) => Some(expected.len()),
             _ => None,
         });
         match self {
@@ -142,7 +142,7 @@
             Path::Prefix(expected) => {
                 expected.iter().enumerate().all(|(index, segment)| fixed_segment(index) == Some(segment))
             }
-            Path::Whole(expected) => {
+            Path::Segments(expected) => {
                 length == Some(expected.len())
                     && expected.iter().enumerate().all(|(index, segment)| {
                         segment.as_ref().is_none_or(|segment| fixed_segment(index) == Some(segment))
@@ -162,10 +162,10 @@
         match self {
             Path::Any => (0, 0),
             Path::Prefix(expected) => (1, expected.len()),
-            Path::Whole(expected) if expected.iter().any(Option::is_none) => {
+            Path::Segments(expected) if expected.iter().any(Option::is_none) => {
                 (2, expected.iter().flatten().count())
             }
-            Path::Whole(expected) => (3, expected.len()),
+            Path::Segments(expected) => (3, expected.len()),
         }
     }
 }
--- a/crates/route-limits/src/read.rs
+++ b/crates/route-limits/src/read.rs
@@ -3,13 +3,13 @@
 use crate::check::check;
 use crate::limits::Limits;
 use crate::pattern::{Path, Pattern};
-use crate::table::{Kind, Rule, Table};
-use crate::Ground;
+use crate::table::{Rule, RuleKind, Table};
+use crate::PlatformSettings;
 use stileroute_operator_file::{suggestion, Located, Section};
 
 impl Table {
     /// Reads the routes of a file and checks them against the platform's settings. Faults are added to the log of `keys`.
-    pub fn read(keys: &Section, platform: &Ground) -> Option<Table> {
+    pub fn read(keys: &Section, platform: &PlatformSettings) -> Option<Table> {
         let mut rules = Vec::new();
         let (mut node_budget, mut tenant_header) = (None, None);
         if let Some(node) = keys.table("node") {
@@ -19,12 +19,12 @@
         }
         if let Some(table) = keys.table("defaults") {
             let limits = Limits::read(&table, platform);
-            let place = table.position();
+            let position = table.position();
             table.finish();
             rules.push(Rule {
-                kind: Kind::Defaults,
+                kind: RuleKind::Defaults,
                 name: "defaults".to_string(),
-                place,
+                position,
                 pattern: Pattern::default(),
                 limits,
             });
@@ -35,9 +35,9 @@
                 let pattern = Pattern { category: Some(category), ..Pattern::default() };
                 let rule_name = format!("category {}", name.value);
                 rules.push(Rule {
-                    kind: Kind::Category,
+                    kind: RuleKind::Category,
                     name: rule_name,
-                    place: name.position.clone(),
+                    position: name.position.clone(),
                     pattern,
                     limits,
                 });
@@ -51,7 +51,7 @@
     }
 }
 
-fn category(name: &Located<String>, platform: &Ground, keys: &Section) -> Option<usize> {
+fn category(name: &Located<String>, platform: &PlatformSettings, keys: &Section) -> Option<usize> {
     let found = platform.categories.iter().position(|(known, ..)| *known == name.value);
     if found.is_none() {
         let all: Vec<&str> = platform.categories.iter().map(|(name, ..)| name.as_str()).collect();
@@ -69,14 +69,14 @@
     is_base: bool,
 }
 
-fn read_routes(keys: &Section, platform: &Ground, has_tenant_header: bool) -> Vec<Rule> {
+fn read_routes(keys: &Section, platform: &PlatformSettings, has_tenant_header: bool) -> Vec<Rule> {
     let faults = keys.log();
     let mut drafts: Vec<RouteDraft> = Vec::new();
     for table in keys.tables("route") {
-        let place = table.position();
+        let position = table.position();
         let name = table.text("name");
         if name.is_none() {
-            faults.add(place.clone(), "a route needs a name", None);
+            faults.add(position.clone(), "a route needs a name", None);
         }
         let inherits = table.text("inherits");
         let is_base = table.flag("base").is_some_and(|flag| flag.value);
@@ -98,17 +98,18 @@
         };
         if pattern.is_none() && !is_base {
             let reason = "matches no request: it needs a match with a condition, or base = true";
-            faults.add(place.clone(), reason, None);
+            faults.add(position.clone(), reason, None);
         }
         table.finish();
         let Some(name) = name else { continue };
         if let Some(earlier) = drafts.iter().find(|draft| draft.rule.name == name.value) {
-            let reason = format!("the name '{}' is taken by the route at {}", name.value, earlier.rule.place);
+            let reason =
+                format!("the name '{}' is taken by the route at {}", name.value, earlier.rule.position);
             faults.add(name.position.clone(), reason, None);
             continue;
         }
         let pattern = pattern.unwrap_or_default();
-        let rule = Rule { kind: Kind::Route, name: name.value, place: name.position, pattern, limits };
+        let rule = Rule { kind: RuleKind::Route, name: name.value, position: name.position, pattern, limits };
         drafts.push(RouteDraft { rule, inherits, is_base });
     }
     let mut rules = Vec::new();
@@ -143,7 +144,7 @@
 }
 
 /// Reads the conditions of a route; `None` if there are none, or one is invalid.
-fn read_pattern(keys: &Section, platform: &Ground, has_tenant_header: bool) -> Option<Pattern> {
+fn read_pattern(keys: &Section, platform: &PlatformSettings, has_tenant_header: bool) -> Option<Pattern> {
     let faults = keys.log();
     let mut pattern = Pattern::default();
     let mut invalid = false;
--- a/crates/route-limits/src/table.rs
+++ b/crates/route-limits/src/table.rs
@@ -2,7 +2,7 @@
 
 use crate::limits::{for_each_limit, narrowed_effect, Limits, RetryBudget};
 use crate::pattern::{segments, Path, Pattern, Request};
-use crate::Ground;
+use crate::PlatformSettings;
 use std::collections::HashMap;
 use stileroute_dispatch::types::{self, Effect, Time};
 use stileroute_operator_file::{Located, Position};
@@ -10,7 +10,7 @@
 /// The section of the file that a rule comes from, in rising order of precedence: routes override categories, and these the
 /// defaults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum RuleKind {
     Defaults,
     Category,
     Route,
@@ -20,9 +20,9 @@
 /// too.
 #[derive(Clone, Debug)]
 pub struct Rule {
-    pub kind: Kind,
+    pub kind: RuleKind,
     pub name: String,
-    pub place: Position,
+    pub position: Position,
     pub pattern: Pattern,
     /// The limits of the rule, with those that it inherits.
     pub limits: Limits,
@@ -71,7 +71,7 @@
                     (None, Some(category)) => index.category_rules[category].push(number),
                     (None, None) => index.unconditional_rules.push(number),
                 },
-                Path::Whole(path_segments) => {
+                Path::Segments(path_segments) => {
                     let node_id = path_segments
                         .iter()
                         .fold(0, |node_id, segment| index.child_or_insert(node_id, segment.as_deref()));
@@ -168,7 +168,7 @@
 
 impl EffectiveLimits<'_> {
     /// For each limit that is set: its key, its value as text, its position in the file and the number of its rule.
-    pub fn shown(&self, platform: &Ground) -> Vec<(&'static str, String, Position, u32)> {
+    pub fn describe(&self, platform: &PlatformSettings) -> Vec<(&'static str, String, Position, u32)> {
         let time = |time: &Time| format!("{} ms", *time as f64 / 10.0);
         let names = |bits: &u64, names: &[String]| {
             let selected = names.iter().enumerate().filter(|(bit, _)| bits >> bit & 1 == 1);
@@ -221,7 +221,7 @@
         rules: Vec<Rule>,
         node_budget: Option<Located<RetryBudget>>,
         tenant_header: Option<String>,
-        platform: &Ground,
+        platform: &PlatformSettings,
     ) -> Table {
         let mut table = Table { rules, node_budget, tenant_header, ..Table::default() };
         table.sort_and_index(platform);
@@ -229,7 +229,7 @@
     }
 
     /// Sorts the rules by precedence and builds the index.
-    fn sort_and_index(&mut self, platform: &Ground) {
+    fn sort_and_index(&mut self, platform: &PlatformSettings) {
         // The sort is stable: of rules with equal precedence, the one that is earlier in the file takes precedence.
         self.rules.sort_by_key(|rule| std::cmp::Reverse((rule.kind, rule.pattern.precedence())));
         let mut headers: Vec<String> =
@@ -243,7 +243,7 @@
     }
 
     /// Makes a table of these rules without checking that they are safe; for tests and measurements.
-    pub fn unchecked(rules: Vec<Rule>, platform: &Ground) -> Table {
+    pub fn unchecked(rules: Vec<Rule>, platform: &PlatformSettings) -> Table {
         Table::new(rules, None, None, platform)
     }
 
@@ -289,7 +289,7 @@
         matching
             .iter()
             .map(|number| &self.rules[*number as usize])
-            .find(|rule| rule.kind == Kind::Route)
+            .find(|rule| rule.kind == RuleKind::Route)
             .map_or("-", |rule| &rule.name)
     }
 }
--- a/crates/route-limits/tests/common/mod.rs
+++ b/crates/route-limits/tests/common/mod.rs
@@ -4,9 +4,9 @@
 use stileroute_dispatch::types::{Category, Effect, Scope, Terms, SECOND};
 use stileroute_operator_file::Fault;
 use stileroute_route_limits::table::Table;
-use stileroute_route_limits::Ground;
+use stileroute_route_limits::PlatformSettings;
 
-pub fn platform() -> Ground {
+pub fn platform() -> PlatformSettings {
     let category = |effect, kind| Category {
         target: SECOND,
         stretch: 2.0,
@@ -17,7 +17,7 @@
         priority: 0,
     };
     let deduplicated = Effect::Deduplicated { scope: Scope::Domain, window: 3 * SECOND };
-    Ground {
+    PlatformSettings {
         categories: vec![
             ("lookup".to_string(), 5 * SECOND, category(Effect::Redeliverable, None)),
             ("notice".to_string(), 5 * SECOND, category(deduplicated, Some(0))),
@@ -43,6 +43,6 @@
     read_on(text, &platform())
 }
 
-pub fn read_on(text: &str, platform: &Ground) -> Result<Table, Vec<Fault>> {
+pub fn read_on(text: &str, platform: &PlatformSettings) -> Result<Table, Vec<Fault>> {
     stileroute_operator_file::read("bad.toml", text, |keys| Table::read(keys, platform))
 }
--- a/crates/route-limits/tests/safe.rs
+++ b/crates/route-limits/tests/safe.rs
@@ -13,11 +13,11 @@
 use std::sync::Arc;
 use stileroute_dispatch::policy::Dispatcher;
 use stileroute_dispatch::types::{Ask, Effect, Listed, Outcome, Scope, Step, Tariff, Time, SECOND};
-use stileroute_route_limits::admission::{Entry, Gate};
+use stileroute_route_limits::admission::{Admission, AdmissionControl};
 use stileroute_route_limits::limits::{narrowness, EffectOverride};
 use stileroute_route_limits::pattern::{Path, Pattern, Request};
 use stileroute_route_limits::table::{EffectiveLimits, Table};
-use stileroute_route_limits::Ground;
+use stileroute_route_limits::PlatformSettings;
 
 const PATHS: [&str; 9] = ["/a", "/b", "/a/b", "/a/{x}", "/{x}/b", "/{x}/{y}", "/a/*", "/b/*", "/a/b/*"];
 /// Every path that the patterns above can tell apart: up to four segments, each of them a, b or another (c).
@@ -92,7 +92,11 @@
 }
 
 /// The first unsafe limit of one request, found without the code under test, from the limits and the platform's settings alone.
-fn violation(platform: &Ground, category: usize, effective: &EffectiveLimits) -> Option<&'static str> {
+fn violation(
+    platform: &PlatformSettings,
+    category: usize,
+    effective: &EffectiveLimits,
+) -> Option<&'static str> {
     let (_, _, own) = &platform.categories[category];
     let (ttl, category_effect) = (platform.ttl(category), own.effect);
     let time = |limit: &Option<stileroute_route_limits::table::EffectiveLimit<Time>>| {
@@ -151,7 +155,7 @@
 }
 
 /// Reads a file into a table and ignores the faults that the check finds.
-fn read_unchecked(text: &str, platform: &Ground) -> Option<Table> {
+fn read_unchecked(text: &str, platform: &PlatformSettings) -> Option<Table> {
     let mut table = None;
     let _ = stileroute_operator_file::read("f.toml", text, |keys| {
         table = Table::read(keys, platform);
@@ -223,7 +227,7 @@
         let text = random_file(&mut rng);
         let Ok(table) = read_on(&text, &platform) else { continue };
         files += 1;
-        let mut admission = Gate::new(Arc::new(table));
+        let mut admission = AdmissionControl::new(Arc::new(table));
         let mut dispatcher = Dispatcher::new(&tariff, files);
         let endpoint = |executor: usize| Listed {
             mark: 0,
@@ -243,9 +247,11 @@
             let path = paths.choose(&mut rng).unwrap();
             let header = |name: &str| (name == "x").then_some("1");
             let request = Request { path, method: "POST", category, tenant: Some("t"), header: &header };
-            let Entry::In(mut permit) = admission.enter(now, ticket as u64, &request) else { continue };
+            let Admission::Admitted(mut permit) = admission.admit(now, ticket as u64, &request) else {
+                continue;
+            };
             let effect = platform.categories[category].2.effect;
-            let deadline = now + platform.ttl(category).min(permit.op);
+            let deadline = now + platform.ttl(category).min(permit.op_timeout);
             let ask = Ask {
                 category,
                 slots: 1.0,
@@ -256,7 +262,7 @@
                 tenant: 0,
                 key: 0,
             };
-            (0..8).for_each(|n| permit.ran(SECOND / 20 + n));
+            (0..8).for_each(|n| permit.record_run_time(SECOND / 20 + n));
             let mut op = dispatcher.arrive(now, ask);
             let mut at = now;
             // For each push: when it was sent, its executor, and whether it may have run.
@@ -285,7 +291,7 @@
                         hedged += usize::from(op.pushes.iter().filter(|p| p.outcome.is_none()).count() > 1);
                         assert!(permit.limits.kinds >> (executor / 4) & 1 == 1, "{text}");
                         sent.push((at, executor, true));
-                        permit.pushed(at);
+                        permit.record_push(at);
                     }
                     Step::Stop { push } => {
                         // A cancelled push may still have run.
@@ -321,7 +327,7 @@
                         ];
                         let outcome = *outcomes.choose(&mut rng).unwrap();
                         sent[push].2 = !outcome.never_ran();
-                        op.limits.over_budget = permit.over_budget(at);
+                        op.limits.over_budget = permit.retry_delay(at);
                         step = dispatcher.settle(at, &mut op, push, outcome, &[]);
                         continue;
                     }
--- a/crates/testbed/src/settings.rs
+++ b/crates/testbed/src/settings.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use stileroute_dispatch::settings::Posted;
 use stileroute_route_limits::table::Table;
-use stileroute_route_limits::Ground;
+use stileroute_route_limits::PlatformSettings;
 
 fn ns_of_ms(ms: f64) -> i64 {
     (ms * 1e6).round() as i64
@@ -106,7 +106,7 @@
 pub fn routes(plan: &Plan) -> Result<Routes, String> {
     let Some(text) = &plan.operator else { return Ok((None, Vec::new())) };
     let posted: Posted = serde_json::from_value(settings(plan, 0)).map_err(|error| error.to_string())?;
-    let ground = Ground::of(&posted).map_err(|error| error.to_string())?;
+    let ground = PlatformSettings::from_posted(&posted).map_err(|error| error.to_string())?;
     let read =
         |text: &str| stileroute_operator_file::read("operator", text, |keys| Table::read(keys, &ground));
     let first =
--- a/crates/testbed/src/sim/mod.rs
+++ b/crates/testbed/src/sim/mod.rs
@@ -27,7 +27,7 @@
 use stileroute_dispatch::policy::UPKEEP;
 use stileroute_dispatch::settings::Posted;
 use stileroute_dispatch::types::{Ask, Limits, Listed, Op, Outcome, Step, Tariff, Time, SECOND};
-use stileroute_route_limits::admission::{Entry, Gate, Pass};
+use stileroute_route_limits::admission::{Admission, AdmissionControl, Permit};
 use stileroute_route_limits::pattern::Request;
 use stileroute_route_limits::table::Table;
 
@@ -114,13 +114,13 @@
 /// An op in hand with what routes let it do.
 struct Held {
     op: Op,
-    pass: Option<Box<Pass>>,
+    pass: Option<Box<Permit>>,
 }
 
 impl Held {
     fn budget(&mut self, now: Time) {
         if let Some(pass) = &self.pass {
-            self.op.limits.over_budget = pass.over_budget(now);
+            self.op.limits.over_budget = pass.retry_delay(now);
         }
     }
 }
@@ -128,8 +128,8 @@
 struct Node {
     policy: Box<dyn Policy>,
     domain: usize,
-    gate: Option<Gate>,
-    waiting: HashMap<usize, Box<Pass>>,
+    gate: Option<AdmissionControl>,
+    waiting: HashMap<usize, Box<Permit>>,
     admitted: VecDeque<usize>,
     ops: HashMap<usize, Held>,
     due: BTreeSet<(Time, usize)>,
@@ -297,7 +297,7 @@
             sim.nodes.push(Node {
                 policy: make(node, sim.tariff(node), seed),
                 domain,
-                gate: sim.routes.clone().map(Gate::new),
+                gate: sim.routes.clone().map(AdmissionControl::new),
                 waiting: HashMap::new(),
                 admitted: VecDeque::new(),
                 ops: HashMap::new(),
--- a/crates/testbed/src/sim/node.rs
+++ b/crates/testbed/src/sim/node.rs
@@ -17,13 +17,13 @@
         let path = self.plan.category[category].path.as_deref().unwrap_or("/api/job");
         let header = |name: &str| (name == "x-tenant").then_some(tenant)?;
         let request = Request { path, method: "POST", category, tenant, header: &header };
-        match gate.enter(now, op as u64, &request) {
-            Entry::In(pass) => self.open(node, op, Some(Box::new(pass))),
-            Entry::Waits(pass, until) => {
+        match gate.admit(now, op as u64, &request) {
+            Admission::Admitted(pass) => self.open(node, op, Some(Box::new(pass))),
+            Admission::Queued(pass, until) => {
                 own.waiting.insert(op, Box::new(pass));
                 self.push_event(until, node, Coming::WaitOver(op));
             }
-            Entry::Full(back) => self.turn_away(op, back),
+            Admission::Rejected(back) => self.turn_away(op, back),
         }
     }
 
@@ -40,8 +40,8 @@
         }
     }
 
-    pub(super) fn free(&mut self, node: usize, op: usize, pass: &mut Pass) {
-        let next = pass.leave(self.now, op as u64);
+    pub(super) fn free(&mut self, node: usize, op: usize, pass: &mut Permit) {
+        let next = pass.release(self.now, op as u64);
         self.nodes[node].admitted.extend(next.map(|op| op as usize));
     }
 
@@ -57,20 +57,23 @@
     pub(super) fn turn_routes(&mut self) {
         let table = self.next_routes[self.turned % self.next_routes.len()].clone();
         self.turned += 1;
-        self.nodes.iter_mut().filter_map(|node| node.gate.as_mut()).for_each(|gate| gate.turn(table.clone()));
+        self.nodes
+            .iter_mut()
+            .filter_map(|node| node.gate.as_mut())
+            .for_each(|gate| gate.replace_table(table.clone()));
         if self.now < seconds(self.plan.seconds) {
             self.push_event(self.now + self.reload_every(), 0, Coming::Routes);
         }
     }
 
-    pub(super) fn open(&mut self, node: usize, op: usize, pass: Option<Box<Pass>>) {
+    pub(super) fn open(&mut self, node: usize, op: usize, pass: Option<Box<Permit>>) {
         let sheet = &self.day.ledger.sheets[op];
         let own = &self.plan.category[sheet.category];
         let mut deadline = sheet.deadline;
         let mut limits = Limits::default();
         if let Some(pass) = &pass {
             limits = pass.limits;
-            deadline = deadline.min(sheet.asked.saturating_add(pass.op));
+            deadline = deadline.min(sheet.asked.saturating_add(pass.op_timeout));
         }
         let hint = self.day.asked[sheet.job].hint;
         let ask = Ask {
@@ -100,7 +103,7 @@
                     let effect = held.op.limits.effect.unwrap_or(category.effect);
                     let leave_by = self.nodes[node].policy.leave_by(&held.op, effect);
                     if let Some(pass) = &mut held.pass {
-                        pass.pushed(now);
+                        pass.record_push(now);
                     }
                     self.send(node, op, executor, leave_by);
                 }
@@ -194,7 +197,7 @@
             return;
         }
         if let Some(pass) = held.pass.as_ref().filter(|_| outcome == Outcome::Acked) {
-            pass.ran(self.now - self.tries[op].flights[push].sent);
+            pass.record_run_time(self.now - self.tries[op].flights[push].sent);
         }
         held.budget(self.now);
         if outcome == Outcome::Acked && !held.op.closed {
--- a/crates/testbed/src/sim/trouble.rs
+++ b/crates/testbed/src/sim/trouble.rs
@@ -183,7 +183,7 @@
                 let policy = (self.make)(node, self.tariff(node), seed);
                 let own = &mut self.nodes[node];
                 own.policy = policy;
-                own.gate = self.routes.clone().map(Gate::new);
+                own.gate = self.routes.clone().map(AdmissionControl::new);
                 (own.up, own.starting, own.version) = (true, true, 0);
                 (own.held_up, own.starved) = (None, None);
                 self.boot(node);
