--- a/crates/route-limits/src/admission.rs
+++ b/crates/route-limits/src/admission.rs
@@ -36,7 +36,8 @@
 pub struct Permit {
     pub limits: Limits,
     pub route: Rc<str>,
-    /// The longest that the whole request may take; `connect` limits the set-up of one connection.
+    /// The longest that the whole request may take; `connect_timeout` limits the set-up of one connection
+    /// to an executor.
     pub op_timeout: Time,
     pub connect_timeout: Option<Time>,
     tracked_budgets: [Option<TrackedBudget>; 2],
@@ -60,16 +61,21 @@
     table: Arc<Table>,
     /// The name of each rule, by its number in the table.
     rule_names: Vec<Rc<str>>,
+    /// The pushes counted for retry budgets, by the name of the rule that sets the budget.
     windows: HashMap<String, Rc<RefCell<PushWindow>>>,
+    /// The in-flight slots, by the name of the rule that sets their limit.
     slots: HashMap<String, Rc<RefCell<InFlightSlots>>>,
+    /// The recorded run times, by category.
     run_times: Vec<Option<Rc<RefCell<RunTimes>>>>,
     node_budget: Option<TrackedBudget>,
+    /// The name `-` that is logged for requests that match no route, shared by all of them.
     no_route_name: Option<Rc<str>>,
+    /// The numbers of the rules that match a request: a buffer that is reused for each request.
     matching_rules: Vec<u32>,
 }
 
 /// The name under which the pushes of the whole node are counted.
-const NODE: &str = "node";
+const NODE_BUDGET_NAME: &str = "node";
 
 impl AdmissionControl {
     pub fn new(table: Arc<Table>) -> AdmissionControl {
@@ -90,9 +96,10 @@
         // Run times are recorded only if a rule sends hedged pushes after a quantile of them (`copy-after`).
         self.run_times.resize(if hedging { table.category_count() } else { 0 }, None);
         let budget = table.node_budget.as_ref().map(|setting| setting.value);
-        self.node_budget =
-            budget.map(|budget| TrackedBudget { budget, window: self.window(NODE, budget.window) });
-        let is_known = |name: &String| name == NODE || table.rules.iter().any(|rule| rule.name == *name);
+        self.node_budget = budget
+            .map(|budget| TrackedBudget { budget, window: self.window(NODE_BUDGET_NAME, budget.window) });
+        let is_known =
+            |name: &String| name == NODE_BUDGET_NAME || table.rules.iter().any(|rule| rule.name == *name);
         self.windows.retain(|name, _| is_known(name));
         self.slots.retain(|name, _| is_known(name));
         self.table = table;
--- a/crates/route-limits/src/check.rs
+++ b/crates/route-limits/src/check.rs
@@ -16,7 +16,7 @@
 use stileroute_operator_file::{FaultLog, Located, Position, SafetyRule};
 
 /// Stands for the platform's settings where the number of a rule is expected; they have the lowest precedence.
-const SETTINGS: usize = usize::MAX;
+const SETTINGS_RULE: usize = usize::MAX;
 
 /// Returns one limit of a set of limits.
 type LimitGetter<T> = fn(&Limits) -> &Option<Located<T>>;
@@ -64,15 +64,16 @@
         getter: LimitGetter<T>,
     ) -> Vec<RuleSetting<'a, T>> {
         let table: &'a Table = self.table;
-        let mut all = Vec::new();
-        for (rule, own) in table.rules.iter().enumerate() {
-            if let Some(setting) =
-                getter(&own.limits).as_ref().filter(|_| own.pattern.category.is_none_or(|c| c == category))
+        let mut settings = Vec::new();
+        for (rule, candidate) in table.rules.iter().enumerate() {
+            if let Some(setting) = getter(&candidate.limits)
+                .as_ref()
+                .filter(|_| candidate.pattern.category.is_none_or(|c| c == category))
             {
-                all.push(RuleSetting { rule, value: setting.value, position: &setting.position });
+                settings.push(RuleSetting { rule, value: setting.value, position: &setting.position });
             }
         }
-        all
+        settings
     }
 
     /// Whether some request of the category matches both rules, while no rule of higher precedence than the first sets the first
@@ -118,14 +119,14 @@
         broken_rule: Option<SafetyRule>,
         conflict: impl Fn(T) -> Option<String>,
     ) {
-        for own in self.settings_of(category, getter) {
-            let Some(reason) = conflict(own.value) else { continue };
-            if !self.is_reachable(category, own.rule, getter, own.rule, getter)
-                || !self.reported.insert((own.rule, own.rule, code))
+        for setting in self.settings_of(category, getter) {
+            let Some(reason) = conflict(setting.value) else { continue };
+            if !self.is_reachable(category, setting.rule, getter, setting.rule, getter)
+                || !self.reported.insert((setting.rule, setting.rule, code))
             {
                 continue;
             }
-            let position = own.position.clone();
+            let position = setting.position.clone();
             self.faults.add(
                 position,
                 format!("{reason} (category {})", self.category_name(category)),
@@ -150,10 +151,10 @@
         let (first_settings, second_settings) =
             (self.settings_of(category, first_getter), self.settings_of(category, second_getter));
         // Rules share few distinct values, so `conflict` is called once for each pair of values, not of rules.
-        let groups = by_value(&second_settings);
+        let groups = group_by_value(&second_settings);
         let mut previous_value: Option<A> = None;
         let mut conflicting: Vec<&RuleSetting<B>> = Vec::new();
-        for first in by_value(&first_settings).into_iter().flatten() {
+        for first in group_by_value(&first_settings).into_iter().flatten() {
             if previous_value.is_none_or(|value| value != first.value) {
                 let conflicting_groups =
                     groups.iter().filter(|group| conflict(first.value, group[0].value).is_some());
@@ -187,12 +188,12 @@
             let Some(reason) = settings_value.and_then(|value| conflict(first.value, value)) else {
                 continue;
             };
-            if self.reported.contains(&(first.rule, SETTINGS, code))
-                || !self.is_reachable(category, first.rule, first_getter, SETTINGS, second_getter)
+            if self.reported.contains(&(first.rule, SETTINGS_RULE, code))
+                || !self.is_reachable(category, first.rule, first_getter, SETTINGS_RULE, second_getter)
             {
                 continue;
             }
-            self.reported.insert((first.rule, SETTINGS, code));
+            self.reported.insert((first.rule, SETTINGS_RULE, code));
             self.faults.add(
                 first.position.clone(),
                 format!("{reason} (category {})", self.category_name(category)),
@@ -218,18 +219,18 @@
 
     /// A route may set only an effect that is as narrow as the category's, or narrower.
     fn check_effect(&mut self, category: usize) {
-        let own = narrowness(self.category_effect(category));
+        let category_narrowness = narrowness(self.category_effect(category));
         self.check_limit(category, EFFECT, "effect", Some(SafetyRule::NoDuplicateEffect), |override_to| {
             let override_narrowness = match override_to {
                 EffectOverride::Redeliverable => 0,
                 EffectOverride::Deduplicated => 1,
                 EffectOverride::AtMostOnce => 2,
             };
-            if override_narrowness < own {
+            if override_narrowness < category_narrowness {
                 let reason = "an op could run twice: the effect may only be narrower than the category's";
                 return Some(reason.to_string());
             }
-            (override_to == EffectOverride::Deduplicated && own == 0).then(|| {
+            (override_to == EffectOverride::Deduplicated && category_narrowness == 0).then(|| {
                 "no executor drops a repeat of this category, so it can't be deduplicated".to_string()
             })
         });
@@ -285,8 +286,9 @@
     fn check_timeouts_within_ttl(&mut self, category: usize) {
         let loses_request = Some(SafetyRule::NoRequestLost);
         let ttl = self.platform.ttl(category);
-        let longer_than_ttl =
-            |time: Time| (time > ttl).then(|| format!("{} is longer than the TTL of {}", ms(time), ms(ttl)));
+        let longer_than_ttl = |time: Time| {
+            (time > ttl).then(|| format!("{} is longer than the TTL of {}", format_ms(time), format_ms(ttl)))
+        };
         self.check_limit(category, OP_TIMEOUT, "op-ttl", loses_request, longer_than_ttl);
         self.check_limit(category, CONNECT_TIMEOUT, "connect-ttl", None, longer_than_ttl);
         self.check_limit(category, START_TIMEOUT, "no-start-ttl", None, longer_than_ttl);
@@ -299,10 +301,14 @@
     /// take no longer than the start that it is part of.
     fn check_nested_timeouts(&mut self, category: usize) {
         let loses_request = Some(SafetyRule::NoRequestLost);
-        let not_shorter_than_op = |what: &'static str| {
+        let not_shorter_than_op = |limit_name: &'static str| {
             move |time: Time, op_timeout: Time| {
                 (time >= op_timeout).then(|| {
-                    format!("{what} of {} is not shorter than the op's {}", ms(time), ms(op_timeout))
+                    format!(
+                        "{limit_name} of {} is not shorter than the op's {}",
+                        format_ms(time),
+                        format_ms(op_timeout)
+                    )
                 })
             }
         };
@@ -362,7 +368,7 @@
             None,
             |connect_timeout, start| {
                 (connect_timeout > start).then(|| {
-                    let (start, connect_timeout) = (ms(start), ms(connect_timeout));
+                    let (start, connect_timeout) = (format_ms(start), format_ms(connect_timeout));
                     format!(
                         "a push would be cancelled after {start}, while it may connect for {connect_timeout}"
                     )
@@ -379,8 +385,8 @@
             let reason = || {
                 format!(
                     "{} is longer than the {} in which repeats are dropped",
-                    ms(resend_window),
-                    ms(window)
+                    format_ms(resend_window),
+                    format_ms(window)
                 )
             };
             (resend_window > window).then(reason)
@@ -399,8 +405,8 @@
         let (_, _, settings) = &self.platform.categories[category];
         let Some(kind) = settings.kind else { return };
         let name = self.platform.kinds.get(kind).cloned().unwrap_or_default();
-        self.check_limit(category, KINDS, "kind", Some(SafetyRule::NoRequestLost), |bits| {
-            (bits >> kind.min(63) & 1 == 0)
+        self.check_limit(category, KINDS, "kind", Some(SafetyRule::NoRequestLost), |kind_bits| {
+            (kind_bits >> kind.min(63) & 1 == 0)
                 .then(|| format!("the category runs only on kind '{name}', which is left out"))
         });
     }
@@ -420,14 +426,15 @@
             let shadowed = |category: usize, key: u32| {
                 let covers =
                     |earlier: &&Rule| earlier.pattern.covers_overlap(&rule.pattern, &rule.pattern, category);
-                let setting = covering.iter().filter(|earlier| set_bits[**earlier] >> key & 1 == 1);
-                setting.map(|earlier| &table.rules[*earlier]).find(covers)
+                let setting_key = covering.iter().filter(|earlier| set_bits[**earlier] >> key & 1 == 1);
+                setting_key.map(|earlier| &table.rules[*earlier]).find(covers)
             };
             let categories = 0..self.platform.categories.len();
-            let mut own = categories.filter(|c| rule.pattern.category.is_none_or(|category| category == *c));
+            let mut applicable =
+                categories.filter(|c| rule.pattern.category.is_none_or(|category| category == *c));
             let set_keys = || (0..u32::BITS).filter(|key| set_bits[number] >> key & 1 == 1);
             let mut shadowing_rule = None;
-            let is_reachable = own.any(|category| {
+            let is_reachable = applicable.any(|category| {
                 set_keys().any(|key| {
                     let earlier = shadowed(category, key);
                     shadowing_rule = earlier.or(shadowing_rule);
@@ -446,20 +453,22 @@
 }
 
 /// A time in ms, as text for error messages.
-fn ms(time: Time) -> String {
+fn format_ms(time: Time) -> String {
     format!("{} ms", time as f64 / 10.0)
 }
 
 /// The settings of a limit, grouped by value.
-fn by_value<'b, 'a, T: Copy + PartialOrd>(all: &'b [RuleSetting<'a, T>]) -> Vec<Vec<&'b RuleSetting<'a, T>>> {
-    let mut sorted: Vec<&RuleSetting<T>> = all.iter().collect();
+fn group_by_value<'b, 'a, T: Copy + PartialOrd>(
+    settings: &'b [RuleSetting<'a, T>],
+) -> Vec<Vec<&'b RuleSetting<'a, T>>> {
+    let mut sorted_settings: Vec<&RuleSetting<T>> = settings.iter().collect();
     // Values are finite numbers or enum variants, so any two can be compared.
-    sorted.sort_by(|a, b| a.value.partial_cmp(&b.value).unwrap_or(std::cmp::Ordering::Equal));
+    sorted_settings.sort_by(|a, b| a.value.partial_cmp(&b.value).unwrap_or(std::cmp::Ordering::Equal));
     let mut groups: Vec<Vec<&RuleSetting<T>>> = Vec::new();
-    for own in sorted {
-        match groups.last_mut().filter(|group| group[0].value == own.value) {
-            Some(group) => group.push(own),
-            None => groups.push(vec![own]),
+    for setting in sorted_settings {
+        match groups.last_mut().filter(|group| group[0].value == setting.value) {
+            Some(group) => group.push(setting),
+            None => groups.push(vec![setting]),
         }
     }
     groups
--- a/crates/route-limits/src/read.rs
+++ b/crates/route-limits/src/read.rs
@@ -31,7 +31,7 @@
         }
         for (name, table) in keys.named_tables("category") {
             let limits = Limits::read(&table, platform);
-            if let Some(category) = category(&name, platform, &table) {
+            if let Some(category) = find_category(&name, platform, &table) {
                 let pattern = Pattern { category: Some(category), ..Pattern::default() };
                 let rule_name = format!("category {}", name.value);
                 rules.push(Rule {
@@ -51,11 +51,11 @@
     }
 }
 
-fn category(name: &Located<String>, platform: &PlatformSettings, keys: &Section) -> Option<usize> {
+fn find_category(name: &Located<String>, platform: &PlatformSettings, keys: &Section) -> Option<usize> {
     let found = platform.categories.iter().position(|(known, ..)| *known == name.value);
     if found.is_none() {
-        let all: Vec<&str> = platform.categories.iter().map(|(name, ..)| name.as_str()).collect();
-        let reason = format!("there is no category '{}'{}", name.value, suggestion(name, &all));
+        let known_names: Vec<&str> = platform.categories.iter().map(|(name, ..)| name.as_str()).collect();
+        let reason = format!("there is no category '{}'{}", name.value, suggestion(name, &known_names));
         keys.log().add(name.position.clone(), reason, None);
     }
     found
@@ -127,8 +127,9 @@
                 break;
             }
             let Some(next) = drafts.iter().find(|draft| draft.rule.name == from.value) else {
-                let all: Vec<&str> = drafts.iter().map(|draft| draft.rule.name.as_str()).collect();
-                let reason = format!("there is no route '{}'{}", from.value, suggestion(&from.value, &all));
+                let known_names: Vec<&str> = drafts.iter().map(|draft| draft.rule.name.as_str()).collect();
+                let reason =
+                    format!("there is no route '{}'{}", from.value, suggestion(&from.value, &known_names));
                 faults.add(from.position.clone(), reason, None);
                 break;
             };
@@ -162,7 +163,7 @@
         }
     }
     if let Some(name) = keys.text("category") {
-        pattern.category = category(&name, platform, keys);
+        pattern.category = find_category(&name, platform, keys);
         invalid |= pattern.category.is_none();
     }
     if let Some(tenant) = keys.text("tenant") {
