--- a/crates/operator-file/src/section.rs
+++ b/crates/operator-file/src/section.rs
@@ -17,7 +17,7 @@
     table: &'a DeTable<'a>,
     /// The offset in bytes at which the table begins.
     offset: usize,
-    /// The path of the table, empty for the outermost one.
+    /// The path of the table's key, such as `route[2].match`; empty for the outermost table.
     path: String,
     /// The keys that the caller has asked for. All other keys in the table are reported as unknown.
     requested_keys: RefCell<Vec<String>>,
@@ -28,7 +28,7 @@
 const MAX_TIME: Time = 24 * 3600 * 10_000;
 
 impl<'a> Section<'a> {
-    /// The outermost table of a file.
+    /// A section for the outermost table of a file.
     pub(crate) fn root(log: Rc<FaultLog>, table: &'a DeTable<'a>) -> Section<'a> {
         Section { log, table, offset: 0, path: String::new(), requested_keys: RefCell::default() }
     }
--- a/crates/route-limits/src/budget.rs
+++ b/crates/route-limits/src/budget.rs
@@ -33,7 +33,7 @@
         self.length = length.max(WINDOW_BUCKETS as Time);
     }
 
-    /// Clears the buckets that have expired by `now`, and returns the index of the newest bucket.
+    /// Clears the buckets of the window that have expired by `now`, and returns the index of the newest bucket.
     fn advance(&mut self, now: Time) -> usize {
         let current_bucket = now / (self.length / WINDOW_BUCKETS as Time).max(1);
         let expired = (current_bucket - self.latest_bucket).clamp(0, WINDOW_BUCKETS as Time);
@@ -54,7 +54,7 @@
         self.buckets[bucket].1 += 1.0;
     }
 
-    /// First and further pushes within the window.
+    /// The numbers of first pushes and of retries within the window.
     pub fn counts(&mut self, now: Time) -> (f64, f64) {
         self.advance(now);
         self.buckets.iter().fold((0.0, 0.0), |sum, bucket| (sum.0 + bucket.0, sum.1 + bucket.1))
@@ -130,7 +130,7 @@
             self.waiters.push_back(Waiter { ticket, until });
             return SlotOutcome::Queued(until);
         }
-        // An estimate of when the whole queue, and one more, will have got a slot; from 10 ms to 10 s.
+        // The retry delay estimates when all queued requests and this one will have got a slot, bounded to 10 ms to 10 s.
         SlotOutcome::Rejected(
             ((self.waiters.len() + 1) as f64 * self.release_interval).clamp(100.0, 100_000.0) as Time,
         )
--- a/crates/route-limits/src/lib.rs
+++ b/crates/route-limits/src/lib.rs
@@ -36,7 +36,7 @@
 }
 
 impl PlatformSettings {
-    /// Reads the settings that the control plane posts.
+    /// Takes these parts from the platform's settings object.
     pub fn from_posted(posted: &Posted) -> Result<PlatformSettings, SettingsError> {
         let tariff = posted.tariff().map_err(SettingsError)?;
         let names = posted.categories().into_iter().zip(posted.ttls());
--- a/crates/route-limits/src/limits.rs
+++ b/crates/route-limits/src/limits.rs
@@ -1,4 +1,4 @@
-//! The limits that a route, a category or the defaults may set, and how they are read.
+//! The limits that a route, a category or the defaults may set for requests, and their reading from the operator's file.
 
 use crate::PlatformSettings;
 use stileroute_dispatch::types::{Effect, Scope, Time};
--- a/crates/route-limits/src/pattern.rs
+++ b/crates/route-limits/src/pattern.rs
@@ -13,13 +13,13 @@
     /// The path pattern has a space or other non-graphic character, a query or a fragment.
     #[error("'{0}' is not a path: it must have no space, '?' or '#'")]
     ForbiddenCharacter(String),
-    /// Braces enclose only a part of a segment, or no name.
+    /// The path pattern has braces around only a part of a segment, or around no name.
     #[error("'{0}': a wildcard must be a whole segment, as '{{name}}'")]
     PartialWildcardSegment(String),
     /// A prefix pattern has a wildcard segment.
     #[error("a prefix must have no wildcard segments")]
     WildcardInPrefix,
-    /// A star is not the whole last segment.
+    /// The path pattern has a star that is not the whole last segment.
     #[error("'*' must be the whole last segment")]
     MisplacedStar,
 }
