--- a/crates/operator-file/tests/faults.rs
+++ b/crates/operator-file/tests/faults.rs
@@ -1,31 +1,35 @@
-//! The whole text of every fault that reading a file reports, with line, column and key.
+//! Tests the complete text of every fault that reading a file can report, with line, column and key.
 
 use stileroute_operator_file::{load, read, Fault, Section};
 
-/// The faults of a file, line by line.
-fn faults(text: &str, sections: impl FnOnce(&Section)) -> Vec<String> {
+/// The faults of a file, one text each.
+fn faults(text: &str, read_sections: impl FnOnce(&Section)) -> Vec<String> {
     let read = read("f.toml", text, |keys| {
-        sections(keys);
+        read_sections(keys);
         Some(())
     });
     read.err().unwrap_or_default().iter().map(Fault::to_string).collect()
 }
 
 #[test]
-fn each_kind_of_value_has_its_faults() {
-    type Ask = fn(&Section);
-    let cases: [(&str, Ask, &str); 32] = [
+fn each_type_of_value_reports_its_faults() {
+    type ReadKeys = fn(&Section);
+    let cases: [(&str, ReadKeys, &str); 32] = [
         ("a = 1", |keys| drop(keys.text("a")), "f.toml:1:1: a: must be a text in quotes, not a whole number"),
         ("\na = ''", |keys| drop(keys.text("a")), "f.toml:2:1: a: is empty"),
         (
             "a = 1.5",
-            |keys| drop(keys.word("a", &[("x", 1)])),
+            |keys| drop(keys.choice("a", &[("x", 1)])),
             "f.toml:1:1: a: must be a word in quotes, not a number",
         ),
-        ("a = 'q'", |keys| drop(keys.word("a", &[("x", 1), ("y", 2)])), "f.toml:1:1: a: 'q' is none of x, y"),
+        (
+            "a = 'q'",
+            |keys| drop(keys.choice("a", &[("x", 1), ("y", 2)])),
+            "f.toml:1:1: a: 'q' is none of x, y",
+        ),
         (
             "  a = 'slwo'",
-            |keys| drop(keys.word("a", &[("slow", 1)])),
+            |keys| drop(keys.choice("a", &[("slow", 1)])),
             "f.toml:1:3: a: 'slwo' is none of slow; did you mean 'slow'?",
         ),
         (
@@ -47,9 +51,13 @@
         ),
         ("a = 4", |keys| drop(keys.count("a", 1..=3)), "f.toml:1:1: a: must be a whole number from 1 to 3"),
         ("a = -1", |keys| drop(keys.count("a", 0..=3)), "f.toml:1:1: a: must be a whole number from 0 to 3"),
-        ("a = 'x'", |keys| drop(keys.texts("a")), "f.toml:1:1: a: must be a list of texts, not a text"),
-        ("a = []", |keys| drop(keys.texts("a")), "f.toml:1:1: a: is an empty list"),
-        ("a = ['x', 1]", |keys| drop(keys.texts("a")), "f.toml:1:11: a: must be a text, not a whole number"),
+        ("a = 'x'", |keys| drop(keys.text_list("a")), "f.toml:1:1: a: must be a list of texts, not a text"),
+        ("a = []", |keys| drop(keys.text_list("a")), "f.toml:1:1: a: is an empty list"),
+        (
+            "a = ['x', 1]",
+            |keys| drop(keys.text_list("a")),
+            "f.toml:1:11: a: must be a text, not a whole number",
+        ),
         ("a = 1", |keys| drop(keys.table("a")), "f.toml:1:1: a: must be a table, not a whole number"),
         ("a = 1", |keys| drop(keys.tables("a")), "f.toml:1:1: a: must be a list of tables: [[a]]"),
         ("a = [{}, 1]", |keys| drop(keys.tables("a")), "f.toml:1:10: a[1]: must be a table"),
@@ -90,32 +98,37 @@
         (
             "",
             |keys| {
-                keys.log().add(keys.position(), "one\ntwo", Some(stileroute_operator_file::Rule::DrainsKept))
+                keys.log().add(
+                    keys.position(),
+                    "one\ntwo",
+                    Some(stileroute_operator_file::SafetyRule::NoNewWorkWhileDraining),
+                )
             },
             "f.toml:1:1: file: one two [rule 3]",
         ),
     ];
-    for (text, ask, expected) in cases {
-        assert_eq!(faults(text, ask), [expected], "{text:?}");
+    for (text, read_keys, expected) in cases {
+        assert_eq!(faults(text, read_keys), [expected], "{text:?}");
     }
     let wrong = faults("a = '5 parsecs'", |keys| drop(keys.time("a")));
     assert_eq!(wrong.len(), 1);
-    assert!(wrong[0].starts_with("f.toml:1:1: a: '5 parsecs' is no time: "), "{wrong:?}");
+    assert!(wrong[0].starts_with("f.toml:1:1: a: '5 parsecs' is not a time: "), "{wrong:?}");
 }
 
 #[test]
-fn what_is_right_is_read() {
+fn valid_values_are_read() {
     let text =
         "text = 't'\nword = 'y'\ntime = '1m 0.25s'\nflag = true\nnumber = 0x10\nfloat = 0.5\ncount = 3\n\
                 texts = ['a', 'b']\n[pairs]\nk = 'v'\n";
     let read = read("f.toml", text, |keys| {
         assert_eq!(keys.text("text")?.value, "t");
-        assert_eq!(keys.word("word", &[("x", 1), ("y", 2)])?.value, 2);
+        assert_eq!(keys.choice("word", &[("x", 1), ("y", 2)])?.value, 2);
         assert!(*keys.flag("flag")?);
         assert_eq!(*keys.number("number", 0.0..=16.0)?, 16.0);
         assert_eq!(*keys.number("float", 0.0..=1.0)?, 0.5);
         assert_eq!(*keys.count("count", 0..=3)?, 3);
-        let texts: Vec<String> = keys.texts("texts")?.value.iter().map(|text| text.value.clone()).collect();
+        let texts: Vec<String> =
+            keys.text_list("texts")?.value.iter().map(|text| text.value.clone()).collect();
         assert_eq!(texts, ["a", "b"]);
         let pairs = keys.named_texts("pairs");
         assert_eq!((pairs[0].0.value.as_str(), pairs[0].1.as_str(), pairs.len()), ("k", "v", 1));
@@ -127,7 +140,7 @@
         Some(())
     });
     let faults: Vec<String> = read.err().unwrap_or_default().iter().map(Fault::to_string).collect();
-    assert_eq!(faults, ["f.toml:3:1: time: is not known"], "nobody asked for the time");
+    assert_eq!(faults, ["f.toml:3:1: time: is not known"], "the key `time` was not asked for");
     let time = |text: &str| {
         let text = format!("time = '{text}'");
         stileroute_operator_file::read("f.toml", &text, |keys| keys.time("time").map(|time| time.value))
@@ -138,7 +151,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_read_has_one_fault() {
+fn an_unreadable_file_has_one_fault() {
     let path = std::env::temp_dir().join(format!("stileroute-operator-file-{}.toml", std::process::id()));
     let faults = load(&path).unwrap_err();
     let texts: Vec<String> = faults.iter().map(Fault::to_string).collect();
@@ -157,7 +170,7 @@
         keys.time("wait");
         keys.number("share", 0.0..=1.0);
         keys.text("name");
-        keys.word("mode", &[("slow", 1), ("fast", 2)]);
+        keys.choice("mode", &[("slow", 1), ("fast", 2)]);
         let inner = keys.table("inner")?;
         inner.flag("flag");
         inner.time("long");
--- a/crates/route-limits/tests/common/mod.rs
+++ b/crates/route-limits/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! The ground that the tests of routes stand on.
+//! The platform's settings that the tests of routes share, and functions that read a file against them.
 #![allow(dead_code)]
 
 use stileroute_dispatch::types::{Category, Effect, Scope, Terms, SECOND};
 use stileroute_operator_file::Fault;
 use stileroute_route_limits::table::Table;
-use stileroute_route_limits::Ground;
+use stileroute_route_limits::PlatformSettings;
 
-pub fn ground() -> Ground {
+pub fn platform() -> PlatformSettings {
     let category = |effect, kind| Category {
         target: SECOND,
         stretch: 2.0,
@@ -17,7 +17,7 @@
         priority: 0,
     };
     let deduplicated = Effect::Deduplicated { scope: Scope::Domain, window: 3 * SECOND };
-    Ground {
+    PlatformSettings {
         categories: vec![
             ("lookup".to_string(), 5 * SECOND, category(Effect::Redeliverable, None)),
             ("notice".to_string(), 5 * SECOND, category(deduplicated, Some(0))),
@@ -40,9 +40,9 @@
 }
 
 pub fn read(text: &str) -> Result<Table, Vec<Fault>> {
-    read_on(text, &ground())
+    read_on(text, &platform())
 }
 
-pub fn read_on(text: &str, ground: &Ground) -> Result<Table, Vec<Fault>> {
-    stileroute_operator_file::read("bad.toml", text, |keys| Table::read(keys, ground))
+pub fn read_on(text: &str, platform: &PlatformSettings) -> Result<Table, Vec<Fault>> {
+    stileroute_operator_file::read("bad.toml", text, |keys| Table::read(keys, platform))
 }
