--- a/crates/node/src/desk/queue.rs
+++ b/crates/node/src/dispatch_loop/admission_queue.rs
@@ -1,6 +1,6 @@
 //! Ops that wait for a place in hand: they are taken, and not yet asked of the module.
 
-use crate::port::{Asked, Job, Owed};
+use crate::interfaces::{Asked, Job, Owed};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 use stileroute_dispatch::types::Time;
--- a/crates/node/src/desk/ops.rs
+++ b/crates/node/src/dispatch_loop/in_flight.rs
@@ -1,6 +1,6 @@
 //! The ops in hand, and when to look at which of them again.
 
-use crate::port::{Job, Link, Owed};
+use crate::interfaces::{Job, Link, Owed};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 use stileroute_dispatch::types::{Op, Outcome, Time};
--- a/crates/node/src/desk/mod.rs
+++ b/crates/node/src/dispatch_loop/mod.rs
@@ -1,18 +1,20 @@
 //! The desk: the one thread that owns the dispatcher, the ops and their timers. It turns what it is told
 //! into calls of the module, carries out what these give back, and never waits on a socket.
 
-mod ops;
-mod queue;
+mod admission_queue;
+mod in_flight;
 
-use crate::life::start::Start;
-use crate::port::{Asked, Carrier, Event, Fate, Front, How, Job, Link, List, Order, Outlet, Owed, Push};
+use crate::interfaces::{
+    Asked, Carrier, Event, Fate, Front, How, Job, Link, List, Order, Outlet, Owed, Push,
+};
+use crate::process::settings::Start;
 use crate::say;
-use crate::store::figures::Figures;
-use crate::store::indices::Indices;
-use crate::store::outs::State;
+use crate::state::disabled_executors::State;
+use crate::state::metrics::Figures;
+use crate::state::name_index::Indices;
+use admission_queue::{Queue, Waiting};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
-use ops::{Held, Ops, Out};
-use queue::{Queue, Waiting};
+use in_flight::{Held, Ops, Out};
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
--- a/crates/node/src/port.rs
+++ b/crates/node/src/interfaces.rs
@@ -2,9 +2,9 @@
 //! words. A front is where ops come from, an outlet where pushes go; the desk holds both without knowing which
 //! protocol they speak, and they know the desk only by its events.
 
-use crate::store::figures::InHand;
-use crate::store::outs::State;
-use crate::store::pool::Bytes;
+use crate::state::buffer_pool::Bytes;
+use crate::state::disabled_executors::State;
+use crate::state::metrics::InHand;
 use crossbeam_channel::Sender;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,34 +1,38 @@
 //! `stileroute`: the decisions of the library as a node on sockets. The parts are put together here.
 
-mod desk;
-mod drive;
-mod life;
-mod port;
+mod dispatch_loop;
+mod interfaces;
+mod net;
+mod process;
 mod reload;
-mod store;
+mod state;
 #[cfg(test)]
 mod tests;
 mod wire;
 
 use clap::Parser;
 use crossbeam_channel::{bounded, Sender};
-use desk::{Desk, Operators};
-use drive::calls::{Calls, OperatorsAddressError, Reach};
-use drive::clients::Clients;
-use drive::directory::Post;
-use drive::executors::Executors;
-use drive::listener::{self, ListenError};
-use drive::members::{Instance, MembersError, MembershipThread};
-use drive::outlet::Http;
-use drive::peers::{Peers, PeersError};
-use life::members::MembersAt;
-use life::operator::Operator;
-use life::signals::SignalsError;
-use life::start::Start;
-use life::start::StartError;
-use life::words::{Command, Words};
-use life::{operator, signals, spawn, start};
-use port::{Carrier, Event};
+use dispatch_loop::{Desk, Operators};
+use interfaces::{Carrier, Event};
+use net::admin::{Calls, OperatorsAddressError, Reach};
+use net::clients::Clients;
+use net::discovery::Post;
+use net::executors::Executors;
+use net::http_transport::Http;
+use net::listener::{self, ListenError};
+use net::membership::{Instance, MembersError, MembershipThread};
+use net::peers::{Peers, PeersError};
+use process::cli::{Command, Words};
+use process::members_section::MembersAt;
+use process::operator_file::Operator;
+use process::settings::Start;
+use process::settings::StartError;
+use process::signals::SignalsError;
+use process::{operator_file, settings, signals, spawn};
+use state::buffer_pool::Pool;
+use state::client_slots::Seats;
+use state::disabled_executors::Outs;
+use state::metrics::Figures;
 use std::io::{self, Write};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -36,10 +40,6 @@
 use std::sync::{Arc, RwLock};
 use stileroute_dispatch::types::mark;
 use stileroute_route_limits::Ground;
-use store::figures::Figures;
-use store::outs::Outs;
-use store::pool::Pool;
-use store::seats::Seats;
 use thiserror::Error;
 
 /// Events that may wait for the desk; who tells more has to wait.
@@ -81,8 +81,8 @@
 impl OperatorFile {
     fn read(path: &Path, start: &Start) -> Result<OperatorFile, RunError> {
         let ground = start.ground();
-        let content = operator::read(path, &ground)
-            .map_err(|faults| RunError::OperatorFile(operator::told(&faults)))?;
+        let content = operator_file::read(path, &ground)
+            .map_err(|faults| RunError::OperatorFile(operator_file::told(&faults)))?;
         Ok(OperatorFile { path: path.to_path_buf(), ground, content })
     }
 }
@@ -112,7 +112,7 @@
 }
 
 fn run(words: &Words) -> Result<(), RunError> {
-    let start = start::read(|name| std::env::var(name).ok())?;
+    let start = settings::read(|name| std::env::var(name).ok())?;
     // Before anything else is opened, which might take the number of a descriptor that was not handed in.
     let inherited = start.inherited.map(listener::inherited).transpose()?;
     let mut operator = words.operator.as_deref().map(|path| OperatorFile::read(path, &start)).transpose()?;
@@ -120,7 +120,7 @@
     let routes = operator.as_ref().map(|file| file.content.routes.clone());
     let members_at = operator.as_mut().and_then(|file| file.content.members.take());
     let budget = start.budget;
-    life::log::open(json).map_err(RunError::Thread)?;
+    process::log::open(json).map_err(RunError::Thread)?;
     let (tell, events) = bounded::<Event>(EVENTS);
     let (ask, asked) = bounded(1);
     let figures = start.operators.map(|_| Figures::new(&start.categories));
@@ -159,7 +159,7 @@
     let members = members_at.map(|at| open_members(&at, &start, tell.clone())).transpose()?;
     let news = tell;
     let known = start.known.index;
-    spawn("discovery", move || drive::directory::run(&post, known, asked, news)).map_err(thread)?;
+    spawn("discovery", move || net::discovery::run(&post, known, asked, news)).map_err(thread)?;
     let nodes = start.peers.as_deref();
     let peers = nodes.map(|nodes| open_peers(nodes, &start, told_by_peers)).transpose()?;
     let (mut reach, mut kept) = (None, None);
@@ -208,7 +208,7 @@
                 let _ = lines.iter().try_for_each(|line| writeln!(out, "{line}"));
             }
             Err(lines) => {
-                lines.iter().for_each(|line| life::log::write(format_args!("stileroute: {line}")));
+                lines.iter().for_each(|line| process::log::write(format_args!("stileroute: {line}")));
                 std::process::exit(2);
             }
         }
@@ -216,9 +216,9 @@
     }
     let result = run(&words);
     if let Err(problem) = &result {
-        life::log::write(format_args!("stileroute: {problem}"));
+        process::log::write(format_args!("stileroute: {problem}"));
     }
-    life::log::close();
+    process::log::close();
     if result.is_err() {
         std::process::exit(2);
     }
--- a/crates/node/src/drive/clients.rs
+++ b/crates/node/src/net/clients.rs
@@ -1,17 +1,17 @@
 //! Connections of clients: one thread reads requests and notices a client that leaves, one writes answers.
 
-use crate::life::budget::Budget;
-use crate::life::spawn;
-use crate::life::start::Door;
-use crate::port::{Answer, Asked, Event, Fate, Front, Owed};
+use crate::interfaces::{Answer, Asked, Event, Fate, Front, Owed};
+use crate::process::budget::Budget;
+use crate::process::settings::Door;
+use crate::process::spawn;
 use crate::say;
-use crate::store::figures::{Ended, Figures, InHand};
-use crate::store::ids::Ids;
-use crate::store::pool::{Bytes, Pool};
-use crate::store::seats::{Seat, Seats};
+use crate::state::buffer_pool::{Bytes, Pool};
+use crate::state::client_slots::{Seat, Seats};
+use crate::state::metrics::{Ended, Figures, InHand};
+use crate::state::request_ids::Ids;
+use crate::wire::client_request::{answer_head, Fault, Inbox, Request, GO_ON};
 use crate::wire::http::is_decimal;
 use crate::wire::names;
-use crate::wire::serve::{answer_head, Fault, Inbox, Request, GO_ON};
 use crossbeam_channel::{bounded, Receiver, Sender};
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/crates/node/src/drive/directory.rs
+++ b/crates/node/src/net/discovery.rs
@@ -1,9 +1,9 @@
 //! Follows the list of executors: asks when the desk says so, then holds the watch until it breaks.
 
 use super::{exchange, ExchangeError};
-use crate::port::Event;
+use crate::interfaces::Event;
 use crate::say;
-use crate::wire::targets::{self, List};
+use crate::wire::discovery::{self, List};
 use crossbeam_channel::{Receiver, Sender};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -126,7 +126,7 @@
         let _ = stream.set_nodelay(true);
         let newer = from.filter(|from| from.0 == at).map(|from| from.1);
         let wait = newer.map_or(0, |_| WAIT_MS);
-        let text = targets::ask(&host, newer.map(|than| (than, wait)));
+        let text = discovery::ask(&host, newer.map(|than| (than, wait)));
         let list = match ask_for(&stream, &text, Duration::from_millis(wait) + LATE) {
             Ok((list, close)) => {
                 // Discovery may close a connection after an answer; the watch goes on on a new one.
@@ -157,7 +157,7 @@
     if matches!(answer.status, 429 | 503) {
         return Err(WatchEnd::TurnedAway);
     }
-    let list = targets::read(&answer).map_err(|error| unreadable(&error))?;
+    let list = discovery::read(&answer).map_err(|error| unreadable(&error))?;
     Ok((list, answer.closes_connection))
 }
 
--- a/crates/node/src/drive/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -1,9 +1,9 @@
 //! Connections to executors: one thread each, which carries one push after another.
 
-use crate::port::{self, Event, How, Job};
+use crate::interfaces::{self, Event, How, Job};
 use crate::say;
-use crate::store::figures::Figures;
-use crate::store::pool::Pool;
+use crate::state::buffer_pool::Pool;
+use crate::state::metrics::Figures;
 use crate::wire::push::{push_head, Answer, Heard, Told};
 use crossbeam_channel::{Receiver, Sender};
 use std::io::{ErrorKind, Read, Write};
@@ -75,7 +75,7 @@
     }
 }
 
-impl port::Link for Link {
+impl interfaces::Link for Link {
     fn call_off(&self) {
         let mut state = self.state();
         state.off = true;
--- a/crates/node/src/drive/outlet.rs
+++ b/crates/node/src/net/http_transport.rs
@@ -1,9 +1,9 @@
 //! The executors that speak the platform's HTTP: which connection carries a push, and the threads behind them.
 
+use super::connection_pool::{Line, Lines};
 use super::executors::{self, Executors, Link, Task};
-use super::lines::{Line, Lines};
-use crate::life::spawn;
-use crate::port::{self, Outlet};
+use crate::interfaces::{self, Outlet};
+use crate::process::spawn;
 use crate::say;
 use crossbeam_channel::bounded;
 use std::net::SocketAddr;
@@ -47,8 +47,13 @@
 }
 
 impl Outlet for Http {
-    fn push(&mut self, executor: usize, to: SocketAddr, push: port::Push) -> Option<Arc<dyn port::Link>> {
-        let port::Push { ticket, push, job, wary, anew, until, leave_by, connect } = push;
+    fn push(
+        &mut self,
+        executor: usize,
+        to: SocketAddr,
+        push: interfaces::Push,
+    ) -> Option<Arc<dyn interfaces::Link>> {
+        let interfaces::Push { ticket, push, job, wary, anew, until, leave_by, connect } = push;
         let link =
             self.give(executor, Task { ticket, push, job, wary, to, until, leave_by, connect }, anew)?;
         Some(link)
--- a/crates/node/src/drive/members.rs
+++ b/crates/node/src/net/membership.rs
@@ -2,9 +2,9 @@
 //! goes to the desk when it changes, and a report to operators when they ask.
 
 use super::membership_report::MembershipReport;
-use crate::life::members::MembersAt;
-use crate::life::spawn;
-use crate::port::Event;
+use crate::interfaces::Event;
+use crate::process::members_section::MembersAt;
+use crate::process::spawn;
 use crate::say;
 use crossbeam_channel::Sender;
 use std::io;
--- a/crates/node/src/drive/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -1,17 +1,17 @@
 //! The thin driver: threads that read and write sockets and tell the desk.
 
-pub mod calls;
+pub mod admin;
 pub mod clients;
-pub mod directory;
+pub mod connection_pool;
+pub mod discovery;
 pub mod executors;
-pub mod lines;
+pub mod http_transport;
 pub mod listener;
-pub mod members;
+pub mod membership;
 pub mod membership_report;
-pub mod outlet;
 pub mod peers;
 
-pub use crate::store::seats::look;
+pub use crate::state::client_slots::look;
 use crate::wire::http::{Response, ResponseError, ResponseReader};
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
--- a/crates/node/src/drive/peers.rs
+++ b/crates/node/src/net/peers.rs
@@ -3,7 +3,7 @@
 //! Nothing waits on one and no rule rests on one: a lost datagram only makes news older. What comes from elsewhere,
 //! or is longer than a message may be, is counted and dropped; so is what comes faster than the desk takes it.
 
-use crate::port::{Carrier, Event};
+use crate::interfaces::{Carrier, Event};
 use crossbeam_channel::Sender;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
--- a/crates/node/src/life/words.rs
+++ b/crates/node/src/process/cli.rs
@@ -1,7 +1,7 @@
 //! The command line. With no words at all the program serves, as it always has.
 
-use super::operator::{self, Operator};
-use super::start::{self, Start};
+use super::operator_file::{self, Operator};
+use super::settings::{self, Start};
 use clap::{CommandFactory, Parser, Subcommand};
 use std::path::{Path, PathBuf};
 use stileroute_operator_file::Position;
@@ -18,7 +18,7 @@
 #[command(name = "stileroute", version, disable_version_flag = true)]
 pub struct Words {
     /// The operators' file; without one nothing of it is on.
-    #[arg(long, global = true, env = operator::VARIABLE, value_name = "FILE")]
+    #[arg(long, global = true, env = operator_file::VARIABLE, value_name = "FILE")]
     pub operator: Option<PathBuf>,
     #[command(subcommand)]
     pub command: Option<Command>,
@@ -63,11 +63,13 @@
 
 /// The settings and, where one is named, the operators' file.
 fn both(path: Option<&Path>) -> Result<(Start, Ground, Option<Operator>), Vec<String>> {
-    let start = start::read(|name| std::env::var(name).ok()).map_err(|error| vec![error.to_string()])?;
+    let start = settings::read(|name| std::env::var(name).ok()).map_err(|error| vec![error.to_string()])?;
     let ground = start.ground();
     let operator = match path {
         None => None,
-        Some(path) => Some(operator::read(path, &ground).map_err(|faults| operator::told(&faults))?),
+        Some(path) => {
+            Some(operator_file::read(path, &ground).map_err(|faults| operator_file::told(&faults))?)
+        }
     };
     Ok((start, ground, operator))
 }
--- a/crates/node/src/life/log.rs
+++ b/crates/node/src/process/log.rs
@@ -176,10 +176,10 @@
 #[macro_export]
 macro_rules! say {
     (ended { $($fields:tt)* } $($text:tt)*) => {
-        tracing::info!(target: $crate::life::log::ENDED, { $($fields)* }, $($text)*)
+        tracing::info!(target: $crate::process::log::ENDED, { $($fields)* }, $($text)*)
     };
     (op { $($fields:tt)* } $($text:tt)*) => {
-        tracing::info!(target: $crate::life::log::OP, { $($fields)* }, $($text)*)
+        tracing::info!(target: $crate::process::log::OP, { $($fields)* }, $($text)*)
     };
     ($($text:tt)*) => {
         tracing::info!(target: "stileroute", $($text)*)
--- a/crates/node/src/life/mod.rs
+++ b/crates/node/src/process/mod.rs
@@ -1,12 +1,12 @@
 //! Start and stop: what the node is told, what it may use, how it logs and how it ends.
 
 pub mod budget;
+pub mod cli;
 pub mod log;
-pub mod members;
-pub mod operator;
+pub mod members_section;
+pub mod operator_file;
+pub mod settings;
 pub mod signals;
-pub mod start;
-pub mod words;
 
 /// Starts a thread with a small stack.
 pub fn spawn(
--- a/crates/node/src/life/operator.rs
+++ b/crates/node/src/process/operator_file.rs
@@ -1,8 +1,8 @@
 //! The operator file: what the platform's settings do not hold. Routes and the form of the log for now; each later
 //! subsystem adds its section here. One that has a fault anywhere is not taken at all.
 
-use super::members::{self, MembersAt};
-use super::start::Start;
+use super::members_section::{self, MembersAt};
+use super::settings::Start;
 use std::path::Path;
 use std::sync::Arc;
 use stileroute_dispatch::types::Terms;
@@ -37,7 +37,7 @@
             json
         });
         let members = keys.table("members").and_then(|table| {
-            let members = members::read(&table, ground.terms.peers);
+            let members = members_section::read(&table, ground.terms.peers);
             table.finish();
             members
         });
--- a/crates/node/src/life/start.rs
+++ b/crates/node/src/process/settings.rs
@@ -1,7 +1,7 @@
 //! What the node is told at start: read, checked and given defaults here and nowhere else.
 
 use super::budget::{Budget, BudgetError};
-use crate::wire::targets::List;
+use crate::wire::discovery::List;
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/node/src/life/signals.rs
+++ b/crates/node/src/process/signals.rs
@@ -1,6 +1,6 @@
 //! The signals: to end, and to read the configuration again.
 
-use crate::port::Event;
+use crate::interfaces::Event;
 use crossbeam_channel::Sender;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,8 +1,8 @@
 //! SIGHUP: what may change while the node runs, taken whole or not at all.
 
-use crate::drive::directory::Post;
-use crate::life::{operator, start};
-use crate::port::Event;
+use crate::interfaces::Event;
+use crate::net::discovery::Post;
+use crate::process::{operator_file, settings};
 use crate::say;
 use crossbeam_channel::Sender;
 use std::path::PathBuf;
@@ -11,10 +11,10 @@
 /// Takes from the new configuration what may change while the node runs. A faulty one changes nothing.
 /// Both files are read before either is taken: the one must not go on under half of what was meant.
 pub fn turn(desk: &Sender<Event>, post: &Post, operator: Option<&(PathBuf, Ground)>) {
-    let start = start::again(|name| std::env::var(name).ok());
-    let routes = match operator.map(|(path, ground)| operator::read(path, ground)) {
+    let start = settings::again(|name| std::env::var(name).ok());
+    let routes = match operator.map(|(path, ground)| operator_file::read(path, ground)) {
         Some(Err(faults)) => {
-            operator::told(&faults).iter().for_each(|line| say!("operators' file not taken: {line}"));
+            operator_file::told(&faults).iter().for_each(|line| say!("operators' file not taken: {line}"));
             return;
         }
         Some(Ok(operator)) => Some(operator.routes),
--- a/crates/node/src/tests.rs
+++ b/crates/node/src/tests.rs
@@ -1,18 +1,18 @@
 //! Tables of cases for what is spoken, kept and read at start; no socket is opened but for the seats.
 
-use crate::drive::executors::Link;
-use crate::drive::lines::{Line, Lines};
-use crate::life::budget::Budget;
-use crate::life::start::{self, Kind};
-use crate::port::{Job, Link as _};
-use crate::store::ids::Ids;
-use crate::store::pool::Pool;
-use crate::store::seats::{Seat, Seats};
-use crate::wire::call::{self, Call};
+use crate::interfaces::{Job, Link as _};
+use crate::net::connection_pool::{Line, Lines};
+use crate::net::executors::Link;
+use crate::process::budget::Budget;
+use crate::process::settings::{self, Kind};
+use crate::state::buffer_pool::Pool;
+use crate::state::client_slots::{Seat, Seats};
+use crate::state::request_ids::Ids;
+use crate::wire::admin_request::{self, Call};
+use crate::wire::client_request::{answer_head, Inbox};
+use crate::wire::discovery;
 use crate::wire::http::{ChunkError, ChunkedDecoder, ResponseReader};
 use crate::wire::push::{push_head, Answer, Heard, Told};
-use crate::wire::serve::{answer_head, Inbox};
-use crate::wire::targets;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
@@ -361,7 +361,7 @@
         for at in 0..text.len() {
             let mut gather = ResponseReader::default();
             assert!(gather.feed(&text.as_bytes()[..at]).unwrap().is_none(), "whole at {at}");
-            let list = targets::read(&gather.feed(&text.as_bytes()[at..]).unwrap().unwrap()).unwrap();
+            let list = discovery::read(&gather.feed(&text.as_bytes()[at..]).unwrap().unwrap()).unwrap();
             let active: Vec<bool> = list.endpoints.iter().map(|endpoint| endpoint.active()).collect();
             assert_eq!((list.index, list.whole, active), (43, false, vec![true, false, false, false]));
             let first = &list.endpoints[0];
@@ -374,11 +374,12 @@
         "x\r\n\r\n",
     ] {
         let answer = ResponseReader::default().feed(text.as_bytes()).map_err(|error| error.to_string());
-        let read = answer.and_then(|whole| targets::read(&whole.unwrap()).map_err(|error| error.to_string()));
+        let read =
+            answer.and_then(|whole| discovery::read(&whole.unwrap()).map_err(|error| error.to_string()));
         assert!(read.is_err(), "{text}");
     }
     assert!(
-        targets::ask("h", Some((41, 9))).starts_with("GET /api/targets?since=41&timeout_ms=9 HTTP/1.1\r\n")
+        discovery::ask("h", Some((41, 9))).starts_with("GET /api/targets?since=41&timeout_ms=9 HTTP/1.1\r\n")
     );
 }
 
@@ -406,7 +407,7 @@
 fn the_configuration_is_checked_and_its_faults_named() {
     let read = |text: &str| {
         let listen = |name: &str| (name == "BALANCER_LISTEN").then(|| "127.0.0.1:0".to_string());
-        start::check(text, listen, false)
+        settings::check(text, listen, false)
     };
     let good = format!(r#"{{"discovery":"127.0.0.1:1","seed":"ff","settings":{SETTINGS}}}"#);
     let start = read(&good).unwrap_or_else(|error| panic!("{error}"));
@@ -441,8 +442,8 @@
         let own = ["BALANCER_LISTEN", "BALANCER_ADMIN_ADDR"].contains(&name);
         own.then(|| "127.0.0.1:2".to_string())
     };
-    assert!(start::check(&good, twice, false).map(|_| ()).unwrap_err().to_string().contains("admin_addr"));
-    assert!(start::read(|_| None).map(|_| ()).unwrap_err().to_string().contains("BALANCER_CONFIG"));
+    assert!(settings::check(&good, twice, false).map(|_| ()).unwrap_err().to_string().contains("admin_addr"));
+    assert!(settings::read(|_| None).map(|_| ()).unwrap_err().to_string().contains("BALANCER_CONFIG"));
 }
 
 #[test]
@@ -563,13 +564,15 @@
     ];
     for (text, expected) in cases {
         for at in [0, 1, text.len() / 2, text.len() - 1] {
-            let mut inbox = call::Inbox::default();
+            let mut inbox = admin_request::Inbox::default();
             let first = inbox.feed(&text.as_bytes()[..at]);
             let read = first.and_then(|_| inbox.feed(&text.as_bytes()[at..]));
             assert_eq!(read.map_err(|fault| fault.status), expected, "{text:.60} split at {at}");
         }
     }
-    assert!(call::answer(405, "PUT is not for /ready, only GET\n").contains("\r\nAllow: GET\r\n\r\nPUT"));
+    assert!(
+        admin_request::answer(405, "PUT is not for /ready, only GET\n").contains("\r\nAllow: GET\r\n\r\nPUT")
+    );
 }
 
 #[test]
--- a/crates/node/src/wire/call.rs
+++ b/crates/node/src/wire/admin_request.rs
@@ -1,8 +1,8 @@
 //! An operator's call: the bytes of one connection become one call, and its answer becomes bytes.
 
+use super::client_request::{answer_head, Fault};
 use super::http::{self, body_framing, Framing, MAX_HEADERS};
 use super::names;
-use super::serve::{answer_head, Fault};
 
 /// What an operator may ask for.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/node/src/wire/serve.rs
+++ b/crates/node/src/wire/client_request.rs
@@ -2,9 +2,9 @@
 
 use super::http::{self, body_framing, has_token, header_value, ChunkedDecoder, Framing, MAX_HEADERS};
 use super::names;
-use crate::port::Job;
-use crate::store::ids::Entry;
-use crate::store::pool::{Buffer, Pool};
+use crate::interfaces::Job;
+use crate::state::buffer_pool::{Buffer, Pool};
+use crate::state::request_ids::Entry;
 use std::ops::Range;
 use std::sync::Arc;
 
--- a/crates/node/src/wire/targets.rs
+++ b/crates/node/src/wire/discovery.rs
@@ -2,7 +2,7 @@
 
 use super::http::Response;
 use super::names;
-use crate::port;
+use crate::interfaces;
 use serde::Deserialize;
 use thiserror::Error;
 
@@ -40,11 +40,11 @@
     }
 }
 
-impl From<&List> for port::List {
-    fn from(list: &List) -> port::List {
+impl From<&List> for interfaces::List {
+    fn from(list: &List) -> interfaces::List {
         let entry = |endpoint: &Endpoint| {
             let address = endpoint.address.parse().ok();
-            port::Entry {
+            interfaces::Entry {
                 name: endpoint.name.clone(),
                 address,
                 domain: endpoint.zone.clone(),
@@ -56,7 +56,7 @@
                 started: (endpoint.since_ms > 0).then(|| endpoint.since_ms * 10),
             }
         };
-        port::List {
+        interfaces::List {
             index: list.index,
             whole: list.whole,
             entries: list.endpoints.iter().map(entry).collect(),
--- a/crates/node/src/wire/push.rs
+++ b/crates/node/src/wire/push.rs
@@ -1,10 +1,10 @@
 //! The client side of HTTP: a push as bytes, and the answer to it up to its last line.
 
 use super::http::{self, body_framing, has_token, header_value, ChunkedDecoder, Framing, MAX_HEADERS};
-use super::jobs::{self, Word};
+use super::job_status::{self, Word};
 use super::names;
-use crate::port::Job;
-use crate::store::pool::{Buffer, Bytes, Pool};
+use crate::interfaces::Job;
+use crate::state::buffer_pool::{Buffer, Bytes, Pool};
 use std::sync::Arc;
 
 /// The head of a push. What the client sent goes on unchanged, but for the time that is left.
@@ -202,7 +202,7 @@
             if !piece.ends_with(b"\n") {
                 return;
             }
-            let (word, load) = jobs::read(held, self.id, self.gauges);
+            let (word, load) = job_status::read(held, self.id, self.gauges);
             match word {
                 Word::Started => heard.push(Heard::Started),
                 Word::Running(share) => heard.push(Heard::Running(share)),
@@ -251,7 +251,7 @@
         400 | 404 | 405 | 409 | 411 | 413..=415 | 417 | 422 | 431 => Some(Told::Unfit(code)),
         _ => Some(Told::Failed),
     };
-    let load = header_value(headers, names::LOAD).and_then(|text| jobs::read_load_text(text, gauges));
+    let load = header_value(headers, names::LOAD).and_then(|text| job_status::read_load_text(text, gauges));
     let close = has_token(headers, "Connection", "close") || head.version == Some(0);
     Some(Ok((Some(Open { refused, framing, chunks: ChunkedDecoder::default(), load, close }), end)))
 }
