--- a/crates/node/src/dispatch_loop/admission_queue.rs
+++ b/crates/node/src/dispatch_loop/admission_queue.rs
@@ -1,46 +1,46 @@
 //! Ops that wait for a place in hand: they are taken, and not yet asked of the module.
 
-use crate::interfaces::{Asked, Job, Owed};
+use crate::interfaces::{Job, JobParameters, PendingReply};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 use stileroute_dispatch::types::Time;
 use stileroute_route_limits::gate::Pass;
 
-pub struct Waiting {
+pub struct QueuedOp {
     pub job: Arc<dyn Job>,
-    pub asked: Asked,
-    pub came: Time,
-    pub reply: Owed,
+    pub parameters: JobParameters,
+    pub received_at: Time,
+    pub reply: PendingReply,
     pub pass: Box<Pass>,
-    pub until: Time,
+    pub deadline: Time,
 }
 
 #[derive(Default)]
-pub struct Queue {
-    held: HashMap<u64, Waiting>,
+pub struct AdmissionQueue {
+    ops: HashMap<u64, QueuedOp>,
     due: BTreeSet<(Time, u64)>,
     /// Who has a place now, and is to be asked of the module next. Not at once: one that is nacked leaves its place
     /// to the next, and so on without end.
     pub admitted: VecDeque<u64>,
 }
 
-impl Queue {
+impl AdmissionQueue {
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.ops.is_empty()
     }
 
-    pub fn put(&mut self, ticket: u64, waiting: Waiting) {
-        self.due.insert((waiting.until, ticket));
-        self.held.insert(ticket, waiting);
+    pub fn put(&mut self, ticket: u64, waiting: QueuedOp) {
+        self.due.insert((waiting.deadline, ticket));
+        self.ops.insert(ticket, waiting);
     }
 
-    pub fn take(&mut self, ticket: u64) -> Option<Waiting> {
-        let waiting = self.held.remove(&ticket)?;
-        self.due.remove(&(waiting.until, ticket));
+    pub fn take(&mut self, ticket: u64) -> Option<QueuedOp> {
+        let waiting = self.ops.remove(&ticket)?;
+        self.due.remove(&(waiting.deadline, ticket));
         Some(waiting)
     }
 
-    pub fn next(&self) -> Option<Time> {
+    pub fn next_due(&self) -> Option<Time> {
         self.due.first().map(|(at, _)| *at)
     }
 
--- a/crates/node/src/dispatch_loop/mod.rs
+++ b/crates/node/src/dispatch_loop/mod.rs
@@ -1,20 +1,21 @@
 //! The desk: the one thread that owns the dispatcher, the ops and their timers. It turns what it is told
-//! into calls of the module, carries out what these give back, and never waits on a socket.
+//! into calls of the module, carries out what these give retry_after, and never waits on a socket.
 
 mod admission_queue;
 mod in_flight;
 
 use crate::interfaces::{
-    Asked, Carrier, Event, Fate, Front, How, Job, Link, List, Order, Outlet, Owed, Push,
+    AdminCommand, ClientFrontend, Event, ExecutorList, ExecutorTransport, Job, JobParameters, OpOutcome,
+    PeerTransport, PendingReply, Push, PushHandle, PushOutcome,
 };
-use crate::process::settings::Start;
-use crate::say;
-use crate::state::disabled_executors::State;
-use crate::state::metrics::Figures;
-use crate::state::name_index::Indices;
-use admission_queue::{Queue, Waiting};
+use crate::log_info;
+use crate::process::settings::NodeSettings;
+use crate::state::disabled_executors::DisabledSet;
+use crate::state::metrics::Metrics;
+use crate::state::name_index::NameIndex;
+use admission_queue::{AdmissionQueue, QueuedOp};
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
-use in_flight::{Held, Ops, Out};
+use in_flight::{InFlightOp, InFlightOps, SentPush};
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -23,7 +24,7 @@
 use stileroute_dispatch::state::Memory;
 use stileroute_dispatch::types::{mark, Ask, Effect, Limits, Listed, Outcome, Step, Time, SECOND};
 use stileroute_route_limits::gate::{Entry, Gate, Pass};
-use stileroute_route_limits::pattern::Request as Ways;
+use stileroute_route_limits::pattern::Request as RouteRequest;
 use stileroute_route_limits::table::Table;
 
 /// The desk's clock: Unix time at the start, and from then on a clock that is never set.
@@ -52,131 +53,131 @@
 }
 
 /// The end that was asked for: when, and until when all must be answered.
-struct Ending {
-    by: Time,
+struct ShutdownPlan {
+    deadline: Time,
     /// When clients are steered off, and when it may leave.
-    steer: Time,
-    leave: Time,
+    close_connections_at: Time,
+    earliest_exit: Time,
 }
 
 /// After the signal, clients that are connected are served as ever for so long: where the node that would take
-/// them is being restarted too, a connection closed early leaves them with nobody. The front sends no new ones
+/// them is being restarted too, a connection closed early leaves them with nobody. The clients sends no new ones
 /// before long, for the node is no longer ready. Then they are steered off, and what is in hand is finished.
-const STEER_AFTER: Time = SECOND * 3 / 2;
+const CONNECTION_CLOSE_DELAY: Time = SECOND * 3 / 2;
 /// From then on a request may cross the end of its connection; its client needs a moment to see that.
-const LEAVE_AFTER: Time = SECOND / 4;
+const EXIT_DELAY: Time = SECOND / 4;
 /// Where a successor takes clients already they are steered to it at once, and it may leave when each connection that
 /// it had just accepted has shown what it wants.
-const SUCCEEDED: Time = SECOND / 2;
+const SUCCESSOR_EXIT_DELAY: Time = SECOND / 2;
 /// What is left of the grace for answers to be written.
-const LAST_WRITES: Time = SECOND / 4;
+const FINAL_WRITE_TIME: Time = SECOND / 4;
 
 /// What the desk knows of an executor that was ever listed.
 #[derive(Clone, Default)]
-struct Known {
+struct ExecutorState {
     address: Option<SocketAddr>,
     listed: bool,
     /// Listed as taking work.
     active: bool,
     /// Taken out by hand.
-    out: bool,
+    is_disabled: bool,
 }
 
-impl Known {
-    fn takes(&self) -> bool {
-        self.active && !self.out
+impl ExecutorState {
+    fn accepts_work(&self) -> bool {
+        self.active && !self.is_disabled
     }
 }
 
 /// Where operators have an address: what they want, and what they read.
-pub struct Operators {
-    pub orders: Receiver<Order>,
-    pub figures: Arc<Figures>,
+pub struct AdminHandle {
+    pub commands: Receiver<AdminCommand>,
+    pub metrics: Arc<Metrics>,
     /// Whom they took out.
-    pub outs: State,
+    pub disabled_set: DisabledSet,
     /// Takes what is learned, for a successor.
-    pub learns: Option<Sender<Memory>>,
+    pub learned_tx: Option<Sender<Memory>>,
 }
 
-pub struct Desk {
+pub struct DispatchLoop {
     clock: Clock,
     dispatcher: Dispatcher,
-    ops: Ops,
-    outlet: Box<dyn Outlet>,
-    front: Arc<dyn Front>,
-    /// The longest come-back time that clients heed.
+    ops: InFlightOps,
+    transport: Box<dyn ExecutorTransport>,
+    clients: Arc<dyn ClientFrontend>,
+    /// The longest come-retry_after time that clients heed.
     come_back: Time,
-    names: Indices,
-    domains: Indices,
-    kinds: Indices,
-    executors: Vec<Known>,
-    operators: Option<Operators>,
-    version: i64,
-    ask: Sender<()>,
-    upkeep: Time,
-    grace: Time,
-    ending: Option<Ending>,
+    executor_names: NameIndex,
+    domains: NameIndex,
+    kinds: NameIndex,
+    executors: Vec<ExecutorState>,
+    admin: Option<AdminHandle>,
+    list_version: i64,
+    refresh: Sender<()>,
+    next_upkeep: Time,
+    shutdown_grace: Time,
+    shutdown: Option<ShutdownPlan>,
     /// Routes, where the operators have any, and ops that wait for a place of theirs.
     gate: Option<Gate>,
-    queue: Queue,
+    queue: AdmissionQueue,
     /// Messages to other nodes, bad ones among theirs so far as logged, and when that may be logged again.
-    peers: Option<Box<dyn Carrier>>,
-    bad: (u64, Time),
+    peers: Option<Box<dyn PeerTransport>>,
+    logged_bad_messages: (u64, Time),
     tenants: Vec<String>,
     set_up_by_path: bool,
 }
 
-impl Desk {
+impl DispatchLoop {
     pub fn new(
-        start: &Start,
-        outlet: Box<dyn Outlet>,
-        front: Arc<dyn Front>,
-        ask: Sender<()>,
+        settings: &NodeSettings,
+        transport: Box<dyn ExecutorTransport>,
+        clients: Arc<dyn ClientFrontend>,
+        refresh: Sender<()>,
         routes: Option<Arc<Table>>,
-        peers: Option<Box<dyn Carrier>>,
-        operators: Option<Operators>,
-    ) -> Desk {
+        peers: Option<Box<dyn PeerTransport>>,
+        admin: Option<AdminHandle>,
+    ) -> DispatchLoop {
         let clock = Clock::new();
-        let mut desk = Desk {
-            dispatcher: Dispatcher::new(&start.tariff, start.seed),
-            ops: Ops::default(),
-            outlet,
-            front,
-            come_back: start.tariff.terms.come_back,
-            names: Indices::default(),
-            domains: Indices::of(&start.domains),
-            kinds: Indices::of(&start.kinds),
+        let mut dispatch_loop = DispatchLoop {
+            dispatcher: Dispatcher::new(&settings.tariff, settings.seed),
+            ops: InFlightOps::default(),
+            transport,
+            clients,
+            come_back: settings.tariff.terms.come_back,
+            executor_names: NameIndex::default(),
+            domains: NameIndex::of(&settings.domains),
+            kinds: NameIndex::of(&settings.kinds),
             executors: Vec::new(),
-            operators,
-            version: -1,
-            ask,
-            upkeep: clock.now(),
-            grace: start.grace,
-            ending: None,
+            admin,
+            list_version: -1,
+            refresh,
+            next_upkeep: clock.now(),
+            shutdown_grace: settings.grace,
+            shutdown: None,
             gate: routes.map(Gate::new),
-            queue: Queue::default(),
+            queue: AdmissionQueue::default(),
             peers,
-            bad: (0, 0),
-            tenants: start.tenants.clone(),
-            set_up_by_path: start.set_up_by_path,
+            logged_bad_messages: (0, 0),
+            tenants: settings.tenants.clone(),
+            set_up_by_path: settings.set_up_by_path,
             clock,
         };
-        desk.list(desk.upkeep, &List::from(&start.known));
-        desk
+        dispatch_loop.update_executors(dispatch_loop.next_upkeep, &ExecutorList::from(&settings.known));
+        dispatch_loop
     }
 
     /// Takes over what the process before has learned.
-    pub fn recall(&mut self, kept: Memory) {
-        say!("takes over what was learned of {} executors", kept.executors.len());
-        self.dispatcher.recall(self.clock.now(), kept);
+    pub fn restore(&mut self, memory: Memory) {
+        log_info!("takes over what was learned of {} executors", memory.executors.len());
+        self.dispatcher.recall(self.clock.now(), memory);
     }
 
     /// Serves until the end that was asked for.
     pub fn run(&mut self, events: &Receiver<Event>) {
         loop {
-            let due = [self.ops.next(), self.queue.next()].into_iter().flatten().min();
-            let next = due.map_or(self.upkeep, |due| due.min(self.upkeep));
-            match self.next(events, self.clock.instant(next)) {
+            let due = [self.ops.next_due(), self.queue.next_due()].into_iter().flatten().min();
+            let next = due.map_or(self.next_upkeep, |due| due.min(self.next_upkeep));
+            match self.wait_for_event(events, self.clock.instant(next)) {
                 Ok(Some(event)) => self.handle(event),
                 Ok(None) | Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -184,24 +185,28 @@
             // What has piled up goes first: a timer must not act on older news than has come.
             while let Ok(event) = events.try_recv() {
                 self.handle(event);
-                self.obey();
+                self.run_admin_commands();
             }
             self.admit();
-            self.look_after();
-            if self.over() {
+            self.run_due_work();
+            if self.is_finished() {
                 return;
             }
         }
     }
 
     /// Waits for the next event; an order is carried out at once, and then there may be none.
-    fn next(&mut self, events: &Receiver<Event>, until: Instant) -> Result<Option<Event>, RecvTimeoutError> {
-        let Some(Operators { orders, .. }) = &self.operators else {
+    fn wait_for_event(
+        &mut self,
+        events: &Receiver<Event>,
+        until: Instant,
+    ) -> Result<Option<Event>, RecvTimeoutError> {
+        let Some(AdminHandle { commands, .. }) = &self.admin else {
             return events.recv_deadline(until).map(Some);
         };
         crossbeam_channel::select_biased! {
-            recv(orders) -> order => {
-                order.into_iter().for_each(|order| self.order(order));
+            recv(commands) -> command => {
+                command.into_iter().for_each(|command| self.run_admin_command(command));
                 Ok(None)
             }
             recv(events) -> event => event.map(Some).map_err(|_| RecvTimeoutError::Disconnected),
@@ -210,414 +215,460 @@
     }
 
     /// Operators don't wait behind a thousand events.
-    fn obey(&mut self) {
-        while let Some(order) = self.operators.as_ref().and_then(|own| own.orders.try_recv().ok()) {
-            self.order(order);
+    fn run_admin_commands(&mut self) {
+        while let Some(command) = self.admin.as_ref().and_then(|admin| admin.commands.try_recv().ok()) {
+            self.run_admin_command(command);
         }
     }
 
-    fn order(&mut self, order: Order) {
-        match order {
-            Order::Known(name, reply) => {
-                let _ = reply.try_send(self.names.known(&name).is_some());
+    fn run_admin_command(&mut self, command: AdminCommand) {
+        match command {
+            AdminCommand::IsListed(name, reply) => {
+                let _ = reply.try_send(self.executor_names.get(&name).is_some());
             }
-            Order::Beside(beside) => self.outlet.halve(beside),
-            Order::Outs(outs, reply) => {
-                self.turn_out(outs);
+            AdminCommand::SiblingProcess(has_sibling) => self.transport.set_half_capacity(has_sibling),
+            AdminCommand::SetDisabled(disabled_set, reply) => {
+                self.apply_disabled_set(disabled_set);
                 let _ = reply.try_send(true);
             }
         }
     }
 
     /// Exactly these are out by hand. When this returns nothing new leaves for one of them.
-    fn turn_out(&mut self, outs: State) {
+    fn apply_disabled_set(&mut self, disabled_set: DisabledSet) {
         // Two calls at once may come here in the other order.
-        let Some(own) = self.operators.as_mut().filter(|own| outs.number >= own.outs.number) else { return };
-        let changed: Vec<String> = own.outs.names.symmetric_difference(&outs.names).cloned().collect();
-        own.outs = outs.clone();
+        let Some(admin) =
+            self.admin.as_mut().filter(|admin| disabled_set.number >= admin.disabled_set.number)
+        else {
+            return;
+        };
+        let changed: Vec<String> =
+            admin.disabled_set.names.symmetric_difference(&disabled_set.names).cloned().collect();
+        admin.disabled_set = disabled_set.clone();
         let now = self.clock.now();
         for name in changed {
-            let out = outs.names.contains(&name);
-            say!("executor {name}: {} by hand", if out { "taken out" } else { "put back" });
-            let Some(executor) = self.names.known(&name) else { continue };
-            self.executors[executor].out = out;
-            self.dispatcher.disable(now, executor, out);
-            if out {
-                self.outlet.leave(executor, "disabled");
-                self.ops.withhold(executor);
+            let disabled = disabled_set.names.contains(&name);
+            log_info!("executor {name}: {} by hand", if disabled { "taken out" } else { "put retry_after" });
+            let Some(executor) = self.executor_names.get(&name) else { continue };
+            self.executors[executor].is_disabled = disabled;
+            self.dispatcher.disable(now, executor, disabled);
+            if disabled {
+                self.transport.close_idle(executor, "disabled");
+                self.ops.withhold_unsent_to(executor);
             }
         }
-        self.publish(now);
+        self.publish_metrics(now);
     }
 
     fn handle(&mut self, event: Event) {
         let now = self.clock.now();
         match event {
-            Event::Asked { ticket, job, asked, came, reply } => {
-                self.arrive(now, ticket, job, &asked, came, reply);
+            Event::Submitted { ticket, job, parameters, received_at, reply } => {
+                self.submit(now, ticket, job, &parameters, received_at, reply);
             }
             Event::Withdrawn { ticket } => {
-                if let Some(mut waiting) = self.queue.take(ticket) {
-                    self.free(now, ticket, &mut waiting.pass);
-                } else if let Some(mut held) = self.ops.take(ticket) {
-                    held.reply = None;
-                    held.op.closed = true;
-                    let step = self.dispatcher.place(now, &mut held.op);
-                    self.carry(now, ticket, held, step);
+                if let Some(mut queued) = self.queue.take(ticket) {
+                    self.release_slot(now, ticket, &mut queued.pass);
+                } else if let Some(mut in_flight) = self.ops.take(ticket) {
+                    in_flight.reply = None;
+                    in_flight.op.closed = true;
+                    let step = self.dispatcher.place(now, &mut in_flight.op);
+                    self.run_steps(now, ticket, in_flight, step);
                 }
             }
-            Event::Note { ticket, push, start, done } => {
-                if let Some(held) = self.ops.get(ticket) {
-                    self.dispatcher.note(now, &mut held.op, push, start, done);
+            Event::Progress { ticket, push, has_started, progress } => {
+                if let Some(in_flight) = self.ops.get(ticket) {
+                    self.dispatcher.note(now, &mut in_flight.op, push, has_started, progress);
                 }
             }
-            Event::Ended { ticket, push, how, load } => self.ended(now, ticket, push, how, load),
-            Event::Heard { from, text } => self.dispatcher.heard(now, from, &text),
-            Event::Free { number, keep } => {
+            Event::PushEnded { ticket, push, push_outcome, load } => {
+                self.push_ended(now, ticket, push, push_outcome, load)
+            }
+            Event::PeerMessage { from, text } => self.dispatcher.heard(now, from, &text),
+            Event::ConnectionReleased { number, is_reusable } => {
                 // It may have carried a task when its executor left the list.
-                let executor = self.outlet.back(number, keep);
-                if let Some(executor) = executor.filter(|executor| !self.executors[*executor].takes()) {
-                    self.outlet.leave(executor, "unlisted");
+                let executor = self.transport.release(number, is_reusable);
+                if let Some(executor) = executor.filter(|executor| !self.executors[*executor].accepts_work())
+                {
+                    self.transport.close_idle(executor, "unlisted");
                 }
             }
-            Event::List { list, anew } => {
-                if anew {
+            Event::ExecutorList { list, is_first_from_address } => {
+                if is_first_from_address {
                     // Whatever its version is: those of another address can't be compared with it.
-                    self.version = -1;
+                    self.list_version = -1;
                 }
-                self.list(now, &list);
+                self.update_executors(now, &list);
             }
-            Event::ListSilent { turned_away } => self.dispatcher.refused(now, turned_away),
+            Event::DiscoveryFailed { was_rejected } => self.dispatcher.refused(now, was_rejected),
             Event::Routes(table) => {
-                self.front.want(&table.headers);
+                self.clients.set_routed_headers(&table.headers);
                 if let Some(gate) = &mut self.gate {
                     gate.turn(table);
                 }
             }
-            Event::Fleet { likely, safe } => self.dispatcher.fleet(likely, safe),
-            Event::End => self.end(now),
+            Event::FleetSize { live, possibly_sending } => self.dispatcher.fleet(live, possibly_sending),
+            Event::Shutdown => self.begin_shutdown(now),
         }
     }
 
-    fn arrive(
+    fn submit(
         &mut self,
         now: Time,
         ticket: u64,
         job: Arc<dyn Job>,
-        asked: &Asked,
-        came: Instant,
-        reply: Owed,
+        parameters: &JobParameters,
+        received_at: Instant,
+        reply: PendingReply,
     ) {
-        let came = self.clock.at(came);
+        let received_at = self.clock.at(received_at);
         let Some(gate) = &mut self.gate else {
-            return self.open(now, ticket, job, asked, came, reply, None);
+            return self.start_op(now, ticket, job, parameters, received_at, reply, None);
         };
         let entry = {
             let header = |name: &str| job.header(name);
             let tenant = gate.table().tenant_header.as_deref().and_then(header);
             let (path, method) = (job.path(), job.method());
-            gate.enter(now, ticket, &Ways { path, method, category: asked.category, tenant, header: &header })
+            gate.enter(
+                now,
+                ticket,
+                &RouteRequest { path, method, category: parameters.category, tenant, header: &header },
+            )
         };
         match entry {
-            Entry::In(pass) => self.open(now, ticket, job, asked, came, reply, Some(Box::new(pass))),
+            Entry::In(pass) => {
+                self.start_op(now, ticket, job, parameters, received_at, reply, Some(Box::new(pass)))
+            }
             Entry::Waits(pass, until) => {
-                let until = until.min(came + asked.budget.min(pass.op));
-                let waiting = Waiting { job, asked: *asked, came, reply, pass: Box::new(pass), until };
-                self.queue.put(ticket, waiting);
+                let deadline = until.min(received_at + parameters.budget.min(pass.op));
+                let queued = QueuedOp {
+                    job,
+                    parameters: *parameters,
+                    received_at,
+                    reply,
+                    pass: Box::new(pass),
+                    deadline,
+                };
+                self.queue.put(ticket, queued);
             }
-            Entry::Full(back) => self.turn_away(ticket, &*job, reply, came, back),
+            Entry::Full(retry_after) => self.reject(ticket, &*job, reply, received_at, retry_after),
         }
     }
 
     /// An op that has no place, and never will have: nothing of it was pushed.
-    fn turn_away(&self, ticket: u64, job: &dyn Job, reply: Owed, came: Time, back: Time) {
-        let come_back = back.min(self.come_back);
+    fn reject(&self, ticket: u64, job: &dyn Job, reply: PendingReply, received_at: Time, retry_after: Time) {
+        let come_back = retry_after.min(self.come_back);
         let now = self.clock.now();
-        let (id, took_ms) = (job.id(), (now - came) as f64 / 10.0);
-        let back_ms = come_back as f64 / 10.0;
-        say!(op { op = id, code = "no-place", took_ms, come_back_ms = back_ms } "op {ticket} nacked: no place");
+        let (id, took_ms) = (job.id(), (now - received_at) as f64 / 10.0);
+        let retry_after_ms = come_back as f64 / 10.0;
+        log_info!(op { op = id, code = "no-place", took_ms, come_back_ms = retry_after_ms } "op {ticket} nacked: no place");
         let until = self.clock.instant(now + SECOND);
-        reply.give(Fate::Nacked { why: "nacked: no place in hand", come_back }, until);
+        reply.send(OpOutcome::Nacked { why: "nacked: no place in hand", come_back }, until);
     }
 
     /// Ops that have a place now are asked of the module; those whose wait is over are turned away.
     fn admit(&mut self) {
         let now = self.clock.now();
         while let Some(ticket) = self.queue.due(now) {
-            if let Some(mut waiting) = self.queue.take(ticket) {
-                let back = (waiting.until - waiting.came).max(100);
-                self.free(now, ticket, &mut waiting.pass);
-                self.turn_away(ticket, &*waiting.job, waiting.reply, waiting.came, back);
+            if let Some(mut queued) = self.queue.take(ticket) {
+                let retry_after = (queued.deadline - queued.received_at).max(100);
+                self.release_slot(now, ticket, &mut queued.pass);
+                self.reject(ticket, &*queued.job, queued.reply, queued.received_at, retry_after);
             }
         }
         while let Some(ticket) = self.queue.admitted.pop_front() {
-            if let Some(Waiting { job, asked, came, reply, pass, .. }) = self.queue.take(ticket) {
-                self.open(now, ticket, job, &asked, came, reply, Some(pass));
+            if let Some(QueuedOp { job, parameters, received_at, reply, pass, .. }) = self.queue.take(ticket)
+            {
+                self.start_op(now, ticket, job, &parameters, received_at, reply, Some(pass));
             }
         }
     }
 
     /// An op's place is free.
-    fn free(&mut self, now: Time, ticket: u64, pass: &mut Pass) {
+    fn release_slot(&mut self, now: Time, ticket: u64, pass: &mut Pass) {
         self.queue.admitted.extend(pass.leave(now, ticket));
     }
 
     /// Opens an op at the module.
     #[allow(clippy::too_many_arguments)]
-    fn open(
+    fn start_op(
         &mut self,
         now: Time,
         ticket: u64,
         job: Arc<dyn Job>,
-        asked: &Asked,
-        came: Time,
-        reply: Owed,
+        parameters: &JobParameters,
+        received_at: Time,
+        reply: PendingReply,
         pass: Option<Box<Pass>>,
     ) {
-        let mut deadline = came + asked.budget;
+        let mut deadline = received_at + parameters.budget;
         if let Some(pass) = &pass {
-            deadline = deadline.min(came.saturating_add(pass.op));
+            deadline = deadline.min(received_at.saturating_add(pass.op));
         }
-        if let Some(ending) = &self.ending {
+        if let Some(shutdown) = &self.shutdown {
             // Whether that is still enough for it is the module's to judge.
-            deadline = deadline.min(ending.by);
+            deadline = deadline.min(shutdown.deadline);
         }
-        let Asked { category, slots, memory, hint, .. } = *asked;
+        let JobParameters { category, slots, memory, hint, .. } = *parameters;
         let limits = pass.as_ref().map_or_else(Limits::default, |pass| pass.limits);
-        let named = self.gate.as_ref().and_then(|gate| gate.table().tenant_header.as_deref());
-        let tenant = named.and_then(|name| job.header(name));
+        let tenant_header = self.gate.as_ref().and_then(|gate| gate.table().tenant_header.as_deref());
+        let tenant = tenant_header.and_then(|name| job.header(name));
         // Whose tenant is not among those of the settings has no share to be held to.
-        let tenant = self.tenants.iter().position(|own| Some(own.as_str()) == tenant).unwrap_or(usize::MAX);
-        let about = job.path().rsplit('/').next().filter(|about| self.set_up_by_path && !about.is_empty());
-        let key = about.map_or(0, mark);
+        let tenant = self.tenants.iter().position(|name| Some(name.as_str()) == tenant).unwrap_or(usize::MAX);
+        let path_key =
+            job.path().rsplit('/').next().filter(|path_key| self.set_up_by_path && !path_key.is_empty());
+        let key = path_key.map_or(0, mark);
         let ask = Ask { category, slots, memory, hint, deadline, limits, tenant, key };
         let mut op = self.dispatcher.arrive(now, ask);
         let step = self.dispatcher.place(now, &mut op);
-        let held = Held { op, reply: Some(reply), job, pushes: Vec::new(), pass, came };
-        self.carry(now, ticket, held, step);
+        let in_flight = InFlightOp { op, reply: Some(reply), job, pushes: Vec::new(), pass, received_at };
+        self.run_steps(now, ticket, in_flight, step);
     }
 
-    fn ended(&mut self, now: Time, ticket: u64, push: usize, how: How, load: Option<Vec<f64>>) {
-        let Some(mut held) = self.ops.take(ticket) else { return };
-        let Some(out) = held.pushes.get_mut(push) else { return };
-        out.link = None;
-        let (given_up, withheld) = (out.given_up, out.withheld);
-        let (outcome, answer) = match how {
-            How::Done(result) => (Outcome::Acked, Some(Fate::Acked(result))),
+    fn push_ended(
+        &mut self,
+        now: Time,
+        ticket: u64,
+        push: usize,
+        push_outcome: PushOutcome,
+        load: Option<Vec<f64>>,
+    ) {
+        let Some(mut in_flight) = self.ops.take(ticket) else { return };
+        let Some(sent_push) = in_flight.pushes.get_mut(push) else { return };
+        sent_push.handle = None;
+        let (abandoned_as, withheld) = (sent_push.abandoned_as, sent_push.withheld);
+        let (outcome, client_outcome) = match push_outcome {
+            PushOutcome::Done(result) => (Outcome::Acked, Some(OpOutcome::Acked(result))),
             // Its client is told what is wrong with it. Sent on, it would be held against one executor after
             // another, and a few bad clients would empty the fleet.
-            How::Unfit(status) => {
-                let executor = held.op.pushes[push].executor;
-                say!("executor {executor}: refused an op for what it is: status {status}");
-                (Outcome::Unfit, Some(Fate::Unfit { status }))
+            PushOutcome::Rejected(status) => {
+                let executor = in_flight.op.pushes[push].executor;
+                log_info!("executor {executor}: refused an op for what it is: status {status}");
+                (Outcome::Unfit, Some(OpOutcome::Rejected { status }))
             }
-            How::Failed => (Outcome::Error, None),
-            How::Returned => (Outcome::Full, None),
+            PushOutcome::Failed => (Outcome::Error, None),
+            PushOutcome::Returned => (Outcome::Full, None),
             // It never left, for its executor was taken out: that is the fault of nobody.
-            How::Untried | How::Unconnected if withheld => (Outcome::Withheld, None),
-            How::Untried => (Outcome::Moot, None),
+            PushOutcome::NotSent | PushOutcome::NotConnected if withheld => (Outcome::Withheld, None),
+            PushOutcome::NotSent => (Outcome::Moot, None),
             // Given up before its last byte was written: that is no fault of the executor.
-            How::Unconnected | How::Cut { .. } if given_up.is_some() => (Outcome::Moot, None),
+            PushOutcome::NotConnected | PushOutcome::WriteFailed { .. } if abandoned_as.is_some() => {
+                (Outcome::Moot, None)
+            }
             // That an idle connection has just ended tells nothing of its executor.
-            How::Cut { used } => (if used { Outcome::Moot } else { Outcome::Cut }, None),
-            How::Unconnected => (Outcome::NotConnected, None),
-            How::Lost => (given_up.unwrap_or(Outcome::Reset), None),
-            How::Broken => (given_up.unwrap_or(Outcome::Broken), None),
+            PushOutcome::WriteFailed { used } => (if used { Outcome::Moot } else { Outcome::Cut }, None),
+            PushOutcome::NotConnected => (Outcome::NotConnected, None),
+            PushOutcome::Lost => (abandoned_as.unwrap_or(Outcome::Reset), None),
+            PushOutcome::StaleConnection => (abandoned_as.unwrap_or(Outcome::Broken), None),
         };
         if matches!(outcome, Outcome::NotConnected | Outcome::Broken) {
             // What is idle there may be as dead, and silent: a push on it could not be told from one that ran.
-            self.outlet.leave(held.op.pushes[push].executor, "suspect");
+            self.transport.close_idle(in_flight.op.pushes[push].executor, "suspect");
         }
-        if let Some(pass) = held.pass.as_ref().filter(|_| outcome == Outcome::Acked) {
-            pass.ran(now - held.pushes[push].sent);
+        if let Some(pass) = in_flight.pass.as_ref().filter(|_| outcome == Outcome::Acked) {
+            pass.ran(now - in_flight.pushes[push].sent_at);
         }
-        held.budget(now);
-        let step = self.dispatcher.settle(now, &mut held.op, push, outcome, &load.unwrap_or_default());
+        in_flight.update_retry_budget(now);
+        let step = self.dispatcher.settle(now, &mut in_flight.op, push, outcome, &load.unwrap_or_default());
         // Only what is final uses up the client's answer: a called-off push must leave it to the next.
-        if let Some(fate) = answer {
-            self.answer(&mut held, fate);
+        if let Some(outcome) = client_outcome {
+            self.reply(&mut in_flight, outcome);
         }
-        self.carry(now, ticket, held, step);
+        self.run_steps(now, ticket, in_flight, step);
     }
 
     /// Carries out steps until there is nothing left to do for the op now, and keeps it.
-    fn carry(&mut self, now: Time, ticket: u64, mut held: Held, mut step: Step) {
+    fn run_steps(&mut self, now: Time, ticket: u64, mut in_flight: InFlightOp, mut step: Step) {
         loop {
             match step {
                 Step::Push { executor } => {
-                    let push = held.pushes.len();
-                    let link = self.push(ticket, push, executor, &held);
-                    let untried = link.is_none();
-                    held.pushes.push(Out { link, given_up: None, withheld: false, sent: now });
-                    if let Some(pass) = &mut held.pass {
+                    let push = in_flight.pushes.len();
+                    let handle = self.send_push(ticket, push, executor, &in_flight);
+                    let not_sent = handle.is_none();
+                    in_flight.pushes.push(SentPush {
+                        handle,
+                        abandoned_as: None,
+                        withheld: false,
+                        sent_at: now,
+                    });
+                    if let Some(pass) = &mut in_flight.pass {
                         pass.pushed(now);
                     }
-                    if untried {
-                        step = self.dispatcher.settle(now, &mut held.op, push, Outcome::Moot, &[]);
+                    if not_sent {
+                        step = self.dispatcher.settle(now, &mut in_flight.op, push, Outcome::Moot, &[]);
                         continue;
                     }
                 }
-                Step::Stop { push } => held.give_up(push, Outcome::Cancelled),
+                Step::Stop { push } => in_flight.abandon(push, Outcome::Cancelled),
                 Step::Nack { come_back } => {
-                    self.tell(now, &held, "nacked", come_back);
-                    self.answer(&mut held, Fate::Nacked { why: "nacked", come_back });
+                    self.log_outcome(now, &in_flight, "nacked", come_back);
+                    self.reply(&mut in_flight, OpOutcome::Nacked { why: "nacked", come_back });
                 }
                 Step::DeadLetter => {
-                    self.tell(now, &held, "dead-lettered", 0);
-                    self.answer(&mut held, Fate::DeadLettered);
+                    self.log_outcome(now, &in_flight, "dead-lettered", 0);
+                    self.reply(&mut in_flight, OpOutcome::DeadLettered);
                 }
                 Step::Hold => break,
             }
-            held.budget(now);
-            step = self.dispatcher.place(now, &mut held.op);
+            in_flight.update_retry_budget(now);
+            step = self.dispatcher.place(now, &mut in_flight.op);
         }
-        self.keep(now, ticket, held);
+        self.store_or_finish(now, ticket, in_flight);
     }
 
     /// Tells what became of an op that was not acked.
-    fn tell(&self, now: Time, held: &Held, code: &'static str, come_back: Time) {
-        let last = held.op.pushes.last().map(|push| push.executor);
-        say!(op {
-            op = held.job.id(),
-            route = held.pass.as_ref().map_or("-", |pass| &*pass.route),
-            category = held.job.category(),
+    fn log_outcome(&self, now: Time, in_flight: &InFlightOp, code: &'static str, come_back: Time) {
+        let last = in_flight.op.pushes.last().map(|push| push.executor);
+        log_info!(op {
+            op = in_flight.job.id(),
+            route = in_flight.pass.as_ref().map_or("-", |pass| &*pass.route),
+            category = in_flight.job.category(),
             executor = last.map_or(-1, |executor| executor as i64),
             code,
-            pushes = held.op.pushes.len() as u64,
-            took_ms = (now - held.came) as f64 / 10.0,
+            pushes = in_flight.op.pushes.len() as u64,
+            took_ms = (now - in_flight.received_at) as f64 / 10.0,
             come_back_ms = come_back as f64 / 10.0,
         } "op {code}");
     }
 
     /// Gives the client its answer, if it still waits for one.
-    fn answer(&self, held: &mut Held, fate: Fate) {
-        if let Some(reply) = held.reply.take() {
-            reply.give(fate, self.clock.instant(held.op.deadline));
+    fn reply(&self, in_flight: &mut InFlightOp, outcome: OpOutcome) {
+        if let Some(reply) = in_flight.reply.take() {
+            reply.send(outcome, self.clock.instant(in_flight.op.deadline));
         }
     }
 
-    /// Puts the op back in hand and notes when to look again, or lets go of it.
-    fn keep(&mut self, now: Time, ticket: u64, mut held: Held) {
-        if held.op.closed && !held.op.out() {
-            if let Some(pass) = &mut held.pass {
-                self.free(now, ticket, pass);
+    /// Puts the op retry_after in hand and notes when to look again, or lets go of it.
+    fn store_or_finish(&mut self, now: Time, ticket: u64, mut in_flight: InFlightOp) {
+        if in_flight.op.closed && !in_flight.op.out() {
+            if let Some(pass) = &mut in_flight.pass {
+                self.release_slot(now, ticket, pass);
             }
             return;
         }
-        let look = if held.op.closed {
-            held.keep_back();
+        let next_check = if in_flight.op.closed {
+            in_flight.withhold_unsent();
             // A push that goes on after the answer may do so until the op's time is out.
-            held.out().then_some(held.op.deadline)
+            in_flight.has_open_push().then_some(in_flight.op.deadline)
         } else {
-            Some(self.dispatcher.wait(now, &held.op).min(held.op.deadline))
+            Some(self.dispatcher.wait(now, &in_flight.op).min(in_flight.op.deadline))
         };
-        self.ops.put(ticket, held, look.map(|look| look.max(now + 1)));
+        self.ops.put(ticket, in_flight, next_check.map(|next_check| next_check.max(now + 1)));
     }
 
     /// Sends a push out; none where this node has no room for it.
-    fn push(&mut self, ticket: u64, push: usize, executor: usize, held: &Held) -> Option<Arc<dyn Link>> {
+    fn send_push(
+        &mut self,
+        ticket: u64,
+        push: usize,
+        executor: usize,
+        in_flight: &InFlightOp,
+    ) -> Option<Arc<dyn PushHandle>> {
         let to = self.executors.get(executor)?.address?;
-        let effect = self.dispatcher.effect(&held.op);
-        let connect = held.pass.as_ref().and_then(|pass| pass.connect);
+        let effect = self.dispatcher.effect(&in_flight.op);
+        let connect_timeout = in_flight.pass.as_ref().and_then(|pass| pass.connect);
         let push = Push {
             ticket,
             push,
-            job: held.job.clone(),
-            wary: effect != Effect::Redeliverable,
+            job: in_flight.job.clone(),
+            hold_last_byte: effect != Effect::Redeliverable,
             // A connection that ended while it was idle, or leads to a machine that has vanished, swallows what is
             // written to it, and nothing tells whether that ran. An op that may be pushed only once goes on a new
             // one, which takes some round trips and shows that someone is there; where it fails, the op never ran.
-            anew: effect == Effect::AtMostOnce,
-            until: self.clock.instant(held.op.deadline),
-            leave_by: self.clock.instant(held.op.leave_by(effect)),
-            connect: connect.map(|time| Duration::from_micros(time.max(1) as u64 * 100)),
+            new_connection: effect == Effect::AtMostOnce,
+            deadline: self.clock.instant(in_flight.op.deadline),
+            write_deadline: self.clock.instant(in_flight.op.leave_by(effect)),
+            connect_timeout: connect_timeout.map(|time| Duration::from_micros(time.max(1) as u64 * 100)),
         };
-        self.outlet.push(executor, to, push)
+        self.transport.push(executor, to, push)
     }
 
-    fn list(&mut self, now: Time, list: &List) {
+    fn update_executors(&mut self, now: Time, list: &ExecutorList) {
         // An older version says less than what is known; equal ones only tell that the watch goes on.
-        let news = list.index >= self.version && (list.whole || !list.entries.is_empty());
-        self.version = self.version.max(list.index);
-        if !news {
+        let is_news = list.index >= self.list_version && (list.is_snapshot || !list.entries.is_empty());
+        self.list_version = self.list_version.max(list.index);
+        if !is_news {
             return self.dispatcher.list(now, false, &[]);
         }
-        if list.whole {
-            self.executors.iter_mut().for_each(|known| (known.active, known.listed) = (false, false));
+        if list.is_snapshot {
+            self.executors
+                .iter_mut()
+                .for_each(|executor_state| (executor_state.active, executor_state.listed) = (false, false));
         }
-        let out_by_hand = self.operators.as_ref().map(|own| own.outs.names.clone()).unwrap_or_default();
+        let disabled_names =
+            self.admin.as_ref().map(|admin| admin.disabled_set.names.clone()).unwrap_or_default();
         let mut lines = Vec::with_capacity(list.entries.len());
         for entry in &list.entries {
-            let executor = self.names.index(&entry.name);
-            self.executors.resize(self.executors.len().max(executor + 1), Known::default());
-            let known = &mut self.executors[executor];
-            if entry.address.is_some() && entry.address != known.address {
-                self.outlet.leave(executor, "unlisted");
-                known.address = entry.address;
+            let executor = self.executor_names.get_or_insert(&entry.name);
+            self.executors.resize(self.executors.len().max(executor + 1), ExecutorState::default());
+            let executor_state = &mut self.executors[executor];
+            if entry.address.is_some() && entry.address != executor_state.address {
+                self.transport.close_idle(executor, "unlisted");
+                executor_state.address = entry.address;
             }
-            (known.active, known.listed) = (entry.active, entry.listed);
-            known.out = out_by_hand.contains(&entry.name);
+            (executor_state.active, executor_state.listed) = (entry.active, entry.listed);
+            executor_state.is_disabled = disabled_names.contains(&entry.name);
             lines.push(Listed {
                 mark: mark(&entry.name),
                 executor,
-                domain: self.domains.index(&entry.domain),
-                kind: self.kinds.index(&entry.kind),
+                domain: self.domains.get_or_insert(&entry.domain),
+                kind: self.kinds.get_or_insert(&entry.kind),
                 cell: entry.cell,
                 active: entry.active,
                 weight: entry.weight,
                 started: entry.started,
             });
         }
-        for (executor, known) in self.executors.iter().enumerate() {
-            if !known.takes() {
-                self.outlet.leave(executor, "unlisted");
+        for (executor, executor_state) in self.executors.iter().enumerate() {
+            if !executor_state.accepts_work() {
+                self.transport.close_idle(executor, "unlisted");
             }
         }
-        self.dispatcher.list(now, list.whole, &lines);
-        // Who is out by hand stays out, under whatever address it has come back.
-        for line in lines.iter().filter(|line| self.executors[line.executor].out) {
+        self.dispatcher.list(now, list.is_snapshot, &lines);
+        // Who is out by hand stays out, under whatever address it has come retry_after.
+        for line in lines.iter().filter(|line| self.executors[line.executor].is_disabled) {
             self.dispatcher.disable(now, line.executor, true);
         }
-        self.publish(now);
-        if self.ending.is_none() && self.executors.iter().any(|known| known.active) {
-            self.front.ready(true);
+        self.publish_metrics(now);
+        if self.shutdown.is_none() && self.executors.iter().any(|executor_state| executor_state.active) {
+            self.clients.set_ready(true);
         }
     }
 
     /// What operators read of the executors.
-    fn publish(&self, now: Time) {
-        let Some(Operators { figures, .. }) = &self.operators else { return };
-        let listed = self.executors.iter().enumerate().filter(|(_, known)| known.listed);
+    fn publish_metrics(&self, now: Time) {
+        let Some(AdminHandle { metrics, .. }) = &self.admin else { return };
+        let listed = self.executors.iter().enumerate().filter(|(_, executor_state)| executor_state.listed);
         let avoided = listed.clone().filter(|(executor, _)| self.dispatcher.avoids(now, *executor));
-        figures.listed.store(listed.count(), Ordering::Relaxed);
-        figures.avoided.store(avoided.count(), Ordering::Relaxed);
+        metrics.listed.store(listed.count(), Ordering::Relaxed);
+        metrics.avoided.store(avoided.count(), Ordering::Relaxed);
     }
 
     /// Whatever has come due.
-    fn look_after(&mut self) {
+    fn run_due_work(&mut self) {
         let now = self.clock.now();
         while let Some(ticket) = self.ops.due(now) {
-            let Some(mut held) = self.ops.take(ticket) else { continue };
-            held.budget(now);
-            let step = self.dispatcher.place(now, &mut held.op);
-            if now >= held.op.deadline {
-                (0..held.pushes.len()).for_each(|push| held.give_up(push, Outcome::TimedOut));
+            let Some(mut in_flight) = self.ops.take(ticket) else { continue };
+            in_flight.update_retry_budget(now);
+            let step = self.dispatcher.place(now, &mut in_flight.op);
+            if now >= in_flight.op.deadline {
+                (0..in_flight.pushes.len()).for_each(|push| in_flight.abandon(push, Outcome::TimedOut));
             }
-            self.carry(now, ticket, held, step);
+            self.run_steps(now, ticket, in_flight, step);
         }
-        if now >= self.upkeep {
-            self.upkeep = now + UPKEEP;
-            self.outlet.retire();
-            self.publish(now);
-            let learns = self.operators.as_ref().and_then(|own| own.learns.as_ref());
-            if let Some(learns) = learns.filter(|learns| learns.is_empty()) {
-                let _ = learns.try_send(self.dispatcher.memory());
+        if now >= self.next_upkeep {
+            self.next_upkeep = now + UPKEEP;
+            self.transport.close_expired();
+            self.publish_metrics(now);
+            let learned_tx = self.admin.as_ref().and_then(|admin| admin.learned_tx.as_ref());
+            if let Some(learned_tx) = learned_tx.filter(|learned_tx| learned_tx.is_empty()) {
+                let _ = learned_tx.try_send(self.dispatcher.memory());
             }
             if self.dispatcher.upkeep(now) {
-                let _ = self.ask.try_send(());
+                let _ = self.refresh.try_send(());
             }
-            if self.ending.as_ref().is_some_and(|ending| now >= ending.steer) {
-                self.front.steer();
+            if self.shutdown.as_ref().is_some_and(|shutdown| now >= shutdown.close_connections_at) {
+                self.clients.close_connections();
             }
         }
         for letter in self.dispatcher.letters.drain(..) {
@@ -626,45 +677,53 @@
             }
         }
         if let Some(peers) = &self.peers {
-            let bad = self.dispatcher.peers.garbled + peers.dropped();
-            if bad > self.bad.0 && now >= self.bad.1 {
-                self.bad = (bad, now + 10 * SECOND);
-                say!("peers: {bad} messages dropped so far: not from a peer, not readable, or too many");
+            let bad_messages = self.dispatcher.peers.garbled + peers.dropped();
+            if bad_messages > self.logged_bad_messages.0 && now >= self.logged_bad_messages.1 {
+                self.logged_bad_messages = (bad_messages, now + 10 * SECOND);
+                log_info!("peers: {bad_messages} messages dropped so far: not from a peer, not readable, or too many");
             }
         }
         for line in self.dispatcher.log.drain(..) {
-            say!("{line}");
+            log_info!("{line}");
         }
     }
 
     /// The end was asked for: steer clients off, and see to it that all is answered in time.
-    fn end(&mut self, now: Time) {
-        if self.ending.is_some() {
+    fn begin_shutdown(&mut self, now: Time) {
+        if self.shutdown.is_some() {
             return;
         }
-        let by = now + self.grace - LAST_WRITES;
+        let deadline = now + self.shutdown_grace - FINAL_WRITE_TIME;
         let tickets = self.ops.tickets();
-        say!("end asked for: {} ops in hand", tickets.len());
-        let (steer, stay) = if self.front.leave() { (now, SUCCEEDED) } else { (now + STEER_AFTER, 0) };
-        self.ending = Some(Ending { by, steer, leave: steer + LEAVE_AFTER + stay });
+        log_info!("end asked for: {} ops in hand", tickets.len());
+        let (close_connections_at, extra_delay) = if self.clients.stop_accepting() {
+            (now, SUCCESSOR_EXIT_DELAY)
+        } else {
+            (now + CONNECTION_CLOSE_DELAY, 0)
+        };
+        self.shutdown = Some(ShutdownPlan {
+            deadline,
+            close_connections_at,
+            earliest_exit: close_connections_at + EXIT_DELAY + extra_delay,
+        });
         for ticket in tickets {
-            let Some(mut held) = self.ops.take(ticket) else { continue };
-            held.op.end_by(by);
-            self.keep(now, ticket, held);
+            let Some(mut in_flight) = self.ops.take(ticket) else { continue };
+            in_flight.op.end_by(deadline);
+            self.store_or_finish(now, ticket, in_flight);
         }
         for ticket in self.queue.tickets() {
-            if let Some(mut waiting) = self.queue.take(ticket) {
-                self.free(now, ticket, &mut waiting.pass);
-                self.turn_away(ticket, &*waiting.job, waiting.reply, waiting.came, SECOND);
+            if let Some(mut queued) = self.queue.take(ticket) {
+                self.release_slot(now, ticket, &mut queued.pass);
+                self.reject(ticket, &*queued.job, queued.reply, queued.received_at, SECOND);
             }
         }
     }
 
     /// All is answered and written, and no more can come.
-    fn over(&self) -> bool {
-        let Some(ending) = &self.ending else { return false };
+    fn is_finished(&self) -> bool {
+        let Some(shutdown) = &self.shutdown else { return false };
         let now = self.clock.now();
-        let quiet = self.ops.is_empty() && self.queue.is_empty() && self.front.quiet();
-        now >= ending.leave && (quiet || now >= ending.by + LAST_WRITES / 2)
+        let is_idle = self.ops.is_empty() && self.queue.is_empty() && self.clients.is_idle();
+        now >= shutdown.earliest_exit && (is_idle || now >= shutdown.deadline + FINAL_WRITE_TIME / 2)
     }
 }
--- a/crates/node/src/interfaces.rs
+++ b/crates/node/src/interfaces.rs
@@ -3,8 +3,8 @@
 //! protocol they speak, and they know the desk only by its events.
 
 use crate::state::buffer_pool::Bytes;
-use crate::state::disabled_executors::State;
-use crate::state::metrics::InHand;
+use crate::state::disabled_executors::DisabledSet;
+use crate::state::metrics::InFlightGuard;
 use crossbeam_channel::Sender;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
     /// Name of the category.
     fn category(&self) -> &str;
     /// The mark by which a repeat is known.
-    fn mark(&self) -> Option<&str>;
+    fn idempotency_key(&self) -> Option<&str>;
     fn method(&self) -> &str;
     fn path(&self) -> &str;
     /// A guess at the work, in microseconds, as the client wrote it.
@@ -31,7 +31,7 @@
 
 /// The figures of a job that may be taken.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Asked {
+pub struct JobParameters {
     pub category: usize,
     pub slots: f64,
     pub memory: f64,
@@ -40,29 +40,29 @@
 }
 
 /// The answer that is owed to a client; its op is in hand until this, or the answer that is given, is dropped.
-pub struct Owed {
-    pub to: Sender<Answer>,
+pub struct PendingReply {
+    pub reply_to: Sender<OpReply>,
     /// Where figures are kept.
-    pub in_hand: Option<Box<InHand>>,
+    pub in_flight: Option<Box<InFlightGuard>>,
 }
 
-impl Owed {
+impl PendingReply {
     /// Gives it; whoever is gone gets none.
-    pub fn give(self, fate: Fate, until: Instant) {
-        let _ = self.to.try_send(Answer { fate, in_hand: self.in_hand, until });
+    pub fn send(self, outcome: OpOutcome, deadline: Instant) {
+        let _ = self.reply_to.try_send(OpReply { outcome, in_flight: self.in_flight, deadline });
     }
 }
 
 /// The final answer to an op.
-pub struct Answer {
-    pub fate: Fate,
+pub struct OpReply {
+    pub outcome: OpOutcome,
     /// Under which it is counted, if it is: it stays in hand until then.
-    pub in_hand: Option<Box<InHand>>,
+    pub in_flight: Option<Box<InFlightGuard>>,
     /// When no one waits for it any more.
-    pub until: Instant,
+    pub deadline: Instant,
 }
 
-pub enum Fate {
+pub enum OpOutcome {
     /// With the result that an executor gave.
     Acked(Bytes),
     /// A retry is harmless; not before this long, zero for no advice.
@@ -72,30 +72,30 @@
     },
     DeadLettered,
     /// Refused by an executor for what it is, with a status of its own.
-    Unfit {
+    Rejected {
         status: u16,
     },
 }
 
 /// How a push ended.
-pub enum How {
+pub enum PushOutcome {
     Done(Bytes),
     Failed,
-    Unfit(u16),
+    Rejected(u16),
     Returned,
     /// No connection, or it broke before the request's last byte was written.
-    Unconnected,
+    NotConnected,
     /// It broke under the request, before its last byte was written; whether it had been used before.
-    Cut {
+    WriteFailed {
         used: bool,
     },
     /// Not tried, for reasons of this node alone.
-    Untried,
+    NotSent,
     /// All was written, and the connection ended without the last line: it may have run.
     Lost,
     /// The same, on a connection used before and without a word of answer: it may have run, but the connection is
     /// more likely to have ended while it was idle than the executor to have failed.
-    Broken,
+    StaleConnection,
 }
 
 /// One push on its way out.
@@ -104,70 +104,70 @@
     pub push: usize,
     pub job: Arc<dyn Job>,
     /// A repeat is not harmless.
-    pub wary: bool,
+    pub hold_last_byte: bool,
     /// It may go only where it provably is the first to be written.
-    pub anew: bool,
+    pub new_connection: bool,
     /// When the time of the op is out.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Beyond this nothing of it may be written any more.
-    pub leave_by: Instant,
+    pub write_deadline: Instant,
     /// A route's own bound on the time that a new connection may take.
-    pub connect: Option<Duration>,
+    pub connect_timeout: Option<Duration>,
 }
 
 /// What the desk holds of a push that is out.
-pub trait Link: Send + Sync {
+pub trait PushHandle: Send + Sync {
     /// Gives it up, wherever it is waiting; its end is told as ever.
-    fn call_off(&self);
+    fn cancel(&self);
     /// Keeps it back if nothing of it was written yet: its op has its final answer.
-    fn keep_back(&self);
+    fn withhold_unsent(&self);
 }
 
 /// What carries messages to other nodes. It drops what would make the desk wait.
-pub trait Carrier {
+pub trait PeerTransport {
     fn send(&self, letter: &Letter);
     /// Messages of others that were dropped before they came to the desk.
     fn dropped(&self) -> u64;
 }
 
 /// Where pushes go: the executors of one protocol. It never waits.
-pub trait Outlet {
+pub trait ExecutorTransport {
     /// Sends a push out; none where this node has no room for it.
-    fn push(&mut self, executor: usize, to: SocketAddr, push: Push) -> Option<Arc<dyn Link>>;
+    fn push(&mut self, executor: usize, to: SocketAddr, push: Push) -> Option<Arc<dyn PushHandle>>;
     /// A connection's task is over; the executor that it is idle for now, if it is.
-    fn back(&mut self, number: u64, keep: bool) -> Option<usize>;
+    fn release(&mut self, number: u64, is_reusable: bool) -> Option<usize>;
     /// Closes what is idle there.
-    fn leave(&mut self, executor: usize, why: &'static str);
+    fn close_idle(&mut self, executor: usize, why: &'static str);
     /// Closes what has been idle too long.
-    fn retire(&mut self);
+    fn close_expired(&mut self);
     /// Keeps to half of its places, or to all.
-    fn halve(&mut self, half: bool);
+    fn set_half_capacity(&mut self, half: bool);
 }
 
 /// Where ops come from: the clients of one protocol.
-pub trait Front: Send + Sync {
+pub trait ClientFrontend: Send + Sync {
     /// Whether new clients may be sent here.
-    fn ready(&self, ready: bool);
+    fn set_ready(&self, ready: bool);
     /// The node is told to end: no clients are taken any more where another process takes them. True if so.
-    fn leave(&self) -> bool;
+    fn stop_accepting(&self) -> bool;
     /// The node is about to end: clients are steered off.
-    fn steer(&self);
+    fn close_connections(&self);
     /// Nobody is owed anything any more.
-    fn quiet(&self) -> bool;
+    fn is_idle(&self) -> bool;
     /// From now on these headers of a request are asked for.
-    fn want(&self, headers: &[String]);
+    fn set_routed_headers(&self, headers: &[String]);
 }
 
 /// A list of executors, whole or changes only.
 #[derive(Clone, Debug)]
-pub struct List {
+pub struct ExecutorList {
     pub index: i64,
-    pub whole: bool,
-    pub entries: Vec<Entry>,
+    pub is_snapshot: bool,
+    pub entries: Vec<ExecutorEntry>,
 }
 
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct ExecutorEntry {
     pub name: String,
     pub address: Option<SocketAddr>,
     pub domain: String,
@@ -183,64 +183,64 @@
 }
 
 /// What operators want of the desk, which it looks at before all else.
-pub enum Order {
+pub enum AdminCommand {
     /// Whether an executor of that name was ever listed.
-    Known(String, Sender<bool>),
+    IsListed(String, Sender<bool>),
     /// These are out by hand, and no others.
-    Outs(State, Sender<bool>),
+    SetDisabled(DisabledSet, Sender<bool>),
     /// Another process of the node lives, or lives no more.
-    Beside(bool),
+    SiblingProcess(bool),
 }
 
 /// What the desk is told.
 pub enum Event {
-    Asked {
+    Submitted {
         ticket: u64,
         job: Arc<dyn Job>,
-        asked: Asked,
-        came: Instant,
-        reply: Owed,
+        parameters: JobParameters,
+        received_at: Instant,
+        reply: PendingReply,
     },
     Withdrawn {
         ticket: u64,
     },
-    Note {
+    Progress {
         ticket: u64,
         push: usize,
-        start: bool,
+        has_started: bool,
         /// Share of the job that is done; zero where it is not told.
-        done: f64,
+        progress: f64,
     },
-    Ended {
+    PushEnded {
         ticket: u64,
         push: usize,
-        how: How,
+        push_outcome: PushOutcome,
         load: Option<Vec<f64>>,
     },
     /// A message of another node.
-    Heard {
+    PeerMessage {
         from: usize,
         text: Vec<u8>,
     },
-    Free {
+    ConnectionReleased {
         number: u64,
-        keep: bool,
+        is_reusable: bool,
     },
     /// A list, or changes of it; `anew` if it is the first from its address.
-    List {
-        list: List,
-        anew: bool,
+    ExecutorList {
+        list: ExecutorList,
+        is_first_from_address: bool,
     },
     /// No list came; `turned_away`: there was an answer, but none for this caller now.
-    ListSilent {
-        turned_away: bool,
+    DiscoveryFailed {
+        was_rejected: bool,
     },
     /// So many instances are likely to live, and so many may be sending.
-    Fleet {
-        likely: usize,
-        safe: usize,
+    FleetSize {
+        live: usize,
+        possibly_sending: usize,
     },
     /// New routes, checked.
     Routes(Arc<Table>),
-    End,
+    Shutdown,
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -12,27 +12,27 @@
 
 use clap::Parser;
 use crossbeam_channel::{bounded, Sender};
-use dispatch_loop::{Desk, Operators};
-use interfaces::{Carrier, Event};
-use net::admin::{Calls, OperatorsAddressError, Reach};
+use dispatch_loop::{AdminHandle, DispatchLoop};
+use interfaces::{Event, PeerTransport};
+use net::admin::{AdminContext, AdminServer, OperatorsAddressError};
 use net::clients::Clients;
-use net::discovery::Post;
+use net::discovery::DiscoveryAddress;
 use net::executors::Executors;
-use net::http_transport::Http;
+use net::http_transport::HttpTransport;
 use net::listener::{self, ListenError};
 use net::membership::{Instance, MembersError, MembershipThread};
 use net::peers::{Peers, PeersError};
-use process::cli::{Command, Words};
-use process::members_section::MembersAt;
-use process::operator_file::Operator;
-use process::settings::Start;
+use process::cli::{Arguments, Command};
+use process::members_section::MembersSettings;
+use process::operator_file::OperatorSettings;
+use process::settings::NodeSettings;
 use process::settings::StartError;
 use process::signals::SignalsError;
 use process::{operator_file, settings, signals, spawn};
 use state::buffer_pool::Pool;
-use state::client_slots::Seats;
-use state::disabled_executors::Outs;
-use state::metrics::Figures;
+use state::client_slots::ClientSlots;
+use state::disabled_executors::DisabledExecutors;
+use state::metrics::Metrics;
 use std::io::{self, Write};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -43,15 +43,15 @@
 use thiserror::Error;
 
 /// Events that may wait for the desk; who tells more has to wait.
-const EVENTS: usize = 1024;
+const EVENT_QUEUE_LENGTH: usize = 1024;
 /// Orders of operators that may wait.
-const ORDERS: usize = 8;
+const COMMAND_QUEUE_LENGTH: usize = 8;
 
 /// Why the node has ended: one line for the log.
 #[derive(Debug, Error)]
 enum RunError {
     #[error(transparent)]
-    Start(#[from] StartError),
+    NodeSettings(#[from] StartError),
     #[error(transparent)]
     Listen(#[from] ListenError),
     /// The faults of the operators' file, each on a line of its own.
@@ -74,134 +74,154 @@
 /// The operators' file, and what it was checked against.
 struct OperatorFile {
     path: PathBuf,
-    ground: Ground,
-    content: Operator,
+    route_context: Ground,
+    content: OperatorSettings,
 }
 
 impl OperatorFile {
-    fn read(path: &Path, start: &Start) -> Result<OperatorFile, RunError> {
-        let ground = start.ground();
-        let content = operator_file::read(path, &ground)
-            .map_err(|faults| RunError::OperatorFile(operator_file::told(&faults)))?;
-        Ok(OperatorFile { path: path.to_path_buf(), ground, content })
+    fn read(path: &Path, settings: &NodeSettings) -> Result<OperatorFile, RunError> {
+        let route_context = settings.route_context();
+        let content = operator_file::read(path, &route_context)
+            .map_err(|faults| RunError::OperatorFile(operator_file::fault_lines(&faults)))?;
+        Ok(OperatorFile { path: path.to_path_buf(), route_context, content })
     }
 }
 
 /// Takes part in membership from here on.
 fn open_members(
-    at: &MembersAt,
-    start: &Start,
-    desk: Sender<Event>,
+    address: &MembersSettings,
+    settings: &NodeSettings,
+    dispatch_loop: Sender<Event>,
 ) -> Result<MembershipThread, MembersError> {
-    let terms = &start.tariff.terms;
-    let own =
-        Instance { id: mark(&start.name), domain: terms.domain as u8, nodes: terms.nodes, seed: start.seed };
-    MembershipThread::open(at, own, desk)
+    let terms = &settings.tariff.terms;
+    let handle = Instance {
+        id: mark(&settings.name),
+        domain: terms.domain as u8,
+        nodes: terms.nodes,
+        seed: settings.seed,
+    };
+    MembershipThread::open(address, handle, dispatch_loop)
 }
 
 /// Exchanges messages with the other nodes from here on.
 fn open_peers(
     nodes: &[SocketAddr],
-    start: &Start,
-    desk: Sender<Event>,
-) -> Result<Box<dyn Carrier>, RunError> {
-    let peers = Peers::open(start.tariff.terms.me, nodes)?;
+    settings: &NodeSettings,
+    dispatch_loop: Sender<Event>,
+) -> Result<Box<dyn PeerTransport>, RunError> {
+    let peers = Peers::open(settings.tariff.terms.me, nodes)?;
     let receive = peers.receiver()?;
-    spawn("peers", move || receive(desk)).map_err(RunError::Thread)?;
+    spawn("peers", move || receive(dispatch_loop)).map_err(RunError::Thread)?;
     Ok(Box::new(peers))
 }
 
-fn run(words: &Words) -> Result<(), RunError> {
-    let start = settings::read(|name| std::env::var(name).ok())?;
+fn run(arguments: &Arguments) -> Result<(), RunError> {
+    let settings = settings::read(|name| std::env::var(name).ok())?;
     // Before anything else is opened, which might take the number of a descriptor that was not handed in.
-    let inherited = start.inherited.map(listener::inherited).transpose()?;
-    let mut operator = words.operator.as_deref().map(|path| OperatorFile::read(path, &start)).transpose()?;
+    let inherited = settings.inherited_descriptor.map(listener::inherited).transpose()?;
+    let mut operator =
+        arguments.operator.as_deref().map(|path| OperatorFile::read(path, &settings)).transpose()?;
     let json = operator.as_ref().is_some_and(|file| file.content.json);
     let routes = operator.as_ref().map(|file| file.content.routes.clone());
-    let members_at = operator.as_mut().and_then(|file| file.content.members.take());
-    let budget = start.budget;
+    let members_settings = operator.as_mut().and_then(|file| file.content.members.take());
+    let budget = settings.budget;
     process::log::open(json).map_err(RunError::Thread)?;
-    let (tell, events) = bounded::<Event>(EVENTS);
-    let (ask, asked) = bounded(1);
-    let figures = start.operators.map(|_| Figures::new(&start.categories));
+    let (event_tx, events) = bounded::<Event>(EVENT_QUEUE_LENGTH);
+    let (refresh_tx, refresh_rx) = bounded(1);
+    let metrics = settings.admin_address.map(|_| Metrics::new(&settings.categories));
     let executors = Arc::new(Executors {
-        desk: tell.clone(),
+        dispatch_loop: event_tx.clone(),
         pool: Pool::new(budget.executors),
-        gauges: Arc::new(start.gauges.clone()),
-        figures: figures.clone(),
-        dial: start.dial,
+        gauges: Arc::new(settings.gauges.clone()),
+        metrics: metrics.clone(),
+        connect_timeout: settings.connect_timeout,
     });
     let clients = Arc::new(Clients {
-        desk: tell.clone(),
+        dispatch_loop: event_tx.clone(),
         pool: Pool::new(budget.clients + budget.executors / 4),
-        door: start.door.clone(),
+        request_rules: settings.request_rules.clone(),
         budget,
-        seats: Seats::default(),
+        client_slots: ClientSlots::default(),
         ids: Arc::default(),
         ready: AtomicBool::new(false),
-        shared: start.inherited.is_some(),
-        leaving: AtomicBool::new(false),
-        beside: AtomicBool::new(false),
-        steer: AtomicBool::new(false),
-        numbers: AtomicU64::new(1),
-        figures: figures.clone(),
-        wanted: routes.as_ref().map(|routes| RwLock::new(Arc::new(routes.headers.clone()))),
+        shared: settings.inherited_descriptor.is_some(),
+        shutting_down: AtomicBool::new(false),
+        has_sibling: AtomicBool::new(false),
+        closing_connections: AtomicBool::new(false),
+        next_number: AtomicU64::new(1),
+        metrics: metrics.clone(),
+        routed_headers: routes.as_ref().map(|routes| RwLock::new(Arc::new(routes.headers.clone()))),
     });
-    let outlet = Http::new(executors, budget.executors, start.keep_idle);
-    let post = Post::new(start.discovery, ask.clone());
-    let operator = operator.map(|file| (file.path, file.ground));
-    let (told, turned) = (tell.clone(), post.clone());
-    signals::watch(tell.clone(), move || reload::turn(&told, &turned, operator.as_ref()))?;
-    let listener = inherited.map_or_else(|| listener::open(start.listen), Ok)?;
-    let at = listener.local_addr().map_err(RunError::NoAddress)?;
+    let transport = HttpTransport::new(executors, budget.executors, settings.idle_timeout);
+    let discovery = DiscoveryAddress::new(settings.discovery, refresh_tx.clone());
+    let operator = operator.map(|file| (file.path, file.route_context));
+    let (reload_tx, reload_address) = (event_tx.clone(), discovery.clone());
+    signals::watch(event_tx.clone(), move || reload::apply(&reload_tx, &reload_address, operator.as_ref()))?;
+    let listener = inherited.map_or_else(|| listener::open(settings.listen), Ok)?;
+    let address = listener.local_addr().map_err(RunError::NoAddress)?;
     let thread = RunError::Thread;
-    let told_by_peers = tell.clone();
-    let members = members_at.map(|at| open_members(&at, &start, tell.clone())).transpose()?;
-    let news = tell;
-    let known = start.known.index;
-    spawn("discovery", move || net::discovery::run(&post, known, asked, news)).map_err(thread)?;
-    let nodes = start.peers.as_deref();
-    let peers = nodes.map(|nodes| open_peers(nodes, &start, told_by_peers)).transpose()?;
-    let (mut reach, mut kept) = (None, None);
-    let operators = figures.map(|figures| {
-        let ((order, orders), (learns, learned)) = (bounded(ORDERS), bounded(1));
-        let outs = Outs::join(start.home.as_deref(), mark(&start.name));
+    let peer_tx = event_tx.clone();
+    let members =
+        members_settings.map(|section| open_members(&section, &settings, event_tx.clone())).transpose()?;
+    let discovery_tx = event_tx;
+    let known = settings.known.index;
+    spawn("discovery", move || net::discovery::run(&discovery, known, refresh_rx, discovery_tx))
+        .map_err(thread)?;
+    let nodes = settings.peers.as_deref();
+    let peers = nodes.map(|nodes| open_peers(nodes, &settings, peer_tx)).transpose()?;
+    let (mut context, mut learned_text) = (None, None);
+    let admin = metrics.map(|metrics| {
+        let ((command_tx, commands), (learned_tx, learned_rx)) = (bounded(COMMAND_QUEUE_LENGTH), bounded(1));
+        let disabled_executors = DisabledExecutors::join(settings.state_dir.as_deref(), mark(&settings.name));
         // Only where another process takes this one's place is it of use to keep what is learned.
-        let learns = start.inherited.map(|_| learns);
-        kept = learns.as_ref().and_then(|_| outs.kept());
-        let own = Operators { orders, figures: figures.clone(), outs: outs.state(), learns };
+        let learned_tx = settings.inherited_descriptor.map(|_| learned_tx);
+        learned_text = learned_tx.as_ref().and_then(|_| disabled_executors.load_learned_state());
+        let handle = AdminHandle {
+            commands,
+            metrics: metrics.clone(),
+            disabled_set: disabled_executors.state(),
+            learned_tx,
+        };
         let members = members.as_ref().map(|members| members.report.clone());
-        reach = Some(Reach { figures, clients: clients.clone(), desk: order, outs, learned, members });
-        own
+        context = Some(AdminContext {
+            metrics,
+            clients: clients.clone(),
+            commands: command_tx,
+            disabled_executors,
+            learned_rx,
+            members,
+        });
+        handle
     });
-    let mut desk = Desk::new(&start, Box::new(outlet), clients.clone(), ask, routes, peers, operators);
-    let calls = match (start.operators, reach) {
-        (Some(at), Some(reach)) => Some(Calls::new(reach).open(at)?),
+    let mut dispatch_loop =
+        DispatchLoop::new(&settings, Box::new(transport), clients.clone(), refresh_tx, routes, peers, admin);
+    let admin_address = match (settings.admin_address, context) {
+        (Some(address), Some(context)) => Some(AdminServer::new(context).open(address)?),
         _ => None,
     };
     spawn("listener", move || listener::run(listener, clients)).map_err(thread)?;
-    say!("{} serves at {at}: {budget:?}", start.name);
-    if let Some(at) = calls {
-        say!("operators call at {at}");
+    log_info!("{} serves at {address}: {budget:?}", settings.name);
+    if let Some(address) = admin_address {
+        log_info!("operators call at {address}");
     }
-    if let Some(kept) = kept.and_then(|text| serde_json::from_str(&text).ok()) {
-        desk.recall(kept);
+    if let Some(learned_text) = learned_text.and_then(|text| serde_json::from_str(&text).ok()) {
+        dispatch_loop.restore(learned_text);
     }
     if let Some(members) = &members {
-        say!("members: heard at {}", members.address);
+        log_info!("members: heard at {}", members.address);
     }
-    desk.run(&events);
+    dispatch_loop.run(&events);
     if let Some(members) = members {
         members.leave();
     }
-    say!("{} ended", start.name);
+    log_info!("{} ended", settings.name);
     Ok(())
 }
 
 fn main() {
-    let words = Words::parse();
-    if words.command.as_ref().is_some_and(|command| !matches!(command, Command::Serve)) {
-        match words.answer() {
+    let arguments = Arguments::parse();
+    if arguments.command.as_ref().is_some_and(|command| !matches!(command, Command::Serve)) {
+        match arguments.run() {
             Ok(lines) => {
                 // Whoever reads them may have had enough.
                 let mut out = std::io::stdout().lock();
@@ -214,9 +234,9 @@
         }
         return;
     }
-    let result = run(&words);
-    if let Err(problem) = &result {
-        process::log::write(format_args!("stileroute: {problem}"));
+    let result = run(&arguments);
+    if let Err(error) = &result {
+        process::log::write(format_args!("stileroute: {error}"));
     }
     process::log::close();
     if result.is_err() {
--- a/crates/node/src/net/clients.rs
+++ b/crates/node/src/net/clients.rs
@@ -1,15 +1,15 @@
 //! Connections of clients: one thread reads requests and notices a client that leaves, one writes answers.
 
-use crate::interfaces::{Answer, Asked, Event, Fate, Front, Owed};
+use crate::interfaces::{ClientFrontend, Event, JobParameters, OpOutcome, OpReply, PendingReply};
+use crate::log_info;
 use crate::process::budget::Budget;
-use crate::process::settings::Door;
+use crate::process::settings::RequestRules;
 use crate::process::spawn;
-use crate::say;
 use crate::state::buffer_pool::{Bytes, Pool};
-use crate::state::client_slots::{Seat, Seats};
-use crate::state::metrics::{Ended, Figures, InHand};
-use crate::state::request_ids::Ids;
-use crate::wire::client_request::{answer_head, Fault, Inbox, Request, GO_ON};
+use crate::state::client_slots::{ClientSlot, ClientSlots};
+use crate::state::metrics::{InFlightGuard, Metrics, ResultKind};
+use crate::state::request_ids::RequestIds;
+use crate::wire::client_request::{answer_head, Request, RequestError, RequestParser, CONTINUE};
 use crate::wire::http::is_decimal;
 use crate::wire::names;
 use crossbeam_channel::{bounded, Receiver, Sender};
@@ -24,11 +24,11 @@
 pub struct Reply {
     pub status: u16,
     /// The op that it ends, if it does end one.
-    pub in_hand: Option<Box<InHand>>,
+    pub in_flight: Option<Box<InFlightGuard>>,
     pub body: Body,
     pub come_back: Time,
     /// When no one waits for it any more.
-    pub until: Instant,
+    pub deadline: Instant,
 }
 
 pub enum Body {
@@ -45,80 +45,81 @@
     }
 }
 
-impl From<Answer> for Reply {
-    fn from(answer: Answer) -> Reply {
-        let (status, body, come_back) = match answer.fate {
-            Fate::Acked(result) => (200, Body::Result(result), 0),
-            Fate::Nacked { why, come_back } => (503, Body::Text(format!("{why}\n")), come_back),
-            Fate::DeadLettered => (500, Body::Text("dead-lettered\n".to_string()), 0),
-            Fate::Unfit { status } => {
+impl From<OpReply> for Reply {
+    fn from(answer: OpReply) -> Reply {
+        let (status, body, come_back) = match answer.outcome {
+            OpOutcome::Acked(result) => (200, Body::Result(result), 0),
+            OpOutcome::Nacked { why, come_back } => (503, Body::Text(format!("{why}\n")), come_back),
+            OpOutcome::DeadLettered => (500, Body::Text("dead-lettered\n".to_string()), 0),
+            OpOutcome::Rejected { status } => {
                 (status, Body::Text(format!("refused by an executor: status {status}\n")), 0)
             }
         };
-        Reply { status, in_hand: answer.in_hand, body, come_back, until: answer.until }
+        Reply { status, in_flight: answer.in_flight, body, come_back, deadline: answer.deadline }
     }
 }
 
-impl Front for Clients {
-    fn ready(&self, ready: bool) {
+impl ClientFrontend for Clients {
+    fn set_ready(&self, ready: bool) {
         self.ready.store(ready, Ordering::Relaxed);
     }
 
-    fn leave(&self) -> bool {
-        self.ready(false);
-        self.leaving.store(true, Ordering::Relaxed);
+    fn stop_accepting(&self) -> bool {
+        self.set_ready(false);
+        self.shutting_down.store(true, Ordering::Relaxed);
         self.shared
     }
 
-    fn steer(&self) {
-        self.steer.store(true, Ordering::Relaxed);
+    fn close_connections(&self) {
+        self.closing_connections.store(true, Ordering::Relaxed);
         // With a successor there is time: one that was just opened or answered may send a request this moment, which
         // would cross the end; its next answer ends it.
-        self.seats.end_idle("steered", if self.shared { BRIEF / 4 } else { Duration::ZERO });
+        self.client_slots
+            .close_idle("steered", if self.shared { LAST_RESPONSE_TIMEOUT / 4 } else { Duration::ZERO });
     }
 
-    fn quiet(&self) -> bool {
-        self.seats.quiet()
+    fn is_idle(&self) -> bool {
+        self.client_slots.are_idle()
     }
 
-    fn want(&self, headers: &[String]) {
-        if let Some(wanted) = &self.wanted {
-            *wanted.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(headers.to_vec());
+    fn set_routed_headers(&self, headers: &[String]) {
+        if let Some(routed_headers) = &self.routed_headers {
+            *routed_headers.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(headers.to_vec());
         }
     }
 }
 
 /// What all these threads share.
 pub struct Clients {
-    pub desk: Sender<Event>,
+    pub dispatch_loop: Sender<Event>,
     pub pool: Arc<Pool>,
-    pub door: Door,
+    pub request_rules: RequestRules,
     pub budget: Budget,
-    pub seats: Seats,
-    pub ids: Arc<Ids>,
+    pub client_slots: ClientSlots,
+    pub ids: Arc<RequestIds>,
     pub ready: AtomicBool,
     /// The listener was handed in: other processes accept on it too.
     pub shared: bool,
     /// The node is told to end.
-    pub leaving: AtomicBool,
+    pub shutting_down: AtomicBool,
     /// Another process of the node lives.
-    pub beside: AtomicBool,
+    pub has_sibling: AtomicBool,
     /// The node is about to end: clients are steered off.
-    pub steer: AtomicBool,
-    pub numbers: AtomicU64,
-    pub figures: Option<Arc<Figures>>,
+    pub closing_connections: AtomicBool,
+    pub next_number: AtomicU64,
+    pub metrics: Option<Arc<Metrics>>,
     /// Headers that routes look at; none where there are no routes.
-    pub wanted: Option<RwLock<Arc<Vec<String>>>>,
+    pub routed_headers: Option<RwLock<Arc<Vec<String>>>>,
 }
 
 /// How long a request may take to come, the first one from the opening on, and how long it may take a client
 /// to read its last answer. Jobs may be written over two seconds; an error is owed to a bad client within three.
-const SLOW: Duration = Duration::from_millis(2400);
-const BRIEF: Duration = Duration::from_secs(1);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2400);
+const LAST_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A connection's writer, as its reader reaches it: there is one from the first op on.
-struct Pen {
-    replies: Sender<Answer>,
+struct ResponseWriter {
+    replies: Sender<OpReply>,
     written: Receiver<bool>,
 }
 
@@ -129,152 +130,167 @@
 
     /// What this process may hold now.
     pub fn budget(&self) -> Budget {
-        self.budget.part(self.beside.load(Ordering::Relaxed))
+        self.budget.share(self.has_sibling.load(Ordering::Relaxed))
     }
 
-    pub fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::Relaxed)
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutting_down.load(Ordering::Relaxed)
     }
 
     /// Starts the reader of a new connection.
-    pub fn welcome(self: &Arc<Clients>, stream: TcpStream) {
+    pub fn accept_connection(self: &Arc<Clients>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let seat = Seat::new(number, stream);
-        self.seats.add(&seat);
-        let (reader, shared) = (seat.clone(), self.clone());
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+        let slot = ClientSlot::new(number, stream);
+        self.client_slots.add(&slot);
+        let (reader, shared) = (slot.clone(), self.clone());
         let read = move || {
-            let mut pen = None;
-            let code = shared.converse(&reader, &mut pen);
-            if reader.ended().is_some() {
-                drain(&reader.stream);
+            let mut writer = None;
+            let code = shared.serve_requests(&reader, &mut writer);
+            if reader.close_reason().is_some() {
+                drain_input(&reader.stream);
             }
-            reader.end(code);
-            shared.seats.remove(number);
-            let code = reader.ended().unwrap_or(code);
-            say!(ended { peer = "client", connection = number, code } "client connection {number} ended: {code}");
+            reader.close(code);
+            shared.client_slots.remove(number);
+            let code = reader.close_reason().unwrap_or(code);
+            log_info!(ended { peer = "client", connection = number, code } "client connection {number} ended: {code}");
         };
         if let Err(error) = spawn("client-in", read) {
             // What it sent counts as taken: it is refused from here, for which the listener waits briefly.
-            self.turn_away(&seat.stream);
-            seat.end("no-thread");
-            self.seats.remove(number);
+            self.reject(&slot.stream);
+            slot.close("no-thread");
+            self.client_slots.remove(number);
             let code = "no-thread";
-            say!(ended { peer = "client", connection = number, code } "client connection {number} ended: no-thread: {error}");
+            log_info!(ended { peer = "client", connection = number, code } "client connection {number} ended: no-thread: {error}");
         }
     }
 
     /// Reads one request, if it is there, and refuses it.
-    fn turn_away(&self, mut stream: &TcpStream) {
-        let (mut inbox, mut chunk) = (Inbox::new(self.pool.clone()), [0; super::CHUNK]);
-        let _ = stream.set_read_timeout(Some(BRIEF / 20));
-        let _ = stream.set_write_timeout(Some(BRIEF / 20));
+    fn reject(&self, mut stream: &TcpStream) {
+        let (mut parser, mut chunk) = (RequestParser::new(self.pool.clone()), [0; super::READ_CHUNK_BYTES]);
+        let _ = stream.set_read_timeout(Some(LAST_RESPONSE_TIMEOUT / 20));
+        let _ = stream.set_write_timeout(Some(LAST_RESPONSE_TIMEOUT / 20));
         while let Ok(read @ 1..) = stream.read(&mut chunk) {
-            let fed = inbox.feed(&chunk[..read]);
+            let fed = parser.feed(&chunk[..read]);
             if !matches!(fed, Ok(None)) {
                 let sent = stream.write_all(answer_head(503, 0, 0, true).as_bytes());
-                let asked = fed.ok().flatten().and_then(|request| self.door.check(&request).ok());
-                return self.count(asked.filter(|_| sent.is_ok()).map(|asked| asked.category), 503);
+                let parameters =
+                    fed.ok().flatten().and_then(|request| self.request_rules.check(&request).ok());
+                return self.count_result(
+                    parameters.filter(|_| sent.is_ok()).map(|parameters| parameters.category),
+                    503,
+                );
             }
         }
     }
 
     /// Reads requests until the connection ends; gives the reason.
-    fn converse(self: &Arc<Clients>, seat: &Arc<Seat>, pen: &mut Option<Pen>) -> &'static str {
-        let (mut inbox, mut chunk, mut read) = (Inbox::new(self.pool.clone()), [0; super::CHUNK], 0);
+    fn serve_requests(
+        self: &Arc<Clients>,
+        slot: &Arc<ClientSlot>,
+        writer: &mut Option<ResponseWriter>,
+    ) -> &'static str {
+        let (mut parser, mut chunk, mut read) =
+            (RequestParser::new(self.pool.clone()), [0; super::READ_CHUNK_BYTES], 0);
         // When the first byte of the request that is being read came.
-        let (mut came, mut timed) = (seat.opened, false);
+        let (mut received_at, mut has_read_timeout) = (slot.opened, false);
         loop {
-            if let Some(wanted) = self.wanted.as_ref().filter(|_| inbox.idle()) {
-                inbox.want(&wanted.read().unwrap_or_else(PoisonError::into_inner));
+            if let Some(routed_headers) = self.routed_headers.as_ref().filter(|_| parser.is_idle()) {
+                parser.set_routed_headers(&routed_headers.read().unwrap_or_else(PoisonError::into_inner));
             }
-            let fed = inbox.feed(&chunk[..read]);
+            let fed = parser.feed(&chunk[..read]);
             read = 0;
-            let mut out = None;
+            let mut open_ticket = None;
             match fed {
                 // Nothing is in hand here, so nobody else writes.
-                Ok(None) if inbox.waits() => {
-                    let _ = seat.stream.set_write_timeout(Some(BRIEF));
-                    if (&seat.stream).write_all(GO_ON).is_err() {
+                Ok(None) if parser.take_continue_wanted() => {
+                    let _ = slot.stream.set_write_timeout(Some(LAST_RESPONSE_TIMEOUT));
+                    if (&slot.stream).write_all(CONTINUE).is_err() {
                         return "unwritten";
                     }
                 }
                 Ok(None) => {}
-                Err(fault) => return self.refuse(seat, fault, "malformed"),
+                Err(error) => return self.refuse(slot, error, "malformed"),
                 Ok(Some(request)) => {
-                    if !seat.take(!inbox.idle()) {
+                    if !slot.set_busy(!parser.is_idle()) {
                         return "evicted";
                     }
                     if request.close {
-                        seat.set_last();
+                        slot.set_last();
                     }
-                    match self.take(seat, request, came, pen) {
-                        Ok(ticket) => out = Some(ticket),
-                        Err(reply) if self.answer(seat, &reply, false) => {}
+                    match self.submit(slot, request, received_at, writer) {
+                        Ok(ticket) => open_ticket = Some(ticket),
+                        Err(reply) if self.write_reply(slot, &reply, false) => {}
                         Err(_) => return "answered",
                     }
-                    if !inbox.idle() {
+                    if !parser.is_idle() {
                         // The next request has come already; it waits for this one's answer.
-                        if out.is_some() && !next(pen) {
+                        if open_ticket.is_some() && !wait_for_reply(writer) {
                             return "answered";
                         }
-                        came = Instant::now();
+                        received_at = Instant::now();
                         continue;
                     }
                 }
             }
             loop {
                 // Nobody is owed a seat for saying nothing, or half of something. A known client may be idle.
-                let known = seat.proven();
-                let strange = out.is_none() && !(inbox.idle() && known);
-                let waited = if known { came } else { seat.opened }.elapsed();
-                if strange && waited >= SLOW {
-                    if inbox.idle() {
+                let is_proven = slot.is_proven();
+                let deadline_applies = open_ticket.is_none() && !(parser.is_idle() && is_proven);
+                let elapsed = if is_proven { received_at } else { slot.opened }.elapsed();
+                if deadline_applies && elapsed >= REQUEST_TIMEOUT {
+                    if parser.is_idle() {
                         return "silent";
                     }
-                    let fault = Fault { status: 408, why: "request took too long to come".to_string() };
-                    return self.refuse(seat, fault, "slow");
+                    let error =
+                        RequestError { status: 408, reason: "request took too long to come".to_string() };
+                    return self.refuse(slot, error, "slow");
                 }
-                if strange || timed {
-                    let left = SLOW.saturating_sub(waited).max(Duration::from_millis(1));
-                    let _ = seat.stream.set_read_timeout(strange.then_some(left));
-                    timed = strange;
+                if deadline_applies || has_read_timeout {
+                    let remaining = REQUEST_TIMEOUT.saturating_sub(elapsed).max(Duration::from_millis(1));
+                    let _ = slot.stream.set_read_timeout(deadline_applies.then_some(remaining));
+                    has_read_timeout = deadline_applies;
                 }
-                match seat.stream.peek(&mut [0]) {
-                    Ok(0) => return self.left(out, pen, inbox.idle()),
+                match slot.stream.peek(&mut [0]) {
+                    Ok(0) => return self.connection_closed(open_ticket, writer, parser.is_idle()),
                     Ok(_) => {
-                        if out.is_some() && !next(pen) {
+                        if open_ticket.is_some() && !wait_for_reply(writer) {
                             return "answered";
                         }
-                        if !seat.begin() {
+                        if !slot.start_reading() {
                             return "answered";
                         }
-                        if inbox.idle() {
-                            came = Instant::now();
+                        if parser.is_idle() {
+                            received_at = Instant::now();
                         }
-                        match (&seat.stream).read(&mut chunk) {
+                        match (&slot.stream).read(&mut chunk) {
                             Ok(bytes) => read = bytes,
-                            Err(error) if super::passing(&error) => {}
-                            Err(_) => return self.left(None, pen, inbox.idle()),
+                            Err(error) if super::is_transient(&error) => {}
+                            Err(_) => return self.connection_closed(None, writer, parser.is_idle()),
                         }
                         break;
                     }
-                    Err(error) if super::passing(&error) => {}
-                    Err(_) => return self.left(out, pen, inbox.idle()),
+                    Err(error) if super::is_transient(&error) => {}
+                    Err(_) => return self.connection_closed(open_ticket, writer, parser.is_idle()),
                 }
             }
         }
     }
 
     /// The connection has ended from the other side, or was ended from this one.
-    fn left(&self, out: Option<u64>, pen: &Option<Pen>, idle: bool) -> &'static str {
-        match (out, pen) {
-            (Some(ticket), Some(pen)) => match pen.written.try_recv() {
+    fn connection_closed(
+        &self,
+        open_ticket: Option<u64>,
+        writer: &Option<ResponseWriter>,
+        idle: bool,
+    ) -> &'static str {
+        match (open_ticket, writer) {
+            (Some(ticket), Some(writer)) => match writer.written.try_recv() {
                 Ok(true) => "closed",
                 Ok(false) => "answered",
                 Err(_) => {
                     // A client that closes has withdrawn its op.
-                    let _ = self.desk.send(Event::Withdrawn { ticket });
+                    let _ = self.dispatch_loop.send(Event::Withdrawn { ticket });
                     "withdrawn"
                 }
             },
@@ -284,197 +300,210 @@
     }
 
     /// Hands a request to the desk and gives its ticket; or gives the answer that it gets here.
-    fn take(
+    fn submit(
         self: &Arc<Clients>,
-        seat: &Arc<Seat>,
+        slot: &Arc<ClientSlot>,
         mut request: Request,
-        came: Instant,
-        pen: &mut Option<Pen>,
+        received_at: Instant,
+        writer: &mut Option<ResponseWriter>,
     ) -> Result<u64, Reply> {
         let path = request.path.split('?').next().unwrap_or_default();
         if path == names::READY || path == names::HEALTHY {
             // Who asks this needs no seat for longer.
-            seat.set_last();
+            slot.set_last();
             return Err(match path == names::HEALTHY || self.is_ready() {
-                true => own(200, "in service"),
-                false => own(503, "not ready"),
+                true => local_reply(200, "in service"),
+                false => local_reply(503, "not ready"),
             });
         }
-        let asked = self.door.check(&request).map_err(|fault| own(fault.status, &fault.why))?;
+        let parameters =
+            self.request_rules.check(&request).map_err(|error| local_reply(error.status, &error.reason))?;
         // Also one that is refused is in hand until it is counted.
-        let take = || self.figures.as_ref().map(|figures| figures.take_in_hand(asked.category));
-        let own = |status, text: &str| Reply { in_hand: take(), ..own(status, text) };
+        let begin_op = || self.metrics.as_ref().map(|metrics| metrics.begin_op(parameters.category));
+        let local_reply = |status, text: &str| Reply { in_flight: begin_op(), ..local_reply(status, text) };
         let id = request.id.as_deref().unwrap_or_default();
-        let Some(entry) = self.ids.enter(id) else {
-            return Err(own(409, &format!("{}: is open here already", names::CALL_ID)));
+        let Some(id_guard) = self.ids.reserve(id) else {
+            return Err(local_reply(409, &format!("{}: is open here already", names::CALL_ID)));
         };
-        request.entry = Some(entry);
-        if self.seats.busy() > self.budget().requests {
-            return Err(Reply { come_back: self.door.come_back, ..own(503, "too many requests in hand") });
+        request.id_guard = Some(id_guard);
+        if self.client_slots.count_busy() > self.budget().requests {
+            return Err(Reply {
+                come_back: self.request_rules.come_back,
+                ..local_reply(503, "too many requests in hand")
+            });
         }
-        let pen = match pen {
-            Some(pen) => pen,
-            None => pen.insert(self.pen(seat).map_err(|error| {
-                say!("client connection {}: no thread for its answers: {error}", seat.number);
-                seat.set_last();
-                own(503, "no thread free")
+        let writer = match writer {
+            Some(writer) => writer,
+            None => writer.insert(self.start_writer(slot).map_err(|error| {
+                log_info!("client connection {}: no thread for its answers: {error}", slot.number);
+                slot.set_last();
+                local_reply(503, "no thread free")
             })?),
         };
-        let ticket = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let in_hand = take();
-        let reply = Owed { to: pen.replies.clone(), in_hand };
+        let ticket = self.next_number.fetch_add(1, Ordering::Relaxed);
+        let in_flight = begin_op();
+        let reply = PendingReply { reply_to: writer.replies.clone(), in_flight };
         let job = Arc::new(request);
-        let sent = self.desk.send(Event::Asked { ticket, job, asked, came, reply });
-        sent.map(|()| ticket).map_err(|_| own(503, "the node has ended"))
+        let sent = self.dispatch_loop.send(Event::Submitted { ticket, job, parameters, received_at, reply });
+        sent.map(|()| ticket).map_err(|_| local_reply(503, "the node has ended"))
     }
 
     /// Starts the writer of a connection.
-    fn pen(self: &Arc<Clients>, seat: &Arc<Seat>) -> std::io::Result<Pen> {
-        let (replies, to_write) = bounded::<Answer>(1);
+    fn start_writer(self: &Arc<Clients>, slot: &Arc<ClientSlot>) -> std::io::Result<ResponseWriter> {
+        let (replies, queued_replies) = bounded::<OpReply>(1);
         let (wrote, written) = bounded::<bool>(1);
-        let (writer, shared) = (seat.clone(), self.clone());
-        spawn("client-out", move || shared.write(&writer, &to_write, &wrote))?;
-        Ok(Pen { replies, written })
+        let (writer, shared) = (slot.clone(), self.clone());
+        spawn("client-out", move || shared.write_replies(&writer, &queued_replies, &wrote))?;
+        Ok(ResponseWriter { replies, written })
     }
 
     /// Writes answers; tells after each whether the connection goes on.
-    fn write(&self, seat: &Seat, replies: &Receiver<Answer>, wrote: &Sender<bool>) {
+    fn write_replies(&self, slot: &ClientSlot, replies: &Receiver<OpReply>, wrote: &Sender<bool>) {
         while let Ok(answer) = replies.recv() {
             let reply = Reply::from(answer);
-            let goes_on = self.answer(seat, &reply, true);
+            let stays_open = self.write_reply(slot, &reply, true);
             drop(reply);
-            let _ = wrote.send(goes_on);
-            if !goes_on {
+            let _ = wrote.send(stays_open);
+            if !stays_open {
                 // The reader goes as soon as the client closes; it is not waited for longer than this.
-                let _ = replies.recv_timeout(BRIEF);
-                return seat.end("answered");
+                let _ = replies.recv_timeout(LAST_RESPONSE_TIMEOUT);
+                return slot.close("answered");
             }
         }
     }
 
     /// Writes one answer, to an op of a known client or to a stranger; true if the connection goes on.
-    fn answer(&self, seat: &Seat, reply: &Reply, known: bool) -> bool {
-        let close = seat.last() || self.steer.load(Ordering::Relaxed) || reply.status / 100 == 4;
+    fn write_reply(&self, slot: &ClientSlot, reply: &Reply, is_proven: bool) -> bool {
+        let close =
+            slot.is_last() || self.closing_connections.load(Ordering::Relaxed) || reply.status / 100 == 4;
         let body = reply.body.bytes();
         let head = answer_head(reply.status, body.len(), reply.come_back, close);
         // A client that takes nothing in must not hold this thread for good.
-        let left = reply.until.saturating_duration_since(Instant::now()).max(BRIEF);
-        let _ = seat.stream.set_write_timeout(Some(left));
-        let mut out = &seat.stream;
-        let sent = out.write_all(head.as_bytes()).and_then(|()| out.write_all(body));
+        let remaining = reply.deadline.saturating_duration_since(Instant::now()).max(LAST_RESPONSE_TIMEOUT);
+        let _ = slot.stream.set_write_timeout(Some(remaining));
+        let mut open_ticket = &slot.stream;
+        let sent = open_ticket.write_all(head.as_bytes()).and_then(|()| open_ticket.write_all(body));
         if sent.is_ok() {
-            self.count(reply.in_hand.as_ref().map(|op| op.category), reply.status);
+            self.count_result(reply.in_flight.as_ref().map(|op| op.category), reply.status);
         }
         if sent.is_err() {
-            seat.end("unwritten");
+            slot.close("unwritten");
         } else if close {
-            seat.finish("answered");
+            slot.close_after_response("answered");
         } else {
             // Before the reader is told: it may mark the next request at once.
-            seat.rest(known);
+            slot.finish_request(is_proven);
         }
         sent.is_ok() && !close
     }
 
     /// An op has its answer.
-    fn count(&self, category: Option<usize>, status: u16) {
-        if let (Some(figures), Some(category)) = (&self.figures, category) {
-            let how = match status {
-                200 => Ended::Acked,
-                503 => Ended::Nacked,
-                _ => Ended::Failed,
+    fn count_result(&self, category: Option<usize>, status: u16) {
+        if let (Some(metrics), Some(category)) = (&self.metrics, category) {
+            let kind = match status {
+                200 => ResultKind::Acked,
+                503 => ResultKind::Nacked,
+                _ => ResultKind::Failed,
             };
-            figures.ended(category, how);
+            metrics.count_result(category, kind);
         }
     }
 
     /// Answers what can't be taken; nothing more is read as a request here.
-    fn refuse(&self, seat: &Seat, fault: Fault, code: &'static str) -> &'static str {
-        seat.set_last();
-        self.answer(seat, &own(fault.status, &fault.why), false);
+    fn refuse(&self, slot: &ClientSlot, error: RequestError, code: &'static str) -> &'static str {
+        slot.set_last();
+        self.write_reply(slot, &local_reply(error.status, &error.reason), false);
         code
     }
 }
 
 /// Waits until the op in hand is answered; false if that was the last answer here.
-fn next(pen: &Option<Pen>) -> bool {
-    pen.as_ref().is_none_or(|pen| pen.written.recv() == Ok(true))
+fn wait_for_reply(writer: &Option<ResponseWriter>) -> bool {
+    writer.as_ref().is_none_or(|writer| writer.written.recv() == Ok(true))
 }
 
 /// Takes in what a client still sends behind its last answer, until it closes or has had time to read that. A
 /// connection ended under what was not read is reset, and the answer may be lost with it.
-fn drain(mut stream: &TcpStream) {
-    let (start, mut chunk) = (Instant::now(), [0; super::CHUNK]);
-    let _ = stream.set_read_timeout(Some(BRIEF));
-    while start.elapsed() < BRIEF {
+fn drain_input(mut stream: &TcpStream) {
+    let (start, mut chunk) = (Instant::now(), [0; super::READ_CHUNK_BYTES]);
+    let _ = stream.set_read_timeout(Some(LAST_RESPONSE_TIMEOUT));
+    while start.elapsed() < LAST_RESPONSE_TIMEOUT {
         match stream.read(&mut chunk) {
             Ok(1..) => {}
-            Err(error) if super::passing(&error) => {}
+            Err(error) if super::is_transient(&error) => {}
             _ => return,
         }
     }
 }
 
 /// An answer that the node gives without the desk.
-fn own(status: u16, text: &str) -> Reply {
+fn local_reply(status: u16, text: &str) -> Reply {
     let body = Body::Text(format!("{text}\n"));
-    Reply { status, in_hand: None, body, come_back: 0, until: Instant::now() + BRIEF }
+    Reply { status, in_flight: None, body, come_back: 0, deadline: Instant::now() + LAST_RESPONSE_TIMEOUT }
 }
 
 /// The longest budget that is believed.
-const MOST_MS: i64 = 3_600_000;
+const MAX_BUDGET_MS: i64 = 3_600_000;
 
 /// A plain number, of no more digits than are ever needed.
 fn number(text: &str) -> Option<i64> {
     (text.len() <= 12 && is_decimal(text)).then(|| text.parse().ok())?
 }
 
-impl Door {
+impl RequestRules {
     /// What the node must know of a request before it takes it; what is missing or wrong is named.
-    pub fn check(&self, request: &Request) -> Result<Asked, Fault> {
-        let wrong = |why: String| Fault { status: 400, why };
-        let missing = |name: &str| wrong(format!("{name} is missing"));
+    pub fn check(&self, request: &Request) -> Result<JobParameters, RequestError> {
+        let bad_request = |reason: String| RequestError { status: 400, reason };
+        let missing = |name: &str| bad_request(format!("{name} is missing"));
         if request.method != "POST" {
-            return Err(Fault { status: 405, why: format!("{} is not served, only POST", request.method) });
+            return Err(RequestError {
+                status: 405,
+                reason: format!("{} is not served, only POST", request.method),
+            });
         }
         if request.id.is_none() {
             return Err(missing(names::CALL_ID));
         }
         // Both go on as they are: what an executor can't read would cost the connection there.
-        for (name, text) in [(names::CALL_ID, &request.id), (names::MARK, &request.mark)] {
-            let plain = |text: &String| text.len() <= 128 && text.bytes().all(|b| b.is_ascii_graphic());
-            if !text.as_ref().is_none_or(plain) {
-                return Err(wrong(format!("{name}: no usable text")));
+        for (name, text) in
+            [(names::CALL_ID, &request.id), (names::IDEMPOTENCY_KEY, &request.idempotency_key)]
+        {
+            let is_plain = |text: &String| text.len() <= 128 && text.bytes().all(|b| b.is_ascii_graphic());
+            if !text.as_ref().is_none_or(is_plain) {
+                return Err(bad_request(format!("{name}: no usable text")));
             }
         }
         let name = request.category.as_ref().ok_or_else(|| missing(names::CATEGORY))?;
         let found = self.categories.get(name);
-        let kind = found.ok_or_else(|| wrong(format!("{}: unknown: {name}", names::CATEGORY)))?;
+        let rules = found.ok_or_else(|| bad_request(format!("{}: unknown: {name}", names::CATEGORY)))?;
         let budget = request.budget.as_ref().ok_or_else(|| missing(names::BUDGET))?;
-        let budget_ms = number(budget).filter(|ms| *ms <= MOST_MS);
+        let budget_ms = number(budget).filter(|ms| *ms <= MAX_BUDGET_MS);
         let budget_ms =
-            budget_ms.ok_or_else(|| wrong(format!("{}: no usable number of ms", names::BUDGET)))?;
-        if kind.marked && request.mark.is_none() {
-            return Err(missing(names::MARK));
+            budget_ms.ok_or_else(|| bad_request(format!("{}: no usable number of ms", names::BUDGET)))?;
+        if rules.requires_key && request.idempotency_key.is_none() {
+            return Err(missing(names::IDEMPOTENCY_KEY));
         }
         // No op is kept beyond its category's TTL, whatever its client would wait.
-        let budget = (budget_ms * 10).min(kind.ttl);
-        let mut asked = Asked { category: kind.at, slots: 1.0, memory: 0.0, hint: None, budget };
+        let budget = (budget_ms * 10).min(rules.ttl);
+        let mut parameters =
+            JobParameters { category: rules.position, slots: 1.0, memory: 0.0, hint: None, budget };
         if let Some(cost) = &request.cost {
-            let us = number(cost).ok_or_else(|| wrong(format!("{}: not a number of us", names::COST)))?;
-            asked.hint = Some(us / 100).filter(|hint| *hint > 0);
+            let us =
+                number(cost).ok_or_else(|| bad_request(format!("{}: not a number of us", names::COST)))?;
+            parameters.hint = Some(us / 100).filter(|hint| *hint > 0);
         }
-        for pair in request.figures.iter().flat_map(|text| text.split(',')) {
+        for pair in request.call_info.iter().flat_map(|text| text.split(',')) {
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
-            let (to, least) = match name.trim() {
-                names::SLOTS => (&mut asked.slots, 1e-3),
-                names::MEMORY => (&mut asked.memory, 0.0),
+            let (target, minimum) = match name.trim() {
+                names::SLOTS => (&mut parameters.slots, 1e-3),
+                names::MEMORY => (&mut parameters.memory, 0.0),
                 _ => continue,
             };
-            let plain = value.trim().bytes().all(|b| b.is_ascii_digit() || b == b'.');
-            let value = value.trim().parse::<f64>().ok().filter(|v| plain && (least..1e4).contains(v));
-            *to = value.ok_or_else(|| wrong(format!("{}: {name}: not a usable number", names::FIGURES)))?;
+            let is_plain = value.trim().bytes().all(|b| b.is_ascii_digit() || b == b'.');
+            let value = value.trim().parse::<f64>().ok().filter(|v| is_plain && (minimum..1e4).contains(v));
+            *target = value
+                .ok_or_else(|| bad_request(format!("{}: {name}: not a usable number", names::CALL_INFO)))?;
         }
-        Ok(asked)
+        Ok(parameters)
     }
 }
--- a/crates/node/src/net/connection_pool.rs
+++ b/crates/node/src/net/connection_pool.rs
@@ -1,116 +1,124 @@
 //! Connections to executors: which are idle, and how many there may be.
 
-use super::executors::{Link, Task};
+use super::executors::{ConnectionHandle, Task};
 use crossbeam_channel::Sender;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 /// A connection with its thread, at rest.
-pub struct Line {
+pub struct PooledConnection {
     pub number: u64,
     pub executor: usize,
-    pub link: Arc<Link>,
+    pub handle: Arc<ConnectionHandle>,
     pub tasks: Sender<Task>,
 }
 
 /// The idle ones by executor, the latest last; the others are only counted.
-pub struct Lines {
-    idle: HashMap<usize, Vec<(Instant, Line)>>,
-    out: HashMap<u64, Line>,
-    most: usize,
-    half: bool,
-    keep: Duration,
-    next: u64,
+pub struct ConnectionPool {
+    idle: HashMap<usize, Vec<(Instant, PooledConnection)>>,
+    in_use: HashMap<u64, PooledConnection>,
+    max_connections: usize,
+    half_capacity: bool,
+    idle_timeout: Duration,
+    last_number: u64,
 }
 
 /// Most idle connections to one executor: it holds only so many, and few pushes leave at once.
-const IDLE: usize = 8;
-
-impl Lines {
-    pub fn new(most: usize, keep: Duration) -> Lines {
-        Lines { idle: HashMap::new(), out: HashMap::new(), most, half: false, keep, next: 0 }
+const MAX_IDLE_PER_EXECUTOR: usize = 8;
+
+impl ConnectionPool {
+    pub fn new(max_connections: usize, idle_timeout: Duration) -> ConnectionPool {
+        ConnectionPool {
+            idle: HashMap::new(),
+            in_use: HashMap::new(),
+            max_connections,
+            half_capacity: false,
+            idle_timeout,
+            last_number: 0,
+        }
     }
 
     fn count(&self) -> usize {
-        self.out.len() + self.idle.values().map(Vec::len).sum::<usize>()
+        self.in_use.len() + self.idle.values().map(Vec::len).sum::<usize>()
     }
 
     /// The idle connection to this executor that was used last. It is the least likely to be closed there.
-    pub fn reuse(&mut self, executor: usize, now: Instant) -> Option<Line> {
-        let (since, line) = self.idle.get_mut(&executor)?.pop()?;
-        if now - since >= self.keep {
-            end(line, "idle");
+    pub fn reuse(&mut self, executor: usize, now: Instant) -> Option<PooledConnection> {
+        let (since, connection) = self.idle.get_mut(&executor)?.pop()?;
+        if now - since >= self.idle_timeout {
+            close(connection, "idle");
             return None;
         }
-        Some(line)
+        Some(connection)
     }
 
     /// A number for a new connection, if there may be one more; the longest idle one makes room.
-    pub fn open(&mut self) -> Option<u64> {
-        while self.count() >= self.most() {
+    pub fn allocate_number(&mut self) -> Option<u64> {
+        while self.count() >= self.max_connections() {
             self.evict()?;
         }
-        self.next += 1;
-        Some(self.next)
+        self.last_number += 1;
+        Some(self.last_number)
     }
 
     /// Closes the longest idle one, if any is idle.
     fn evict(&mut self) -> Option<()> {
-        let oldest = |lines: &Vec<(Instant, Line)>| lines.first().map(|(since, _)| *since);
-        let (_, lines) =
+        let oldest =
+            |connections: &Vec<(Instant, PooledConnection)>| connections.first().map(|(since, _)| *since);
+        let (_, connections) =
             self.idle.iter_mut().filter(|(_, l)| !l.is_empty()).min_by_key(|(_, l)| oldest(l))?;
-        end(lines.remove(0).1, "evicted");
+        close(connections.remove(0).1, "evicted");
         Some(())
     }
 
-    fn most(&self) -> usize {
-        if self.half {
-            self.most / 2
+    fn max_connections(&self) -> usize {
+        if self.half_capacity {
+            self.max_connections / 2
         } else {
-            self.most
+            self.max_connections
         }
     }
 
     /// Keeps to half of them from now on; idle ones make room at once.
-    pub fn halve(&mut self, half: bool) {
-        self.half = half;
-        while self.count() > self.most() && self.evict().is_some() {}
+    pub fn set_half_capacity(&mut self, half_capacity: bool) {
+        self.half_capacity = half_capacity;
+        while self.count() > self.max_connections() && self.evict().is_some() {}
     }
 
     /// The connection carries a push now.
-    pub fn lend(&mut self, line: Line) {
-        self.out.insert(line.number, line);
+    pub fn mark_in_use(&mut self, connection: PooledConnection) {
+        self.in_use.insert(connection.number, connection);
     }
 
     /// Its task is over: it is idle again, for the executor that is told, or gone.
-    pub fn back(&mut self, number: u64, keep: bool, now: Instant) -> Option<usize> {
-        let line = self.out.remove(&number).filter(|_| keep)?;
-        let executor = line.executor;
+    pub fn release(&mut self, number: u64, is_reusable: bool, now: Instant) -> Option<usize> {
+        let connection = self.in_use.remove(&number).filter(|_| is_reusable)?;
+        let executor = connection.executor;
         let idle = self.idle.entry(executor).or_default();
-        idle.push((now, line));
-        if idle.len() > IDLE {
-            end(idle.remove(0).1, "surplus");
+        idle.push((now, connection));
+        if idle.len() > MAX_IDLE_PER_EXECUTOR {
+            close(idle.remove(0).1, "surplus");
         }
         Some(executor)
     }
 
     /// Closes those idle too long: a push on one that the executor closes meanwhile would end as a reset.
-    pub fn retire(&mut self, now: Instant) {
-        for lines in self.idle.values_mut() {
-            let old = lines.iter().take_while(|(since, _)| now - *since >= self.keep).count();
-            lines.drain(..old).for_each(|(_, line)| end(line, "idle"));
+    pub fn close_expired(&mut self, now: Instant) {
+        for connections in self.idle.values_mut() {
+            let old = connections.iter().take_while(|(since, _)| now - *since >= self.idle_timeout).count();
+            connections.drain(..old).for_each(|(_, connection)| close(connection, "idle"));
         }
     }
 
     /// Closes the idle ones to an executor.
-    pub fn leave(&mut self, executor: usize, why: &'static str) {
-        let lines = self.idle.remove(&executor).unwrap_or_default();
-        lines.into_iter().for_each(|(_, line)| end(line, why));
+    pub fn close_idle(&mut self, executor: usize, reason: &'static str) {
+        let connections = self.idle.remove(&executor).unwrap_or_default();
+        connections.into_iter().for_each(|(_, connection)| close(connection, reason));
     }
 }
 
 /// Its thread ends when no more tasks can come.
-fn end(line: Line, why: &'static str) {
-    line.link.end(why);
+fn close(connection: PooledConnection, reason: &'static str) {
+    connection.handle.set_close_reason(reason);
 }
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -2,8 +2,8 @@
 
 use super::{exchange, ExchangeError};
 use crate::interfaces::Event;
-use crate::say;
-use crate::wire::discovery::{self, List};
+use crate::log_info;
+use crate::wire::discovery::{self, EndpointList};
 use crossbeam_channel::{Receiver, Sender};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,31 +11,31 @@
 use thiserror::Error;
 
 /// How long a watch waits for news, and how much longer an answer may take before discovery counts as silent.
-const WAIT_MS: u64 = 4000;
-const LATE: Duration = Duration::from_millis(1500);
+const LONG_POLL_MS: u64 = 4000;
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Where discovery is, and the connection that is held to it. A new configuration may name another place.
-pub struct Post {
+pub struct DiscoveryAddress {
     state: Mutex<(SocketAddr, Option<Arc<TcpStream>>)>,
-    ask: Sender<()>,
+    refresh: Sender<()>,
 }
 
-impl Post {
-    pub fn new(at: SocketAddr, ask: Sender<()>) -> Arc<Post> {
-        Arc::new(Post { state: Mutex::new((at, None)), ask })
+impl DiscoveryAddress {
+    pub fn new(address: SocketAddr, refresh: Sender<()>) -> Arc<DiscoveryAddress> {
+        Arc::new(DiscoveryAddress { state: Mutex::new((address, None)), refresh })
     }
 
     fn state(&self) -> MutexGuard<'_, (SocketAddr, Option<Arc<TcpStream>>)> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn at(&self) -> SocketAddr {
+    pub fn address(&self) -> SocketAddr {
         self.state().0
     }
 
     /// Leaves the old address at once, wherever the thread is waiting: what is told there is no longer heeded,
     /// and what the new one has told must not wait for the old watch to run out.
-    pub fn turn(&self, to: SocketAddr) {
+    pub fn change_address(&self, to: SocketAddr) {
         let mut state = self.state();
         if state.0 != to {
             state.0 = to;
@@ -43,36 +43,41 @@
                 let _ = stream.shutdown(Shutdown::Both);
             }
             // After the address: a thread that rests between two watches wakes and finds the new one.
-            let _ = self.ask.try_send(());
+            let _ = self.refresh.try_send(());
         }
     }
 
     /// Enters the connection; false if its address was left meanwhile.
-    fn enter(&self, at: SocketAddr, stream: &Arc<TcpStream>) -> bool {
+    fn register_stream(&self, address: SocketAddr, stream: &Arc<TcpStream>) -> bool {
         let mut state = self.state();
         state.1 = Some(stream.clone());
-        state.0 == at
+        state.0 == address
     }
 }
 
 /// Serves until the desk is gone. `ask` comes from the desk, which also decides when to ask again.
-pub fn run(post: &Post, known: i64, ask: Receiver<()>, desk: Sender<Event>) {
-    let mut from = (known >= 0).then(|| (post.at(), known));
-    while ask.recv().is_ok() {
-        let turned_away = loop {
-            let at = post.at();
-            let end = follow(at, post, &mut from, &desk);
-            post.state().1 = None;
+pub fn run(
+    discovery_address: &DiscoveryAddress,
+    known_version: i64,
+    refresh: Receiver<()>,
+    dispatch_loop: Sender<Event>,
+) {
+    let mut last_version = (known_version >= 0).then(|| (discovery_address.address(), known_version));
+    while refresh.recv().is_ok() {
+        let was_rejected = loop {
+            let address = discovery_address.address();
+            let end = watch(address, discovery_address, &mut last_version, &dispatch_loop);
+            discovery_address.state().1 = None;
             // Before the address is looked at: a call that is dropped here must not be that of a new one.
-            while ask.try_recv().is_ok() {}
-            let moved = post.at() != at;
-            let end = if moved { WatchEnd::Moved } else { end };
-            say!("discovery {at}: connection ended: {end}");
-            if !moved {
-                break matches!(end, WatchEnd::TurnedAway);
+            while refresh.try_recv().is_ok() {}
+            let address_changed = discovery_address.address() != address;
+            let end = if address_changed { WatchEnd::AddressChanged } else { end };
+            log_info!("discovery {address}: connection ended: {end}");
+            if !address_changed {
+                break matches!(end, WatchEnd::Rejected);
             }
         };
-        if desk.send(Event::ListSilent { turned_away }).is_err() {
+        if dispatch_loop.send(Event::DiscoveryFailed { was_rejected }).is_err() {
             return;
         }
     }
@@ -83,19 +88,19 @@
 enum WatchEnd {
     /// No connection could be made.
     #[error("unreached")]
-    Unreached,
+    NotConnected,
     /// Discovery is asked at another address now.
     #[error("moved")]
-    Moved,
+    AddressChanged,
     /// The node ends.
     #[error("stopped")]
     Stopped,
     /// The service had no room for the call.
     #[error("turned-away")]
-    TurnedAway,
+    Rejected,
     /// An answer came that holds no list.
     #[error("garbled")]
-    Garbled,
+    Malformed,
     /// No answer came.
     #[error("{0}")]
     NoAnswer(ExchangeError),
@@ -104,64 +109,65 @@
 /// Watch after watch, from the version that is known. Only where none is known, as at another address, a call for the whole
 /// list comes first: it costs the service each line, and hundreds of nodes that start or lose it together would
 /// each make it pay for what they know already. Gives the reason why it ended.
-fn follow(
-    at: SocketAddr,
-    post: &Post,
-    from: &mut Option<(SocketAddr, i64)>,
-    desk: &Sender<Event>,
+fn watch(
+    address: SocketAddr,
+    discovery_address: &DiscoveryAddress,
+    last_version: &mut Option<(SocketAddr, i64)>,
+    dispatch_loop: &Sender<Event>,
 ) -> WatchEnd {
-    let host = at.to_string();
-    let mut held = None;
+    let host = address.to_string();
+    let mut reusable_stream = None;
     loop {
-        let stream = match held.take() {
+        let stream = match reusable_stream.take() {
             Some(stream) => stream,
-            None => match TcpStream::connect_timeout(&at, LATE) {
+            None => match TcpStream::connect_timeout(&address, RESPONSE_TIMEOUT) {
                 Ok(stream) => Arc::new(stream),
-                Err(_) => return WatchEnd::Unreached,
+                Err(_) => return WatchEnd::NotConnected,
             },
         };
-        if !post.enter(at, &stream) {
-            return WatchEnd::Moved;
+        if !discovery_address.register_stream(address, &stream) {
+            return WatchEnd::AddressChanged;
         }
         let _ = stream.set_nodelay(true);
-        let newer = from.filter(|from| from.0 == at).map(|from| from.1);
-        let wait = newer.map_or(0, |_| WAIT_MS);
-        let text = discovery::ask(&host, newer.map(|than| (than, wait)));
-        let list = match ask_for(&stream, &text, Duration::from_millis(wait) + LATE) {
+        let known_version =
+            last_version.filter(|last_version| last_version.0 == address).map(|last_version| last_version.1);
+        let wait = known_version.map_or(0, |_| LONG_POLL_MS);
+        let request = discovery::request(&host, known_version.map(|version| (version, wait)));
+        let list = match request_list(&stream, &request, Duration::from_millis(wait) + RESPONSE_TIMEOUT) {
             Ok((list, close)) => {
                 // Discovery may close a connection after an answer; the watch goes on on a new one.
-                held = (!close).then_some(stream);
+                reusable_stream = (!close).then_some(stream);
                 list
             }
             Err(end) => return end,
         };
-        if post.at() != at {
-            return WatchEnd::Moved;
+        if discovery_address.address() != address {
+            return WatchEnd::AddressChanged;
         }
         // Another place counts its versions in its own way.
-        let anew = newer.is_none() && from.is_some();
-        *from = Some((at, newer.map_or(list.index, |before| before.max(list.index))));
-        if desk.send(Event::List { list: (&list).into(), anew }).is_err() {
+        let is_first_from_address = known_version.is_none() && last_version.is_some();
+        *last_version = Some((address, known_version.map_or(list.index, |before| before.max(list.index))));
+        if dispatch_loop.send(Event::ExecutorList { list: (&list).into(), is_first_from_address }).is_err() {
             return WatchEnd::Stopped;
         }
     }
 }
 
 /// Asks for a list; beside it whether the connection ends with the answer.
-fn ask_for(stream: &TcpStream, text: &str, wait: Duration) -> Result<(List, bool), WatchEnd> {
-    let _ = stream.set_write_timeout(Some(LATE));
-    let answer = exchange(stream, text, Instant::now() + wait).map_err(|error| match error {
-        ExchangeError::Malformed(error) => unreadable(&error),
+fn request_list(stream: &TcpStream, request: &str, wait: Duration) -> Result<(EndpointList, bool), WatchEnd> {
+    let _ = stream.set_write_timeout(Some(RESPONSE_TIMEOUT));
+    let answer = exchange(stream, request, Instant::now() + wait).map_err(|error| match error {
+        ExchangeError::Malformed(error) => malformed(&error),
         error => WatchEnd::NoAnswer(error),
     })?;
     if matches!(answer.status, 429 | 503) {
-        return Err(WatchEnd::TurnedAway);
+        return Err(WatchEnd::Rejected);
     }
-    let list = discovery::read(&answer).map_err(|error| unreadable(&error))?;
+    let list = discovery::read(&answer).map_err(|error| malformed(&error))?;
     Ok((list, answer.closes_connection))
 }
 
-fn unreadable(error: &dyn std::error::Error) -> WatchEnd {
-    say!("discovery: answer can't be read: {error}");
-    WatchEnd::Garbled
+fn malformed(error: &dyn std::error::Error) -> WatchEnd {
+    log_info!("discovery: answer can't be read: {error}");
+    WatchEnd::Malformed
 }
--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -1,10 +1,10 @@
 //! Connections to executors: one thread each, which carries one push after another.
 
-use crate::interfaces::{self, Event, How, Job};
-use crate::say;
+use crate::interfaces::{self, Event, Job, PushOutcome};
+use crate::log_info;
 use crate::state::buffer_pool::Pool;
-use crate::state::metrics::Figures;
-use crate::wire::push::{push_head, Answer, Heard, Told};
+use crate::state::metrics::Metrics;
+use crate::wire::push::{push_head, ResponseEvent, ResponseOutcome, ResponseParser};
 use crossbeam_channel::{Receiver, Sender};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -17,57 +17,57 @@
     pub push: usize,
     pub job: Arc<dyn Job>,
     /// A repeat is not harmless.
-    pub wary: bool,
+    pub hold_last_byte: bool,
     pub to: SocketAddr,
     /// When the time of the op is out.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Beyond this nothing of it may be written any more.
-    pub leave_by: Instant,
+    pub write_deadline: Instant,
     /// A route's own bound on the time that a new connection may take.
-    pub connect: Option<Duration>,
+    pub connect_timeout: Option<Duration>,
 }
 
 /// What the desk holds of a connection, to end it from outside.
 #[derive(Default)]
-pub struct Link {
-    state: Mutex<State>,
+pub struct ConnectionHandle {
+    state: Mutex<HandleState>,
 }
 
 #[derive(Default)]
-struct State {
+struct HandleState {
     stream: Option<Arc<TcpStream>>,
     /// The first byte of the push may be written from now on.
-    begun: bool,
-    off: bool,
-    end: Option<&'static str>,
+    write_allowed: bool,
+    is_cancelled: bool,
+    close_reason: Option<&'static str>,
 }
 
-impl Link {
-    fn state(&self) -> MutexGuard<'_, State> {
+impl ConnectionHandle {
+    fn state(&self) -> MutexGuard<'_, HandleState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// A new push is about to be carried.
-    pub fn renew(&self) {
+    pub fn reset(&self) {
         let mut state = self.state();
-        (state.off, state.begun) = (false, false);
+        (state.is_cancelled, state.write_allowed) = (false, false);
     }
 
     /// Names the reason why it is closed while idle.
-    pub fn end(&self, why: &'static str) {
-        self.state().end.get_or_insert(why);
+    pub fn set_close_reason(&self, reason: &'static str) {
+        self.state().close_reason.get_or_insert(reason);
     }
 
     /// Enters the connection; false if the push was given up meanwhile.
-    pub fn enter(&self, stream: &Arc<TcpStream>) -> bool {
+    pub fn register_stream(&self, stream: &Arc<TcpStream>) -> bool {
         let mut state = self.state();
         state.stream = Some(stream.clone());
-        state.begun = !state.off;
-        state.begun
+        state.write_allowed = !state.is_cancelled;
+        state.write_allowed
     }
 
-    fn off(&self) -> bool {
-        self.state().off
+    fn is_cancelled(&self) -> bool {
+        self.state().is_cancelled
     }
 
     fn drop_stream(&self) {
@@ -75,269 +75,287 @@
     }
 }
 
-impl interfaces::Link for Link {
-    fn call_off(&self) {
+impl interfaces::PushHandle for ConnectionHandle {
+    fn cancel(&self) {
         let mut state = self.state();
-        state.off = true;
+        state.is_cancelled = true;
         if let Some(stream) = &state.stream {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    fn keep_back(&self) {
+    fn withhold_unsent(&self) {
         let mut state = self.state();
         // A kept connection has its stream from the push before: that one is there says nothing of this push.
-        state.off |= !state.begun;
+        state.is_cancelled |= !state.write_allowed;
     }
 }
 
 /// What all these threads share.
 pub struct Executors {
-    pub desk: Sender<Event>,
+    pub dispatch_loop: Sender<Event>,
     pub pool: Arc<Pool>,
     pub gauges: Arc<Vec<String>>,
-    pub figures: Option<Arc<Figures>>,
-    pub dial: Duration,
+    pub metrics: Option<Arc<Metrics>>,
+    pub connect_timeout: Duration,
 }
 
 /// How long the end of an answer may come after its last line, for the connection to be kept.
-const TAIL: Duration = Duration::from_millis(250);
+const RESPONSE_END_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The life of one connection.
-pub fn run(number: u64, tasks: Receiver<Task>, link: &Link, shared: &Executors) {
+pub fn run(number: u64, tasks: Receiver<Task>, handle: &ConnectionHandle, shared: &Executors) {
     let mut stream = None;
     let mut to = String::new();
     while let Ok(task) = tasks.recv() {
         to = task.to.to_string();
-        let mut carried =
-            Carried { number, task: &task, link, shared, code: "closed", told: false, used: false };
-        let keep = carried.push(&*task.job, task.wary, &mut stream);
-        let code = carried.code;
+        let mut active_push = ActivePush {
+            number,
+            task: &task,
+            handle,
+            shared,
+            code: "closed",
+            outcome_sent: false,
+            is_reused: false,
+        };
+        let is_reusable = active_push.push(&*task.job, task.hold_last_byte, &mut stream);
+        let code = active_push.code;
         drop(task);
-        if !keep {
-            link.drop_stream();
-            say!(ended { peer = "executor", at = %to, connection = number, code } "executor {to}: connection {number} ended: {code}");
+        if !is_reusable {
+            handle.drop_stream();
+            log_info!(ended { peer = "executor", at = %to, connection = number, code } "executor {to}: connection {number} ended: {code}");
         }
-        let gone = shared.desk.send(Event::Free { number, keep }).is_err();
-        if gone || !keep {
+        let dispatch_loop_ended =
+            shared.dispatch_loop.send(Event::ConnectionReleased { number, is_reusable }).is_err();
+        if dispatch_loop_ended || !is_reusable {
             return;
         }
     }
-    let why = link.state().end.unwrap_or("stopped");
-    say!(ended { peer = "executor", at = %to, connection = number, code = why } "executor {to}: connection {number} ended: {why}");
+    let reason = handle.state().close_reason.unwrap_or("stopped");
+    log_info!(ended { peer = "executor", at = %to, connection = number, code = reason } "executor {to}: connection {number} ended: {reason}");
 }
 
-struct Carried<'a> {
+struct ActivePush<'a> {
     number: u64,
     task: &'a Task,
-    link: &'a Link,
+    handle: &'a ConnectionHandle,
     shared: &'a Executors,
     /// Why the connection ends, if it does.
     code: &'static str,
-    told: bool,
+    outcome_sent: bool,
     /// The connection has carried something before.
-    used: bool,
+    is_reused: bool,
 }
 
-impl Carried<'_> {
+impl ActivePush<'_> {
     /// Carries a push; true if the connection may carry another task.
-    fn push(&mut self, job: &dyn Job, wary: bool, held: &mut Option<Arc<TcpStream>>) -> bool {
-        let Some(answer) = Answer::new(&self.shared.pool, job.id(), self.shared.gauges.clone()) else {
+    fn push(
+        &mut self,
+        job: &dyn Job,
+        hold_last_byte: bool,
+        idle_stream: &mut Option<Arc<TcpStream>>,
+    ) -> bool {
+        let Some(response) = ResponseParser::new(&self.shared.pool, job.id(), self.shared.gauges.clone())
+        else {
             self.code = "no-buffer";
-            return self.end(held.take(), How::Untried);
+            return self.fail(idle_stream.take(), PushOutcome::NotSent);
         };
-        let stream = match self.open(held) {
+        let stream = match self.connection(idle_stream) {
             Ok(stream) => stream,
-            Err(how) => return self.end(None, how),
+            Err(push_outcome) => return self.fail(None, push_outcome),
         };
-        let left = self.task.until.saturating_duration_since(Instant::now());
-        let head = push_head(job, &self.task.to.to_string(), left.as_millis() as i64);
-        match self.write(&stream, &[head.as_bytes(), job.body()].concat(), wary) {
-            Ok(()) => self.hear(answer, stream, held),
-            Err(how) => self.end(Some(stream), how),
+        let remaining = self.task.deadline.saturating_duration_since(Instant::now());
+        let head = push_head(job, &self.task.to.to_string(), remaining.as_millis() as i64);
+        match self.write(&stream, &[head.as_bytes(), job.body()].concat(), hold_last_byte) {
+            Ok(()) => self.read_response(response, stream, idle_stream),
+            Err(push_outcome) => self.fail(Some(stream), push_outcome),
         }
     }
 
     /// Writes the request. No executor begins before the last byte has come: where a repeat is not harmless that
     /// byte is held back for a moment, in which a connection that will not stand mostly shows it. What breaks
     /// then provably never ran; a moment later nothing would tell.
-    fn write(&mut self, stream: &TcpStream, text: &[u8], wary: bool) -> Result<(), How> {
+    fn write(&mut self, stream: &TcpStream, text: &[u8], hold_last_byte: bool) -> Result<(), PushOutcome> {
         let mut out = stream;
-        let (most, last) = text.split_at(text.len() - usize::from(wary));
-        let mut sent = out.write_all(most);
-        if wary && sent.is_ok() {
-            sent = stands(stream);
-            if self.link.off() || Instant::now() >= self.task.leave_by {
+        let (head, last_byte) = text.split_at(text.len() - usize::from(hold_last_byte));
+        let mut sent = out.write_all(head);
+        if hold_last_byte && sent.is_ok() {
+            sent = check_still_open(stream);
+            if self.handle.is_cancelled() || Instant::now() >= self.task.write_deadline {
                 self.code = "called-off";
-                return Err(How::Untried);
+                return Err(PushOutcome::NotSent);
             }
-            sent = sent.and_then(|()| out.write_all(last));
+            sent = sent.and_then(|()| out.write_all(last_byte));
         }
-        if let Some(figures) = self.shared.figures.as_ref().filter(|_| sent.is_ok()) {
-            figures.pushed();
+        if let Some(metrics) = self.shared.metrics.as_ref().filter(|_| sent.is_ok()) {
+            metrics.count_push();
         }
         sent.map_err(|_| {
-            self.code = if self.link.off() { "called-off" } else { "unwritten" };
-            How::Cut { used: self.used }
+            self.code = if self.handle.is_cancelled() { "called-off" } else { "unwritten" };
+            PushOutcome::WriteFailed { used: self.is_reused }
         })
     }
 
     /// The connection for this task: the one at rest, or a new one.
-    fn open(&mut self, held: &mut Option<Arc<TcpStream>>) -> Result<Arc<TcpStream>, How> {
-        if held.as_ref().is_some_and(|stream| !fresh(stream)) {
+    fn connection(
+        &mut self,
+        idle_stream: &mut Option<Arc<TcpStream>>,
+    ) -> Result<Arc<TcpStream>, PushOutcome> {
+        if idle_stream.as_ref().is_some_and(|stream| !is_usable(stream)) {
             // It ended while it was idle. Nothing of this task was written, so a new one may carry it.
             let (to, number) = (self.task.to, self.number);
-            say!(ended { peer = "executor", at = %to, connection = number, code = "stale" } "executor {to}: connection {number} ended: stale");
-            self.link.drop_stream();
-            *held = None;
+            log_info!(ended { peer = "executor", at = %to, connection = number, code = "stale" } "executor {to}: connection {number} ended: stale");
+            self.handle.drop_stream();
+            *idle_stream = None;
         }
-        let stream = match held.take() {
+        let stream = match idle_stream.take() {
             Some(stream) => {
-                self.used = true;
+                self.is_reused = true;
                 stream
             }
             None => Arc::new(self.connect()?),
         };
-        if !self.link.enter(&stream) || Instant::now() >= self.task.leave_by {
+        if !self.handle.register_stream(&stream) || Instant::now() >= self.task.write_deadline {
             self.code = "called-off";
-            self.link.drop_stream();
-            return Err(How::Untried);
+            self.handle.drop_stream();
+            return Err(PushOutcome::NotSent);
         }
         Ok(stream)
     }
 
-    fn connect(&mut self) -> Result<TcpStream, How> {
-        let left = self.task.leave_by.saturating_duration_since(Instant::now());
-        if left.is_zero() || self.link.off() {
+    fn connect(&mut self) -> Result<TcpStream, PushOutcome> {
+        let remaining = self.task.write_deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() || self.handle.is_cancelled() {
             self.code = "called-off";
-            return Err(How::Untried);
+            return Err(PushOutcome::NotSent);
         }
         match TcpStream::connect_timeout(
             &self.task.to,
-            self.task.connect.unwrap_or(self.shared.dial).min(left),
+            self.task.connect_timeout.unwrap_or(self.shared.connect_timeout).min(remaining),
         ) {
             Ok(stream) => {
                 let _ = stream.set_nodelay(true);
                 Ok(stream)
             }
-            Err(error) if local(&error) => {
+            Err(error) if is_local_failure(&error) => {
                 self.code = "no-descriptor";
-                Err(How::Untried)
+                Err(PushOutcome::NotSent)
             }
             Err(error) => {
                 let refused = error.kind() == ErrorKind::ConnectionRefused;
                 self.code = if refused { "refused" } else { "unreached" };
-                Err(How::Unconnected)
+                Err(PushOutcome::NotConnected)
             }
         }
     }
 
     /// Reads the answer to its end. The desk ends the connection when the op's time is out.
-    fn hear(
+    fn read_response(
         &mut self,
-        mut answer: Answer,
+        mut response: ResponseParser,
         stream: Arc<TcpStream>,
-        held: &mut Option<Arc<TcpStream>>,
+        idle_stream: &mut Option<Arc<TcpStream>>,
     ) -> bool {
         let (task, shared) = (self.task, self.shared);
         let (ticket, push) = (task.ticket, task.push);
-        let (mut chunk, mut ended, mut silent) = ([0; super::CHUNK], None, true);
+        let (mut chunk, mut ended, mut nothing_received) = ([0; super::READ_CHUNK_BYTES], None, true);
         let mut input = &*stream;
         loop {
-            let mut tell = |heard| {
-                let (start, done) = match heard {
-                    Heard::Started => (true, 0.0),
-                    Heard::Running(share) => (false, share),
-                    Heard::Ended(told, load) => return ended = Some((told, load)),
+            let mut report = |event| {
+                let (has_started, progress) = match event {
+                    ResponseEvent::Started => (true, 0.0),
+                    ResponseEvent::Running(share) => (false, share),
+                    ResponseEvent::Final(outcome_sent, load) => return ended = Some((outcome_sent, load)),
                 };
-                let _ = shared.desk.send(Event::Note { ticket, push, start, done });
+                let _ = shared.dispatch_loop.send(Event::Progress { ticket, push, has_started, progress });
             };
             let read = input.read(&mut chunk);
             if matches!(&read, Err(error) if error.kind() == ErrorKind::Interrupted) {
                 continue;
             }
             match &read {
-                Ok(0) | Err(_) => answer.end(&mut tell),
+                Ok(0) | Err(_) => response.end(&mut report),
                 Ok(bytes) => {
-                    silent = false;
-                    answer.feed(&chunk[..*bytes], &mut tell);
+                    nothing_received = false;
+                    response.feed(&chunk[..*bytes], &mut report);
                 }
             }
-            if let Some((told, load)) = ended.take() {
-                let how = match told {
-                    Told::Done(result) => How::Done(result),
-                    Told::Failed => How::Failed,
-                    Told::Unfit(status) => How::Unfit(status),
-                    Told::Returned => How::Returned,
-                    Told::Lost | Told::Garbled => {
+            if let Some((outcome_sent, load)) = ended.take() {
+                let push_outcome = match outcome_sent {
+                    ResponseOutcome::Done(result) => PushOutcome::Done(result),
+                    ResponseOutcome::Failed => PushOutcome::Failed,
+                    ResponseOutcome::Rejected(status) => PushOutcome::Rejected(status),
+                    ResponseOutcome::Returned => PushOutcome::Returned,
+                    ResponseOutcome::Lost | ResponseOutcome::Malformed => {
                         // An answer that is whole without a last line says no more than a garbled one: it may still
                         // be at work on it. Told before this connection is closed, the desk pushes the op again
                         // while the first push is out, and the connection would even be kept.
-                        self.code = if matches!(told, Told::Lost) { "lost" } else { "garbled" };
-                        return self.end(Some(stream), How::Lost);
+                        self.code =
+                            if matches!(outcome_sent, ResponseOutcome::Lost) { "lost" } else { "garbled" };
+                        return self.fail(Some(stream), PushOutcome::Lost);
                     }
                 };
-                self.tell(how, load);
-                let _ = stream.set_read_timeout(Some(TAIL));
+                self.report(push_outcome, load);
+                let _ = stream.set_read_timeout(Some(RESPONSE_END_TIMEOUT));
             }
-            if self.told && answer.reusable() && stream.set_read_timeout(None).is_ok() {
-                *held = Some(stream);
+            if self.outcome_sent && response.reusable() && stream.set_read_timeout(None).is_ok() {
+                *idle_stream = Some(stream);
                 return true;
             }
             match read {
                 Ok(1..) => {}
-                _ if self.told => return false,
+                _ if self.outcome_sent => return false,
                 read => {
-                    let (code, how) = match (self.link.off(), read) {
-                        (true, _) => ("called-off", How::Lost),
-                        _ if self.used && silent => ("broken", How::Broken),
-                        (false, Ok(_)) => ("ended", How::Lost),
-                        (false, Err(_)) => ("reset", How::Lost),
+                    let (code, push_outcome) = match (self.handle.is_cancelled(), read) {
+                        (true, _) => ("called-off", PushOutcome::Lost),
+                        _ if self.is_reused && nothing_received => ("broken", PushOutcome::StaleConnection),
+                        (false, Ok(_)) => ("ended", PushOutcome::Lost),
+                        (false, Err(_)) => ("reset", PushOutcome::Lost),
                     };
                     self.code = code;
-                    return self.end(Some(stream), how);
+                    return self.fail(Some(stream), push_outcome);
                 }
             }
         }
     }
 
     /// Tells the desk only after the connection is closed, so that the next push is no second copy.
-    fn end(&mut self, stream: Option<Arc<TcpStream>>, how: How) -> bool {
+    fn fail(&mut self, stream: Option<Arc<TcpStream>>, push_outcome: PushOutcome) -> bool {
         drop(stream);
-        self.link.drop_stream();
-        self.tell(how, None);
+        self.handle.drop_stream();
+        self.report(push_outcome, None);
         false
     }
 
-    fn tell(&mut self, how: How, load: Option<Vec<f64>>) {
-        self.told = true;
+    fn report(&mut self, push_outcome: PushOutcome, load: Option<Vec<f64>>) {
+        self.outcome_sent = true;
         let (ticket, push) = (self.task.ticket, self.task.push);
-        let _ = self.shared.desk.send(Event::Ended { ticket, push, how, load });
+        let _ = self.shared.dispatch_loop.send(Event::PushEnded { ticket, push, push_outcome, load });
     }
 }
 
 /// The connection is still up, with nothing to read, as far as this machine knows.
-fn fresh(stream: &TcpStream) -> bool {
-    super::look(stream)
+fn is_usable(stream: &TcpStream) -> bool {
+    super::peek_nonblocking(stream)
         .is_some_and(|seen| matches!(seen, Err(error) if error.kind() == ErrorKind::WouldBlock))
 }
 
 /// How long the last byte of a wary push is held back.
-const HELD_BACK: Duration = Duration::from_millis(2);
+const LAST_BYTE_DELAY: Duration = Duration::from_millis(2);
 
 /// The other side has not ended the connection within a moment.
-fn stands(stream: &TcpStream) -> std::io::Result<()> {
+fn check_still_open(stream: &TcpStream) -> std::io::Result<()> {
     // Slept, not read with a time limit: the kernel would make two of its ticks of so short a one.
-    std::thread::sleep(HELD_BACK);
-    match super::look(stream) {
+    std::thread::sleep(LAST_BYTE_DELAY);
+    match super::peek_nonblocking(stream) {
         Some(Ok(0)) => Err(ErrorKind::ConnectionAborted.into()),
-        Some(Err(error)) if !super::passing(&error) => Err(error),
+        Some(Err(error)) if !super::is_transient(&error) => Err(error),
         _ => Ok(()),
     }
 }
 
 /// The failure is this machine's own: out of descriptors, ports or buffers.
-fn local(error: &std::io::Error) -> bool {
-    const OWN: [i32; 5] = [12, 23, 24, 99, 105];
-    error.raw_os_error().is_some_and(|code| OWN.contains(&code))
+fn is_local_failure(error: &std::io::Error) -> bool {
+    const LOCAL_ERRNOS: [i32; 5] = [12, 23, 24, 99, 105];
+    error.raw_os_error().is_some_and(|code| LOCAL_ERRNOS.contains(&code))
 }
--- a/crates/node/src/net/http_transport.rs
+++ b/crates/node/src/net/http_transport.rs
@@ -1,77 +1,91 @@
 //! The executors that speak the platform's HTTP: which connection carries a push, and the threads behind them.
 
-use super::connection_pool::{Line, Lines};
-use super::executors::{self, Executors, Link, Task};
-use crate::interfaces::{self, Outlet};
+use super::connection_pool::{ConnectionPool, PooledConnection};
+use super::executors::{self, ConnectionHandle, Executors, Task};
+use crate::interfaces::{self, ExecutorTransport};
+use crate::log_info;
 use crate::process::spawn;
-use crate::say;
 use crossbeam_channel::bounded;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-pub struct Http {
-    lines: Lines,
+pub struct HttpTransport {
+    pool: ConnectionPool,
     executors: Arc<Executors>,
 }
 
-impl Http {
+impl HttpTransport {
     /// With so many connections at most, idle ones kept so long.
-    pub fn new(executors: Arc<Executors>, most: usize, keep: Duration) -> Http {
-        Http { lines: Lines::new(most, keep), executors }
+    pub fn new(executors: Arc<Executors>, max_connections: usize, idle_timeout: Duration) -> HttpTransport {
+        HttpTransport { pool: ConnectionPool::new(max_connections, idle_timeout), executors }
     }
 
     /// Gives a task to an idle connection, or to a new one.
-    fn give(&mut self, executor: usize, task: Task, anew: bool) -> Option<Arc<Link>> {
+    fn assign(&mut self, executor: usize, task: Task, new_connection: bool) -> Option<Arc<ConnectionHandle>> {
         let (now, to) = (Instant::now(), task.to);
-        let idle = if anew { None } else { self.lines.reuse(executor, now) };
-        if let Some(line) = idle {
-            let link = line.link.clone();
-            link.renew();
-            let sent = line.tasks.try_send(task).is_ok();
-            self.lines.lend(line);
-            return sent.then_some(link);
+        let idle = if new_connection { None } else { self.pool.reuse(executor, now) };
+        if let Some(connection) = idle {
+            let handle = connection.handle.clone();
+            handle.reset();
+            let was_sent = connection.tasks.try_send(task).is_ok();
+            self.pool.mark_in_use(connection);
+            return was_sent.then_some(handle);
         }
-        let number = self.lines.open()?;
-        let (tasks, to_do) = bounded(1);
-        let link = Arc::new(Link::default());
-        let (own, shared) = (link.clone(), self.executors.clone());
+        let number = self.pool.allocate_number()?;
+        let (tasks, queued_tasks) = bounded(1);
+        let handle = Arc::new(ConnectionHandle::default());
+        let (thread_handle, shared) = (handle.clone(), self.executors.clone());
         let _ = tasks.try_send(task);
-        if let Err(error) = spawn("executor", move || executors::run(number, to_do, &own, &shared)) {
-            say!("executor {to}: no thread for a connection: {error}");
+        if let Err(error) =
+            spawn("executor", move || executors::run(number, queued_tasks, &thread_handle, &shared))
+        {
+            log_info!("executor {to}: no thread for a connection: {error}");
             return None;
         }
-        self.lines.lend(Line { number, executor, link: link.clone(), tasks });
-        Some(link)
+        self.pool.mark_in_use(PooledConnection { number, executor, handle: handle.clone(), tasks });
+        Some(handle)
     }
 }
 
-impl Outlet for Http {
+impl ExecutorTransport for HttpTransport {
     fn push(
         &mut self,
         executor: usize,
         to: SocketAddr,
         push: interfaces::Push,
-    ) -> Option<Arc<dyn interfaces::Link>> {
-        let interfaces::Push { ticket, push, job, wary, anew, until, leave_by, connect } = push;
-        let link =
-            self.give(executor, Task { ticket, push, job, wary, to, until, leave_by, connect }, anew)?;
-        Some(link)
+    ) -> Option<Arc<dyn interfaces::PushHandle>> {
+        let interfaces::Push {
+            ticket,
+            push,
+            job,
+            hold_last_byte,
+            new_connection,
+            deadline,
+            write_deadline,
+            connect_timeout,
+        } = push;
+        let handle = self.assign(
+            executor,
+            Task { ticket, push, job, hold_last_byte, to, deadline, write_deadline, connect_timeout },
+            new_connection,
+        )?;
+        Some(handle)
     }
 
-    fn back(&mut self, number: u64, keep: bool) -> Option<usize> {
-        self.lines.back(number, keep, Instant::now())
+    fn release(&mut self, number: u64, is_reusable: bool) -> Option<usize> {
+        self.pool.release(number, is_reusable, Instant::now())
     }
 
-    fn leave(&mut self, executor: usize, why: &'static str) {
-        self.lines.leave(executor, why);
+    fn close_idle(&mut self, executor: usize, reason: &'static str) {
+        self.pool.close_idle(executor, reason);
     }
 
-    fn halve(&mut self, half: bool) {
-        self.lines.halve(half);
+    fn set_half_capacity(&mut self, half: bool) {
+        self.pool.set_half_capacity(half);
     }
 
-    fn retire(&mut self) {
-        self.lines.retire(Instant::now());
+    fn close_expired(&mut self) {
+        self.pool.close_expired(Instant::now());
     }
 }
--- a/crates/node/src/net/listener.rs
+++ b/crates/node/src/net/listener.rs
@@ -1,7 +1,7 @@
 //! The clients' listener and its accept loop.
 
 use super::clients::Clients;
-use crate::say;
+use crate::log_info;
 use socket2::{Socket, Type};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -33,7 +33,7 @@
 }
 
 /// How long one accept may block on a listener that was handed in, before it is asked whether to go on.
-const BLOCKED: Duration = Duration::from_millis(50);
+const ACCEPT_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// The listener that this process has inherited as that descriptor, if it is one. Other processes hold it too.
 pub fn inherited(descriptor: RawFd) -> Result<TcpListener, ListenError> {
@@ -50,36 +50,36 @@
     }
     // Not the flag for no blocking: that would be shared with the other processes, and an older one's accept would
     // spin on it.
-    let set = socket.set_read_timeout(Some(BLOCKED));
+    let set = socket.set_read_timeout(Some(ACCEPT_TIMEOUT));
     set.map_err(|source| ListenError::NoTimeout { descriptor, source })?;
     Ok(socket.into())
 }
 
 /// A pause after a failed accept: without descriptors the next would fail at once, and spin.
-pub const PAUSE: Duration = Duration::from_millis(10);
+pub const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Accepts until the process ends; on a socket that others share, only from the moment it can serve, and no more
 /// once it is told to end: what it took then and could not finish would be lost, and a successor is there for it.
 pub fn run(listener: TcpListener, clients: Arc<Clients>) {
-    while clients.shared && !clients.is_ready() && !clients.is_leaving() {
-        std::thread::sleep(PAUSE);
+    while clients.shared && !clients.is_ready() && !clients.is_shutting_down() {
+        std::thread::sleep(ACCEPT_RETRY_DELAY);
     }
-    while !(clients.shared && clients.is_leaving()) {
-        clients.seats.room(|| clients.budget().clients);
+    while !(clients.shared && clients.is_shutting_down()) {
+        clients.client_slots.wait_for_capacity(|| clients.budget().clients);
         match listener.accept() {
             Ok((stream, _)) => {
                 if clients.shared {
                     // It has the listener's time-out.
                     let _ = stream.set_read_timeout(None);
                 }
-                clients.welcome(stream);
+                clients.accept_connection(stream);
             }
-            Err(error) if super::passing(&error) => {}
+            Err(error) if super::is_transient(&error) => {}
             Err(error) => {
-                say!("listener: accept failed: {error}");
-                std::thread::sleep(PAUSE);
+                log_info!("listener: accept failed: {error}");
+                std::thread::sleep(ACCEPT_RETRY_DELAY);
             }
         }
     }
-    say!("listener: left to the successor");
+    log_info!("listener: left to the successor");
 }
--- a/crates/node/src/net/membership.rs
+++ b/crates/node/src/net/membership.rs
@@ -3,9 +3,9 @@
 
 use super::membership_report::MembershipReport;
 use crate::interfaces::Event;
-use crate::process::members_section::MembersAt;
+use crate::log_info;
+use crate::process::members_section::MembersSettings;
 use crate::process::spawn;
-use crate::say;
 use crossbeam_channel::Sender;
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
@@ -58,30 +58,37 @@
 
 impl MembershipThread {
     pub fn open(
-        at: &MembersAt,
-        own: Instance,
-        desk: Sender<Event>,
+        settings: &MembersSettings,
+        instance: Instance,
+        dispatch_loop: Sender<Event>,
     ) -> Result<MembershipThread, MembersError> {
-        let failed = |source: io::Error| MembersError::Open { listen: at.listen, source };
-        let socket = UdpSocket::bind(at.listen).map_err(failed)?;
+        let failed = |source: io::Error| MembersError::Open { listen: settings.listen, source };
+        let socket = UdpSocket::bind(settings.listen).map_err(failed)?;
         socket.set_read_timeout(Some(RECEIVE_LIMIT)).map_err(failed)?;
         let SocketAddr::V4(bound) = socket.local_addr().map_err(failed)? else {
             return Err(MembersError::NotIpv4);
         };
-        let address = at.advertise.unwrap_or(bound);
+        let address = settings.advertise.unwrap_or(bound);
         // Later than that of any process before, unless the clock was set back; then it is told so.
         let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        let seed = own.seed ^ incarnation;
-        let detector = Detector::new(own.id, incarnation, address, own.domain, at.settings.clone(), seed);
+        let seed = instance.seed ^ incarnation;
+        let detector = Detector::new(
+            instance.id,
+            incarnation,
+            address,
+            instance.domain,
+            settings.settings.clone(),
+            seed,
+        );
         let (report, stop) = (Arc::new(MembershipReport::default()), Arc::new(AtomicBool::new(false)));
         let mut event_loop = EventLoop {
             socket,
             detector,
-            desk,
+            dispatch_loop,
             report: report.clone(),
             started_at: Instant::now(),
-            configured_nodes: own.nodes,
-            are_all_members: at.all,
+            configured_nodes: instance.nodes,
+            are_all_members: settings.all,
             published: Published::default(),
             next_report_at: 0,
             was_replacement_logged: false,
@@ -110,7 +117,7 @@
 struct EventLoop {
     socket: UdpSocket,
     detector: Detector,
-    desk: Sender<Event>,
+    dispatch_loop: Sender<Event>,
     report: Arc<MembershipReport>,
     started_at: Instant,
     configured_nodes: usize,
@@ -159,12 +166,12 @@
         let current = self.count_members(now);
         if current != self.published && self.tell_desk(&current) {
             let MemberCount { likely, possibly_sending, .. } = &current.count;
-            say!("members: {likely} live, {possibly_sending} may be sending");
+            log_info!("members: {likely} live, {possibly_sending} may be sending");
             self.published = current;
         }
         if self.detector.is_stopped && !self.was_replacement_logged {
             self.was_replacement_logged = true;
-            say!("members: another process has this node's name, and its place");
+            log_info!("members: another process has this node's name, and its place");
         }
         if now >= self.next_report_at {
             self.next_report_at = now + REPORT_INTERVAL;
@@ -185,7 +192,8 @@
 
     /// Whether it could be told: it is tried again otherwise.
     fn tell_desk(&self, current: &Published) -> bool {
-        let event = Event::Fleet { likely: current.likely, safe: current.count.possibly_sending };
-        self.desk.try_send(event).is_ok()
+        let event =
+            Event::FleetSize { live: current.likely, possibly_sending: current.count.possibly_sending };
+        self.dispatch_loop.try_send(event).is_ok()
     }
 }
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -11,7 +11,7 @@
 pub mod membership_report;
 pub mod peers;
 
-pub use crate::state::client_slots::look;
+pub use crate::state::client_slots::peek_nonblocking;
 use crate::wire::http::{Response, ResponseError, ResponseReader};
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -19,17 +19,17 @@
 use thiserror::Error;
 
 /// Bytes read at once.
-pub const CHUNK: usize = 8 * 1024;
+pub const READ_CHUNK_BYTES: usize = 8 * 1024;
 
 /// Why a call has no answer that can be read.
 #[derive(Debug, Error)]
 pub enum ExchangeError {
     /// It could not be sent whole.
     #[error("unwritten")]
-    Unwritten,
+    WriteFailed,
     /// Nothing, or not all, came in time.
     #[error("silent")]
-    Silent,
+    TimedOut,
     /// The other side closed the connection before the answer was complete.
     #[error("closed")]
     Closed,
@@ -42,24 +42,24 @@
 }
 
 /// Sends `text` and reads the answer to it.
-pub fn exchange(mut stream: &TcpStream, text: &str, until: Instant) -> Result<Response, ExchangeError> {
-    stream.write_all(text.as_bytes()).map_err(|_| ExchangeError::Unwritten)?;
-    let (mut gather, mut chunk) = (ResponseReader::default(), [0; CHUNK]);
+pub fn exchange(mut stream: &TcpStream, request: &str, deadline: Instant) -> Result<Response, ExchangeError> {
+    stream.write_all(request.as_bytes()).map_err(|_| ExchangeError::WriteFailed)?;
+    let (mut parser, mut chunk) = (ResponseReader::default(), [0; READ_CHUNK_BYTES]);
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() || stream.set_read_timeout(Some(left)).is_err() {
-            return Err(ExchangeError::Silent);
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() || stream.set_read_timeout(Some(remaining)).is_err() {
+            return Err(ExchangeError::TimedOut);
         }
         match stream.read(&mut chunk) {
             Ok(0) => return Err(ExchangeError::Closed),
             Ok(read) => {
-                if let Some(whole) = gather.feed(&chunk[..read])? {
-                    return Ok(whole);
+                if let Some(response) = parser.feed(&chunk[..read])? {
+                    return Ok(response);
                 }
             }
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                return Err(ExchangeError::Silent);
+                return Err(ExchangeError::TimedOut);
             }
             Err(_) => return Err(ExchangeError::Reset),
         }
@@ -67,6 +67,6 @@
 }
 
 /// Nothing has come yet: the wait was interrupted or timed out, or the socket was switched for a look.
-pub fn passing(error: &std::io::Error) -> bool {
+pub fn is_transient(error: &std::io::Error) -> bool {
     matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock | ErrorKind::TimedOut)
 }
--- a/crates/node/src/net/peers.rs
+++ b/crates/node/src/net/peers.rs
@@ -3,7 +3,7 @@
 //! Nothing waits on one and no rule rests on one: a lost datagram only makes news older. What comes from elsewhere,
 //! or is longer than a message may be, is counted and dropped; so is what comes faster than the desk takes it.
 
-use crate::interfaces::{Carrier, Event};
+use crate::interfaces::{Event, PeerTransport};
 use crossbeam_channel::Sender;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -15,9 +15,9 @@
 use thiserror::Error;
 
 /// The longest that the desk may be held up by a message that finds no room on its way out.
-const MOST: Duration = Duration::from_millis(1);
+const SEND_TIMEOUT: Duration = Duration::from_millis(1);
 /// After a failed read, so that one that goes on failing takes no core.
-const PAUSE: Duration = Duration::from_millis(10);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Why a node can't exchange messages with others.
 #[derive(Debug, Error)]
@@ -33,7 +33,7 @@
 /// The carrier of a node's messages.
 pub struct Peers {
     socket: UdpSocket,
-    me: usize,
+    own_index: usize,
     /// Addresses of all nodes, by number.
     nodes: Vec<SocketAddr>,
     /// Datagrams that were dropped here.
@@ -41,27 +41,27 @@
 }
 
 impl Peers {
-    pub fn open(me: usize, nodes: &[SocketAddr]) -> Result<Peers, PeersError> {
-        let socket = UdpSocket::bind(nodes[me])
-            .and_then(|socket| socket.set_write_timeout(Some(MOST)).map(|()| socket))
-            .map_err(|source| PeersError::Bind { node: me, source })?;
-        Ok(Peers { socket, me, nodes: nodes.to_vec(), dropped: Arc::default() })
+    pub fn open(own_index: usize, nodes: &[SocketAddr]) -> Result<Peers, PeersError> {
+        let socket = UdpSocket::bind(nodes[own_index])
+            .and_then(|socket| socket.set_write_timeout(Some(SEND_TIMEOUT)).map(|()| socket))
+            .map_err(|source| PeersError::Bind { node: own_index, source })?;
+        Ok(Peers { socket, own_index, nodes: nodes.to_vec(), dropped: Arc::default() })
     }
 
     /// What takes messages in, for a thread of its own: it ends with the desk.
     pub fn receiver(&self) -> Result<impl FnOnce(Sender<Event>) + Send + 'static, PeersError> {
         let socket = self.socket.try_clone().map_err(PeersError::Clone)?;
         let (nodes, dropped) = (self.nodes.clone(), self.dropped.clone());
-        Ok(move |desk: Sender<Event>| {
+        Ok(move |dispatch_loop: Sender<Event>| {
             let mut bytes = [0; LONGEST + 1];
             loop {
                 let Ok((length, from)) = socket.recv_from(&mut bytes) else {
-                    std::thread::sleep(PAUSE);
+                    std::thread::sleep(READ_RETRY_DELAY);
                     continue;
                 };
                 let from = nodes.iter().position(|node| *node == from).filter(|_| length <= LONGEST);
-                let event = from.map(|from| Event::Heard { from, text: bytes[..length].to_vec() });
-                match event.map(|event| desk.try_send(event)) {
+                let event = from.map(|from| Event::PeerMessage { from, text: bytes[..length].to_vec() });
+                match event.map(|event| dispatch_loop.try_send(event)) {
                     Some(Ok(())) => {}
                     Some(Err(error)) if error.is_disconnected() => return,
                     _ => {
@@ -73,12 +73,12 @@
     }
 }
 
-impl Carrier for Peers {
+impl PeerTransport for Peers {
     /// One that can't leave by then is dropped.
-    fn send(&self, letter: &Letter) {
+    fn send(&self, message: &Letter) {
         for (number, node) in self.nodes.iter().enumerate() {
-            if number != self.me && letter.to.is_none_or(|to| to == number) {
-                let _ = self.socket.send_to(&letter.text, node);
+            if number != self.own_index && message.to.is_none_or(|to| to == number) {
+                let _ = self.socket.send_to(&message.text, node);
             }
         }
     }
--- a/crates/node/src/process/budget.rs
+++ b/crates/node/src/process/budget.rs
@@ -14,17 +14,17 @@
 }
 
 /// Descriptors for standard streams, listener, discovery, signals, and connections that are just ending.
-const KEPT: usize = 12;
+const RESERVED_DESCRIPTORS: usize = 12;
 /// Of so many descriptors one more is kept: the more connections there are, the more end at once.
-const KEPT_OF: usize = 64;
+const CONNECTIONS_PER_RESERVED_DESCRIPTOR: usize = 64;
 /// Operators' callers that have a place at once, and those beside them that are just leaving.
-pub const CALLERS: usize = 8;
-pub const LEAVING: usize = 4;
+pub const MAX_ADMIN_CLIENTS: usize = 8;
+pub const MAX_CLOSING_ADMIN_CLIENTS: usize = 4;
 /// What a thread may cost in memory: its stack as far as it is used.
-const STACK: usize = 24 * 1024;
+const THREAD_BYTES: usize = 24 * 1024;
 /// What a request in hand may cost: buffers for itself and its answer, a reader, a writer, a push.
-const REQUEST: usize = 2 * MAX_MESSAGE_BYTES + 3 * STACK;
-const STRANGER: usize = MAX_MESSAGE_BYTES + STACK;
+const REQUEST_BYTES: usize = 2 * MAX_MESSAGE_BYTES + 3 * THREAD_BYTES;
+const IDLE_CLIENT_BYTES: usize = MAX_MESSAGE_BYTES + THREAD_BYTES;
 
 /// The limits leave no room for four requests at once.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
@@ -36,10 +36,10 @@
 
 impl Budget {
     /// What is left of it while another process of the node has as much.
-    pub fn part(self, beside: bool) -> Budget {
+    pub fn share(self, has_sibling: bool) -> Budget {
         let Budget { requests, clients, executors } = self;
-        let part = |all: usize| if beside { all / 2 } else { all };
-        Budget { requests: part(requests), clients: part(clients), executors: part(executors) }
+        let share = |all: usize| if has_sibling { all / 2 } else { all };
+        Budget { requests: share(requests), clients: share(clients), executors: share(executors) }
     }
 
     /// Clients' requests get a third of the descriptors at most. Each needs a connection to an executor too; a
@@ -49,19 +49,20 @@
     pub fn split(
         sockets: usize,
         memory_mb: usize,
-        operators: bool,
-        shared: bool,
+        has_admin_address: bool,
+        has_shared_listener: bool,
     ) -> Result<Budget, BudgetError> {
         let bytes = memory_mb << 20;
-        let operators = if operators { 1 + CALLERS + LEAVING } else { 0 };
-        let kept = (KEPT + operators) * if shared { 2 } else { 1 };
-        let free = sockets.saturating_sub(kept + sockets / KEPT_OF);
-        let requests = (free / 3).min(bytes / 100 * 55 / REQUEST);
+        let has_admin_address =
+            if has_admin_address { 1 + MAX_ADMIN_CLIENTS + MAX_CLOSING_ADMIN_CLIENTS } else { 0 };
+        let reserved = (RESERVED_DESCRIPTORS + has_admin_address) * if has_shared_listener { 2 } else { 1 };
+        let available = sockets.saturating_sub(reserved + sockets / CONNECTIONS_PER_RESERVED_DESCRIPTOR);
+        let requests = (available / 3).min(bytes / 100 * 55 / REQUEST_BYTES);
         let executors = requests + requests / 8;
-        let others = free.saturating_sub(requests + executors).min(bytes / 5 / STRANGER);
+        let idle_clients = available.saturating_sub(requests + executors).min(bytes / 5 / IDLE_CLIENT_BYTES);
         if requests < 4 {
             return Err(BudgetError { sockets, memory_mb });
         }
-        Ok(Budget { requests, clients: requests + others, executors })
+        Ok(Budget { requests, clients: requests + idle_clients, executors })
     }
 }
--- a/crates/node/src/process/cli.rs
+++ b/crates/node/src/process/cli.rs
@@ -1,7 +1,7 @@
 //! The command line. With no words at all the program serves, as it always has.
 
-use super::operator_file::{self, Operator};
-use super::settings::{self, Start};
+use super::operator_file::{self, OperatorSettings};
+use super::settings::{self, NodeSettings};
 use clap::{CommandFactory, Parser, Subcommand};
 use std::path::{Path, PathBuf};
 use stileroute_operator_file::Position;
@@ -16,9 +16,9 @@
 /// request that can't be taken, with a line for each fault on standard error.
 #[derive(Parser)]
 #[command(name = "stileroute", version, disable_version_flag = true)]
-pub struct Words {
+pub struct Arguments {
     /// The operators' file; without one nothing of it is on.
-    #[arg(long, global = true, env = operator_file::VARIABLE, value_name = "FILE")]
+    #[arg(long, global = true, env = operator_file::PATH_VARIABLE, value_name = "FILE")]
     pub operator: Option<PathBuf>,
     #[command(subcommand)]
     pub command: Option<Command>,
@@ -55,48 +55,52 @@
     Completions { shell: clap_complete::Shell },
 }
 
-type Lines = Result<Vec<String>, Vec<String>>;
+type CommandResult = Result<Vec<String>, Vec<String>>;
 
-fn one<T>(line: String) -> Result<T, Vec<String>> {
+fn fail<T>(line: String) -> Result<T, Vec<String>> {
     Err(vec![line])
 }
 
 /// The settings and, where one is named, the operators' file.
-fn both(path: Option<&Path>) -> Result<(Start, Ground, Option<Operator>), Vec<String>> {
-    let start = settings::read(|name| std::env::var(name).ok()).map_err(|error| vec![error.to_string()])?;
-    let ground = start.ground();
+fn load_settings(
+    path: Option<&Path>,
+) -> Result<(NodeSettings, Ground, Option<OperatorSettings>), Vec<String>> {
+    let settings =
+        settings::read(|name| std::env::var(name).ok()).map_err(|error| vec![error.to_string()])?;
+    let route_context = settings.route_context();
     let operator = match path {
         None => None,
-        Some(path) => {
-            Some(operator_file::read(path, &ground).map_err(|faults| operator_file::told(&faults))?)
-        }
+        Some(path) => Some(
+            operator_file::read(path, &route_context)
+                .map_err(|faults| operator_file::fault_lines(&faults))?,
+        ),
     };
-    Ok((start, ground, operator))
+    Ok((settings, route_context, operator))
 }
 
-impl Words {
+impl Arguments {
     /// The lines of every command but `serve`; faults otherwise.
-    pub fn answer(&self) -> Lines {
+    pub fn run(&self) -> CommandResult {
         let command = self.command.as_ref().unwrap_or(&Command::Serve);
         match command {
             Command::Serve => Ok(Vec::new()),
             Command::Version => Ok(vec![format!("stileroute {}", env!("CARGO_PKG_VERSION"))]),
             Command::Completions { shell } => {
                 let mut out = Vec::new();
-                clap_complete::generate(*shell, &mut Words::command(), "stileroute", &mut out);
+                clap_complete::generate(*shell, &mut Arguments::command(), "stileroute", &mut out);
                 Ok(vec![String::from_utf8_lossy(&out).trim_end().to_string()])
             }
             Command::Check { file } => {
                 let Some(path) = file.as_deref().or(self.operator.as_deref()) else {
-                    return one("check: name a file: stileroute check FILE".to_string());
+                    return fail("check: name a file: stileroute check FILE".to_string());
                 };
-                let (_, _, operator) = both(Some(path))?;
+                let (_, _, operator) = load_settings(Some(path))?;
                 let rules = operator.map_or(0, |operator| operator.routes.rules.len());
                 Ok(vec![format!("{}: well, {rules} rules", path.display())])
             }
             Command::Routes => {
-                let (_, ground, operator) = self.needed("routes")?;
-                Ok(operator.routes.rules.iter().map(|rule| listed(rule, &ground)).collect())
+                let (_, route_context, operator) = self.load_required("routes")?;
+                Ok(operator.routes.rules.iter().map(|rule| describe_rule(rule, &route_context)).collect())
             }
             Command::Explain { path, category, tenant, header } => {
                 self.explain(path, category, tenant.as_deref(), header)
@@ -104,69 +108,74 @@
         }
     }
 
-    fn needed(&self, what: &str) -> Result<(Start, Ground, Operator), Vec<String>> {
-        match both(self.operator.as_deref())? {
-            (start, ground, Some(operator)) => Ok((start, ground, operator)),
-            _ => one(format!("{what}: no operators' file: name one with --operator")),
+    fn load_required(&self, what: &str) -> Result<(NodeSettings, Ground, OperatorSettings), Vec<String>> {
+        match load_settings(self.operator.as_deref())? {
+            (settings, route_context, Some(operator)) => Ok((settings, route_context, operator)),
+            _ => fail(format!("{what}: no operators' file: name one with --operator")),
         }
     }
 
-    fn explain(&self, path: &str, category: &str, tenant: Option<&str>, headers: &[String]) -> Lines {
-        let (_, ground, operator) = self.needed("explain")?;
-        let Some(at) = ground.categories.iter().position(|(name, ..)| name == category) else {
-            let names: Vec<&str> = ground.categories.iter().map(|(name, ..)| name.as_str()).collect();
-            return one(format!("--category: there is no '{category}', only {}", names.join(", ")));
+    fn explain(&self, path: &str, category: &str, tenant: Option<&str>, headers: &[String]) -> CommandResult {
+        let (_, route_context, operator) = self.load_required("explain")?;
+        let Some(at) = route_context.categories.iter().position(|(name, ..)| name == category) else {
+            let names: Vec<&str> = route_context.categories.iter().map(|(name, ..)| name.as_str()).collect();
+            return fail(format!("--category: there is no '{category}', only {}", names.join(", ")));
         };
         if !path.starts_with('/') {
-            return one(format!("--path: '{path}' does not begin with '/'"));
+            return fail(format!("--path: '{path}' does not begin with '/'"));
         }
         let mut given: Vec<(String, &str)> = Vec::new();
         for header in headers {
             let Some((name, value)) = header.split_once('=') else {
-                return one(format!("--header: '{header}' is not NAME=VALUE"));
+                return fail(format!("--header: '{header}' is not NAME=VALUE"));
             };
             given.push((name.to_ascii_lowercase(), value));
         }
-        let header = |name: &str| given.iter().find(|(own, _)| own == name).map(|(_, value)| *value);
+        let header =
+            |name: &str| given.iter().find(|(header_name, _)| header_name == name).map(|(_, value)| *value);
         let request = Request { path, method: "POST", category: at, tenant, header: &header };
         let table = &operator.routes;
         let mut matching = Vec::new();
         table.matching(&request, &mut matching);
         let mut lines = vec![format!("{} rules match, the first goes before the others:", matching.len())];
-        lines.extend(matching.iter().map(|n| format!("  {}", listed(&table.rules[*n as usize], &ground))));
+        lines.extend(
+            matching
+                .iter()
+                .map(|n| format!("  {}", describe_rule(&table.rules[*n as usize], &route_context))),
+        );
         let effective = table.effective(&matching);
-        let shown = effective.shown(&ground);
+        let described = effective.shown(&route_context);
         lines.push("what holds:".to_string());
-        for (key, value, place, rule) in shown {
+        for (key, value, place, rule) in described {
             let Position { line, .. } = place;
             lines.push(format!("  {key} = {value}  (line {line}, {})", table.rules[rule as usize].name));
         }
-        let (_, ttl, own) = &ground.categories[at];
+        let (_, ttl, header_name) = &route_context.categories[at];
         let effect = table.effect(at, &effective);
-        lines.push(format!("  effect: {effect:?}, of the category: {:?}", own.effect));
+        lines.push(format!("  effect: {effect:?}, of the category: {:?}", header_name.effect));
         lines.push(format!(
             "  from the settings: TTL {} ms, {} pushes at most",
             *ttl as f64 / 10.0,
-            ground.terms.max_pushes
+            route_context.terms.max_pushes
         ));
         Ok(lines)
     }
 }
 
 /// A rule in one line.
-fn listed(rule: &Rule, ground: &Ground) -> String {
+fn describe_rule(rule: &Rule, route_context: &Ground) -> String {
     let pattern = &rule.pattern;
     let mut conditions = Vec::new();
     match &pattern.path {
         Route::Any => {}
-        Route::Whole(own) => {
-            let all: Vec<&str> = own.iter().map(|s| s.as_deref().unwrap_or("{}")).collect();
+        Route::Whole(header_name) => {
+            let all: Vec<&str> = header_name.iter().map(|s| s.as_deref().unwrap_or("{}")).collect();
             conditions.push(format!("path /{}", all.join("/")));
         }
-        Route::Prefix(own) => conditions.push(format!("path /{}/*", own.join("/"))),
+        Route::Prefix(header_name) => conditions.push(format!("path /{}/*", header_name.join("/"))),
     }
     if let Some(category) = pattern.category {
-        conditions.push(format!("category {}", ground.categories[category].0));
+        conditions.push(format!("category {}", route_context.categories[category].0));
     }
     if let Some(tenant) = &pattern.tenant {
         conditions.push(format!("tenant {tenant}"));
--- a/crates/node/src/process/members_section.rs
+++ b/crates/node/src/process/members_section.rs
@@ -17,7 +17,7 @@
 }
 
 #[derive(Debug)]
-pub struct MembersAt {
+pub struct MembersSettings {
     pub listen: SocketAddrV4,
     /// Where others find it, if that is not where it listens.
     pub advertise: Option<SocketAddrV4>,
@@ -27,29 +27,33 @@
 }
 
 /// Reads the section; the faults are told by the keys.
-pub fn read(table: &Section, may_talk: bool) -> Option<MembersAt> {
-    let at = |place: Position, text: &str| -> Option<SocketAddrV4> {
-        let found: Option<SocketAddrV4> = text.parse().ok();
-        if found.is_none() {
-            table.log().add(place, format!("'{text}' is no IPv4 address with a port"), None);
+pub fn read(table: &Section, peers_allowed: bool) -> Option<MembersSettings> {
+    let parse_address = |position: Position, text: &str| -> Option<SocketAddrV4> {
+        let parsed: Option<SocketAddrV4> = text.parse().ok();
+        if parsed.is_none() {
+            table.log().add(position, format!("'{text}' is no IPv4 address with a port"), None);
         }
-        found
+        parsed
     };
-    if !may_talk {
+    if !peers_allowed {
         table.log().add(
             table.position(),
             "settings.caps.peers does not allow messages among instances",
             None,
         );
     }
-    let address = |given: Option<Located<String>>| given.and_then(|set| at(set.position, &set.value));
+    let address = |value: Option<Located<String>>| {
+        value.and_then(|setting| parse_address(setting.position, &setting.value))
+    };
     let listen_text = table.text("listen");
-    let missing = listen_text.is_none();
+    let is_missing = listen_text.is_none();
     let listen = address(listen_text);
     let advertise = address(table.text("advertise"));
-    if missing {
+    if is_missing {
         table.log().add(table.position(), "needs listen, an address for messages of others", None);
-    } else if listen.is_some_and(|at| at.ip() == &Ipv4Addr::UNSPECIFIED) && advertise.is_none() {
+    } else if listen.is_some_and(|parse_address| parse_address.ip() == &Ipv4Addr::UNSPECIFIED)
+        && advertise.is_none()
+    {
         table.log().add(
             table.position(),
             "listens on all hosts: others need to be told one, by advertise",
@@ -57,10 +61,10 @@
         );
     }
     let mut seeds = Vec::new();
-    for seed in table.texts("seeds").map(|set| set.value).unwrap_or_default() {
-        seeds.extend(at(seed.position, &seed.value));
+    for seed in table.texts("seeds").map(|setting| setting.value).unwrap_or_default() {
+        seeds.extend(parse_address(seed.position, &seed.value));
     }
-    let key = table.text("key-file").and_then(|file| match key_of(&file.value) {
+    let key = table.text("key-file").and_then(|file| match read_key_file(&file.value) {
         Ok(key) => Some(key),
         Err(reason) => {
             table.log().add(file.position, format!("{}: {reason}", file.value), None);
@@ -68,29 +72,29 @@
         }
     });
     let mut settings = Settings { seeds, key, ..Settings::default() };
-    if let Some(every) = table.time("every") {
-        let least: Time = 2_000;
-        if (least..=600_000).contains(&every.value) {
-            (settings.probe_interval, settings.probe_timeout) = (every.value, every.value * 3 / 10);
+    if let Some(interval) = table.time("every") {
+        let minimum: Time = 2_000;
+        if (minimum..=600_000).contains(&interval.value) {
+            (settings.probe_interval, settings.probe_timeout) = (interval.value, interval.value * 3 / 10);
         } else {
-            table.log().add(every.position, "must be from 200ms to 1m", None);
+            table.log().add(interval.position, "must be from 200ms to 1m", None);
         }
     }
-    let all = table.flag("all").is_some_and(|set| set.value);
-    Some(MembersAt { listen: listen?, advertise, settings, all })
+    let all = table.flag("all").is_some_and(|setting| setting.value);
+    Some(MembersSettings { listen: listen?, advertise, settings, all })
 }
 
 /// A key of 64 hex digits, in a file that only this program should read.
-fn key_of(path: &str) -> Result<Key, KeyFileError> {
+fn read_key_file(path: &str) -> Result<Key, KeyFileError> {
     let text = std::fs::read_to_string(path)?;
     let digits = text.trim();
     let mut key = [0; 32];
     if digits.len() != 64 || !digits.is_ascii() {
         return Err(KeyFileError::NotHexadecimal);
     }
-    for (byte, at) in key.iter_mut().zip((0..64).step_by(2)) {
-        let pair = u8::from_str_radix(&digits[at..at + 2], 16);
-        *byte = pair.map_err(|_| KeyFileError::NotHexadecimal)?;
+    for (byte, parse_address) in key.iter_mut().zip((0..64).step_by(2)) {
+        let parsed_byte = u8::from_str_radix(&digits[parse_address..parse_address + 2], 16);
+        *byte = parsed_byte.map_err(|_| KeyFileError::NotHexadecimal)?;
     }
     Ok(key)
 }
--- a/crates/node/src/process/operator_file.rs
+++ b/crates/node/src/process/operator_file.rs
@@ -1,8 +1,8 @@
 //! The operator file: what the platform's settings do not hold. Routes and the form of the log for now; each later
 //! subsystem adds its section here. One that has a fault anywhere is not taken at all.
 
-use super::members_section::{self, MembersAt};
-use super::settings::Start;
+use super::members_section::{self, MembersSettings};
+use super::settings::NodeSettings;
 use std::path::Path;
 use std::sync::Arc;
 use stileroute_dispatch::types::Terms;
@@ -11,65 +11,66 @@
 use stileroute_route_limits::Ground;
 
 /// The variable that names the file where the words of the command line don't.
-pub const VARIABLE: &str = "STILEROUTE_OPERATOR";
+pub const PATH_VARIABLE: &str = "STILEROUTE_OPERATOR";
 
 #[derive(Debug)]
-pub struct Operator {
+pub struct OperatorSettings {
     pub routes: Arc<Table>,
     /// Lines of the log as JSON.
     pub json: bool,
     /// Where it hears other instances, where they may talk.
-    pub members: Option<MembersAt>,
+    pub members: Option<MembersSettings>,
 }
 
 /// Reads and checks a file against the settings that hold.
-pub fn read(path: &Path, ground: &Ground) -> Result<Operator, Vec<Fault>> {
+pub fn read(path: &Path, route_context: &Ground) -> Result<OperatorSettings, Vec<Fault>> {
     let text = load(path)?;
-    check(&path.display().to_string(), &text, ground)
+    check(&path.display().to_string(), &text, route_context)
 }
 
-pub fn check(file: &str, text: &str, ground: &Ground) -> Result<Operator, Vec<Fault>> {
+pub fn check(file: &str, text: &str, route_context: &Ground) -> Result<OperatorSettings, Vec<Fault>> {
     stileroute_operator_file::read(file, text, |keys: &Section| {
-        let routes = Table::read(keys, ground);
+        let routes = Table::read(keys, route_context);
         let json = keys.table("log").and_then(|table| {
             let json = table.word("form", &[("text", false), ("json", true)]);
             table.finish();
             json
         });
         let members = keys.table("members").and_then(|table| {
-            let members = members_section::read(&table, ground.terms.peers);
+            let members = members_section::read(&table, route_context.terms.peers);
             table.finish();
             members
         });
         let json = json.is_some_and(|json| json.value);
-        Some(Operator { routes: Arc::new(routes?), json, members })
+        Some(OperatorSettings { routes: Arc::new(routes?), json, members })
     })
 }
 
 /// The faults as lines, at most so many, and how many there are beyond.
-pub fn told(faults: &[Fault]) -> Vec<String> {
-    const MOST: usize = 50;
-    let mut lines: Vec<String> = faults.iter().take(MOST).map(Fault::to_string).collect();
-    if faults.len() > MOST {
-        lines.push(format!("and {} more", faults.len() - MOST));
+pub fn fault_lines(faults: &[Fault]) -> Vec<String> {
+    const MAX_LINES: usize = 50;
+    let mut lines: Vec<String> = faults.iter().take(MAX_LINES).map(Fault::to_string).collect();
+    if faults.len() > MAX_LINES {
+        lines.push(format!("and {} more", faults.len() - MAX_LINES));
     }
     lines
 }
 
-impl Start {
+impl NodeSettings {
     /// What routes are held against.
-    pub fn ground(&self) -> Ground {
+    pub fn route_context(&self) -> Ground {
         let mut categories = vec![None; self.tariff.categories.len()];
-        for (name, kind) in &self.door.categories {
-            let ttl = if kind.ttl == stileroute_dispatch::types::Time::MAX { 0 } else { kind.ttl };
-            categories[kind.at] = Some((name.clone(), ttl, self.tariff.categories[kind.at].clone()));
+        for (name, rules) in &self.request_rules.categories {
+            let ttl = if rules.ttl == stileroute_dispatch::types::Time::MAX { 0 } else { rules.ttl };
+            categories[rules.position] =
+                Some((name.clone(), ttl, self.tariff.categories[rules.position].clone()));
         }
         Ground {
             categories: categories.into_iter().flatten().collect(),
             kinds: self.kinds.clone(),
             domains: self.domains.clone(),
             // Whether messages are allowed, not whether some go out already.
-            terms: Terms { peers: self.may_talk, ..self.tariff.terms.clone() },
+            terms: Terms { peers: self.peers_allowed, ..self.tariff.terms.clone() },
         }
     }
 }
