--- a/crates/node/src/process/settings.rs
+++ b/crates/node/src/process/settings.rs
@@ -1,7 +1,7 @@
 //! What the node is told at start: read, checked and given defaults here and nowhere else.
 
 use super::budget::{Budget, BudgetError};
-use crate::wire::discovery::List;
+use crate::wire::discovery::EndpointList;
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,60 +13,60 @@
 use thiserror::Error;
 
 /// All that the node starts with.
-pub struct Start {
+pub struct NodeSettings {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     /// The descriptor of a listener for clients that was handed in; it goes before `listen`.
-    pub inherited: Option<RawFd>,
+    pub inherited_descriptor: Option<RawFd>,
     /// The folder that all processes of this node share, if there is one.
-    pub home: Option<PathBuf>,
+    pub state_dir: Option<PathBuf>,
     /// Where operators call, if anywhere.
-    pub operators: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     pub seed: u64,
     pub budget: Budget,
-    pub known: List,
+    pub known: EndpointList,
     pub tariff: Tariff,
     /// Addresses of all nodes by number, where they send one another messages.
     pub peers: Option<Vec<SocketAddr>>,
     /// The settings allow messages among instances.
-    pub may_talk: bool,
+    pub peers_allowed: bool,
     /// Names of the tenants, by index.
     pub tenants: Vec<String>,
     /// Executors set up for what the last part of an op's path names, and keep that a while.
     pub set_up_by_path: bool,
-    pub door: Door,
+    pub request_rules: RequestRules,
     pub categories: Vec<String>,
     pub domains: Vec<String>,
     pub kinds: Vec<String>,
     pub gauges: Vec<String>,
     /// Longest wait for a connection, and how long an idle one is kept.
-    pub dial: Duration,
-    pub keep_idle: Duration,
+    pub connect_timeout: Duration,
+    pub idle_timeout: Duration,
     /// How long after the signal to end all must be answered.
     pub grace: Time,
 }
 
 /// What is asked of a request before it is taken.
 #[derive(Clone)]
-pub struct Door {
+pub struct RequestRules {
     /// Categories by name.
-    pub categories: HashMap<String, Kind>,
+    pub categories: HashMap<String, CategoryRules>,
     /// When to come back if the node itself is full; zero where no such advice may be given.
     pub come_back: Time,
 }
 
 /// What a request of a category must keep to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kind {
-    pub at: usize,
+pub struct CategoryRules {
+    pub position: usize,
     /// It needs a mark against repeats.
-    pub marked: bool,
+    pub requires_key: bool,
     pub ttl: Time,
 }
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
@@ -74,7 +74,7 @@
     seed: Option<String>,
     #[serde(default)]
     limits: Limits,
-    known: Option<List>,
+    known: Option<EndpointList>,
     peers: Option<Peers>,
     #[serde(default)]
     set_up_by_path: bool,
@@ -101,13 +101,13 @@
 }
 
 /// Times that hold where the settings give none.
-const DIAL: Time = 10_000;
-const KEEP_IDLE: Time = 600_000;
+const DEFAULT_CONNECT_TIMEOUT: Time = 10_000;
+const DEFAULT_IDLE_TIMEOUT: Time = 600_000;
 /// From the signal to the kill: the longest TTL, this at most, and a little more.
-const LONGEST_GRACE: Time = 30_000;
-const AFTER_GRACE: Time = 7_000;
+const MAX_GRACE_TTL: Time = 30_000;
+const GRACE_MARGIN: Time = 7_000;
 /// A seat is free again soon.
-const COME_BACK: Time = 2_000;
+const MAX_RETRY_AFTER: Time = 2_000;
 
 /// Why the node does not start: one line, with the key that is wrong.
 #[derive(Debug, Error)]
@@ -149,12 +149,12 @@
 }
 
 /// Reads the environment and the file that it names. What is wrong is told in one line with its key.
-pub fn read(var: impl Fn(&str) -> Option<String>) -> Result<Start, StartError> {
+pub fn read(var: impl Fn(&str) -> Option<String>) -> Result<NodeSettings, StartError> {
     check(&load(&var)?, var, false)
 }
 
 /// Reads the file again while the node runs, whole: a file with a fault anywhere is not taken.
-pub fn again(var: impl Fn(&str) -> Option<String>) -> Result<Start, StartError> {
+pub fn reload(var: impl Fn(&str) -> Option<String>) -> Result<NodeSettings, StartError> {
     check(&load(&var)?, var, true)
 }
 
@@ -168,7 +168,7 @@
 }
 
 /// The nodes' addresses, one for each; the settings must allow messages and tell which one this is.
-fn addresses(peers: &Peers, tariff: &Tariff) -> Result<Vec<SocketAddr>, StartError> {
+fn parse_peers(peers: &Peers, tariff: &Tariff) -> Result<Vec<SocketAddr>, StartError> {
     if !tariff.terms.peers {
         return Err(StartError::PeersNotAllowed);
     }
@@ -187,35 +187,38 @@
 }
 
 /// `again`: the file is newer than the environment, so its address of discovery goes first.
-pub fn check(text: &str, var: impl Fn(&str) -> Option<String>, again: bool) -> Result<Start, StartError> {
+pub fn check(
+    text: &str,
+    var: impl Fn(&str) -> Option<String>,
+    is_reload: bool,
+) -> Result<NodeSettings, StartError> {
     let mut json = serde_json::Deserializer::from_str(text);
-    let file: File = serde_path_to_error::deserialize(&mut json).map_err(|error| StartError::Malformed {
-        key: error.path().to_string(),
-        source: error.into_inner(),
+    let file: ConfigFile = serde_path_to_error::deserialize(&mut json).map_err(|error| {
+        StartError::Malformed { key: error.path().to_string(), source: error.into_inner() }
     })?;
     let address = |variable: &'static str, key: &'static str, value: Option<String>, file_first: bool| {
-        let outer = var(variable).map(|value| (variable, value));
-        let inner = value.map(|value| (key, value));
-        let found = if file_first { inner.or(outer) } else { outer.or(inner) };
+        let from_environment = var(variable).map(|value| (variable, value));
+        let from_file = value.map(|value| (key, value));
+        let found = if file_first { from_file.or(from_environment) } else { from_environment.or(from_file) };
         let (key, value) = found.ok_or(StartError::NoAddress { key, variable })?;
         parse_address(key, &value)
     };
     let listen = address("BALANCER_LISTEN", "listen", file.listen, false)?;
-    let operators = match (var("BALANCER_ADMIN_ADDR"), &file.admin_addr) {
+    let admin_address = match (var("BALANCER_ADMIN_ADDR"), &file.admin_addr) {
         (None, None) => None,
         _ => Some(address("BALANCER_ADMIN_ADDR", "admin_addr", file.admin_addr, false)?),
     };
     // Ports that are drawn differ.
-    if operators.is_some_and(|at| at == listen && at.port() != 0) {
+    if admin_address.is_some_and(|address| address == listen && address.port() != 0) {
         return Err(StartError::SharedAddress(listen));
     }
-    let inherited = var("BALANCER_PASSED_SOCKET").map(|text| {
+    let inherited_descriptor = var("BALANCER_PASSED_SOCKET").map(|text| {
         // The first three are the standard streams.
         let number = text.parse().ok().filter(|number: &RawFd| *number > 2);
         number.ok_or(StartError::NotADescriptor(text))
     });
-    let inherited = inherited.transpose()?;
-    let discovery = address("BALANCER_DISCOVERY", "discovery", file.discovery, again)?;
+    let inherited_descriptor = inherited_descriptor.transpose()?;
+    let discovery = address("BALANCER_DISCOVERY", "discovery", file.discovery, is_reload)?;
     let seed = match &file.seed {
         Some(text) => {
             u64::from_str_radix(text, 16).map_err(|_| StartError::SeedNotHexadecimal(text.clone()))?
@@ -228,56 +231,60 @@
     let mut tariff = posted.tariff().map_err(StartError::Settings)?;
     // On sockets the list always has to be asked for.
     tariff.terms.subscribe = true;
-    let peers = file.peers.map(|peers| addresses(&peers, &tariff)).transpose()?;
-    let may_talk = tariff.terms.peers;
+    let peers = file.peers.map(|peers| parse_peers(&peers, &tariff)).transpose()?;
+    let peers_allowed = tariff.terms.peers;
     // Without a carrier there is nobody to tell.
     tariff.terms.peers = peers.is_some();
     let (mut categories, ttls) = (HashMap::new(), posted.ttls());
-    for (at, name) in posted.categories().into_iter().enumerate() {
+    for (position, name) in posted.categories().into_iter().enumerate() {
         if name.is_empty() {
-            return Err(StartError::UnnamedCategory(at));
+            return Err(StartError::UnnamedCategory(position));
         }
-        let marked = matches!(tariff.categories[at].effect, Effect::Deduplicated { .. });
+        let requires_key = matches!(tariff.categories[position].effect, Effect::Deduplicated { .. });
         // Where none is told, the client's own time is all that counts.
-        let ttl = Some(ttls[at]).filter(|ttl| *ttl > 0).unwrap_or(Time::MAX);
-        if categories.insert(name.clone(), Kind { at, marked, ttl }).is_some() {
-            return Err(StartError::RepeatedCategory { index: at, name });
+        let ttl = Some(ttls[position]).filter(|ttl| *ttl > 0).unwrap_or(Time::MAX);
+        if categories.insert(name.clone(), CategoryRules { position, requires_key, ttl }).is_some() {
+            return Err(StartError::RepeatedCategory { index: position, name });
         }
     }
     if categories.is_empty() {
         return Err(StartError::NoCategories);
     }
-    let (dial, keep) = posted.connection_times();
+    let (connect_timeout, idle_limit) = posted.connection_times();
     // An idle connection goes well before the executor would close it under a push.
-    let keep = if keep > 0 { keep / 2 } else { KEEP_IDLE / 2 };
-    let span = |time: Time| Duration::from_micros(time as u64 * 100);
-    Ok(Start {
+    let idle_limit = if idle_limit > 0 { idle_limit / 2 } else { DEFAULT_IDLE_TIMEOUT / 2 };
+    let to_duration = |time: Time| Duration::from_micros(time as u64 * 100);
+    Ok(NodeSettings {
         name: var("BALANCER_NAME").or(file.name).unwrap_or_else(|| "stileroute".to_string()),
         listen,
         discovery,
-        inherited,
-        operators,
-        home: var("TMPDIR").map(PathBuf::from),
+        inherited_descriptor,
+        admin_address,
+        state_dir: var("TMPDIR").map(PathBuf::from),
         seed,
         budget: Budget::split(
             file.limits.sockets,
             file.limits.memory_mb,
-            operators.is_some(),
-            inherited.is_some(),
+            admin_address.is_some(),
+            inherited_descriptor.is_some(),
         )?,
-        known: file.known.unwrap_or(List { index: -1, whole: true, endpoints: Vec::new() }),
+        known: file.known.unwrap_or(EndpointList { index: -1, is_snapshot: true, endpoints: Vec::new() }),
         peers,
-        may_talk,
+        peers_allowed,
         tenants: posted.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
         set_up_by_path: file.set_up_by_path,
-        door: Door { categories, come_back: tariff.terms.come_back.min(COME_BACK) },
+        request_rules: RequestRules { categories, come_back: tariff.terms.come_back.min(MAX_RETRY_AFTER) },
         categories: posted.categories(),
         domains: posted.failure_domains.clone(),
         kinds: posted.shapes.clone(),
         gauges: posted.gauges(),
-        dial: span(if dial > 0 { dial } else { DIAL }),
-        keep_idle: span(keep),
-        grace: ttls.into_iter().max().unwrap_or(0).min(LONGEST_GRACE) + AFTER_GRACE,
+        connect_timeout: to_duration(if connect_timeout > 0 {
+            connect_timeout
+        } else {
+            DEFAULT_CONNECT_TIMEOUT
+        }),
+        idle_timeout: to_duration(idle_limit),
+        grace: ttls.into_iter().max().unwrap_or(0).min(MAX_GRACE_TTL) + GRACE_MARGIN,
         tariff,
     })
 }
--- a/crates/node/src/process/signals.rs
+++ b/crates/node/src/process/signals.rs
@@ -13,13 +13,13 @@
 
 /// Tells the desk of the first signal to end, and of each further one. SIGHUP must be caught from the first
 /// moment: left alone, it ends the process with all that it holds.
-pub fn watch(desk: Sender<Event>, again: impl Fn() + Send + 'static) -> Result<(), SignalsError> {
+pub fn watch(dispatch_loop: Sender<Event>, again: impl Fn() + Send + 'static) -> Result<(), SignalsError> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let run = move || {
         for signal in signals.forever() {
             if signal == SIGHUP {
                 again();
-            } else if desk.send(Event::End).is_err() {
+            } else if dispatch_loop.send(Event::Shutdown).is_err() {
                 return;
             }
         }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,34 +1,44 @@
 //! SIGHUP: what may change while the node runs, taken whole or not at all.
 
 use crate::interfaces::Event;
-use crate::net::discovery::Post;
+use crate::log_info;
+use crate::net::discovery::DiscoveryAddress;
 use crate::process::{operator_file, settings};
-use crate::say;
 use crossbeam_channel::Sender;
 use std::path::PathBuf;
 use stileroute_route_limits::Ground;
 
 /// Takes from the new configuration what may change while the node runs. A faulty one changes nothing.
 /// Both files are read before either is taken: the one must not go on under half of what was meant.
-pub fn turn(desk: &Sender<Event>, post: &Post, operator: Option<&(PathBuf, Ground)>) {
-    let start = settings::again(|name| std::env::var(name).ok());
+pub fn apply(
+    dispatch_loop: &Sender<Event>,
+    discovery_address: &DiscoveryAddress,
+    operator: Option<&(PathBuf, Ground)>,
+) {
+    let settings = settings::reload(|name| std::env::var(name).ok());
     let routes = match operator.map(|(path, ground)| operator_file::read(path, ground)) {
         Some(Err(faults)) => {
-            operator_file::told(&faults).iter().for_each(|line| say!("operators' file not taken: {line}"));
+            operator_file::fault_lines(&faults)
+                .iter()
+                .for_each(|line| log_info!("operators' file not taken: {line}"));
             return;
         }
         Some(Ok(operator)) => Some(operator.routes),
         None => None,
     };
-    match start {
-        Ok(start) => {
+    match settings {
+        Ok(settings) => {
             if let Some(routes) = routes {
-                say!("operators' file read again: {} rules", routes.rules.len());
-                let _ = desk.send(Event::Routes(routes));
+                log_info!("operators' file read again: {} rules", routes.rules.len());
+                let _ = dispatch_loop.send(Event::Routes(routes));
             }
-            say!("configuration read again: discovery {}, before {}", start.discovery, post.at());
-            post.turn(start.discovery);
+            log_info!(
+                "configuration read again: discovery {}, before {}",
+                settings.discovery,
+                discovery_address.address()
+            );
+            discovery_address.change_address(settings.discovery);
         }
-        Err(problem) => say!("configuration not taken: {problem}"),
+        Err(problem) => log_info!("configuration not taken: {problem}"),
     }
 }
--- a/crates/node/src/state/client_slots.rs
+++ b/crates/node/src/state/client_slots.rs
@@ -6,276 +6,292 @@
 use std::time::{Duration, Instant};
 
 /// One client's connection.
-pub struct Seat {
+pub struct ClientSlot {
     pub number: u64,
     pub stream: TcpStream,
     pub opened: Instant,
-    state: Mutex<State>,
+    state: Mutex<SlotState>,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum At {
+enum Phase {
     /// No request is here.
-    Rest,
+    Idle,
     /// Part of one has come.
     Reading,
     /// One is in hand.
     Busy,
     /// The last answer is written; the other side is left a moment to read it.
-    Leaving,
+    Closing,
 }
 
-struct State {
-    at: At,
+struct SlotState {
+    phase: Phase,
     since: Instant,
     /// An op was answered here: a client that is known to mean well.
-    proven: bool,
+    is_proven: bool,
     /// A further request was read together with the one in hand.
-    more: bool,
+    has_more: bool,
     /// The request in hand is the last one here.
-    last: bool,
-    ending: Ending,
+    is_last: bool,
+    close_state: CloseState,
 }
 
 /// Whether this side ends the connection.
 #[derive(Clone, Copy, PartialEq)]
-enum Ending {
+enum CloseState {
     /// It does not.
     Open,
     /// It does, for this reason, when the other side has read the last answer.
-    Decided(&'static str),
+    AfterResponse(&'static str),
     /// It has, for this reason.
-    Cut(&'static str),
+    Closed(&'static str),
 }
 
-impl Ending {
+impl CloseState {
     fn reason(self) -> Option<&'static str> {
         match self {
-            Ending::Open => None,
-            Ending::Decided(reason) | Ending::Cut(reason) => Some(reason),
+            CloseState::Open => None,
+            CloseState::AfterResponse(reason) | CloseState::Closed(reason) => Some(reason),
         }
     }
 
     /// The reason stays the first one that was given.
-    fn decide(&mut self, reason: &'static str) {
-        if *self == Ending::Open {
-            *self = Ending::Decided(reason);
+    fn close_after_response(&mut self, reason: &'static str) {
+        if *self == CloseState::Open {
+            *self = CloseState::AfterResponse(reason);
         }
     }
 
-    fn cut(&mut self, reason: &'static str) {
-        *self = Ending::Cut(self.reason().unwrap_or(reason));
+    fn close(&mut self, reason: &'static str) {
+        *self = CloseState::Closed(self.reason().unwrap_or(reason));
     }
 
     fn is_open(self) -> bool {
-        self == Ending::Open
+        self == CloseState::Open
     }
 
-    fn is_cut(self) -> bool {
-        matches!(self, Ending::Cut(_))
+    fn is_closed(self) -> bool {
+        matches!(self, CloseState::Closed(_))
     }
 }
 
 /// How long one that has said nothing, or not all, or has had its last answer, is left alone while others want
 /// its place. A client that means well sends its request as soon as it is connected.
-const PATIENCE: Duration = Duration::from_millis(40);
-const HALF_SENT: Duration = Duration::from_millis(250);
+const IDLE_GRACE: Duration = Duration::from_millis(40);
+const PARTIAL_REQUEST_GRACE: Duration = Duration::from_millis(250);
 
-impl Seat {
-    pub fn new(number: u64, stream: TcpStream) -> Arc<Seat> {
+impl ClientSlot {
+    pub fn new(number: u64, stream: TcpStream) -> Arc<ClientSlot> {
         let opened = Instant::now();
-        let (at, since) = (At::Rest, opened);
-        let state = State { at, since, proven: false, more: false, last: false, ending: Ending::Open };
-        Arc::new(Seat { number, stream, opened, state: Mutex::new(state) })
+        let (phase, since) = (Phase::Idle, opened);
+        let state = SlotState {
+            phase,
+            since,
+            is_proven: false,
+            has_more: false,
+            is_last: false,
+            close_state: CloseState::Open,
+        };
+        Arc::new(ClientSlot { number, stream, opened, state: Mutex::new(state) })
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, SlotState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Bytes of a request are here; false if the connection was ended before. Asked before they are read: a
     /// request that was read can't be left to the client to send again.
-    pub fn begin(&self) -> bool {
+    pub fn start_reading(&self) -> bool {
         let mut state = self.state();
-        if state.ending.is_open() {
-            (state.at, state.since) = (At::Reading, Instant::now());
+        if state.close_state.is_open() {
+            (state.phase, state.since) = (Phase::Reading, Instant::now());
         }
-        state.ending.is_open()
+        state.close_state.is_open()
     }
 
     /// The request is whole. `more`: part of a further one has come with it.
-    pub fn take(&self, more: bool) -> bool {
+    pub fn set_busy(&self, has_more: bool) -> bool {
         let mut state = self.state();
-        if state.ending.is_open() {
-            (state.at, state.since, state.more) = (At::Busy, Instant::now(), more);
+        if state.close_state.is_open() {
+            (state.phase, state.since, state.has_more) = (Phase::Busy, Instant::now(), has_more);
         }
-        state.ending.is_open()
+        state.close_state.is_open()
     }
 
     /// What was in hand is answered; `known`: it was an op.
-    pub fn rest(&self, known: bool) {
+    pub fn finish_request(&self, op_answered: bool) {
         let mut state = self.state();
-        let at = if state.more { At::Reading } else { At::Rest };
-        (state.at, state.since) = (at, Instant::now());
-        state.proven |= known;
+        let phase = if state.has_more { Phase::Reading } else { Phase::Idle };
+        (state.phase, state.since) = (phase, Instant::now());
+        state.is_proven |= op_answered;
     }
 
     /// An op was answered here before.
-    pub fn proven(&self) -> bool {
-        self.state().proven
+    pub fn is_proven(&self) -> bool {
+        self.state().is_proven
     }
 
     pub fn set_last(&self) {
-        self.state().last = true;
+        self.state().is_last = true;
     }
 
-    pub fn last(&self) -> bool {
-        self.state().last
+    pub fn is_last(&self) -> bool {
+        self.state().is_last
     }
 
     /// Ends the connection for this reason; an earlier one stays.
-    pub fn end(&self, why: &'static str) {
-        self.cut(&mut self.state(), why);
+    pub fn close(&self, reason: &'static str) {
+        self.close_now(&mut self.state(), reason);
     }
 
-    fn cut(&self, state: &mut State, why: &'static str) {
-        state.ending.cut(why);
+    fn close_now(&self, state: &mut SlotState, reason: &'static str) {
+        state.close_state.close(reason);
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
     /// The last answer is written: nothing more will be. The other side is left a moment to read it; ending
     /// all at once while it is still sending would reset the connection, and the answer with it.
-    pub fn finish(&self, why: &'static str) {
+    pub fn close_after_response(&self, reason: &'static str) {
         let mut state = self.state();
-        state.ending.decide(why);
-        (state.at, state.since) = (At::Leaving, Instant::now());
+        state.close_state.close_after_response(reason);
+        (state.phase, state.since) = (Phase::Closing, Instant::now());
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    pub fn ended(&self) -> Option<&'static str> {
-        self.state().ending.reason()
+    pub fn close_reason(&self) -> Option<&'static str> {
+        self.state().close_state.reason()
     }
 
     /// No request is in hand, and nothing has come that was not read yet.
-    fn idle(&self, state: &State) -> bool {
-        state.at == At::Rest && state.ending.is_open() && self.empty()
+    fn is_idle(&self, state: &SlotState) -> bool {
+        state.phase == Phase::Idle && state.close_state.is_open() && self.has_no_input()
     }
 
     /// Nothing is here to be read. Only asked while nothing is in hand: nobody writes here then, so the socket
     /// may be switched for a moment.
-    fn empty(&self) -> bool {
-        look(&self.stream).is_some_and(|seen| seen.is_err())
+    fn has_no_input(&self) -> bool {
+        peek_nonblocking(&self.stream).is_some_and(|result| result.is_err())
     }
 
     /// May be closed for another one's sake: when it could at the earliest, and whether it is proven.
-    fn spare(&self, state: &State) -> Option<(Instant, bool)> {
-        match state.at {
-            _ if state.ending.is_cut() => None,
-            At::Leaving => Some((state.since + PATIENCE, false)),
+    fn eviction_rank(&self, state: &SlotState) -> Option<(Instant, bool)> {
+        match state.phase {
+            _ if state.close_state.is_closed() => None,
+            Phase::Closing => Some((state.since + IDLE_GRACE, false)),
             // What a known client has begun may become whole while it is closed, and would be lost.
-            At::Reading if !state.more && !state.proven => Some((state.since + HALF_SENT, false)),
-            At::Rest if state.proven => Some((state.since, true)),
-            At::Rest => Some((state.since + PATIENCE, false)),
-            At::Busy | At::Reading => None,
+            Phase::Reading if !state.has_more && !state.is_proven => {
+                Some((state.since + PARTIAL_REQUEST_GRACE, false))
+            }
+            Phase::Idle if state.is_proven => Some((state.since, true)),
+            Phase::Idle => Some((state.since + IDLE_GRACE, false)),
+            Phase::Busy | Phase::Reading => None,
         }
     }
 
     /// Ends it, unless a request is in hand or here by now. One that crosses this is the client's to send again.
-    fn give_way(&self) -> bool {
+    fn try_evict(&self) -> bool {
         let mut state = self.state();
-        let may = self.spare(&state).is_some() && (state.at == At::Leaving || self.empty());
-        if may {
-            self.cut(&mut state, "evicted");
+        let can_close =
+            self.eviction_rank(&state).is_some() && (state.phase == Phase::Closing || self.has_no_input());
+        if can_close {
+            self.close_now(&mut state, "evicted");
         }
-        may
+        can_close
     }
 }
 
 /// All of them.
 #[derive(Default)]
-pub struct Seats {
-    seats: Mutex<HashMap<u64, Arc<Seat>>>,
-    left: Condvar,
+pub struct ClientSlots {
+    client_slots: Mutex<HashMap<u64, Arc<ClientSlot>>>,
+    removed: Condvar,
 }
 
 /// How long to wait for a seat at a time.
-const WAIT: Duration = Duration::from_millis(5);
+const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-impl Seats {
-    fn all(&self) -> MutexGuard<'_, HashMap<u64, Arc<Seat>>> {
-        self.seats.lock().unwrap_or_else(PoisonError::into_inner)
+impl ClientSlots {
+    fn all(&self) -> MutexGuard<'_, HashMap<u64, Arc<ClientSlot>>> {
+        self.client_slots.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn add(&self, seat: &Arc<Seat>) {
-        self.all().insert(seat.number, seat.clone());
+    pub fn add(&self, slot: &Arc<ClientSlot>) {
+        self.all().insert(slot.number, slot.clone());
     }
 
     pub fn remove(&self, number: u64) {
         self.all().remove(&number);
-        self.left.notify_one();
+        self.removed.notify_one();
     }
 
     /// Requests in hand.
-    pub fn busy(&self) -> usize {
-        self.all().values().filter(|seat| seat.state().at == At::Busy).count()
+    pub fn count_busy(&self) -> usize {
+        self.all().values().filter(|slot| slot.state().phase == Phase::Busy).count()
     }
 
     /// No request is in hand at any of them.
-    pub fn quiet(&self) -> bool {
-        self.all().values().all(|seat| {
-            let state = seat.state();
-            !state.ending.is_open() || seat.idle(&state)
+    pub fn are_idle(&self) -> bool {
+        self.all().values().all(|slot| {
+            let state = slot.state();
+            !state.close_state.is_open() || slot.is_idle(&state)
         })
     }
 
     /// Waits until there is a seat free of so many, and sees to it. One that is asked to go needs a moment.
-    pub fn room(&self, most: impl Fn() -> usize) {
+    pub fn wait_for_capacity(&self, limit: impl Fn() -> usize) {
         let mut all = self.all();
-        while all.len() >= most() {
-            let most = most();
-            let going = all.values().filter(|seat| seat.state().ending.is_cut()).count();
-            if all.len() - going >= most {
-                Seats::evict(&all, Instant::now());
+        while all.len() >= limit() {
+            let limit = limit();
+            let closing = all.values().filter(|slot| slot.state().close_state.is_closed()).count();
+            if all.len() - closing >= limit {
+                ClientSlots::evict(&all, Instant::now());
             }
-            all = self.left.wait_timeout(all, WAIT).unwrap_or_else(PoisonError::into_inner).0;
+            all = self
+                .removed
+                .wait_timeout(all, CAPACITY_POLL_INTERVAL)
+                .unwrap_or_else(PoisonError::into_inner)
+                .0;
         }
     }
 
     /// Closes one. Those go first that have not yet sent a request that could be taken, however many they are,
     /// or a crowd that says nothing would take the place of all others; only where there are none, the client
     /// idle longest goes, whose next request will come on a new connection.
-    fn evict(all: &HashMap<u64, Arc<Seat>>, now: Instant) -> bool {
-        let mut spare: Vec<(bool, Instant, &Arc<Seat>)> = Vec::new();
-        for seat in all.values() {
-            if let Some((when, proven)) = seat.spare(&seat.state()) {
-                spare.push((proven, when, seat));
+    fn evict(all: &HashMap<u64, Arc<ClientSlot>>, now: Instant) -> bool {
+        let mut candidates: Vec<(bool, Instant, &Arc<ClientSlot>)> = Vec::new();
+        for slot in all.values() {
+            if let Some((earliest, is_proven)) = slot.eviction_rank(&slot.state()) {
+                candidates.push((is_proven, earliest, slot));
             }
         }
-        spare.sort_unstable_by_key(|(proven, when, seat)| (*proven, *when, seat.number));
-        let strangers = spare.iter().any(|(proven, ..)| !proven);
-        spare.into_iter().any(|(proven, when, seat)| when <= now && proven != strangers && seat.give_way())
+        candidates.sort_unstable_by_key(|(is_proven, earliest, slot)| (*is_proven, *earliest, slot.number));
+        let has_unproven = candidates.iter().any(|(is_proven, ..)| !is_proven);
+        candidates.into_iter().any(|(is_proven, earliest, slot)| {
+            earliest <= now && is_proven != has_unproven && slot.try_evict()
+        })
     }
 
     /// Ends those that have been idle for so long.
-    pub fn end_idle(&self, why: &'static str, rested: Duration) {
-        for seat in self.all().values() {
-            let mut state = seat.state();
-            if state.since.elapsed() >= rested && seat.idle(&state) {
-                seat.cut(&mut state, why);
+    pub fn close_idle(&self, reason: &'static str, idle_for: Duration) {
+        for slot in self.all().values() {
+            let mut state = slot.state();
+            if state.since.elapsed() >= idle_for && slot.is_idle(&state) {
+                slot.close_now(&mut state, reason);
             }
         }
     }
 
     #[cfg(test)]
     pub fn evict_at(&self, now: Instant) -> bool {
-        Seats::evict(&self.all(), now)
+        ClientSlots::evict(&self.all(), now)
     }
 }
 
 /// What a read would give now, without waiting and without taking anything; none if it can't be told.
-pub fn look(stream: &TcpStream) -> Option<std::io::Result<usize>> {
+pub fn peek_nonblocking(stream: &TcpStream) -> Option<std::io::Result<usize>> {
     stream.set_nonblocking(true).ok()?;
-    let seen = stream.peek(&mut [0]);
+    let result = stream.peek(&mut [0]);
     stream.set_nonblocking(false).ok()?;
-    Some(seen)
+    Some(result)
 }
--- a/crates/node/src/state/metrics.rs
+++ b/crates/node/src/state/metrics.rs
@@ -6,32 +6,32 @@
 
 /// How an op ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ended {
+pub enum ResultKind {
     Acked,
     Nacked,
     Failed,
 }
 
 #[derive(Default)]
-pub struct Figures {
+pub struct Metrics {
     /// Names of the categories, and how many ops of each ended in which way.
     categories: Vec<(String, [AtomicU64; 3])>,
     /// Pushes written to their last byte.
     pushes: AtomicU64,
-    in_hand: AtomicI64,
+    in_flight: AtomicI64,
     pub listed: AtomicUsize,
     pub avoided: AtomicUsize,
 }
 
 /// An op is in hand for as long as this lives, so that no way out of the node can forget to take it off.
-pub struct InHand {
-    figures: Arc<Figures>,
+pub struct InFlightGuard {
+    metrics: Arc<Metrics>,
     pub category: usize,
 }
 
-impl Drop for InHand {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.figures.in_hand.fetch_sub(1, Relaxed);
+        self.metrics.in_flight.fetch_sub(1, Relaxed);
     }
 }
 
@@ -41,43 +41,43 @@
     ("errored", "Ops that failed: dead-lettered, or refused for what they are."),
 ];
 
-impl Figures {
-    pub fn new(categories: &[String]) -> Arc<Figures> {
+impl Metrics {
+    pub fn new(categories: &[String]) -> Arc<Metrics> {
         let categories = categories.iter().map(|name| (name.clone(), Default::default())).collect();
-        Arc::new(Figures { categories, ..Figures::default() })
+        Arc::new(Metrics { categories, ..Metrics::default() })
     }
 
-    pub fn take_in_hand(self: &Arc<Figures>, category: usize) -> Box<InHand> {
-        self.in_hand.fetch_add(1, Relaxed);
-        Box::new(InHand { figures: self.clone(), category })
+    pub fn begin_op(self: &Arc<Metrics>, category: usize) -> Box<InFlightGuard> {
+        self.in_flight.fetch_add(1, Relaxed);
+        Box::new(InFlightGuard { metrics: self.clone(), category })
     }
 
-    pub fn ended(&self, category: usize, how: Ended) {
+    pub fn count_result(&self, category: usize, kind: ResultKind) {
         if let Some((_, counts)) = self.categories.get(category) {
-            counts[how as usize].fetch_add(1, Relaxed);
+            counts[kind as usize].fetch_add(1, Relaxed);
         }
     }
 
-    pub fn pushed(&self) {
+    pub fn count_push(&self) {
         self.pushes.fetch_add(1, Relaxed);
     }
 
     /// All of them in Prometheus' text form.
-    pub fn text(&self) -> String {
-        let mut out = String::new();
-        let head = |out: &mut String, name: &str, kind: &str, help: &str| {
-            let _ = write!(out, "# HELP svc_{name} {help}\n# TYPE svc_{name} {kind}\n");
+    pub fn to_prometheus(&self) -> String {
+        let mut text = String::new();
+        let write_header = |text: &mut String, name: &str, kind: &str, help: &str| {
+            let _ = write!(text, "# HELP svc_{name} {help}\n# TYPE svc_{name} {kind}\n");
         };
-        for (at, (name, help)) in COUNTERS.iter().enumerate() {
-            head(&mut out, &format!("{name}_total"), "counter", help);
+        for (column, (name, help)) in COUNTERS.iter().enumerate() {
+            write_header(&mut text, &format!("{name}_total"), "counter", help);
             for (category, counts) in &self.categories {
-                let (group, count) = (escaped(category), counts[at].load(Relaxed));
-                let _ = writeln!(out, "svc_{name}_total{{group=\"{group}\"}} {count}");
+                let (group, count) = (escape_label(category), counts[column].load(Relaxed));
+                let _ = writeln!(text, "svc_{name}_total{{group=\"{group}\"}} {count}");
             }
         }
-        let numbers = [
+        let values = [
             ("sends_total", "counter", "Pushes written whole to executors.", self.pushes.load(Relaxed)),
-            ("current", "gauge", "Ops taken and not ended.", self.in_hand.load(Relaxed).max(0) as u64),
+            ("current", "gauge", "Ops taken and not ended.", self.in_flight.load(Relaxed).max(0) as u64),
             ("cluster_size", "gauge", "Executors in the list.", self.listed.load(Relaxed) as u64),
             (
                 "cluster_unhealthy",
@@ -86,15 +86,15 @@
                 self.avoided.load(Relaxed) as u64,
             ),
         ];
-        for (name, kind, help, value) in numbers {
-            head(&mut out, name, kind, help);
-            let _ = writeln!(out, "svc_{name} {value}");
+        for (name, kind, help, value) in values {
+            write_header(&mut text, name, kind, help);
+            let _ = writeln!(text, "svc_{name} {value}");
         }
-        out
+        text
     }
 }
 
 /// A label's value: a quote, a backslash or an end of line would end it early.
-fn escaped(text: &str) -> String {
-    text.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
+fn escape_label(value: &str) -> String {
+    value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
--- a/crates/node/src/state/name_index.rs
+++ b/crates/node/src/state/name_index.rs
@@ -4,26 +4,26 @@
 
 /// Gives each name its index; known ones keep theirs for good.
 #[derive(Default)]
-pub struct Indices {
+pub struct NameIndex {
     by_name: HashMap<String, usize>,
 }
 
-impl Indices {
-    pub fn of(names: &[String]) -> Indices {
-        let mut indices = Indices::default();
+impl NameIndex {
+    pub fn of(names: &[String]) -> NameIndex {
+        let mut name_index = NameIndex::default();
         names.iter().for_each(|name| {
-            indices.index(name);
+            name_index.get_or_insert(name);
         });
-        indices
+        name_index
     }
 
     /// The index of a name that has one.
-    pub fn known(&self, name: &str) -> Option<usize> {
+    pub fn get(&self, name: &str) -> Option<usize> {
         self.by_name.get(name).copied()
     }
 
-    pub fn index(&mut self, name: &str) -> usize {
-        if let Some(index) = self.known(name) {
+    pub fn get_or_insert(&mut self, name: &str) -> usize {
+        if let Some(index) = self.get(name) {
             return index;
         }
         let index = self.by_name.len();
--- a/crates/node/src/tests.rs
+++ b/crates/node/src/tests.rs
@@ -1,18 +1,18 @@
 //! Tables of cases for what is spoken, kept and read at start; no socket is opened but for the seats.
 
-use crate::interfaces::{Job, Link as _};
-use crate::net::connection_pool::{Line, Lines};
-use crate::net::executors::Link;
+use crate::interfaces::{Job, PushHandle as _};
+use crate::net::connection_pool::{ConnectionPool, PooledConnection};
+use crate::net::executors::ConnectionHandle;
 use crate::process::budget::Budget;
-use crate::process::settings::{self, Kind};
+use crate::process::settings::{self, CategoryRules};
 use crate::state::buffer_pool::Pool;
-use crate::state::client_slots::{Seat, Seats};
-use crate::state::request_ids::Ids;
-use crate::wire::admin_request::{self, Call};
-use crate::wire::client_request::{answer_head, Inbox};
+use crate::state::client_slots::{ClientSlot, ClientSlots};
+use crate::state::request_ids::RequestIds;
+use crate::wire::admin_request::{self, AdminRequest};
+use crate::wire::client_request::{answer_head, RequestParser};
 use crate::wire::discovery;
 use crate::wire::http::{ChunkError, ChunkedDecoder, ResponseReader};
-use crate::wire::push::{push_head, Answer, Heard, Told};
+use crate::wire::push::{push_head, ResponseEvent, ResponseOutcome, ResponseParser};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
@@ -80,10 +80,10 @@
         "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
     let text = format!("{POST}HTTP/GET /-/ready HTTP/1.1\r\n\r\n{chunked}");
     for at in 0..=text.len() {
-        let (mut inbox, mut seen) = (Inbox::new(pool.clone()), Vec::new());
+        let (mut parser, mut seen) = (RequestParser::new(pool.clone()), Vec::new());
         for part in [&text.as_bytes()[..at], &text.as_bytes()[at..]] {
             let mut part = part;
-            while let Some(r) = inbox.feed(part).unwrap() {
+            while let Some(r) = parser.feed(part).unwrap() {
                 let body = String::from_utf8(r.body().to_vec()).unwrap();
                 seen.push((r.method.clone(), r.path.clone(), r.id.clone(), r.budget.clone(), body, r.close));
                 part = &[];
@@ -96,7 +96,7 @@
         let third = (text("POST"), text("/api"), None, None, text("abc"), true);
         assert_eq!(seen, [first, second, third], "split at {at}");
         // Every buffer has gone back, or the next connections could not be served.
-        assert!(inbox.idle());
+        assert!(parser.is_idle());
         assert_eq!((0..5).map_while(|_| pool.take()).collect::<Vec<_>>().len(), 4);
     }
 }
@@ -150,15 +150,15 @@
         ("POST / HTTP/1.1\r\nExpect: 200-ok\r\nContent-Length: 1\r\n\r\n".to_string(), 417, "Expect"),
     ];
     for (text, status, word) in cases {
-        let mut inbox = Inbox::new(Pool::new(4));
-        let fault = text.as_bytes().chunks(4000).find_map(|part| inbox.feed(part).err()).unwrap();
-        assert!(fault.status == status && fault.why.contains(word), "{fault:?} for {:.40}", text);
+        let mut parser = RequestParser::new(Pool::new(4));
+        let error = text.as_bytes().chunks(4000).find_map(|part| parser.feed(part).err()).unwrap();
+        assert!(error.status == status && error.reason.contains(word), "{error:?} for {:.40}", text);
     }
     let whole = format!("POST / HTTP/1.1\r\nContent-Length: 65536\r\n\r\n{}", "x".repeat(65536));
-    let mut inbox = Inbox::new(Pool::new(4));
-    let request = whole.as_bytes().chunks(8192).find_map(|part| inbox.feed(part).unwrap()).unwrap();
+    let mut parser = RequestParser::new(Pool::new(4));
+    let request = whole.as_bytes().chunks(8192).find_map(|part| parser.feed(part).unwrap()).unwrap();
     assert_eq!(request.body().len(), 65536);
-    assert_eq!(Inbox::new(Pool::new(0)).feed(b"P").err().unwrap().status, 503);
+    assert_eq!(RequestParser::new(Pool::new(0)).feed(b"P").err().unwrap().status, 503);
 }
 
 #[test]
@@ -172,11 +172,15 @@
         ("HTTP/1.0\r\nExpect: 100-continue\r\nContent-Length: 2", "", false),
         ("HTTP/1.1\r\nContent-Length: 2", "", false),
     ];
-    for (head, body, told) in cases {
-        let mut inbox = Inbox::new(Pool::new(1));
-        assert!(inbox.feed(b"POST / ").unwrap().is_none() && !inbox.waits());
-        inbox.feed(format!("{head}\r\n\r\n{body}").as_bytes()).unwrap();
-        assert_eq!((inbox.waits(), inbox.waits()), (told, false), "{head}");
+    for (head, body, events_of) in cases {
+        let mut parser = RequestParser::new(Pool::new(1));
+        assert!(parser.feed(b"POST / ").unwrap().is_none() && !parser.take_continue_wanted());
+        parser.feed(format!("{head}\r\n\r\n{body}").as_bytes()).unwrap();
+        assert_eq!(
+            (parser.take_continue_wanted(), parser.take_continue_wanted()),
+            (events_of, false),
+            "{head}"
+        );
     }
 }
 
@@ -192,9 +196,9 @@
     for (head, expected) in cases {
         assert_eq!(head, expected);
     }
-    let mut inbox = Inbox::new(Pool::new(4));
+    let mut parser = RequestParser::new(Pool::new(4));
     let text = POST.replace("\r\nX-Call-Id", "\r\nIdempotency-Key: m\r\nX-Call-Id");
-    let request = inbox.feed(format!("{text}12345").as_bytes()).unwrap().unwrap();
+    let request = parser.feed(format!("{text}12345").as_bytes()).unwrap().unwrap();
     assert_eq!(
         push_head(&request, "10.0.0.1:1", 7),
         "POST /api/k?q=1 HTTP/1.1\r\nHost: 10.0.0.1:1\r\nX-Budget-Ms: 7\r\nX-Call-Id: a1\r\n\
@@ -203,25 +207,27 @@
 }
 
 /// What an answer tells when it comes in these parts, and then the connection ends if `end`.
-fn told(parts: &[&[u8]], end: bool) -> (String, bool) {
+fn events_of(parts: &[&[u8]], end: bool) -> (String, bool) {
     let gauges = Arc::new(vec!["rif".to_string(), "busy".to_string(), "x0".to_string()]);
-    let mut answer = Answer::new(&Pool::new(1), "a1", gauges).unwrap();
-    let mut words = Vec::new();
-    let mut tell = |heard: Heard| {
-        words.push(match heard {
-            Heard::Started => "started".to_string(),
-            Heard::Running(0.0) => "running".to_string(),
-            Heard::Running(share) => format!("running {share}"),
-            Heard::Ended(told, load) => {
-                let told = match told {
-                    Told::Done(result) => format!("done {}", String::from_utf8(result.to_vec()).unwrap()),
-                    Told::Failed => "failed".to_string(),
-                    Told::Unfit(status) => format!("unfit {status}"),
-                    Told::Returned => "returned".to_string(),
-                    Told::Lost => "lost".to_string(),
-                    Told::Garbled => "garbled".to_string(),
+    let mut answer = ResponseParser::new(&Pool::new(1), "a1", gauges).unwrap();
+    let mut events = Vec::new();
+    let mut tell = |event: ResponseEvent| {
+        events.push(match event {
+            ResponseEvent::Started => "started".to_string(),
+            ResponseEvent::Running(0.0) => "running".to_string(),
+            ResponseEvent::Running(share) => format!("running {share}"),
+            ResponseEvent::Final(events_of, load) => {
+                let events_of = match events_of {
+                    ResponseOutcome::Done(result) => {
+                        format!("done {}", String::from_utf8(result.to_vec()).unwrap())
+                    }
+                    ResponseOutcome::Failed => "failed".to_string(),
+                    ResponseOutcome::Rejected(status) => format!("unfit {status}"),
+                    ResponseOutcome::Returned => "returned".to_string(),
+                    ResponseOutcome::Lost => "lost".to_string(),
+                    ResponseOutcome::Malformed => "garbled".to_string(),
                 };
-                load.map_or(told.clone(), |load| format!("{told} {load:?}"))
+                load.map_or(events_of.clone(), |load| format!("{events_of} {load:?}"))
             }
         });
     };
@@ -229,11 +235,11 @@
     if end {
         answer.end(&mut tell);
     }
-    (words.join(", "), answer.reusable())
+    (events.join(", "), answer.reusable())
 }
 
-fn chunked(lines: &[&str]) -> String {
-    let chunks: String = lines.iter().map(|line| format!("{:x}\r\n{line}\r\n", line.len())).collect();
+fn chunked(pool: &[&str]) -> String {
+    let chunks: String = pool.iter().map(|line| format!("{:x}\r\n{line}\r\n", line.len())).collect();
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}")
 }
 
@@ -337,14 +343,14 @@
     for (text, expected, reusable) in cases {
         for at in 0..=text.len() {
             let (head, tail) = text.as_bytes().split_at(at);
-            let got = told(&[head, tail], true);
+            let got = events_of(&[head, tail], true);
             assert_eq!(got, (expected.to_string(), reusable), "split at {at}: {text}");
         }
         let bytes: Vec<&[u8]> = text.as_bytes().chunks(1).collect();
-        assert_eq!(told(&bytes, true).0, expected, "byte by byte: {text}");
+        assert_eq!(events_of(&bytes, true).0, expected, "byte by byte: {text}");
     }
-    assert_eq!(told(&[format!("{head}{}", "x".repeat(9000)).as_bytes()], false).0, "garbled");
-    assert!(Answer::new(&Pool::new(0), "a1", Arc::default()).is_none());
+    assert_eq!(events_of(&[format!("{head}{}", "x".repeat(9000)).as_bytes()], false).0, "garbled");
+    assert!(ResponseParser::new(&Pool::new(0), "a1", Arc::default()).is_none());
 }
 
 #[test]
@@ -359,11 +365,11 @@
     ];
     for text in texts {
         for at in 0..text.len() {
-            let mut gather = ResponseReader::default();
-            assert!(gather.feed(&text.as_bytes()[..at]).unwrap().is_none(), "whole at {at}");
-            let list = discovery::read(&gather.feed(&text.as_bytes()[at..]).unwrap().unwrap()).unwrap();
-            let active: Vec<bool> = list.endpoints.iter().map(|endpoint| endpoint.active()).collect();
-            assert_eq!((list.index, list.whole, active), (43, false, vec![true, false, false, false]));
+            let mut parser = ResponseReader::default();
+            assert!(parser.feed(&text.as_bytes()[..at]).unwrap().is_none(), "whole at {at}");
+            let list = discovery::read(&parser.feed(&text.as_bytes()[at..]).unwrap().unwrap()).unwrap();
+            let active: Vec<bool> = list.endpoints.iter().map(|endpoint| endpoint.is_active()).collect();
+            assert_eq!((list.index, list.is_snapshot, active), (43, false, vec![true, false, false, false]));
             let first = &list.endpoints[0];
             assert_eq!((first.cell, first.weight, first.since_ms), (3, 1.5, 12));
         }
@@ -378,9 +384,8 @@
             answer.and_then(|whole| discovery::read(&whole.unwrap()).map_err(|error| error.to_string()));
         assert!(read.is_err(), "{text}");
     }
-    assert!(
-        discovery::ask("h", Some((41, 9))).starts_with("GET /api/targets?since=41&timeout_ms=9 HTTP/1.1\r\n")
-    );
+    assert!(discovery::request("h", Some((41, 9)))
+        .starts_with("GET /api/targets?since=41&timeout_ms=9 HTTP/1.1\r\n"));
 }
 
 #[test]
@@ -412,8 +417,14 @@
     let good = format!(r#"{{"discovery":"127.0.0.1:1","seed":"ff","settings":{SETTINGS}}}"#);
     let start = read(&good).unwrap_or_else(|error| panic!("{error}"));
     assert_eq!((start.seed, start.grace, start.known.index), (255, 27_000, -1));
-    assert_eq!((start.dial, start.keep_idle), (Duration::from_millis(100), Duration::from_secs(30)));
-    assert_eq!(start.door.categories["c"], Kind { at: 0, marked: true, ttl: 20_000 });
+    assert_eq!(
+        (start.connect_timeout, start.idle_timeout),
+        (Duration::from_millis(100), Duration::from_secs(30))
+    );
+    assert_eq!(
+        start.request_rules.categories["c"],
+        CategoryRules { position: 0, requires_key: true, ttl: 20_000 }
+    );
     // What is exchanged for what, and the key that the message names.
     let cases = [
         ("\"discovery\"", "\"other\"", "discovery"),
@@ -438,11 +449,15 @@
         let error = error.to_string();
         assert!(error.contains(key) && !error.contains('\n'), "{key}: {error}");
     }
-    let twice = |name: &str| {
+    let same_address = |name: &str| {
         let own = ["BALANCER_LISTEN", "BALANCER_ADMIN_ADDR"].contains(&name);
         own.then(|| "127.0.0.1:2".to_string())
     };
-    assert!(settings::check(&good, twice, false).map(|_| ()).unwrap_err().to_string().contains("admin_addr"));
+    assert!(settings::check(&good, same_address, false)
+        .map(|_| ())
+        .unwrap_err()
+        .to_string()
+        .contains("admin_addr"));
     assert!(settings::read(|_| None).map(|_| ()).unwrap_err().to_string().contains("BALANCER_CONFIG"));
 }
 
@@ -450,85 +465,91 @@
 fn idle_connections_are_used_again_retired_and_make_room() {
     let start = Instant::now();
     let at = |seconds| start + Duration::from_secs(seconds);
-    let mut lines = Lines::new(3, Duration::from_secs(30));
-    let lend = |lines: &mut Lines, executor| {
-        let number = lines.open()?;
+    let mut pool = ConnectionPool::new(3, Duration::from_secs(30));
+    let lend = |pool: &mut ConnectionPool, executor| {
+        let number = pool.allocate_number()?;
         let (tasks, _) = crossbeam_channel::bounded(1);
-        lines.lend(Line { number, executor, link: Arc::new(Link::default()), tasks });
+        pool.mark_in_use(PooledConnection {
+            number,
+            executor,
+            handle: Arc::new(ConnectionHandle::default()),
+            tasks,
+        });
         Some(number)
     };
-    let (a, b, c) =
-        (lend(&mut lines, 0).unwrap(), lend(&mut lines, 0).unwrap(), lend(&mut lines, 1).unwrap());
+    let (a, b, c) = (lend(&mut pool, 0).unwrap(), lend(&mut pool, 0).unwrap(), lend(&mut pool, 1).unwrap());
     // All are out: there is no room, and none is taken from a push.
-    assert!(lines.reuse(0, at(0)).is_none() && lend(&mut lines, 0).is_none());
-    lines.back(a, true, at(1));
-    lines.back(b, true, at(2));
-    assert!(lines.reuse(1, at(2)).is_none());
+    assert!(pool.reuse(0, at(0)).is_none() && lend(&mut pool, 0).is_none());
+    pool.release(a, true, at(1));
+    pool.release(b, true, at(2));
+    assert!(pool.reuse(1, at(2)).is_none());
     // The latest first; then the other is too old.
-    let line = lines.reuse(0, at(3)).unwrap();
-    assert_eq!(line.number, b);
-    lines.lend(line);
-    assert!(lines.reuse(0, at(31)).is_none());
-    lines.back(b, true, at(32));
-    lines.back(c, false, at(32));
+    let connection = pool.reuse(0, at(3)).unwrap();
+    assert_eq!(connection.number, b);
+    pool.mark_in_use(connection);
+    assert!(pool.reuse(0, at(31)).is_none());
+    pool.release(b, true, at(32));
+    pool.release(c, false, at(32));
     // Two more fit; a third takes the place of the idle one.
-    let more: Vec<bool> = (0..4).map(|_| lend(&mut lines, 2).is_some()).collect();
+    let more: Vec<bool> = (0..4).map(|_| lend(&mut pool, 2).is_some()).collect();
     assert_eq!(more, [true, true, true, false]);
-    assert!(lines.reuse(0, at(33)).is_none());
+    assert!(pool.reuse(0, at(33)).is_none());
     // Half of three is one: nothing opens until all but one have gone, and idle ones go at once.
-    lines.halve(true);
-    lines.back(4, true, at(34));
-    lines.back(5, true, at(34));
-    assert!(lend(&mut lines, 2).is_none(), "one is out still");
-    lines.back(6, true, at(34));
-    assert!(lend(&mut lines, 2).is_some() && lend(&mut lines, 2).is_none());
-    lines.halve(false);
-    assert!(lend(&mut lines, 2).is_some());
+    pool.set_half_capacity(true);
+    pool.release(4, true, at(34));
+    pool.release(5, true, at(34));
+    assert!(lend(&mut pool, 2).is_none(), "one is out still");
+    pool.release(6, true, at(34));
+    assert!(lend(&mut pool, 2).is_some() && lend(&mut pool, 2).is_none());
+    pool.set_half_capacity(false);
+    assert!(lend(&mut pool, 2).is_some());
 }
 
 #[test]
 fn strangers_give_way_before_clients_and_nobody_with_a_request_in_hand() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (seats, mut peers, mut all) = (Seats::default(), Vec::new(), Vec::new());
+    let (client_slots, mut peers, mut all) = (ClientSlots::default(), Vec::new(), Vec::new());
     for number in 0..8 {
         peers.push(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
-        let seat = Seat::new(number, listener.accept().unwrap().0);
-        seats.add(&seat);
-        all.push(seat);
+        let slot = ClientSlot::new(number, listener.accept().unwrap().0);
+        client_slots.add(&slot);
+        all.push(slot);
     }
     // 0 has an op in hand, 1 one that was not read yet, 2 and 3 are known and idle, 4 and 5 have said nothing,
     // 6 has sent half a request, and 7 has had its last answer.
-    assert!(all[..4].iter().all(|seat| seat.begin() && seat.take(false)) && all[6].begin());
-    all[1..4].iter().for_each(|seat| seat.rest(true));
-    all[7].finish("answered");
+    assert!(
+        all[..4].iter().all(|slot| slot.start_reading() && slot.set_busy(false)) && all[6].start_reading()
+    );
+    all[1..4].iter().for_each(|slot| slot.finish_request(true));
+    all[7].close_after_response("answered");
     peers[1].write_all(b"POST").unwrap();
     while all[1].stream.peek(&mut [0]).is_err() {}
-    assert!(!seats.quiet() && seats.busy() == 1);
-    let ended = || all.iter().map(|seat| seat.ended().is_some()).collect::<Vec<_>>();
+    assert!(!client_slots.are_idle() && client_slots.count_busy() == 1);
+    let ended = || all.iter().map(|slot| slot.close_reason().is_some()).collect::<Vec<_>>();
     // A client may need a moment for its first request; meanwhile no known one goes in a stranger's place.
-    assert!(!seats.evict_at(all[4].opened));
+    assert!(!client_slots.evict_at(all[4].opened));
     let later = |ms| Instant::now() + Duration::from_millis(ms);
-    for (ms, goes) in [(100, 4), (100, 5), (300, 6)] {
-        assert!(seats.evict_at(later(ms)) && ended()[goes], "{goes} stays");
+    for (ms, evicted) in [(100, 4), (100, 5), (300, 6)] {
+        assert!(client_slots.evict_at(later(ms)) && ended()[evicted], "{evicted} stays");
         // The one that has had its answer goes with them; when it began to leave makes its turn.
-        if goes == 5 {
-            assert!(seats.evict_at(later(ms)) && !seats.evict_at(later(ms)));
+        if evicted == 5 {
+            assert!(client_slots.evict_at(later(ms)) && !client_slots.evict_at(later(ms)));
         }
     }
-    assert_eq!([2, 3, 9].map(|_| seats.evict_at(later(300))), [true, true, false]);
+    assert_eq!([2, 3, 9].map(|_| client_slots.evict_at(later(300))), [true, true, false]);
     assert_eq!(ended(), [false, false, true, true, true, true, true, true]);
     // What was ended takes no request any more; what is left goes on, and may end when it is idle.
-    assert!(!all[2].begin() && all[1].begin());
-    [0, 1].into_iter().for_each(|number| all[number].rest(true));
-    assert!(!seats.quiet());
+    assert!(!all[2].start_reading() && all[1].start_reading());
+    [0, 1].into_iter().for_each(|number| all[number].finish_request(true));
+    assert!(!client_slots.are_idle());
     let _ = (&all[1].stream).read(&mut [0; 4]).unwrap();
-    assert!(seats.quiet());
-    seats.end_idle("steered", Duration::from_secs(60));
+    assert!(client_slots.are_idle());
+    client_slots.close_idle("steered", Duration::from_secs(60));
     assert_eq!(ended(), [false, false, true, true, true, true, true, true], "nobody rested for so long");
-    seats.end_idle("steered", Duration::ZERO);
-    assert!(all.iter().all(|seat| !seat.begin()));
-    (0..8).for_each(|number| seats.remove(number));
-    seats.room(|| 1);
+    client_slots.close_idle("steered", Duration::ZERO);
+    assert!(all.iter().all(|slot| !slot.start_reading()));
+    (0..8).for_each(|number| client_slots.remove(number));
+    client_slots.wait_for_capacity(|| 1);
 }
 
 #[test]
@@ -537,17 +558,17 @@
     let body = |length: usize, given: usize| {
         format!("GET /ready HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{}", "x".repeat(given))
     };
-    let cases: [(String, Result<Option<Call>, u16>); 17] = [
-        (whole("GET /ready HTTP/1.1"), Ok(Some(Call::Ready))),
-        (whole("GET /ready?now=1 HTTP/1.0"), Ok(Some(Call::Ready))),
-        (whole("GET /metrics HTTP/1.1"), Ok(Some(Call::Figures))),
+    let cases: [(String, Result<Option<AdminRequest>, u16>); 17] = [
+        (whole("GET /ready HTTP/1.1"), Ok(Some(AdminRequest::Ready))),
+        (whole("GET /ready?now=1 HTTP/1.0"), Ok(Some(AdminRequest::Ready))),
+        (whole("GET /metrics HTTP/1.1"), Ok(Some(AdminRequest::Metrics))),
         (
             whole("PUT /executors/disable/s-1 HTTP/1.1"),
-            Ok(Some(Call::Turn { name: "s-1".into(), out: true })),
+            Ok(Some(AdminRequest::SetDisabled { name: "s-1".into(), disabled: true })),
         ),
         (
             whole("PUT /executors/enable/a/b HTTP/1.1"),
-            Ok(Some(Call::Turn { name: "a/b".into(), out: false })),
+            Ok(Some(AdminRequest::SetDisabled { name: "a/b".into(), disabled: false })),
         ),
         (whole("GET /executors/enable/s-1 HTTP/1.1"), Err(405)),
         (whole("PUT /executors/s-1 HTTP/1.1"), Err(404)),
@@ -556,7 +577,7 @@
         (whole("POST /api/k HTTP/1.1"), Err(404)),
         ("GET /ready HTTP/1.1\r\nHos".to_string(), Ok(None)),
         (body(3, 2), Ok(None)),
-        (body(3, 3), Ok(Some(Call::Ready))),
+        (body(3, 3), Ok(Some(AdminRequest::Ready))),
         (body(5000, 10), Err(413)),
         ("nonsense\r\n\r\n".to_string(), Err(400)),
         ("GET /ready HTTP/1.1\nHost: n\r\n\r\n".to_string(), Err(400)),
@@ -564,10 +585,10 @@
     ];
     for (text, expected) in cases {
         for at in [0, 1, text.len() / 2, text.len() - 1] {
-            let mut inbox = admin_request::Inbox::default();
-            let first = inbox.feed(&text.as_bytes()[..at]);
-            let read = first.and_then(|_| inbox.feed(&text.as_bytes()[at..]));
-            assert_eq!(read.map_err(|fault| fault.status), expected, "{text:.60} split at {at}");
+            let mut parser = admin_request::RequestParser::default();
+            let first = parser.feed(&text.as_bytes()[..at]);
+            let read = first.and_then(|_| parser.feed(&text.as_bytes()[at..]));
+            assert_eq!(read.map_err(|error| error.status), expected, "{text:.60} split at {at}");
         }
     }
     assert!(
@@ -583,22 +604,22 @@
     for (used, begun, may) in
         [(false, false, false), (true, false, false), (false, true, true), (true, true, true)]
     {
-        let link = Link::default();
+        let handle = ConnectionHandle::default();
         if used {
-            assert!(link.enter(&stream));
-            link.renew();
+            assert!(handle.register_stream(&stream));
+            handle.reset();
         }
-        assert!(!begun || link.enter(&stream));
-        link.keep_back();
-        assert_eq!(link.enter(&stream), may, "used {used}, begun {begun}");
+        assert!(!begun || handle.register_stream(&stream));
+        handle.withhold_unsent();
+        assert_eq!(handle.register_stream(&stream), may, "used {used}, begun {begun}");
     }
 }
 
 #[test]
 fn an_id_is_open_once_at_a_time() {
-    let ids = Arc::new(Ids::default());
-    let first = ids.enter("a");
-    assert!(first.is_some() && ids.enter("a").is_none() && ids.enter("b").is_some());
+    let request_ids = Arc::new(RequestIds::default());
+    let first = request_ids.reserve("a");
+    assert!(first.is_some() && request_ids.reserve("a").is_none() && request_ids.reserve("b").is_some());
     drop(first);
-    assert!(ids.enter("a").is_some());
+    assert!(request_ids.reserve("a").is_some());
 }
--- a/crates/node/src/wire/client_request.rs
+++ b/crates/node/src/wire/client_request.rs
@@ -4,7 +4,7 @@
 use super::names;
 use crate::interfaces::Job;
 use crate::state::buffer_pool::{Buffer, Pool};
-use crate::state::request_ids::Entry;
+use crate::state::request_ids::RequestIdGuard;
 use std::ops::Range;
 use std::sync::Arc;
 
@@ -13,19 +13,19 @@
     pub method: String,
     pub path: String,
     pub id: Option<String>,
-    pub mark: Option<String>,
+    pub idempotency_key: Option<String>,
     pub category: Option<String>,
     pub budget: Option<String>,
     pub cost: Option<String>,
-    pub figures: Option<String>,
+    pub call_info: Option<String>,
     pub content_type: Option<String>,
     /// Further headers that routes look at, by their names in lower case.
-    pub wanted: Vec<(String, String)>,
+    pub routed_headers: Vec<(String, String)>,
     /// The client wants the connection closed after the answer.
     pub close: bool,
     /// Keeps the id from being used twice at once.
-    pub entry: Option<Entry>,
-    held: Buffer,
+    pub id_guard: Option<RequestIdGuard>,
+    buffer: Buffer,
     body: Range<usize>,
 }
 
@@ -36,8 +36,8 @@
     fn category(&self) -> &str {
         self.category.as_deref().unwrap_or_default()
     }
-    fn mark(&self) -> Option<&str> {
-        self.mark.as_deref()
+    fn idempotency_key(&self) -> Option<&str> {
+        self.idempotency_key.as_deref()
     }
     fn method(&self) -> &str {
         &self.method
@@ -52,26 +52,29 @@
         self.content_type.as_deref()
     }
     fn header(&self, name: &str) -> Option<&str> {
-        self.wanted.iter().find(|(own, _)| own == name).map(|(_, value)| value.as_str())
+        self.routed_headers
+            .iter()
+            .find(|(header_name, _)| header_name == name)
+            .map(|(_, value)| value.as_str())
     }
     fn body(&self) -> &[u8] {
-        &self.held[self.body.clone()]
+        &self.buffer[self.body.clone()]
     }
 }
 
 /// What is wrong with a request, as an answer that names it. The connection can't be used further.
 #[derive(Debug, PartialEq)]
-pub struct Fault {
+pub struct RequestError {
     pub status: u16,
-    pub why: String,
+    pub reason: String,
 }
 
-fn fault<T>(status: u16, why: &str) -> Result<T, Fault> {
-    Err(Fault { status, why: why.to_string() })
+fn error<T>(status: u16, reason: &str) -> Result<T, RequestError> {
+    Err(RequestError { status, reason: reason.to_string() })
 }
 
 /// The head of the request being read, once it is whole.
-struct Open {
+struct OpenRequest {
     request: Request,
     framing: Framing,
     chunks: ChunkedDecoder,
@@ -79,212 +82,219 @@
 
 /// Collects the bytes of one connection; gives its requests one by one. A request takes one buffer, from its
 /// first byte on: half-sent ones must not cost more than whole ones.
-pub struct Inbox {
+pub struct RequestParser {
     pool: Arc<Pool>,
-    held: Option<Buffer>,
-    open: Option<Open>,
+    buffer: Option<Buffer>,
+    open: Option<OpenRequest>,
     /// Headers that routes look at; none where there are no routes.
-    wanted: Arc<Vec<String>>,
+    routed_headers: Arc<Vec<String>>,
     /// The client waits to be told to go on.
-    waits: bool,
+    continue_wanted: bool,
     /// What came behind the last request, at most as much as is fed at once.
-    ahead: Vec<u8>,
+    pipelined: Vec<u8>,
 }
 
-impl Inbox {
-    pub fn new(pool: Arc<Pool>) -> Inbox {
-        Inbox { pool, held: None, open: None, wanted: Arc::default(), waits: false, ahead: Vec::new() }
+impl RequestParser {
+    pub fn new(pool: Arc<Pool>) -> RequestParser {
+        RequestParser {
+            pool,
+            buffer: None,
+            open: None,
+            routed_headers: Arc::default(),
+            continue_wanted: false,
+            pipelined: Vec::new(),
+        }
     }
 
     /// From the next request on these headers are read too.
-    pub fn want(&mut self, wanted: &Arc<Vec<String>>) {
-        if !Arc::ptr_eq(&self.wanted, wanted) {
-            self.wanted = wanted.clone();
+    pub fn set_routed_headers(&mut self, routed_headers: &Arc<Vec<String>>) {
+        if !Arc::ptr_eq(&self.routed_headers, routed_headers) {
+            self.routed_headers = routed_headers.clone();
         }
     }
 
     /// Nothing of a further request has come.
-    pub fn idle(&self) -> bool {
-        self.open.is_none() && self.held.is_none() && self.ahead.is_empty()
+    pub fn is_idle(&self) -> bool {
+        self.open.is_none() && self.buffer.is_none() && self.pipelined.is_empty()
     }
 
     /// Whether the client waits to be told to go on, once: it has sent a head and holds its body back.
-    pub fn waits(&mut self) -> bool {
-        std::mem::take(&mut self.waits) && self.open.is_some()
+    pub fn take_continue_wanted(&mut self) -> bool {
+        std::mem::take(&mut self.continue_wanted) && self.open.is_some()
     }
 
     /// Takes bytes in, and gives a request as soon as one is whole. Bytes beyond it wait for the next call,
     /// which may be made with none.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Request>, Fault> {
-        if self.ahead.is_empty() {
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Request>, RequestError> {
+        if self.pipelined.is_empty() {
             return self.take(bytes);
         }
-        let mut all = std::mem::take(&mut self.ahead);
+        let mut all = std::mem::take(&mut self.pipelined);
         all.extend_from_slice(bytes);
         self.take(&all)
     }
 
-    fn take(&mut self, bytes: &[u8]) -> Result<Option<Request>, Fault> {
+    fn take(&mut self, bytes: &[u8]) -> Result<Option<Request>, RequestError> {
         if self.open.is_some() {
             return self.body(bytes);
         }
-        if bytes.is_empty() && self.held.is_none() {
+        if bytes.is_empty() && self.buffer.is_none() {
             return Ok(None);
         }
-        let Some(mut held) = self.held.take().or_else(|| self.pool.take()) else {
-            return fault(503, "no buffer free");
+        let Some(mut buffer) = self.buffer.take().or_else(|| self.pool.take()) else {
+            return error(503, "no buffer free");
         };
-        if !held.add(bytes) {
-            return fault(413, "request too large");
+        if !buffer.append(bytes) {
+            return error(413, "request too large");
         }
-        let Some(head) = read_head(&held, &self.wanted)? else {
-            if held.len() > http::MAX_HEAD_BYTES {
-                return fault(431, "head too large");
+        let Some(head) = read_head(&buffer, &self.routed_headers)? else {
+            if buffer.len() > http::MAX_HEAD_BYTES {
+                return error(431, "head too large");
             }
-            self.held = Some(held);
+            self.buffer = Some(buffer);
             return Ok(None);
         };
         // What came behind the head is the body's beginning; it is cut off and fed like the rest.
-        let behind = held.len() - head.end;
-        held.cut(head.end);
-        self.waits = head.waits;
-        self.open = Some(opened(held, head));
-        self.body(&bytes[bytes.len() - behind..])
+        let body_bytes = buffer.len() - head.end;
+        buffer.truncate(head.end);
+        self.continue_wanted = head.continue_wanted;
+        self.open = Some(open_request(buffer, head));
+        self.body(&bytes[bytes.len() - body_bytes..])
     }
 
-    fn body(&mut self, bytes: &[u8]) -> Result<Option<Request>, Fault> {
+    fn body(&mut self, bytes: &[u8]) -> Result<Option<Request>, RequestError> {
         let Some(open) = &mut self.open else { return Ok(None) };
-        let held = &mut open.request.held;
+        let buffer = &mut open.request.buffer;
         let start = open.request.body.start;
         let mut fits = true;
-        let used = match &mut open.framing {
+        let consumed = match &mut open.framing {
             Framing::Length(left) => {
-                let some = bytes.len().min(*left);
-                fits = held.add(&bytes[..some]);
-                *left -= some;
-                some
+                let count = bytes.len().min(*left);
+                fits = buffer.append(&bytes[..count]);
+                *left -= count;
+                count
             }
-            _ => match open.chunks.decode(bytes, |part| fits = fits && held.add(part)) {
-                Ok(used) => used,
-                Err(_) => return fault(400, "chunked body is malformed"),
+            _ => match open.chunks.decode(bytes, |part| fits = fits && buffer.append(part)) {
+                Ok(consumed) => consumed,
+                Err(_) => return error(400, "chunked body is malformed"),
             },
         };
-        if !fits || held.len() - start > http::MAX_BODY_BYTES {
-            return fault(413, "body over 64 KiB");
+        if !fits || buffer.len() - start > http::MAX_BODY_BYTES {
+            return error(413, "body over 64 KiB");
         }
-        if used > 0 {
+        if consumed > 0 {
             // It has begun to send all the same.
-            self.waits = false;
+            self.continue_wanted = false;
         }
         if !(open.framing == Framing::Length(0) || open.chunks.is_done()) {
             return Ok(None);
         }
-        open.request.body = start..open.request.held.len();
-        self.ahead = bytes[used..].to_vec();
+        open.request.body = start..open.request.buffer.len();
+        self.pipelined = bytes[consumed..].to_vec();
         Ok(self.open.take().map(|open| open.request))
     }
 }
 
 /// What a head says, apart from the buffer that holds it.
 struct Head {
-    texts: [Option<String>; 7],
-    wanted: Vec<(String, String)>,
+    values: [Option<String>; 7],
+    routed_headers: Vec<(String, String)>,
     method: String,
     path: String,
     close: bool,
     framing: Framing,
     end: usize,
     /// The client sends the body when it is told to go on.
-    waits: bool,
+    continue_wanted: bool,
 }
 
 /// The headers that a request is read from. Of two of a kind, whoever reads on might act on the other.
-const TEXTS: [&str; 7] = [
+const SINGLE_HEADERS: [&str; 7] = [
     names::CALL_ID,
-    names::MARK,
+    names::IDEMPOTENCY_KEY,
     names::CATEGORY,
     names::BUDGET,
     names::COST,
-    names::FIGURES,
+    names::CALL_INFO,
     "Content-Type",
 ];
 
-fn read_head(bytes: &[u8], wanted: &[String]) -> Result<Option<Head>, Fault> {
+fn read_head(bytes: &[u8], routed_headers: &[String]) -> Result<Option<Head>, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let end = match head.parse(bytes) {
         Ok(httparse::Status::Complete(end)) => end,
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(httparse::Error::TooManyHeaders) => return fault(431, "too many headers"),
-        Err(error) => return fault(400, &format!("request is malformed: {error}")),
+        Err(httparse::Error::TooManyHeaders) => return error(431, "too many headers"),
+        Err(problem) => return error(400, &format!("request is malformed: {problem}")),
     };
     if end > http::MAX_HEAD_BYTES {
-        return fault(431, "head too large");
+        return error(431, "head too large");
     }
     if !http::has_crlf_line_endings(&bytes[..end]) {
-        return fault(400, "request is malformed: a line ends without CR");
+        return error(400, "request is malformed: a line ends without CR");
     }
     let headers = &*head.headers;
-    if let Some(name) = TEXTS.iter().chain(&["Host"]).find(|name| http::is_repeated(headers, name)) {
-        return fault(400, &format!("{name} is given twice"));
+    if let Some(name) = SINGLE_HEADERS.iter().chain(&["Host"]).find(|name| http::is_repeated(headers, name)) {
+        return error(400, &format!("{name} is given twice"));
     }
     // Routes must not be chosen by the first of two while an executor acts on the second.
-    if let Some(name) = wanted.iter().find(|name| http::is_repeated(headers, name)) {
-        return fault(400, &format!("{name} is given twice"));
+    if let Some(name) = routed_headers.iter().find(|name| http::is_repeated(headers, name)) {
+        return error(400, &format!("{name} is given twice"));
     }
     let framing = match body_framing(headers, head.version) {
-        Err(_) => return fault(400, "Content-Length or Transfer-Encoding is malformed"),
+        Err(_) => return error(400, "Content-Length or Transfer-Encoding is malformed"),
         Ok(Some(Framing::Length(bytes))) if bytes > http::MAX_BODY_BYTES => {
-            return fault(413, "body over 64 KiB")
+            return error(413, "body over 64 KiB")
         }
         Ok(framing) => framing.unwrap_or(Framing::Length(0)),
     };
     if head.path.is_none_or(|path| !path.starts_with('/') || !path.bytes().all(|b| b.is_ascii_graphic())) {
-        return fault(400, "path is malformed");
+        return error(400, "path is malformed");
     }
-    let expects = header_value(headers, "Expect");
-    if expects.is_some_and(|expects| !expects.eq_ignore_ascii_case("100-continue")) {
-        return fault(417, "Expect is not met here");
+    let expect = header_value(headers, "Expect");
+    if expect.is_some_and(|expect| !expect.eq_ignore_ascii_case("100-continue")) {
+        return error(417, "Expect is not met here");
     }
     // An older client would take the word to go on for its answer.
-    let waits = expects.is_some() && head.version == Some(1);
+    let continue_wanted = expect.is_some() && head.version == Some(1);
     let text = |name| header_value(headers, name).filter(|text| !text.is_empty()).map(str::to_string);
-    let old = head.version == Some(0);
+    let is_http_1_0 = head.version == Some(0);
     Ok(Some(Head {
-        texts: TEXTS.map(text),
-        wanted: wanted
+        values: SINGLE_HEADERS.map(text),
+        routed_headers: routed_headers
             .iter()
             .filter_map(|name| Some((name.clone(), header_value(headers, name)?.to_string())))
             .collect(),
         method: head.method.unwrap_or_default().to_string(),
         path: head.path.unwrap_or_default().to_string(),
         close: has_token(headers, "Connection", "close")
-            || (old && !has_token(headers, "Connection", "keep-alive")),
+            || (is_http_1_0 && !has_token(headers, "Connection", "keep-alive")),
         framing,
         end,
-        waits,
+        continue_wanted,
     }))
 }
 
-fn opened(held: Buffer, head: Head) -> Open {
-    let [id, mark, category, budget, cost, figures, content_type] = head.texts;
+fn open_request(buffer: Buffer, head: Head) -> OpenRequest {
+    let [id, idempotency_key, category, budget, cost, call_info, content_type] = head.values;
     let (method, path, close, body) = (head.method, head.path, head.close, head.end..head.end);
-    let wanted = head.wanted;
-    Open {
+    let routed_headers = head.routed_headers;
+    OpenRequest {
         request: Request {
             method,
             path,
             id,
-            mark,
+            idempotency_key,
             category,
             budget,
             cost,
-            figures,
+            call_info,
             content_type,
-            wanted,
+            routed_headers,
             close,
-            entry: None,
-            held,
+            id_guard: None,
+            buffer,
             body,
         },
         framing: head.framing,
@@ -293,7 +303,7 @@
 }
 
 /// Tells a client that waits for it to send its body.
-pub const GO_ON: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// The head of an answer. `come_back` is in tenths of a millisecond, zero for no advice.
 pub fn answer_head(status: u16, length: usize, come_back: i64, close: bool) -> String {
--- a/crates/node/src/wire/discovery.rs
+++ b/crates/node/src/wire/discovery.rs
@@ -8,10 +8,10 @@
 
 /// A list of executors, whole or changes only.
 #[derive(Clone, Debug, Deserialize)]
-pub struct List {
+pub struct EndpointList {
     pub index: i64,
     #[serde(rename = "snapshot")]
-    pub whole: bool,
+    pub is_snapshot: bool,
     pub endpoints: Vec<Endpoint>,
 }
 
@@ -35,38 +35,40 @@
 
 impl Endpoint {
     /// Whether it takes new work; a status that is not known is no leave to send.
-    pub fn active(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         self.status == names::ACTIVE
     }
 }
 
-impl From<&List> for interfaces::List {
-    fn from(list: &List) -> interfaces::List {
+impl From<&EndpointList> for interfaces::ExecutorList {
+    fn from(list: &EndpointList) -> interfaces::ExecutorList {
         let entry = |endpoint: &Endpoint| {
             let address = endpoint.address.parse().ok();
-            interfaces::Entry {
+            interfaces::ExecutorEntry {
                 name: endpoint.name.clone(),
                 address,
                 domain: endpoint.zone.clone(),
                 kind: endpoint.kind.clone(),
                 cell: endpoint.cell,
-                listed: endpoint.status != names::GONE,
-                active: endpoint.active() && address.is_some(),
+                listed: endpoint.status != names::REMOVED,
+                active: endpoint.is_active() && address.is_some(),
                 weight: endpoint.weight,
                 started: (endpoint.since_ms > 0).then(|| endpoint.since_ms * 10),
             }
         };
-        interfaces::List {
+        interfaces::ExecutorList {
             index: list.index,
-            whole: list.whole,
+            is_snapshot: list.is_snapshot,
             entries: list.endpoints.iter().map(entry).collect(),
         }
     }
 }
 
 /// Asks for the whole list, or for what is newer than a version, waiting so long for it.
-pub fn ask(host: &str, newer: Option<(i64, u64)>) -> String {
-    let query = newer.map(|(than, wait)| format!("?since={than}&timeout_ms={wait}")).unwrap_or_default();
+pub fn request(host: &str, known_version: Option<(i64, u64)>) -> String {
+    let query = known_version
+        .map(|(version, wait_ms)| format!("?since={version}&timeout_ms={wait_ms}"))
+        .unwrap_or_default();
     format!("GET {}{query} HTTP/1.1\r\nHost: {host}\r\n\r\n", names::TARGETS)
 }
 
@@ -82,7 +84,7 @@
 }
 
 /// Reads an answer of discovery.
-pub fn read(answer: &Response) -> Result<List, ListError> {
+pub fn read(answer: &Response) -> Result<EndpointList, ListError> {
     if answer.status != 200 {
         return Err(ListError::Status(answer.status));
     }
--- a/crates/node/src/wire/job_status.rs
+++ b/crates/node/src/wire/job_status.rs
@@ -8,7 +8,7 @@
 
 /// What one line says.
 #[derive(Debug, PartialEq)]
-pub enum Word {
+pub enum StatusLine {
     Started,
     /// With the share of the job that is done, from 0 to 1; zero where that is not told, or is no share.
     Running(f64),
@@ -19,11 +19,11 @@
     Lost,
     /// A state that this node does not know; it changes nothing.
     Unknown,
-    Garbled,
+    Malformed,
 }
 
 #[derive(Deserialize)]
-struct Line<'a> {
+struct StatusFields<'a> {
     #[serde(borrow)]
     id: Option<Cow<'a, str>>,
     #[serde(borrow)]
@@ -37,46 +37,48 @@
 }
 
 /// Reads a line of the job `id`. A result with escapes is written back in their place: it is never longer.
-pub fn read(bytes: &mut [u8], id: &str, gauges: &[String]) -> (Word, Option<Vec<f64>>) {
+pub fn parse_line(bytes: &mut [u8], id: &str, gauges: &[String]) -> (StatusLine, Option<Vec<f64>>) {
     let trimmed = bytes.trim_ascii();
     if trimmed.is_empty() {
-        return (Word::Unknown, None);
+        return (StatusLine::Unknown, None);
     }
-    let Ok(line) = serde_json::from_slice::<Line>(trimmed) else {
-        return (Word::Garbled, None);
+    let Ok(line) = serde_json::from_slice::<StatusFields>(trimmed) else {
+        return (StatusLine::Malformed, None);
     };
     // The line of another job would answer one client with what was made for another.
-    if line.id.as_ref().is_some_and(|told| told != id) {
-        return (Word::Garbled, None);
+    if line.id.as_ref().is_some_and(|value| value != id) {
+        return (StatusLine::Malformed, None);
     }
     let load = line.load.as_ref().and_then(|load| {
-        in_order(gauges, |gauge| load.iter().find(|(name, _)| names::is_gauge(name, gauge)).map(|(_, v)| *v))
+        values_in_order(gauges, |gauge| {
+            load.iter().find(|(name, _)| names::is_gauge(name, gauge)).map(|(_, v)| *v)
+        })
     });
-    let word = match line.state.as_ref() {
-        names::JOB_STARTED => Word::Started,
-        names::JOB_RUNNING => Word::Running(share_of(line.share.as_ref())),
-        names::JOB_FAILED => Word::Failed,
-        names::JOB_RETURNED => Word::Returned,
-        names::JOB_LOST => Word::Lost,
+    let status = match line.state.as_ref() {
+        names::JOB_STARTED => StatusLine::Started,
+        names::JOB_RUNNING => StatusLine::Running(parse_share(line.share.as_ref())),
+        names::JOB_FAILED => StatusLine::Failed,
+        names::JOB_RETURNED => StatusLine::Returned,
+        names::JOB_LOST => StatusLine::Lost,
         names::JOB_DONE => match line.result {
             // An answer that no executor made must not be given.
-            None => Word::Garbled,
+            None => StatusLine::Malformed,
             Some(Cow::Borrowed(text)) => {
                 let start = text.as_ptr() as usize - bytes.as_ptr() as usize;
-                Word::Done(start..start + text.len())
+                StatusLine::Done(start..start + text.len())
             }
             Some(Cow::Owned(text)) => {
                 bytes[..text.len()].copy_from_slice(text.as_bytes());
-                Word::Done(0..text.len())
+                StatusLine::Done(0..text.len())
             }
         },
-        _ => Word::Unknown,
+        _ => StatusLine::Unknown,
     };
-    (word, load)
+    (status, load)
 }
 
-fn share_of(told: Option<&serde_json::Value>) -> f64 {
-    told.and_then(serde_json::Value::as_f64).filter(|share| (0.0..=1.0).contains(share)).unwrap_or(0.0)
+fn parse_share(value: Option<&serde_json::Value>) -> f64 {
+    value.and_then(serde_json::Value::as_f64).filter(|share| (0.0..=1.0).contains(share)).unwrap_or(0.0)
 }
 
 /// Reads the text form of a load report: `TEXT inflight=7, queue=2`.
@@ -87,11 +89,11 @@
         let (_, value) = pairs.find(|(name, _)| names::is_gauge(name.trim(), gauge))?;
         value.trim().parse().ok()
     };
-    in_order(gauges, value)
+    values_in_order(gauges, value)
 }
 
 /// The values in the order of the settings; a report that lacks one is no report.
-fn in_order(gauges: &[String], value: impl Fn(&str) -> Option<f64>) -> Option<Vec<f64>> {
+fn values_in_order(gauges: &[String], value: impl Fn(&str) -> Option<f64>) -> Option<Vec<f64>> {
     let values: Option<Vec<f64>> = gauges.iter().map(|g| value(g).filter(|v| v.is_finite())).collect();
     values.filter(|values| !values.is_empty())
 }
--- a/crates/node/src/wire/names.rs
+++ b/crates/node/src/wire/names.rs
@@ -2,11 +2,11 @@
 
 pub const READY: &str = "/-/ready";
 pub const HEALTHY: &str = "/-/healthy";
-pub const OPERATORS_READY: &str = "/ready";
-pub const OPERATORS_FIGURES: &str = "/metrics";
-pub const OPERATORS_MEMBERS: &str = "/members";
-pub const OPERATORS_DISABLE: &str = "/executors/disable/";
-pub const OPERATORS_ENABLE: &str = "/executors/enable/";
+pub const ADMIN_READY: &str = "/ready";
+pub const ADMIN_METRICS: &str = "/metrics";
+pub const ADMIN_MEMBERS: &str = "/members";
+pub const ADMIN_DISABLE: &str = "/executors/disable/";
+pub const ADMIN_ENABLE: &str = "/executors/enable/";
 pub const PUT: &str = "PUT";
 pub const GET: &str = "GET";
 pub const TARGETS: &str = "/api/targets";
@@ -15,9 +15,9 @@
 pub const CATEGORY: &str = "X-Call-Class";
 pub const BUDGET: &str = "X-Budget-Ms";
 pub const COST: &str = "X-Call-Cost";
-pub const FIGURES: &str = "X-Call-Info";
-pub const MARK: &str = "Idempotency-Key";
-pub const NEVER_RAN: &str = "X-Rejected";
+pub const CALL_INFO: &str = "X-Call-Info";
+pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
+pub const REJECTED_UNSTARTED: &str = "X-Rejected";
 pub const LOAD: &str = "X-Load-Report";
 
 pub const SLOTS: &str = "slots";
@@ -31,10 +31,10 @@
 pub const JOB_LOST: &str = "lost";
 
 pub const ACTIVE: &str = "Ready";
-pub const GONE: &str = "Gone";
+pub const REMOVED: &str = "Gone";
 
 /// What load reports call a gauge, and what the settings call it.
-const GAUGES: [(&str, &str); 7] = [
+const GAUGE_ALIASES: [(&str, &str); 7] = [
     ("inflight", "rif"),
     ("queue", "q"),
     ("util", "busy"),
@@ -47,5 +47,5 @@
 /// Whether a load report's `name` is the gauge that the settings call `gauge`.
 pub fn is_gauge(name: &str, gauge: &str) -> bool {
     let name = name.strip_prefix("named_metrics.").unwrap_or(name);
-    name == gauge || GAUGES.contains(&(name, gauge))
+    name == gauge || GAUGE_ALIASES.contains(&(name, gauge))
 }
