--- a/crates/node/src/dispatch_loop/admission_queue.rs
+++ b/crates/node/src/dispatch_loop/admission_queue.rs
@@ -1,4 +1,5 @@
-//! Ops that wait for a place in hand: they are taken, and not yet asked of the module.
+//! Ops that have been received but wait for a free concurrency slot of their route. The dispatcher has not seen
+//! them yet.
 
 use crate::interfaces::{Job, JobParameters, PendingReply};
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -19,8 +20,9 @@
 pub struct AdmissionQueue {
     ops: HashMap<u64, QueuedOp>,
     due: BTreeSet<(Time, u64)>,
-    /// Who has a place now, and is to be asked of the module next. Not at once: one that is nacked leaves its place
-    /// to the next, and so on without end.
+    /// Tickets that now hold a concurrency slot and will be passed to the dispatcher next. They are queued
+    /// instead of being started at once, because a nacked op frees its slot for the next one, which would
+    /// recurse without bound.
     pub admitted: VecDeque<u64>,
 }
 
@@ -44,7 +46,7 @@
         self.due.first().map(|(at, _)| *at)
     }
 
-    /// The next whose wait is over by now.
+    /// The next op whose queueing deadline has passed.
     pub fn due(&self, now: Time) -> Option<u64> {
         self.due.first().filter(|(at, _)| *at <= now).map(|(_, ticket)| *ticket)
     }
--- a/crates/node/src/dispatch_loop/in_flight.rs
+++ b/crates/node/src/dispatch_loop/in_flight.rs
@@ -1,4 +1,4 @@
-//! The ops in hand, and when to look at which of them again.
+//! The ops in flight and their timers.
 
 use crate::interfaces::{Job, PendingReply, PushHandle};
 use std::collections::{BTreeSet, HashMap};
@@ -9,27 +9,27 @@
 /// One op, from its request to the outcome of its last push.
 pub struct InFlightOp {
     pub op: Op,
-    /// The client, until it has its answer or is gone.
+    /// The channel to the client; `None` once the client has its response or has disconnected.
     pub reply: Option<PendingReply>,
     pub job: Arc<dyn Job>,
-    /// Its pushes by number.
+    /// The pushes of the op, indexed by push number.
     pub pushes: Vec<SentPush>,
-    /// What routes let it do, where there are routes.
+    /// What the op's route permits; `None` if no routes are configured.
     pub pass: Option<Box<Pass>>,
     pub received_at: Time,
 }
 
-/// One push: its connection while it is sent, and as what it counts when it was given up.
+/// One push: the handle of its connection while it is open, and the outcome to record if it was abandoned.
 pub struct SentPush {
     pub handle: Option<Arc<dyn PushHandle>>,
     pub abandoned_as: Option<Outcome>,
-    /// Its executor was taken sent by hand; it was kept back if nothing of it was written.
+    /// The executor was disabled by an operator; the push was withheld if none of its bytes had been written.
     pub withheld: bool,
     pub sent_at: Time,
 }
 
 impl InFlightOp {
-    /// Gives a push up by ending its connection; its outcome follows from the connection's thread.
+    /// Abandons a push by closing its connection. The connection's thread then reports the outcome.
     pub fn abandon(&mut self, push: usize, counts_as: Outcome) {
         if let Some(sent) = self.pushes.get_mut(push).filter(|sent| sent.abandoned_as.is_none()) {
             sent.abandoned_as = Some(counts_as);
@@ -39,14 +39,15 @@
         }
     }
 
-    /// Before the module is asked what is next: whether retry budgets leave a further push.
+    /// Updates whether the retry budget permits another push. Called before the dispatcher is asked for the
+    /// next step.
     pub fn update_retry_budget(&mut self, now: Time) {
         if let Some(pass) = &self.pass {
             self.op.limits.over_budget = pass.over_budget(now);
         }
     }
 
-    /// Its client has its answer, or is gone: nothing new may leave for it.
+    /// Withholds all unsent pushes of the op: its client has its response or has disconnected.
     pub fn withhold_unsent(&self) {
         self.pushes
             .iter()
@@ -54,7 +55,7 @@
             .for_each(|handle| handle.withhold_unsent());
     }
 
-    /// Something may still be sent or given up for it.
+    /// Whether a push of this op is still open and has not been abandoned.
     pub fn has_open_push(&self) -> bool {
         self.pushes.iter().any(|sent| sent.handle.is_some() && sent.abandoned_as.is_none())
     }
@@ -72,7 +73,7 @@
         self.ops.is_empty()
     }
 
-    /// Takes an op sent of hand, with its timer.
+    /// Removes an op and its timer.
     pub fn take(&mut self, ticket: u64) -> Option<InFlightOp> {
         if let Some(old) = self.next_checks.remove(&ticket) {
             self.due.remove(&(old, ticket));
@@ -80,7 +81,7 @@
         self.ops.remove(&ticket)
     }
 
-    /// Puts it back, to be looked at again then.
+    /// Stores an op and sets the time of its next check.
     pub fn put(&mut self, ticket: u64, in_flight: InFlightOp, next_check: Option<Time>) {
         if let Some(next_check) = next_check {
             self.next_checks.insert(ticket, next_check);
@@ -93,7 +94,7 @@
         self.ops.get_mut(&ticket)
     }
 
-    /// Keeps back what is on its way to this executor and has not begun to leave.
+    /// Withholds all pushes to this executor of which no byte has been written.
     pub fn withhold_unsent_to(&mut self, executor: usize) {
         for in_flight in self.ops.values_mut() {
             for (push, sent) in in_flight.op.pushes.iter().zip(&mut in_flight.pushes) {
@@ -111,7 +112,7 @@
         tickets
     }
 
-    /// The next that is due by now.
+    /// The next op whose check time has passed.
     pub fn due(&self, now: Time) -> Option<u64> {
         self.due.first().filter(|(at, _)| *at <= now).map(|(_, ticket)| *ticket)
     }
--- a/crates/node/src/dispatch_loop/mod.rs
+++ b/crates/node/src/dispatch_loop/mod.rs
@@ -1,5 +1,6 @@
-//! The desk: the one thread that owns the dispatcher, the ops and their timers. It turns what it is told
-//! into calls of the module, carries out what these give retry_after, and never waits on a socket.
+//! The dispatch loop: the single thread that owns the dispatcher, the ops and their timers. It translates
+//! events into calls of the dispatcher, carries out the steps that the dispatcher returns, and never blocks on
+//! a socket.
 
 mod admission_queue;
 mod in_flight;
@@ -27,7 +28,8 @@
 use stileroute_route_limits::pattern::Request as RouteRequest;
 use stileroute_route_limits::table::Table;
 
-/// The desk's clock: Unix time at the start, and from then on a clock that is never set.
+/// The clock of the dispatch loop: Unix time at the start, advanced by a monotonic clock, so that later changes
+/// of the system time have no effect.
 struct Clock {
     start: Instant,
     unix: Time,
@@ -52,34 +54,36 @@
     }
 }
 
-/// The end that was asked for: when, and until when all must be answered.
+/// A shutdown in progress, with the time by which all ops must be answered.
 struct ShutdownPlan {
     deadline: Time,
-    /// When clients are steered off, and when it may leave.
+    /// When client connections are closed, and the earliest time at which the process may exit.
     close_connections_at: Time,
     earliest_exit: Time,
 }
 
-/// After the signal, clients that are connected are served as ever for so long: where the node that would take
-/// them is being restarted too, a connection closed early leaves them with nobody. The clients sends no new ones
-/// before long, for the node is no longer ready. Then they are steered off, and what is in hand is finished.
+/// After the shutdown signal, connected clients are served normally for this long (1.5 s): if the node that
+/// would take them over is restarting too, closing their connections early leaves them with no node. The load
+/// balancer soon stops sending new clients, because the node no longer reports ready. After this delay the
+/// connections are closed and the ops in flight are finished.
 const CONNECTION_CLOSE_DELAY: Time = SECOND * 3 / 2;
-/// From then on a request may cross the end of its connection; its client needs a moment to see that.
+/// Time (250 ms) between closing client connections and the exit: a request may arrive while its connection is
+/// being closed, and the client needs a moment to notice.
 const EXIT_DELAY: Time = SECOND / 4;
-/// Where a successor takes clients already they are steered to it at once, and it may leave when each connection that
-/// it had just accepted has shown what it wants.
+/// Extra time before the exit if a successor process already accepts clients. Connections are then closed at
+/// once, but one that was just accepted needs this time to send its first request.
 const SUCCESSOR_EXIT_DELAY: Time = SECOND / 2;
-/// What is left of the grace for answers to be written.
+/// Part of the shutdown grace period that is reserved for writing responses.
 const FINAL_WRITE_TIME: Time = SECOND / 4;
 
-/// What the desk knows of an executor that was ever listed.
+/// The state of an executor that was ever listed.
 #[derive(Clone, Default)]
 struct ExecutorState {
     address: Option<SocketAddr>,
     listed: bool,
-    /// Listed as taking work.
+    /// The executor list marks it as accepting work.
     active: bool,
-    /// Taken out by hand.
+    /// Disabled by an operator.
     is_disabled: bool,
 }
 
@@ -89,13 +93,13 @@
     }
 }
 
-/// Where operators have an address: what they want, and what they read.
+/// The channels and data that the dispatch loop shares with the admin server.
 pub struct AdminHandle {
     pub commands: Receiver<AdminCommand>,
     pub metrics: Arc<Metrics>,
-    /// Whom they took out.
+    /// The executors that operators have disabled.
     pub disabled_set: DisabledSet,
-    /// Takes what is learned, for a successor.
+    /// Receives snapshots of the learned executor state, for a successor process.
     pub learned_tx: Option<Sender<Memory>>,
 }
 
@@ -105,7 +109,7 @@
     ops: InFlightOps,
     transport: Box<dyn ExecutorTransport>,
     clients: Arc<dyn ClientFrontend>,
-    /// The longest come-retry_after time that clients heed.
+    /// The longest retry-after time that clients respect, in ticks of 100 µs.
     come_back: Time,
     executor_names: NameIndex,
     domains: NameIndex,
@@ -117,10 +121,11 @@
     next_upkeep: Time,
     shutdown_grace: Time,
     shutdown: Option<ShutdownPlan>,
-    /// Routes, where the operators have any, and ops that wait for a place of theirs.
+    /// The route limits, if routes are configured, and the ops that wait for a concurrency slot.
     gate: Option<Gate>,
     queue: AdmissionQueue,
-    /// Messages to other nodes, bad ones among theirs so far as logged, and when that may be logged again.
+    /// Messages to other nodes; the number of invalid messages as last logged, and the earliest time for the
+    /// next such log line.
     peers: Option<Box<dyn PeerTransport>>,
     logged_bad_messages: (u64, Time),
     tenants: Vec<String>,
@@ -166,13 +171,13 @@
         dispatch_loop
     }
 
-    /// Takes over what the process before has learned.
+    /// Restores the executor state that the previous process has learned.
     pub fn restore(&mut self, memory: Memory) {
         log_info!("takes over what was learned of {} executors", memory.executors.len());
         self.dispatcher.recall(self.clock.now(), memory);
     }
 
-    /// Serves until the end that was asked for.
+    /// Runs until the node has shut down.
     pub fn run(&mut self, events: &Receiver<Event>) {
         loop {
             let due = [self.ops.next_due(), self.queue.next_due()].into_iter().flatten().min();
@@ -182,7 +187,8 @@
                 Ok(None) | Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            // What has piled up goes first: a timer must not act on older news than has come.
+            // Pending events are handled before timers: a timer must not act on state that is older than the
+            // events received.
             while let Ok(event) = events.try_recv() {
                 self.handle(event);
                 self.run_admin_commands();
@@ -195,7 +201,7 @@
         }
     }
 
-    /// Waits for the next event; an order is carried out at once, and then there may be none.
+    /// Waits for the next event. An admin command is run at once and returned as `None`.
     fn wait_for_event(
         &mut self,
         events: &Receiver<Event>,
@@ -214,7 +220,8 @@
         }
     }
 
-    /// Operators don't wait behind a thousand events.
+    /// Runs pending admin commands. Called after each event, so that operators do not wait behind a thousand
+    /// events.
     fn run_admin_commands(&mut self) {
         while let Some(command) = self.admin.as_ref().and_then(|admin| admin.commands.try_recv().ok()) {
             self.run_admin_command(command);
@@ -234,9 +241,9 @@
         }
     }
 
-    /// Exactly these are out by hand. When this returns nothing new leaves for one of them.
+    /// Makes this the set of disabled executors. When it returns, no new push starts for any of them.
     fn apply_disabled_set(&mut self, disabled_set: DisabledSet) {
-        // Two calls at once may come here in the other order.
+        // Two concurrent admin requests may deliver their sets out of order; the older number is ignored.
         let Some(admin) =
             self.admin.as_mut().filter(|admin| disabled_set.number >= admin.disabled_set.number)
         else {
@@ -286,7 +293,7 @@
             }
             Event::PeerMessage { from, text } => self.dispatcher.heard(now, from, &text),
             Event::ConnectionReleased { number, is_reusable } => {
-                // It may have carried a task when its executor left the list.
+                // The executor may have been removed from the list while the connection carried its push.
                 let executor = self.transport.release(number, is_reusable);
                 if let Some(executor) = executor.filter(|executor| !self.executors[*executor].accepts_work())
                 {
@@ -295,7 +302,8 @@
             }
             Event::ExecutorList { list, is_first_from_address } => {
                 if is_first_from_address {
-                    // Whatever its version is: those of another address can't be compared with it.
+                    // List versions of different discovery addresses cannot be compared, so the last known
+                    // version is reset.
                     self.list_version = -1;
                 }
                 self.update_executors(now, &list);
@@ -355,7 +363,7 @@
         }
     }
 
-    /// An op that has no place, and never will have: nothing of it was pushed.
+    /// Rejects an op that got no concurrency slot. Nothing of it was pushed.
     fn reject(&self, ticket: u64, job: &dyn Job, reply: PendingReply, received_at: Time, retry_after: Time) {
         let come_back = retry_after.min(self.come_back);
         let now = self.clock.now();
@@ -366,7 +374,7 @@
         reply.send(OpOutcome::Nacked { why: "nacked: no place in hand", come_back }, until);
     }
 
-    /// Ops that have a place now are asked of the module; those whose wait is over are turned away.
+    /// Starts the queued ops that now hold a concurrency slot, and rejects those whose queueing time is over.
     fn admit(&mut self) {
         let now = self.clock.now();
         while let Some(ticket) = self.queue.due(now) {
@@ -384,12 +392,12 @@
         }
     }
 
-    /// An op's place is free.
+    /// Releases the concurrency slot of an op.
     fn release_slot(&mut self, now: Time, ticket: u64, pass: &mut Pass) {
         self.queue.admitted.extend(pass.leave(now, ticket));
     }
 
-    /// Opens an op at the module.
+    /// Passes an op to the dispatcher.
     #[allow(clippy::too_many_arguments)]
     fn start_op(
         &mut self,
@@ -406,14 +414,14 @@
             deadline = deadline.min(received_at.saturating_add(pass.op));
         }
         if let Some(shutdown) = &self.shutdown {
-            // Whether that is still enough for it is the module's to judge.
+            // The dispatcher decides whether the remaining time is enough.
             deadline = deadline.min(shutdown.deadline);
         }
         let JobParameters { category, slots, memory, hint, .. } = *parameters;
         let limits = pass.as_ref().map_or_else(Limits::default, |pass| pass.limits);
         let tenant_header = self.gate.as_ref().and_then(|gate| gate.table().tenant_header.as_deref());
         let tenant = tenant_header.and_then(|name| job.header(name));
-        // Whose tenant is not among those of the settings has no share to be held to.
+        // A tenant that is not in the settings has no quota share.
         let tenant = self.tenants.iter().position(|name| Some(name.as_str()) == tenant).unwrap_or(usize::MAX);
         let path_key =
             job.path().rsplit('/').next().filter(|path_key| self.set_up_by_path && !path_key.is_empty());
@@ -439,8 +447,9 @@
         let (abandoned_as, withheld) = (sent_push.abandoned_as, sent_push.withheld);
         let (outcome, client_outcome) = match push_outcome {
             PushOutcome::Done(result) => (Outcome::Acked, Some(OpOutcome::Acked(result))),
-            // Its client is told what is wrong with it. Sent on, it would be held against one executor after
-            // another, and a few bad clients would empty the fleet.
+            // The client receives the executor's error status. Retrying such an op would count as a failure of
+            // one executor after another, so that a few faulty clients could make the whole fleet look
+            // unhealthy.
             PushOutcome::Rejected(status) => {
                 let executor = in_flight.op.pushes[push].executor;
                 log_info!("executor {executor}: refused an op for what it is: status {status}");
@@ -448,21 +457,22 @@
             }
             PushOutcome::Failed => (Outcome::Error, None),
             PushOutcome::Returned => (Outcome::Full, None),
-            // It never left, for its executor was taken out: that is the fault of nobody.
+            // The push was not sent because its executor was disabled; this is no failure of the executor.
             PushOutcome::NotSent | PushOutcome::NotConnected if withheld => (Outcome::Withheld, None),
             PushOutcome::NotSent => (Outcome::Moot, None),
-            // Given up before its last byte was written: that is no fault of the executor.
+            // The push was abandoned before its last byte was written; this is no failure of the executor.
             PushOutcome::NotConnected | PushOutcome::WriteFailed { .. } if abandoned_as.is_some() => {
                 (Outcome::Moot, None)
             }
-            // That an idle connection has just ended tells nothing of its executor.
+            // An idle connection that has just been closed says nothing about the health of its executor.
             PushOutcome::WriteFailed { used } => (if used { Outcome::Moot } else { Outcome::Cut }, None),
             PushOutcome::NotConnected => (Outcome::NotConnected, None),
             PushOutcome::Lost => (abandoned_as.unwrap_or(Outcome::Reset), None),
             PushOutcome::StaleConnection => (abandoned_as.unwrap_or(Outcome::Broken), None),
         };
         if matches!(outcome, Outcome::NotConnected | Outcome::Broken) {
-            // What is idle there may be as dead, and silent: a push on it could not be told from one that ran.
+            // Other idle connections to this executor may be dead too. A push on a dead connection gives no
+            // error, so it could not be told from one that ran.
             self.transport.close_idle(in_flight.op.pushes[push].executor, "suspect");
         }
         if let Some(pass) = in_flight.pass.as_ref().filter(|_| outcome == Outcome::Acked) {
@@ -470,14 +480,15 @@
         }
         in_flight.update_retry_budget(now);
         let step = self.dispatcher.settle(now, &mut in_flight.op, push, outcome, &load.unwrap_or_default());
-        // Only what is final uses up the client's answer: a called-off push must leave it to the next.
+        // Only a final outcome is sent to the client. After a cancelled push the reply channel stays open for
+        // the next push.
         if let Some(outcome) = client_outcome {
             self.reply(&mut in_flight, outcome);
         }
         self.run_steps(now, ticket, in_flight, step);
     }
 
-    /// Carries out steps until there is nothing left to do for the op now, and keeps it.
+    /// Carries out steps of the dispatcher until the op has to wait, then stores it.
     fn run_steps(&mut self, now: Time, ticket: u64, mut in_flight: InFlightOp, mut step: Step) {
         loop {
             match step {
@@ -516,7 +527,7 @@
         self.store_or_finish(now, ticket, in_flight);
     }
 
-    /// Tells what became of an op that was not acked.
+    /// Logs the outcome of an op that was not acked.
     fn log_outcome(&self, now: Time, in_flight: &InFlightOp, code: &'static str, come_back: Time) {
         let last = in_flight.op.pushes.last().map(|push| push.executor);
         log_info!(op {
@@ -531,14 +542,14 @@
         } "op {code}");
     }
 
-    /// Gives the client its answer, if it still waits for one.
+    /// Sends the client its response if it still waits for one.
     fn reply(&self, in_flight: &mut InFlightOp, outcome: OpOutcome) {
         if let Some(reply) = in_flight.reply.take() {
             reply.send(outcome, self.clock.instant(in_flight.op.deadline));
         }
     }
 
-    /// Puts the op retry_after in hand and notes when to look again, or lets go of it.
+    /// Stores the op with the time of its next check, or drops it if it is finished.
     fn store_or_finish(&mut self, now: Time, ticket: u64, mut in_flight: InFlightOp) {
         if in_flight.op.closed && !in_flight.op.out() {
             if let Some(pass) = &mut in_flight.pass {
@@ -548,7 +559,7 @@
         }
         let next_check = if in_flight.op.closed {
             in_flight.withhold_unsent();
-            // A push that goes on after the answer may do so until the op's time is out.
+            // A push that continues after the response may run until the op's deadline.
             in_flight.has_open_push().then_some(in_flight.op.deadline)
         } else {
             Some(self.dispatcher.wait(now, &in_flight.op).min(in_flight.op.deadline))
@@ -556,7 +567,7 @@
         self.ops.put(ticket, in_flight, next_check.map(|next_check| next_check.max(now + 1)));
     }
 
-    /// Sends a push out; none where this node has no room for it.
+    /// Starts a push. Returns `None` if this node has no connection available for it.
     fn send_push(
         &mut self,
         ticket: u64,
@@ -572,9 +583,10 @@
             push,
             job: in_flight.job.clone(),
             hold_last_byte: effect != Effect::Redeliverable,
-            // A connection that ended while it was idle, or leads to a machine that has vanished, swallows what is
-            // written to it, and nothing tells whether that ran. An op that may be pushed only once goes on a new
-            // one, which takes some round trips and shows that someone is there; where it fails, the op never ran.
+            // A connection that was closed while idle, or leads to a lost machine, accepts bytes without an
+            // error, and it stays unknown whether the op ran. An op that may be pushed only once therefore uses
+            // a new connection. This costs a few round trips but proves that the executor is reachable; if
+            // connecting fails, the op has not run.
             new_connection: effect == Effect::AtMostOnce,
             deadline: self.clock.instant(in_flight.op.deadline),
             write_deadline: self.clock.instant(in_flight.op.leave_by(effect)),
@@ -584,7 +596,8 @@
     }
 
     fn update_executors(&mut self, now: Time, list: &ExecutorList) {
-        // An older version says less than what is known; equal ones only tell that the watch goes on.
+        // An older list version holds less than what is already known; an equal version only shows that the
+        // watch is alive.
         let is_news = list.index >= self.list_version && (list.is_snapshot || !list.entries.is_empty());
         self.list_version = self.list_version.max(list.index);
         if !is_news {
@@ -625,7 +638,7 @@
             }
         }
         self.dispatcher.list(now, list.is_snapshot, &lines);
-        // Who is out by hand stays out, under whatever address it has come retry_after.
+        // An executor that an operator disabled stays disabled, even if it returns with another address.
         for line in lines.iter().filter(|line| self.executors[line.executor].is_disabled) {
             self.dispatcher.disable(now, line.executor, true);
         }
@@ -635,7 +648,7 @@
         }
     }
 
-    /// What operators read of the executors.
+    /// Updates the metrics about executors.
     fn publish_metrics(&self, now: Time) {
         let Some(AdminHandle { metrics, .. }) = &self.admin else { return };
         let listed = self.executors.iter().enumerate().filter(|(_, executor_state)| executor_state.listed);
@@ -644,7 +657,7 @@
         metrics.avoided.store(avoided.count(), Ordering::Relaxed);
     }
 
-    /// Whatever has come due.
+    /// Runs the timers and the periodic work that are due.
     fn run_due_work(&mut self) {
         let now = self.clock.now();
         while let Some(ticket) = self.ops.due(now) {
@@ -688,7 +701,7 @@
         }
     }
 
-    /// The end was asked for: steer clients off, and see to it that all is answered in time.
+    /// Starts the shutdown: schedules the closing of client connections and limits the deadlines of all ops.
     fn begin_shutdown(&mut self, now: Time) {
         if self.shutdown.is_some() {
             return;
@@ -719,7 +732,7 @@
         }
     }
 
-    /// All is answered and written, and no more can come.
+    /// Whether all responses are written and no more requests can arrive.
     fn is_finished(&self) -> bool {
         let Some(shutdown) = &self.shutdown else { return false };
         let now = self.clock.now();
--- a/crates/node/src/interfaces.rs
+++ b/crates/node/src/interfaces.rs
@@ -1,6 +1,7 @@
-//! What stands between the desk and the protocols: jobs, pushes, how they end, answers, list entries, in no protocol's
-//! words. A front is where ops come from, an outlet where pushes go; the desk holds both without knowing which
-//! protocol they speak, and they know the desk only by its events.
+//! The protocol-independent interfaces between the dispatch loop and the network: jobs, pushes, their outcomes,
+//! replies and executor list entries. Ops come from a client frontend and pushes go to an executor transport.
+//! The dispatch loop uses both without knowing their protocol, and they reach the dispatch loop only through
+//! its events.
 
 use crate::state::buffer_pool::Bytes;
 use crate::state::disabled_executors::DisabledSet;
@@ -12,24 +13,24 @@
 use stileroute_dispatch::types::{Letter, Time};
 use stileroute_route_limits::table::Table;
 
-/// What a client hands in. Whatever an outlet needs of it to speak its own protocol, it asks for here.
+/// A job submitted by a client, with everything that an executor transport needs to encode it.
 pub trait Job: Send + Sync {
     fn id(&self) -> &str;
-    /// Name of the category.
+    /// The name of the job's category.
     fn category(&self) -> &str;
-    /// The mark by which a repeat is known.
+    /// The idempotency key by which a repeated request is recognized.
     fn idempotency_key(&self) -> Option<&str>;
     fn method(&self) -> &str;
     fn path(&self) -> &str;
-    /// A guess at the work, in microseconds, as the client wrote it.
+    /// The client's estimate of the work in microseconds, as the client wrote it.
     fn cost(&self) -> Option<&str>;
     fn content_type(&self) -> Option<&str>;
-    /// A header that routes look at, by its name in lower case.
+    /// A header that routes match on, by its lower-case name.
     fn header(&self, name: &str) -> Option<&str>;
     fn body(&self) -> &[u8];
 }
 
-/// The figures of a job that may be taken.
+/// The validated parameters of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JobParameters {
     pub category: usize,
@@ -39,39 +40,40 @@
     pub budget: Time,
 }
 
-/// The answer that is owed to a client; its op is in hand until this, or the answer that is given, is dropped.
+/// The reply that a client still has to receive. Its op counts as in flight until this, or the reply made from
+/// it, is dropped.
 pub struct PendingReply {
     pub reply_to: Sender<OpReply>,
-    /// Where figures are kept.
+    /// Present if metrics are kept.
     pub in_flight: Option<Box<InFlightGuard>>,
 }
 
 impl PendingReply {
-    /// Gives it; whoever is gone gets none.
+    /// Sends the reply. A client that has disconnected gets none.
     pub fn send(self, outcome: OpOutcome, deadline: Instant) {
         let _ = self.reply_to.try_send(OpReply { outcome, in_flight: self.in_flight, deadline });
     }
 }
 
-/// The final answer to an op.
+/// The final reply to an op.
 pub struct OpReply {
     pub outcome: OpOutcome,
-    /// Under which it is counted, if it is: it stays in hand until then.
+    /// The guard that counts the op as in flight until the reply is written; `None` if metrics are off.
     pub in_flight: Option<Box<InFlightGuard>>,
-    /// When no one waits for it any more.
+    /// The time after which no client waits for the reply.
     pub deadline: Instant,
 }
 
 pub enum OpOutcome {
-    /// With the result that an executor gave.
+    /// The op ran; this is the result from the executor.
     Acked(Bytes),
-    /// A retry is harmless; not before this long, zero for no advice.
+    /// A retry is harmless, but not before `come_back` (in ticks of 100 µs); zero means no advice.
     Nacked {
         why: &'static str,
         come_back: Time,
     },
     DeadLettered,
-    /// Refused by an executor for what it is, with a status of its own.
+    /// An executor rejected the request as invalid, with this status.
     Rejected {
         status: u16,
     },
@@ -83,82 +85,86 @@
     Failed,
     Rejected(u16),
     Returned,
-    /// No connection, or it broke before the request's last byte was written.
+    /// No connection could be made, or it broke before the last byte of the request was written.
     NotConnected,
-    /// It broke under the request, before its last byte was written; whether it had been used before.
+    /// The connection broke before the last byte of the request was written; `used`: it had carried a push
+    /// before.
     WriteFailed {
         used: bool,
     },
-    /// Not tried, for reasons of this node alone.
+    /// Not attempted for a reason local to this node, for example a lack of buffers.
     NotSent,
-    /// All was written, and the connection ended without the last line: it may have run.
+    /// The request was written completely, but the connection ended without a final status line: the job may
+    /// have run.
     Lost,
-    /// The same, on a connection used before and without a word of answer: it may have run, but the connection is
-    /// more likely to have ended while it was idle than the executor to have failed.
+    /// Like `Lost`, but on a reused connection without a single response byte: the job may have run, but it is
+    /// more likely that the connection was closed while idle than that the executor failed.
     StaleConnection,
 }
 
-/// One push on its way out.
+/// One push to be sent.
 pub struct Push {
     pub ticket: u64,
     pub push: usize,
     pub job: Arc<dyn Job>,
-    /// A repeat is not harmless.
+    /// A repeat of the op is not harmless: the last byte is held back until the connection is known to be open.
     pub hold_last_byte: bool,
-    /// It may go only where it provably is the first to be written.
+    /// The push needs a new connection, on which it is provably the first to be written.
     pub new_connection: bool,
-    /// When the time of the op is out.
+    /// The deadline of the op.
     pub deadline: Instant,
-    /// Beyond this nothing of it may be written any more.
+    /// No byte of the push may be written after this time.
     pub write_deadline: Instant,
-    /// A route's own bound on the time that a new connection may take.
+    /// The route's limit on the time for opening a new connection.
     pub connect_timeout: Option<Duration>,
 }
 
-/// What the desk holds of a push that is out.
+/// The dispatch loop's handle of a push that is in flight.
 pub trait PushHandle: Send + Sync {
-    /// Gives it up, wherever it is waiting; its end is told as ever.
+    /// Cancels the push in whatever state it is. Its outcome is still reported as usual.
     fn cancel(&self);
-    /// Keeps it back if nothing of it was written yet: its op has its final answer.
+    /// Withholds the push if none of its bytes has been written: its op has its final reply.
     fn withhold_unsent(&self);
 }
 
-/// What carries messages to other nodes. It drops what would make the desk wait.
+/// Sends messages to other nodes. Messages that would block the dispatch loop are dropped.
 pub trait PeerTransport {
     fn send(&self, letter: &Letter);
-    /// Messages of others that were dropped before they came to the desk.
+    /// Number of received messages that were dropped before they reached the dispatch loop.
     fn dropped(&self) -> u64;
 }
 
-/// Where pushes go: the executors of one protocol. It never waits.
+/// Sends pushes to the executors of one protocol. It never blocks.
 pub trait ExecutorTransport {
-    /// Sends a push out; none where this node has no room for it.
+    /// Starts a push. Returns `None` if this node has no connection available for it.
     fn push(&mut self, executor: usize, to: SocketAddr, push: Push) -> Option<Arc<dyn PushHandle>>;
-    /// A connection's task is over; the executor that it is idle for now, if it is.
+    /// The push on this connection has ended. Returns the executor to which the connection is now idle, if it
+    /// is.
     fn release(&mut self, number: u64, is_reusable: bool) -> Option<usize>;
-    /// Closes what is idle there.
+    /// Closes the idle connections to this executor.
     fn close_idle(&mut self, executor: usize, why: &'static str);
-    /// Closes what has been idle too long.
+    /// Closes connections that have been idle too long.
     fn close_expired(&mut self);
-    /// Keeps to half of its places, or to all.
+    /// Limits the transport to half of its connections, or lifts that limit.
     fn set_half_capacity(&mut self, half: bool);
 }
 
-/// Where ops come from: the clients of one protocol.
+/// The clients of one protocol, from which ops come.
 pub trait ClientFrontend: Send + Sync {
-    /// Whether new clients may be sent here.
+    /// Sets whether new clients may be sent to this node.
     fn set_ready(&self, ready: bool);
-    /// The node is told to end: no clients are taken any more where another process takes them. True if so.
+    /// Stops accepting clients at shutdown, if another process accepts them on the same listener. Returns true
+    /// if so.
     fn stop_accepting(&self) -> bool;
-    /// The node is about to end: clients are steered off.
+    /// Closes client connections: the node is about to exit.
     fn close_connections(&self);
-    /// Nobody is owed anything any more.
+    /// Whether no client waits for a response.
     fn is_idle(&self) -> bool;
-    /// From now on these headers of a request are asked for.
+    /// Sets the headers that are read from each request from now on, because routes match on them.
     fn set_routed_headers(&self, headers: &[String]);
 }
 
-/// A list of executors, whole or changes only.
+/// A list of executors: a complete snapshot or only changes.
 #[derive(Clone, Debug)]
 pub struct ExecutorList {
     pub index: i64,
@@ -173,26 +179,26 @@
     pub domain: String,
     pub kind: String,
     pub cell: usize,
-    /// It is still in the list, whether or not it takes new work.
+    /// Still in the list, whether or not it accepts new work.
     pub listed: bool,
-    /// It takes new work.
+    /// Accepts new work.
     pub active: bool,
     pub weight: f64,
-    /// Latest start; `None` means long past.
+    /// Time of the latest start; `None` means long ago.
     pub started: Option<Time>,
 }
 
-/// What operators want of the desk, which it looks at before all else.
+/// Commands of operators. The dispatch loop runs them before all other events.
 pub enum AdminCommand {
-    /// Whether an executor of that name was ever listed.
+    /// Asks whether an executor of this name was ever listed.
     IsListed(String, Sender<bool>),
-    /// These are out by hand, and no others.
+    /// Disables exactly these executors.
     SetDisabled(DisabledSet, Sender<bool>),
-    /// Another process of the node lives, or lives no more.
+    /// Another process of this node has started (true) or has ended (false).
     SiblingProcess(bool),
 }
 
-/// What the desk is told.
+/// The events that the dispatch loop handles.
 pub enum Event {
     Submitted {
         ticket: u64,
@@ -208,7 +214,7 @@
         ticket: u64,
         push: usize,
         has_started: bool,
-        /// Share of the job that is done; zero where it is not told.
+        /// Completed fraction of the job, 0 to 1; zero if it is not reported.
         progress: f64,
     },
     PushEnded {
@@ -217,7 +223,7 @@
         push_outcome: PushOutcome,
         load: Option<Vec<f64>>,
     },
-    /// A message of another node.
+    /// A message from another node.
     PeerMessage {
         from: usize,
         text: Vec<u8>,
@@ -226,21 +232,21 @@
         number: u64,
         is_reusable: bool,
     },
-    /// A list, or changes of it; `anew` if it is the first from its address.
+    /// A list or changes to it. `is_first_from_address`: the first list from this discovery address.
     ExecutorList {
         list: ExecutorList,
         is_first_from_address: bool,
     },
-    /// No list came; `turned_away`: there was an answer, but none for this caller now.
+    /// Discovery gave no list. `was_rejected`: it answered, but refused to serve this node now.
     DiscoveryFailed {
         was_rejected: bool,
     },
-    /// So many instances are likely to live, and so many may be sending.
+    /// Numbers of nodes that are likely to be live, and that may be sending.
     FleetSize {
         live: usize,
         possibly_sending: usize,
     },
-    /// New routes, checked.
+    /// A new, validated route table.
     Routes(Arc<Table>),
     Shutdown,
 }
--- a/crates/node/src/state/buffer_pool.rs
+++ b/crates/node/src/state/buffer_pool.rs
@@ -1,15 +1,15 @@
-//! Buffers of one size, used again. Their number is bounded, and so is the memory that they take.
+//! A bounded pool of reusable buffers of one size, so that the memory for messages is bounded.
 
 use std::ops::{Deref, DerefMut, Range};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Bytes of a buffer: a message of any protocol at most.
+/// Size of a buffer in bytes; it holds the longest message of any protocol.
 pub const BUFFER_BYTES: usize = 72 * 1024;
-// A message must fit a buffer.
+// The longest HTTP message must fit into one buffer.
 const _: () = assert!(crate::wire::http::MAX_MESSAGE_BYTES <= BUFFER_BYTES);
 
 pub struct Pool {
-    /// Buffers at rest, and how many more may be made.
+    /// The free buffers, and how many more may be allocated.
     free: Mutex<(Vec<Box<[u8]>>, usize)>,
 }
 
@@ -18,7 +18,7 @@
         Arc::new(Pool { free: Mutex::new((Vec::new(), limit)) })
     }
 
-    /// An empty buffer, or none while all are in use.
+    /// Returns an empty buffer, or `None` while all are in use.
     pub fn take(self: &Arc<Pool>) -> Option<Buffer> {
         let mut free = self.free.lock().unwrap_or_else(PoisonError::into_inner);
         let bytes = match free.0.pop() {
@@ -32,7 +32,7 @@
     }
 }
 
-/// A buffer with so many bytes held from its start; it goes back to its pool by itself.
+/// A buffer whose first `length` bytes are filled. It returns to its pool when dropped.
 pub struct Buffer {
     bytes: Box<[u8]>,
     length: usize,
@@ -40,7 +40,7 @@
 }
 
 impl Buffer {
-    /// Adds bytes, or none of them where they have no room.
+    /// Appends bytes. Appends nothing and returns false if they do not fit.
     #[must_use]
     pub fn append(&mut self, bytes: &[u8]) -> bool {
         let end = self.length + bytes.len();
@@ -74,14 +74,14 @@
     }
 }
 
-/// Part of a buffer.
+/// A range of a buffer's filled bytes.
 pub struct Bytes {
     length: Buffer,
     range: Range<usize>,
 }
 
 impl Bytes {
-    /// The part must lie within what is held.
+    /// The range must lie within the filled part of the buffer.
     pub fn new(length: Buffer, range: Range<usize>) -> Bytes {
         Bytes { length, range }
     }
--- a/crates/node/src/state/client_slots.rs
+++ b/crates/node/src/state/client_slots.rs
@@ -1,11 +1,11 @@
-//! The clients' connections: who is there, who waits for an answer, and who may be closed.
+//! The client connections: which exist, which have a request in flight, and which may be evicted.
 
 use std::collections::HashMap;
 use std::net::{Shutdown, TcpStream};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// One client's connection.
+/// One client connection.
 pub struct ClientSlot {
     pub number: u64,
     pub stream: TcpStream,
@@ -15,36 +15,36 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
-    /// No request is here.
+    /// No part of a request has arrived.
     Idle,
-    /// Part of one has come.
+    /// Part of a request has arrived.
     Reading,
-    /// One is in hand.
+    /// A request is in flight.
     Busy,
-    /// The last answer is written; the other side is left a moment to read it.
+    /// The last response has been written; the client gets a moment to read it.
     Closing,
 }
 
 struct SlotState {
     phase: Phase,
     since: Instant,
-    /// An op was answered here: a client that is known to mean well.
+    /// An op was answered on this connection, so the client is known to send valid requests.
     is_proven: bool,
-    /// A further request was read together with the one in hand.
+    /// Bytes of the next request were read together with the current one.
     has_more: bool,
-    /// The request in hand is the last one here.
+    /// The request in flight is the last one on this connection.
     is_last: bool,
     close_state: CloseState,
 }
 
-/// Whether this side ends the connection.
+/// Whether and why this side closes the connection.
 #[derive(Clone, Copy, PartialEq)]
 enum CloseState {
-    /// It does not.
+    /// The connection stays open.
     Open,
-    /// It does, for this reason, when the other side has read the last answer.
+    /// The connection closes for this reason once the client has read the last response.
     AfterResponse(&'static str),
-    /// It has, for this reason.
+    /// The connection was closed for this reason.
     Closed(&'static str),
 }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The reason stays the first one that was given.
+    /// Sets the reason for closing, unless one is already set.
     fn close_after_response(&mut self, reason: &'static str) {
         if *self == CloseState::Open {
             *self = CloseState::AfterResponse(reason);
@@ -76,8 +76,9 @@
     }
 }
 
-/// How long one that has said nothing, or not all, or has had its last answer, is left alone while others want
-/// its place. A client that means well sends its request as soon as it is connected.
+/// Minimum age before eviction of a connection that has sent no request or has received its last response (40
+/// ms), and of one that has sent part of a request (250 ms). Well-behaved clients send their request right
+/// after connecting.
 const IDLE_GRACE: Duration = Duration::from_millis(40);
 const PARTIAL_REQUEST_GRACE: Duration = Duration::from_millis(250);
 
@@ -100,8 +101,9 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Bytes of a request are here; false if the connection was ended before. Asked before they are read: a
-    /// request that was read can't be left to the client to send again.
+    /// Marks that bytes of a request have arrived. Returns false if the connection was already closed. Must be
+    /// called before reading the bytes: once a request has been read, the client cannot be left to send it
+    /// again.
     pub fn start_reading(&self) -> bool {
         let mut state = self.state();
         if state.close_state.is_open() {
@@ -110,7 +112,7 @@
         state.close_state.is_open()
     }
 
-    /// The request is whole. `more`: part of a further one has come with it.
+    /// Marks that a complete request was read. `has_more`: bytes of the next request came with it.
     pub fn set_busy(&self, has_more: bool) -> bool {
         let mut state = self.state();
         if state.close_state.is_open() {
@@ -119,7 +121,7 @@
         state.close_state.is_open()
     }
 
-    /// What was in hand is answered; `known`: it was an op.
+    /// Marks that the response was written. `op_answered`: the request was an op.
     pub fn finish_request(&self, op_answered: bool) {
         let mut state = self.state();
         let phase = if state.has_more { Phase::Reading } else { Phase::Idle };
@@ -127,7 +129,7 @@
         state.is_proven |= op_answered;
     }
 
-    /// An op was answered here before.
+    /// Whether an op was answered on this connection.
     pub fn is_proven(&self) -> bool {
         self.state().is_proven
     }
@@ -140,7 +142,7 @@
         self.state().is_last
     }
 
-    /// Ends the connection for this reason; an earlier one stays.
+    /// Closes the connection. The first reason that was given is kept.
     pub fn close(&self, reason: &'static str) {
         self.close_now(&mut self.state(), reason);
     }
@@ -150,8 +152,8 @@
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    /// The last answer is written: nothing more will be. The other side is left a moment to read it; ending
-    /// all at once while it is still sending would reset the connection, and the answer with it.
+    /// Shuts down the write side after the last response and gives the client a moment to read it. Closing at
+    /// once while the client is still sending would reset the connection and could lose the response.
     pub fn close_after_response(&self, reason: &'static str) {
         let mut state = self.state();
         state.close_state.close_after_response(reason);
@@ -163,23 +165,25 @@
         self.state().close_state.reason()
     }
 
-    /// No request is in hand, and nothing has come that was not read yet.
+    /// No request is in flight and no unread bytes have arrived.
     fn is_idle(&self, state: &SlotState) -> bool {
         state.phase == Phase::Idle && state.close_state.is_open() && self.has_no_input()
     }
 
-    /// Nothing is here to be read. Only asked while nothing is in hand: nobody writes here then, so the socket
-    /// may be switched for a moment.
+    /// No bytes are waiting to be read. Only called while no request is in flight: then no thread writes to the
+    /// socket, so it can be switched to non-blocking mode for a moment.
     fn has_no_input(&self) -> bool {
         peek_nonblocking(&self.stream).is_some_and(|result| result.is_err())
     }
 
-    /// May be closed for another one's sake: when it could at the earliest, and whether it is proven.
+    /// Whether the connection can be evicted: the earliest time for it, and whether the client is proven.
+    /// `None` if it cannot.
     fn eviction_rank(&self, state: &SlotState) -> Option<(Instant, bool)> {
         match state.phase {
             _ if state.close_state.is_closed() => None,
             Phase::Closing => Some((state.since + IDLE_GRACE, false)),
-            // What a known client has begun may become whole while it is closed, and would be lost.
+            // A request that a proven client has begun may be completed while the connection is being closed,
+            // and would be lost.
             Phase::Reading if !state.has_more && !state.is_proven => {
                 Some((state.since + PARTIAL_REQUEST_GRACE, false))
             }
@@ -189,7 +193,8 @@
         }
     }
 
-    /// Ends it, unless a request is in hand or here by now. One that crosses this is the client's to send again.
+    /// Closes the connection unless a request is in flight or has arrived. A client whose request crosses the
+    /// close has to send it again.
     fn try_evict(&self) -> bool {
         let mut state = self.state();
         let can_close =
@@ -201,14 +206,14 @@
     }
 }
 
-/// All of them.
+/// All client connections.
 #[derive(Default)]
 pub struct ClientSlots {
     client_slots: Mutex<HashMap<u64, Arc<ClientSlot>>>,
     removed: Condvar,
 }
 
-/// How long to wait for a seat at a time.
+/// How long one wait for a free slot lasts before eviction is tried again.
 const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl ClientSlots {
@@ -225,12 +230,12 @@
         self.removed.notify_one();
     }
 
-    /// Requests in hand.
+    /// Number of requests in flight.
     pub fn count_busy(&self) -> usize {
         self.all().values().filter(|slot| slot.state().phase == Phase::Busy).count()
     }
 
-    /// No request is in hand at any of them.
+    /// Whether no connection has a request in flight.
     pub fn are_idle(&self) -> bool {
         self.all().values().all(|slot| {
             let state = slot.state();
@@ -238,7 +243,8 @@
         })
     }
 
-    /// Waits until there is a seat free of so many, and sees to it. One that is asked to go needs a moment.
+    /// Waits until fewer than `limit` connections exist, evicting connections as needed. A closed connection
+    /// takes a moment to go.
     pub fn wait_for_capacity(&self, limit: impl Fn() -> usize) {
         let mut all = self.all();
         while all.len() >= limit() {
@@ -255,9 +261,9 @@
         }
     }
 
-    /// Closes one. Those go first that have not yet sent a request that could be taken, however many they are,
-    /// or a crowd that says nothing would take the place of all others; only where there are none, the client
-    /// idle longest goes, whose next request will come on a new connection.
+    /// Evicts one connection. Connections without a valid request go first, however many there are; otherwise a
+    /// crowd of silent clients would displace all others. If there are none, the proven client that has been
+    /// idle longest goes; its next request comes on a new connection.
     fn evict(all: &HashMap<u64, Arc<ClientSlot>>, now: Instant) -> bool {
         let mut candidates: Vec<(bool, Instant, &Arc<ClientSlot>)> = Vec::new();
         for slot in all.values() {
@@ -272,7 +278,7 @@
         })
     }
 
-    /// Ends those that have been idle for so long.
+    /// Closes the connections that have been idle for this long.
     pub fn close_idle(&self, reason: &'static str, idle_for: Duration) {
         for slot in self.all().values() {
             let mut state = slot.state();
@@ -288,7 +294,7 @@
     }
 }
 
-/// What a read would give now, without waiting and without taking anything; none if it can't be told.
+/// Peeks at the socket without blocking or consuming bytes. `None` if the socket's mode cannot be changed.
 pub fn peek_nonblocking(stream: &TcpStream) -> Option<std::io::Result<usize>> {
     stream.set_nonblocking(true).ok()?;
     let result = stream.peek(&mut [0]);
--- a/crates/node/src/state/disabled_executors.rs
+++ b/crates/node/src/state/disabled_executors.rs
@@ -1,5 +1,6 @@
-//! Whom operators took out, as the processes of one node share it: a file that is replaced by rename, and beside it one
-//! for each process, locked as long as that lives, in which it says which state of the set it has carried out.
+//! The executors that operators have disabled, shared by the processes of one node. The set is a file that is
+//! replaced by rename. In addition each process keeps its own file, locked while the process lives, with the
+//! number of the last version of the set that it has applied.
 
 use crate::log_info;
 use std::collections::BTreeSet;
@@ -12,7 +13,7 @@
 
 pub type NameSet = Arc<BTreeSet<String>>;
 
-/// One state of the set; each that is written has the next number.
+/// One version of the set of disabled executors. Each version that is written has the next number.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DisabledSet {
     pub number: u64,
@@ -28,8 +29,8 @@
         format!("{HEADER}{}\n{names}{FOOTER}{}\n", self.number, self.names.len())
     }
 
-    /// Reads it, and whether it is whole. Whatever can be read of a damaged one stays out: a slip of a disk must not put
-    /// an executor back that is being worked on.
+    /// Parses the file and reports whether it is complete. All names that are readable in a damaged file stay
+    /// disabled: a disk fault must not re-enable an executor that is under maintenance.
     fn read(text: &str) -> (DisabledSet, bool) {
         let (mut number, mut count, mut names) = (None, None, BTreeSet::new());
         for line in text.lines() {
@@ -46,40 +47,41 @@
     }
 }
 
-/// What may stand in a line of its own, and in the path of a call.
+/// Whether the name can be a line of the file and a path segment of an admin request.
 pub fn is_name(name: &str) -> bool {
     !name.is_empty() && name.len() <= 256 && name.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
-/// Which file is there: it changes with each rename.
+/// Identifies a version of the file by inode and modification time; it changes with each rename.
 type FileStamp = Option<(u64, i64, i64)>;
 
-/// The set, in a folder that the processes of a node share; without one it lives as long as the process.
+/// The set, kept in a folder that the processes of a node share; without a folder it lives as long as the
+/// process.
 #[derive(Default)]
 pub struct DisabledExecutors {
     shared: Option<SharedFiles>,
-    /// One change at a time in this process; what was read or made last.
+    /// The latest set that was read or written. The lock serializes changes within this process.
     latest: Mutex<(FileStamp, DisabledSet)>,
 }
 
-/// The files, of one node by its mark.
+/// The shared files of one node, identified by its node id.
 struct SharedFiles {
     folder: PathBuf,
     node_id: String,
     own_name: String,
-    /// The own one, locked; none where it could not be written.
+    /// The locked file of this process; `None` if it could not be created.
     own_file: Option<File>,
 }
 
-/// How often to look for what another process has written.
+/// How often the file is checked for changes by other processes.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How old what was learned may be.
+/// Learned executor state older than this is ignored.
 const MAX_LEARNED_STATE_AGE: Duration = Duration::from_secs(5);
-/// How long a change waits for another process that is just changing the set.
+/// How long a change waits for another process that is changing the set.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl DisabledExecutors {
-    /// Joins the processes of this node in that folder, with the set as they left it.
+    /// Joins the other processes of this node in the folder and loads the current set.
     pub fn join(folder: Option<&Path>, node_id: u64) -> DisabledExecutors {
         let disabled_executors = DisabledExecutors {
             shared: folder.map(|folder| SharedFiles::join(folder, node_id)),
@@ -101,16 +103,17 @@
         self.latest().1.clone()
     }
 
-    /// The set, if another process has written it since this was last asked.
+    /// The set, if another process has written it since the last call.
     pub fn poll_change(&self) -> Option<DisabledSet> {
         let shared = self.shared.as_ref()?;
         shared.reload_if_changed(&mut self.latest())
     }
 
-    /// Changes the set and keeps it; the new state, which is the one before where nothing changes.
+    /// Changes the set, writes it, and returns the resulting version; the version stays the same if nothing
+    /// changes.
     pub fn change(&self, name: &str, disabled: bool) -> Result<DisabledSet> {
         let mut latest = self.latest();
-        // Two processes that change it at once would each write the set without the other's name.
+        // Two processes that change the set at once would each write it without the other's name.
         let _change_lock = self.shared.as_ref().map(SharedFiles::lock_for_change).transpose()?;
         if let Some(shared) = &self.shared {
             shared.reload_if_changed(&mut latest);
@@ -130,20 +133,21 @@
         Ok(latest.1.clone())
     }
 
-    /// Keeps what was learned for a successor; it only helps, so nothing is made of a failure.
+    /// Saves the learned executor state for a successor. Failures are ignored, since the state is only an
+    /// optimization.
     pub fn save_learned_state(&self, text: &str) {
         let Some(shared) = &self.shared else { return };
         let _ = shared.replace("learned", text);
     }
 
-    /// What another process of this node, living or just ended, has kept.
+    /// The learned state that another process of this node, running or just ended, has saved.
     pub fn load_learned_state(&self) -> Option<String> {
         let path = self.shared.as_ref()?.path("learned");
         let age = std::fs::metadata(&path).and_then(|found| found.modified()).ok()?.elapsed();
         age.is_ok_and(|age| age < MAX_LEARNED_STATE_AGE).then(|| std::fs::read_to_string(&path).ok())?
     }
 
-    /// Says to the other processes that this one has carried out the state of this number.
+    /// Tells the other processes that this one has applied the given version of the set.
     pub fn mark_applied(&self, number: u64) {
         let Some(shared) = &self.shared else { return };
         let Some(own_file) = &shared.own_file else { return };
@@ -152,12 +156,12 @@
         }
     }
 
-    /// Another process of the node lives.
+    /// Whether another process of this node is running.
     pub fn has_sibling(&self) -> bool {
         self.shared.as_ref().is_some_and(|shared| !shared.applied_by_others().is_empty())
     }
 
-    /// Whether each other process that lives has carried it out.
+    /// Whether every other running process has applied this version.
     pub fn all_applied(&self, number: u64) -> bool {
         self.shared
             .as_ref()
@@ -166,7 +170,8 @@
 }
 
 impl SharedFiles {
-    /// A folder that can't be written stops no start, and hides no set that can be read there.
+    /// A folder that is not writable does not prevent the start, and a set that can be read there is still
+    /// used.
     fn join(folder: &Path, node_id: u64) -> SharedFiles {
         let node_id = format!("stileroute-{node_id:016x}");
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -180,8 +185,8 @@
         shared
     }
 
-    /// The own file gets its name when it is locked: unlocked, another process would take it for one of a process that
-    /// has ended, and clear it away.
+    /// The file gets its final name only after it is locked: another process would take an unlocked file for
+    /// one of an ended process and delete it.
     fn create_own_file(&self) -> Result<File> {
         let final_path = self.folder.join(&self.own_name);
         let temporary_path = final_path.with_extension("new");
@@ -195,7 +200,7 @@
         self.folder.join(format!("{}.{suffix}", self.node_id))
     }
 
-    /// The turn to change the set, until it is dropped.
+    /// Takes the lock for changing the set; it is held until the file is dropped.
     fn lock_for_change(&self) -> Result<File> {
         let (lock, start) = (File::create(self.path("turn"))?, Instant::now());
         loop {
@@ -227,15 +232,14 @@
         Some(latest.1.clone())
     }
 
-    /// Writes a file beside its place and renames it there, so that nobody reads half of it.
+    /// Writes a temporary file and renames it to its final name, so that no process reads a partial file.
     fn replace(&self, suffix: &str, text: &str) -> Result<()> {
         let temporary_path = self.path(&format!("{suffix}.new"));
         File::create(&temporary_path)?.write_all(text.as_bytes())?;
         std::fs::rename(&temporary_path, self.path(suffix))
     }
 
-    /// The states that the other processes have carried out, those that live; files of those that ended are cleared
-    /// away.
+    /// The versions that the other running processes have applied. Files of ended processes are deleted.
     fn applied_by_others(&self) -> Vec<u64> {
         let mut applied_by_others = Vec::new();
         for entry in std::fs::read_dir(&self.folder).into_iter().flatten().flatten() {
@@ -293,7 +297,8 @@
         let first_process = DisabledExecutors::join(Some(&folder), 1);
         let stop = std::sync::atomic::AtomicBool::new(false);
         let joined = std::thread::scope(|scope| {
-            // It looks for others, and clears away what is not locked, all the while.
+            // Meanwhile these threads scan for other processes and delete every process file that is not
+            // locked.
             (0..2).for_each(|_| {
                 drop(scope.spawn(|| {
                     while !stop.load(std::sync::atomic::Ordering::Relaxed) && first_process.all_applied(0) {
@@ -332,7 +337,7 @@
         assert!(first_process.all_applied(first.number));
         let second = second_process.change("b", true).unwrap();
         assert_eq!(second.names.len(), 2);
-        // One that comes later finds what is there; one that has ended is not waited for.
+        // A process that joins later finds the current set, and an ended process is not waited for.
         let names = |disabled_executors: &DisabledExecutors| {
             disabled_executors.state().names.iter().cloned().collect::<Vec<_>>()
         };
--- a/crates/node/src/state/metrics.rs
+++ b/crates/node/src/state/metrics.rs
@@ -1,4 +1,4 @@
-//! What operators read of the node: plain numbers, each counted in one place where the thing happens.
+//! The node's metrics for operators. Each counter is updated in one place, where the event occurs.
 
 use std::fmt::Write;
 use std::sync::atomic::{AtomicI64, AtomicU64, AtomicUsize, Ordering::Relaxed};
@@ -14,16 +14,16 @@
 
 #[derive(Default)]
 pub struct Metrics {
-    /// Names of the categories, and how many ops of each ended in which way.
+    /// For each category its name and the numbers of acked, nacked and failed ops.
     categories: Vec<(String, [AtomicU64; 3])>,
-    /// Pushes written to their last byte.
+    /// Pushes whose last byte was written.
     pushes: AtomicU64,
     in_flight: AtomicI64,
     pub listed: AtomicUsize,
     pub avoided: AtomicUsize,
 }
 
-/// An op is in hand for as long as this lives, so that no way out of the node can forget to take it off.
+/// Counts an op as in flight until it is dropped, so that every exit path of the node decrements the gauge.
 pub struct InFlightGuard {
     metrics: Arc<Metrics>,
     pub category: usize,
@@ -62,7 +62,7 @@
         self.pushes.fetch_add(1, Relaxed);
     }
 
-    /// All of them in Prometheus' text form.
+    /// All metrics in Prometheus text format.
     pub fn to_prometheus(&self) -> String {
         let mut text = String::new();
         let write_header = |text: &mut String, name: &str, kind: &str, help: &str| {
@@ -94,7 +94,7 @@
     }
 }
 
-/// A label's value: a quote, a backslash or an end of line would end it early.
+/// Escapes a label value: a raw quote, backslash or line end would terminate it early.
 fn escape_label(value: &str) -> String {
     value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
--- a/crates/node/src/state/mod.rs
+++ b/crates/node/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What is kept in memory: clients' seats, buffers, ids, names.
+//! Shared in-memory state: client connections, buffers, request ids, metrics and the disabled executors.
 
 pub mod buffer_pool;
 pub mod client_slots;
--- a/crates/node/src/state/name_index.rs
+++ b/crates/node/src/state/name_index.rs
@@ -1,8 +1,8 @@
-//! Names from outside as small indices.
+//! Maps external names to small integer indices.
 
 use std::collections::HashMap;
 
-/// Gives each name its index; known ones keep theirs for good.
+/// Assigns an index to each name; an assigned index never changes.
 #[derive(Default)]
 pub struct NameIndex {
     by_name: HashMap<String, usize>,
@@ -17,7 +17,7 @@
         name_index
     }
 
-    /// The index of a name that has one.
+    /// The index of a name that already has one.
     pub fn get(&self, name: &str) -> Option<usize> {
         self.by_name.get(name).copied()
     }
--- a/crates/node/src/state/request_ids.rs
+++ b/crates/node/src/state/request_ids.rs
@@ -1,4 +1,4 @@
-//! The ids of the requests in hand here. Those of other nodes can't be seen.
+//! The ids of the requests in flight at this node. Requests at other nodes are not visible here.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,8 +13,9 @@
         self.in_use.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Enters an id for as long as what is given back lives; none if it is open. Two ops under one id would be
-    /// given each other's answers, and one of them taken for a second copy of the other.
+    /// Reserves an id until the returned guard is dropped, or returns `None` if the id is in use. Two
+    /// concurrent ops with one id could receive each other's responses, and one could be mistaken for a hedged
+    /// request of the other.
     pub fn reserve(self: &Arc<RequestIds>, id: &str) -> Option<RequestIdGuard> {
         let new = self.in_use().insert(id.to_string());
         new.then(|| RequestIdGuard { id: id.to_string(), ids: self.clone() })
