--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! `stileroute`: the decisions of the library as a node on sockets. The parts are put together here.
+//! `stileroute`: a dispatcher node on sockets. This file connects the modules.
 
 mod dispatch_loop;
 mod interfaces;
@@ -42,9 +42,9 @@
 use stileroute_route_limits::Ground;
 use thiserror::Error;
 
-/// Events that may wait for the desk; who tells more has to wait.
+/// Number of events that may wait for the dispatch loop; beyond it senders block.
 const EVENT_QUEUE_LENGTH: usize = 1024;
-/// Orders of operators that may wait.
+/// Number of admin commands that may wait.
 const COMMAND_QUEUE_LENGTH: usize = 8;
 
 /// Why the node has ended: one line for the log.
@@ -54,7 +54,7 @@
     NodeSettings(#[from] StartError),
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// The faults of the operators' file, each on a line of its own.
+    /// The faults in the operators' file, one per line.
     #[error("{}", .0.join("\nstileroute: "))]
     OperatorFile(Vec<String>),
     #[error("threads: {0}")]
@@ -71,7 +71,7 @@
     OperatorsAddress(#[from] OperatorsAddressError),
 }
 
-/// The operators' file, and what it was checked against.
+/// The operators' file, and the settings it was checked against.
 struct OperatorFile {
     path: PathBuf,
     route_context: Ground,
@@ -87,7 +87,7 @@
     }
 }
 
-/// Takes part in membership from here on.
+/// Starts the membership protocol.
 fn open_members(
     address: &MembersSettings,
     settings: &NodeSettings,
@@ -103,7 +103,7 @@
     MembershipThread::open(address, handle, dispatch_loop)
 }
 
-/// Exchanges messages with the other nodes from here on.
+/// Starts the exchange of messages with the other nodes.
 fn open_peers(
     nodes: &[SocketAddr],
     settings: &NodeSettings,
@@ -117,7 +117,8 @@
 
 fn run(arguments: &Arguments) -> Result<(), RunError> {
     let settings = settings::read(|name| std::env::var(name).ok())?;
-    // Before anything else is opened, which might take the number of a descriptor that was not handed in.
+    // Taken over before anything else is opened, which could otherwise get the number of a descriptor that was
+    // not inherited.
     let inherited = settings.inherited_descriptor.map(listener::inherited).transpose()?;
     let mut operator =
         arguments.operator.as_deref().map(|path| OperatorFile::read(path, &settings)).transpose()?;
@@ -173,7 +174,7 @@
     let admin = metrics.map(|metrics| {
         let ((command_tx, commands), (learned_tx, learned_rx)) = (bounded(COMMAND_QUEUE_LENGTH), bounded(1));
         let disabled_executors = DisabledExecutors::join(settings.state_dir.as_deref(), mark(&settings.name));
-        // Only where another process takes this one's place is it of use to keep what is learned.
+        // Saving learned state is useful only if a successor process can take over.
         let learned_tx = settings.inherited_descriptor.map(|_| learned_tx);
         learned_text = learned_tx.as_ref().and_then(|_| disabled_executors.load_learned_state());
         let handle = AdminHandle {
@@ -223,7 +224,7 @@
     if arguments.command.as_ref().is_some_and(|command| !matches!(command, Command::Serve)) {
         match arguments.run() {
             Ok(lines) => {
-                // Whoever reads them may have had enough.
+                // The reader of standard output may have closed the pipe.
                 let mut out = std::io::stdout().lock();
                 let _ = lines.iter().try_for_each(|line| writeln!(out, "{line}"));
             }
--- a/crates/node/src/net/admin.rs
+++ b/crates/node/src/net/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' address: one call to a connection, answered whatever the clients do.
+//! The admin server: one request per connection, answered independently of the load by clients.
 
 use super::clients::Clients;
 use super::listener;
@@ -20,49 +20,50 @@
 use stileroute_dispatch::state::Memory;
 use thiserror::Error;
 
-/// How long one may take to send a call, or to take its answer in.
+/// How long a client may take to send its request, and how long one write of the response may take.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// In how many looks to look once whether another process lives.
+/// Number of polls of the disabled set per check whether a sibling process is running.
 const POLLS_PER_SIBLING_CHECK: u64 = 25;
-/// What must be carried out some time; it fails only when the desk has gone.
+/// Time limit for commands that must be delivered eventually; they fail only if the dispatch loop has ended.
 const UNBOUNDED_WAIT: Duration = Duration::from_secs(86_400);
-/// Within this a call is answered, however long the other process takes: a second is owed.
+/// Time limit for a command, however slow the sibling process is. Operators are promised an answer within a
+/// second.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(700);
-/// While places are being left.
+/// Poll interval while the server waits for closing connections to go.
 const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 struct AdminClient {
     stream: TcpStream,
-    /// Its call is whole: from then on it keeps its place.
+    /// Its request is complete, so the connection is not evicted any more.
     is_request_complete: AtomicBool,
 }
 
-/// What the calls act on.
+/// What the admin requests act on.
 pub struct AdminContext {
     pub metrics: Arc<Metrics>,
     pub clients: Arc<Clients>,
     pub commands: Sender<AdminCommand>,
     pub disabled_executors: DisabledExecutors,
     pub learned_rx: Receiver<Memory>,
-    /// The other instances, where they may talk.
+    /// The membership report; `None` if membership is off.
     pub members: Option<Arc<MembershipReport>>,
 }
 
 pub struct AdminServer {
     context: AdminContext,
     clients: Mutex<VecDeque<Arc<AdminClient>>>,
-    /// Descriptors in use, those of callers that are on their way out too.
+    /// Open descriptors, including those of connections that are closing.
     open: AtomicUsize,
 }
 
-/// Why operators can't call.
+/// Why the admin server could not start.
 #[derive(Debug, Error)]
 pub enum OperatorsAddressError {
-    /// Their address can't be opened.
+    /// The admin address could not be bound.
     #[error("admin_addr: {address}: {source}")]
     Bind { address: SocketAddr, source: std::io::Error },
-    /// No thread can be started for them.
+    /// A thread could not be started.
     #[error("admin_addr: no thread: {0}")]
     Thread(std::io::Error),
 }
@@ -72,7 +73,7 @@
         Arc::new(AdminServer { context, clients: Mutex::default(), open: AtomicUsize::new(0) })
     }
 
-    /// Opens the address and serves it by a thread of its own; the address, with the port that was given.
+    /// Binds the address and starts the threads. Returns the address with the actual port.
     pub fn open(self: Arc<AdminServer>, address: SocketAddr) -> Result<SocketAddr, OperatorsAddressError> {
         let listener = TcpListener::bind(address).and_then(|listener| Ok((listener.local_addr()?, listener)));
         let (at, listener) = listener.map_err(|source| OperatorsAddressError::Bind { address, source })?;
@@ -87,7 +88,7 @@
         spawn("calls", move || self.accept(&listener)).map(|_| at).map_err(thread)
     }
 
-    /// Carries out here what was called out at another process of this node.
+    /// Applies changes of the disabled set that another process of this node has written.
     fn follow_disabled_set(&self) {
         let disabled_executors = &self.context.disabled_executors;
         for poll in 1.. {
@@ -124,8 +125,9 @@
         }
     }
 
-    /// Nobody is owed a place for holding a connection: who has waited longest with no whole call gives way to
-    /// whoever comes, at once. A crowd of them must not keep one honest call out for its second.
+    /// Accepts a connection. If all slots are taken, the connection that has waited longest without a complete
+    /// request is closed at once. This way a crowd of idle connections cannot delay a valid request beyond its
+    /// one second.
     fn accept_connection(self: &Arc<AdminServer>, stream: TcpStream) {
         while self.open.load(Ordering::Relaxed) >= MAX_ADMIN_CLIENTS + MAX_CLOSING_ADMIN_CLIENTS {
             std::thread::sleep(CAPACITY_POLL_INTERVAL);
@@ -184,7 +186,7 @@
         };
         if stream.write_all(answer(status, &text).as_bytes()).is_ok() {
             let _ = stream.shutdown(Shutdown::Write);
-            // What is not read when it closes would reset the connection, and the answer with it.
+            // Unread bytes at the close would reset the connection and could lose the response.
             let _ = stream.set_read_timeout(Some(WRITE_TIMEOUT / 5));
             while matches!(stream.read(&mut chunk), Ok(1..)) && Instant::now() < deadline {}
         }
@@ -216,7 +218,7 @@
 }
 
 impl AdminContext {
-    /// Keeps to half of what this process may hold for as long as another one lives.
+    /// Limits this process to half of its capacity while a sibling process of the node is running.
     fn update_sibling(&self, max_wait: Duration) {
         let has_sibling = self.disabled_executors.has_sibling();
         if self.clients.has_sibling.swap(has_sibling, Ordering::Relaxed) != has_sibling {
@@ -228,7 +230,7 @@
         }
     }
 
-    /// Asks the desk, which answers as soon as it has done so.
+    /// Sends a command to the dispatch loop and waits for the reply.
     fn ask(&self, command: impl FnOnce(Sender<bool>) -> AdminCommand, deadline: Instant) -> Option<bool> {
         let (reply, answer) = bounded(1);
         self.commands.send_deadline(command(reply), deadline).ok()?;
@@ -239,7 +241,7 @@
         self.ask(|reply| AdminCommand::SetDisabled(state.clone(), reply), deadline).is_some()
     }
 
-    /// Takes an executor out or puts it back, here and at each other process of this node, before it says yes.
+    /// Disables or enables an executor in this process and in each sibling process before it reports success.
     fn set_disabled(&self, name: &str, disabled: bool, deadline: Instant) -> Result<(), (u16, String)> {
         let timed_out = || (503, "the node did not answer in time".to_string());
         let mut is_known = self.disabled_executors.state().names.contains(name);
@@ -262,7 +264,7 @@
             return Err(timed_out());
         }
         self.disabled_executors.mark_applied(state.number);
-        // What the other process does not say in time it does all the same: it reads the file.
+        // A sibling process that does not confirm in time still applies the change, because it polls the file.
         while !self.disabled_executors.all_applied(state.number) && Instant::now() < deadline {
             std::thread::sleep(POLL_INTERVAL / 4);
         }
--- a/crates/node/src/net/clients.rs
+++ b/crates/node/src/net/clients.rs
@@ -1,4 +1,5 @@
-//! Connections of clients: one thread reads requests and notices a client that leaves, one writes answers.
+//! Client connections. For each, one thread reads requests and detects a disconnect, and another writes
+//! responses.
 
 use crate::interfaces::{ClientFrontend, Event, JobParameters, OpOutcome, OpReply, PendingReply};
 use crate::log_info;
@@ -20,14 +21,14 @@
 use std::time::{Duration, Instant};
 use stileroute_dispatch::types::Time;
 
-/// An answer on its way to a client.
+/// A response to a client.
 pub struct Reply {
     pub status: u16,
-    /// The op that it ends, if it does end one.
+    /// Guard of the op that this response ends; `None` if it ends no op.
     pub in_flight: Option<Box<InFlightGuard>>,
     pub body: Body,
     pub come_back: Time,
-    /// When no one waits for it any more.
+    /// The time after which no client waits for the response.
     pub deadline: Instant,
 }
 
@@ -72,8 +73,9 @@
 
     fn close_connections(&self) {
         self.closing_connections.store(true, Ordering::Relaxed);
-        // With a successor there is time: one that was just opened or answered may send a request this moment, which
-        // would cross the end; its next answer ends it.
+        // With a successor there is time to spare: a client that has just connected or got a response may be
+        // sending its next request, which would cross the close. Such a connection is closed with its next
+        // response.
         self.client_slots
             .close_idle("steered", if self.shared { LAST_RESPONSE_TIMEOUT / 4 } else { Duration::ZERO });
     }
@@ -89,7 +91,7 @@
     }
 }
 
-/// What all these threads share.
+/// State shared by the threads of all client connections.
 pub struct Clients {
     pub dispatch_loop: Sender<Event>,
     pub pool: Arc<Pool>,
@@ -98,26 +100,27 @@
     pub client_slots: ClientSlots,
     pub ids: Arc<RequestIds>,
     pub ready: AtomicBool,
-    /// The listener was handed in: other processes accept on it too.
+    /// The listener was inherited, so other processes accept on it too.
     pub shared: bool,
-    /// The node is told to end.
+    /// The shutdown signal was received.
     pub shutting_down: AtomicBool,
-    /// Another process of the node lives.
+    /// Another process of this node is running.
     pub has_sibling: AtomicBool,
-    /// The node is about to end: clients are steered off.
+    /// The node is about to exit: client connections are being closed.
     pub closing_connections: AtomicBool,
     pub next_number: AtomicU64,
     pub metrics: Option<Arc<Metrics>>,
-    /// Headers that routes look at; none where there are no routes.
+    /// Headers that routes match on; `None` if no routes are configured.
     pub routed_headers: Option<RwLock<Arc<Vec<String>>>>,
 }
 
-/// How long a request may take to come, the first one from the opening on, and how long it may take a client
-/// to read its last answer. Jobs may be written over two seconds; an error is owed to a bad client within three.
+/// Time limit for receiving a request, counted for the first one from the accept, and time limit for a client
+/// to read its last response. Clients may take two seconds to send a job, and an invalid client must get its
+/// error within three.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2400);
 const LAST_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A connection's writer, as its reader reaches it: there is one from the first op on.
+/// The reader's handle of the connection's writer thread, which is started with the first op.
 struct ResponseWriter {
     replies: Sender<OpReply>,
     written: Receiver<bool>,
@@ -128,7 +131,7 @@
         self.ready.load(Ordering::Relaxed)
     }
 
-    /// What this process may hold now.
+    /// The connections and requests that this process may hold at present.
     pub fn budget(&self) -> Budget {
         self.budget.share(self.has_sibling.load(Ordering::Relaxed))
     }
@@ -137,7 +140,7 @@
         self.shutting_down.load(Ordering::Relaxed)
     }
 
-    /// Starts the reader of a new connection.
+    /// Registers a new connection and starts its reader.
     pub fn accept_connection(self: &Arc<Clients>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
@@ -156,7 +159,8 @@
             log_info!(ended { peer = "client", connection = number, code } "client connection {number} ended: {code}");
         };
         if let Err(error) = spawn("client-in", read) {
-            // What it sent counts as taken: it is refused from here, for which the listener waits briefly.
+            // No thread could be started. The request counts as received, so it is rejected here, while the
+            // listener waits briefly.
             self.reject(&slot.stream);
             slot.close("no-thread");
             self.client_slots.remove(number);
@@ -165,7 +169,7 @@
         }
     }
 
-    /// Reads one request, if it is there, and refuses it.
+    /// Reads one request, if any arrives, and rejects it with status 503.
     fn reject(&self, mut stream: &TcpStream) {
         let (mut parser, mut chunk) = (RequestParser::new(self.pool.clone()), [0; super::READ_CHUNK_BYTES]);
         let _ = stream.set_read_timeout(Some(LAST_RESPONSE_TIMEOUT / 20));
@@ -184,7 +188,7 @@
         }
     }
 
-    /// Reads requests until the connection ends; gives the reason.
+    /// Reads requests until the connection ends and returns the reason.
     fn serve_requests(
         self: &Arc<Clients>,
         slot: &Arc<ClientSlot>,
@@ -192,7 +196,7 @@
     ) -> &'static str {
         let (mut parser, mut chunk, mut read) =
             (RequestParser::new(self.pool.clone()), [0; super::READ_CHUNK_BYTES], 0);
-        // When the first byte of the request that is being read came.
+        // Arrival time of the first byte of the request being read.
         let (mut received_at, mut has_read_timeout) = (slot.opened, false);
         loop {
             if let Some(routed_headers) = self.routed_headers.as_ref().filter(|_| parser.is_idle()) {
@@ -202,7 +206,7 @@
             read = 0;
             let mut open_ticket = None;
             match fed {
-                // Nothing is in hand here, so nobody else writes.
+                // No request is in flight, so no other thread writes to the socket.
                 Ok(None) if parser.take_continue_wanted() => {
                     let _ = slot.stream.set_write_timeout(Some(LAST_RESPONSE_TIMEOUT));
                     if (&slot.stream).write_all(CONTINUE).is_err() {
@@ -224,7 +228,7 @@
                         Err(_) => return "answered",
                     }
                     if !parser.is_idle() {
-                        // The next request has come already; it waits for this one's answer.
+                        // The next request has already arrived; it waits until this one is answered.
                         if open_ticket.is_some() && !wait_for_reply(writer) {
                             return "answered";
                         }
@@ -234,7 +238,8 @@
                 }
             }
             loop {
-                // Nobody is owed a seat for saying nothing, or half of something. A known client may be idle.
+                // A connection without a request, or with a partial one, is closed after the time-out. Only a
+                // proven client may stay idle.
                 let is_proven = slot.is_proven();
                 let deadline_applies = open_ticket.is_none() && !(parser.is_idle() && is_proven);
                 let elapsed = if is_proven { received_at } else { slot.opened }.elapsed();
@@ -277,7 +282,7 @@
         }
     }
 
-    /// The connection has ended from the other side, or was ended from this one.
+    /// Returns the reason why the connection ended, from either side.
     fn connection_closed(
         &self,
         open_ticket: Option<u64>,
@@ -289,7 +294,7 @@
                 Ok(true) => "closed",
                 Ok(false) => "answered",
                 Err(_) => {
-                    // A client that closes has withdrawn its op.
+                    // A client that disconnects has withdrawn its op.
                     let _ = self.dispatch_loop.send(Event::Withdrawn { ticket });
                     "withdrawn"
                 }
@@ -299,7 +304,8 @@
         }
     }
 
-    /// Hands a request to the desk and gives its ticket; or gives the answer that it gets here.
+    /// Submits a request to the dispatch loop and returns its ticket, or returns the response if it is answered
+    /// here.
     fn submit(
         self: &Arc<Clients>,
         slot: &Arc<ClientSlot>,
@@ -309,7 +315,7 @@
     ) -> Result<u64, Reply> {
         let path = request.path.split('?').next().unwrap_or_default();
         if path == names::READY || path == names::HEALTHY {
-            // Who asks this needs no seat for longer.
+            // Health checks are answered once per connection, so that they hold no slot.
             slot.set_last();
             return Err(match path == names::HEALTHY || self.is_ready() {
                 true => local_reply(200, "in service"),
@@ -318,7 +324,7 @@
         }
         let parameters =
             self.request_rules.check(&request).map_err(|error| local_reply(error.status, &error.reason))?;
-        // Also one that is refused is in hand until it is counted.
+        // A rejected op also counts as in flight until its response is written.
         let begin_op = || self.metrics.as_ref().map(|metrics| metrics.begin_op(parameters.category));
         let local_reply = |status, text: &str| Reply { in_flight: begin_op(), ..local_reply(status, text) };
         let id = request.id.as_deref().unwrap_or_default();
@@ -348,7 +354,7 @@
         sent.map(|()| ticket).map_err(|_| local_reply(503, "the node has ended"))
     }
 
-    /// Starts the writer of a connection.
+    /// Starts the writer thread of a connection.
     fn start_writer(self: &Arc<Clients>, slot: &Arc<ClientSlot>) -> std::io::Result<ResponseWriter> {
         let (replies, queued_replies) = bounded::<OpReply>(1);
         let (wrote, written) = bounded::<bool>(1);
@@ -357,7 +363,7 @@
         Ok(ResponseWriter { replies, written })
     }
 
-    /// Writes answers; tells after each whether the connection goes on.
+    /// Writes responses, and after each reports whether the connection stays open.
     fn write_replies(&self, slot: &ClientSlot, replies: &Receiver<OpReply>, wrote: &Sender<bool>) {
         while let Ok(answer) = replies.recv() {
             let reply = Reply::from(answer);
@@ -365,20 +371,22 @@
             drop(reply);
             let _ = wrote.send(stays_open);
             if !stays_open {
-                // The reader goes as soon as the client closes; it is not waited for longer than this.
+                // Waits for the reader, which ends as soon as the client closes, but no longer than this
+                // time-out.
                 let _ = replies.recv_timeout(LAST_RESPONSE_TIMEOUT);
                 return slot.close("answered");
             }
         }
     }
 
-    /// Writes one answer, to an op of a known client or to a stranger; true if the connection goes on.
+    /// Writes one response; `is_proven` is set for a response to an op. Returns true if the connection stays
+    /// open.
     fn write_reply(&self, slot: &ClientSlot, reply: &Reply, is_proven: bool) -> bool {
         let close =
             slot.is_last() || self.closing_connections.load(Ordering::Relaxed) || reply.status / 100 == 4;
         let body = reply.body.bytes();
         let head = answer_head(reply.status, body.len(), reply.come_back, close);
-        // A client that takes nothing in must not hold this thread for good.
+        // A client that does not read must not block this thread forever.
         let remaining = reply.deadline.saturating_duration_since(Instant::now()).max(LAST_RESPONSE_TIMEOUT);
         let _ = slot.stream.set_write_timeout(Some(remaining));
         let mut open_ticket = &slot.stream;
@@ -391,13 +399,14 @@
         } else if close {
             slot.close_after_response("answered");
         } else {
-            // Before the reader is told: it may mark the next request at once.
+            // Must happen before the reader is notified, because the reader may then mark the next request at
+            // once.
             slot.finish_request(is_proven);
         }
         sent.is_ok() && !close
     }
 
-    /// An op has its answer.
+    /// Counts the result of an op.
     fn count_result(&self, category: Option<usize>, status: u16) {
         if let (Some(metrics), Some(category)) = (&self.metrics, category) {
             let kind = match status {
@@ -409,7 +418,7 @@
         }
     }
 
-    /// Answers what can't be taken; nothing more is read as a request here.
+    /// Responds to an invalid request. No further request is read from this connection.
     fn refuse(&self, slot: &ClientSlot, error: RequestError, code: &'static str) -> &'static str {
         slot.set_last();
         self.write_reply(slot, &local_reply(error.status, &error.reason), false);
@@ -417,13 +426,13 @@
     }
 }
 
-/// Waits until the op in hand is answered; false if that was the last answer here.
+/// Waits until the op in flight is answered. Returns false if that was the last response on this connection.
 fn wait_for_reply(writer: &Option<ResponseWriter>) -> bool {
     writer.as_ref().is_none_or(|writer| writer.written.recv() == Ok(true))
 }
 
-/// Takes in what a client still sends behind its last answer, until it closes or has had time to read that. A
-/// connection ended under what was not read is reset, and the answer may be lost with it.
+/// Reads and discards what a client still sends after its last response, until it closes or has had time to
+/// read that response. Closing with unread bytes would reset the connection and could lose the response.
 fn drain_input(mut stream: &TcpStream) {
     let (start, mut chunk) = (Instant::now(), [0; super::READ_CHUNK_BYTES]);
     let _ = stream.set_read_timeout(Some(LAST_RESPONSE_TIMEOUT));
@@ -436,22 +445,22 @@
     }
 }
 
-/// An answer that the node gives without the desk.
+/// A response that is made without the dispatch loop.
 fn local_reply(status: u16, text: &str) -> Reply {
     let body = Body::Text(format!("{text}\n"));
     Reply { status, in_flight: None, body, come_back: 0, deadline: Instant::now() + LAST_RESPONSE_TIMEOUT }
 }
 
-/// The longest budget that is believed.
+/// The longest accepted time budget, in milliseconds.
 const MAX_BUDGET_MS: i64 = 3_600_000;
 
-/// A plain number, of no more digits than are ever needed.
+/// Parses a decimal number of at most 12 digits.
 fn number(text: &str) -> Option<i64> {
     (text.len() <= 12 && is_decimal(text)).then(|| text.parse().ok())?
 }
 
 impl RequestRules {
-    /// What the node must know of a request before it takes it; what is missing or wrong is named.
+    /// Validates a request and extracts its parameters. The error names what is missing or invalid.
     pub fn check(&self, request: &Request) -> Result<JobParameters, RequestError> {
         let bad_request = |reason: String| RequestError { status: 400, reason };
         let missing = |name: &str| bad_request(format!("{name} is missing"));
--- a/crates/node/src/net/connection_pool.rs
+++ b/crates/node/src/net/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to executors: which are idle, and how many there may be.
+//! The pool of executor connections: which are idle, and how many may be open.
 
 use super::executors::{ConnectionHandle, Task};
 use crossbeam_channel::Sender;
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A connection with its thread, at rest.
+/// A connection with its thread.
 pub struct PooledConnection {
     pub number: u64,
     pub executor: usize,
@@ -14,7 +14,7 @@
     pub tasks: Sender<Task>,
 }
 
-/// The idle ones by executor, the latest last; the others are only counted.
+/// Idle connections by executor, the most recently used last, and those in use by number.
 pub struct ConnectionPool {
     idle: HashMap<usize, Vec<(Instant, PooledConnection)>>,
     in_use: HashMap<u64, PooledConnection>,
@@ -24,7 +24,8 @@
     last_number: u64,
 }
 
-/// Most idle connections to one executor: it holds only so many, and few pushes leave at once.
+/// Maximum number of idle connections to one executor: an executor accepts only so many, and few pushes start
+/// at the same time.
 const MAX_IDLE_PER_EXECUTOR: usize = 8;
 
 impl ConnectionPool {
@@ -43,7 +44,8 @@
         self.in_use.len() + self.idle.values().map(Vec::len).sum::<usize>()
     }
 
-    /// The idle connection to this executor that was used last. It is the least likely to be closed there.
+    /// Takes the most recently used idle connection to this executor, because the executor is least likely to
+    /// have closed it.
     pub fn reuse(&mut self, executor: usize, now: Instant) -> Option<PooledConnection> {
         let (since, connection) = self.idle.get_mut(&executor)?.pop()?;
         if now - since >= self.idle_timeout {
@@ -53,7 +55,8 @@
         Some(connection)
     }
 
-    /// A number for a new connection, if there may be one more; the longest idle one makes room.
+    /// Allocates the number of a new connection if the limit permits. The connection that has been idle longest
+    /// is evicted if needed.
     pub fn allocate_number(&mut self) -> Option<u64> {
         while self.count() >= self.max_connections() {
             self.evict()?;
@@ -62,7 +65,7 @@
         Some(self.last_number)
     }
 
-    /// Closes the longest idle one, if any is idle.
+    /// Closes the connection that has been idle longest, if there is one.
     fn evict(&mut self) -> Option<()> {
         let oldest =
             |connections: &Vec<(Instant, PooledConnection)>| connections.first().map(|(since, _)| *since);
@@ -80,18 +83,20 @@
         }
     }
 
-    /// Keeps to half of them from now on; idle ones make room at once.
+    /// Limits the pool to half of its connections, or lifts that limit. Idle connections above the limit are
+    /// closed at once.
     pub fn set_half_capacity(&mut self, half_capacity: bool) {
         self.half_capacity = half_capacity;
         while self.count() > self.max_connections() && self.evict().is_some() {}
     }
 
-    /// The connection carries a push now.
+    /// Records that the connection carries a push.
     pub fn mark_in_use(&mut self, connection: PooledConnection) {
         self.in_use.insert(connection.number, connection);
     }
 
-    /// Its task is over: it is idle again, for the executor that is told, or gone.
+    /// Records that the push has ended. Returns the executor if the connection is idle again, or `None` if it
+    /// is closed.
     pub fn release(&mut self, number: u64, is_reusable: bool, now: Instant) -> Option<usize> {
         let connection = self.in_use.remove(&number).filter(|_| is_reusable)?;
         let executor = connection.executor;
@@ -103,7 +108,8 @@
         Some(executor)
     }
 
-    /// Closes those idle too long: a push on one that the executor closes meanwhile would end as a reset.
+    /// Closes connections that have been idle too long: if the executor closed one at the moment of a push,
+    /// that push would end with a reset.
     pub fn close_expired(&mut self, now: Instant) {
         for connections in self.idle.values_mut() {
             let old = connections.iter().take_while(|(since, _)| now - *since >= self.idle_timeout).count();
@@ -111,14 +117,14 @@
         }
     }
 
-    /// Closes the idle ones to an executor.
+    /// Closes the idle connections to an executor.
     pub fn close_idle(&mut self, executor: usize, reason: &'static str) {
         let connections = self.idle.remove(&executor).unwrap_or_default();
         connections.into_iter().for_each(|(_, connection)| close(connection, reason));
     }
 }
 
-/// Its thread ends when no more tasks can come.
+/// Drops the connection; its thread ends when its task channel is closed.
 fn close(connection: PooledConnection, reason: &'static str) {
     connection.handle.set_close_reason(reason);
 }
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -1,4 +1,4 @@
-//! Follows the list of executors: asks when the desk says so, then holds the watch until it breaks.
+//! Follows the executor list: starts a watch when the dispatch loop asks for it and keeps it until it fails.
 
 use super::{exchange, ExchangeError};
 use crate::interfaces::Event;
@@ -10,11 +10,12 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// How long a watch waits for news, and how much longer an answer may take before discovery counts as silent.
+/// How long a watch request waits for changes (4 s), and how much longer the response may take before discovery
+/// counts as silent (1.5 s).
 const LONG_POLL_MS: u64 = 4000;
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Where discovery is, and the connection that is held to it. A new configuration may name another place.
+/// The address of discovery and the current connection to it. A configuration reload can change the address.
 pub struct DiscoveryAddress {
     state: Mutex<(SocketAddr, Option<Arc<TcpStream>>)>,
     refresh: Sender<()>,
@@ -33,8 +34,8 @@
         self.state().0
     }
 
-    /// Leaves the old address at once, wherever the thread is waiting: what is told there is no longer heeded,
-    /// and what the new one has told must not wait for the old watch to run out.
+    /// Switches to a new address and closes the old connection at once. Updates from the old address are
+    /// ignored from then on, and those of the new one must not wait until the old watch times out.
     pub fn change_address(&self, to: SocketAddr) {
         let mut state = self.state();
         if state.0 != to {
@@ -42,12 +43,13 @@
             if let Some(stream) = state.1.take() {
                 let _ = stream.shutdown(Shutdown::Both);
             }
-            // After the address: a thread that rests between two watches wakes and finds the new one.
+            // Sent after the address is set, so that a thread waiting between two watches wakes up and finds
+            // the new one.
             let _ = self.refresh.try_send(());
         }
     }
 
-    /// Enters the connection; false if its address was left meanwhile.
+    /// Registers the connection. Returns false if the address was changed in the meantime.
     fn register_stream(&self, address: SocketAddr, stream: &Arc<TcpStream>) -> bool {
         let mut state = self.state();
         state.1 = Some(stream.clone());
@@ -55,7 +57,7 @@
     }
 }
 
-/// Serves until the desk is gone. `ask` comes from the desk, which also decides when to ask again.
+/// Runs until the dispatch loop ends. `refresh` comes from the dispatch loop, which decides when to ask again.
 pub fn run(
     discovery_address: &DiscoveryAddress,
     known_version: i64,
@@ -68,7 +70,8 @@
             let address = discovery_address.address();
             let end = watch(address, discovery_address, &mut last_version, &dispatch_loop);
             discovery_address.state().1 = None;
-            // Before the address is looked at: a call that is dropped here must not be that of a new one.
+            // Must run before the address is compared: a request that is dropped here must not be one for the
+            // new address.
             while refresh.try_recv().is_ok() {}
             let address_changed = discovery_address.address() != address;
             let end = if address_changed { WatchEnd::AddressChanged } else { end };
@@ -83,32 +86,33 @@
     }
 }
 
-/// Why the calls to discovery at one address ended.
+/// Why the requests to discovery at one address ended.
 #[derive(Debug, Error)]
 enum WatchEnd {
     /// No connection could be made.
     #[error("unreached")]
     NotConnected,
-    /// Discovery is asked at another address now.
+    /// The configured address has changed.
     #[error("moved")]
     AddressChanged,
-    /// The node ends.
+    /// The dispatch loop has ended.
     #[error("stopped")]
     Stopped,
-    /// The service had no room for the call.
+    /// The service was overloaded and rejected the request.
     #[error("turned-away")]
     Rejected,
-    /// An answer came that holds no list.
+    /// A response arrived but contained no valid list.
     #[error("garbled")]
     Malformed,
-    /// No answer came.
+    /// No response arrived.
     #[error("{0}")]
     NoAnswer(ExchangeError),
 }
 
-/// Watch after watch, from the version that is known. Only where none is known, as at another address, a call for the whole
-/// list comes first: it costs the service each line, and hundreds of nodes that start or lose it together would
-/// each make it pay for what they know already. Gives the reason why it ended.
+/// Sends watch requests one after another, starting from the last known version. The complete list is requested
+/// only if no version is known, for example at a new address: it costs the service every entry, and hundreds of
+/// nodes that start or reconnect together would each request what they already know. Returns the reason why the
+/// watch ended.
 fn watch(
     address: SocketAddr,
     discovery_address: &DiscoveryAddress,
@@ -135,7 +139,7 @@
         let request = discovery::request(&host, known_version.map(|version| (version, wait)));
         let list = match request_list(&stream, &request, Duration::from_millis(wait) + RESPONSE_TIMEOUT) {
             Ok((list, close)) => {
-                // Discovery may close a connection after an answer; the watch goes on on a new one.
+                // Discovery may close the connection after a response; the watch then continues on a new one.
                 reusable_stream = (!close).then_some(stream);
                 list
             }
@@ -144,7 +148,7 @@
         if discovery_address.address() != address {
             return WatchEnd::AddressChanged;
         }
-        // Another place counts its versions in its own way.
+        // Another discovery address numbers its versions independently.
         let is_first_from_address = known_version.is_none() && last_version.is_some();
         *last_version = Some((address, known_version.map_or(list.index, |before| before.max(list.index))));
         if dispatch_loop.send(Event::ExecutorList { list: (&list).into(), is_first_from_address }).is_err() {
@@ -153,7 +157,7 @@
     }
 }
 
-/// Asks for a list; beside it whether the connection ends with the answer.
+/// Requests a list. Also returns whether the connection closes after the response.
 fn request_list(stream: &TcpStream, request: &str, wait: Duration) -> Result<(EndpointList, bool), WatchEnd> {
     let _ = stream.set_write_timeout(Some(RESPONSE_TIMEOUT));
     let answer = exchange(stream, request, Instant::now() + wait).map_err(|error| match error {
--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -1,4 +1,4 @@
-//! Connections to executors: one thread each, which carries one push after another.
+//! Connections to executors. Each has one thread and carries one push at a time.
 
 use crate::interfaces::{self, Event, Job, PushOutcome};
 use crate::log_info;
@@ -11,23 +11,23 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What a connection is to carry next.
+/// A push to be carried by a connection.
 pub struct Task {
     pub ticket: u64,
     pub push: usize,
     pub job: Arc<dyn Job>,
-    /// A repeat is not harmless.
+    /// A repeat of the op is not harmless.
     pub hold_last_byte: bool,
     pub to: SocketAddr,
-    /// When the time of the op is out.
+    /// The deadline of the op.
     pub deadline: Instant,
-    /// Beyond this nothing of it may be written any more.
+    /// No byte of the push may be written after this time.
     pub write_deadline: Instant,
-    /// A route's own bound on the time that a new connection may take.
+    /// The route's limit on the time for opening a new connection.
     pub connect_timeout: Option<Duration>,
 }
 
-/// What the desk holds of a connection, to end it from outside.
+/// The dispatch loop's handle of a connection, used to close it or to withhold its push.
 #[derive(Default)]
 pub struct ConnectionHandle {
     state: Mutex<HandleState>,
@@ -36,7 +36,7 @@
 #[derive(Default)]
 struct HandleState {
     stream: Option<Arc<TcpStream>>,
-    /// The first byte of the push may be written from now on.
+    /// Set once the first byte of the push may be written.
     write_allowed: bool,
     is_cancelled: bool,
     close_reason: Option<&'static str>,
@@ -47,18 +47,18 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A new push is about to be carried.
+    /// Resets the handle for a new push.
     pub fn reset(&self) {
         let mut state = self.state();
         (state.is_cancelled, state.write_allowed) = (false, false);
     }
 
-    /// Names the reason why it is closed while idle.
+    /// Sets the reason for closing the connection while it is idle.
     pub fn set_close_reason(&self, reason: &'static str) {
         self.state().close_reason.get_or_insert(reason);
     }
 
-    /// Enters the connection; false if the push was given up meanwhile.
+    /// Registers the stream of the connection. Returns false if the push was cancelled in the meantime.
     pub fn register_stream(&self, stream: &Arc<TcpStream>) -> bool {
         let mut state = self.state();
         state.stream = Some(stream.clone());
@@ -86,12 +86,13 @@
 
     fn withhold_unsent(&self) {
         let mut state = self.state();
-        // A kept connection has its stream from the push before: that one is there says nothing of this push.
+        // A reused connection still has its stream from the previous push, so the presence of a stream says
+        // nothing about this push.
         state.is_cancelled |= !state.write_allowed;
     }
 }
 
-/// What all these threads share.
+/// State shared by the threads of all executor connections.
 pub struct Executors {
     pub dispatch_loop: Sender<Event>,
     pub pool: Arc<Pool>,
@@ -100,10 +101,10 @@
     pub connect_timeout: Duration,
 }
 
-/// How long the end of an answer may come after its last line, for the connection to be kept.
+/// How long the end of a response may lag behind its final status line if the connection is to be reused.
 const RESPONSE_END_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The life of one connection.
+/// Runs one connection until it is closed.
 pub fn run(number: u64, tasks: Receiver<Task>, handle: &ConnectionHandle, shared: &Executors) {
     let mut stream = None;
     let mut to = String::new();
@@ -140,15 +141,15 @@
     task: &'a Task,
     handle: &'a ConnectionHandle,
     shared: &'a Executors,
-    /// Why the connection ends, if it does.
+    /// Why the connection is closed, if it is.
     code: &'static str,
     outcome_sent: bool,
-    /// The connection has carried something before.
+    /// The connection carried a push before this one.
     is_reused: bool,
 }
 
 impl ActivePush<'_> {
-    /// Carries a push; true if the connection may carry another task.
+    /// Carries a push. Returns true if the connection can be reused.
     fn push(
         &mut self,
         job: &dyn Job,
@@ -172,9 +173,9 @@
         }
     }
 
-    /// Writes the request. No executor begins before the last byte has come: where a repeat is not harmless that
-    /// byte is held back for a moment, in which a connection that will not stand mostly shows it. What breaks
-    /// then provably never ran; a moment later nothing would tell.
+    /// Writes the request. An executor starts a job only after the last byte has arrived. If a repeat is not
+    /// harmless, that byte is held back for a moment in which a dying connection usually shows its failure. A
+    /// push that fails before the last byte has provably not run; after it, that would stay unknown.
     fn write(&mut self, stream: &TcpStream, text: &[u8], hold_last_byte: bool) -> Result<(), PushOutcome> {
         let mut out = stream;
         let (head, last_byte) = text.split_at(text.len() - usize::from(hold_last_byte));
@@ -196,13 +197,14 @@
         })
     }
 
-    /// The connection for this task: the one at rest, or a new one.
+    /// The stream for this push: the idle one or a new one.
     fn connection(
         &mut self,
         idle_stream: &mut Option<Arc<TcpStream>>,
     ) -> Result<Arc<TcpStream>, PushOutcome> {
         if idle_stream.as_ref().is_some_and(|stream| !is_usable(stream)) {
-            // It ended while it was idle. Nothing of this task was written, so a new one may carry it.
+            // The connection was closed while idle. Nothing of this push was written, so a new connection can
+            // carry it.
             let (to, number) = (self.task.to, self.number);
             log_info!(ended { peer = "executor", at = %to, connection = number, code = "stale" } "executor {to}: connection {number} ended: stale");
             self.handle.drop_stream();
@@ -249,7 +251,7 @@
         }
     }
 
-    /// Reads the answer to its end. The desk ends the connection when the op's time is out.
+    /// Reads the response to its end. The dispatch loop closes the connection at the op's deadline.
     fn read_response(
         &mut self,
         mut response: ResponseParser,
@@ -287,9 +289,10 @@
                     ResponseOutcome::Rejected(status) => PushOutcome::Rejected(status),
                     ResponseOutcome::Returned => PushOutcome::Returned,
                     ResponseOutcome::Lost | ResponseOutcome::Malformed => {
-                        // An answer that is whole without a last line says no more than a garbled one: it may still
-                        // be at work on it. Told before this connection is closed, the desk pushes the op again
-                        // while the first push is out, and the connection would even be kept.
+                        // A complete response without a final line is as uncertain as a malformed one: the job
+                        // may still be running. The connection is closed before the outcome is reported;
+                        // otherwise the dispatch loop would push the op again while the first push is open, and
+                        // would even reuse the connection.
                         self.code =
                             if matches!(outcome_sent, ResponseOutcome::Lost) { "lost" } else { "garbled" };
                         return self.fail(Some(stream), PushOutcome::Lost);
@@ -319,7 +322,7 @@
         }
     }
 
-    /// Tells the desk only after the connection is closed, so that the next push is no second copy.
+    /// Closes the connection and then reports the outcome, so that the next push never overlaps with this one.
     fn fail(&mut self, stream: Option<Arc<TcpStream>>, push_outcome: PushOutcome) -> bool {
         drop(stream);
         self.handle.drop_stream();
@@ -334,18 +337,18 @@
     }
 }
 
-/// The connection is still up, with nothing to read, as far as this machine knows.
+/// Whether the connection is open and has no bytes to read, as far as the local socket shows.
 fn is_usable(stream: &TcpStream) -> bool {
     super::peek_nonblocking(stream)
         .is_some_and(|seen| matches!(seen, Err(error) if error.kind() == ErrorKind::WouldBlock))
 }
 
-/// How long the last byte of a wary push is held back.
+/// How long the last byte of a push is held back if a repeat is not harmless.
 const LAST_BYTE_DELAY: Duration = Duration::from_millis(2);
 
-/// The other side has not ended the connection within a moment.
+/// Fails if the executor closes the connection within the delay.
 fn check_still_open(stream: &TcpStream) -> std::io::Result<()> {
-    // Slept, not read with a time limit: the kernel would make two of its ticks of so short a one.
+    // Sleeps instead of reading with a time-out: the kernel rounds such a short time-out up to two ticks.
     std::thread::sleep(LAST_BYTE_DELAY);
     match super::peek_nonblocking(stream) {
         Some(Ok(0)) => Err(ErrorKind::ConnectionAborted.into()),
@@ -354,7 +357,7 @@
     }
 }
 
-/// The failure is this machine's own: out of descriptors, ports or buffers.
+/// Whether the failure is local to this machine: out of descriptors, ports or buffers.
 fn is_local_failure(error: &std::io::Error) -> bool {
     const LOCAL_ERRNOS: [i32; 5] = [12, 23, 24, 99, 105];
     error.raw_os_error().is_some_and(|code| LOCAL_ERRNOS.contains(&code))
--- a/crates/node/src/net/http_transport.rs
+++ b/crates/node/src/net/http_transport.rs
@@ -1,4 +1,5 @@
-//! The executors that speak the platform's HTTP: which connection carries a push, and the threads behind them.
+//! The executor transport for the platform's HTTP protocol: assigns pushes to connections and starts their
+//! threads.
 
 use super::connection_pool::{ConnectionPool, PooledConnection};
 use super::executors::{self, ConnectionHandle, Executors, Task};
@@ -16,12 +17,12 @@
 }
 
 impl HttpTransport {
-    /// With so many connections at most, idle ones kept so long.
+    /// Creates a transport with a maximum number of connections and a time-out for idle ones.
     pub fn new(executors: Arc<Executors>, max_connections: usize, idle_timeout: Duration) -> HttpTransport {
         HttpTransport { pool: ConnectionPool::new(max_connections, idle_timeout), executors }
     }
 
-    /// Gives a task to an idle connection, or to a new one.
+    /// Assigns a task to an idle connection or to a new one.
     fn assign(&mut self, executor: usize, task: Task, new_connection: bool) -> Option<Arc<ConnectionHandle>> {
         let (now, to) = (Instant::now(), task.to);
         let idle = if new_connection { None } else { self.pool.reuse(executor, now) };
--- a/crates/node/src/net/membership.rs
+++ b/crates/node/src/net/membership.rs
@@ -1,5 +1,5 @@
-//! The socket and the thread of the membership protocol: one datagram for each message. Nothing waits on it; the number of members
-//! goes to the desk when it changes, and a report to operators when they ask.
+//! The socket and thread of the membership protocol, with one message per datagram. No other part waits for it:
+//! the dispatch loop is notified when the number of members changes, and operators read a report.
 
 use super::membership_report::MembershipReport;
 use crate::interfaces::Event;
@@ -17,42 +17,44 @@
 use stileroute_gossip::{Datagram, Detector, MemberCount, Time, SECOND};
 use thiserror::Error;
 
-/// Messages are waited for, or received in a row, for so long at most: in between the detector's timers are looked at.
+/// Longest time for waiting for messages, or for receiving them in a row, before the detector's timers are
+/// checked.
 const RECEIVE_LIMIT: Duration = Duration::from_millis(25);
-/// The report for operators is written so often.
+/// Interval between updates of the report for operators.
 const REPORT_INTERVAL: Time = SECOND / 2;
-/// For so long after its start this instance may not have heard of all: there are at least as many as the settings name.
+/// During this time after its start the instance may not know all members yet, so it assumes at least as many
+/// as the settings name.
 const STARTUP_PERIOD: Time = 30 * SECOND;
 
 /// The running membership protocol of this instance.
 pub struct MembershipThread {
     pub report: Arc<MembershipReport>,
-    /// Where others reach it.
+    /// The address at which the other instances reach this one.
     pub address: SocketAddrV4,
     stop: Arc<AtomicBool>,
     thread: JoinHandle<()>,
 }
 
-/// Why a node takes no part in membership.
+/// Why membership could not be started.
 #[derive(Debug, Error)]
 pub enum MembersError {
-    /// Its address can't be opened, or there is no thread for it.
+    /// The address could not be bound, or the thread could not be started.
     #[error("members: {listen}: {source}")]
     Open { listen: SocketAddrV4, source: io::Error },
-    /// The socket that was opened has an address of another family.
+    /// The bound socket has an address that is not IPv4.
     #[error("members: no IPv4 address")]
     NotIpv4,
 }
 
-/// What this instance announces of itself, and what its settings say of the fleet.
+/// The identity that this instance announces, and the fleet's size according to the settings.
 pub struct Instance {
-    /// Its identifier.
+    /// The instance's identifier.
     pub id: u64,
-    /// Its failure domain.
+    /// The instance's failure domain.
     pub domain: u8,
-    /// How many nodes the settings name.
+    /// Number of nodes in the settings.
     pub nodes: usize,
-    /// Of its random numbers.
+    /// Seed of the instance's random numbers.
     pub seed: u64,
 }
 
@@ -69,7 +71,8 @@
             return Err(MembersError::NotIpv4);
         };
         let address = settings.advertise.unwrap_or(bound);
-        // Later than that of any process before, unless the clock was set back; then it is told so.
+        // Higher than the incarnation of any earlier process, unless the system clock was set back. In that
+        // case the other members report the higher one.
         let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let seed = instance.seed ^ incarnation;
         let detector = Detector::new(
@@ -98,19 +101,20 @@
         Ok(MembershipThread { report, address, stop, thread })
     }
 
-    /// Tells the others that this instance goes.
+    /// Announces to the other members that this instance is leaving, and stops the thread.
     pub fn leave(self) {
         self.stop.store(true, Ordering::Relaxed);
         let _ = self.thread.join();
     }
 }
 
-/// What the desk was last told.
+/// The member counts that were last sent to the dispatch loop.
 #[derive(Default, PartialEq)]
 struct Published {
-    /// What was counted.
+    /// The counts of the failure detector.
     count: MemberCount,
-    /// How many are likely to live: after the startup period that no longer rests on the settings.
+    /// Number of nodes that are likely to be live. After the startup period it no longer depends on the
+    /// settings.
     likely: usize,
 }
 
@@ -121,7 +125,7 @@
     report: Arc<MembershipReport>,
     started_at: Instant,
     configured_nodes: usize,
-    /// Every node of the fleet takes part: who has not been heard of is not there.
+    /// All nodes of the fleet are members, so a node that has not been heard from does not exist.
     are_all_members: bool,
     published: Published,
     next_report_at: Time,
@@ -136,7 +140,7 @@
     fn run(&mut self, stop: &AtomicBool) {
         let mut bytes = [0; MAX_MESSAGE_BYTES + 1];
         while !stop.load(Ordering::Relaxed) {
-            // A burst of messages must not keep time from being looked at.
+            // Bounds the time spent on a burst of messages, so that the timers are still checked.
             let until = Instant::now() + RECEIVE_LIMIT;
             while let Ok((read, SocketAddr::V4(from))) = self.socket.recv_from(&mut bytes) {
                 let sends = self.detector.receive(self.now(), from, &bytes[..read]);
@@ -154,14 +158,14 @@
         self.send(&sends);
     }
 
-    /// One that can't leave is lost, as any may be.
+    /// Sends datagrams. One that cannot be sent is lost, which the protocol tolerates for any message.
     fn send(&self, sends: &[Datagram]) {
         for send in sends {
             let _ = self.socket.send_to(&send.bytes, send.to);
         }
     }
 
-    /// Tells the desk and operators what has changed.
+    /// Sends changes to the dispatch loop and updates the operators' report.
     fn publish(&mut self, now: Time) {
         let current = self.count_members(now);
         if current != self.published && self.tell_desk(&current) {
@@ -185,12 +189,13 @@
         if may_miss_some {
             count.possibly_sending = count.possibly_sending.max(self.configured_nodes);
         }
-        // Until it has heard of others, or where not all are members, who is likely to be there stands in the settings.
+        // Before other members are heard from, or if not all nodes are members, the settings determine how many
+        // nodes are likely to be live.
         let likely = if may_miss_some { count.likely.max(self.configured_nodes) } else { count.likely };
         Published { count, likely }
     }
 
-    /// Whether it could be told: it is tried again otherwise.
+    /// Returns whether the event was sent; if not, it is sent again later.
     fn tell_desk(&self, current: &Published) -> bool {
         let event =
             Event::FleetSize { live: current.likely, possibly_sending: current.count.possibly_sending };
--- a/crates/node/src/net/membership_report.rs
+++ b/crates/node/src/net/membership_report.rs
@@ -1,10 +1,10 @@
-//! What operators read of membership: a line for each member, and metrics in Prometheus' text format.
+//! The membership report for operators: one line per member, and metrics in Prometheus text format.
 
 use std::fmt::Write;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use stileroute_gossip::{Detector, Entry, Evidence, Member, MemberCount, Time, SECOND};
 
-/// The report as it was last written.
+/// The most recent report.
 #[derive(Default)]
 pub struct MembershipReport {
     text: Mutex<ReportText>,
@@ -21,17 +21,17 @@
         self.text.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A line for each member, this instance first.
+    /// One line per member, this instance first.
     pub fn members(&self) -> String {
         self.text().members.clone()
     }
 
-    /// The metrics, in Prometheus' text format.
+    /// The metrics in Prometheus text format.
     pub fn metrics(&self) -> String {
         self.text().metrics.clone()
     }
 
-    /// Writes the report anew. `count` is what the node was last told.
+    /// Rebuilds the report. `count` is what the dispatch loop was last sent.
     pub fn update(&self, detector: &Detector, count: &MemberCount, now: Time) {
         let text = ReportText { members: member_lines(detector, now), metrics: metrics(detector, count) };
         *self.text() = text;
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The thin driver: threads that read and write sockets and tell the desk.
+//! Sockets and their threads. They contain no dispatch decisions and notify the dispatch loop by events.
 
 pub mod admin;
 pub mod clients;
@@ -18,30 +18,30 @@
 use std::time::Instant;
 use thiserror::Error;
 
-/// Bytes read at once.
+/// Number of bytes per read.
 pub const READ_CHUNK_BYTES: usize = 8 * 1024;
 
-/// Why a call has no answer that can be read.
+/// Why an exchange gave no usable response.
 #[derive(Debug, Error)]
 pub enum ExchangeError {
-    /// It could not be sent whole.
+    /// The request could not be written completely.
     #[error("unwritten")]
     WriteFailed,
-    /// Nothing, or not all, came in time.
+    /// The response, or part of it, did not arrive in time.
     #[error("silent")]
     TimedOut,
-    /// The other side closed the connection before the answer was complete.
+    /// The other side closed the connection before the response was complete.
     #[error("closed")]
     Closed,
-    /// The connection broke.
+    /// The connection was reset.
     #[error("reset")]
     Reset,
-    /// What came is no answer.
+    /// The response could not be parsed.
     #[error("{0}")]
     Malformed(#[from] ResponseError),
 }
 
-/// Sends `text` and reads the answer to it.
+/// Sends `request` and reads the response.
 pub fn exchange(mut stream: &TcpStream, request: &str, deadline: Instant) -> Result<Response, ExchangeError> {
     stream.write_all(request.as_bytes()).map_err(|_| ExchangeError::WriteFailed)?;
     let (mut parser, mut chunk) = (ResponseReader::default(), [0; READ_CHUNK_BYTES]);
@@ -66,7 +66,8 @@
     }
 }
 
-/// Nothing has come yet: the wait was interrupted or timed out, or the socket was switched for a look.
+/// Whether the read should be retried: it was interrupted, timed out, or hit the moment in which the socket is
+/// non-blocking for a peek.
 pub fn is_transient(error: &std::io::Error) -> bool {
     matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock | ErrorKind::TimedOut)
 }
--- a/crates/node/src/net/peers.rs
+++ b/crates/node/src/net/peers.rs
@@ -1,7 +1,8 @@
-//! Messages between nodes: one datagram each, to and from the addresses that the configuration names.
+//! Messages between nodes: one datagram each, between the addresses in the configuration.
 //!
-//! Nothing waits on one and no rule rests on one: a lost datagram only makes news older. What comes from elsewhere,
-//! or is longer than a message may be, is counted and dropped; so is what comes faster than the desk takes it.
+//! No code waits for a message and no guarantee depends on one: a lost datagram only delays an update.
+//! Datagrams from other addresses, of excess length, or arriving faster than the dispatch loop takes them are
+//! counted and dropped.
 
 use crate::interfaces::{Event, PeerTransport};
 use crossbeam_channel::Sender;
@@ -14,29 +15,29 @@
 use stileroute_dispatch::types::Letter;
 use thiserror::Error;
 
-/// The longest that the desk may be held up by a message that finds no room on its way out.
+/// The longest time that sending a message may block the dispatch loop while the socket buffer is full.
 const SEND_TIMEOUT: Duration = Duration::from_millis(1);
-/// After a failed read, so that one that goes on failing takes no core.
+/// Delay after a failed read, so that persistent failures do not occupy a processor core.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Why a node can't exchange messages with others.
+/// Why messages between nodes could not be started.
 #[derive(Debug, Error)]
 pub enum PeersError {
-    /// Its own address can't be opened.
+    /// The node's own address could not be bound.
     #[error("peers.nodes[{node}]: {source}")]
     Bind { node: usize, source: io::Error },
-    /// There is no second descriptor for what comes in.
+    /// The socket could not be duplicated for the receiving thread.
     #[error("peers: {0}")]
     Clone(io::Error),
 }
 
-/// The carrier of a node's messages.
+/// Sends this node's messages to the other nodes.
 pub struct Peers {
     socket: UdpSocket,
     own_index: usize,
-    /// Addresses of all nodes, by number.
+    /// Addresses of all nodes, by node number.
     nodes: Vec<SocketAddr>,
-    /// Datagrams that were dropped here.
+    /// Number of received datagrams that were dropped.
     dropped: Arc<AtomicU64>,
 }
 
@@ -48,7 +49,7 @@
         Ok(Peers { socket, own_index, nodes: nodes.to_vec(), dropped: Arc::default() })
     }
 
-    /// What takes messages in, for a thread of its own: it ends with the desk.
+    /// Returns the receive loop, to be run on its own thread. It ends with the dispatch loop.
     pub fn receiver(&self) -> Result<impl FnOnce(Sender<Event>) + Send + 'static, PeersError> {
         let socket = self.socket.try_clone().map_err(PeersError::Clone)?;
         let (nodes, dropped) = (self.nodes.clone(), self.dropped.clone());
@@ -74,7 +75,7 @@
 }
 
 impl PeerTransport for Peers {
-    /// One that can't leave by then is dropped.
+    /// A message that cannot be sent within the time-out is dropped.
     fn send(&self, message: &Letter) {
         for (number, node) in self.nodes.iter().enumerate() {
             if number != self.own_index && message.to.is_none_or(|to| to == number) {
--- a/crates/node/src/process/budget.rs
+++ b/crates/node/src/process/budget.rs
@@ -1,32 +1,35 @@
-//! How many descriptors and buffers each part of the node may hold.
+//! Splits the limits on descriptors and memory among the parts of the node.
 
 use crate::wire::http::MAX_MESSAGE_BYTES;
 use thiserror::Error;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Requests of clients in hand, and connections of clients: those, and others that say nothing yet, are
-    /// idle, or are refused.
+    /// Client requests in flight, and client connections: those with a request and others that are silent, idle
+    /// or being rejected.
     pub requests: usize,
     pub clients: usize,
-    /// Connections to executors; each may hold one buffer, and each client's connection another.
+    /// Connections to executors. Each may hold one buffer, and each client connection another.
     pub executors: usize,
 }
 
-/// Descriptors for standard streams, listener, discovery, signals, and connections that are just ending.
+/// Descriptors reserved for standard streams, the listener, discovery, signals, and connections that are
+/// closing.
 const RESERVED_DESCRIPTORS: usize = 12;
-/// Of so many descriptors one more is kept: the more connections there are, the more end at once.
+/// One more descriptor is reserved per this many: the more connections are open, the more close at the same
+/// time.
 const CONNECTIONS_PER_RESERVED_DESCRIPTOR: usize = 64;
-/// Operators' callers that have a place at once, and those beside them that are just leaving.
+/// Admin connections that are served at once, and those that may be closing beside them.
 pub const MAX_ADMIN_CLIENTS: usize = 8;
 pub const MAX_CLOSING_ADMIN_CLIENTS: usize = 4;
-/// What a thread may cost in memory: its stack as far as it is used.
+/// Memory that a thread may use, in bytes: the touched part of its stack.
 const THREAD_BYTES: usize = 24 * 1024;
-/// What a request in hand may cost: buffers for itself and its answer, a reader, a writer, a push.
+/// Memory that a request in flight may use, in bytes: buffers for itself and its response, and the threads of a
+/// reader, a writer and a push.
 const REQUEST_BYTES: usize = 2 * MAX_MESSAGE_BYTES + 3 * THREAD_BYTES;
 const IDLE_CLIENT_BYTES: usize = MAX_MESSAGE_BYTES + THREAD_BYTES;
 
-/// The limits leave no room for four requests at once.
+/// The limits do not permit four concurrent requests.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 #[error("limits: too small to serve: sockets {sockets}, memory_mb {memory_mb}")]
 pub struct BudgetError {
@@ -35,17 +38,18 @@
 }
 
 impl Budget {
-    /// What is left of it while another process of the node has as much.
+    /// The budget of this process, halved while a sibling process has the same limits.
     pub fn share(self, has_sibling: bool) -> Budget {
         let Budget { requests, clients, executors } = self;
         let share = |all: usize| if has_sibling { all / 2 } else { all };
         Budget { requests: share(requests), clients: share(clients), executors: share(executors) }
     }
 
-    /// Clients' requests get a third of the descriptors at most. Each needs a connection to an executor too; a
-    /// few more of these end, probe or are idle. The rest is for clients that have nothing in hand, whom a
-    /// crowd of silent ones must not keep out. `operators`: they have an address of their own; `shared`:
-    /// a second process may run beside this one, which needs as much of its own.
+    /// Splits the limits. Client requests get at most a third of the descriptors. Each request also needs an
+    /// executor connection, and an eighth more of these may be closing, used for health checks or idle. The
+    /// rest is for clients without a request, so that a crowd of silent ones cannot displace them.
+    /// `has_admin_address`: an admin server runs too. `has_shared_listener`: a second process may run at the
+    /// same time and needs the same reserve.
     pub fn split(
         sockets: usize,
         memory_mb: usize,
--- a/crates/node/src/process/cli.rs
+++ b/crates/node/src/process/cli.rs
@@ -1,4 +1,4 @@
-//! The command line. With no words at all the program serves, as it always has.
+//! The command line. Without a command the program serves.
 
 use super::operator_file::{self, OperatorSettings};
 use super::settings::{self, NodeSettings};
@@ -61,7 +61,7 @@
     Err(vec![line])
 }
 
-/// The settings and, where one is named, the operators' file.
+/// Loads the settings and, if a path is given, the operators' file.
 fn load_settings(
     path: Option<&Path>,
 ) -> Result<(NodeSettings, Ground, Option<OperatorSettings>), Vec<String>> {
@@ -79,7 +79,7 @@
 }
 
 impl Arguments {
-    /// The lines of every command but `serve`; faults otherwise.
+    /// The output lines of every command but `serve`, or its faults.
     pub fn run(&self) -> CommandResult {
         let command = self.command.as_ref().unwrap_or(&Command::Serve);
         match command {
@@ -162,7 +162,7 @@
     }
 }
 
-/// A rule in one line.
+/// Describes a rule in one line.
 fn describe_rule(rule: &Rule, route_context: &Ground) -> String {
     let pattern = &rule.pattern;
     let mut conditions = Vec::new();
--- a/crates/node/src/process/log.rs
+++ b/crates/node/src/process/log.rs
@@ -1,4 +1,4 @@
-//! The log: lines on standard error, and not more of them a second than someone can use.
+//! The log: lines on standard error, with a rate limit.
 
 use crossbeam_channel::{bounded, Sender};
 use std::io::Write;
@@ -9,16 +9,17 @@
 use tracing::span::{Attributes, Id, Record};
 use tracing::{Event, Metadata, Subscriber};
 
-/// Lines a second; what goes beyond is counted and told. Ended connections get a part of them only: a crowd of
-/// clients must not hide what else happens.
+/// Maximum lines per second; further lines are dropped and counted. Lines about ended connections may use only
+/// part of the limit, so that a crowd of clients cannot hide other events.
 const MAX_LINES_PER_SECOND: u64 = 200;
 const MAX_CONNECTION_LINES_PER_SECOND: u64 = 100;
 
-/// The second and the lines already written in it, and the lines dropped since last told.
+/// The current second with the number of lines written in it, and the number of lines dropped since the last
+/// report.
 static LINES_THIS_SECOND: AtomicU64 = AtomicU64::new(0);
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Whether a line may be written in this second, and how many were dropped before it.
+/// Whether a line may be written in this second; if so, the number of lines dropped before it.
 pub fn admit_line(is_connection_end: bool) -> Option<u64> {
     let limit = if is_connection_end { MAX_CONNECTION_LINES_PER_SECOND } else { MAX_LINES_PER_SECOND };
     let second = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs()) << 16;
@@ -37,17 +38,17 @@
 
 enum LogMessage {
     Text(String),
-    /// All before it is written.
+    /// Replies once all earlier lines are written.
     Flush(Sender<()>),
 }
 
 static WRITER: OnceLock<Sender<LogMessage>> = OnceLock::new();
-/// Lines that may wait, and how long the end of the process waits for them.
+/// Number of lines that may be queued, and how long the exit waits for them.
 const QUEUE_LINES: usize = 512;
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// From now on lines are written by a thread of their own: whoever reads them may be slow, or stand still, and
-/// the desk must not stand still with him.
+/// Starts a thread that writes the log: the reader of standard error may be slow or blocked, and the dispatch
+/// loop must not block with it.
 pub fn open(json: bool) -> std::io::Result<()> {
     let (lines, queued) = bounded(QUEUE_LINES);
     super::spawn("log", move || {
@@ -63,12 +64,12 @@
     Ok(())
 }
 
-/// That a line can't be written is no reason to end, as it would be for `eprintln`.
+/// Writes a line and ignores errors, where `eprintln` would panic.
 fn put(line: &str) {
     let _ = writeln!(std::io::stderr(), "{line}");
 }
 
-/// Writes a line, or counts it as dropped.
+/// Queues a line, or counts it as dropped.
 pub fn write(line: std::fmt::Arguments) {
     match WRITER.get() {
         None => put(&line.to_string()),
@@ -80,7 +81,7 @@
     }
 }
 
-/// Waits a moment for what is still to be written.
+/// Waits briefly until all queued lines are written.
 pub fn close() {
     let (done, written) = bounded(1);
     if WRITER.get().is_some_and(|lines| lines.send_timeout(LogMessage::Flush(done), FLUSH_TIMEOUT).is_ok()) {
@@ -88,16 +89,16 @@
     }
 }
 
-/// Targets of events: what belongs to an ended connection, what to the fate of an op.
+/// Event targets for ended connections and for the outcomes of ops.
 pub const CONNECTION_ENDED: &str = "stileroute::ended";
 pub const OP_OUTCOME: &str = "stileroute::op";
 
-/// Writes events as lines: their message alone, or all their fields as JSON.
+/// Writes events as text lines (the message only) or as JSON with all fields.
 struct LogSubscriber {
     json: bool,
 }
 
-/// What an event says.
+/// The message and fields of an event.
 #[derive(Default)]
 struct EventFields {
     message: String,
@@ -136,7 +137,7 @@
 }
 
 impl Subscriber for LogSubscriber {
-    /// What becomes of each op is told as JSON only: as text it would drown the rest.
+    /// Outcomes of ops are logged only in JSON form; as text they would bury all other lines.
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         metadata.target().starts_with("stileroute") && (self.json || metadata.target() != OP_OUTCOME)
     }
@@ -172,7 +173,7 @@
     }
 }
 
-/// Says something in the log. `ended` marks ended connections and `op` what became of an op, both with fields.
+/// Writes a log line. `ended` marks an ended connection and `op` the outcome of an op, both with fields.
 #[macro_export]
 macro_rules! log_info {
     (ended { $($fields:tt)* } $($text:tt)*) => {
--- a/crates/node/src/process/members_section.rs
+++ b/crates/node/src/process/members_section.rs
@@ -1,4 +1,5 @@
-//! The section `members` of the operators' file: where this instance hears others, and where it looks for them first.
+//! The section `members` of the operators' file: the listening address and the seeds of the membership
+//! protocol.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use stileroute_dispatch::types::Time;
@@ -7,7 +8,7 @@
 use stileroute_operator_file::{Located, Position, Section};
 use thiserror::Error;
 
-/// Why a key file can't be used.
+/// Why a key file could not be used.
 #[derive(Debug, Error)]
 enum KeyFileError {
     #[error("{0}")]
@@ -19,14 +20,14 @@
 #[derive(Debug)]
 pub struct MembersSettings {
     pub listen: SocketAddrV4,
-    /// Where others find it, if that is not where it listens.
+    /// The address that other instances use, if it differs from the listening address.
     pub advertise: Option<SocketAddrV4>,
     pub settings: Settings,
-    /// Every node of the fleet is a member, so who has not been heard of is not there.
+    /// All nodes of the fleet are members, so a node that has not been heard from does not exist.
     pub all: bool,
 }
 
-/// Reads the section; the faults are told by the keys.
+/// Reads the section. Faults are logged with the position of their key.
 pub fn read(table: &Section, peers_allowed: bool) -> Option<MembersSettings> {
     let parse_address = |position: Position, text: &str| -> Option<SocketAddrV4> {
         let parsed: Option<SocketAddrV4> = text.parse().ok();
@@ -84,7 +85,7 @@
     Some(MembersSettings { listen: listen?, advertise, settings, all })
 }
 
-/// A key of 64 hex digits, in a file that only this program should read.
+/// Reads a key of 64 hex digits. Only this program should have read access to the file.
 fn read_key_file(path: &str) -> Result<Key, KeyFileError> {
     let text = std::fs::read_to_string(path)?;
     let digits = text.trim();
--- a/crates/node/src/process/mod.rs
+++ b/crates/node/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! Start and stop: what the node is told, what it may use, how it logs and how it ends.
+//! The process: settings, resource limits, command line, signals and the log.
 
 pub mod budget;
 pub mod cli;
@@ -16,5 +16,5 @@
     std::thread::Builder::new().name(name.to_string()).stack_size(STACK).spawn(run)
 }
 
-/// A connection's thread needs a chunk for reading and the parser's headers.
+/// Stack size in bytes; a connection's thread needs a read chunk and the parsed headers.
 const STACK: usize = 128 * 1024;
--- a/crates/node/src/process/operator_file.rs
+++ b/crates/node/src/process/operator_file.rs
@@ -1,5 +1,5 @@
-//! The operator file: what the platform's settings do not hold. Routes and the form of the log for now; each later
-//! subsystem adds its section here. One that has a fault anywhere is not taken at all.
+//! The operators' file: what the platform's settings do not contain, namely routes, the log format and
+//! membership. A file with any fault is rejected as a whole.
 
 use super::members_section::{self, MembersSettings};
 use super::settings::NodeSettings;
@@ -10,19 +10,19 @@
 use stileroute_route_limits::table::Table;
 use stileroute_route_limits::Ground;
 
-/// The variable that names the file where the words of the command line don't.
+/// The environment variable that names the file if the command line does not.
 pub const PATH_VARIABLE: &str = "STILEROUTE_OPERATOR";
 
 #[derive(Debug)]
 pub struct OperatorSettings {
     pub routes: Arc<Table>,
-    /// Lines of the log as JSON.
+    /// Whether the log is written as JSON.
     pub json: bool,
-    /// Where it hears other instances, where they may talk.
+    /// Where this instance listens for other instances; `None` if membership is off.
     pub members: Option<MembersSettings>,
 }
 
-/// Reads and checks a file against the settings that hold.
+/// Reads a file and checks it against the current settings.
 pub fn read(path: &Path, route_context: &Ground) -> Result<OperatorSettings, Vec<Fault>> {
     let text = load(path)?;
     check(&path.display().to_string(), &text, route_context)
@@ -46,7 +46,7 @@
     })
 }
 
-/// The faults as lines, at most so many, and how many there are beyond.
+/// The faults as lines, up to a limit, followed by the number of further ones.
 pub fn fault_lines(faults: &[Fault]) -> Vec<String> {
     const MAX_LINES: usize = 50;
     let mut lines: Vec<String> = faults.iter().take(MAX_LINES).map(Fault::to_string).collect();
@@ -57,7 +57,7 @@
 }
 
 impl NodeSettings {
-    /// What routes are held against.
+    /// The settings that routes are checked against.
     pub fn route_context(&self) -> Ground {
         let mut categories = vec![None; self.tariff.categories.len()];
         for (name, rules) in &self.request_rules.categories {
@@ -69,7 +69,7 @@
             categories: categories.into_iter().flatten().collect(),
             kinds: self.kinds.clone(),
             domains: self.domains.clone(),
-            // Whether messages are allowed, not whether some go out already.
+            // Whether messages among instances are permitted, even if none are configured yet.
             terms: Terms { peers: self.peers_allowed, ..self.tariff.terms.clone() },
         }
     }
--- a/crates/node/src/process/settings.rs
+++ b/crates/node/src/process/settings.rs
@@ -1,4 +1,4 @@
-//! What the node is told at start: read, checked and given defaults here and nowhere else.
+//! The node's settings: read, checked and given defaults only in this module.
 
 use super::budget::{Budget, BudgetError};
 use crate::wire::discovery::EndpointList;
@@ -12,55 +12,56 @@
 use stileroute_dispatch::types::{Effect, Tariff, Time};
 use thiserror::Error;
 
-/// All that the node starts with.
+/// All settings with which the node starts.
 pub struct NodeSettings {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// The descriptor of a listener for clients that was handed in; it goes before `listen`.
+    /// The descriptor of an inherited listener for clients; it takes precedence over `listen`.
     pub inherited_descriptor: Option<RawFd>,
-    /// The folder that all processes of this node share, if there is one.
+    /// The folder shared by all processes of this node, if there is one.
     pub state_dir: Option<PathBuf>,
-    /// Where operators call, if anywhere.
+    /// The address of the admin server, if it is enabled.
     pub admin_address: Option<SocketAddr>,
     pub seed: u64,
     pub budget: Budget,
     pub known: EndpointList,
     pub tariff: Tariff,
-    /// Addresses of all nodes by number, where they send one another messages.
+    /// Addresses of all nodes by number; `None` if they exchange no messages.
     pub peers: Option<Vec<SocketAddr>>,
-    /// The settings allow messages among instances.
+    /// The settings permit messages among instances.
     pub peers_allowed: bool,
     /// Names of the tenants, by index.
     pub tenants: Vec<String>,
-    /// Executors set up for what the last part of an op's path names, and keep that a while.
+    /// Executors prepare themselves for the name in the last path segment of an op, and keep it for a
+    /// while.
     pub set_up_by_path: bool,
     pub request_rules: RequestRules,
     pub categories: Vec<String>,
     pub domains: Vec<String>,
     pub kinds: Vec<String>,
     pub gauges: Vec<String>,
-    /// Longest wait for a connection, and how long an idle one is kept.
+    /// Time limit for opening a connection, and for keeping an idle one.
     pub connect_timeout: Duration,
     pub idle_timeout: Duration,
-    /// How long after the signal to end all must be answered.
+    /// Time from the shutdown signal until all ops must be answered, in ticks of 100 µs.
     pub grace: Time,
 }
 
-/// What is asked of a request before it is taken.
+/// What a request is checked against before it is accepted.
 #[derive(Clone)]
 pub struct RequestRules {
-    /// Categories by name.
+    /// The categories by name.
     pub categories: HashMap<String, CategoryRules>,
-    /// When to come back if the node itself is full; zero where no such advice may be given.
+    /// Retry-after time if the node itself is full, in ticks of 100 µs; zero if no such advice may be given.
     pub come_back: Time,
 }
 
-/// What a request of a category must keep to.
+/// The requirements on requests of one category.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CategoryRules {
     pub position: usize,
-    /// It needs a mark against repeats.
+    /// The request needs an idempotency key.
     pub requires_key: bool,
     pub ttl: Time,
 }
@@ -100,23 +101,24 @@
     }
 }
 
-/// Times that hold where the settings give none.
+/// Defaults for times that the settings omit, in ticks of 100 µs.
 const DEFAULT_CONNECT_TIMEOUT: Time = 10_000;
 const DEFAULT_IDLE_TIMEOUT: Time = 600_000;
-/// From the signal to the kill: the longest TTL, this at most, and a little more.
+/// The grace period from the shutdown signal to the kill is the longest TTL, at most MAX_GRACE_TTL, plus
+/// GRACE_MARGIN.
 const MAX_GRACE_TTL: Time = 30_000;
 const GRACE_MARGIN: Time = 7_000;
-/// A seat is free again soon.
+/// Upper limit of the retry-after time if the node is full: a client slot is free again soon.
 const MAX_RETRY_AFTER: Time = 2_000;
 
-/// Why the node does not start: one line, with the key that is wrong.
+/// Why the node does not start: one line that names the invalid key.
 #[derive(Debug, Error)]
 pub enum StartError {
     #[error("BALANCER_CONFIG is not set")]
     NoConfiguration,
     #[error("BALANCER_CONFIG: {path}: {source}")]
     Unreadable { path: String, source: std::io::Error },
-    /// A key is missing, or has a value of another type.
+    /// A key is missing or has a value of the wrong type.
     #[error("{key}: {source}")]
     Malformed { key: String, source: serde_json::Error },
     #[error("{key}: missing, and {variable} is not set")]
@@ -129,7 +131,7 @@
     NotADescriptor(String),
     #[error("seed: not hex digits: {0}")]
     SeedNotHexadecimal(String),
-    /// What the dispatcher says of its settings.
+    /// A message from the dispatcher about its settings.
     #[error("settings.{0}")]
     Settings(String),
     #[error("peers: settings.caps.peers does not allow messages")]
@@ -148,12 +150,12 @@
     Budget(#[from] BudgetError),
 }
 
-/// Reads the environment and the file that it names. What is wrong is told in one line with its key.
+/// Reads the environment and the file that it names. An error is one line with the invalid key.
 pub fn read(var: impl Fn(&str) -> Option<String>) -> Result<NodeSettings, StartError> {
     check(&load(&var)?, var, false)
 }
 
-/// Reads the file again while the node runs, whole: a file with a fault anywhere is not taken.
+/// Reads the file again while the node runs. A file with any fault is rejected as a whole.
 pub fn reload(var: impl Fn(&str) -> Option<String>) -> Result<NodeSettings, StartError> {
     check(&load(&var)?, var, true)
 }
@@ -167,7 +169,7 @@
     text.parse().map_err(|_| StartError::NotAnAddress { key: key.to_string(), text: text.to_string() })
 }
 
-/// The nodes' addresses, one for each; the settings must allow messages and tell which one this is.
+/// Parses one address per node. The settings must permit messages and say which node this is.
 fn parse_peers(peers: &Peers, tariff: &Tariff) -> Result<Vec<SocketAddr>, StartError> {
     if !tariff.terms.peers {
         return Err(StartError::PeersNotAllowed);
@@ -186,7 +188,8 @@
     Ok(nodes)
 }
 
-/// `again`: the file is newer than the environment, so its address of discovery goes first.
+/// Parses and checks the settings. `is_reload`: the file is newer than the environment, so its discovery
+/// address takes precedence.
 pub fn check(
     text: &str,
     var: impl Fn(&str) -> Option<String>,
@@ -208,12 +211,12 @@
         (None, None) => None,
         _ => Some(address("BALANCER_ADMIN_ADDR", "admin_addr", file.admin_addr, false)?),
     };
-    // Ports that are drawn differ.
+    // Two ports of 0 are chosen by the system and differ.
     if admin_address.is_some_and(|address| address == listen && address.port() != 0) {
         return Err(StartError::SharedAddress(listen));
     }
     let inherited_descriptor = var("BALANCER_PASSED_SOCKET").map(|text| {
-        // The first three are the standard streams.
+        // Descriptors 0 to 2 are the standard streams.
         let number = text.parse().ok().filter(|number: &RawFd| *number > 2);
         number.ok_or(StartError::NotADescriptor(text))
     });
@@ -229,11 +232,11 @@
     };
     let posted = file.settings;
     let mut tariff = posted.tariff().map_err(StartError::Settings)?;
-    // On sockets the list always has to be asked for.
+    // On sockets the executor list always has to be requested.
     tariff.terms.subscribe = true;
     let peers = file.peers.map(|peers| parse_peers(&peers, &tariff)).transpose()?;
     let peers_allowed = tariff.terms.peers;
-    // Without a carrier there is nobody to tell.
+    // Without addresses of peers there are no nodes to send messages to.
     tariff.terms.peers = peers.is_some();
     let (mut categories, ttls) = (HashMap::new(), posted.ttls());
     for (position, name) in posted.categories().into_iter().enumerate() {
@@ -241,7 +244,7 @@
             return Err(StartError::UnnamedCategory(position));
         }
         let requires_key = matches!(tariff.categories[position].effect, Effect::Deduplicated { .. });
-        // Where none is told, the client's own time is all that counts.
+        // If no TTL is set, only the client's time budget counts.
         let ttl = Some(ttls[position]).filter(|ttl| *ttl > 0).unwrap_or(Time::MAX);
         if categories.insert(name.clone(), CategoryRules { position, requires_key, ttl }).is_some() {
             return Err(StartError::RepeatedCategory { index: position, name });
@@ -251,7 +254,7 @@
         return Err(StartError::NoCategories);
     }
     let (connect_timeout, idle_limit) = posted.connection_times();
-    // An idle connection goes well before the executor would close it under a push.
+    // An idle connection is closed well before the executor would close it, possibly during a push.
     let idle_limit = if idle_limit > 0 { idle_limit / 2 } else { DEFAULT_IDLE_TIMEOUT / 2 };
     let to_duration = |time: Time| Duration::from_micros(time as u64 * 100);
     Ok(NodeSettings {
--- a/crates/node/src/process/signals.rs
+++ b/crates/node/src/process/signals.rs
@@ -1,4 +1,4 @@
-//! The signals: to end, and to read the configuration again.
+//! Signal handling: SIGTERM and SIGINT for shutdown, SIGHUP for a configuration reload.
 
 use crate::interfaces::Event;
 use crossbeam_channel::Sender;
@@ -6,13 +6,13 @@
 use signal_hook::iterator::Signals;
 use thiserror::Error;
 
-/// Signals can't be caught, or there is no thread for them.
+/// The signal handlers or their thread could not be installed.
 #[derive(Debug, Error)]
 #[error("signals: {0}")]
 pub struct SignalsError(#[from] std::io::Error);
 
-/// Tells the desk of the first signal to end, and of each further one. SIGHUP must be caught from the first
-/// moment: left alone, it ends the process with all that it holds.
+/// Sends a shutdown event for each SIGTERM or SIGINT and calls `again` on SIGHUP. SIGHUP must be caught from
+/// the start, because its default action ends the process with all ops in flight.
 pub fn watch(dispatch_loop: Sender<Event>, again: impl Fn() + Send + 'static) -> Result<(), SignalsError> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let run = move || {
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: what may change while the node runs, taken whole or not at all.
+//! SIGHUP: reloads the part of the configuration that may change at run time, completely or not at all.
 
 use crate::interfaces::Event;
 use crate::log_info;
@@ -8,8 +8,8 @@
 use std::path::PathBuf;
 use stileroute_route_limits::Ground;
 
-/// Takes from the new configuration what may change while the node runs. A faulty one changes nothing.
-/// Both files are read before either is taken: the one must not go on under half of what was meant.
+/// Applies what may change while the node runs. An invalid configuration changes nothing. Both files are read
+/// before either is applied, so that a fault in one does not leave a partial change in effect.
 pub fn apply(
     dispatch_loop: &Sender<Event>,
     discovery_address: &DiscoveryAddress,
--- a/crates/node/src/wire/admin_request.rs
+++ b/crates/node/src/wire/admin_request.rs
@@ -1,34 +1,34 @@
-//! An operator's call: the bytes of one connection become one call, and its answer becomes bytes.
+//! Parses admin requests and formats their responses. Each connection carries one request.
 
 use super::client_request::{answer_head, RequestError};
 use super::http::{self, body_framing, Framing, MAX_HEADERS};
 use super::names;
 
-/// What an operator may ask for.
+/// The requests that operators can make.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminRequest {
     Ready,
     Metrics,
-    /// The other instances that it knows of.
+    /// Lists the other known instances.
     Members,
-    /// Take this executor out, or put it back.
+    /// Disables this executor or enables it again.
     SetDisabled {
         name: String,
         disabled: bool,
     },
 }
 
-/// Longest call, with the body that none needs.
+/// Longest admin request in bytes, including a body, which no request needs.
 const MAX_REQUEST_BYTES: usize = 4 * 1024;
 
-/// Collects the bytes of one call.
+/// Collects the bytes of one admin request.
 #[derive(Default)]
 pub struct RequestParser {
     buffer: Vec<u8>,
 }
 
 impl RequestParser {
-    /// Takes bytes in; the call as soon as it is whole, or what is wrong with it.
+    /// Adds bytes. Returns the request once it is complete, or the reason why it is invalid.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<AdminRequest>, RequestError> {
         let error = |status, reason: &str| Err(RequestError { status, reason: reason.to_string() });
         self.buffer.extend_from_slice(bytes);
@@ -79,13 +79,13 @@
     Ok(request)
 }
 
-/// The executor that a path names, and whether it is to go out.
+/// The executor that a path names, and whether it is to be disabled.
 fn parse_disable_path(path: &str) -> Option<(&str, bool)> {
     let stripped = |start, disabled| Some((path.strip_prefix(start)?, disabled));
     stripped(names::ADMIN_DISABLE, true).or_else(|| stripped(names::ADMIN_ENABLE, false))
 }
 
-/// The whole answer; there is one to a connection.
+/// Formats the complete response. A connection carries only one.
 pub fn answer(status: u16, text: &str) -> String {
     let mut head = answer_head(status, text.len(), 0, true);
     let mut add_header = |line: &str| head.insert_str(head.len() - 2, line);
--- a/crates/node/src/wire/client_request.rs
+++ b/crates/node/src/wire/client_request.rs
@@ -1,4 +1,4 @@
-//! The server side of HTTP: bytes of a client's connection become requests, answers become bytes.
+//! The server side of HTTP: parses requests from a client connection and formats response heads.
 
 use super::http::{self, body_framing, has_token, header_value, ChunkedDecoder, Framing, MAX_HEADERS};
 use super::names;
@@ -19,11 +19,11 @@
     pub cost: Option<String>,
     pub call_info: Option<String>,
     pub content_type: Option<String>,
-    /// Further headers that routes look at, by their names in lower case.
+    /// Further headers that routes match on, by their lower-case names.
     pub routed_headers: Vec<(String, String)>,
-    /// The client wants the connection closed after the answer.
+    /// The client wants the connection closed after the response.
     pub close: bool,
-    /// Keeps the id from being used twice at once.
+    /// Keeps the id reserved, so that it is not used by two requests at once.
     pub id_guard: Option<RequestIdGuard>,
     buffer: Buffer,
     body: Range<usize>,
@@ -62,7 +62,7 @@
     }
 }
 
-/// What is wrong with a request, as an answer that names it. The connection can't be used further.
+/// Why a request is invalid, as an error response. The connection cannot be used further.
 #[derive(Debug, PartialEq)]
 pub struct RequestError {
     pub status: u16,
@@ -73,24 +73,24 @@
     Err(RequestError { status, reason: reason.to_string() })
 }
 
-/// The head of the request being read, once it is whole.
+/// The request being read, once its head is complete.
 struct OpenRequest {
     request: Request,
     framing: Framing,
     chunks: ChunkedDecoder,
 }
 
-/// Collects the bytes of one connection; gives its requests one by one. A request takes one buffer, from its
-/// first byte on: half-sent ones must not cost more than whole ones.
+/// Parses the bytes of one connection into requests. A request uses one buffer from its first byte on, so that
+/// partial requests cost no more memory than complete ones.
 pub struct RequestParser {
     pool: Arc<Pool>,
     buffer: Option<Buffer>,
     open: Option<OpenRequest>,
-    /// Headers that routes look at; none where there are no routes.
+    /// Headers that routes match on; empty if no routes are configured.
     routed_headers: Arc<Vec<String>>,
-    /// The client waits to be told to go on.
+    /// The client sent `Expect: 100-continue` and has not been told to continue.
     continue_wanted: bool,
-    /// What came behind the last request, at most as much as is fed at once.
+    /// Bytes received after the end of the last request, at most as many as one call of `feed` adds.
     pipelined: Vec<u8>,
 }
 
@@ -106,25 +106,25 @@
         }
     }
 
-    /// From the next request on these headers are read too.
+    /// From the next request on, these headers are read too.
     pub fn set_routed_headers(&mut self, routed_headers: &Arc<Vec<String>>) {
         if !Arc::ptr_eq(&self.routed_headers, routed_headers) {
             self.routed_headers = routed_headers.clone();
         }
     }
 
-    /// Nothing of a further request has come.
+    /// Whether no part of a further request has arrived.
     pub fn is_idle(&self) -> bool {
         self.open.is_none() && self.buffer.is_none() && self.pipelined.is_empty()
     }
 
-    /// Whether the client waits to be told to go on, once: it has sent a head and holds its body back.
+    /// Whether the client has sent a head and waits for `100 Continue`. Returns true once.
     pub fn take_continue_wanted(&mut self) -> bool {
         std::mem::take(&mut self.continue_wanted) && self.open.is_some()
     }
 
-    /// Takes bytes in, and gives a request as soon as one is whole. Bytes beyond it wait for the next call,
-    /// which may be made with none.
+    /// Adds bytes and returns a request once it is complete. Bytes beyond it are kept for the next call, which
+    /// may add none.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Request>, RequestError> {
         if self.pipelined.is_empty() {
             return self.take(bytes);
@@ -154,7 +154,8 @@
             self.buffer = Some(buffer);
             return Ok(None);
         };
-        // What came behind the head is the body's beginning; it is cut off and fed like the rest.
+        // The bytes after the head are the start of the body; they are removed from the buffer and parsed like
+        // the rest.
         let body_bytes = buffer.len() - head.end;
         buffer.truncate(head.end);
         self.continue_wanted = head.continue_wanted;
@@ -183,7 +184,7 @@
             return error(413, "body over 64 KiB");
         }
         if consumed > 0 {
-            // It has begun to send all the same.
+            // The client has started to send the body without waiting for `100 Continue`.
             self.continue_wanted = false;
         }
         if !(open.framing == Framing::Length(0) || open.chunks.is_done()) {
@@ -195,7 +196,7 @@
     }
 }
 
-/// What a head says, apart from the buffer that holds it.
+/// The parsed head of a request, without the buffer that holds it.
 struct Head {
     values: [Option<String>; 7],
     routed_headers: Vec<(String, String)>,
@@ -204,11 +205,12 @@
     close: bool,
     framing: Framing,
     end: usize,
-    /// The client sends the body when it is told to go on.
+    /// The client sends the body only after `100 Continue`.
     continue_wanted: bool,
 }
 
-/// The headers that a request is read from. Of two of a kind, whoever reads on might act on the other.
+/// The headers that are read from a request. A repeated one is rejected, since the node and the executor might
+/// each use a different occurrence.
 const SINGLE_HEADERS: [&str; 7] = [
     names::CALL_ID,
     names::IDEMPOTENCY_KEY,
@@ -238,7 +240,8 @@
     if let Some(name) = SINGLE_HEADERS.iter().chain(&["Host"]).find(|name| http::is_repeated(headers, name)) {
         return error(400, &format!("{name} is given twice"));
     }
-    // Routes must not be chosen by the first of two while an executor acts on the second.
+    // A repeated header is rejected: the route must not be chosen by one occurrence while the executor acts on
+    // the other.
     if let Some(name) = routed_headers.iter().find(|name| http::is_repeated(headers, name)) {
         return error(400, &format!("{name} is given twice"));
     }
@@ -256,7 +259,7 @@
     if expect.is_some_and(|expect| !expect.eq_ignore_ascii_case("100-continue")) {
         return error(417, "Expect is not met here");
     }
-    // An older client would take the word to go on for its answer.
+    // An HTTP/1.0 client would take `100 Continue` for its final response.
     let continue_wanted = expect.is_some() && head.version == Some(1);
     let text = |name| header_value(headers, name).filter(|text| !text.is_empty()).map(str::to_string);
     let is_http_1_0 = head.version == Some(0);
@@ -302,10 +305,10 @@
     }
 }
 
-/// Tells a client that waits for it to send its body.
+/// The interim response that lets a waiting client send its body.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// The head of an answer. `come_back` is in tenths of a millisecond, zero for no advice.
+/// Formats the head of a response. `come_back` is in units of 0.1 ms; zero omits Retry-After.
 pub fn answer_head(status: u16, length: usize, come_back: i64, close: bool) -> String {
     let reason = match status {
         200 => "OK",
--- a/crates/node/src/wire/discovery.rs
+++ b/crates/node/src/wire/discovery.rs
@@ -1,4 +1,4 @@
-//! What discovery is asked and what it tells.
+//! The requests to the discovery service and its responses.
 
 use super::http::Response;
 use super::names;
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// A list of executors, whole or changes only.
+/// A list of executors: a complete snapshot or only changes.
 #[derive(Clone, Debug, Deserialize)]
 pub struct EndpointList {
     pub index: i64,
@@ -34,7 +34,7 @@
 }
 
 impl Endpoint {
-    /// Whether it takes new work; a status that is not known is no leave to send.
+    /// Whether the executor accepts new work. An unknown status counts as not accepting.
     pub fn is_active(&self) -> bool {
         self.status == names::ACTIVE
     }
@@ -64,7 +64,7 @@
     }
 }
 
-/// Asks for the whole list, or for what is newer than a version, waiting so long for it.
+/// Formats a request for the complete list, or for changes since a version with a long poll of `wait_ms`.
 pub fn request(host: &str, known_version: Option<(i64, u64)>) -> String {
     let query = known_version
         .map(|(version, wait_ms)| format!("?since={version}&timeout_ms={wait_ms}"))
@@ -72,18 +72,18 @@
     format!("GET {}{query} HTTP/1.1\r\nHost: {host}\r\n\r\n", names::TARGETS)
 }
 
-/// Why an answer of discovery holds no list.
+/// Why a discovery response contains no list.
 #[derive(Debug, Error)]
 pub enum ListError {
-    /// It is no 200.
+    /// The status is not 200.
     #[error("status {0}")]
     Status(u16),
-    /// Its body is not the list's JSON.
+    /// The body is not valid JSON of a list.
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// Reads an answer of discovery.
+/// Parses a discovery response.
 pub fn read(answer: &Response) -> Result<EndpointList, ListError> {
     if answer.status != 200 {
         return Err(ListError::Status(answer.status));
--- a/crates/node/src/wire/job_status.rs
+++ b/crates/node/src/wire/job_status.rs
@@ -1,4 +1,4 @@
-//! The lines in which an executor tells of a job, and load reports.
+//! Parses the status lines that an executor sends about a job, and load reports.
 
 use super::names;
 use serde::Deserialize;
@@ -6,18 +6,18 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// What one line says.
+/// The meaning of one status line.
 #[derive(Debug, PartialEq)]
 pub enum StatusLine {
     Started,
-    /// With the share of the job that is done, from 0 to 1; zero where that is not told, or is no share.
+    /// With the completed fraction of the job, from 0 to 1; zero if it is missing or invalid.
     Running(f64),
-    /// The result lies in this part of the line's bytes.
+    /// The byte range of the result within the line.
     Done(Range<usize>),
     Failed,
     Returned,
     Lost,
-    /// A state that this node does not know; it changes nothing.
+    /// A state unknown to this node; it is ignored.
     Unknown,
     Malformed,
 }
@@ -30,13 +30,14 @@
     state: Cow<'a, str>,
     #[serde(borrow)]
     result: Option<Cow<'a, str>>,
-    /// Whatever it is: what can't be read as a share must not spoil the line.
+    /// Any JSON value: an invalid fraction must not make the whole line invalid.
     share: Option<serde_json::Value>,
     #[serde(borrow)]
     load: Option<BTreeMap<Cow<'a, str>, f64>>,
 }
 
-/// Reads a line of the job `id`. A result with escapes is written back in their place: it is never longer.
+/// Parses a status line of the job `id`. If the result has escapes, the decoded text, which is never longer, is
+/// written over the start of the line.
 pub fn parse_line(bytes: &mut [u8], id: &str, gauges: &[String]) -> (StatusLine, Option<Vec<f64>>) {
     let trimmed = bytes.trim_ascii();
     if trimmed.is_empty() {
@@ -45,7 +46,7 @@
     let Ok(line) = serde_json::from_slice::<StatusFields>(trimmed) else {
         return (StatusLine::Malformed, None);
     };
-    // The line of another job would answer one client with what was made for another.
+    // A line with another job's id is malformed: otherwise one client could receive the result of another.
     if line.id.as_ref().is_some_and(|value| value != id) {
         return (StatusLine::Malformed, None);
     }
@@ -61,7 +62,8 @@
         names::JOB_RETURNED => StatusLine::Returned,
         names::JOB_LOST => StatusLine::Lost,
         names::JOB_DONE => match line.result {
-            // An answer that no executor made must not be given.
+            // A `done` line without a result is malformed: the client must not get a response that no executor
+            // made.
             None => StatusLine::Malformed,
             Some(Cow::Borrowed(text)) => {
                 let start = text.as_ptr() as usize - bytes.as_ptr() as usize;
@@ -81,7 +83,7 @@
     value.and_then(serde_json::Value::as_f64).filter(|share| (0.0..=1.0).contains(share)).unwrap_or(0.0)
 }
 
-/// Reads the text form of a load report: `TEXT inflight=7, queue=2`.
+/// Parses the text form of a load report: `TEXT inflight=7, queue=2`.
 pub fn read_load_text(text: &str, gauges: &[String]) -> Option<Vec<f64>> {
     let fields = text.trim().strip_prefix("TEXT").unwrap_or(text);
     let value = |gauge: &str| {
@@ -92,7 +94,7 @@
     values_in_order(gauges, value)
 }
 
-/// The values in the order of the settings; a report that lacks one is no report.
+/// The gauge values in the order of the settings. A report that lacks one of them is ignored.
 fn values_in_order(gauges: &[String], value: impl Fn(&str) -> Option<f64>) -> Option<Vec<f64>> {
     let values: Option<Vec<f64>> = gauges.iter().map(|g| value(g).filter(|v| v.is_finite())).collect();
     values.filter(|values| !values.is_empty())
--- a/crates/node/src/wire/mod.rs
+++ b/crates/node/src/wire/mod.rs
@@ -1,7 +1,7 @@
-//! What is spoken on the sockets: state machines that are fed bytes and know no socket.
+//! The protocols on the sockets, as state machines that are fed bytes and do no I/O.
 
 pub mod admin_request;
-/// Heads and framing, shared with the whole system.
+/// HTTP heads and framing, shared by all programs of the workspace.
 pub use stileroute_http1 as http;
 pub mod client_request;
 pub mod discovery;
--- a/crates/node/src/wire/names.rs
+++ b/crates/node/src/wire/names.rs
@@ -1,4 +1,4 @@
-//! Every name that is spoken on the sockets, in one place.
+//! All header names, paths and status words of the wire protocols.
 
 pub const READY: &str = "/-/ready";
 pub const HEALTHY: &str = "/-/healthy";
@@ -33,7 +33,7 @@
 pub const ACTIVE: &str = "Ready";
 pub const REMOVED: &str = "Gone";
 
-/// What load reports call a gauge, and what the settings call it.
+/// Names of a gauge in load reports, each with its name in the settings.
 const GAUGE_ALIASES: [(&str, &str); 7] = [
     ("inflight", "rif"),
     ("queue", "q"),
@@ -44,7 +44,7 @@
     ("eps", "fail_rate"),
 ];
 
-/// Whether a load report's `name` is the gauge that the settings call `gauge`.
+/// Whether `name` in a load report is the gauge that the settings call `gauge`.
 pub fn is_gauge(name: &str, gauge: &str) -> bool {
     let name = name.strip_prefix("named_metrics.").unwrap_or(name);
     name == gauge || GAUGE_ALIASES.contains(&(name, gauge))
--- a/crates/node/src/wire/push.rs
+++ b/crates/node/src/wire/push.rs
@@ -1,4 +1,4 @@
-//! The client side of HTTP: a push as bytes, and the answer to it up to its last line.
+//! The client side of HTTP: formats a push and parses the response up to its final status line.
 
 use super::http::{self, body_framing, has_token, header_value, ChunkedDecoder, Framing, MAX_HEADERS};
 use super::job_status::{self, StatusLine};
@@ -7,7 +7,8 @@
 use crate::state::buffer_pool::{Buffer, Bytes, Pool};
 use std::sync::Arc;
 
-/// The head of a push. What the client sent goes on unchanged, but for the time that is left.
+/// Formats the head of a push. The client's headers are forwarded unchanged, except that the time budget is
+/// reduced to what remains.
 pub fn push_head(job: &dyn Job, host: &str, remaining_ms: i64) -> String {
     let (method, path) = (job.method(), job.path());
     let mut head =
@@ -28,31 +29,31 @@
     head + &format!("Content-Length: {}\r\n\r\n", job.body().len())
 }
 
-/// How a push ended, as the answer tells.
+/// How a push ended, according to the response.
 pub enum ResponseOutcome {
-    /// With the result that the executor gave.
+    /// With the result from the executor.
     Done(Bytes),
     Failed,
-    /// Refused with this status, for what the request itself is.
+    /// The executor rejected the request itself as invalid, with this status.
     Rejected(u16),
-    /// Turned away or handed back unstarted: it never ran.
+    /// Rejected or handed back before it started: the job never ran.
     Returned,
-    /// The job was killed.
+    /// The job was killed on the executor.
     Lost,
-    /// The answer can't be read.
+    /// The response could not be parsed.
     Malformed,
 }
 
-/// What a line, or the end of the answer, has told.
+/// An event parsed from the response.
 pub enum ResponseEvent {
     Started,
     Running(f64),
-    /// The last one, with the load report that came along.
+    /// The final event, with the load report that came with it.
     Final(ResponseOutcome, Option<Vec<f64>>),
 }
 
 struct OpenResponse {
-    /// What a status other than 200 tells.
+    /// The outcome implied by a status other than 200.
     status_outcome: Option<ResponseOutcome>,
     framing: Framing,
     chunks: ChunkedDecoder,
@@ -60,24 +61,25 @@
     close: bool,
 }
 
-/// Collects the answer to one push.
+/// Parses the response to one push.
 pub struct ResponseParser {
     buffer: Option<Buffer>,
     id: String,
     gauges: Arc<Vec<String>>,
     open: Option<OpenResponse>,
-    /// The last line has been heard.
+    /// The final event was emitted.
     is_final: bool,
 }
 
 impl ResponseParser {
-    /// None while all buffers are in use: better not to send than not to be able to read the answer.
+    /// Returns `None` while all buffers are in use: the push is then not sent, since its response could not be
+    /// read.
     pub fn new(pool: &Arc<Pool>, id: &str, gauges: Arc<Vec<String>>) -> Option<ResponseParser> {
         let buffer = Some(pool.take()?);
         Some(ResponseParser { buffer, id: id.to_string(), gauges, open: None, is_final: false })
     }
 
-    /// The answer was read to the end of its framing, and the connection may carry another push.
+    /// Whether the response was read to its end and the connection can carry another push.
     pub fn reusable(&self) -> bool {
         let complete = |open: &OpenResponse| match open.framing {
             Framing::Length(remaining) => remaining == 0,
@@ -87,7 +89,7 @@
         self.is_final && self.open.as_ref().is_some_and(|open| !open.close && complete(open))
     }
 
-    /// Takes bytes in and tells what they say, in order.
+    /// Adds bytes and emits their events in order.
     pub fn feed(&mut self, bytes: &[u8], mut on_event: impl FnMut(ResponseEvent)) {
         if self.open.is_some() {
             return self.body(bytes, &mut on_event);
@@ -102,7 +104,7 @@
                 None if buffer.len() > http::MAX_HEAD_BYTES => return self.report_malformed(&mut on_event),
                 None => return,
                 Some(Err(())) => return self.report_malformed(&mut on_event),
-                // An interim answer has no more than a head: the real one follows.
+                // An interim response consists of a head only; the final response follows.
                 Some(Ok((open, end))) => {
                     self.open = open;
                     rest = buffer[end..].to_vec();
@@ -114,12 +116,12 @@
     }
 
     fn report_malformed(&mut self, on_event: &mut impl FnMut(ResponseEvent)) {
-        // Whatever comes next on this connection can't be told apart from the rest of this answer.
+        // After a malformed response its end is unknown, so the connection cannot be reused.
         self.open.iter_mut().for_each(|open| open.close = true);
         self.emit(ResponseEvent::Final(ResponseOutcome::Malformed, None), on_event);
     }
 
-    /// The connection has ended: an answer framed by that is whole now.
+    /// The connection was closed: a response that is delimited by the close is now complete.
     pub fn end(&mut self, mut on_event: impl FnMut(ResponseEvent)) {
         if self.open.as_ref().is_some_and(|open| open.framing == Framing::UntilClose) {
             self.complete(&mut on_event);
@@ -129,7 +131,8 @@
     fn body(&mut self, bytes: &[u8], on_event: &mut impl FnMut(ResponseEvent)) {
         let Some(open) = &mut self.open else { return };
         if let Some(outcome) = open.status_outcome.take() {
-            // The status says it all; the body is only read to keep the connection.
+            // The status alone determines the outcome; the body is read only so that the connection can be
+            // reused.
             self.is_final = true;
             on_event(ResponseEvent::Final(outcome, open.load.take()));
         }
@@ -163,8 +166,8 @@
         }
     }
 
-    /// The body is whole. A last line may lack its end; without one, nothing tells what became of the job,
-    /// as when the connection ends.
+    /// The body is complete. The last line may lack its line end. Without a final line the job counts as lost,
+    /// as if the connection had been closed.
     fn complete(&mut self, on_event: &mut impl FnMut(ResponseEvent)) {
         let mut events = Vec::new();
         let mut assembler = LineAssembler {
@@ -178,7 +181,8 @@
         self.emit(ResponseEvent::Final(ResponseOutcome::Lost, None), on_event);
     }
 
-    /// Passes a word on, with the head's load report where the last line has none; nothing after that line.
+    /// Emits an event. A final event without a load report gets the one from the head. After the final event
+    /// nothing is emitted.
     fn emit(&mut self, mut event: ResponseEvent, on_event: &mut impl FnMut(ResponseEvent)) {
         if self.is_final {
             return;
@@ -194,7 +198,7 @@
     }
 }
 
-/// Puts lines together, wherever they were split.
+/// Assembles status lines from chunks.
 struct LineAssembler<'a> {
     buffer: &'a mut Option<Buffer>,
     id: &'a str,
@@ -241,7 +245,8 @@
     }
 }
 
-/// Reads the head of an answer: nothing yet, a fault, an interim answer (no `Open`), or the answer.
+/// Parses the head of a response: `None` if incomplete, an error, an interim response (no `OpenResponse`), or
+/// the final response.
 fn read_head(bytes: &[u8], gauges: &[String]) -> Option<Result<(Option<OpenResponse>, usize), ()>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
@@ -261,7 +266,8 @@
     let status_outcome = match code {
         200 => None,
         503 | 504 if never_started => Some(ResponseOutcome::Returned),
-        // The other 4xx tell of the executor: of its load, its patience, or who it takes work from.
+        // Other 4xx statuses concern the executor (its load, its time-outs, its access rules) and not the
+        // request.
         400 | 404 | 405 | 409 | 411 | 413..=415 | 417 | 422 | 431 => Some(ResponseOutcome::Rejected(code)),
         _ => Some(ResponseOutcome::Failed),
     };
