--- a/crates/node/src/tests.rs
+++ b/crates/node/src/tests.rs
@@ -1,4 +1,5 @@
-//! Tables of cases for what is spoken, kept and read at start; no socket is opened but for the seats.
+//! Table-driven tests of the protocols, the shared state and the settings. Only those of the client slots and
+//! of push cancellation open sockets.
 
 use crate::interfaces::{Job, PushHandle as _};
 use crate::net::connection_pool::{ConnectionPool, PooledConnection};
@@ -27,8 +28,8 @@
 }
 
 #[test]
-fn chunks_are_taken_off_wherever_they_are_split() {
-    // Text, body, whether it is whole, bytes that belong to it.
+fn chunked_body_decodes_at_every_split() {
+    // Text, body, whether it is complete, and the number of bytes that belong to it.
     let cases = [
         ("0\r\n\r\n", "", true, 5),
         ("5\r\nhello\r\n0\r\n\r\n", "hello", true, 15),
@@ -51,7 +52,7 @@
         "2\r\nabc\r\n",
         "-1\r\n",
         "2\r\nab0\r\n",
-        // Looser readings that other programs allow.
+        // Lenient forms that other implementations accept.
         "+1\r\n",
         "0x1\r\n",
         "1 \r\n",
@@ -74,7 +75,7 @@
     "POST /api/k?q=1 HTTP/1.1\r\nX-Call-Id: a1\r\nx-budget-ms: 40\r\nContent-Length: 5\r\n\r\n";
 
 #[test]
-fn requests_are_read_wherever_they_are_split() {
+fn requests_parse_at_every_split() {
     let pool = Pool::new(4);
     let chunked =
         "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
@@ -95,14 +96,14 @@
         let second = (text("GET"), text("/-/ready"), None, None, text(""), false);
         let third = (text("POST"), text("/api"), None, None, text("abc"), true);
         assert_eq!(seen, [first, second, third], "split at {at}");
-        // Every buffer has gone back, or the next connections could not be served.
+        // All buffers must have been returned, otherwise later connections could not be served.
         assert!(parser.is_idle());
         assert_eq!((0..5).map_while(|_| pool.take()).collect::<Vec<_>>().len(), 4);
     }
 }
 
 #[test]
-fn a_request_that_cannot_be_read_is_refused_by_name() {
+fn invalid_request_is_rejected_with_its_reason() {
     let cases = [
         ("POST\r\n\r\n".to_string(), 400, "malformed"),
         ("POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n".to_string(), 400, "Content-Length"),
@@ -162,8 +163,8 @@
 }
 
 #[test]
-fn a_client_that_waits_is_told_to_go_on_once() {
-    // The head, what comes with it, and whether its client is told.
+fn waiting_client_gets_100_continue_once() {
+    // Head, start of the body that comes with it, and whether the client gets `100 Continue`.
     let cases = [
         ("HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2", "", true),
         ("HTTP/1.1\r\nExpect: 100-Continue \r\nTransfer-Encoding: chunked", "", true),
@@ -185,7 +186,7 @@
 }
 
 #[test]
-fn heads_are_written_as_the_protocol_says() {
+fn heads_are_formatted_for_http() {
     let cases = [
         (answer_head(200, 3, 0, false), "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n"),
         (
@@ -206,7 +207,7 @@
     );
 }
 
-/// What an answer tells when it comes in these parts, and then the connection ends if `end`.
+/// The events of a response that arrives in these parts; if `end`, the connection then closes.
 fn events_of(parts: &[&[u8]], end: bool) -> (String, bool) {
     let gauges = Arc::new(vec!["rif".to_string(), "busy".to_string(), "x0".to_string()]);
     let mut answer = ResponseParser::new(&Pool::new(1), "a1", gauges).unwrap();
@@ -244,7 +245,7 @@
 }
 
 #[test]
-fn answers_are_heard_wherever_they_are_split() {
+fn responses_parse_at_every_split() {
     let head = "HTTP/1.1 200 OK\r\n";
     let started = "{\"id\":\"a1\",\"state\":\"started\"}\n";
     let done = "{\"id\":\"a1\",\"from\":\"s\",\"state\":\"done\",\"result\":\"r\"}\n";
@@ -256,7 +257,7 @@
             "started, running 0.4, done r",
             true,
         ),
-        // What is no share spoils nothing.
+        // An invalid completed fraction is ignored without affecting the rest of the line.
         (
             format!(
                 "{}0\r\n\r\n",
@@ -270,7 +271,7 @@
             "running, running, running, done r",
             true,
         ),
-        // Several lines in one chunk, and one line in several.
+        // Several lines in one chunk, and one line in several chunks.
         (
             format!(
                 "{}0\r\n\r\n",
@@ -291,13 +292,13 @@
             "failed",
             true,
         ),
-        // The last line is missing, or lacks only its end.
+        // The last line is missing, or lacks only its line end.
         (format!("{}0\r\n\r\n", chunked(&[started])), "started, lost", true),
         (format!("{}0\r\n\r\n", chunked(&[done.trim_end()])), "done r", true),
-        // What the request itself is at fault for, and what it is not.
+        // Statuses that concern the request itself, and statuses that do not.
         ("HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n".to_string(), "unfit 400", true),
         ("HTTP/1.1 429 Busy\r\nContent-Length: 0\r\n\r\n".to_string(), "failed", true),
-        // Broken off, garbled, of another job, without a result, of a state not known.
+        // Truncated, malformed, of another job, without a result, and of an unknown state.
         (chunked(&[started]), "started", false),
         (chunked(&[done.trim_end()]), "", false),
         (format!("{}0\r\n\r\n", chunked(&["{\"state\":\n"])), "garbled", false),
@@ -310,9 +311,9 @@
         (format!("{}0\r\n\r\n", chunked(&["{\"state\":\"paused\"}\n", done])), "done r", true),
         (format!("{head}Transfer-Encoding: chunked\r\n\r\nzz\r\n"), "garbled", false),
         ("SMTP ready\r\n\r\n".to_string(), "garbled", false),
-        // Nothing is heard after the last line.
+        // No event follows the final line.
         (format!("{}0\r\n\r\n", chunked(&[done, started, done])), "done r", true),
-        // Other framings, an interim answer, a connection that is to be closed.
+        // Other framings, an interim response, and a connection that is to be closed.
         (format!("{head}Content-Length: {}\r\n\r\n{done}", done.len()), "done r", true),
         (format!("{head}\r\n{done}"), "done r", false),
         (
@@ -323,7 +324,7 @@
             "done r",
             false,
         ),
-        // Statuses.
+        // Responses that are decided by their status.
         ("HTTP/1.1 500 E\r\nContent-Length: 2\r\n\r\nno".to_string(), "failed", true),
         ("HTTP/1.1 503 B\r\nContent-Length: 0\r\n\r\n".to_string(), "failed", true),
         ("HTTP/1.1 503 B\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n".to_string(), "returned", true),
@@ -354,7 +355,7 @@
 }
 
 #[test]
-fn lists_are_read_wherever_they_are_split() {
+fn executor_lists_parse_at_every_split() {
     let body = r#"{"index":43,"snapshot":false,"endpoints":[{"name":"s-1","address":"10.0.0.1:8","zone":"a","type":"m2","group":3,"status":"Ready","weight":1.5,"since_ms":12},{"name":"s-2","status":"Terminating"},{"name":"s-3","status":"Gone"},{"name":"s-4","status":"Dreaming"}]}"#;
     let texts = [
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()),
@@ -393,7 +394,7 @@
     for (sockets, memory) in [(1024, 192), (256, 32), (384, 48), (64, 192), (4096, 32), (100_000, 2048)] {
         let budget = Budget::split(sockets, memory, false, false).unwrap();
         assert!(budget.clients + budget.executors + 12 <= sockets, "{budget:?}");
-        // Buffers of all connections, and the stacks of readers, writers and pushes as far as they are used.
+        // Buffers of all connections, and the touched parts of the stacks of readers, writers and pushes.
         let threads = budget.clients + budget.requests + budget.executors;
         let bytes = (budget.clients + budget.executors * 5 / 4) * 72 * 1024 + threads * 24 * 1024;
         assert!(bytes <= (memory << 20) * 9 / 10, "{budget:?}");
@@ -409,7 +410,7 @@
 const SETTINGS: &str = r#"{"balancers":2,"caps":{"max-pushes":3,"dial-timeout-ns":100000000,"keepalive-ns":60000000000},"categories":[{"name":"c","target-latency-ns":1000000,"semantics":"by_key","key-scope":"cell","window-ns":5000000000,"ttl-ns":2000000000}],"rules":{"overload-factor":2,"start-capacity":0.1,"tip-after-ns":1000000000,"warm-within-ns":1000000000}}"#;
 
 #[test]
-fn the_configuration_is_checked_and_its_faults_named() {
+fn invalid_settings_are_rejected_with_their_key() {
     let read = |text: &str| {
         let listen = |name: &str| (name == "BALANCER_LISTEN").then(|| "127.0.0.1:0".to_string());
         settings::check(text, listen, false)
@@ -425,7 +426,7 @@
         start.request_rules.categories["c"],
         CategoryRules { position: 0, requires_key: true, ttl: 20_000 }
     );
-    // What is exchanged for what, and the key that the message names.
+    // The text to replace, its replacement, and the key that the message must name.
     let cases = [
         ("\"discovery\"", "\"other\"", "discovery"),
         ("127.0.0.1:1", "nowhere", "discovery"),
@@ -462,7 +463,7 @@
 }
 
 #[test]
-fn idle_connections_are_used_again_retired_and_make_room() {
+fn idle_connections_are_reused_expired_and_evicted() {
     let start = Instant::now();
     let at = |seconds| start + Duration::from_secs(seconds);
     let mut pool = ConnectionPool::new(3, Duration::from_secs(30));
@@ -478,23 +479,23 @@
         Some(number)
     };
     let (a, b, c) = (lend(&mut pool, 0).unwrap(), lend(&mut pool, 0).unwrap(), lend(&mut pool, 1).unwrap());
-    // All are out: there is no room, and none is taken from a push.
+    // All connections are in use: no new one is permitted, and none is taken from a push.
     assert!(pool.reuse(0, at(0)).is_none() && lend(&mut pool, 0).is_none());
     pool.release(a, true, at(1));
     pool.release(b, true, at(2));
     assert!(pool.reuse(1, at(2)).is_none());
-    // The latest first; then the other is too old.
+    // The most recently used connection is reused first; later the other one is too old.
     let connection = pool.reuse(0, at(3)).unwrap();
     assert_eq!(connection.number, b);
     pool.mark_in_use(connection);
     assert!(pool.reuse(0, at(31)).is_none());
     pool.release(b, true, at(32));
     pool.release(c, false, at(32));
-    // Two more fit; a third takes the place of the idle one.
+    // Two more fit; a third replaces the idle one.
     let more: Vec<bool> = (0..4).map(|_| lend(&mut pool, 2).is_some()).collect();
     assert_eq!(more, [true, true, true, false]);
     assert!(pool.reuse(0, at(33)).is_none());
-    // Half of three is one: nothing opens until all but one have gone, and idle ones go at once.
+    // Half of three is one: none is opened until all but one are closed, and idle ones are closed at once.
     pool.set_half_capacity(true);
     pool.release(4, true, at(34));
     pool.release(5, true, at(34));
@@ -506,7 +507,7 @@
 }
 
 #[test]
-fn strangers_give_way_before_clients_and_nobody_with_a_request_in_hand() {
+fn silent_connections_are_evicted_before_proven_clients_and_busy_ones_never() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (client_slots, mut peers, mut all) = (ClientSlots::default(), Vec::new(), Vec::new());
     for number in 0..8 {
@@ -515,8 +516,8 @@
         client_slots.add(&slot);
         all.push(slot);
     }
-    // 0 has an op in hand, 1 one that was not read yet, 2 and 3 are known and idle, 4 and 5 have said nothing,
-    // 6 has sent half a request, and 7 has had its last answer.
+    // Slot 0 has an op in flight and slot 1 an unread request; 2 and 3 are proven and idle, 4 and 5 have sent
+    // nothing, 6 has sent part of a request, and 7 has received its last response.
     assert!(
         all[..4].iter().all(|slot| slot.start_reading() && slot.set_busy(false)) && all[6].start_reading()
     );
@@ -526,19 +527,21 @@
     while all[1].stream.peek(&mut [0]).is_err() {}
     assert!(!client_slots.are_idle() && client_slots.count_busy() == 1);
     let ended = || all.iter().map(|slot| slot.close_reason().is_some()).collect::<Vec<_>>();
-    // A client may need a moment for its first request; meanwhile no known one goes in a stranger's place.
+    // A client may need a moment for its first request. Until then no proven client is evicted in place of an
+    // unproven one.
     assert!(!client_slots.evict_at(all[4].opened));
     let later = |ms| Instant::now() + Duration::from_millis(ms);
     for (ms, evicted) in [(100, 4), (100, 5), (300, 6)] {
         assert!(client_slots.evict_at(later(ms)) && ended()[evicted], "{evicted} stays");
-        // The one that has had its answer goes with them; when it began to leave makes its turn.
+        // Slot 7, which has had its last response, is evicted among these, in the order of the time at which it
+        // began to close.
         if evicted == 5 {
             assert!(client_slots.evict_at(later(ms)) && !client_slots.evict_at(later(ms)));
         }
     }
     assert_eq!([2, 3, 9].map(|_| client_slots.evict_at(later(300))), [true, true, false]);
     assert_eq!(ended(), [false, false, true, true, true, true, true, true]);
-    // What was ended takes no request any more; what is left goes on, and may end when it is idle.
+    // A closed slot accepts no request; the remaining ones continue and may be closed when they are idle.
     assert!(!all[2].start_reading() && all[1].start_reading());
     [0, 1].into_iter().for_each(|number| all[number].finish_request(true));
     assert!(!client_slots.are_idle());
@@ -553,7 +556,7 @@
 }
 
 #[test]
-fn an_operators_call_is_read_wherever_it_is_split() {
+fn admin_request_parses_at_every_split() {
     let whole = |head: &str| format!("{head}\r\nHost: n\r\n\r\n");
     let body = |length: usize, given: usize| {
         format!("GET /ready HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{}", "x".repeat(given))
@@ -597,10 +600,11 @@
 }
 
 #[test]
-fn a_push_is_kept_back_until_its_first_byte_may_leave() {
+fn push_is_withheld_unless_its_first_byte_may_be_written() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = Arc::new(TcpStream::connect(listener.local_addr().unwrap()).unwrap());
-    // Whether the connection carried a push before, whether this one has begun, and whether it may begin then.
+    // Whether the connection carried a push before, whether this push has begun to be written, and whether
+    // writing may begin afterwards.
     for (used, begun, may) in
         [(false, false, false), (true, false, false), (false, true, true), (true, true, true)]
     {
@@ -616,7 +620,7 @@
 }
 
 #[test]
-fn an_id_is_open_once_at_a_time() {
+fn request_id_is_reserved_once_at_a_time() {
     let request_ids = Arc::new(RequestIds::default());
     let first = request_ids.reserve("a");
     assert!(first.is_some() && request_ids.reserve("a").is_none() && request_ids.reserve("b").is_some());
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The node as a process with stand-ins for executors and discovery on loopback: what the tests share.
+//! Shared by the tests: a node process with fake executors and a fake discovery service on loopback.
 #![allow(dead_code)]
 
 use std::io::Write;
@@ -16,8 +16,8 @@
     Duration::from_millis(ms)
 }
 
-/// Waits for something that another thread brings about.
-pub fn until(what: &str, mut done: impl FnMut() -> bool) {
+/// Waits until a condition holds that another thread brings about.
+pub fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     let start = Instant::now();
     while !done() {
         assert!(start.elapsed() < WAIT, "never happened: {what}");
@@ -29,10 +29,10 @@
     Act::Lines(0, &["{\"state\":\"started\"}\n{\"state\":\"do", "ne\",\"result\":\"a\\\"b\"}\n"]);
 pub const FULL: Act = Act::Text("HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
 pub const BUSY: Act = Act::Text("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-pub const UNFIT: Act = Act::Text("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
+pub const INVALID: Act = Act::Text("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
 pub const ERROR: Act = Act::Text("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n");
 
-/// The node with what it was told, ended with the test.
+/// A node process with its addresses; it is killed at the end of the test.
 pub struct Node {
     pub process: NodeProcess,
     pub discovery: SocketAddr,
@@ -70,7 +70,7 @@
         self.process.signal(signal).unwrap();
     }
 
-    /// Replaces a part of its configuration, and has it read again.
+    /// Replaces part of the node's configuration file and makes the node reload it.
     pub fn reload(&self, from: &str, to: &str) {
         self.process.reload(from, to).unwrap();
     }
@@ -92,11 +92,11 @@
     pub fn ready(&self) -> u16 {
         let mut client = self.client();
         client.write_all(b"GET /-/ready HTTP/1.1\r\n\r\n").unwrap();
-        hear(&mut client).0
+        read_answer(&mut client).0
     }
 }
 
-/// Status, head and body.
+/// Status, head and body of a response.
 pub type Answer = (u16, String, String);
 
 pub fn request(category: &str, budget_ms: u64) -> String {
@@ -110,22 +110,25 @@
     )
 }
 
-pub fn hear(stream: &mut TcpStream) -> Answer {
+pub fn read_answer(stream: &mut TcpStream) -> Answer {
     let (head, body) = read_message(stream).expect("an answer");
     (head[9..12].parse().unwrap(), head, body)
 }
 
 pub fn ask(stream: &mut TcpStream, category: &str, budget_ms: u64) -> Answer {
     stream.write_all(request(category, budget_ms).as_bytes()).unwrap();
-    hear(stream)
+    read_answer(stream)
 }
 
-/// A node with so many executors that follow the script, known from discovery.
-pub fn bench(count: usize, script: Script) -> (Node, Arc<Fleet>, Arc<Discovery>, Vec<SocketAddr>) {
+/// Starts a node with `count` executors that follow the script and are announced by discovery.
+pub fn start_node_with_executors(
+    count: usize,
+    script: Script,
+) -> (Node, Arc<Fleet>, Arc<Discovery>, Vec<SocketAddr>) {
     let (fleet, addresses) = Fleet::start(count, script);
     let (discovery, at) = Discovery::start(entries(&addresses));
     let node = Node::start(at, "");
-    until("ready", || node.ready() == 200);
+    wait_until("ready", || node.ready() == 200);
     (node, fleet, discovery, addresses)
 }
 
--- a/crates/node/tests/config_migration.rs
+++ b/crates/node/tests/config_migration.rs
@@ -1,5 +1,6 @@
-//! The move: nodes of the old shape (load reports, no messages) and of the new one (no reports, messages, shares of
-//! tenants, priced connections) at once before the same executors.
+//! A migration between configurations: nodes of the old kind (load reports, no messages between nodes) and of
+//! the new kind (no load reports, messages, tenant shares, priced connections) run side by side with the same
+//! executors.
 
 use std::collections::HashMap;
 use std::io::Write;
@@ -15,19 +16,19 @@
 const EXECUTORS: usize = 4;
 const SLOTS: usize = 3;
 const GRACE: Duration = Duration::from_millis(1000);
-/// Every key that the new shape reads, and what takes its place in the old one.
-const OLD: &str = r#""report":{"names":["rif"],"source":"piggyback"}"#;
-const NEW: &str = r#""report":{"names":[],"source":"silent"},"prices":{"handshake":0.05,"peer":0.01,"cross-zone":0.02},
+/// The keys that only the new kind of node reads, and what the old kind has instead.
+const OLD_SETTINGS: &str = r#""report":{"names":["rif"],"source":"piggyback"}"#;
+const NEW_SETTINGS: &str = r#""report":{"names":[],"source":"silent"},"prices":{"handshake":0.05,"peer":0.01,"cross-zone":0.02},
 "score-parts":{"tail":0.35,"worst-class":0.1},"surplus-benefit":0.05,"weight-kind":"rough",
 "tenants":[{"name":"shore","quota-per-s":400},{"name":"harbour","quota-per-s":400}]"#;
 const OPERATOR: &str = "[node]\ntenant-header = 'X-Tenant'\n";
 
-/// Executors of a few slots that tell a start, run a job, and say 'full' beyond their slots.
+/// Executors with a few slots that report a start, run a job, and reject pushes beyond their slots.
 #[derive(Default)]
 struct Fleet {
-    /// Jobs that ran: when, where and which.
+    /// Jobs that ran: time, executor and id.
     ran: Mutex<Vec<(Instant, usize, String)>>,
-    held: [AtomicUsize; EXECUTORS],
+    running: [AtomicUsize; EXECUTORS],
 }
 
 impl Fleet {
@@ -51,9 +52,9 @@
     fn serve(&self, executor: usize, mut stream: TcpStream) {
         stream.set_nodelay(true).unwrap();
         while let Some((head, _)) = read_message(&mut stream) {
-            let held = &self.held[executor];
-            if held.fetch_add(1, Ordering::SeqCst) >= SLOTS {
-                held.fetch_sub(1, Ordering::SeqCst);
+            let running = &self.running[executor];
+            if running.fetch_add(1, Ordering::SeqCst) >= SLOTS {
+                running.fetch_sub(1, Ordering::SeqCst);
                 let _ = stream.write_all(b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
                 continue;
             }
@@ -65,7 +66,7 @@
             };
             line("{\"state\":\"started\"}\n".to_string());
             sleep(Duration::from_millis(60));
-            let now = held.fetch_sub(1, Ordering::SeqCst) - 1;
+            let now = running.fetch_sub(1, Ordering::SeqCst) - 1;
             line(format!("{{\"state\":\"done\",\"result\":\"x\",\"load\":{{\"inflight\":{now}}}}}\n"));
             let _ = stream.write_all(b"0\r\n\r\n");
         }
@@ -74,20 +75,21 @@
 
 fn config(me: usize, new: bool, discovery: SocketAddr, peers: &[SocketAddr]) -> String {
     let all: Vec<String> = peers.iter().map(|at| format!("\"{at}\"")).collect();
-    let carrier = if new { format!(r#""peers":{{"nodes":[{}]}},"#, all.join(",")) } else { String::new() };
-    let shape = if new { NEW } else { OLD };
+    let peers_setting =
+        if new { format!(r#""peers":{{"nodes":[{}]}},"#, all.join(",")) } else { String::new() };
+    let kind_settings = if new { NEW_SETTINGS } else { OLD_SETTINGS };
     format!(
-        r#"{{"name":"n{me}","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"{me}f",{carrier}"settings":{{
+        r#"{{"name":"n{me}","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"{me}f",{peers_setting}"settings":{{
 "balancers":4,"me":{me},"caps":{{"cancel":true,"peers":{new},"retry-after":true,"max-retry-after-ns":2000000000,
 "max-pushes":4,"dial-timeout-ns":300000000,"keepalive-ns":10000000000}},"categories":[
 {{"name":"safe","target-latency-ns":1000000000,"semantics":"repeatable","ttl-ns":3000000000,"benefit":1}},
 {{"name":"once","target-latency-ns":1000000000,"semantics":"once","ttl-ns":3000000000,"benefit":1}}],
-"extra":{{"tells-start":true}},"failure-domains":["a"],"shapes":["m"],"granularity-ns":4000000,{shape},
+"extra":{{"tells-start":true}},"failure-domains":["a"],"shapes":["m"],"granularity-ns":4000000,{kind_settings},
 "rules":{{"overload-factor":4,"start-capacity":0.3,"tip-after-ns":1000000000,"warm-within-ns":1000000000}}}}}}"#
     )
 }
 
-/// One op with a client of its own: its id, category and status.
+/// Sends one op on its own connection; returns its id, category and status.
 fn ask(at: SocketAddr, number: usize) -> (String, &'static str, u16) {
     let (id, category) = (format!("{number:016x}"), ["safe", "once"][number % 2]);
     let mut stream = TcpStream::connect(at).unwrap();
@@ -103,7 +105,7 @@
 }
 
 #[test]
-fn nodes_of_both_shapes_share_executors_by_the_rules_and_neither_starves() {
+fn nodes_of_old_and_new_configuration_share_executors_and_neither_starves() {
     let (fleet, addresses) = Fleet::start();
     let listed = |drained: bool| {
         let status = |x: usize| if drained && x == 0 { "Draining" } else { "Ready" };
@@ -111,13 +113,13 @@
         addresses.iter().enumerate().map(line).collect::<Vec<_>>().join(",")
     };
     let (discovery, at) = Discovery::start(listed(false));
-    let free: Vec<UdpSocket> = (0..4).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
-    let peers: Vec<SocketAddr> = free.iter().map(|socket| socket.local_addr().unwrap()).collect();
-    drop(free);
-    let shape = |me: usize| me >= 2;
+    let sockets: Vec<UdpSocket> = (0..4).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
+    let peers: Vec<SocketAddr> = sockets.iter().map(|socket| socket.local_addr().unwrap()).collect();
+    drop(sockets);
+    let is_new = |me: usize| me >= 2;
     let nodes: Vec<NodeProcess> = (0..4)
         .map(|me| {
-            let config = config(me, shape(me), at, &peers);
+            let config = config(me, is_new(me), at, &peers);
             NodeProcess::start_with(Path::new(BINARY), &config, OPERATOR).unwrap()
         })
         .collect();
@@ -127,19 +129,20 @@
             assert!(start.elapsed() < Duration::from_secs(10), "a node is not ready");
         }
     }
-    // Not from a peer, and not readable: counted, dropped, and nothing else changes.
-    let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    (0..50u8).for_each(|n| drop(stranger.send_to(&[n; 40], peers[3])));
+    // These datagrams come from no peer and are malformed. They must be counted and dropped without further
+    // effect.
+    let foreign_socket = UdpSocket::bind("127.0.0.1:0").unwrap();
+    (0..50u8).for_each(|n| drop(foreign_socket.send_to(&[n; 40], peers[3])));
     let (number, answers) = (AtomicUsize::new(1), Mutex::new(Vec::new()));
-    let (begun, drained) = (Instant::now(), Mutex::new(None));
+    let (started, drained) = (Instant::now(), Mutex::new(None));
     std::thread::scope(|scope| {
         for client in 0..48 {
-            // Three quarters of what the executors can carry, from each node alike.
+            // The load is three quarters of the executors' capacity, spread evenly over the nodes.
             let (node, number, answers) = (client % 4, &number, &answers);
             let at = nodes[node].at;
             scope.spawn(move || {
                 sleep(Duration::from_millis(client as u64 * 7));
-                while begun.elapsed() < Duration::from_secs(5) {
+                while started.elapsed() < Duration::from_secs(5) {
                     let answer = ask(at, number.fetch_add(1, Ordering::SeqCst));
                     answers.lock().unwrap().push((node, answer));
                     sleep(Duration::from_millis(340));
@@ -153,15 +156,19 @@
     let (ran, answers) = (fleet.ran.lock().unwrap(), answers.into_inner().unwrap());
     let mut runs: HashMap<&str, usize> = HashMap::new();
     ran.iter().for_each(|(_, _, id)| *runs.entry(id).or_default() += 1);
-    // One answer each (a missing one fails its client); no at-most-once op ran twice, none that ran was nacked.
+    // Each op gets one response (a missing one makes its client fail). No at-most-once op may run twice, and
+    // none that ran may be nacked.
     for (_, (id, category, status)) in answers.iter().filter(|(_, answer)| answer.1 == "once") {
         let runs = runs.get(id.as_str()).copied().unwrap_or(0);
         assert!(runs <= 1 && (runs == 0 || *status != 503), "{category} {id}: {status} after {runs} runs");
     }
-    let told = drained.into_inner().unwrap().unwrap() + GRACE;
-    assert!(!ran.iter().any(|(when, executor, _)| *executor == 0 && *when > told), "sent to one that drains");
+    let expected = drained.into_inner().unwrap().unwrap() + GRACE;
+    assert!(
+        !ran.iter().any(|(when, executor, _)| *executor == 0 && *when > expected),
+        "sent to one that drains"
+    );
     let served = |new: bool| {
-        let own = answers.iter().filter(|(node, _)| shape(*node) == new);
+        let own = answers.iter().filter(|(node, _)| is_new(*node) == new);
         own.clone().filter(|(_, answer)| answer.2 == 200).count() as f64 / own.count() as f64
     };
     let (old, new) = (served(false), served(true));
@@ -181,11 +188,11 @@
 }
 
 #[test]
-fn a_faulty_carrier_is_refused_with_its_key() {
+fn invalid_peer_settings_are_rejected_with_their_key() {
     let at: SocketAddr = "127.0.0.1:9".parse().unwrap();
     let peers: Vec<SocketAddr> = (1..5).map(|port| SocketAddr::from(([127, 0, 0, 1], port))).collect();
     let good = config(1, true, at, &peers);
-    for (from, to, told) in [
+    for (from, to, expected) in [
         ("\"peers\":true", "\"peers\":false", "peers: settings.caps.peers does not allow messages"),
         (",\"127.0.0.1:4\"", "", "peers.nodes: 3 addresses where settings.balancers says 4"),
         ("127.0.0.1:4", "127.0.0.1:3", "peers.nodes[3]: '127.0.0.1:3' is given twice"),
@@ -198,6 +205,6 @@
         let wrong = good.replacen(from, to, 1);
         assert_ne!(wrong, good, "{from}");
         let error = NodeProcess::start(Path::new(BINARY), &wrong, &[]).err().unwrap();
-        assert!(error.contains(told), "{error}");
+        assert!(error.contains(expected), "{error}");
     }
 }
--- a/crates/node/tests/fault_scenarios.rs
+++ b/crates/node/tests/fault_scenarios.rs
@@ -1,5 +1,6 @@
-//! Days under load with overlapping faults, on sockets: the program against the rig's executors, discovery and
-//! clients, under the rig's judge. And the judge against executors that a wrong node pushes to.
+//! Scenarios under load with overlapping faults: the program with the testbed's executors, discovery and
+//! clients, checked by the testbed's judge. Also a test of the judge itself with pushes that a faulty node
+//! might send.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn a_day_of_overlapping_faults_keeps_the_rules() {
+fn overlapping_faults_break_no_rule() {
     let faults = "[[fault]]\nwhat = 'killed'\nfrom-s = 1.0\nfor-s = 1.5\non = 'part:0.3'\n\
                   [[fault]]\nwhat = 'domain-cut'\nfrom-s = 2.0\nfor-s = 2.0\non = 'domain:b'\n\
                   [[fault]]\nwhat = 'reset'\nfrom-s = 3.0\nfor-s = 3.0\npart = 0.1\nbytes = 40\n\
@@ -49,7 +50,7 @@
     }
 }
 
-/// Sends a push of an op straight to an executor and reads until something stands in the answer.
+/// Sends a push of an op directly to an executor and reads until the response contains `until`.
 fn push(stream: &mut TcpStream, op: usize, until: &str) -> String {
     let text = format!("POST /x HTTP/1.1\r\nX-Call-Id: {op:016x}\r\nContent-Length: 0\r\n\r\n");
     stream.write_all(text.as_bytes()).unwrap();
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn the_judge_on_sockets_catches_a_wrong_node() {
+fn judge_detects_a_faulty_node() {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let entered = runtime.enter();
     let plan = plan("at-most-once", "");
@@ -92,8 +93,9 @@
         stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
         stream
     };
-    // Op 0 is pushed as it should be, and answered; op 1 runs twice; op 2 goes to an executor that was told to be
-    // leaving; op 3 is never answered. An id that no client sent is turned away, and noted.
+    // Op 0 is pushed correctly and answered; op 1 runs twice; op 2 goes to an executor after its node was
+    // notified that it is leaving; op 3 is never answered. A push with an id that no client sent is rejected
+    // and recorded.
     let (mut first, mut second) = (connect(0), connect(1));
     assert!(push(&mut first, 0, "\"done\"").contains("\"load\""));
     world.answered(0, Answer::Acked);
@@ -110,10 +112,10 @@
     let found: Vec<(u8, usize)> = broken.iter().map(|b| (b.rule, b.op)).collect();
     assert_eq!(found, [(1, 3), (2, 1), (3, 2)], "{broken:?}");
     assert!(broken[1].line.iter().any(|line| line.ends_with("begun at executor 1")), "{:?}", broken[1].line);
-    // One that is killed resets what it has, and is back at its address.
+    // A killed executor resets its connections and later listens again at the same address.
     executors[0].kill();
     assert!(matches!(first.read(&mut [0; 8]), Err(_) | Ok(0)));
-    // It is down first: a connection that the old listener still took would be reset.
+    // Waits until the old listener is closed: a connection that it still accepted would be reset.
     let start = std::time::Instant::now();
     while TcpStream::connect(executors[0].at).is_ok() {
         assert!(start.elapsed() < Duration::from_secs(5), "its listener is still open");
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -1,43 +1,44 @@
-//! Membership among several processes of the program, on loopback: who is there is known to all, a kill, a leave, a pause and
-//! a restart as well, and strangers are not heard.
+//! Membership among several processes on loopback: all members learn of each other, and of a kill, a leave, a
+//! pause and a restart. Messages without the right key are ignored.
 
 mod common;
 
-use common::{ms, until, SETTINGS};
+use common::{ms, wait_until, SETTINGS};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 use stileroute_testbed::stand::{entries, nowhere, Discovery, NodeProcess, Signal};
 
-/// A port for messages that nobody has just now.
-fn port() -> u16 {
+/// A UDP port that is free at the moment.
+fn free_port() -> u16 {
     UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap().port()
 }
 
-struct Group {
+struct Cluster {
     discovery: SocketAddr,
     seeds: Vec<u16>,
     more: String,
-    /// The settings name so many nodes.
+    /// Number of nodes according to the settings.
     nodes: usize,
 }
 
-struct One {
+struct MemberProcess {
     process: NodeProcess,
-    calls: SocketAddr,
+    admin_address: SocketAddr,
 }
 
-impl Group {
-    fn new(nodes: usize, more: &str) -> Group {
+impl Cluster {
+    fn new(nodes: usize, more: &str) -> Cluster {
         let (_, discovery) = Discovery::start(entries(&[nowhere()]));
-        Group { discovery, seeds: vec![port(), port()], more: more.to_string(), nodes }
+        Cluster { discovery, seeds: vec![free_port(), free_port()], more: more.to_string(), nodes }
     }
 
-    /// A process of this name, at the port of a seed or at any.
-    fn start_with(&self, name: usize, more: &str) -> One {
+    /// Starts a process with this name, listening on a seed's port or on any.
+    fn start_with(&self, name: usize, more: &str) -> MemberProcess {
         let listen = self.seeds.get(name).copied().unwrap_or(0);
-        let seeds: Vec<String> = self.seeds.iter().map(|port| format!("\"127.0.0.1:{port}\"")).collect();
+        let seeds: Vec<String> =
+            self.seeds.iter().map(|free_port| format!("\"127.0.0.1:{free_port}\"")).collect();
         let operator = format!(
             "[members]\nlisten = \"127.0.0.1:{listen}\"\nseeds = [{}]\nevery = \"200ms\"\n{more}\n",
             seeds.join(", ")
@@ -52,22 +53,22 @@
         );
         let binary = Path::new(env!("CARGO_BIN_EXE_stileroute"));
         let process = NodeProcess::with(binary, &config, Some(&operator), &[], None, None).unwrap();
-        let mut calls = None;
-        until("an address for operators", || {
-            calls = process.said("operators call at ").and_then(|at| at.parse().ok());
-            calls.is_some()
+        let mut admin_address = None;
+        wait_until("an address for operators", || {
+            admin_address = process.said("operators call at ").and_then(|at| at.parse().ok());
+            admin_address.is_some()
         });
-        One { process, calls: calls.unwrap() }
+        MemberProcess { process, admin_address: admin_address.unwrap() }
     }
 
-    fn start(&self, name: usize) -> One {
+    fn start(&self, name: usize) -> MemberProcess {
         self.start_with(name, &self.more)
     }
 }
 
-impl One {
+impl MemberProcess {
     fn get(&self, path: &str) -> (u16, String) {
-        let mut stream = TcpStream::connect(self.calls).unwrap();
+        let mut stream = TcpStream::connect(self.admin_address).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
         stream.write_all(format!("GET {path} HTTP/1.1\r\nHost: n\r\n\r\n").as_bytes()).unwrap();
         let mut text = String::new();
@@ -76,58 +77,62 @@
         (head[9..12].parse().unwrap(), body.to_string())
     }
 
-    fn figure(&self, name: &str) -> u64 {
+    fn metric(&self, name: &str) -> u64 {
         let (_, text) = self.get("/metrics");
         let line = text.lines().find_map(|line| line.strip_prefix(&format!("svc_members_{name} ")));
         line.unwrap_or_else(|| panic!("no {name} in {text}")).parse().unwrap()
     }
 
-    /// How many lines of its members say this.
+    /// Number of lines in the member list that contain this text.
     fn lists(&self, word: &str) -> usize {
         self.get("/members").1.lines().filter(|line| line.contains(word)).count()
     }
 }
 
-/// Seconds until it holds at all.
-fn until_all(what: &str, all: &[One], holds: impl Fn(&One) -> bool) -> f64 {
+/// Waits until the condition holds for all members and returns the seconds it took.
+fn until_all(what: &str, all: &[MemberProcess], holds: impl Fn(&MemberProcess) -> bool) -> f64 {
     let start = Instant::now();
-    until(what, || all.iter().all(&holds));
+    wait_until(what, || all.iter().all(&holds));
     start.elapsed().as_secs_f64()
 }
 
 #[test]
-fn a_kill_a_leave_a_pause_and_a_restart_are_known_to_all() {
-    let group = Group::new(12, "all = true");
-    let mut all: Vec<One> = (0..12).map(|name| group.start(name)).collect();
-    until_all("all know all", &all, |one| one.lists(" alive ") == 12);
-    let suspected = |all: &[One]| all.iter().map(|one| one.figure("suspected_total")).sum::<u64>();
+fn all_members_learn_of_a_kill_a_leave_a_pause_and_a_restart() {
+    let cluster = Cluster::new(12, "all = true");
+    let mut all: Vec<MemberProcess> = (0..12).map(|name| cluster.start(name)).collect();
+    until_all("all know all", &all, |member| member.lists(" alive ") == 12);
+    let suspected =
+        |all: &[MemberProcess]| all.iter().map(|member| member.metric("suspected_total")).sum::<u64>();
     assert_eq!(suspected(&all), 0);
-    // It says that it goes, and nobody looks for it. A node that ends serves its clients for a while before.
-    let mut leaves = all.pop().unwrap();
-    leaves.process.signal(Signal::SIGTERM).unwrap();
-    assert!(leaves.process.wait(Duration::from_secs(10)).is_some());
-    let took = until_all("that it left is known", &all, |one| one.lists(" left ") == 1);
-    assert!(took < 5.0 && suspected(&all) == 0, "{took} s");
-    // Killed: suspected, then held dead, and counted as one that may still be sending.
+    // A member that leaves announces it, so it is not suspected. A node that shuts down still serves its
+    // clients for a while before that.
+    let mut leaving = all.pop().unwrap();
+    leaving.process.signal(Signal::SIGTERM).unwrap();
+    assert!(leaving.process.wait(Duration::from_secs(10)).is_some());
+    let elapsed_s = until_all("that it left is known", &all, |member| member.lists(" left ") == 1);
+    assert!(elapsed_s < 5.0 && suspected(&all) == 0, "{elapsed_s} s");
+    // A killed member is suspected, then declared dead, and counted as one that may still be sending.
     drop(all.pop().unwrap());
-    until_all("the kill is known", &all, |one| one.lists(" dead ") == 1);
-    assert!(all.iter().all(|one| one.lists(" alive ") == 10 && one.lists(" left ") == 1));
-    // Back, as a later life of the same name.
-    all.push(group.start(10));
-    until_all("it is back", &all, |one| one.lists(" alive ") == 11);
-    // One stands still for as long as it takes to be held dead, blames nobody for it, and is alive to all again.
+    until_all("the kill is known", &all, |member| member.lists(" dead ") == 1);
+    assert!(all.iter().all(|member| member.lists(" alive ") == 10 && member.lists(" left ") == 1));
+    // It restarts under the same name with a later incarnation.
+    all.push(cluster.start(10));
+    until_all("it is back", &all, |member| member.lists(" alive ") == 11);
+    // One member is paused long enough to be declared dead. After it resumes, it declares no other member dead
+    // and is alive to all again.
     all[5].process.signal(Signal::SIGSTOP).unwrap();
     std::thread::sleep(ms(5000));
     all[5].process.signal(Signal::SIGCONT).unwrap();
-    until_all("it is alive again", &all, |one| one.lists(" alive ") == 11);
-    assert!(all[5].figure("stood_still_total") >= 1 && all[5].lists(" dead ") == 0);
-    assert_eq!(all[5].figure("likely"), 11);
-    // Each has told its desk: of budgets for who may be sending, of the rest for who is likely there.
-    assert!(all[..10].iter().all(|one| one.process.logged("members: 12 live, 12 may be sending")));
+    until_all("it is alive again", &all, |member| member.lists(" alive ") == 11);
+    assert!(all[5].metric("stood_still_total") >= 1 && all[5].lists(" dead ") == 0);
+    assert_eq!(all[5].metric("likely"), 11);
+    // Each member has notified its dispatch loop of 12 nodes that may be sending, which limit the budgets, and
+    // 12 that are likely to be live.
+    assert!(all[..10].iter().all(|member| member.process.logged("members: 12 live, 12 may be sending")));
 }
 
 #[test]
-fn strangers_are_not_heard_and_a_successor_is_no_second_member() {
+fn unauthenticated_messages_are_ignored_and_a_successor_is_no_second_member() {
     let folder = std::env::temp_dir();
     let key = |name: &str, digit: &str| -> PathBuf {
         let path = folder.join(format!("stileroute-key-{name}-{}", std::process::id()));
@@ -136,37 +141,41 @@
     };
     let (right, wrong) = (key("right", "5"), key("wrong", "6"));
     let with = |path: &Path| format!("key-file = \"{}\"", path.display());
-    let group = Group::new(4, &with(&right));
-    let mut all: Vec<One> = (0..4).map(|name| group.start(name)).collect();
-    until_all("all know all", &all, |one| one.lists(" alive ") == 4);
-    let (stranger, silent) = (group.start_with(8, &with(&wrong)), group.start_with(9, ""));
-    until("strangers were turned away", || {
-        all[0].figure("strangers_total") + all[1].figure("strangers_total") > 4
+    let cluster = Cluster::new(4, &with(&right));
+    let mut all: Vec<MemberProcess> = (0..4).map(|name| cluster.start(name)).collect();
+    until_all("all know all", &all, |member| member.lists(" alive ") == 4);
+    let (wrong_key, without_key) = (cluster.start_with(8, &with(&wrong)), cluster.start_with(9, ""));
+    wait_until("strangers were turned away", || {
+        all[0].metric("strangers_total") + all[1].metric("strangers_total") > 4
     });
-    assert!(all.iter().all(|one| one.lists(" alive ") == 4));
-    assert_eq!((stranger.lists(" alive "), silent.lists(" alive ")), (1, 1));
-    // Garbage, and what is longer than a message may be.
-    let noise = UdpSocket::bind("127.0.0.1:0").unwrap();
+    assert!(all.iter().all(|member| member.lists(" alive ") == 4));
+    assert_eq!((wrong_key.lists(" alive "), without_key.lists(" alive ")), (1, 1));
+    // Malformed datagrams, and one longer than the maximum message.
+    let malformed_sender = UdpSocket::bind("127.0.0.1:0").unwrap();
     for text in [&b""[..], b"\x02", &[7; 2000], b"GET / HTTP/1.1\r\n\r\n"] {
-        noise.send_to(text, ("127.0.0.1", group.seeds[0])).unwrap();
+        malformed_sender.send_to(text, ("127.0.0.1", cluster.seeds[0])).unwrap();
     }
-    until("garbage is counted", || all[0].figure("garbled_total") + all[0].figure("strangers_total") > 6);
-    // A process that takes the place of one beside it: the older one says nothing more, and nobody is missed.
+    wait_until("garbage is counted", || {
+        all[0].metric("garbled_total") + all[0].metric("strangers_total") > 6
+    });
+    // A second process starts with the name of a running one: the older one stops sending, and no member is
+    // suspected.
     std::thread::sleep(ms(10_500));
-    let next = group.start(3);
-    let old = std::mem::replace(&mut all[3], next);
-    until("the older one knows", || {
+    let successor = cluster.start(3);
+    let old = std::mem::replace(&mut all[3], successor);
+    wait_until("the older one knows", || {
         old.process.logged("another process has this node's name, and its place")
     });
-    until_all("four are there", &all, |one| one.lists(" alive ") == 4 && one.lists(" dead ") == 0);
-    assert_eq!(all.iter().map(|one| one.figure("suspected_total")).sum::<u64>(), 0);
-    // Not all nodes are said to be members, so the settings' number is the least that budgets go by.
-    assert!(all.iter().all(|one| one.figure("safe") == 4));
+    until_all("four are there", &all, |member| member.lists(" alive ") == 4 && member.lists(" dead ") == 0);
+    assert_eq!(all.iter().map(|member| member.metric("suspected_total")).sum::<u64>(), 0);
+    // The settings do not say that all nodes are members, so budgets assume at least the number of nodes in the
+    // settings.
+    assert!(all.iter().all(|member| member.metric("safe") == 4));
     [right, wrong].iter().for_each(|path| std::fs::remove_file(path).unwrap());
 }
 
 #[test]
-fn a_bad_section_is_named_and_without_one_there_is_nothing_of_it() {
+fn invalid_members_section_is_rejected_and_without_one_membership_is_off() {
     let cases = [
         ("listen = \"here\"", ":2:1: members.listen: 'here' is no IPv4 address"),
         ("seeds = [\"127.0.0.1:9\"]", ": members: needs listen"),
@@ -190,20 +199,22 @@
     }
     let error = start(SETTINGS, "[members]\nlisten = \"127.0.0.1:0\"\n");
     assert!(error.contains("settings.caps.peers does not allow messages"), "{error}");
-    // Without the section: no socket, no thread, no figure, and the call says so.
-    let group = Group::new(1, "");
-    let on = group.start(0);
+    // Without the section there is no socket, no thread and no metric, and the admin request returns 404.
+    let cluster = Cluster::new(1, "");
+    let on = cluster.start(0);
     let text = format!(
         r#"{{"name":"n","listen":"127.0.0.1:0","discovery":"{}","admin_addr":"127.0.0.1:0","settings":{SETTINGS}}}"#,
         nowhere()
     );
     let process = NodeProcess::start(binary, &text, &[]).unwrap();
-    until("an address for operators", || process.said("operators call at ").is_some());
-    let calls = process.said("operators call at ").unwrap().parse().unwrap();
-    let off = One { process, calls };
+    wait_until("an address for operators", || process.said("operators call at ").is_some());
+    let admin_address = process.said("operators call at ").unwrap().parse().unwrap();
+    let off = MemberProcess { process, admin_address };
     assert_eq!(off.get("/members").0, 404);
     assert!(!off.get("/metrics").1.contains("members"));
-    until("figures", || on.get("/metrics").1.contains("svc_members_likely 1\n"));
-    let threads = |one: &One| std::fs::read_dir(format!("/proc/{}/task", one.process.id())).unwrap().count();
-    until("its threads are there", || threads(&on) == threads(&off) + 1);
+    wait_until("figures", || on.get("/metrics").1.contains("svc_members_likely 1\n"));
+    let threads = |member: &MemberProcess| {
+        std::fs::read_dir(format!("/proc/{}/task", member.process.id())).unwrap().count()
+    };
+    wait_until("its threads are there", || threads(&on) == threads(&off) + 1);
 }
--- a/crates/node/tests/routes.rs
+++ b/crates/node/tests/routes.rs
@@ -1,4 +1,4 @@
-//! The program with an operators' file: its commands, its limits on sockets, and new files under load.
+//! The program with an operators' file: its commands, its limits on sockets, and reloads under load.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -17,28 +17,28 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy").join(name)
 }
 
-fn run(words: &[&str]) -> Output {
+fn run(arguments: &[&str]) -> Output {
     let mut command = Command::new(BINARY);
-    command.args(words).env("BALANCER_CONFIG", deploy("example.json")).env_remove("STILEROUTE_OPERATOR");
+    command.args(arguments).env("BALANCER_CONFIG", deploy("example.json")).env_remove("STILEROUTE_OPERATOR");
     command.output().unwrap()
 }
 
-fn said(out: &Output) -> (Option<i32>, String, String) {
+fn exit_code_and_output(out: &Output) -> (Option<i32>, String, String) {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (out.status.code(), text(&out.stdout), text(&out.stderr))
 }
 
-/// A file of its own for a test.
-fn file(name: &str, text: &str) -> PathBuf {
+/// Writes a temporary file for one test.
+fn temporary_file(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("stileroute-{}-{name}.toml", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path
 }
 
 #[test]
-fn the_example_is_well_and_has_every_key() {
+fn example_file_is_valid_and_has_every_key() {
     let path = deploy("operator.toml");
-    let (code, out, err) = said(&run(&["check", path.to_str().unwrap()]));
+    let (code, out, err) = exit_code_and_output(&run(&["check", path.to_str().unwrap()]));
     assert!(code == Some(0) && out.contains("well, 6 rules") && err.is_empty(), "{out}{err}");
     let text = std::fs::read_to_string(&path).unwrap();
     for key in KEYS.iter().filter(|key| **key != "copy-after") {
@@ -47,17 +47,20 @@
 }
 
 #[test]
-fn commands_tell_what_holds_and_refuse_in_lines() {
+fn commands_print_effective_limits_and_one_line_per_fault() {
     let path = deploy("operator.toml");
     let operator = ["--operator", path.to_str().unwrap()];
-    let (code, out, _) =
-        said(&run(&[&operator[..], &["explain", "--path", "/api/bulk/7", "--category", "report"]].concat()));
+    let (code, out, _) = exit_code_and_output(&run(&[
+        &operator[..],
+        &["explain", "--path", "/api/bulk/7", "--category", "report"],
+    ]
+    .concat()));
     assert!(code == Some(0) && out.starts_with("2 rules match"), "{out}");
     let more = ["--tenant", "archive", "--header", "X-Source=night"];
-    let words = ["explain", "--path", "/api/bulk/7", "--category", "report"];
-    let (code, out, _) = said(&run(&[&operator[..], &words, &more].concat()));
+    let arguments = ["explain", "--path", "/api/bulk/7", "--category", "report"];
+    let (code, out, _) = exit_code_and_output(&run(&[&operator[..], &arguments, &more].concat()));
     assert!(code == Some(0) && out.starts_with("3 rules match"), "{out}");
-    // Each figure with the line that sets it, inherited ones too.
+    // Each limit with the line that sets it, including inherited ones.
     let text = std::fs::read_to_string(&path).unwrap();
     for (key, value, by) in [
         ("wait", "500 ms", "bulk reports"),
@@ -70,13 +73,13 @@
         assert!(line.contains(by) && text.lines().nth(number - 1).unwrap().starts_with(key), "{line}");
     }
     assert!(out.contains("effect: AtMostOnce, of the category: Redeliverable"), "{out}");
-    let (code, out, _) = said(&run(&[&operator[..], &["routes"]].concat()));
+    let (code, out, _) = exit_code_and_output(&run(&[&operator[..], &["routes"]].concat()));
     assert!(code == Some(0) && out.lines().count() == 6, "{out}");
     assert!(out.starts_with("route one pallet (line ") || out.starts_with("route marked (line "), "{out}");
-    assert_eq!(said(&run(&["version"])).0, Some(0));
-    assert!(said(&run(&["completions", "bash"])).1.contains("stileroute"));
-    // What can't be taken: exit code 2, nothing on standard output, a line for each fault.
-    let bad = file("bad", "[defaults]\npushes = 9\nop = '5'\n");
+    assert_eq!(exit_code_and_output(&run(&["version"])).0, Some(0));
+    assert!(exit_code_and_output(&run(&["completions", "bash"])).1.contains("stileroute"));
+    // Invalid input gives exit code 2, an empty standard output, and one line per fault.
+    let bad = temporary_file("bad", "[defaults]\npushes = 9\nop = '5'\n");
     let cases: [(&[&str], &[&str]); 6] = [
         (
             &["check", bad.to_str().unwrap()],
@@ -94,16 +97,16 @@
             &["is not NAME=VALUE"],
         ),
     ];
-    for (words, expected) in cases {
-        let (code, out, err) = said(&run(words));
+    for (arguments, expected) in cases {
+        let (code, out, err) = exit_code_and_output(&run(arguments));
         assert!(
             code == Some(2) && out.is_empty() && err.lines().count() == expected.len(),
-            "{words:?}: {out}{err}"
+            "{arguments:?}: {out}{err}"
         );
-        assert!(expected.iter().all(|line| err.contains(line)), "{words:?}: {err}");
+        assert!(expected.iter().all(|line| err.contains(line)), "{arguments:?}: {err}");
     }
-    // Nor does it serve under such a file.
-    let (code, _, err) = said(&run(&["--operator", bad.to_str().unwrap()]));
+    // The program does not serve with an invalid file either.
+    let (code, _, err) = exit_code_and_output(&run(&["--operator", bad.to_str().unwrap()]));
     assert!(code == Some(2) && err.lines().count() == 2, "{err}");
     std::fs::remove_file(bad).unwrap();
 }
@@ -119,8 +122,8 @@
     config.to_string()
 }
 
-/// A node with executors that follow a script, under a file. Who leaves a category unstarted gets no more of it for a
-/// while: there is one more than ops are left so.
+/// Starts a node with an operators' file and executors that follow a script. An executor that leaves an op
+/// unstarted gets no more ops of its category for a while, so there is one executor more than such ops.
 fn node(script: fn(usize) -> Act, operator: &str) -> (NodeProcess, std::sync::Arc<Fleet>) {
     let (fleet, addresses) = Fleet::start(5, script);
     let (_, at) = Discovery::start(entries(&addresses));
@@ -140,7 +143,7 @@
     (head[9..12].parse().unwrap(), format!("{head}{body}"))
 }
 
-fn op(number: usize, category: &str, path: &str) -> String {
+fn op_request(number: usize, category: &str, path: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nHost: h\r\nX-Call-Id: {number:016x}\r\nX-Call-Class: {category}\r\n\
          X-Budget-Ms: 4000\r\nX-Call-Cost: 20000\r\nContent-Length: 0\r\n\r\n"
@@ -148,34 +151,34 @@
 }
 
 #[test]
-fn limits_hold_on_sockets_and_ops_keep_those_that_they_came_in_with() {
+fn limits_apply_and_ops_keep_those_of_their_arrival() {
     let silent = |_: usize| Act::Silent;
     let short = "[log]\nform = 'json'\n[[route]]\nname = 'short'\nmatch = { path = '/short/*' }\nop = '400ms'\npushes = 1\n";
     let (node, fleet) = node(silent, short);
     let start = Instant::now();
-    let (status, text) = ask(&node, &op(1, "release", "/short/1"));
+    let (status, text) = ask(&node, &op_request(1, "release", "/short/1"));
     assert!(
         status == 500 && start.elapsed() < Duration::from_millis(900),
         "{text} after {:?}",
         start.elapsed()
     );
-    // A file that comes while an op is in hand changes nothing for that op, and holds for the next.
+    // A file that is loaded while an op is in flight does not affect this op, but applies to the next one.
     let begun = Instant::now();
     let waiting = std::thread::scope(|scope| {
-        let first = scope.spawn(|| (ask(&node, &op(2, "release", "/short/1")).0, begun.elapsed()));
+        let first = scope.spawn(|| (ask(&node, &op_request(2, "release", "/short/1")).0, begun.elapsed()));
         std::thread::sleep(Duration::from_millis(100));
         node.replace_operator(&short.replace("400ms", "750ms")).unwrap();
         first.join().unwrap()
     });
     assert!(waiting.0 == 500 && (350..700).contains(&waiting.1.as_millis()), "{waiting:?}");
     let start = Instant::now();
-    assert_eq!(ask(&node, &op(3, "release", "/short/1")).0, 500);
+    assert_eq!(ask(&node, &op_request(3, "release", "/short/1")).0, 500);
     assert!(
         (Duration::from_millis(700)..Duration::from_millis(980)).contains(&start.elapsed()),
         "{:?}",
         start.elapsed()
     );
-    // A faulty one is named, whole, and what held goes on.
+    // An invalid file is reported and rejected as a whole, and the previous limits stay in effect.
     node.replace_operator("[defaults]\npushes = 9\n").unwrap();
     let told = Instant::now();
     while !node.logged("operators' file not taken: ") {
@@ -183,17 +186,17 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     let start = Instant::now();
-    assert_eq!(ask(&node, &op(4, "release", "/short/1")).0, 500);
+    assert_eq!(ask(&node, &op_request(4, "release", "/short/1")).0, 500);
     assert!(start.elapsed() > Duration::from_millis(650));
     assert_eq!(fleet.count(), 4);
-    // The log has a thread of its own, which may be a moment behind the answer.
+    // The log is written by its own thread and may lag slightly behind the response.
     let start = Instant::now();
     let told =
         |node: &NodeProcess| node.log.lock().unwrap().iter().filter(|l| l.contains("dead-lettered")).count();
     while told(&node) < 4 && start.elapsed() < Duration::from_secs(5) {
         std::thread::sleep(Duration::from_millis(5));
     }
-    // Each dead letter is a JSON line with its fields.
+    // Each dead letter is logged as a JSON line with its fields.
     let log = node.log.lock().unwrap();
     let lines: Vec<serde_json::Value> =
         log.iter().map(|line| serde_json::from_str(line).expect(line)).collect();
@@ -210,7 +213,7 @@
 }
 
 #[test]
-fn a_place_in_hand_is_waited_for_and_no_longer_than_allowed() {
+fn op_waits_for_a_concurrency_slot_no_longer_than_allowed() {
     const SLOW: &[&str] = &["{\"state\":\"started\"}\n{\"state\":\"done\",\"result\":\"x\"}\n"];
     let slow = |_: usize| Act::Lines(400, SLOW);
     let (node, _fleet) = node(
@@ -223,8 +226,9 @@
             .map(|number| {
                 let node = &node;
                 let one = scope.spawn(move || {
-                    // At most once: what these have not started for so long would else be moved.
-                    let (status, text) = ask(node, &op(10 + number, "release", "/r"));
+                    // The category is at-most-once: an op that may be repeated would be moved to another
+                    // executor after waiting so long for its start.
+                    let (status, text) = ask(node, &op_request(10 + number, "release", "/r"));
                     (status, text, begun.elapsed())
                 });
                 std::thread::sleep(Duration::from_millis(60));
@@ -233,7 +237,8 @@
             .collect();
         asked.into_iter().map(|one| one.join().unwrap()).collect()
     });
-    // The first runs, the second waits and runs after it, the third is told at once when to come back.
+    // The first op runs, the second waits and runs after it, and the third is rejected at once with a
+    // retry-after time.
     assert_eq!([answers[0].0, answers[1].0, answers[2].0], [200, 200, 503], "{answers:?}");
     assert!(
         answers[1].2 > Duration::from_millis(780) && answers[2].2 < Duration::from_millis(400),
@@ -242,7 +247,7 @@
     assert!(answers[2].1.contains("Retry-After: "), "{}", answers[2].1);
 }
 
-fn day(seconds: f64, more: &str) -> Plan {
+fn scenario(seconds: f64, more: &str) -> Plan {
     let text = format!(
         "name = 'day'\nseconds = {seconds:?}\nseeds = [1]\nreload-every-ms = 100.0\n{more}\n[fleet]\ndomains = ['a', 'b']\n\
          [[fleet.kind]]\nname = 'k'\ncount = 6\nslots = 4.0\nspeed = [1.0, 1.2]\n[nodes]\ncount = 2\n[load]\n\
@@ -255,10 +260,10 @@
 }
 
 #[test]
-fn new_files_ten_times_a_second_with_every_second_one_wrong_lose_nothing() {
+fn ten_reloads_a_second_with_every_second_file_invalid_lose_no_op() {
     let more = r#"operator = "[defaults]\npushes = 3"
 operator-next = ["[defaults]\npushes = 99", "[defaults]\npushes = 2\nop = '2s'", "no file", "[defaults]\nin-hand = 50\nwait = '100ms'"]"#;
-    let played = play(&day(6.0, more), 1, Path::new(BINARY)).unwrap();
+    let played = play(&scenario(6.0, more), 1, Path::new(BINARY)).unwrap();
     assert!(played.broken.is_empty(), "{:?}", played.broken.first());
     assert!(played.jobs > 300 && played.acked * 10 > played.jobs * 9, "{} of {}", played.acked, played.jobs);
     let count = |word: &str| played.log.iter().filter(|line| line.contains(word)).count();
