--- a/crates/node/src/dispatch_loop/mod.rs
+++ b/crates/node/src/dispatch_loop/mod.rs
@@ -255,7 +255,7 @@
         let now = self.clock.now();
         for name in changed {
             let disabled = disabled_set.names.contains(&name);
-            log_info!("executor {name}: {} by hand", if disabled { "taken out" } else { "put retry_after" });
+            log_info!("executor {name}: {} by an operator", if disabled { "disabled" } else { "enabled" });
             let Some(executor) = self.executor_names.get(&name) else { continue };
             self.executors[executor].is_disabled = disabled;
             self.dispatcher.disable(now, executor, disabled);
@@ -371,7 +371,7 @@
         let retry_after_ms = come_back as f64 / 10.0;
         log_info!(op { op = id, code = "no-place", took_ms, come_back_ms = retry_after_ms } "op {ticket} nacked: no place");
         let until = self.clock.instant(now + SECOND);
-        reply.send(OpOutcome::Nacked { why: "nacked: no place in hand", come_back }, until);
+        reply.send(OpOutcome::Nacked { why: "nacked: no concurrency slot free", come_back }, until);
     }
 
     /// Starts the queued ops that now hold a concurrency slot, and rejects those whose queueing time is over.
@@ -452,7 +452,7 @@
             // unhealthy.
             PushOutcome::Rejected(status) => {
                 let executor = in_flight.op.pushes[push].executor;
-                log_info!("executor {executor}: refused an op for what it is: status {status}");
+                log_info!("executor {executor}: rejected an op as invalid: status {status}");
                 (Outcome::Unfit, Some(OpOutcome::Rejected { status }))
             }
             PushOutcome::Failed => (Outcome::Error, None),
@@ -693,7 +693,7 @@
             let bad_messages = self.dispatcher.peers.garbled + peers.dropped();
             if bad_messages > self.logged_bad_messages.0 && now >= self.logged_bad_messages.1 {
                 self.logged_bad_messages = (bad_messages, now + 10 * SECOND);
-                log_info!("peers: {bad_messages} messages dropped so far: not from a peer, not readable, or too many");
+                log_info!("peers: {bad_messages} messages dropped so far: not from a peer, malformed, or arriving too fast");
             }
         }
         for line in self.dispatcher.log.drain(..) {
--- a/crates/node/src/net/admin.rs
+++ b/crates/node/src/net/admin.rs
@@ -7,7 +7,7 @@
 use crate::log_info;
 use crate::process::budget::{MAX_ADMIN_CLIENTS, MAX_CLOSING_ADMIN_CLIENTS};
 use crate::process::spawn;
-use crate::state::disabled_executors::{is_name, DisabledExecutors, DisabledSet, POLL_INTERVAL};
+use crate::state::disabled_executors::{is_valid_name, DisabledExecutors, DisabledSet, POLL_INTERVAL};
 use crate::state::metrics::Metrics;
 use crate::wire::admin_request::{answer, AdminRequest, RequestParser};
 use crossbeam_channel::{bounded, Receiver, Sender};
@@ -118,7 +118,7 @@
             match listener.accept() {
                 Ok((stream, _)) => self.accept_connection(stream),
                 Err(error) => {
-                    log_info!("operators' address: accept failed: {error}");
+                    log_info!("admin_addr: accept failed: {error}");
                     std::thread::sleep(listener::ACCEPT_RETRY_DELAY);
                 }
             }
@@ -149,7 +149,7 @@
             server.remove_client(&own_client);
         };
         if let Err(error) = spawn("call", serve) {
-            log_info!("operators' address: no thread for a call: {error}");
+            log_info!("admin_addr: no thread for a request: {error}");
             self.remove_client(&client);
         }
     }
@@ -168,7 +168,7 @@
         let (status, text) = loop {
             let remaining = deadline.saturating_duration_since(Instant::now());
             if remaining.is_zero() || stream.set_read_timeout(Some(remaining)).is_err() {
-                break (408, "the call took too long to come\n".to_string());
+                break (408, "request not received in time\n".to_string());
             }
             match stream.read(&mut chunk) {
                 Ok(0) => return,
@@ -195,8 +195,8 @@
     fn answer(&self, request: &AdminRequest) -> (u16, String) {
         let text = |status, text: &str| (status, format!("{text}\n"));
         match request {
-            AdminRequest::Ready if self.context.clients.is_ready() => text(200, "takes clients"),
-            AdminRequest::Ready => text(503, "takes no clients"),
+            AdminRequest::Ready if self.context.clients.is_ready() => text(200, "accepts clients"),
+            AdminRequest::Ready => text(503, "accepts no clients"),
             AdminRequest::Metrics => {
                 let members =
                     self.context.members.as_ref().map_or(String::new(), |members| members.metrics());
@@ -204,12 +204,12 @@
             }
             AdminRequest::Members => match &self.context.members {
                 Some(members) => (200, members.members()),
-                None => text(404, "no members: the operators' file has no such section"),
+                None => text(404, "no members: the operators' file has no section 'members'"),
             },
             AdminRequest::SetDisabled { name, disabled } => {
                 match self.context.set_disabled(name, *disabled, Instant::now() + COMMAND_TIMEOUT) {
-                    Ok(()) if *disabled => text(200, &format!("{name} is out")),
-                    Ok(()) => text(200, &format!("{name} is in use")),
+                    Ok(()) if *disabled => text(200, &format!("{name} is disabled")),
+                    Ok(()) => text(200, &format!("{name} is enabled")),
                     Err((status, reason)) => text(status, &reason),
                 }
             }
@@ -224,7 +224,7 @@
         if self.clients.has_sibling.swap(has_sibling, Ordering::Relaxed) != has_sibling {
             log_info!(
                 "another process of this node {}",
-                if has_sibling { "lives: half of all places" } else { "has ended" }
+                if has_sibling { "is running: using half of the capacity" } else { "has ended" }
             );
             let _ = self.commands.send_timeout(AdminCommand::SiblingProcess(has_sibling), max_wait);
         }
@@ -245,7 +245,7 @@
     fn set_disabled(&self, name: &str, disabled: bool, deadline: Instant) -> Result<(), (u16, String)> {
         let timed_out = || (503, "the node did not answer in time".to_string());
         let mut is_known = self.disabled_executors.state().names.contains(name);
-        if !is_known && is_name(name) {
+        if !is_known && is_valid_name(name) {
             is_known = self
                 .ask(|reply| AdminCommand::IsListed(name.to_string(), reply), deadline)
                 .ok_or_else(timed_out)?;
@@ -254,12 +254,15 @@
             return Err((404, format!("no executor '{name}' was ever listed here")));
         }
         if self.clients.shared && !self.disabled_executors.is_shared() {
-            return Err((503, "no folder in TMPDIR: a successor would not know".to_string()));
+            return Err((
+                503,
+                "no usable folder in TMPDIR: a successor process would not learn of the change".to_string(),
+            ));
         }
         let state = self
             .disabled_executors
             .change(name, disabled)
-            .map_err(|error| (503, format!("not kept: {error}")))?;
+            .map_err(|error| (503, format!("set of disabled executors not stored: {error}")))?;
         if !self.apply(&state, deadline) {
             return Err(timed_out());
         }
--- a/crates/node/src/net/clients.rs
+++ b/crates/node/src/net/clients.rs
@@ -248,7 +248,7 @@
                         return "silent";
                     }
                     let error =
-                        RequestError { status: 408, reason: "request took too long to come".to_string() };
+                        RequestError { status: 408, reason: "request not received in time".to_string() };
                     return self.refuse(slot, error, "slow");
                 }
                 if deadline_applies || has_read_timeout {
@@ -329,13 +329,16 @@
         let local_reply = |status, text: &str| Reply { in_flight: begin_op(), ..local_reply(status, text) };
         let id = request.id.as_deref().unwrap_or_default();
         let Some(id_guard) = self.ids.reserve(id) else {
-            return Err(local_reply(409, &format!("{}: is open here already", names::CALL_ID)));
+            return Err(local_reply(
+                409,
+                &format!("{}: is already in use by an open request", names::CALL_ID),
+            ));
         };
         request.id_guard = Some(id_guard);
         if self.client_slots.count_busy() > self.budget().requests {
             return Err(Reply {
                 come_back: self.request_rules.come_back,
-                ..local_reply(503, "too many requests in hand")
+                ..local_reply(503, "too many requests in flight")
             });
         }
         let writer = match writer {
@@ -479,7 +482,7 @@
         {
             let is_plain = |text: &String| text.len() <= 128 && text.bytes().all(|b| b.is_ascii_graphic());
             if !text.as_ref().is_none_or(is_plain) {
-                return Err(bad_request(format!("{name}: no usable text")));
+                return Err(bad_request(format!("{name}: not printable ASCII of at most 128 characters")));
             }
         }
         let name = request.category.as_ref().ok_or_else(|| missing(names::CATEGORY))?;
@@ -487,8 +490,8 @@
         let rules = found.ok_or_else(|| bad_request(format!("{}: unknown: {name}", names::CATEGORY)))?;
         let budget = request.budget.as_ref().ok_or_else(|| missing(names::BUDGET))?;
         let budget_ms = number(budget).filter(|ms| *ms <= MAX_BUDGET_MS);
-        let budget_ms =
-            budget_ms.ok_or_else(|| bad_request(format!("{}: no usable number of ms", names::BUDGET)))?;
+        let budget_ms = budget_ms
+            .ok_or_else(|| bad_request(format!("{}: not a number of ms up to 3600000", names::BUDGET)))?;
         if rules.requires_key && request.idempotency_key.is_none() {
             return Err(missing(names::IDEMPOTENCY_KEY));
         }
--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -70,7 +70,7 @@
         self.state().is_cancelled
     }
 
-    fn drop_stream(&self) {
+    fn clear_stream(&self) {
         self.state().stream = None;
     }
 }
@@ -123,7 +123,7 @@
         let code = active_push.code;
         drop(task);
         if !is_reusable {
-            handle.drop_stream();
+            handle.clear_stream();
             log_info!(ended { peer = "executor", at = %to, connection = number, code } "executor {to}: connection {number} ended: {code}");
         }
         let dispatch_loop_ended =
@@ -207,7 +207,7 @@
             // carry it.
             let (to, number) = (self.task.to, self.number);
             log_info!(ended { peer = "executor", at = %to, connection = number, code = "stale" } "executor {to}: connection {number} ended: stale");
-            self.handle.drop_stream();
+            self.handle.clear_stream();
             *idle_stream = None;
         }
         let stream = match idle_stream.take() {
@@ -219,7 +219,7 @@
         };
         if !self.handle.register_stream(&stream) || Instant::now() >= self.task.write_deadline {
             self.code = "called-off";
-            self.handle.drop_stream();
+            self.handle.clear_stream();
             return Err(PushOutcome::NotSent);
         }
         Ok(stream)
@@ -325,7 +325,7 @@
     /// Closes the connection and then reports the outcome, so that the next push never overlaps with this one.
     fn fail(&mut self, stream: Option<Arc<TcpStream>>, push_outcome: PushOutcome) -> bool {
         drop(stream);
-        self.handle.drop_stream();
+        self.handle.clear_stream();
         self.report(push_outcome, None);
         false
     }
--- a/crates/node/src/net/membership.rs
+++ b/crates/node/src/net/membership.rs
@@ -168,7 +168,7 @@
     /// Sends changes to the dispatch loop and updates the operators' report.
     fn publish(&mut self, now: Time) {
         let current = self.count_members(now);
-        if current != self.published && self.tell_desk(&current) {
+        if current != self.published && self.notify_dispatch_loop(&current) {
             let MemberCount { likely, possibly_sending, .. } = &current.count;
             log_info!("members: {likely} live, {possibly_sending} may be sending");
             self.published = current;
@@ -196,7 +196,7 @@
     }
 
     /// Returns whether the event was sent; if not, it is sent again later.
-    fn tell_desk(&self, current: &Published) -> bool {
+    fn notify_dispatch_loop(&self, current: &Published) -> bool {
         let event =
             Event::FleetSize { live: current.likely, possibly_sending: current.count.possibly_sending };
         self.dispatch_loop.try_send(event).is_ok()
--- a/crates/node/src/process/cli.rs
+++ b/crates/node/src/process/cli.rs
@@ -11,13 +11,13 @@
 
 /// stileroute: pushes jobs (ops) to workers (executors), beside each submitter.
 ///
-/// Without a command it serves. What the platform tells it stands in the JSON file that BALANCER_CONFIG names; what
-/// its operators add stands in a TOML file of theirs, which --operator names. Exit codes: 0 well; 2 a word, a file or a
-/// request that can't be taken, with a line for each fault on standard error.
+/// Without a command it serves. The platform's settings are in the JSON file named by BALANCER_CONFIG; the
+/// operators' settings are in the TOML file named by --operator. Exit codes: 0 success; 2 an invalid argument,
+/// file or request, with one line per fault on standard error.
 #[derive(Parser)]
 #[command(name = "stileroute", version, disable_version_flag = true)]
 pub struct Arguments {
-    /// The operators' file; without one nothing of it is on.
+    /// The operators' file; without it none of its features are enabled.
     #[arg(long, global = true, env = operator_file::PATH_VARIABLE, value_name = "FILE")]
     pub operator: Option<PathBuf>,
     #[command(subcommand)]
@@ -26,32 +26,33 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Serves in the foreground until SIGTERM; SIGHUP reads both files again.
+    /// Serves in the foreground until SIGTERM; SIGHUP reloads both files.
     Serve,
-    /// Checks an operators' file against the settings, and tells all that is wrong with it.
+    /// Checks an operators' file against the settings and prints all of its faults.
     Check {
-        /// The file; --operator where it is left out.
+        /// The file; defaults to --operator.
         file: Option<PathBuf>,
     },
-    /// Tells which routes match a request, in their order, and each limit that holds with the line that sets it.
+    /// Prints the routes that match a request, in order of precedence, and each effective limit with the line
+    /// that sets it.
     Explain {
         /// The path of the request.
         #[arg(long, default_value = "/")]
         path: String,
-        /// Its category.
+        /// The category of the request.
         #[arg(long)]
         category: String,
         #[arg(long)]
         tenant: Option<String>,
-        /// A header, as NAME=VALUE; may be given again.
+        /// A header as NAME=VALUE; may be repeated.
         #[arg(long, value_name = "NAME=VALUE")]
         header: Vec<String>,
     },
-    /// Lists all routes in their order of precedence.
+    /// Lists all routes in order of precedence.
     Routes,
-    /// Tells the version.
+    /// Prints the version.
     Version,
-    /// Writes completions for a shell.
+    /// Prints completions for a shell.
     Completions { shell: clap_complete::Shell },
 }
 
--- a/crates/node/src/process/mod.rs
+++ b/crates/node/src/process/mod.rs
@@ -13,8 +13,8 @@
     name: &str,
     run: impl FnOnce() + Send + 'static,
 ) -> std::io::Result<std::thread::JoinHandle<()>> {
-    std::thread::Builder::new().name(name.to_string()).stack_size(STACK).spawn(run)
+    std::thread::Builder::new().name(name.to_string()).stack_size(THREAD_STACK_BYTES).spawn(run)
 }
 
 /// Stack size in bytes; a connection's thread needs a read chunk and the parsed headers.
-const STACK: usize = 128 * 1024;
+const THREAD_STACK_BYTES: usize = 128 * 1024;
--- a/crates/node/src/state/disabled_executors.rs
+++ b/crates/node/src/state/disabled_executors.rs
@@ -38,7 +38,7 @@
                 number = text.parse().ok();
             } else if let Some(text) = line.strip_prefix(FOOTER) {
                 count = text.parse().ok();
-            } else if is_name(line) {
+            } else if is_valid_name(line) {
                 names.insert(line.to_string());
             }
         }
@@ -48,7 +48,7 @@
 }
 
 /// Whether the name can be a line of the file and a path segment of an admin request.
-pub fn is_name(name: &str) -> bool {
+pub fn is_valid_name(name: &str) -> bool {
     !name.is_empty() && name.len() <= 256 && name.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
@@ -179,7 +179,7 @@
         let mut shared = SharedFiles { folder: folder.to_path_buf(), node_id, own_name, own_file: None };
         shared.own_file = shared
             .create_own_file()
-            .map_err(|error| log_info!("{}: {error}: executors out by hand can't be kept", folder.display()))
+            .map_err(|error| log_info!("{}: {error}: disabled executors cannot be stored", folder.display()))
             .ok();
         shared.applied_by_others();
         shared
@@ -226,7 +226,7 @@
         let (mut state, is_complete) = DisabledSet::read(&String::from_utf8_lossy(&text));
         if !is_complete {
             state.number = state.number.max(latest.1.number);
-            log_info!("{}: damaged; what can be read of it stays out: {:?}", path.display(), state.names);
+            log_info!("{}: damaged; the readable names stay disabled: {:?}", path.display(), state.names);
         }
         *latest = (stamp, state);
         Some(latest.1.clone())
--- a/crates/node/src/tests.rs
+++ b/crates/node/src/tests.rs
@@ -173,13 +173,13 @@
         ("HTTP/1.0\r\nExpect: 100-continue\r\nContent-Length: 2", "", false),
         ("HTTP/1.1\r\nContent-Length: 2", "", false),
     ];
-    for (head, body, events_of) in cases {
+    for (head, body, outcome) in cases {
         let mut parser = RequestParser::new(Pool::new(1));
         assert!(parser.feed(b"POST / ").unwrap().is_none() && !parser.take_continue_wanted());
         parser.feed(format!("{head}\r\n\r\n{body}").as_bytes()).unwrap();
         assert_eq!(
             (parser.take_continue_wanted(), parser.take_continue_wanted()),
-            (events_of, false),
+            (outcome, false),
             "{head}"
         );
     }
@@ -217,8 +217,8 @@
             ResponseEvent::Started => "started".to_string(),
             ResponseEvent::Running(0.0) => "running".to_string(),
             ResponseEvent::Running(share) => format!("running {share}"),
-            ResponseEvent::Final(events_of, load) => {
-                let events_of = match events_of {
+            ResponseEvent::Final(outcome, load) => {
+                let outcome = match outcome {
                     ResponseOutcome::Done(result) => {
                         format!("done {}", String::from_utf8(result.to_vec()).unwrap())
                     }
@@ -228,7 +228,7 @@
                     ResponseOutcome::Lost => "lost".to_string(),
                     ResponseOutcome::Malformed => "garbled".to_string(),
                 };
-                load.map_or(events_of.clone(), |load| format!("{events_of} {load:?}"))
+                load.map_or(outcome.clone(), |load| format!("{outcome} {load:?}"))
             }
         });
     };
--- a/crates/node/src/wire/admin_request.rs
+++ b/crates/node/src/wire/admin_request.rs
@@ -48,7 +48,7 @@
         let length = match body_framing(head.headers, head.version) {
             Ok(None) => 0,
             Ok(Some(Framing::Length(length))) if length <= MAX_REQUEST_BYTES => length,
-            Ok(Some(Framing::Length(_))) => return error(413, "no call has a body"),
+            Ok(Some(Framing::Length(_))) => return error(413, "request body too large"),
             _ => return error(400, "Content-Length or Transfer-Encoding is malformed"),
         };
         if self.buffer.len() < end + length {
@@ -68,12 +68,12 @@
             let (name, disabled) = parse_disable_path(path).unwrap_or_default();
             (AdminRequest::SetDisabled { name: name.to_string(), disabled }, names::PUT)
         }
-        _ => return Err(RequestError { status: 404, reason: format!("no such call: {path}") }),
+        _ => return Err(RequestError { status: 404, reason: format!("no such path: {path}") }),
     };
     if method != allowed {
         return Err(RequestError {
             status: 405,
-            reason: format!("{method} is not for {path}, only {allowed}"),
+            reason: format!("{method} is not allowed for {path}, only {allowed}"),
         });
     }
     Ok(request)
