--- a/crates/node/src/state/disabled_executors.rs
+++ b/crates/node/src/state/disabled_executors.rs
@@ -327,12 +327,12 @@
             (DisabledExecutors::join(Some(&folder), 1), DisabledExecutors::join(Some(&folder), 1));
         let other_node = DisabledExecutors::join(Some(&folder), 2);
         let first = first_process.change("a", true).unwrap();
-        assert_eq!(first_process.change("a", true).unwrap(), first, "twice out is once");
+        assert_eq!(first_process.change("a", true).unwrap(), first, "disabling twice changes nothing");
         assert_eq!(
             (second_process.poll_change(), second_process.poll_change(), other_node.poll_change()),
             (Some(first.clone()), None, None)
         );
-        assert!(!first_process.all_applied(first.number), "the other has not carried it out");
+        assert!(!first_process.all_applied(first.number), "the other process has not applied it");
         second_process.mark_applied(first.number);
         assert!(first_process.all_applied(first.number));
         let second = second_process.change("b", true).unwrap();
--- a/crates/node/src/tests.rs
+++ b/crates/node/src/tests.rs
@@ -367,7 +367,7 @@
     for text in texts {
         for at in 0..text.len() {
             let mut parser = ResponseReader::default();
-            assert!(parser.feed(&text.as_bytes()[..at]).unwrap().is_none(), "whole at {at}");
+            assert!(parser.feed(&text.as_bytes()[..at]).unwrap().is_none(), "complete at {at}");
             let list = discovery::read(&parser.feed(&text.as_bytes()[at..]).unwrap().unwrap()).unwrap();
             let active: Vec<bool> = list.endpoints.iter().map(|endpoint| endpoint.is_active()).collect();
             assert_eq!((list.index, list.is_snapshot, active), (43, false, vec![true, false, false, false]));
@@ -399,7 +399,7 @@
         let bytes = (budget.clients + budget.executors * 5 / 4) * 72 * 1024 + threads * 24 * 1024;
         assert!(bytes <= (memory << 20) * 9 / 10, "{budget:?}");
         assert!(budget.requests * 3 <= sockets && budget.executors >= budget.requests, "{budget:?}");
-        assert!(budget.clients >= budget.requests * 5 / 4, "no place for strangers: {budget:?}");
+        assert!(budget.clients >= budget.requests * 5 / 4, "no capacity for idle clients: {budget:?}");
     }
     assert!(Budget::split(256, 32, false, false).unwrap().requests >= 78);
     for (sockets, memory) in [(0, 192), (20, 192), (1024, 0)] {
@@ -499,7 +499,7 @@
     pool.set_half_capacity(true);
     pool.release(4, true, at(34));
     pool.release(5, true, at(34));
-    assert!(lend(&mut pool, 2).is_none(), "one is out still");
+    assert!(lend(&mut pool, 2).is_none(), "one is still in use");
     pool.release(6, true, at(34));
     assert!(lend(&mut pool, 2).is_some() && lend(&mut pool, 2).is_none());
     pool.set_half_capacity(false);
@@ -548,7 +548,11 @@
     let _ = (&all[1].stream).read(&mut [0; 4]).unwrap();
     assert!(client_slots.are_idle());
     client_slots.close_idle("steered", Duration::from_secs(60));
-    assert_eq!(ended(), [false, false, true, true, true, true, true, true], "nobody rested for so long");
+    assert_eq!(
+        ended(),
+        [false, false, true, true, true, true, true, true],
+        "no connection was idle for so long"
+    );
     client_slots.close_idle("steered", Duration::ZERO);
     assert!(all.iter().all(|slot| !slot.start_reading()));
     (0..8).for_each(|number| client_slots.remove(number));
--- a/crates/node/tests/config_migration.rs
+++ b/crates/node/tests/config_migration.rs
@@ -165,7 +165,7 @@
     let expected = drained.into_inner().unwrap().unwrap() + GRACE;
     assert!(
         !ran.iter().any(|(when, executor, _)| *executor == 0 && *when > expected),
-        "sent to one that drains"
+        "sent to a draining executor"
     );
     let served = |new: bool| {
         let own = answers.iter().filter(|(node, _)| is_new(*node) == new);
@@ -178,7 +178,7 @@
         answers.len()
     );
     assert!((old - new).abs() < 0.15, "one kind starves: old {old:.2}, new {new:.2}");
-    assert!(nodes[3].logged("messages dropped"), "bad messages are told of");
+    assert!(nodes[3].logged("messages dropped"), "dropped messages are logged");
 }
 
 fn ready(at: SocketAddr) -> u16 {
--- a/crates/node/tests/members.rs
+++ b/crates/node/tests/members.rs
@@ -54,7 +54,7 @@
         let binary = Path::new(env!("CARGO_BIN_EXE_stileroute"));
         let process = NodeProcess::with(binary, &config, Some(&operator), &[], None, None).unwrap();
         let mut admin_address = None;
-        wait_until("an address for operators", || {
+        wait_until("an admin address", || {
             admin_address = process.said("operators call at ").and_then(|at| at.parse().ok());
             admin_address.is_some()
         });
@@ -145,7 +145,7 @@
     let mut all: Vec<MemberProcess> = (0..4).map(|name| cluster.start(name)).collect();
     until_all("all know all", &all, |member| member.lists(" alive ") == 4);
     let (wrong_key, without_key) = (cluster.start_with(8, &with(&wrong)), cluster.start_with(9, ""));
-    wait_until("strangers were turned away", || {
+    wait_until("unauthenticated messages were rejected", || {
         all[0].metric("strangers_total") + all[1].metric("strangers_total") > 4
     });
     assert!(all.iter().all(|member| member.lists(" alive ") == 4));
@@ -155,7 +155,7 @@
     for text in [&b""[..], b"\x02", &[7; 2000], b"GET / HTTP/1.1\r\n\r\n"] {
         malformed_sender.send_to(text, ("127.0.0.1", cluster.seeds[0])).unwrap();
     }
-    wait_until("garbage is counted", || {
+    wait_until("malformed messages are counted", || {
         all[0].metric("garbled_total") + all[0].metric("strangers_total") > 6
     });
     // A second process starts with the name of a running one: the older one stops sending, and no member is
@@ -163,7 +163,7 @@
     std::thread::sleep(ms(10_500));
     let successor = cluster.start(3);
     let old = std::mem::replace(&mut all[3], successor);
-    wait_until("the older one knows", || {
+    wait_until("the older process has noticed", || {
         old.process.logged("another process has this node's name, and its place")
     });
     until_all("four are there", &all, |member| member.lists(" alive ") == 4 && member.lists(" dead ") == 0);
@@ -207,7 +207,7 @@
         nowhere()
     );
     let process = NodeProcess::start(binary, &text, &[]).unwrap();
-    wait_until("an address for operators", || process.said("operators call at ").is_some());
+    wait_until("an admin address", || process.said("operators call at ").is_some());
     let admin_address = process.said("operators call at ").unwrap().parse().unwrap();
     let off = MemberProcess { process, admin_address };
     assert_eq!(off.get("/members").0, 404);
--- a/crates/node/tests/multi_process_faults.rs
+++ b/crates/node/tests/multi_process_faults.rs
@@ -262,7 +262,7 @@
     }
     // All readable names of a damaged set stay disabled.
     assert_eq!(disabled(&damaged), 0);
-    assert!(damaged.log.iter().any(|line| line.contains("damaged")), "nothing was damaged");
+    assert!(damaged.log.iter().any(|line| line.contains("damaged")), "no file was damaged");
     // Each request to disable fails, because the set could not be stored; each request to enable changes
     // nothing.
     for (what, played) in [("full", &full), ("read-only", &read_only)] {
--- a/crates/node/tests/operating.rs
+++ b/crates/node/tests/operating.rs
@@ -50,7 +50,7 @@
 
 fn admin_address_of(node: &Node) -> SocketAddr {
     let mut at = None;
-    wait_until("an address for operators", || {
+    wait_until("an admin address", || {
         let log = node.process.log.lock().unwrap();
         at = log.iter().find_map(|line| line.strip_prefix("operators call at ")?.parse().ok());
         at.is_some()
@@ -126,7 +126,7 @@
             });
         }
     });
-    wait_until("nothing in hand", || metric(admin_address, "svc_current") == 0);
+    wait_until("no op is in flight", || metric(admin_address, "svc_current") == 0);
     let seen = seen.lock().unwrap();
     let count = |what, name| seen.get(&(what, name)).copied().unwrap_or(0);
     for name in names {
@@ -354,7 +354,7 @@
         assert!((120..=256).contains(&most), "{most} descriptors");
         first.signal(Signal::SIGTERM);
         assert!(first.process.wait(WAIT).is_some());
-        wait_until("all its places again", || second.process.descriptors() > 120);
+        wait_until("the successor uses its whole budget", || second.process.descriptors() > 120);
         drop(stop_on_drop);
     });
 }
@@ -370,13 +370,13 @@
     wait_until("ready", || admin_request(admin_address, "GET /ready").0 == 200);
     let mut early = before.client();
     early.write_all(request("once", 4000).as_bytes()).unwrap();
-    wait_until("in hand", || metric(admin_address, "svc_current") == 1);
+    wait_until("an op is in flight", || metric(admin_address, "svc_current") == 1);
     before.signal(Signal::SIGTERM);
-    wait_until("told", || before.logged("left to the successor"));
+    wait_until("the listener is left to the successor", || before.logged("left to the successor"));
     let mut late = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     late.write_all(request("marked", 4000).as_bytes()).unwrap();
     late.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
-    assert!(late.read(&mut [0]).is_err(), "taken by who is ending");
+    assert!(late.read(&mut [0]).is_err(), "accepted by the process in shutdown");
     let (_next, _) = start_with_shared_listener(nowhere(), &entries(&addresses), &listener, &shared_folder.0);
     late.set_read_timeout(Some(WAIT)).unwrap();
     assert_eq!((read_answer(&mut late).0, read_answer(&mut early).0), (200, 200));
@@ -519,7 +519,7 @@
         wait_until("ready", || admin_request(admin_address, "GET /ready").0 == 200);
         let mut client = node.client();
         client.write_all(request("once", 5000).as_bytes()).unwrap();
-        wait_until("in hand", || metric(admin_address, "svc_current") == 1);
+        wait_until("an op is in flight", || metric(admin_address, "svc_current") == 1);
         sleep(Duration::from_millis(50));
         assert_eq!(admin_request(admin_address, "PUT /executors/disable/s-0").0, 200);
         if comes_up {
@@ -530,12 +530,15 @@
         discovery.tell(9, false, entry(1, &addresses[0], "Ready"));
         assert_eq!(read_answer(&mut client).0, 200);
         assert_eq!((fleet.count(), metric(admin_address, "svc_sends_total")), (1, 1));
-        assert!(!node.logged("set aside"), "held against who was taken out");
+        assert!(!node.logged("set aside"), "a disabled executor was ejected");
         deaf.set_nonblocking(true).unwrap();
         while let Ok((mut late, _)) = deaf.accept() {
             let mut byte = [0];
             late.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
-            assert!(!matches!(late.read(&mut byte), Ok(1..)), "a byte of a push came to who is out");
+            assert!(
+                !matches!(late.read(&mut byte), Ok(1..)),
+                "a disabled executor received a byte of a push"
+            );
         }
     }
 }
--- a/crates/node/tests/sockets.rs
+++ b/crates/node/tests/sockets.rs
@@ -172,14 +172,14 @@
     waiting.set_nonblocking(false).unwrap();
     assert_eq!(read_answer(&mut waiting).0, 500);
     assert!((ms(1400)..ms(3000)).contains(&start.elapsed()), "not in its time: {:?}", start.elapsed());
-    wait_until("the push is given up", || fleet.given_up.load(Ordering::SeqCst) == 1);
+    wait_until("the push is cancelled", || fleet.given_up.load(Ordering::SeqCst) == 1);
     wait_until("a line for it", || node.logged("ended: called-off"));
     // A push that has not started is cancelled and the op moves to another executor; the client's response is
     // left to the second push.
     let (node, fleet, ..) = start_node_with_executors(2, |n| first(n, Act::Silent));
     assert_eq!(node.ask("safe", 9000).0, 200);
     assert_eq!(fleet.count(), 2);
-    wait_until("the push is given up", || fleet.given_up.load(Ordering::SeqCst) == 1);
+    wait_until("the push is cancelled", || fleet.given_up.load(Ordering::SeqCst) == 1);
 }
 
 #[test]
@@ -189,7 +189,7 @@
     client.write_all(request("once", 9000).as_bytes()).unwrap();
     wait_until("the push", || fleet.count() == 1);
     drop(client);
-    wait_until("the push is given up", || fleet.given_up.load(Ordering::SeqCst) == 1);
+    wait_until("the push is cancelled", || fleet.given_up.load(Ordering::SeqCst) == 1);
     wait_until("a line for it", || node.logged("ended: withdrawn"));
 }
 
@@ -290,7 +290,7 @@
         stranger.set_read_timeout(Some(left)).unwrap();
         let mut told = Vec::new();
         let end = stranger.read_to_end(&mut told);
-        assert!(end.is_ok() || !told.is_empty() || at_end(stranger), "left with nothing");
+        assert!(end.is_ok() || !told.is_empty() || at_end(stranger), "neither answered nor closed");
     }
     // A partial request gets status 408 if no other client needs its slot.
     let mut slow = node.client();
@@ -359,7 +359,7 @@
     assert_eq!(served(4), [1]);
     *discovery.silent.lock().unwrap() = true;
     wait_until("silence is noticed", || node.logged("ended: silent"));
-    wait_until("it will ask again", || node.logged("list: call refused"));
+    wait_until("discovery will be asked again", || node.logged("list: call refused"));
     assert_eq!(served(4), [1]);
     // Discovery returns with a snapshot in which one executor has another index and the other is missing.
     discovery.tell(9, true, entry(7, &addresses[0], "Ready"));
@@ -392,7 +392,7 @@
     for client in &mut waiting {
         client.write_all(request("once", 9000).as_bytes()).unwrap();
     }
-    wait_until("all are taken", || fleet.count() == 9);
+    wait_until("all requests are in flight", || fleet.count() == 9);
     let mut other = node.client();
     for _ in 0..4 {
         // A retry is harmless and does not even need a new connection.
@@ -402,7 +402,7 @@
     assert_eq!(fleet.count(), 9);
     // When a client disconnects, the next one is served.
     drop(waiting.pop());
-    wait_until("a seat is free", || node.logged("ended: withdrawn"));
+    wait_until("a client slot is free", || node.logged("ended: withdrawn"));
     wait_until("a next one is pushed", || {
         waiting.push(node.client());
         let _ = waiting.last_mut().unwrap().write_all(request("once", 9000).as_bytes());
@@ -467,7 +467,7 @@
     assert!(node.logged("ended: moved"));
     // An invalid file is reported with its key, and the previous configuration stays in effect.
     node.reload("\"granularity-ns\":4000000", "\"granularity-ns\":\"x\"");
-    wait_until("the fault is told", || node.logged("configuration not taken: settings.granularity-ns: "));
+    wait_until("the fault is logged", || node.logged("configuration not taken: settings.granularity-ns: "));
     assert_eq!(ask(&mut client, "safe", 9000).0, 200);
 }
 
