--- a/crates/node/src/dispatch_loop/mod.rs
+++ b/crates/node/src/dispatch_loop/mod.rs
@@ -83,7 +83,7 @@
     listed: bool,
     /// The executor list marks it as accepting work.
     active: bool,
-    /// Disabled by an operator.
+    /// An operator has disabled the executor.
     is_disabled: bool,
 }
 
--- a/crates/node/src/interfaces.rs
+++ b/crates/node/src/interfaces.rs
@@ -16,7 +16,6 @@
 /// A job submitted by a client, with everything that an executor transport needs to encode it.
 pub trait Job: Send + Sync {
     fn id(&self) -> &str;
-    /// The name of the job's category.
     fn category(&self) -> &str;
     /// The idempotency key by which a repeated request is recognized.
     fn idempotency_key(&self) -> Option<&str>;
@@ -44,7 +43,7 @@
 /// it, is dropped.
 pub struct PendingReply {
     pub reply_to: Sender<OpReply>,
-    /// Present if metrics are kept.
+    /// Counts the op as in flight; `None` if no metrics are kept.
     pub in_flight: Option<Box<InFlightGuard>>,
 }
 
@@ -179,12 +178,12 @@
     pub domain: String,
     pub kind: String,
     pub cell: usize,
-    /// Still in the list, whether or not it accepts new work.
+    /// The executor is still in the list, whether or not it accepts new work.
     pub listed: bool,
-    /// Accepts new work.
+    /// The executor accepts new work.
     pub active: bool,
     pub weight: f64,
-    /// Time of the latest start; `None` means long ago.
+    /// Time of the executor's latest start; `None` means long ago.
     pub started: Option<Time>,
 }
 
--- a/crates/node/src/net/admin.rs
+++ b/crates/node/src/net/admin.rs
@@ -39,7 +39,7 @@
     is_request_complete: AtomicBool,
 }
 
-/// What the admin requests act on.
+/// The shared state that admin requests read and change.
 pub struct AdminContext {
     pub metrics: Arc<Metrics>,
     pub clients: Arc<Clients>,
@@ -63,7 +63,7 @@
     /// The admin address could not be bound.
     #[error("admin_addr: {address}: {source}")]
     Bind { address: SocketAddr, source: std::io::Error },
-    /// A thread could not be started.
+    /// A thread of the admin server could not be started.
     #[error("admin_addr: no thread: {0}")]
     Thread(std::io::Error),
 }
--- a/crates/node/src/net/executors.rs
+++ b/crates/node/src/net/executors.rs
@@ -16,7 +16,7 @@
     pub ticket: u64,
     pub push: usize,
     pub job: Arc<dyn Job>,
-    /// A repeat of the op is not harmless.
+    /// Repeating the op is not harmless, so the last byte of the push is held back briefly.
     pub hold_last_byte: bool,
     pub to: SocketAddr,
     /// The deadline of the op.
@@ -144,7 +144,7 @@
     /// Why the connection is closed, if it is.
     code: &'static str,
     outcome_sent: bool,
-    /// The connection carried a push before this one.
+    /// The connection carried another push before, so it may have been closed while idle.
     is_reused: bool,
 }
 
--- a/crates/node/src/net/membership.rs
+++ b/crates/node/src/net/membership.rs
@@ -48,13 +48,12 @@
 
 /// The identity that this instance announces, and the fleet's size according to the settings.
 pub struct Instance {
-    /// The instance's identifier.
     pub id: u64,
     /// The instance's failure domain.
     pub domain: u8,
     /// Number of nodes in the settings.
     pub nodes: usize,
-    /// Seed of the instance's random numbers.
+    /// Seed of the random numbers of the failure detector.
     pub seed: u64,
 }
 
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -18,7 +18,6 @@
 use std::time::Instant;
 use thiserror::Error;
 
-/// Number of bytes per read.
 pub const READ_CHUNK_BYTES: usize = 8 * 1024;
 
 /// Why an exchange gave no usable response.
--- a/crates/node/src/process/settings.rs
+++ b/crates/node/src/process/settings.rs
@@ -118,7 +118,7 @@
     NoConfiguration,
     #[error("BALANCER_CONFIG: {path}: {source}")]
     Unreadable { path: String, source: std::io::Error },
-    /// A key is missing or has a value of the wrong type.
+    /// A key of the configuration file is missing or has a value of the wrong type.
     #[error("{key}: {source}")]
     Malformed { key: String, source: serde_json::Error },
     #[error("{key}: missing, and {variable} is not set")]
@@ -211,7 +211,7 @@
         (None, None) => None,
         _ => Some(address("BALANCER_ADMIN_ADDR", "admin_addr", file.admin_addr, false)?),
     };
-    // Two ports of 0 are chosen by the system and differ.
+    // With port 0 the system chooses the port, so two such addresses differ.
     if admin_address.is_some_and(|address| address == listen && address.port() != 0) {
         return Err(StartError::SharedAddress(listen));
     }
--- a/crates/node/src/state/client_slots.rs
+++ b/crates/node/src/state/client_slots.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// One client connection.
+/// One client connection, with the phase of its current request and the reason for closing it.
 pub struct ClientSlot {
     pub number: u64,
     pub stream: TcpStream,
@@ -15,11 +15,11 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
-    /// No part of a request has arrived.
+    /// The connection is idle: no part of a request has arrived.
     Idle,
     /// Part of a request has arrived.
     Reading,
-    /// A request is in flight.
+    /// A complete request is in flight on this connection.
     Busy,
     /// The last response has been written; the client gets a moment to read it.
     Closing,
@@ -40,7 +40,7 @@
 /// Whether and why this side closes the connection.
 #[derive(Clone, Copy, PartialEq)]
 enum CloseState {
-    /// The connection stays open.
+    /// This side keeps the connection open.
     Open,
     /// The connection closes for this reason once the client has read the last response.
     AfterResponse(&'static str),
--- a/crates/node/src/wire/discovery.rs
+++ b/crates/node/src/wire/discovery.rs
@@ -75,10 +75,10 @@
 /// Why a discovery response contains no list.
 #[derive(Debug, Error)]
 pub enum ListError {
-    /// The status is not 200.
+    /// The status of the response is not 200.
     #[error("status {0}")]
     Status(u16),
-    /// The body is not valid JSON of a list.
+    /// The body of the response is not a valid list in JSON.
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
 }
--- a/crates/node/src/wire/job_status.rs
+++ b/crates/node/src/wire/job_status.rs
@@ -12,7 +12,7 @@
     Started,
     /// With the completed fraction of the job, from 0 to 1; zero if it is missing or invalid.
     Running(f64),
-    /// The byte range of the result within the line.
+    /// The job is done; the result is in this byte range of the status line.
     Done(Range<usize>),
     Failed,
     Returned,
--- a/crates/node/src/wire/push.rs
+++ b/crates/node/src/wire/push.rs
@@ -31,7 +31,7 @@
 
 /// How a push ended, according to the response.
 pub enum ResponseOutcome {
-    /// With the result from the executor.
+    /// The job is done; this is the result from the executor.
     Done(Bytes),
     Failed,
     /// The executor rejected the request itself as invalid, with this status.
@@ -67,7 +67,7 @@
     id: String,
     gauges: Arc<Vec<String>>,
     open: Option<OpenResponse>,
-    /// The final event was emitted.
+    /// The final event was emitted; nothing further is reported for this push.
     is_final: bool,
 }
 
