--- a/crates/node/src/drive/members.rs
+++ b/crates/node/src/net/membership.rs
@@ -1,11 +1,11 @@
-//! The socket and the thread of the membership protocol: one datagram for each message. Nothing waits on it; the number of members
-//! goes to the desk when it changes, and a report to operators when they ask.
+//! The socket and thread of the membership protocol, with one message per datagram. No other part waits for it:
+//! the dispatch loop is notified when the number of members changes, and operators read a report.
 
 use super::membership_report::MembershipReport;
-use crate::life::members::MembersAt;
-use crate::life::spawn;
-use crate::port::Event;
-use crate::say;
+use crate::interfaces::Event;
+use crate::log_info;
+use crate::process::members_section::MembersSettings;
+use crate::process::spawn;
 use crossbeam_channel::Sender;
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4, UdpSocket};
@@ -17,71 +17,80 @@
 use stileroute_gossip::{Datagram, Detector, MemberCount, Time, SECOND};
 use thiserror::Error;
 
-/// Messages are waited for, or received in a row, for so long at most: in between the detector's timers are looked at.
+/// Longest time for waiting for messages, or for receiving them in a row, before the detector's timers are
+/// checked.
 const RECEIVE_LIMIT: Duration = Duration::from_millis(25);
-/// The report for operators is written so often.
+/// Interval between updates of the report for operators.
 const REPORT_INTERVAL: Time = SECOND / 2;
-/// For so long after its start this instance may not have heard of all: there are at least as many as the settings name.
+/// During this time after its start the instance may not know all members yet, so it assumes at least as many
+/// as the settings name.
 const STARTUP_PERIOD: Time = 30 * SECOND;
 
 /// The running membership protocol of this instance.
 pub struct MembershipThread {
     pub report: Arc<MembershipReport>,
-    /// Where others reach it.
+    /// The address at which the other instances reach this one.
     pub address: SocketAddrV4,
     stop: Arc<AtomicBool>,
     thread: JoinHandle<()>,
 }
 
-/// Why a node takes no part in membership.
+/// Why membership could not be started.
 #[derive(Debug, Error)]
 pub enum MembersError {
-    /// Its address can't be opened, or there is no thread for it.
+    /// The address could not be bound, or the thread could not be started.
     #[error("members: {listen}: {source}")]
     Open { listen: SocketAddrV4, source: io::Error },
-    /// The socket that was opened has an address of another family.
+    /// The bound socket has an address that is not IPv4.
     #[error("members: no IPv4 address")]
     NotIpv4,
 }
 
-/// What this instance announces of itself, and what its settings say of the fleet.
+/// The identity that this instance announces, and the fleet's size according to the settings.
 pub struct Instance {
-    /// Its identifier.
     pub id: u64,
-    /// Its failure domain.
+    /// The instance's failure domain.
     pub domain: u8,
-    /// How many nodes the settings name.
+    /// Number of nodes in the settings.
     pub nodes: usize,
-    /// Of its random numbers.
+    /// Seed of the random numbers of the failure detector.
     pub seed: u64,
 }
 
 impl MembershipThread {
     pub fn open(
-        at: &MembersAt,
-        own: Instance,
-        desk: Sender<Event>,
+        settings: &MembersSettings,
+        instance: Instance,
+        dispatch_loop: Sender<Event>,
     ) -> Result<MembershipThread, MembersError> {
-        let failed = |source: io::Error| MembersError::Open { listen: at.listen, source };
-        let socket = UdpSocket::bind(at.listen).map_err(failed)?;
+        let failed = |source: io::Error| MembersError::Open { listen: settings.listen, source };
+        let socket = UdpSocket::bind(settings.listen).map_err(failed)?;
         socket.set_read_timeout(Some(RECEIVE_LIMIT)).map_err(failed)?;
         let SocketAddr::V4(bound) = socket.local_addr().map_err(failed)? else {
             return Err(MembersError::NotIpv4);
         };
-        let address = at.advertise.unwrap_or(bound);
-        // Later than that of any process before, unless the clock was set back; then it is told so.
+        let address = settings.advertise.unwrap_or(bound);
+        // Higher than the incarnation of any earlier process, unless the system clock was set back. In that
+        // case the other members report the higher one.
         let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        let seed = own.seed ^ incarnation;
-        let detector = Detector::new(own.id, incarnation, address, own.domain, at.settings.clone(), seed);
+        let seed = instance.seed ^ incarnation;
+        let detector = Detector::new(
+            instance.id,
+            incarnation,
+            address,
+            instance.domain,
+            settings.settings.clone(),
+            seed,
+        );
         let (report, stop) = (Arc::new(MembershipReport::default()), Arc::new(AtomicBool::new(false)));
         let mut event_loop = EventLoop {
             socket,
             detector,
-            desk,
+            dispatch_loop,
             report: report.clone(),
             started_at: Instant::now(),
-            configured_nodes: own.nodes,
-            are_all_members: at.all,
+            configured_nodes: instance.nodes,
+            are_all_members: settings.all,
             published: Published::default(),
             next_report_at: 0,
             was_replacement_logged: false,
@@ -91,30 +100,31 @@
         Ok(MembershipThread { report, address, stop, thread })
     }
 
-    /// Tells the others that this instance goes.
+    /// Announces to the other members that this instance is leaving, and stops the thread.
     pub fn leave(self) {
         self.stop.store(true, Ordering::Relaxed);
         let _ = self.thread.join();
     }
 }
 
-/// What the desk was last told.
+/// The member counts that were last sent to the dispatch loop.
 #[derive(Default, PartialEq)]
 struct Published {
-    /// What was counted.
+    /// The counts of the failure detector.
     count: MemberCount,
-    /// How many are likely to live: after the startup period that no longer rests on the settings.
+    /// Number of nodes that are likely to be live. After the startup period it no longer depends on the
+    /// settings.
     likely: usize,
 }
 
 struct EventLoop {
     socket: UdpSocket,
     detector: Detector,
-    desk: Sender<Event>,
+    dispatch_loop: Sender<Event>,
     report: Arc<MembershipReport>,
     started_at: Instant,
     configured_nodes: usize,
-    /// Every node of the fleet takes part: who has not been heard of is not there.
+    /// All nodes of the fleet are members, so a node that has not been heard from does not exist.
     are_all_members: bool,
     published: Published,
     next_report_at: Time,
@@ -129,7 +139,7 @@
     fn run(&mut self, stop: &AtomicBool) {
         let mut bytes = [0; MAX_MESSAGE_BYTES + 1];
         while !stop.load(Ordering::Relaxed) {
-            // A burst of messages must not keep time from being looked at.
+            // Bounds the time spent on a burst of messages, so that the timers are still checked.
             let until = Instant::now() + RECEIVE_LIMIT;
             while let Ok((read, SocketAddr::V4(from))) = self.socket.recv_from(&mut bytes) {
                 let sends = self.detector.receive(self.now(), from, &bytes[..read]);
@@ -147,24 +157,24 @@
         self.send(&sends);
     }
 
-    /// One that can't leave is lost, as any may be.
+    /// Sends datagrams. One that cannot be sent is lost, which the protocol tolerates for any message.
     fn send(&self, sends: &[Datagram]) {
         for send in sends {
             let _ = self.socket.send_to(&send.bytes, send.to);
         }
     }
 
-    /// Tells the desk and operators what has changed.
+    /// Sends changes to the dispatch loop and updates the operators' report.
     fn publish(&mut self, now: Time) {
         let current = self.count_members(now);
-        if current != self.published && self.tell_desk(&current) {
+        if current != self.published && self.notify_dispatch_loop(&current) {
             let MemberCount { likely, possibly_sending, .. } = &current.count;
-            say!("members: {likely} live, {possibly_sending} may be sending");
+            log_info!("members: {likely} live, {possibly_sending} may be sending");
             self.published = current;
         }
         if self.detector.is_stopped && !self.was_replacement_logged {
             self.was_replacement_logged = true;
-            say!("members: another process has this node's name, and its place");
+            log_info!("members: another process has this node's name, and its place");
         }
         if now >= self.next_report_at {
             self.next_report_at = now + REPORT_INTERVAL;
@@ -178,14 +188,16 @@
         if may_miss_some {
             count.possibly_sending = count.possibly_sending.max(self.configured_nodes);
         }
-        // Until it has heard of others, or where not all are members, who is likely to be there stands in the settings.
+        // Before other members are heard from, or if not all nodes are members, the settings determine how many
+        // nodes are likely to be live.
         let likely = if may_miss_some { count.likely.max(self.configured_nodes) } else { count.likely };
         Published { count, likely }
     }
 
-    /// Whether it could be told: it is tried again otherwise.
-    fn tell_desk(&self, current: &Published) -> bool {
-        let event = Event::Fleet { likely: current.likely, safe: current.count.possibly_sending };
-        self.desk.try_send(event).is_ok()
+    /// Returns whether the event was sent; if not, it is sent again later.
+    fn notify_dispatch_loop(&self, current: &Published) -> bool {
+        let event =
+            Event::FleetSize { live: current.likely, possibly_sending: current.count.possibly_sending };
+        self.dispatch_loop.try_send(event).is_ok()
     }
 }
--- a/crates/node/src/wire/targets.rs
+++ b/crates/node/src/wire/discovery.rs
@@ -1,17 +1,17 @@
-//! What discovery is asked and what it tells.
+//! The requests to the discovery service and its responses.
 
 use super::http::Response;
 use super::names;
-use crate::port;
+use crate::interfaces;
 use serde::Deserialize;
 use thiserror::Error;
 
-/// A list of executors, whole or changes only.
+/// A list of executors: a complete snapshot or only changes.
 #[derive(Clone, Debug, Deserialize)]
-pub struct List {
+pub struct EndpointList {
     pub index: i64,
     #[serde(rename = "snapshot")]
-    pub whole: bool,
+    pub is_snapshot: bool,
     pub endpoints: Vec<Endpoint>,
 }
 
@@ -34,55 +34,57 @@
 }
 
 impl Endpoint {
-    /// Whether it takes new work; a status that is not known is no leave to send.
-    pub fn active(&self) -> bool {
+    /// Whether the executor accepts new work. An unknown status counts as not accepting.
+    pub fn is_active(&self) -> bool {
         self.status == names::ACTIVE
     }
 }
 
-impl From<&List> for port::List {
-    fn from(list: &List) -> port::List {
+impl From<&EndpointList> for interfaces::ExecutorList {
+    fn from(list: &EndpointList) -> interfaces::ExecutorList {
         let entry = |endpoint: &Endpoint| {
             let address = endpoint.address.parse().ok();
-            port::Entry {
+            interfaces::ExecutorEntry {
                 name: endpoint.name.clone(),
                 address,
                 domain: endpoint.zone.clone(),
                 kind: endpoint.kind.clone(),
                 cell: endpoint.cell,
-                listed: endpoint.status != names::GONE,
-                active: endpoint.active() && address.is_some(),
+                listed: endpoint.status != names::REMOVED,
+                active: endpoint.is_active() && address.is_some(),
                 weight: endpoint.weight,
                 started: (endpoint.since_ms > 0).then(|| endpoint.since_ms * 10),
             }
         };
-        port::List {
+        interfaces::ExecutorList {
             index: list.index,
-            whole: list.whole,
+            is_snapshot: list.is_snapshot,
             entries: list.endpoints.iter().map(entry).collect(),
         }
     }
 }
 
-/// Asks for the whole list, or for what is newer than a version, waiting so long for it.
-pub fn ask(host: &str, newer: Option<(i64, u64)>) -> String {
-    let query = newer.map(|(than, wait)| format!("?since={than}&timeout_ms={wait}")).unwrap_or_default();
+/// Formats a request for the complete list, or for changes since a version with a long poll of `wait_ms`.
+pub fn request(host: &str, known_version: Option<(i64, u64)>) -> String {
+    let query = known_version
+        .map(|(version, wait_ms)| format!("?since={version}&timeout_ms={wait_ms}"))
+        .unwrap_or_default();
     format!("GET {}{query} HTTP/1.1\r\nHost: {host}\r\n\r\n", names::TARGETS)
 }
 
-/// Why an answer of discovery holds no list.
+/// Why a discovery response contains no list.
 #[derive(Debug, Error)]
 pub enum ListError {
-    /// It is no 200.
+    /// The status of the response is not 200.
     #[error("status {0}")]
     Status(u16),
-    /// Its body is not the list's JSON.
+    /// The body of the response is not a valid list in JSON.
     #[error("{0}")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// Reads an answer of discovery.
-pub fn read(answer: &Response) -> Result<List, ListError> {
+/// Parses a discovery response.
+pub fn read(answer: &Response) -> Result<EndpointList, ListError> {
     if answer.status != 200 {
         return Err(ListError::Status(answer.status));
     }
