--- a/crates/dispatch/src/policy/hear.rs
+++ b/crates/dispatch/src/policy/hear.rs
@@ -1,46 +1,46 @@
 //! What is heard: ops that arrive, the list of executors, notes and load reports of pushes, peers.
 
 use super::{estimate::Sample, *};
-use crate::peers::News;
+use crate::peers::PeerUpdate;
 
-const SHARED: f64 = 0.6; // what news counts that comes to all nodes alike: they would all act on it at once
-const TELL: Time = SECOND / 10; // peers are told at most so often,
-const TOLD_PER_OP: f64 = 12.0; // and so many of them for each own op
-const RATE_SPAN: f64 = 4.0 * SECOND as f64; // over which a tenant's rate is taken
+const BROADCAST_REPORT_WEIGHT: f64 = 0.6; // what news counts that comes to all nodes alike: they would all act on it at once
+const MESSAGE_INTERVAL: Time = SECOND / 10; // peers are told at most so often,
+const MESSAGES_PER_OP: f64 = 12.0; // and so many of them for each own op
+const TENANT_RATE_WINDOW: f64 = 4.0 * SECOND as f64; // over which a tenant's rate is taken
 
 impl Dispatcher {
     /// Opens an op. `hint` is its expected work, where one is given.
     pub fn arrive(&mut self, now: Time, ask: Ask) -> Op {
         let mut surplus = false;
-        self.fade(now);
+        self.decay_tenant_rates(now);
         if let Some(last) = self.last_arrival {
             let gap = (now - last) as f64;
-            let gain = if self.arrival_gap == 0.0 { 1.0 } else { SMOOTH / 4.0 };
-            self.arrival_gap += gain * (gap - self.arrival_gap);
-            self.arrival_square += gain * (gap * gap - self.arrival_square);
+            let gain = if self.mean_gap == 0.0 { 1.0 } else { EWMA_GAIN / 4.0 };
+            self.mean_gap += gain * (gap - self.mean_gap);
+            self.mean_square_gap += gain * (gap * gap - self.mean_square_gap);
         }
         self.last_arrival = Some(now);
-        if let Some(rate) = self.rates.get_mut(ask.tenant) {
-            *rate += SECOND as f64 / RATE_SPAN;
-            surplus = self.chance.draw() >= self.within(ask.tenant);
+        if let Some(rate) = self.tenant_rates.get_mut(ask.tenant) {
+            *rate += SECOND as f64 / TENANT_RATE_WINDOW;
+            surplus = self.rng.draw() >= self.fraction_within_quota(ask.tenant);
         }
-        self.slots_per_op += SMOOTH / 4.0 * (ask.slots - self.slots_per_op);
+        self.slots_per_op += EWMA_GAIN / 4.0 * (ask.slots - self.slots_per_op);
         for (category, learned) in self.learned.iter_mut().enumerate() {
             let one = f64::from(u8::from(category == ask.category));
-            learned.rate += SMOOTH / 4.0 * (one - learned.rate);
+            learned.fraction += EWMA_GAIN / 4.0 * (one - learned.fraction);
         }
-        let base = ask.hint.map_or(1.0, |hint| hint.max(1) as f64);
+        let work = ask.hint.map_or(1.0, |hint| hint.max(1) as f64);
         let learned = &mut self.learned[ask.category];
         if ask.hint.is_none() && learned.samples == 0.0 {
             learned.mean = self.categories[ask.category].target as f64;
         }
-        learned.base += if learned.base == 0.0 { base } else { SMOOTH / 4.0 * (base - learned.base) };
+        learned.work += if learned.work == 0.0 { work } else { EWMA_GAIN / 4.0 * (work - learned.work) };
         Op {
             category: ask.category,
             // An executor has one unit of memory for each slot: the scarcer need is the op's width.
             slots: ask.slots.max(ask.memory),
-            base,
-            came: now,
+            work,
+            arrived_at: now,
             deadline: ask.deadline,
             limits: ask.limits,
             key: ask.key,
@@ -51,49 +51,49 @@
 
     /// News of the list of executors; `whole` replaces what was known.
     pub fn list(&mut self, now: Time, whole: bool, lines: &[Listed]) {
-        if std::mem::take(&mut self.turned) > 0 {
+        if std::mem::take(&mut self.consecutive_rejections) > 0 {
             self.log.push("list: followed again".to_string());
         }
-        self.observe_at = if self.observe_at > 0 { Time::MAX } else { 0 };
+        self.subscribe_at = if self.subscribe_at > 0 { Time::MAX } else { 0 };
         if whole {
             self.executors.iter_mut().for_each(|e| e.active = false);
         }
         let paces = self.kind_paces();
-        lines.iter().for_each(|line| self.enter(now, line, &paces));
-        self.deal();
-        self.solved = None;
+        lines.iter().for_each(|line| self.update_executor(now, line, &paces));
+        self.assign_partitions();
+        self.solved_at = None;
     }
 
     /// Enters one line of the list.
-    fn enter(&mut self, now: Time, line: &Listed, paces: &[f64]) {
+    fn update_executor(&mut self, now: Time, line: &Listed, paces: &[f64]) {
         while self.slots.len() <= line.kind {
             self.slots.push(self.slots.iter().copied().fold(1.0, f64::max));
         }
         self.domains.resize(self.domains.len().max(line.domain + 1), (0, 0));
         while self.executors.len() <= line.executor {
-            let turn = self.chance.draw();
-            let executor = Executor::new(now, turn, MOST_CREDIT, self.categories.len(), self.terms.keepalive);
+            let turn = self.rng.draw();
+            let executor = Executor::new(now, turn, MAX_CREDIT, self.categories.len(), self.terms.keepalive);
             self.executors.push(executor);
         }
-        let luck = self.chance.draw();
+        let draw = self.rng.draw();
         let e = &mut self.executors[line.executor];
         // An older start is no news to one that was put back by hand, which is taken to be cold since then.
         let restarted = line.started > e.started;
         (e.active, e.domain, e.kind, e.cell) = (line.active, line.domain, line.kind, line.cell);
-        (e.size, e.mark) = (e.size.max(line.weight), line.mark);
-        self.peers.lists(line.mark, line.executor);
+        (e.size, e.name_hash) = (e.size.max(line.weight), line.mark);
+        self.peers.add_executor(line.mark, line.executor);
         if self.gauges.is_empty() && line.weight > 0.0 {
             // No report tells of slots: the listed sizes are all there is.
             let slots = &mut self.slots[line.kind];
-            *slots += SMOOTH * (line.weight - *slots) * if *slots <= 1.0 { 1.0 / SMOOTH } else { 1.0 };
+            *slots += EWMA_GAIN * (line.weight - *slots) * if *slots <= 1.0 { 1.0 / EWMA_GAIN } else { 1.0 };
         }
         if restarted {
-            e.start_over(now, line.started, luck);
+            e.restart(now, line.started, draw);
         }
         e.pace = if e.samples == 0.0 { paces.get(line.kind).copied().unwrap_or(0.0) } else { e.pace };
         if self.terms.live_weights && line.weight > 0.0 && !restarted {
             let held = self.slots[e.kind] * (e.size / line.weight - 1.0);
-            self.hear(now, line.executor, held, SHARED);
+            self.record_load(now, line.executor, held, BROADCAST_REPORT_WEIGHT);
         }
     }
 
@@ -101,39 +101,39 @@
     /// the service had no room (`turned_away`) the wait doubles each time in a row, until all nodes together
     /// call about twice a second: calls that are turned away take room too, and nobody would ever be heard.
     pub fn refused(&mut self, now: Time, turned_away: bool) {
-        self.turned = if turned_away { (self.turned + 1).min(8) } else { 0 };
+        self.consecutive_rejections = if turned_away { (self.consecutive_rejections + 1).min(8) } else { 0 };
         let nodes = self.terms.nodes as Time;
         let least = SECOND * (100 + nodes) / 100;
-        let spread = (least << self.turned).min(least.max(SECOND * nodes / 2)) as f64;
-        self.observe_at = now + SECOND / 4 + (self.chance.draw() * spread) as Time;
+        let spread = (least << self.consecutive_rejections).min(least.max(SECOND * nodes / 2)) as f64;
+        self.subscribe_at = now + SECOND / 4 + (self.rng.draw() * spread) as Time;
         self.log.push("list: call refused, will ask again".to_string());
     }
 
     /// A push has started, or has got on with its work; `done` is the share of it, where that is told.
     pub fn note(&mut self, now: Time, op: &mut Op, push: usize, start: bool, done: f64) {
         let Some(p) = op.pushes.get_mut(push).filter(|p| p.outcome.is_none()) else { return };
-        let first = p.started == Some(p.noted);
-        p.noted = now;
+        let first = p.started == Some(p.noted_at);
+        p.noted_at = now;
         if let Some(started) = p.started.filter(|_| !start && first && done > 0.0) {
             // The first note tells the pace, long before the end: who has slowed down shows at once.
             let (x, ran) = (p.executor, (now - started) as f64 / done);
-            self.learn(x, op, ran, Sample::Part);
+            self.record_running_time(x, op, ran, Sample::Projected);
         }
         let p = &mut op.pushes[push];
         if !start || p.started.replace(now).is_some() {
             return;
         }
         let learned = &mut self.learned[op.category];
-        learned.guessed += SMOOTH * (p.guess - learned.guessed);
-        learned.waited += SMOOTH * ((now - p.sent) as f64 - learned.waited);
+        learned.expected_wait += EWMA_GAIN * (p.expected_wait - learned.expected_wait);
+        learned.observed_wait += EWMA_GAIN * ((now - p.sent) as f64 - learned.observed_wait);
         let e = &mut self.executors[p.executor];
-        e.missed[op.category] /= 2; // one of a few that it does start clears it of nothing
+        e.unstarted[op.category] /= 2; // one of a few that it does start clears it of nothing
         e.running += op.slots;
         // It had room just now, so others can't hold the rest of its slots and a queue too.
         let slots = self.slots[e.kind].max(e.running);
         self.slots[e.kind] = slots;
         if now - p.sent < self.terms.tick * 4 {
-            (e.others, e.heard) = (e.others.min(slots - e.running), now);
+            (e.other_slots, e.reported_at) = (e.other_slots.min(slots - e.running), now);
         }
     }
 
@@ -148,9 +148,9 @@
             // What runs and what is free makes all; else the most ever free, up fast, down from near the top.
             let slots = self.slots[kind];
             let (seen, gain) = match (gauge(Gauge::Held), gauge(Gauge::Waiting)) {
-                (Some(h), Some(w)) => ((free + h - w).max(1.0), if slots > 1.0 { SMOOTH } else { 1.0 }),
-                _ if free > slots => (free, 3.0 * SMOOTH),
-                _ => (free, if free > 0.8 * slots { SMOOTH / 4.0 } else { 0.0 }),
+                (Some(h), Some(w)) => ((free + h - w).max(1.0), if slots > 1.0 { EWMA_GAIN } else { 1.0 }),
+                _ if free > slots => (free, 3.0 * EWMA_GAIN),
+                _ => (free, if free > 0.8 * slots { EWMA_GAIN / 4.0 } else { 0.0 }),
             };
             self.slots[kind] += gain * (seen - slots);
         }
@@ -162,76 +162,76 @@
             (Some(free), _, _) => slots - free,
             _ => gauge(Gauge::Busy).map_or(0.0, |busy| busy * slots),
         };
-        self.hear(now, executor, held, 1.0);
+        self.record_load(now, executor, held, 1.0);
     }
 
     /// What an executor holds in all, as told just now; own pushes are known better, so they come off.
-    fn hear(&mut self, now: Time, executor: usize, held: f64, trust: f64) {
+    fn record_load(&mut self, now: Time, executor: usize, held: f64, report_weight: f64) {
         let e = &mut self.executors[executor];
-        let usual = if e.usual < 0.0 { self.usual * self.slots[e.kind] } else { e.usual };
-        (e.others, e.heard, e.trust) = ((held - e.own()).max(0.0), now, trust);
-        e.usual = usual + 2.0 * SMOOTH * (e.others - usual);
-        self.usual += SMOOTH / 4.0 * (e.others / self.slots[e.kind].max(1.0) - self.usual);
+        let mean = if e.mean_others < 0.0 { self.other_load * self.slots[e.kind] } else { e.mean_others };
+        (e.other_slots, e.reported_at, e.report_weight) = ((held - e.in_use()).max(0.0), now, report_weight);
+        e.mean_others = mean + 2.0 * EWMA_GAIN * (e.other_slots - mean);
+        self.other_load += EWMA_GAIN / 4.0 * (e.other_slots / self.slots[e.kind].max(1.0) - self.other_load);
     }
 
     /// Called every `UPKEEP`: tells whether to subscribe to the list now.
     pub fn upkeep(&mut self, now: Time) -> bool {
-        let observe = self.terms.subscribe && now >= self.observe_at;
+        let observe = self.terms.subscribe && now >= self.subscribe_at;
         if observe {
-            self.observe_at = now + 5 * SECOND; // if nothing is heard: a lost call must not age the list
+            self.subscribe_at = now + 5 * SECOND; // if nothing is heard: a lost call must not age the list
         }
-        let gone = self.peers.forget(now);
-        self.take_in(now, gone);
-        self.fade(now);
-        self.tell(now);
+        let expired = self.peers.expire_silent_peers(now);
+        self.apply_peer_updates(now, expired);
+        self.decay_tenant_rates(now);
+        self.queue_peer_messages(now);
         observe
     }
 
     /// Tells peers what this instance holds where that has changed, what it barred, and its tenants' rates:
     /// only what it did or saw itself. A receiver judges for itself, and no rule rests on a message.
-    pub(super) fn tell(&mut self, now: Time) {
-        let of = |x: usize| (self.executors[x].mark, self.executors[x].own());
+    pub(super) fn queue_peer_messages(&mut self, now: Time) {
+        let of = |x: usize| (self.executors[x].name_hash, self.executors[x].in_use());
         // Told of every push at once, hundreds of nodes with few ops each get more messages than ops.
-        let peers = (self.terms.nodes / self.parts) as f64;
-        let every = (peers * self.arrival_gap / TOLD_PER_OP).clamp(TELL as f64, SECOND as f64);
-        self.letters.extend(self.peers.due(now, every as Time, &self.rates, of));
+        let peers = (self.terms.nodes / self.partitions) as f64;
+        let period = (peers * self.mean_gap / MESSAGES_PER_OP).clamp(MESSAGE_INTERVAL as f64, SECOND as f64);
+        self.letters.extend(self.peers.due_messages(now, period as Time, &self.tenant_rates, of));
     }
 
     /// A message of a peer.
     pub fn heard(&mut self, now: Time, from: usize, text: &[u8]) {
-        let news = self.peers.heard(now, from, text);
-        self.take_in(now, news);
+        let updates = self.peers.heard(now, from, text);
+        self.apply_peer_updates(now, updates);
     }
 
     /// So many instances likely live, and so many may be sending: what all together may send to a cold
     /// executor follows the second, for one that can't be heard uses its part all the same.
     pub fn fleet(&mut self, likely: usize, safe: usize) {
         self.terms.nodes = likely.max(1);
-        self.cold_span = self.terms.tip_after * safe.max(likely).max(1) as Time;
+        self.warmup_budget_period = self.terms.tip_after * safe.max(likely).max(1) as Time;
     }
 
-    fn take_in(&mut self, now: Time, news: Vec<News>) {
-        for told in news {
-            match told {
-                News::Barred(x, category) => self.bar(now, x, category, false),
-                News::Held(x, more) => {
-                    self.executors[x].told += more;
-                    let held = self.executors[x].told + self.executors[x].own();
-                    self.hear(now, x, held, 1.0);
+    fn apply_peer_updates(&mut self, now: Time, updates: Vec<PeerUpdate>) {
+        for update in updates {
+            match update {
+                PeerUpdate::Blocked(x, category) => self.block(now, x, category, false),
+                PeerUpdate::Held(x, more) => {
+                    self.executors[x].peer_slots += more;
+                    let held = self.executors[x].peer_slots + self.executors[x].in_use();
+                    self.record_load(now, x, held, 1.0);
                 }
             }
         }
     }
 
     /// Tenants' rates fade while nothing comes too: peers would go on counting what was.
-    fn fade(&mut self, now: Time) {
-        let gap = (now - std::mem::replace(&mut self.faded, now)) as f64;
-        self.rates.iter_mut().for_each(|rate| *rate *= (-gap / RATE_SPAN).exp());
+    fn decay_tenant_rates(&mut self, now: Time) {
+        let gap = (now - std::mem::replace(&mut self.rates_decayed_at, now)) as f64;
+        self.tenant_rates.iter_mut().for_each(|rate| *rate *= (-gap / TENANT_RATE_WINDOW).exp());
     }
 
     /// The part of a tenant's ops that is within its share, as far as this instance and its peers see.
-    fn within(&self, tenant: usize) -> f64 {
-        let all = self.peers.rate(tenant, self.rates[tenant]).filter(|_| self.terms.surplus < 1.0);
+    fn fraction_within_quota(&self, tenant: usize) -> f64 {
+        let all = self.peers.rate(tenant, self.tenant_rates[tenant]).filter(|_| self.terms.surplus < 1.0);
         all.map_or(1.0, |all| self.quotas[tenant] / all.max(1e-9))
     }
 }
--- a/crates/dispatch/src/policy/mod.rs
+++ b/crates/dispatch/src/policy/mod.rs
@@ -24,13 +24,13 @@
 
 /// How often `upkeep` is to be called.
 pub const UPKEEP: Time = SECOND / 4;
-const SOLVE_EVERY: Time = SECOND;
-const SMOOTH: f64 = 0.1; // gain of what is followed from outcome to outcome; a quarter of it per arrival
-const PEER_SPEND: f64 = 0.01; // for one op, in parts of its worth: two entries of three bytes to each peer
-const LEAST_USE: f64 = 0.6; // the target use starts here
-const LOOKS: Time = 8; // looks after a push that has not started, in a target latency
-const MOST_CREDIT: f64 = 4.0; // a further push costs one,
-const EARNED: f64 = 2.0; // and an answer earns so much: a node of many sees few of them
+const SOLVE_INTERVAL: Time = SECOND;
+const EWMA_GAIN: f64 = 0.1; // gain of what is followed from outcome to outcome; a quarter of it per arrival
+const PEER_MESSAGE_BUDGET: f64 = 0.01; // for one op, in parts of its worth: two entries of three bytes to each peer
+const MIN_LOAD: f64 = 0.6; // the target use starts here
+const CHECKS_PER_TARGET: Time = 8; // looks after a push that has not started, in a target latency
+const MAX_CREDIT: f64 = 4.0; // a further push costs one,
+const CREDIT_PER_ACK: f64 = 2.0; // and an answer earns so much: a node of many sees few of them
 
 /// The instance.
 #[derive(Default)]
@@ -38,39 +38,39 @@
     terms: Terms,
     categories: Vec<Category>,
     learned: Vec<Learned>,
-    cold_budget: f64, // work that tips a cold executor, by slot at full warmth,
-    cold_span: Time,  // and the span in which a node earns so much
+    warmup_budget: f64,         // work that tips a cold executor, by slot at full warmth,
+    warmup_budget_period: Time, // and the span in which a node earns so much
     gauges: Vec<Gauge>,
     executors: Vec<Executor>,
     /// Of each failure domain: pushes out of reach since its last answer, and until when it is left alone.
     domains: Vec<(usize, Time)>,
-    slots: Vec<f64>, // of an executor of each kind, as far as seen
-    parts: usize,    // of so many parts of the fleet this instance and its peers solve over one
+    slots: Vec<f64>,   // of an executor of each kind, as far as seen
+    partitions: usize, // of so many parts of the fleet this instance and its peers solve over one
     /// What peers told.
     pub peers: Peers,
-    quotas: Vec<f64>, // ops a second within each tenant's share,
-    rates: Vec<f64>,  // and as they come here
-    faded: Time,
-    used: f64, // part of its part of the fleet that is held
-    target_use: f64,
-    arrival_gap: f64,
-    arrival_square: f64,
+    quotas: Vec<f64>,       // ops a second within each tenant's share,
+    tenant_rates: Vec<f64>, // and as they come here
+    rates_decayed_at: Time,
+    load: f64, // part of its part of the fleet that is held
+    target_load: f64,
+    mean_gap: f64,
+    mean_square_gap: f64,
     last_arrival: Option<Time>,
     slots_per_op: f64,
-    usual: f64, // part of an executor's slots that others hold in the long run, over the fleet
-    front: f64,
-    paces: Vec<f64>, // mean pace of each kind, as last solved
+    other_load: f64, // part of an executor's slots that others hold in the long run, over the fleet
+    virtual_time: f64,
+    mean_paces: Vec<f64>, // mean pace of each kind, as last solved
     fastest: usize,
-    solved: Option<Time>,
-    observe_at: Time, // when to subscribe to the list, if not subscribed; zero before the first time
-    turned: u32,      // calls turned away in a row
-    turned_away: f64, // part of the ops judged hopeless of late; told in the log as overload
+    solved_at: Option<Time>,
+    subscribe_at: Time, // when to subscribe to the list, if not subscribed; zero before the first time
+    consecutive_rejections: u32, // calls turned away in a row
+    hopeless_rate: f64, // part of the ops judged hopeless of late; told in the log as overload
     overloaded: bool,
     /// Messages to peers, taken by the adapter.
     pub letters: Vec<Letter>,
     /// Lines for the log.
     pub log: Vec<String>,
-    chance: Chance,
+    rng: Pcg32,
 }
 
 impl Dispatcher {
@@ -78,22 +78,22 @@
     pub fn new(tariff: &Tariff, seed: u64) -> Dispatcher {
         let nodes = tariff.terms.nodes.max(1);
         // Peers are told of every push and its end: no more of them than an op can pay for.
-        let most = (PEER_SPEND * 256.0 / 6.0 / tariff.terms.price_peer.max(1e-4)) as usize;
-        let parts = if tariff.terms.peers { (nodes / most.max(1)).max(1) } else { 1 };
+        let max_peers = (PEER_MESSAGE_BUDGET * 256.0 / 6.0 / tariff.terms.price_peer.max(1e-4)) as usize;
+        let partitions = if tariff.terms.peers { (nodes / max_peers.max(1)).max(1) } else { 1 };
         Dispatcher {
             terms: tariff.terms.clone(),
-            parts,
-            peers: Peers::new(&tariff.terms, parts, tariff.quotas.len()),
-            rates: vec![0.0; tariff.quotas.len()],
+            partitions,
+            peers: Peers::new(&tariff.terms, partitions, tariff.quotas.len()),
+            tenant_rates: vec![0.0; tariff.quotas.len()],
             quotas: tariff.quotas.clone(),
             learned: vec![Learned { mean: 1.0, ..Learned::default() }; tariff.categories.len()],
             categories: tariff.categories.clone(),
-            cold_budget: tariff.overload_factor * tariff.terms.tip_after as f64,
-            cold_span: tariff.terms.tip_after * nodes as Time,
+            warmup_budget: tariff.overload_factor * tariff.terms.tip_after as f64,
+            warmup_budget_period: tariff.terms.tip_after * nodes as Time,
             gauges: tariff.gauges.clone(),
-            target_use: LEAST_USE,
+            target_load: MIN_LOAD,
             slots_per_op: 1.0,
-            chance: Chance::new(seed),
+            rng: Pcg32::new(seed),
             ..Dispatcher::default()
         }
     }
@@ -107,24 +107,24 @@
     pub fn avoids(&self, now: Time, executor: usize) -> bool {
         self.executors
             .get(executor)
-            .is_some_and(|e| e.disabled.is_some() || e.aside.max(self.domains[e.domain].1) > now)
+            .is_some_and(|e| e.disabled.is_some() || e.ejected_until.max(self.domains[e.domain].1) > now)
     }
 
     /// An executor is taken out by hand: it gets nothing until it is put back, whatever the list says. On its
     /// return it is clear of all that was held against it, and cold: since a start that the list told
     /// meanwhile, else since now, for the list may tell of that late.
     pub fn disable(&mut self, now: Time, executor: usize, out: bool) {
-        let luck = self.chance.draw();
+        let draw = self.rng.draw();
         let Some(e) = self.executors.get_mut(executor).filter(|e| e.disabled.is_some() != out) else {
             return;
         };
         if let Some(since) = std::mem::replace(&mut e.disabled, out.then_some(now)) {
-            e.start_over(now, e.started.filter(|at| *at > since).or(Some(now)), luck);
+            e.restart(now, e.started.filter(|at| *at > since).or(Some(now)), draw);
             (e.credit, e.samples) = (e.credit.max(1.0), 0.0);
-            e.barred.fill(0);
-            e.missed.fill(0);
+            e.blocked.fill(0);
+            e.unstarted.fill(0);
         }
-        self.solved = None;
+        self.solved_at = None;
     }
 
     /// What was learned, to be handed over.
@@ -133,10 +133,10 @@
             categories: self.learned.clone(),
             slots: self.slots.clone(),
             executors: self.executors.clone(),
-            usual: self.usual,
+            other_load: self.other_load,
             slots_per_op: self.slots_per_op,
-            gap: self.arrival_gap,
-            square: self.arrival_square,
+            mean_gap: self.mean_gap,
+            mean_square_gap: self.mean_square_gap,
         }
     }
 
@@ -147,46 +147,47 @@
             return;
         }
         self.learned = memory.categories;
-        (self.usual, self.slots_per_op) = (memory.usual, memory.slots_per_op);
-        (self.arrival_gap, self.arrival_square) = (memory.gap, memory.square);
+        (self.other_load, self.slots_per_op) = (memory.other_load, memory.slots_per_op);
+        (self.mean_gap, self.mean_square_gap) = (memory.mean_gap, memory.mean_square_gap);
         for (own, slots) in self.slots.iter_mut().zip(memory.slots) {
             *own = slots;
         }
         for old in memory.executors {
-            let Some(e) = self.executors.iter_mut().find(|e| e.mark == old.mark) else { continue };
-            if e.started > old.started || old.out.len() != e.out.len() {
+            let Some(e) = self.executors.iter_mut().find(|e| e.name_hash == old.name_hash) else { continue };
+            if e.started > old.started || old.in_flight.len() != e.in_flight.len() {
                 continue;
             }
-            let Executor { active, domain, kind, cell, mine, known, luck, turn, .. } = *e;
+            let Executor { active, domain, kind, cell, own, seen_at, draw, turn, .. } = *e;
             let disabled = e.disabled.and(old.disabled).or(e.disabled);
             *e =
-                Executor { active, domain, kind, cell, mine, disabled, known, luck, turn, spent: 0.0, ..old };
-            (e.lines, e.touched, e.told, e.running, e.share) = (0.0, -self.terms.keepalive, 0.0, 0.0, 0.0);
-            e.out.fill(0.0);
-            e.heard = e.heard.min(now);
+                Executor { active, domain, kind, cell, own, disabled, seen_at, draw, turn, sent: 0.0, ..old };
+            (e.conns, e.last_used, e.peer_slots, e.running, e.share) =
+                (0.0, -self.terms.keepalive, 0.0, 0.0, 0.0);
+            e.in_flight.fill(0.0);
+            e.reported_at = e.reported_at.min(now);
         }
-        self.solved = None;
+        self.solved_at = None;
     }
 
     /// Where to send this op: to an executor, not yet (`Hold`), or never (a final answer).
     pub fn place(&mut self, now: Time, op: &mut Op) -> Step {
         if op.closed {
             // Work that no one waits for is called off, so that it holds up nothing behind it.
-            return match op.pushes.iter().position(|p| p.outcome.is_none() && !p.stopping) {
-                Some(left) if self.terms.cancel => stop(op, left),
+            return match op.pushes.iter().position(|p| p.outcome.is_none() && !p.cancelling) {
+                Some(left) if self.terms.cancel => cancel_push(op, left),
                 _ => Step::Hold,
             };
         }
-        if self.solved.is_none_or(|at| now >= at + SOLVE_EVERY) {
+        if self.solved_at.is_none_or(|at| now >= at + SOLVE_INTERVAL) {
             self.solve(now);
         }
-        let overdue = |p: &Push| p.outcome.is_none() && !p.stopping && now >= p.overdue(&op.limits);
+        let overdue = |p: &Push| p.outcome.is_none() && !p.cancelling && now >= p.due_at(&op.limits);
         let late = op.pushes.iter().position(overdue);
         match op.pushes.iter().rposition(|p| p.outcome.is_none()) {
-            _ if now + 2 * self.terms.tick >= op.deadline => self.give_up(op, 0),
-            Some(_) if late.is_some() => stop(op, late.unwrap_or(0)),
-            Some(last) => self.review(now, op, last),
-            None => self.send(now, op),
+            _ if now + 2 * self.terms.tick >= op.deadline => self.abandon(op, 0),
+            Some(_) if late.is_some() => cancel_push(op, late.unwrap_or(0)),
+            Some(last) => self.check_in_flight(now, op, last),
+            None => self.dispatch(now, op),
         }
     }
 
@@ -198,45 +199,45 @@
         let (x, started) = (p.executor, p.started);
         let ran = (now - started.unwrap_or(p.sent)).max(1) as f64;
         self.report(now, x, values);
-        self.peers.changed(x, None);
+        self.peers.record_change(x, None);
         let executor = &mut self.executors[x];
-        executor.out[op.category] = (executor.out[op.category] - op.slots).max(0.0);
-        executor.touched = now;
-        let gone = matches!(outcome, Outcome::NotConnected | Outcome::Reset | Outcome::Cut | Outcome::Broken);
-        executor.lines -= f64::from(u8::from(gone)).min(executor.lines);
+        executor.in_flight[op.category] = (executor.in_flight[op.category] - op.slots).max(0.0);
+        executor.last_used = now;
+        let lost = matches!(outcome, Outcome::NotConnected | Outcome::Reset | Outcome::Cut | Outcome::Broken);
+        executor.conns -= f64::from(u8::from(lost)).min(executor.conns);
         executor.running -= if started.is_some() { op.slots.min(executor.running) } else { 0.0 };
         match outcome {
             Outcome::Acked => {
-                executor.served += SMOOTH * (1.0 - executor.served);
-                executor.credit = (executor.credit + EARNED).min(MOST_CREDIT);
-                (executor.trial, executor.acked) = (false, now);
+                executor.success_rate += EWMA_GAIN * (1.0 - executor.success_rate);
+                executor.credit = (executor.credit + CREDIT_PER_ACK).min(MAX_CREDIT);
+                (executor.probing, executor.last_acked) = (false, now);
                 self.domains[executor.domain] = (0, 0);
-                self.learn(x, op, ran, Sample::Whole);
+                self.record_running_time(x, op, ran, Sample::Complete);
             }
             // A fault of the op: a few change nothing, but an executor that refuses all loses its share.
-            Outcome::Unfit => executor.served -= SMOOTH * executor.served,
+            Outcome::Unfit => executor.success_rate -= EWMA_GAIN * executor.success_rate,
             Outcome::Full => {
-                executor.served -= SMOOTH * executor.served;
-                let full = self.slots[executor.kind] * 2.0 - executor.own();
-                (executor.others, executor.heard) = (executor.others.max(full), now);
+                executor.success_rate -= EWMA_GAIN * executor.success_rate;
+                let full_load = self.slots[executor.kind] * 2.0 - executor.in_use();
+                (executor.other_slots, executor.reported_at) = (executor.other_slots.max(full_load), now);
             }
             Outcome::Error | Outcome::NotConnected | Outcome::Reset | Outcome::Cut => {
-                executor.served -= 2.0 * SMOOTH * executor.served;
+                executor.success_rate -= 2.0 * EWMA_GAIN * executor.success_rate;
                 // One reset may be the connection's alone; and whoever resets is within reach.
-                let lightly = matches!(outcome, Outcome::Reset | Outcome::Cut);
-                let before = std::mem::replace(&mut executor.reset, now);
-                if !lightly || before > executor.acked {
-                    self.set_aside(now, x, "failed", outcome == Outcome::NotConnected);
+                let maybe_transient = matches!(outcome, Outcome::Reset | Outcome::Cut);
+                let before = std::mem::replace(&mut executor.last_failed, now);
+                if !maybe_transient || before > executor.last_acked {
+                    self.eject(now, x, "failed", outcome == Outcome::NotConnected);
                 }
             }
             Outcome::TimedOut => {
                 executor.credit = (executor.credit - 1.0).max(0.0);
-                self.learn(x, op, ran, Sample::Censored);
+                self.record_running_time(x, op, ran, Sample::Censored);
             }
             Outcome::Cancelled | Outcome::Moot | Outcome::Withheld | Outcome::Broken => {}
         }
         if op.limits.pause > 0 {
-            let chance = 1.0 + op.limits.pause_spread * self.chance.draw();
+            let chance = 1.0 + op.limits.pause_spread * self.rng.draw();
             op.not_before = now + (op.limits.pause as f64 * chance) as Time;
         }
         self.place(now, op)
@@ -245,24 +246,24 @@
     /// Until when to leave the op alone; `place` is to be asked again then.
     pub fn wait(&self, now: Time, op: &Op) -> Time {
         let last = op.deadline - 2 * self.terms.tick;
-        let look = self.categories[op.category].target / LOOKS;
+        let check = self.categories[op.category].target / CHECKS_PER_TARGET;
         let next = match op.pushes.iter().rfind(|p| p.outcome.is_none()) {
-            Some(p) if p.stopping => last,
-            Some(p) if p.started.is_none() => now + look,
-            Some(p) if self.terms.progress > 0 => (p.noted + 5 * self.terms.progress / 2).max(now + look),
+            Some(p) if p.cancelling => last,
+            Some(p) if p.started.is_none() => now + check,
+            Some(p) if self.terms.progress > 0 => (p.noted_at + 5 * self.terms.progress / 2).max(now + check),
             Some(_) => last,
             None if op.not_before > now => op.not_before,
-            None => now + look,
+            None => now + check,
         };
-        let copy = |p: &Push| p.sent.saturating_add(op.limits.copy_after);
-        let out = op.pushes.iter().filter(|p| p.outcome.is_none() && !p.stopping);
-        let limit = out.map(|p| p.overdue(&op.limits).min(copy(p).max(now + look))).min().unwrap_or(last);
+        let hedge = |p: &Push| p.sent.saturating_add(op.limits.copy_after);
+        let out = op.pushes.iter().filter(|p| p.outcome.is_none() && !p.cancelling);
+        let limit = out.map(|p| p.due_at(&op.limits).min(hedge(p).max(now + check))).min().unwrap_or(last);
         next.min(last).min(limit).max(now + self.terms.tick)
     }
 }
 
 /// Calls a push off; only its outcome decides what comes next.
-fn stop(op: &mut Op, push: usize) -> Step {
-    op.pushes[push].stopping = true;
+fn cancel_push(op: &mut Op, push: usize) -> Step {
+    op.pushes[push].cancelling = true;
     Step::Stop { push }
 }
--- a/crates/dispatch/src/types.rs
+++ b/crates/dispatch/src/types.rs
@@ -250,12 +250,12 @@
     pub outcome: Option<Outcome>,
     pub(crate) sent: Time,
     pub(crate) started: Option<Time>,
-    pub(crate) noted: Time,
-    pub(crate) stopping: bool,
+    pub(crate) noted_at: Time,
+    pub(crate) cancelling: bool,
     /// Its silence was held against the executor.
     pub(crate) blamed: bool,
     /// Wait expected when it was sent, not yet corrected.
-    pub(crate) guess: f64,
+    pub(crate) expected_wait: f64,
 }
 
 impl Push {
@@ -263,10 +263,10 @@
         self.outcome.is_none_or(|outcome| !outcome.never_ran())
     }
     /// When it has been without a start, or without news, for as long as it may.
-    pub(crate) fn overdue(&self, limits: &Limits) -> Time {
+    pub(crate) fn due_at(&self, limits: &Limits) -> Time {
         match self.started {
             None => self.sent.saturating_add(limits.no_start),
-            Some(_) => self.noted.saturating_add(limits.no_progress),
+            Some(_) => self.noted_at.saturating_add(limits.no_progress),
         }
     }
 }
@@ -281,8 +281,8 @@
     /// Index of its category.
     pub category: usize,
     pub(crate) slots: f64,
-    pub(crate) base: f64,
-    pub(crate) came: Time,
+    pub(crate) work: f64,
+    pub(crate) arrived_at: Time,
     /// When its client stops waiting.
     pub deadline: Time,
     /// What it may do less than its category allows.
@@ -300,7 +300,7 @@
         self.pushes.iter().any(|p| p.outcome.is_none())
     }
     /// Pushes made, without those that operators kept from leaving.
-    pub(crate) fn made(&self) -> usize {
+    pub(crate) fn pushes_sent(&self) -> usize {
         self.pushes.iter().filter(|p| p.outcome != Some(Outcome::Withheld)).count()
     }
     /// No one will wait beyond this: the instance itself is to end.
@@ -370,11 +370,11 @@
 /// A hash of a name that is the same at every instance (FNV-1a, its bits then mixed).
 pub fn mark(name: &str) -> u64 {
     let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01B3);
-    mixed(name.bytes().fold(0xCBF2_9CE4_8422_2325, step))
+    mix_bits(name.bytes().fold(0xCBF2_9CE4_8422_2325, step))
 }
 
 /// Spreads the bits of a number over all of it.
-pub(crate) fn mixed(mut bits: u64) -> u64 {
+pub(crate) fn mix_bits(mut bits: u64) -> u64 {
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     bits = (bits ^ (bits >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
     bits ^ (bits >> 31)
@@ -391,13 +391,13 @@
 
 /// A permuted congruential generator: the same seed gives the same draws.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Chance(u64);
+pub(crate) struct Pcg32(u64);
 
-impl Chance {
-    pub(crate) fn new(seed: u64) -> Chance {
-        let mut chance = Chance(seed.wrapping_mul(2).wrapping_add(0x9E37_79B9_7F4A_7C15));
-        chance.draw();
-        chance
+impl Pcg32 {
+    pub(crate) fn new(seed: u64) -> Pcg32 {
+        let mut rng = Pcg32(seed.wrapping_mul(2).wrapping_add(0x9E37_79B9_7F4A_7C15));
+        rng.draw();
+        rng
     }
     /// From 0 up to 1.
     pub(crate) fn draw(&mut self) -> f64 {
