--- a/crates/dispatch/src/peers.rs
+++ b/crates/dispatch/src/peers.rs
@@ -45,7 +45,7 @@
     tenants: usize,
     peers: BTreeMap<usize, Peer>,
     /// Executors by what messages call them.
-    hashes: BTreeMap<u16, usize>,
+    index: BTreeMap<u16, usize>,
     /// What has changed since peers were told.
     pending: Vec<(usize, Option<usize>)>,
     sent_at: Time,
@@ -63,7 +63,7 @@
 
     /// The list has named an executor: messages call it by its mark.
     pub fn add_executor(&mut self, mark: u64, executor: usize) {
-        self.hashes.insert(mark as u16, executor);
+        self.index.insert(mark as u16, executor);
     }
 
     /// Slots held at an executor have changed, or a category was barred there.
@@ -130,7 +130,7 @@
         }
         let mut updates = Vec::with_capacity(entries.len() / 3);
         for entry in entries.chunks(3) {
-            let Some(&executor) = self.hashes.get(&u16::from_le_bytes([entry[0], entry[1]])) else {
+            let Some(&executor) = self.index.get(&u16::from_le_bytes([entry[0], entry[1]])) else {
                 continue;
             };
             updates.push(if entry[2] >= BLOCKED_BIT {
--- a/crates/dispatch/src/policy/estimate.rs
+++ b/crates/dispatch/src/policy/estimate.rs
@@ -1,13 +1,13 @@
-//! What waits, running times and prices are expected to be, and what is learned of them.
+//! Estimates of waits, running times and prices, and how they are learned.
 
 use super::*;
 
-const PACE_VARIANCE: f64 = 0.25; // variance of a change of pace worth following, against the spread of samples
-const TAIL_RUN_FACTOR: f64 = 1.2; // the long end of a running time, over its mean
-const OCCUPANCY_WAIT: f64 = 0.03; // what a wholly held executor counts as waiting beyond its queue, in turnovers
-const WAIT_UNCERTAINTY: f64 = 0.8; // by how much more a wait counts when an op is judged hopeless
+const PACE_VARIANCE: f64 = 0.25; // variance of changes in an executor's log pace; weighed against that of the samples
+const TAIL_RUN_FACTOR: f64 = 1.2; // long running time, as a factor of the mean running time
+const OCCUPANCY_WAIT: f64 = 0.03; // wait for a start at an executor with all slots in use, beyond its queue, in mean service times
+const WAIT_UNCERTAINTY: f64 = 0.8; // relative margin on the expected wait when an op is judged hopeless
 
-/// A running time: to its end, at least so long, or reckoned from the part done.
+/// What a running-time sample is: measured to the end, a lower bound, or projected from the fraction done.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Sample {
     Complete,
@@ -16,26 +16,26 @@
 }
 
 impl Learned {
-    /// Mean running time of the category at mean pace.
+    /// Mean running time of the category on an executor of mean pace.
     pub(super) fn run_time(&self) -> f64 {
         self.work * self.mean
     }
 
-    /// Waits over what was expected of them: what others send unseen, and what blocks a queue's head.
+    /// Ratio of observed to expected waits. It covers load that others send unseen and wide ops that block the head of a queue.
     pub(super) fn wait_ratio(&self) -> f64 {
-        let network_delay = 0.1 * self.run_time().max(1.0); // without it next to no wait expected made four of each
+        let network_delay = 0.1 * self.run_time().max(1.0); // keeps the ratio of two near-zero waits from reaching its limit of four
         ((self.observed_wait + network_delay) / (self.expected_wait + network_delay)).clamp(0.5, 4.0)
     }
 }
 
 impl Dispatcher {
-    /// By how much an op would be late there: one that none can answer usefully is turned away at once. Waits
-    /// turn out longer than they look; that matters less where a late answer earns. Where a tail counts, one
-    /// late op costs what others earn: running times are taken at their long end.
+    /// How late an op would end at an executor; hopeless at every executor, it is rejected at once. Waits exceed their estimates, which
+    /// matters less where a late answer earns. With a tail part in the score a late op costs what others earn: long running times are
+    /// assumed.
     pub(super) fn lateness(&self, now: Time, op: &Op, executor: usize, wait: f64) -> f64 {
         let category = &self.categories[op.category];
         let (mean, here) = (self.expected_run(op), self.slot_time(op, executor) / op.slots);
-        // An executor's slowness takes from the time left, unless a late answer earns too.
+        // An executor's slowness shortens the time left, unless a late answer earns too.
         let strict = category.late <= 0.0 || self.terms.tail > 0.0;
         let (base, run) = if strict { (mean, here) } else { (here, here.min(category.target as f64)) };
         let due_at = op.arrived_at + category.target + (category.stretch * base) as Time;
@@ -44,17 +44,17 @@
         now as f64 + padded_wait + margin * run - due_at.min(op.deadline) as f64
     }
 
-    /// Slot time that the op would take at an executor.
+    /// Slot time that the op would take at an executor: running time there times slots.
     pub(super) fn slot_time(&self, op: &Op, at: usize) -> f64 {
         self.expected_run(op) * self.executors[at].pace.exp() * op.slots
     }
 
-    /// Running time expected of this op on an executor of mean pace.
+    /// Expected running time of this op on an executor of mean pace.
     pub(super) fn expected_run(&self, op: &Op) -> f64 {
         op.work * self.learned[op.category].mean
     }
 
-    /// The wait for a start at an executor, from own pushes there and what others hold as last heard.
+    /// Expected wait for a start at an executor, from this instance's pushes there and the load of others as last reported.
     pub(super) fn expected_wait(&self, now: Time, op: &Op, at: usize) -> f64 {
         let e = &self.executors[at];
         let priority = self.categories[op.category].priority;
@@ -75,7 +75,7 @@
         let others = if total > 0.0 { others * part / total } else { others };
         let slots = self.slots[e.kind];
         let load = own + others;
-        // What queues before it, then the releases its own slots need: a wide op waits for most of them.
+        // The queue ahead, then the slot releases that the op itself needs: a wide op waits for most of them.
         let mut time = (load - slots).max(0.0) / slots + OCCUPANCY_WAIT * load / slots;
         let (mut running, mut needed) = (load.min(slots), (load.min(slots) + op.slots - slots).min(op.slots));
         while needed > 0.0 && running > 0.0 {
@@ -86,20 +86,20 @@
         time * turnover * e.pace.exp() / self.warm_share(now, e) * self.learned[op.category].wait_ratio()
     }
 
-    /// Mean time that an op holds its slots.
+    /// Mean time that an op occupies its slots.
     pub(super) fn service_time(&self) -> f64 {
         let sum: f64 = self.learned.iter().map(|l| l.fraction * l.run_time()).sum();
         (sum / self.learned.iter().map(|l| l.fraction).sum::<f64>().max(1e-9)).max(1.0)
     }
 
-    /// A price as the wait that would cost as much.
+    /// Converts a price, in parts of an op, into the wait that would cost as much.
     pub(super) fn price_as_wait(&self, op: &Op, price: f64) -> f64 {
         let category = &self.categories[op.category];
         let useful_time = category.target as f64 + category.stretch * self.expected_run(op);
         price / self.relative_value(op) * useful_time
     }
 
-    /// What an op is worth against the mean op, counting that its category may be the worst served.
+    /// Value of an op relative to the mean op, with the weight of a category that may be the worst served.
     pub(super) fn relative_value(&self, op: &Op) -> f64 {
         let work = |c: usize| if self.terms.by_work { self.learned[c].run_time().max(1e-9) } else { 1.0 };
         let value = |c: usize| self.categories[c].benefit * work(c);
@@ -110,7 +110,7 @@
         ((1.0 - self.terms.worst_category) * whole + self.terms.worst_category / rate).max(0.05)
     }
 
-    /// A running time moves the executor's pace and the category's mean; one that is not over only the pace.
+    /// Updates the executor's pace and the category's mean from a complete running time; from an incomplete one only the pace.
     pub(super) fn record_running_time(&mut self, x: usize, op: &Op, ran: f64, kind_of_sample: Sample) {
         let sample = (ran / op.work).max(1e-9);
         let learned = &mut self.learned[op.category];
@@ -122,7 +122,7 @@
         if kind_of_sample == Sample::Censored && error < 0.0 {
             return;
         }
-        // The log keeps one heavy op from carrying the rate away.
+        // The log keeps one long op from dominating the estimate.
         let clipped = error.clamp(-2.0, 2.0);
         e.variance += EWMA_GAIN * (clipped * clipped - e.variance);
         e.samples += 1.0;
@@ -130,7 +130,7 @@
         e.pace = (e.pace + gain * clipped).clamp(-3.0, 3.0);
         if kind_of_sample == Sample::Complete {
             learned.samples += 1.0;
-            // A short op that others held up says little of the mean: samples count by their length.
+            // A short op delayed by others says little about the mean, so samples are weighted by the op's work.
             let gain = (1.0 / (learned.samples + 3.0)).max(EWMA_GAIN / 4.0);
             learned.mean_log_time += gain * error;
             let weight = (op.work / learned.work.max(1e-9)).min(2.0);
--- a/crates/dispatch/src/policy/health.rs
+++ b/crates/dispatch/src/policy/health.rs
@@ -1,11 +1,11 @@
-//! Health of executors and of pushes out there, further pushes, the end of an op.
+//! Health of executors and of pushes in flight, retries, and the final answer of an op.
 
 use super::{order::Candidate, *};
 
-const MIN_EJECTION_TIME: Time = 2 * SECOND; // the fixed part of a stay aside; the random part is as long at most
+const MIN_EJECTION_TIME: Time = 2 * SECOND; // fixed part of an ejection; a random part of up to the same length is added
 
 impl Dispatcher {
-    /// Looks after an op whose push is out: is it stuck, or would it do better elsewhere?
+    /// Checks an op whose push is in flight: has it stalled, or would another executor be faster?
     pub(super) fn check_in_flight(&mut self, now: Time, op: &mut Op, last: usize) -> Step {
         let p = &op.pushes[last];
         let (x, started, noted, sent, guess) = (p.executor, p.started, p.noted_at, p.sent, p.expected_wait);
@@ -21,13 +21,13 @@
         if op.pushes[last].cancelling || now - noted < check {
             return Step::Hold;
         }
-        // It can't end in time any more, and late it earns nothing: better a final answer now than later.
+        // The op can no longer end in time, and a late answer earns nothing: a final answer now is better than one later.
         let late_is_worthless = self.categories[op.category].late <= 0.0;
         if started.is_none() && late_is_worthless && self.lateness(now, op, x, 0.0) > 0.0 {
             return self.abandon(op, SECOND);
         }
         let wait = if started.is_none() {
-            // Not started: it has no room, whatever it last said.
+            // The push has not started, so the executor has no free slots, whatever its last report said.
             let full_load = self.slots[self.executors[x].kind] - self.executors[x].in_use() + op.slots;
             let e = &mut self.executors[x];
             if e.other_slots < full_load {
@@ -38,7 +38,7 @@
             }
             self.expected_wait(now, op, x)
         } else if self.terms.progress > 0 && now - noted >= 5 * self.terms.progress / 2 {
-            // No progress told for so long: the executor stands still, however heavy the op is.
+            // No progress for two and a half progress intervals: the executor has stalled, however long the op is.
             if !std::mem::replace(&mut op.pushes[last].blamed, true) {
                 self.eject(now, x, "silent", false);
             }
@@ -50,30 +50,30 @@
         let better = may_move.then(|| self.choose(now, op, true)).flatten().filter(|b| b.cost <= wait);
         let Some(Candidate { at, .. }) = better else { return Step::Hold };
         if self.terms.second_copies {
-            // What waits there will run all the same; a copy only pays where the first stands still.
+            // A queued push runs in any case; a hedged request only pays where the first push has stalled.
             return if wait.is_finite() { Step::Hold } else { self.push(now, op, at) };
         }
         cancel_push(op, last)
     }
 
-    /// What a second run of this op would do.
+    /// What a second run of this op would do: the op's own limit, else its category's effect.
     pub fn effect(&self, op: &Op) -> Effect {
         op.limits.effect.unwrap_or(self.categories[op.category].effect)
     }
 
-    /// A further push is allowed, and would be no second effect.
+    /// Whether another push is within the limits and can't make the op take effect twice.
     pub(super) fn may_send(&self, now: Time, op: &Op) -> bool {
         op.pushes_sent() < self.terms.max_pushes.min(op.limits.pushes)
             && (op.pushes.is_empty() || op.limits.over_budget == 0)
             && match (self.effect(op), op.may_have_run()) {
                 (_, None) | (Effect::Redeliverable, _) => true,
                 (Effect::AtMostOnce, Some(_)) => false,
-                // The group forgets the op once the window is over.
+                // The executors in scope forget the op once the deduplication window is over.
                 (Effect::Deduplicated { window, .. }, Some(p)) => now + 2 * self.terms.tick < p.sent + window,
             }
     }
 
-    /// The final answer for an op that is given up: a nack only where a retry is harmless.
+    /// The final answer of an abandoned op: a nack only where a retry by the client is harmless, else a dead letter.
     pub(super) fn abandon(&mut self, op: &mut Op, come_back: Time) -> Step {
         op.closed = true;
         let ran = op.may_have_run().is_some();
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Sets an executor aside for a time partly random, so that nodes don't return together. A second one out
-    /// of reach in a domain that has not answered since speaks for the whole domain.
+    /// Ejects an executor for a partly random time, so that instances don't return together. Two unreachable pushes in a domain with no
+    /// answer between them eject the whole domain.
     pub(super) fn eject(&mut self, now: Time, x: usize, reason: &str, unreachable_push: bool) {
         let until = now + MIN_EJECTION_TIME + (self.rng.draw() * MIN_EJECTION_TIME as f64) as Time;
         let e = &mut self.executors[x];
@@ -105,12 +105,12 @@
         }
     }
 
-    /// No more of a category to an executor that does not start it, for longer each time.
+    /// Blocks a category at an executor that does not start it, for longer each time.
     pub(super) fn block(&mut self, now: Time, x: usize, category: usize, seen_here: bool) {
         let Some(check) = self.categories.get(category).map(|c| c.target / 4) else { return };
         let e = &mut self.executors[x];
         if e.blocked[category] <= now {
-            // All would come back together and lose an op each: whoever was told of it comes back later.
+            // Instances that return together would lose an op each, so those that learned of it from a peer return later.
             let spread = if seen_here { 1.0 + self.rng.draw() } else { 2.0 + 4.0 * self.rng.draw() };
             e.blocked[category] =
                 now + (((2 * check) << (2 * e.unstarted[category]).min(6)) as f64 * spread) as Time;
--- a/crates/dispatch/src/policy/hear.rs
+++ b/crates/dispatch/src/policy/hear.rs
@@ -1,15 +1,15 @@
-//! What is heard: ops that arrive, the list of executors, notes and load reports of pushes, peers.
+//! Inputs of the dispatcher: arriving ops, the executor list, progress notes and load reports of pushes, messages of peers.
 
 use super::{estimate::Sample, *};
 use crate::peers::PeerUpdate;
 
-const BROADCAST_REPORT_WEIGHT: f64 = 0.6; // what news counts that comes to all nodes alike: they would all act on it at once
-const MESSAGE_INTERVAL: Time = SECOND / 10; // peers are told at most so often,
-const MESSAGES_PER_OP: f64 = 12.0; // and so many of them for each own op
-const TENANT_RATE_WINDOW: f64 = 4.0 * SECOND as f64; // over which a tenant's rate is taken
+const BROADCAST_REPORT_WEIGHT: f64 = 0.6; // weight of a report that all instances get at once, as all would react to it alike
+const MESSAGE_INTERVAL: Time = SECOND / 10; // shortest interval between messages to peers
+const MESSAGES_PER_OP: f64 = 12.0; // limit of messages to peers per own op
+const TENANT_RATE_WINDOW: f64 = 4.0 * SECOND as f64; // time constant in which a tenant's arrival rate decays
 
 impl Dispatcher {
-    /// Opens an op. `hint` is its expected work, where one is given.
+    /// Opens an op for a request; the request's `hint` is its expected work, where the client gives one.
     pub fn arrive(&mut self, now: Time, ask: Ask) -> Op {
         let mut surplus = false;
         self.decay_tenant_rates(now);
@@ -37,7 +37,7 @@
         learned.work += if learned.work == 0.0 { work } else { EWMA_GAIN / 4.0 * (work - learned.work) };
         Op {
             category: ask.category,
-            // An executor has one unit of memory for each slot: the scarcer need is the op's width.
+            // An executor has one unit of memory per slot, so the scarcer of the two is the op's width.
             slots: ask.slots.max(ask.memory),
             work,
             arrived_at: now,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// News of the list of executors; `whole` replaces what was known.
+    /// Updates the executor list; `whole` replaces all that was known.
     pub fn list(&mut self, now: Time, whole: bool, lines: &[Listed]) {
         if std::mem::take(&mut self.consecutive_rejections) > 0 {
             self.log.push("list: followed again".to_string());
@@ -64,7 +64,7 @@
         self.solved_at = None;
     }
 
-    /// Enters one line of the list.
+    /// Updates one executor from its entry in the list.
     fn update_executor(&mut self, now: Time, line: &Listed, paces: &[f64]) {
         while self.slots.len() <= line.kind {
             self.slots.push(self.slots.iter().copied().fold(1.0, f64::max));
@@ -77,13 +77,13 @@
         }
         let draw = self.rng.draw();
         let e = &mut self.executors[line.executor];
-        // An older start is no news to one that was put back by hand, which is taken to be cold since then.
+        // An older start doesn't count for an executor that an operator enabled again: it counts as cold since then.
         let restarted = line.started > e.started;
         (e.active, e.domain, e.kind, e.cell) = (line.active, line.domain, line.kind, line.cell);
         (e.size, e.name_hash) = (e.size.max(line.weight), line.mark);
         self.peers.add_executor(line.mark, line.executor);
         if self.gauges.is_empty() && line.weight > 0.0 {
-            // No report tells of slots: the listed sizes are all there is.
+            // No load report gives the slots, so the listed sizes are the only source.
             let slots = &mut self.slots[line.kind];
             *slots += EWMA_GAIN * (line.weight - *slots) * if *slots <= 1.0 { 1.0 / EWMA_GAIN } else { 1.0 };
         }
@@ -97,9 +97,9 @@
         }
     }
 
-    /// A call to the list service failed: subscribe anew after a random wait, longer with more nodes. Where
-    /// the service had no room (`turned_away`) the wait doubles each time in a row, until all nodes together
-    /// call about twice a second: calls that are turned away take room too, and nobody would ever be heard.
+    /// Handles a failed call to the list service: subscribes again after a random wait, longer with more instances. Where the service
+    /// rejected the call for lack of capacity (`turned_away`) the wait doubles each time in a row, until all instances together call about
+    /// twice a second: rejected calls take capacity too, and without that limit no call would get through.
     pub fn refused(&mut self, now: Time, turned_away: bool) {
         self.consecutive_rejections = if turned_away { (self.consecutive_rejections + 1).min(8) } else { 0 };
         let nodes = self.terms.nodes as Time;
@@ -109,13 +109,13 @@
         self.log.push("list: call refused, will ask again".to_string());
     }
 
-    /// A push has started, or has got on with its work; `done` is the share of it, where that is told.
+    /// Records that a push has started or made progress; `done` is the fraction of its work done, where that is reported.
     pub fn note(&mut self, now: Time, op: &mut Op, push: usize, start: bool, done: f64) {
         let Some(p) = op.pushes.get_mut(push).filter(|p| p.outcome.is_none()) else { return };
         let first = p.started == Some(p.noted_at);
         p.noted_at = now;
         if let Some(started) = p.started.filter(|_| !start && first && done > 0.0) {
-            // The first note tells the pace, long before the end: who has slowed down shows at once.
+            // The first progress note gives the pace long before the end, so a slowed executor shows at once.
             let (x, ran) = (p.executor, (now - started) as f64 / done);
             self.record_running_time(x, op, ran, Sample::Projected);
         }
@@ -127,9 +127,9 @@
         learned.expected_wait += EWMA_GAIN * (p.expected_wait - learned.expected_wait);
         learned.observed_wait += EWMA_GAIN * ((now - p.sent) as f64 - learned.observed_wait);
         let e = &mut self.executors[p.executor];
-        e.unstarted[op.category] /= 2; // one of a few that it does start clears it of nothing
+        e.unstarted[op.category] /= 2; // halved, not cleared: one start among several missed ones does not prove recovery
         e.running += op.slots;
-        // It had room just now, so others can't hold the rest of its slots and a queue too.
+        // The executor had a free slot just now, so others can't use the rest of its slots and have a queue as well.
         let slots = self.slots[e.kind].max(e.running);
         self.slots[e.kind] = slots;
         if now - p.sent < self.terms.tick * 4 {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// A load report of an executor.
+    /// Takes in a load report of an executor.
     pub fn report(&mut self, now: Time, executor: usize, values: &[f64]) {
         if values.is_empty() || values.len() != self.gauges.len() {
             return;
@@ -145,7 +145,7 @@
         let gauge = |what| self.gauges.iter().position(|g| *g == what).map(|at| values[at]);
         let kind = self.executors[executor].kind;
         if let Some(free) = gauge(Gauge::FreeSlots) {
-            // What runs and what is free makes all; else the most ever free, up fast, down from near the top.
+            // Running and free slots add up to all slots. Else the most ever free count: raised fast, lowered only from near the top.
             let slots = self.slots[kind];
             let (seen, gain) = match (gauge(Gauge::Held), gauge(Gauge::Waiting)) {
                 (Some(h), Some(w)) => ((free + h - w).max(1.0), if slots > 1.0 { EWMA_GAIN } else { 1.0 }),
@@ -156,7 +156,7 @@
         }
         let slots = self.slots[kind];
         let held = match (gauge(Gauge::FreeSlots), gauge(Gauge::Waiting), gauge(Gauge::Held)) {
-            // A queue behind free slots is held up by a wide op at its head: no room for others either.
+            // A queue behind free slots waits for a wide op at its head, so other ops can't start either.
             (Some(_), Some(waiting), _) if waiting >= 0.5 => slots + waiting * self.slots_per_op,
             (_, _, Some(held)) => held * self.slots_per_op,
             (Some(free), _, _) => slots - free,
@@ -165,7 +165,7 @@
         self.record_load(now, executor, held, 1.0);
     }
 
-    /// What an executor holds in all, as told just now; own pushes are known better, so they come off.
+    /// Records the slots in use at an executor as just reported, less this instance's own, which it knows more exactly.
     fn record_load(&mut self, now: Time, executor: usize, held: f64, report_weight: f64) {
         let e = &mut self.executors[executor];
         let mean = if e.mean_others < 0.0 { self.other_load * self.slots[e.kind] } else { e.mean_others };
@@ -174,11 +174,11 @@
         self.other_load += EWMA_GAIN / 4.0 * (e.other_slots / self.slots[e.kind].max(1.0) - self.other_load);
     }
 
-    /// Called every `UPKEEP`: tells whether to subscribe to the list now.
+    /// Periodic work, to be called every `UPKEEP`; returns whether to subscribe to the executor list now.
     pub fn upkeep(&mut self, now: Time) -> bool {
         let observe = self.terms.subscribe && now >= self.subscribe_at;
         if observe {
-            self.subscribe_at = now + 5 * SECOND; // if nothing is heard: a lost call must not age the list
+            self.subscribe_at = now + 5 * SECOND; // next attempt if no answer comes: a lost call must not leave the list stale
         }
         let expired = self.peers.expire_silent_peers(now);
         self.apply_peer_updates(now, expired);
@@ -187,24 +187,24 @@
         observe
     }
 
-    /// Tells peers what this instance holds where that has changed, what it barred, and its tenants' rates:
-    /// only what it did or saw itself. A receiver judges for itself, and no rule rests on a message.
+    /// Queues messages to peers: slots that this instance uses where that changed, categories that it blocked, and its tenants' rates. They
+    /// hold only what it did or saw itself; each receiver decides on its own, and no rule depends on a message.
     pub(super) fn queue_peer_messages(&mut self, now: Time) {
         let of = |x: usize| (self.executors[x].name_hash, self.executors[x].in_use());
-        // Told of every push at once, hundreds of nodes with few ops each get more messages than ops.
+        // With a message per push, hundreds of instances with few ops each would get more messages than ops.
         let peers = (self.terms.nodes / self.partitions) as f64;
         let period = (peers * self.mean_gap / MESSAGES_PER_OP).clamp(MESSAGE_INTERVAL as f64, SECOND as f64);
         self.letters.extend(self.peers.due_messages(now, period as Time, &self.tenant_rates, of));
     }
 
-    /// A message of a peer.
+    /// Takes in a message of a peer.
     pub fn heard(&mut self, now: Time, from: usize, text: &[u8]) {
         let updates = self.peers.heard(now, from, text);
         self.apply_peer_updates(now, updates);
     }
 
-    /// So many instances likely live, and so many may be sending: what all together may send to a cold
-    /// executor follows the second, for one that can't be heard uses its part all the same.
+    /// Sets how many instances are likely alive and how many may be sending. The warm-up budget of a cold executor is divided by the second
+    /// number, as an unreachable instance still uses its part.
     pub fn fleet(&mut self, likely: usize, safe: usize) {
         self.terms.nodes = likely.max(1);
         self.warmup_budget_period = self.terms.tip_after * safe.max(likely).max(1) as Time;
@@ -215,21 +215,21 @@
             match update {
                 PeerUpdate::Blocked(x, category) => self.block(now, x, category, false),
                 PeerUpdate::Held(x, more) => {
-                    self.executors[x].peer_slots += more;
-                    let held = self.executors[x].peer_slots + self.executors[x].in_use();
+                    self.executors[x].peer_load += more;
+                    let held = self.executors[x].peer_load + self.executors[x].in_use();
                     self.record_load(now, x, held, 1.0);
                 }
             }
         }
     }
 
-    /// Tenants' rates fade while nothing comes too: peers would go on counting what was.
+    /// Decays tenants' rates also while nothing arrives; otherwise peers would keep counting the old rates.
     fn decay_tenant_rates(&mut self, now: Time) {
         let gap = (now - std::mem::replace(&mut self.rates_decayed_at, now)) as f64;
         self.tenant_rates.iter_mut().for_each(|rate| *rate *= (-gap / TENANT_RATE_WINDOW).exp());
     }
 
-    /// The part of a tenant's ops that is within its share, as far as this instance and its peers see.
+    /// The fraction of a tenant's ops that is within its quota, by the rates known here and from peers.
     fn fraction_within_quota(&self, tenant: usize) -> f64 {
         let all = self.peers.rate(tenant, self.tenant_rates[tenant]).filter(|_| self.terms.surplus < 1.0);
         all.map_or(1.0, |all| self.quotas[tenant] / all.max(1e-9))
--- a/crates/dispatch/src/policy/mod.rs
+++ b/crates/dispatch/src/policy/mod.rs
@@ -1,20 +1,19 @@
-//! Every decision of stileroute: which executor gets which op, and what to do when that goes wrong.
+//! Every decision of stileroute: which executor gets which op, and what to do when a push fails.
 //!
-//! How to call it. A [`Dispatcher`] is one instance; it reads no clock, and knows of others what they tell.
-//! For an op, `arrive` opens an [`Op`], which the caller keeps until its last push has an outcome. Then
-//! three calls, each with the time now:
+//! How to call it. A [`Dispatcher`] is one instance. It reads no clock, and knows of other instances only what their messages say. For an
+//! op, `arrive` opens an [`Op`], which the caller keeps until its last push has an outcome. Three calls then take the current time:
 //!   * `place`: where to send this op, or not yet, or never;
 //!   * `settle`: what to do after this outcome of a push;
-//!   * `wait`: until when to leave the op alone; call `place` again then.
+//!   * `wait`: when to call `place` again for this op.
 //!
-//! `place` and `settle` give back one [`Step`]; carry it out and call `place` again until it says `Hold`.
-//! What else is heard goes to `list`, `refused`, `note`, `report`; `upkeep` when due. See `docs/design.md`.
+//! `place` and `settle` return one [`Step`]; carry it out and call `place` again until it returns `Hold`. Other events go to `list`,
+//! `refused`, `note` and `report`; call `upkeep` when it is due. See `docs/design.md`.
 
-mod estimate; // waits, running times, prices, and what is learned of them
-mod health; // pushes that are out, executors set aside and barred, the end of an op
-mod hear; // ops that arrive, the list, reports, peers
-mod order; // where an op goes: billiard order and the rules
-mod shares; // the design: how much each executor gets
+mod estimate; // expected waits, running times and prices, and how they are learned
+mod health; // pushes in flight, ejected executors, blocked categories, the final answer of an op
+mod hear; // arriving ops, the executor list, load reports, messages of peers
+mod order; // which executor an op goes to: billiard order and eligibility
+mod shares; // the share of ops that each executor gets, by the queueing model
 
 use crate::peers::Peers;
 use crate::state::{Executor, Learned, Memory};
@@ -22,62 +21,62 @@
 use estimate::Sample;
 pub use shares::split;
 
-/// How often `upkeep` is to be called.
+/// Interval at which the caller has to call `upkeep`.
 pub const UPKEEP: Time = SECOND / 4;
 const SOLVE_INTERVAL: Time = SECOND;
-const EWMA_GAIN: f64 = 0.1; // gain of what is followed from outcome to outcome; a quarter of it per arrival
-const PEER_MESSAGE_BUDGET: f64 = 0.01; // for one op, in parts of its worth: two entries of three bytes to each peer
-const MIN_LOAD: f64 = 0.6; // the target use starts here
-const CHECKS_PER_TARGET: Time = 8; // looks after a push that has not started, in a target latency
-const MAX_CREDIT: f64 = 4.0; // a further push costs one,
-const CREDIT_PER_ACK: f64 = 2.0; // and an answer earns so much: a node of many sees few of them
+const EWMA_GAIN: f64 = 0.1; // gain of moving averages updated at each outcome of a push; a quarter of it for those updated at each arrival
+const PEER_MESSAGE_BUDGET: f64 = 0.01; // part of an op's value that its two peer messages, a 3-byte entry each, may cost over all peers
+const MIN_LOAD: f64 = 0.6; // lower bound and initial value of the target utilization
+const CHECKS_PER_TARGET: Time = 8; // how often a push that has not started is checked, per target latency
+const MAX_CREDIT: f64 = 4.0; // upper bound of an executor's retry credit; a retry costs one
+const CREDIT_PER_ACK: f64 = 2.0; // credit that an ack earns; two, since in a large fleet an instance sees few acks of one executor
 
-/// The instance.
+/// One instance of the dispatcher.
 #[derive(Default)]
 pub struct Dispatcher {
     terms: Terms,
     categories: Vec<Category>,
     learned: Vec<Learned>,
-    warmup_budget: f64,         // work that tips a cold executor, by slot at full warmth,
-    warmup_budget_period: Time, // and the span in which a node earns so much
+    warmup_budget: f64,         // work per slot that overloads an executor at full warmth
+    warmup_budget_period: Time, // time in which one instance earns that much work for a warming executor
     gauges: Vec<Gauge>,
     executors: Vec<Executor>,
-    /// Of each failure domain: pushes out of reach since its last answer, and until when it is left alone.
+    /// For each failure domain: unreachable pushes since its last answer, and the time until which it is ejected.
     domains: Vec<(usize, Time)>,
-    slots: Vec<f64>,   // of an executor of each kind, as far as seen
-    partitions: usize, // of so many parts of the fleet this instance and its peers solve over one
-    /// What peers told.
+    slots: Vec<f64>,   // estimated slots of an executor of each kind
+    partitions: usize, // partitions of the fleet; this instance and its peers solve the split over one of them
+    /// What peers have reported.
     pub peers: Peers,
-    quotas: Vec<f64>,       // ops a second within each tenant's share,
-    tenant_rates: Vec<f64>, // and as they come here
+    quotas: Vec<f64>,       // quota of each tenant over all instances, in ops a second
+    tenant_rates: Vec<f64>, // arrival rate of each tenant here, in ops a second
     rates_decayed_at: Time,
-    load: f64, // part of its part of the fleet that is held
+    load: f64, // utilization of this instance's partition of the fleet, from 0 to 1
     target_load: f64,
     mean_gap: f64,
     mean_square_gap: f64,
     last_arrival: Option<Time>,
     slots_per_op: f64,
-    other_load: f64, // part of an executor's slots that others hold in the long run, over the fleet
+    other_load: f64, // long-run mean fraction of an executor's slots that other instances use, over the fleet
     virtual_time: f64,
-    mean_paces: Vec<f64>, // mean pace of each kind, as last solved
+    mean_paces: Vec<f64>, // mean log pace of each kind at the last solve
     fastest: usize,
     solved_at: Option<Time>,
-    subscribe_at: Time, // when to subscribe to the list, if not subscribed; zero before the first time
-    consecutive_rejections: u32, // calls turned away in a row
-    hopeless_rate: f64, // part of the ops judged hopeless of late; told in the log as overload
+    subscribe_at: Time, // when to subscribe to the executor list if not subscribed; zero before the first time
+    consecutive_rejections: u32, // list calls in a row that were rejected for lack of capacity
+    hopeless_rate: f64, // moving average of the fraction of ops judged hopeless; logged as overload
     overloaded: bool,
-    /// Messages to peers, taken by the adapter.
+    /// Messages to peers, sent by the adapter.
     pub letters: Vec<Letter>,
-    /// Lines for the log.
+    /// Lines for the log, written by the adapter.
     pub log: Vec<String>,
     rng: Pcg32,
 }
 
 impl Dispatcher {
-    /// An instance with these settings; the same seed gives the same draws.
+    /// Creates an instance with these settings; the same seed gives the same random draws.
     pub fn new(tariff: &Tariff, seed: u64) -> Dispatcher {
         let nodes = tariff.terms.nodes.max(1);
-        // Peers are told of every push and its end: no more of them than an op can pay for.
+        // Peers get a message for each push and for its end, so their number is limited by what an op can pay for.
         let max_peers = (PEER_MESSAGE_BUDGET * 256.0 / 6.0 / tariff.terms.price_peer.max(1e-4)) as usize;
         let partitions = if tariff.terms.peers { (nodes / max_peers.max(1)).max(1) } else { 1 };
         Dispatcher {
@@ -98,21 +97,20 @@
         }
     }
 
-    /// The fraction of own ops that each executor is to get, as last solved, by index.
+    /// The fraction of this instance's ops that each executor is to get, by index, as of the last solve.
     pub fn shares(&self) -> impl Iterator<Item = f64> + '_ {
         self.executors.iter().map(|e| e.share)
     }
 
-    /// Whether this instance sends nothing to an executor now because of what it has seen of it.
+    /// Whether this instance currently sends nothing to an executor because it is disabled, or ejected alone or with its domain.
     pub fn avoids(&self, now: Time, executor: usize) -> bool {
         self.executors
             .get(executor)
             .is_some_and(|e| e.disabled.is_some() || e.ejected_until.max(self.domains[e.domain].1) > now)
     }
 
-    /// An executor is taken out by hand: it gets nothing until it is put back, whatever the list says. On its
-    /// return it is clear of all that was held against it, and cold: since a start that the list told
-    /// meanwhile, else since now, for the list may tell of that late.
+    /// Disables an executor for an operator (it gets nothing, whatever the list says) or enables it again. That clears its past failures,
+    /// and it counts as cold: since a start that the list reported meanwhile, else since now, as the list may report a start late.
     pub fn disable(&mut self, now: Time, executor: usize, out: bool) {
         let draw = self.rng.draw();
         let Some(e) = self.executors.get_mut(executor).filter(|e| e.disabled.is_some() != out) else {
@@ -127,7 +125,7 @@
         self.solved_at = None;
     }
 
-    /// What was learned, to be handed over.
+    /// The learned state, to be handed to a successor.
     pub fn memory(&self) -> Memory {
         Memory {
             categories: self.learned.clone(),
@@ -140,8 +138,8 @@
         }
     }
 
-    /// Takes over what the instance before has learned, of executors that the list has named here too. What
-    /// it has out there shows in reports; of a cold budget nothing is taken over: it may still be using it.
+    /// Restores the learned state of the predecessor for executors that the list has named here too. The predecessor's pushes in flight
+    /// show up in load reports. Its warm-up budget is not taken over, since it may still be using it.
     pub fn recall(&mut self, now: Time, memory: Memory) {
         if memory.categories.len() != self.learned.len() {
             return;
@@ -161,7 +159,7 @@
             let disabled = e.disabled.and(old.disabled).or(e.disabled);
             *e =
                 Executor { active, domain, kind, cell, own, disabled, seen_at, draw, turn, sent: 0.0, ..old };
-            (e.conns, e.last_used, e.peer_slots, e.running, e.share) =
+            (e.conns, e.last_used, e.peer_load, e.running, e.share) =
                 (0.0, -self.terms.keepalive, 0.0, 0.0, 0.0);
             e.in_flight.fill(0.0);
             e.reported_at = e.reported_at.min(now);
@@ -172,7 +170,7 @@
     /// Where to send this op: to an executor, not yet (`Hold`), or never (a final answer).
     pub fn place(&mut self, now: Time, op: &mut Op) -> Step {
         if op.closed {
-            // Work that no one waits for is called off, so that it holds up nothing behind it.
+            // A push whose op nobody waits for is cancelled, so that it does not delay the ops queued behind it.
             return match op.pushes.iter().position(|p| p.outcome.is_none() && !p.cancelling) {
                 Some(left) if self.terms.cancel => cancel_push(op, left),
                 _ => Step::Hold,
@@ -191,7 +189,7 @@
         }
     }
 
-    /// What to do after this outcome of a push.
+    /// Records the outcome of a push and returns what to do next with its op.
     pub fn settle(&mut self, now: Time, op: &mut Op, push: usize, outcome: Outcome, values: &[f64]) -> Step {
         let Some(p) = op.pushes.get_mut(push).filter(|p| p.outcome.is_none()) else { return Step::Hold };
         p.outcome = Some(outcome);
@@ -214,7 +212,7 @@
                 self.domains[executor.domain] = (0, 0);
                 self.record_running_time(x, op, ran, Sample::Complete);
             }
-            // A fault of the op: a few change nothing, but an executor that refuses all loses its share.
+            // The op itself is at fault: a few of these change little, but an executor that rejects all ops loses its share.
             Outcome::Unfit => executor.success_rate -= EWMA_GAIN * executor.success_rate,
             Outcome::Full => {
                 executor.success_rate -= EWMA_GAIN * executor.success_rate;
@@ -223,7 +221,7 @@
             }
             Outcome::Error | Outcome::NotConnected | Outcome::Reset | Outcome::Cut => {
                 executor.success_rate -= 2.0 * EWMA_GAIN * executor.success_rate;
-                // One reset may be the connection's alone; and whoever resets is within reach.
+                // One reset may be a fault of the connection alone, and an executor that resets connections is reachable.
                 let maybe_transient = matches!(outcome, Outcome::Reset | Outcome::Cut);
                 let before = std::mem::replace(&mut executor.last_failed, now);
                 if !maybe_transient || before > executor.last_acked {
@@ -243,7 +241,7 @@
         self.place(now, op)
     }
 
-    /// Until when to leave the op alone; `place` is to be asked again then.
+    /// The time at which `place` is to be called again for the op.
     pub fn wait(&self, now: Time, op: &Op) -> Time {
         let last = op.deadline - 2 * self.terms.tick;
         let check = self.categories[op.category].target / CHECKS_PER_TARGET;
@@ -262,7 +260,7 @@
     }
 }
 
-/// Calls a push off; only its outcome decides what comes next.
+/// Cancels a push; what comes next is decided only when its outcome arrives.
 fn cancel_push(op: &mut Op, push: usize) -> Step {
     op.pushes[push].cancelling = true;
     Step::Stop { push }
--- a/crates/dispatch/src/policy/order.rs
+++ b/crates/dispatch/src/policy/order.rs
@@ -1,26 +1,26 @@
-//! Where the next op goes: billiard order, the rules, and what is skipped.
+//! Choice of the executor for the next op: billiard order, eligibility rules, and which executors are skipped.
 
 use super::*;
 
-const MAX_COMPARED: usize = 8; // executors of a domain that a node compares where all nodes hear the same, at the most
-const WAIT_TOLERANCE: f64 = 0.02; // an executor is skipped for a wait so much over the best, in turnovers
-const WARMUP_PART: f64 = 0.45; // of a cold executor's budget: what all nodes together send,
-const MAX_WARMUP_OP: f64 = 0.3; // and what one op may take
-const SAME_DOMAIN_PART: f64 = 0.8; // of what all send: the part of nodes of its own domain, where crossing has a price
-const SETUP_TIME: f64 = 0.6; // what a set-up takes, in turnovers
-const SHED_MIN_LOAD: f64 = 0.5; // use of the fleet up to which all that is over a share is let in,
-const SHED_MAX_LOAD: f64 = 0.7; // and from which on none is
+const MAX_COMPARED: usize = 8; // upper limit of executors that an instance compares per domain where all get the same weights
+const WAIT_TOLERANCE: f64 = 0.02; // an executor is skipped if its wait exceeds the shortest by this, in mean service times
+const WARMUP_PART: f64 = 0.45; // fraction of a warming executor's overload budget that all instances together may send
+const MAX_WARMUP_OP: f64 = 0.3; // fraction of a warming executor's overload budget that one op may take
+const SAME_DOMAIN_PART: f64 = 0.8; // fraction of the warm-up budget for instances of the executor's domain, where crossing has a price
+const SETUP_TIME: f64 = 0.6; // time in which an executor sets up for a key, in mean service times
+const SHED_LO: f64 = 0.5; // fleet utilization up to which all ops over their tenant's quota are admitted
+const SHED_HI: f64 = 0.7; // fleet utilization from which on no op over its tenant's quota is admitted
 
 /// An executor that an op may go to.
 pub(super) struct Candidate {
     pub(super) at: usize,
     wait: f64,
-    pub(super) cost: f64, // the wait with the price of crossing and of running slowly
-    turn: f64,            // its place in the billiard order, (X + Y) / P
+    pub(super) cost: f64, // expected wait plus the prices of crossing domains, connecting and running slowly
+    turn: f64,            // position in billiard order, (X + Y) / P
 }
 
 impl Dispatcher {
-    /// Sends an op that has nothing out: in billiard order among those not well over the least busy.
+    /// Sends an op that has no push in flight to the next executor in billiard order, of those whose wait is close to the shortest.
     pub(super) fn dispatch(&mut self, now: Time, op: &mut Op) -> Step {
         if !self.may_send(now, op) {
             return self.abandon(op, op.limits.over_budget);
@@ -28,12 +28,9 @@
         if now < op.not_before {
             return Step::Hold;
         }
-        // What is over a share must not take what others have a right to.
-        if op.surplus
-            && op.pushes.is_empty()
-            && self.load > SHED_MIN_LOAD + (SHED_MAX_LOAD - SHED_MIN_LOAD) * self.rng.draw()
-        {
-            // Soon enough for a second try to be in time: lateness counts from the first.
+        // Ops over their tenant's quota must not take capacity that other tenants are entitled to.
+        if op.surplus && op.pushes.is_empty() && self.load > SHED_LO + (SHED_HI - SHED_LO) * self.rng.draw() {
+            // A quarter of the target latency leaves time for a client's retry, as lateness counts from the first attempt.
             return self.abandon(op, self.categories[op.category].target / 4);
         }
         let found = self.choose(now, op, true).or_else(|| self.choose(now, op, false));
@@ -67,7 +64,7 @@
         e.conns = if now > e.last_used + self.terms.keepalive { e.in_use() } else { e.conns.max(e.in_use()) };
         e.last_used = now;
         if e.share > 0.0 {
-            // Turns passed over while it was skipped are not made up for in a burst.
+            // Turns that it missed while skipped are not made up for in a burst.
             e.turn = e.turn.max(front * e.share - 1.0) + 1.0;
             self.virtual_time = front.max((e.turn - 1.0) / e.share);
         }
@@ -77,15 +74,15 @@
         Step::Push { executor }
     }
 
-    /// The next in billiard order, least (X + Y) / P, of those where the op would not wait well longer.
+    /// The first in billiard order, least (X + Y) / P, among executors whose cost is within the tolerance of the least.
     pub(super) fn choose(&self, now: Time, op: &Op, strict: bool) -> Option<Candidate> {
         let mut found = self.candidates(now, op, strict);
         let late = |c: &Candidate| self.lateness(now, op, c.at, c.wait) > 0.0;
         let min_cost = found.iter().map(|c| c.cost).fold(f64::INFINITY, f64::min);
         let max_cost = min_cost + self.service_time() * WAIT_TOLERANCE;
         let first = found.iter().position(|c| c.cost <= max_cost)?;
-        // Before it is turned away an op may cross, if that costs less than it is worth; only while nodes are
-        // so few that each knows of the other domains from its own traffic.
+        // An op may cross domains rather than be rejected if that costs less than its value, while so few instances run that each knows the
+        // other domains from its own traffic.
         let enabled = self.terms.nodes <= self.executors.len() && self.terms.cross > 0.0 && !self.overloaded;
         let crosses = |c: &Candidate| self.executors[c.at].domain != self.terms.domain;
         let pays = enabled && self.terms.cross < self.relative_value(op) && late(&found[first]);
@@ -93,8 +90,8 @@
         Some(found.swap_remove(other.unwrap_or(first)))
     }
 
-    /// Where the op may go, in billiard order, or in that of its key; `strict` leaves out other parts of the
-    /// fleet, and those set aside, tried before or without credit.
+    /// Executors that the op may go to, in billiard order or that of its key. `strict` leaves out other partitions of the fleet and
+    /// executors that are ejected, tried before or without retry credit.
     fn candidates(&self, now: Time, op: &Op, strict: bool) -> Vec<Candidate> {
         let category = &self.categories[op.category];
         let mut found = Vec::with_capacity(self.executors.len());
@@ -102,7 +99,7 @@
             if strict && !e.own {
                 continue;
             }
-            // A trial is no place for an op that must not run twice: if it fails, the op is lost.
+            // An executor under probation gets no at-most-once op: if the push fails, the op is lost.
             let unproven = e.probing || e.unstarted[op.category] > 0;
             let risky =
                 if self.effect(op) == Effect::AtMostOnce { unproven } else { e.probing && e.in_use() > 0.0 };
@@ -114,7 +111,7 @@
             }
             let first = f64::from(u8::from(at == self.fastest));
             let turn_floor = e.turn.max(self.virtual_time * e.share - 1.0);
-            // The same executors come first for a key at every instance, each for its share of the keys.
+            // Every instance ranks the same executors first for a key, each executor in proportion to its capacity.
             let key_draw = (mix_bits(op.key ^ e.name_hash) >> 11) as f64 / (1u64 << 53) as f64;
             let turn = match op.key {
                 _ if e.share <= 0.0 => 1e9 + e.turn,
@@ -123,8 +120,8 @@
             };
             found.push(Candidate { at, wait: 0.0, cost: 0.0, turn });
         }
-        // An op that must not run twice goes to who has answered here, if there is one: who has not may fail
-        // all that it gets, and each of many nodes would lose ops to learn it. Few would crowd the first few.
+        // An at-most-once op goes to executors that have acked here, if there are any: others may fail all they get, and each of many
+        // instances would lose ops to find out. With few instances this would crowd the first few executors.
         let proven = |c: &Candidate| self.executors[c.at].last_acked > 0;
         let many_nodes = self.terms.nodes > self.executors.len();
         if many_nodes && strict && self.effect(op) == Effect::AtMostOnce && found.iter().any(proven) {
@@ -132,7 +129,7 @@
         }
         found.sort_unstable_by(|a, b| a.turn.total_cmp(&b.turn));
         if self.terms.live_weights {
-            // All nodes hear the same and would choose alike: each looks at a few, fewer the more they are.
+            // All instances get the same weights and would choose alike: each compares a few executors, fewer the more instances there are.
             let most = (MAX_COMPARED * found.len() / self.terms.nodes).clamp(2, MAX_COMPARED)
                 + found.len() / self.terms.nodes;
             let mut seen = vec![0; self.domains.len()];
@@ -141,16 +138,16 @@
                 seen[self.executors[c.at].domain] <= most
             });
         }
-        // Crossing counts double, for it also lands where this node hears least.
+        // Crossing counts double, as the op also lands in a domain whose load this instance knows least.
         let delay = 2.0 * self.price_as_wait(op, self.terms.cross);
-        // What the op needs is likely kept by those first in its key's order; others set up for it.
+        // The executors first in the key's order likely still hold what the op needs; others have to set up for it.
         let (mut setup, full_setup) = (0.0, if op.key > 0 { SETUP_TIME * self.service_time() } else { 0.0 });
         for c in &mut found {
             let e = &self.executors[c.at];
             c.wait = self.expected_wait(now, op, c.at) + setup;
             setup = (setup + full_setup) / 2.0;
             let crossing = if e.domain == self.terms.domain { 0.0 } else { delay };
-            // Running slower than the target latency allows for counts as waiting.
+            // Running slower than the target latency allows counts as waiting.
             let slowdown = e.pace.exp() / self.warm_share(now, e) - category.stretch.max(1.0);
             let idle = e.conns > e.in_use() && now < e.last_used + self.terms.keepalive * 9 / 10;
             let connect = if idle { 0.0 } else { self.price_as_wait(op, self.terms.handshake) };
@@ -160,19 +157,19 @@
         found
     }
 
-    /// The executor may get this op by the rules: listed, of its kind, in its group, not too cold.
+    /// Whether the rules allow this op at the executor: listed, of the right kind, in deduplication scope, within the warm-up budget.
     fn allowed(&self, now: Time, op: &Op, at: usize) -> bool {
         let e = &self.executors[at];
         let category = &self.categories[op.category];
         if !e.accepts_work() || category.kind.is_some_and(|kind| kind != e.kind) {
             return false;
         }
-        // Beyond what the masks can name nothing is left out.
+        // Kinds and domains beyond bit 63 of the masks share that bit.
         if op.limits.kinds >> e.kind.min(63) & 1 == 0 || op.limits.domains >> e.domain.min(63) & 1 == 0 {
             return false;
         }
         if let (Effect::Deduplicated { scope, .. }, Some(p)) = (self.effect(op), op.may_have_run()) {
-            // A repeat outside the group would take effect twice.
+            // Executors outside the scope don't know the first run, so a repeat there would take effect twice.
             let before = &self.executors[p.executor];
             let domain = scope == Scope::Domain && before.domain != e.domain;
             if domain || (scope == Scope::Cell && before.cell != e.cell) {
@@ -180,13 +177,13 @@
             }
         }
         if e.started.is_some_and(|at| now < at + self.terms.warm_within) {
-            // All nodes together must not push a cold executor over. Each earns its part of the budget as
-            // time passes; where that is a fraction of an op, chance says which nodes may send one and when,
-            // or all would send their first at once. No op may be so heavy that a few of them break it.
+            // All instances together must not overload a warming executor. Each earns its part of the budget as time passes. Where that is
+            // less than one op, a random draw decides which instances may send one and when; otherwise all would send their first op at
+            // once. No op may be so heavy that a few of them overload it.
             let (warm, work) = (self.warm_share(now, e), self.slot_time(op, at));
             let budget = self.warmup_budget * self.slots[e.kind];
             let periods = (now - e.seen_at) as f64 / self.warmup_budget_period as f64;
-            // Nodes of other domains hardly use theirs: dealt out evenly, most of it never warms anyone.
+            // Instances of other domains hardly use their part: divided evenly, most of the budget would never warm any executor.
             let domains = self.domains.len() as f64;
             let (local, priced) = (e.domain == self.terms.domain, self.terms.cross > 0.0 && domains > 1.0);
             let part = if local { SAME_DOMAIN_PART } else { (1.0 - SAME_DOMAIN_PART) / (domains - 1.0) };
--- a/crates/dispatch/src/state.rs
+++ b/crates/dispatch/src/state.rs
@@ -57,7 +57,7 @@
     pub last_used: Time,
     /// Slots held there by peers, as they last told.
     #[serde(rename = "told")]
-    pub peer_slots: f64,
+    pub peer_load: f64,
     /// Its latest start; `None`: long past.
     pub started: Option<Time>,
     /// Log of its running times over the fleet's.
