--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,7 +1,7 @@
-//! stileroute decides, beside each submitter, which executor gets which op.
+//! stileroute runs next to each submitter and decides which executor gets which op.
 //!
-//! [`policy`] holds every decision; [`types`] holds the plain types it is started with; [`settings`] reads
-//! them from the settings object; [`peers`] holds what instances tell one another.
+//! [`policy`] makes every decision; [`types`] has the plain types of its settings, inputs and decisions; [`settings`]
+//! reads them from the settings object; [`state`] is the learned state; [`peers`] has the messages between instances.
 
 pub mod peers;
 pub mod policy;
--- a/crates/dispatch/src/peers.rs
+++ b/crates/dispatch/src/peers.rs
@@ -1,32 +1,33 @@
-//! What instances tell one another: the form of a message, and what each peer told last. Nothing is decided here.
+//! Messages between instances: their encoding, and the last state reported by each peer. No decision is made here.
 //!
-//! A message is a version byte, the number of tenants whose rates follow (none, or all), two bytes a rate (tenths of
-//! an op a second), then entries of three bytes: the low half of an executor's mark, and the slots that the sender
-//! holds there or, with the top bit set, a category that it barred there. 256 bytes at most. The newest entry
-//! counts and a lost one is made good by the next; what can't be read is counted and dropped whole.
+//! A message is a version byte, the number of tenants whose rates follow (none, or all), two bytes a rate (tenths of an
+//! op a second), then entries of three bytes: the low 16 bits of the hash of an executor's name, and the slots that the
+//! sender uses there or, with the top bit set, a category that it has blocked there. A message has 256 bytes at most.
+//! The newest entry counts, and a lost one is made good by the next; a message that can't be decoded is counted and
+//! dropped completely.
 
 use crate::types::{Letter, Terms, Time, SECOND};
 use std::collections::BTreeMap;
 
 const VERSION: u8 = 1;
-/// The longest message.
+/// Upper limit of a message's length, in bytes.
 pub const LONGEST: usize = 256;
 const BLOCKED_BIT: u8 = 128;
-/// Rates are told so often.
+/// Interval at which tenants' rates are sent to peers.
 const RATE_REPORT_INTERVAL: Time = 2 * SECOND;
-/// A peer that said nothing for so long holds nothing.
+/// A peer that has sent nothing for this long is taken to use no slots.
 const PEER_TIMEOUT: Time = 6 * SECOND;
 
-/// What a message says of an executor, by its index here.
+/// What a message reports of an executor, which is named by its index at this instance.
 #[derive(Debug, PartialEq)]
 pub enum PeerUpdate {
-    /// So many more slots are held there by the peer than it told before.
+    /// Change in the number of slots that the peer uses at the executor since its previous report.
     Held(usize, f64),
-    /// The peer barred this category there.
+    /// The peer has blocked this category at the executor.
     Blocked(usize, usize),
 }
 
-/// What a peer told last: when, its tenants' rates, and the slots that it holds.
+/// The last state reported by a peer: its time, the tenants' rates, and the slots in use by executor.
 #[derive(Default)]
 struct Peer {
     last_heard: Time,
@@ -40,40 +41,41 @@
     allowed: bool,
     me: usize,
     nodes: usize,
-    /// Instances of the same number modulo this are peers.
+    /// Instances whose numbers are equal modulo this are peers.
     partitions: usize,
     tenants: usize,
     peers: BTreeMap<usize, Peer>,
-    /// Executors by what messages call them.
-    index: BTreeMap<u16, usize>,
-    /// What has changed since peers were told.
+    /// Executors by the low 16 bits of the hash of their names, as messages name them.
+    ids: BTreeMap<u16, usize>,
+    /// Changes that have not been sent to peers yet.
     pending: Vec<(usize, Option<usize>)>,
     sent_at: Time,
     rates_sent_at: Time,
-    /// Bad messages so far.
+    /// Number of malformed messages so far.
     pub garbled: u64,
 }
 
 impl Peers {
-    /// The peers of an instance, none of which has told anything yet.
+    /// Creates the peers of an instance, none of which has reported anything yet.
     pub fn new(terms: &Terms, partitions: usize, tenants: usize) -> Peers {
         let (allowed, me, nodes) = (terms.peers, terms.me, terms.nodes);
         Peers { allowed, me, nodes, partitions, tenants, ..Peers::default() }
     }
 
-    /// The list has named an executor: messages call it by its mark.
+    /// Adds an executor that the list has named, under the hash by which messages name it.
     pub fn add_executor(&mut self, mark: u64, executor: usize) {
-        self.index.insert(mark as u16, executor);
+        self.ids.insert(mark as u16, executor);
     }
 
-    /// Slots held at an executor have changed, or a category was barred there.
+    /// Records that the slots used at an executor have changed, or that a category was blocked there.
     pub fn record_change(&mut self, executor: usize, barred: Option<usize>) {
         if self.allowed {
             self.pending.push((executor, barred));
         }
     }
 
-    /// The messages that are due, `every` so often at most; `of` tells an executor's mark and the slots held there.
+    /// The messages that are due, at most one per `interval`; `executor_state` gives the hash of an executor's name and
+    /// the slots used there.
     pub fn due_messages(
         &mut self,
         now: Time,
@@ -94,7 +96,7 @@
         for rate in rates {
             text.extend(((rate * 10.0).min(65_535.0) as u16).to_le_bytes());
         }
-        // What has no room waits for the next.
+        // Entries that exceed the message's length wait for the next message.
         let capacity = (LONGEST - text.len()) / 3;
         for (executor, barred) in self.pending.drain(..self.pending.len().min(capacity)) {
             let (mark, held) = executor_state(executor);
@@ -111,7 +113,8 @@
         peers.map(|peer| Letter { to: Some(peer), text: text.clone() }).collect()
     }
 
-    /// Takes in a message. Executors that the own list has not named are left out: nothing may be sent there.
+    /// Decodes a message. Entries for executors that this instance's own list has not named are dropped, as nothing may
+    /// be sent there.
     pub fn heard(&mut self, now: Time, from: usize, text: &[u8]) -> Vec<PeerUpdate> {
         let known = self.allowed && from < self.nodes && from != self.me;
         let rates = 2 * text.get(1).map_or(0, |rates| usize::from(*rates));
@@ -130,9 +133,7 @@
         }
         let mut updates = Vec::with_capacity(entries.len() / 3);
         for entry in entries.chunks(3) {
-            let Some(&executor) = self.index.get(&u16::from_le_bytes([entry[0], entry[1]])) else {
-                continue;
-            };
+            let Some(&executor) = self.ids.get(&u16::from_le_bytes([entry[0], entry[1]])) else { continue };
             updates.push(if entry[2] >= BLOCKED_BIT {
                 PeerUpdate::Blocked(executor, usize::from(entry[2] - BLOCKED_BIT))
             } else {
@@ -143,7 +144,7 @@
         updates
     }
 
-    /// What peers held that have said nothing for long: they are gone, or cut off.
+    /// Releases the slots of peers that have been silent past the time-out, because they stopped or are partitioned.
     pub fn expire_silent_peers(&mut self, now: Time) -> Vec<PeerUpdate> {
         let mut updates = Vec::new();
         self.peers.retain(|_, peer| {
@@ -158,7 +159,7 @@
         updates
     }
 
-    /// A tenant's rate over all instances, as far as this one and its peers tell; none where nobody told.
+    /// A tenant's rate over all instances, estimated from this one and its peers; `None` if no peer has reported.
     pub fn rate(&self, tenant: usize, own: f64) -> Option<f64> {
         let reported = self.peers.values().filter_map(|peer| peer.rates.get(tenant));
         let (sum, count) = reported.fold((own, 1), |(sum, count), rate| (sum + rate, count + 1));
--- a/crates/dispatch/src/policy/hear.rs
+++ b/crates/dispatch/src/policy/hear.rs
@@ -52,7 +52,7 @@
     /// Updates the executor list; `whole` replaces all that was known.
     pub fn list(&mut self, now: Time, whole: bool, lines: &[Listed]) {
         if std::mem::take(&mut self.consecutive_rejections) > 0 {
-            self.log.push("list: followed again".to_string());
+            self.log.push("list: subscribed again".to_string());
         }
         self.subscribe_at = if self.subscribe_at > 0 { Time::MAX } else { 0 };
         if whole {
@@ -106,7 +106,7 @@
         let least = SECOND * (100 + nodes) / 100;
         let spread = (least << self.consecutive_rejections).min(least.max(SECOND * nodes / 2)) as f64;
         self.subscribe_at = now + SECOND / 4 + (self.rng.draw() * spread) as Time;
-        self.log.push("list: call refused, will ask again".to_string());
+        self.log.push("list: call refused, will subscribe again".to_string());
     }
 
     /// Records that a push has started or made progress; `done` is the fraction of its work done, where that is reported.
--- a/crates/dispatch/src/policy/order.rs
+++ b/crates/dispatch/src/policy/order.rs
@@ -43,7 +43,7 @@
         if (!self.overloaded && self.hopeless_rate > 0.2) || (self.overloaded && self.hopeless_rate < 0.05) {
             self.overloaded = !self.overloaded;
             let (word, part) = (if self.overloaded { "begins" } else { "ends" }, self.hopeless_rate);
-            self.log.push(format!("overload {word}: {part:.2} turned away, wait {:.0} ms", wait / 10.0));
+            self.log.push(format!("overload {word}: {part:.2} of ops rejected, wait {:.0} ms", wait / 10.0));
         }
         if hopeless {
             return self.abandon(op, wait as Time);
--- a/crates/dispatch/src/settings.rs
+++ b/crates/dispatch/src/settings.rs
@@ -1,21 +1,21 @@
-//! The settings object that an instance is given at start, read into the library's plain types.
+//! The settings object that an instance gets at start, parsed into the library's plain types.
 //!
 //! Both the simulator's adapter and the node get this object, with the same names and units.
 
 use crate::types::{Category, Effect, Gauge, Scope, Tariff, Terms, Time};
 use serde::Deserialize;
 
-/// Nanoseconds in one of the library's time units.
-pub const UNIT: i64 = 100_000;
+/// Nanoseconds in one unit of [`Time`].
+pub const NS_PER_UNIT: i64 = 100_000;
 
-/// A clock time or deadline, rounded towards the past.
-pub fn down(ns: i64) -> Time {
-    ns.div_euclid(UNIT)
+/// Converts a clock time or deadline in nanoseconds to [`Time`], rounded down so that it never lies later.
+pub fn floor_time(ns: i64) -> Time {
+    ns.div_euclid(NS_PER_UNIT)
 }
 
-/// A clock time or span, rounded towards the future.
-pub fn up(ns: i64) -> Time {
-    -(-ns).div_euclid(UNIT)
+/// Converts a clock time or duration in nanoseconds to [`Time`], rounded up so that it never lies earlier.
+pub fn ceil_time(ns: i64) -> Time {
+    -(-ns).div_euclid(NS_PER_UNIT)
 }
 
 /// The settings object of a deployment, as it is posted to each instance.
@@ -25,13 +25,13 @@
     balancers: usize,
     #[serde(default)]
     benefit_by: String,
-    caps: Caps,
-    categories: Vec<Grade>,
+    caps: Capabilities,
+    categories: Vec<PostedCategory>,
     #[serde(default)]
     discovery: String,
     #[serde(default)]
-    extra: Extra,
-    /// Names of the failure domains and of the kinds of executor, by index.
+    extra: ExtraSettings,
+    /// Names of the failure domains, by index.
     #[serde(default)]
     pub failure_domains: Vec<String>,
     /// Names of the kinds of executor, by index.
@@ -46,39 +46,39 @@
     #[serde(default)]
     prices: Prices,
     #[serde(default)]
-    report: Report,
+    report: LoadReport,
     rules: Rules,
     #[serde(default)]
-    score_parts: Parts,
-    #[serde(default = "whole")]
+    score_parts: ScoreParts,
+    #[serde(default = "full_benefit")]
     surplus_benefit: f64,
-    /// The tenants, by index.
+    /// The tenants that share the fleet, by index.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
     #[serde(default)]
     weight_kind: String,
 }
 
-fn whole() -> f64 {
+fn full_benefit() -> f64 {
     1.0
 }
 
-/// Who shares the fleet with others.
+/// A tenant that shares the fleet with others.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     #[serde(default)]
     pub name: String,
     #[serde(default)]
     quota_per_s: f64,
 }
 
-// Each is a key of the settings object.
+// Each switch is a key of the settings object.
 #[allow(clippy::struct_excessive_bools)]
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-struct Caps {
+struct Capabilities {
     #[serde(default)]
     peers: bool,
     #[serde(default)]
@@ -98,7 +98,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-struct Grade {
+struct PostedCategory {
     #[serde(default)]
     name: String,
     #[serde(default)]
@@ -119,7 +119,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
-struct Extra {
+struct ExtraSettings {
     class_kind: Vec<i64>,
     class_priority: Vec<i64>,
     class_stretch: Vec<f64>,
@@ -139,7 +139,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct Report {
+struct LoadReport {
     names: Vec<String>,
 }
 
@@ -154,7 +154,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
-struct Parts {
+struct ScoreParts {
     worst_class: f64,
     tail: f64,
 }
@@ -162,7 +162,7 @@
 impl Posted {
     /// Names of the categories, by index.
     pub fn categories(&self) -> Vec<String> {
-        self.categories.iter().map(|grade| grade.name.clone()).collect()
+        self.categories.iter().map(|category| category.name.clone()).collect()
     }
 
     /// Names of the values of a load report, in their order.
@@ -170,59 +170,60 @@
         self.report.names.clone()
     }
 
-    /// The longest that a client waits, by category.
+    /// The longest time that a client waits for an op, by category.
     pub fn ttls(&self) -> Vec<Time> {
-        self.categories.iter().map(|grade| up(grade.ttl_ns)).collect()
+        self.categories.iter().map(|category| ceil_time(category.ttl_ns)).collect()
     }
 
-    /// How long a connection may take to come up, and how long an idle one is kept; zero where not told.
+    /// Time-out for opening a connection, and how long an idle one is kept; zero where not given.
     pub fn connection_times(&self) -> (Time, Time) {
-        (down(self.caps.dial_timeout_ns), down(self.caps.keepalive_ns))
+        (floor_time(self.caps.dial_timeout_ns), floor_time(self.caps.keepalive_ns))
     }
 
-    /// The settings in the library's types.
+    /// Converts the settings object to the library's types.
     ///
     /// # Errors
     ///
     /// A text that names the key and what is wrong with its value.
     pub fn tariff(&self) -> Result<Tariff, String> {
         let mut categories = Vec::new();
-        for (at, grade) in self.categories.iter().enumerate() {
-            let effect = match grade.semantics.as_str() {
+        for (index, category) in self.categories.iter().enumerate() {
+            let effect = match category.semantics.as_str() {
                 "repeatable" => Effect::Redeliverable,
                 "once" => Effect::AtMostOnce,
                 "by_key" => Effect::Deduplicated {
-                    scope: match grade.key_scope.as_str() {
+                    scope: match category.key_scope.as_str() {
                         "all" => Scope::All,
                         "zone" => Scope::Domain,
                         "cell" => Scope::Cell,
                         other => return Err(format!("key-scope: unknown value '{other}'")),
                     },
-                    window: down(grade.window_ns),
+                    window: floor_time(category.window_ns),
                 },
                 other => return Err(format!("semantics: unknown value '{other}'")),
             };
             categories.push(Category {
-                target: down(grade.target_latency_ns),
-                stretch: self.extra.class_stretch.get(at).copied().unwrap_or(grade.aim_stretch),
+                target: floor_time(category.target_latency_ns),
+                stretch: self.extra.class_stretch.get(index).copied().unwrap_or(category.aim_stretch),
                 effect,
-                benefit: grade.benefit,
-                late: grade.late_benefit,
-                kind: self.extra.class_kind.get(at).and_then(|k| usize::try_from(*k).ok()),
-                priority: self.extra.class_priority.get(at).copied().unwrap_or(0),
+                benefit: category.benefit,
+                late: category.late_benefit,
+                kind: self.extra.class_kind.get(index).and_then(|k| usize::try_from(*k).ok()),
+                priority: self.extra.class_priority.get(index).copied().unwrap_or(0),
             });
         }
         if self.me >= self.balancers.max(1) {
             return Err(format!("me: {} of {} instances", self.me, self.balancers));
         }
-        let parts = [("surplus-benefit", self.surplus_benefit), ("score-parts.tail", self.score_parts.tail)];
-        if let Some((key, value)) = parts.into_iter().find(|(_, value)| !(0.0..=1.0).contains(value)) {
+        let fractions =
+            [("surplus-benefit", self.surplus_benefit), ("score-parts.tail", self.score_parts.tail)];
+        if let Some((key, value)) = fractions.into_iter().find(|(_, value)| !(0.0..=1.0).contains(value)) {
             return Err(format!("{key}: not from 0 to 1: {value}"));
         }
         let quotas = self.tenants.iter().map(|tenant| ("tenants.quota-per-s", tenant.quota_per_s));
         let prices = [("prices.handshake", self.prices.handshake), ("prices.peer", self.prices.peer)];
-        let wrong = |(_, value): &(&str, f64)| !value.is_finite() || *value < 0.0;
-        if let Some((key, value)) = quotas.chain(prices).find(wrong) {
+        let invalid = |(_, value): &(&str, f64)| !value.is_finite() || *value < 0.0;
+        if let Some((key, value)) = quotas.chain(prices).find(invalid) {
             return Err(format!("{key}: not a number from 0 on: {value}"));
         }
         if self.prices.handshake > 0.0 && self.caps.keepalive_ns <= 0 {
@@ -239,25 +240,25 @@
         let caps = &self.caps;
         let terms = Terms {
             domain: self.my_zone,
-            tick: up(self.granularity_ns).max(1),
+            tick: ceil_time(self.granularity_ns).max(1),
             cancel: caps.cancel,
             second_copies: caps.parallel_tries,
-            come_back: if caps.retry_after { down(caps.max_retry_after_ns) } else { 0 },
+            come_back: if caps.retry_after { floor_time(caps.max_retry_after_ns) } else { 0 },
             max_pushes: caps.max_pushes,
             subscribe: self.discovery == "subscribe",
-            tip_after: up(self.rules.tip_after_ns),
+            tip_after: ceil_time(self.rules.tip_after_ns),
             start_share: self.rules.start_capacity,
-            warm_within: up(self.rules.warm_within_ns),
+            warm_within: ceil_time(self.rules.warm_within_ns),
             live_weights: self.weight_kind == "live",
             by_priority: self.extra.queue_order == "priority",
             by_work: self.benefit_by == "work",
-            progress: down(self.extra.progress_ns),
+            progress: floor_time(self.extra.progress_ns),
             cross: self.prices.cross_zone,
             worst_category: self.score_parts.worst_class,
             me: self.me,
             nodes: self.balancers.max(1),
             handshake: self.prices.handshake,
-            keepalive: down(caps.keepalive_ns),
+            keepalive: floor_time(caps.keepalive_ns),
             peers: caps.peers,
             price_peer: self.prices.peer,
             surplus: self.surplus_benefit,
--- a/crates/dispatch/src/state.rs
+++ b/crates/dispatch/src/state.rs
@@ -1,23 +1,24 @@
-//! What an instance keeps of each executor and each category for as long as it knows them; what lives as long as an
-//! op or a push is in `types.rs`. Nothing is decided here.
+//! State that an instance keeps of each executor and each category for as long as it knows them; state of a single op
+//! or push is in `types.rs`. No decision is made here.
 
 use crate::types::{Time, SECOND};
 use serde::{Deserialize, Serialize};
 
-/// What an instance has learned, for the one that takes its place. Another version reads what it knows of it.
+/// The learned state that an instance hands to its successor. A successor of another version reads the fields that it
+/// knows.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Memory {
-    /// Each category, by index.
+    /// Learned state of each category, by index.
     pub categories: Vec<Learned>,
-    /// Slots of an executor, by kind.
+    /// Estimated slots of an executor, by kind.
     pub slots: Vec<f64>,
-    /// Each executor, by index.
+    /// State of each executor, by index.
     pub executors: Vec<Executor>,
-    /// Part of an executor's slots that others hold in the long run, over the fleet.
+    /// Long-run mean fraction of an executor's slots that other instances use, over the fleet.
     #[serde(rename = "usual")]
     pub other_load: f64,
-    /// Mean slots of an op.
+    /// Mean number of slots that an op takes.
     pub slots_per_op: f64,
     /// Mean time between arrivals.
     #[serde(rename = "gap")]
@@ -27,103 +28,103 @@
     pub mean_square_gap: f64,
 }
 
-/// One executor, as long as the list has named it.
+/// State of one executor, kept for as long as the list names it.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Executor {
-    /// The list says that it takes work.
+    /// The list says that the executor accepts work.
     pub active: bool,
-    /// Since when it is taken out by hand, whatever the list says.
+    /// Time at which an operator disabled the executor; it gets no work then, whatever the list says.
     pub disabled: Option<Time>,
-    /// Its failure domain.
+    /// Failure domain of the executor.
     pub domain: usize,
-    /// What kind of machine it is.
+    /// Index of the kind of machine.
     pub kind: usize,
-    /// The cell in which it drops repeats.
+    /// Deduplication cell: its executors drop repeats of one another's ops.
     pub cell: usize,
-    /// Hash of its name.
+    /// Hash of the executor's name.
     #[serde(rename = "mark")]
     pub name_hash: u64,
-    /// Its slots, as the list tells them.
+    /// Number of slots of the executor, as the list gives it.
     pub size: f64,
-    /// In the part of the fleet over which this instance solves.
+    /// The executor belongs to the partition of the fleet over which this instance solves the split.
     #[serde(rename = "mine")]
     pub own: bool,
-    /// Own connections there, as far as known.
+    /// Open connections of this instance to the executor, as far as known.
     #[serde(rename = "lines")]
     pub conns: f64,
-    /// When one of them was last used.
+    /// Time at which one of these connections was last used.
     #[serde(rename = "touched")]
     pub last_used: Time,
-    /// Slots held there by peers, as they last told.
+    /// Slots that peers use at the executor, as they last reported.
     #[serde(rename = "told")]
     pub peer_load: f64,
-    /// Its latest start; `None`: long past.
+    /// Time of the latest start; `None` if long past.
     pub started: Option<Time>,
-    /// Log of its running times over the fleet's.
+    /// Mean log of the executor's running times relative to the fleet's.
     pub pace: f64,
-    /// Samples of `pace` so far.
+    /// Number of samples of `pace` so far.
     pub samples: f64,
-    /// Spread of the log of its running times.
+    /// Variance of the log of the executor's running times.
     #[serde(rename = "spread")]
     pub variance: f64,
-    /// Part of its pushes that it has served, as a running mean.
+    /// Moving average of the fraction of pushes that the executor served.
     #[serde(rename = "served")]
     pub success_rate: f64,
-    /// Further pushes that it has earned by answers.
+    /// Retry credit that the executor has earned by acks; a retry there costs one.
     pub credit: f64,
-    /// Until when it is set aside.
+    /// Time until which the executor is ejected.
     #[serde(rename = "aside")]
     pub ejected_until: Time,
-    /// It gets a single op, to see whether it is well again.
+    /// The executor is on probation after an ejection: it gets a single op that shows whether it has recovered.
     #[serde(rename = "trial")]
     pub probing: bool,
-    /// When it last answered.
+    /// Time of the executor's last ack.
     #[serde(rename = "acked")]
     pub last_acked: Time,
-    /// When a push to it last failed: an error, no connection, or one that broke.
+    /// Time at which a push to the executor last failed: by an error, a refused connection or a broken one.
     #[serde(rename = "reset")]
     pub last_failed: Time,
-    /// Own slots out there, by category.
+    /// Slots that this instance's pushes take at the executor, by category.
     #[serde(rename = "out")]
     pub in_flight: Vec<f64>,
-    /// Until when it gets no more of a category: it does not start what it has of it.
+    /// Time until which the executor gets no ops of a category because it does not start them, by category.
     #[serde(rename = "barred")]
     pub blocked: Vec<Time>,
-    /// How often it left a category unstarted of late, by category; halved by each start.
+    /// How often the executor recently failed to start an op, by category; halved by each start.
     #[serde(rename = "missed")]
     pub unstarted: Vec<u32>,
-    /// Own slots that run there.
+    /// Slots in which ops of this instance are running.
     pub running: f64,
-    /// Slots held there by others, when last heard.
+    /// Slots used by other instances, by the latest report.
     #[serde(rename = "others")]
     pub other_slots: f64,
-    /// Slots held there by others in the long run; below zero: not known.
+    /// Long-run mean of the slots used by other instances; negative if unknown.
     #[serde(rename = "usual")]
     pub mean_others: f64,
-    /// When that was last heard.
+    /// Time of the latest load report.
     #[serde(rename = "heard")]
     pub reported_at: Time,
-    /// What the last news counts against the usual load: less where all nodes act on the same.
+    /// Weight of the latest report against the long-run mean; lower where all instances react to the same report.
     #[serde(rename = "trust")]
     pub report_weight: f64,
-    /// When its latest start was heard of.
+    /// Time at which this instance learned of the executor's latest start.
     #[serde(rename = "known")]
     pub seen_at: Time,
-    /// Work sent since its latest start.
+    /// Work that this instance has sent since the executor's latest start.
     #[serde(rename = "spent")]
     pub sent: f64,
-    /// This instance's random part of the cold budget.
+    /// Random draw that decides when this instance may spend its part of the executor's warm-up budget.
     #[serde(rename = "luck")]
     pub draw: f64,
-    /// The fraction of own ops that it is to get, as last solved.
+    /// Fraction of this instance's ops that the executor is to get, as of the last solve.
     pub share: f64,
-    /// Its turn in the billiard order.
+    /// Position of the executor in billiard order.
     pub turn: f64,
 }
 
 impl Executor {
-    /// One that the list names for the first time.
+    /// State of an executor that the list names for the first time.
     pub fn new(now: Time, turn: f64, credit: f64, categories: usize, keepalive: Time) -> Executor {
         Executor {
             variance: std::f64::consts::LN_2,
@@ -140,45 +141,45 @@
         }
     }
 
-    /// It may be given work.
+    /// Whether the executor may be given work.
     pub fn accepts_work(&self) -> bool {
         self.active && self.disabled.is_none()
     }
 
-    /// It starts over: cold, with nothing held and nothing known against it.
+    /// Resets the executor's state after a restart: cold, with no slots in use and no failures counted.
     pub fn restart(&mut self, now: Time, started: Option<Time>, draw: f64) {
         self.started = started;
         (self.other_slots, self.mean_others, self.running, self.success_rate) = (0.0, -1.0, 0.0, 1.0);
         (self.probing, self.ejected_until, self.seen_at, self.sent, self.draw) = (false, now, now, 0.0, draw);
     }
 
-    /// Own slots out there, of all categories.
+    /// Slots that this instance's pushes take at the executor, over all categories.
     pub fn in_use(&self) -> f64 {
         self.in_flight.iter().sum()
     }
 }
 
-/// One category as learned: log and mean of its running time for one unit of hint.
+/// Learned running times, arrivals and waits of one category.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Learned {
-    /// Mean log of the running time for one unit of hint.
+    /// Mean log of the running time per unit of hint.
     #[serde(rename = "norm")]
     pub mean_log_time: f64,
-    /// Mean running time for one unit of hint.
+    /// Mean running time per unit of hint.
     pub mean: f64,
-    /// Samples so far.
+    /// Number of running-time samples so far.
     pub samples: f64,
-    /// Its part of the ops that arrive, as a running mean.
+    /// Moving average of the category's fraction of all arrivals.
     #[serde(rename = "rate")]
     pub fraction: f64,
-    /// Running mean of the work of an op, in units of the hint.
+    /// Moving average of the work of an op, in units of the hint.
     #[serde(rename = "base")]
     pub work: f64,
-    /// Running mean of the waits that were expected.
+    /// Moving average of the expected waits.
     #[serde(rename = "guessed")]
     pub expected_wait: f64,
-    /// Running mean of the waits that were seen.
+    /// Moving average of the observed waits.
     #[serde(rename = "waited")]
     pub observed_wait: f64,
 }
--- a/crates/dispatch/src/types.rs
+++ b/crates/dispatch/src/types.rs
@@ -1,166 +1,166 @@
-//! The plain types that an instance is started with and told of; no decision is taken here.
+//! Plain types for the settings of an instance, its inputs and its decisions. No decision is made here.
 
-/// Whole tenths of a millisecond on the clock of the instance, or a span of them.
+/// A clock time or a duration, in tenths of a millisecond.
 pub type Time = i64;
 
-/// One second.
+/// One second in units of [`Time`].
 pub const SECOND: Time = 10_000;
 
-/// Which executors drop a repeat of a deduplicated op.
+/// Which executors recognise and drop a repeat of a deduplicated op.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Scope {
     /// Every executor.
     All,
     /// The executors of one failure domain.
     Domain,
-    /// The executors of one cell.
+    /// The executors of one deduplication cell.
     Cell,
 }
 
 /// What a second run of an op would do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// Nothing: it may run any number of times.
+    /// The op is idempotent: it may run any number of times.
     Redeliverable,
-    /// Nothing, where the executors in `scope` still know the first run: they do so for `window`.
+    /// A second run has no effect on executors in `scope` that still remember the first one; they do so for `window`.
     Deduplicated {
-        /// Which executors know it.
+        /// Which executors remember the first run.
         scope: Scope,
-        /// For how long.
+        /// How long they remember it.
         window: Time,
     },
-    /// Harm: it must not run twice.
+    /// A second run would do harm, so the op must not run twice.
     AtMostOnce,
 }
 
-/// One category of ops.
+/// A category of ops with the same latency target, effect and benefit.
 #[derive(Clone, Debug)]
 pub struct Category {
-    /// Target latency, to which `stretch` times the op's own work is added.
+    /// Fixed part of the target latency; `stretch` times the op's own running time is added to it.
     pub target: Time,
-    /// How many times its own work is added to the target latency.
+    /// Factor of the op's own running time in the target latency.
     pub stretch: f64,
-    /// What a second run does.
+    /// What a second run of an op of this category would do.
     pub effect: Effect,
-    /// What an answer in time earns.
+    /// Benefit of an answer within the target latency.
     pub benefit: f64,
-    /// The part of the benefit that a late answer still earns.
+    /// Fraction of the benefit that a late answer still earns.
     pub late: f64,
-    /// The only kind of executor that runs it, if not any.
+    /// The only kind of executor that runs this category; `None` if every kind does.
     pub kind: Option<usize>,
-    /// Rank in the executors' queues, where they serve by priority; the highest first.
+    /// Priority in the executors' queues, where they serve by priority; the highest is served first.
     pub priority: i64,
 }
 
-/// One value of a load report.
+/// Meaning of one value of a load report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Gauge {
     /// Ops at the executor, waiting or running.
     Held,
-    /// Ops in its queue.
+    /// Ops in the executor's queue.
     Waiting,
-    /// Slots in use.
+    /// Fraction of the executor's slots in use.
     Busy,
-    /// Slots that are free.
+    /// Number of free slots.
     FreeSlots,
-    /// Memory that is free.
+    /// Units of free memory.
     FreeMemory,
-    /// Something that no decision uses.
+    /// A value that no decision uses.
     Other,
 }
 
-/// What holds for the whole life of an instance just as it is read.
-// The switches are independent of one another, each a key of the settings object.
+/// Settings that stay unchanged while an instance runs.
+// The switches are independent of one another; each is a key of the settings object.
 #[allow(clippy::struct_excessive_bools)]
 #[derive(Clone, Debug, Default)]
 pub struct Terms {
-    /// The failure domain of this instance.
+    /// Failure domain of this instance.
     pub domain: usize,
-    /// The granularity of the clock.
+    /// Granularity of the clock.
     pub tick: Time,
-    /// A push can be called off.
+    /// A push can be cancelled.
     pub cancel: bool,
-    /// An op may be out at two executors at once.
+    /// Hedging is allowed: an op may be at two executors at once.
     pub second_copies: bool,
-    /// The longest come-back time that clients heed; zero where none may be given.
+    /// The longest retry-after time that clients honour; zero where none may be given.
     pub come_back: Time,
-    /// Pushes that an op may have.
+    /// The most pushes that an op may have.
     pub max_pushes: usize,
-    /// The list of executors comes by subscription.
+    /// The executor list comes by subscription.
     pub subscribe: bool,
-    /// How long a cold executor must be overloaded to fall.
+    /// How long a cold executor has to be overloaded before it fails.
     pub tip_after: Time,
-    /// Share of its capacity that a cold executor starts with.
+    /// Fraction of its capacity that a cold executor starts with.
     pub start_share: f64,
-    /// The time by which an executor is warm.
+    /// Time after its start in which an executor becomes warm.
     pub warm_within: Time,
-    /// Weights in the list fall with what an executor holds.
+    /// Weights in the executor list fall with an executor's current load.
     pub live_weights: bool,
     /// Executors serve their queue by the categories' priority.
     pub by_priority: bool,
     /// Benefit counts for each unit of work, not for each op.
     pub by_work: bool,
-    /// Time between progress notes; zero where there are none.
+    /// Interval of progress notes; zero where there are none.
     pub progress: Time,
     /// Price of a push that crosses failure domains, in parts of an op.
     pub cross: f64,
-    /// Weight of the worst-served category in the result.
+    /// Weight of the worst-served category in the score.
     pub worst_category: f64,
     /// Number of this instance.
     pub me: usize,
-    /// How many instances there are.
+    /// Number of instances.
     pub nodes: usize,
     /// Price of a new connection, in parts of an op.
     pub handshake: f64,
-    /// How long an idle connection is kept.
+    /// How long an idle connection is kept open.
     pub keepalive: Time,
-    /// Instances may tell one another what they see.
+    /// Instances may send one another messages about what they observe.
     pub peers: bool,
     /// Price of 256 bytes delivered to a peer, in parts of an op.
     pub price_peer: f64,
-    /// The part of its benefit that an op over its tenant's share keeps.
+    /// Fraction of its benefit that an op over its tenant's quota keeps.
     pub surplus: f64,
-    /// Weight of the tail in the result, in which an op that is let in and ends late costs others too.
+    /// Weight of the latency tail in the score; with it an admitted op that ends late costs other ops too.
     pub tail: f64,
 }
 
-/// All that is read at start. The instance derives its few figures from it and drops it.
+/// All settings read at start. The instance derives its parameters from them and does not keep them.
 #[derive(Clone, Debug, Default)]
 pub struct Tariff {
-    /// What holds for the whole life of the instance.
+    /// Settings that stay unchanged while the instance runs.
     pub terms: Terms,
     /// The categories of ops, by index.
     pub categories: Vec<Category>,
-    /// Ops a second within the share of each tenant, over all instances.
+    /// Quota of each tenant over all instances, in ops a second.
     pub quotas: Vec<f64>,
-    /// How many times its capacity an executor has to be given to be overloaded.
+    /// An executor is overloaded by this multiple of its capacity.
     pub overload_factor: f64,
-    /// What the values of a load report are, in their order.
+    /// Meaning of each value of a load report, in their order.
     pub gauges: Vec<Gauge>,
 }
 
-/// What an op may do less than its category allows. It comes in with the op and holds to its end.
+/// Per-op limits that narrow what the category allows. They are set when the op arrives and hold until its end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Pushes that the op may have.
+    /// The most pushes that the op may have.
     pub pushes: usize,
-    /// Most time of a push that has not started.
+    /// The longest time for which a push may be out without having started.
     pub no_start: Time,
-    /// Most time without news of a push that has started.
+    /// The longest time that a started push may go without a progress note.
     pub no_progress: Time,
-    /// Before a further push; the random part on top of it is as long times `pause_spread` at most.
+    /// Backoff before a retry; a random part of up to `pause_spread` times as long is added.
     pub pause: Time,
-    /// The random part of the pause, in parts of `pause`.
+    /// The most that the random part of the backoff may be, relative to `pause`.
     pub pause_spread: f64,
-    /// After so long a second copy goes out, where the settings allow any.
+    /// A hedged request is sent after this time, where the settings allow hedging.
     pub copy_after: Time,
-    /// Kinds and failure domains that it may go to, a bit each.
+    /// Bit mask of the kinds of executor that the op may go to.
     pub kinds: u64,
-    /// Failure domains that it may go to, a bit each.
+    /// Bit mask of the failure domains that the op may go to.
     pub domains: u64,
-    /// A narrower effect than its category's.
+    /// An effect narrower than the category's.
     pub effect: Option<Effect>,
-    /// No further push is left for now: what is given up is told to come back after this. Zero: there is one.
+    /// Retry-after time given to an abandoned op while the retry budget is used up; zero while a retry is left.
     pub over_budget: Time,
 }
 
@@ -181,58 +181,60 @@
     }
 }
 
-/// An op as it arrives.
+/// A request to dispatch an op, as it arrives.
 #[derive(Clone, Copy, Debug)]
 pub struct Ask {
-    /// Index of its category.
+    /// Index of the op's category.
     pub category: usize,
-    /// Slots that it takes at an executor.
+    /// Slots that the op takes at an executor.
     pub slots: f64,
-    /// Memory that it takes there.
+    /// Units of memory that the op takes at an executor.
     pub memory: f64,
-    /// How much work it is, where its client says so.
+    /// Expected work of the op, where the client gives it.
     pub hint: Option<Time>,
-    /// When its client stops waiting.
+    /// The time at which the client stops waiting.
     pub deadline: Time,
-    /// What it may do less than its category allows.
+    /// Per-op limits that narrow what the category allows.
     pub limits: Limits,
-    /// Index of the tenant whose share it counts against.
+    /// Index of the tenant whose quota the op counts against.
     pub tenant: usize,
-    /// What the op is about, as a hash, where an executor sets up for it and keeps that a while; else zero.
+    /// Hash of the resource for which an executor sets up and which it then keeps for a while (cache affinity); zero
+    /// where there is none.
     pub key: u64,
 }
 
 /// How a push ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// Done.
+    /// The executor completed the op.
     Acked,
-    /// The executor answered that it failed.
+    /// The executor answered that the op failed.
     Error,
-    /// The executor had no room; it never ran.
+    /// The executor had no capacity; the op never ran.
     Full,
     /// No answer came in time.
     TimedOut,
-    /// No connection came up; it never ran.
+    /// No connection could be opened; the op never ran.
     NotConnected,
-    /// The connection was reset after it was written.
+    /// The connection was reset after the op was written.
     Reset,
-    /// It was called off.
+    /// The push was cancelled.
     Cancelled,
-    /// It was called off before it started; it never ran.
+    /// The push was cancelled before it started; the op never ran.
     Moot,
-    /// Kept back before anything of it was written, for its executor was taken out by hand.
+    /// The push was held back before any byte was written, because an operator disabled its executor.
     Withheld,
-    /// The connection broke under it before it was written to its end: it never ran.
+    /// The connection broke before the op was written completely; the op never ran.
     Cut,
-    /// The connection ended under it, as one does that was idle: it may have run, and blames no one.
+    /// The connection closed under the push, as an idle one does: the op may have run, and this counts against no
+    /// executor.
     Broken,
-    /// Refused for what the op itself is: final, for every executor would refuse it.
+    /// The executor rejected the op for what it is; final, since every executor would reject it.
     Unfit,
 }
 
 impl Outcome {
-    /// The op provably never ran in this push.
+    /// Whether the op provably never ran in this push.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -241,20 +243,20 @@
     }
 }
 
-/// One push of an op.
+/// One push of an op to an executor.
 #[derive(Clone, Debug, Default)]
 pub struct Push {
     /// Index of the executor.
     pub executor: usize,
-    /// How it ended; `None` while it is out.
+    /// How the push ended; `None` while it is in flight.
     pub outcome: Option<Outcome>,
     pub(crate) sent: Time,
     pub(crate) started: Option<Time>,
     pub(crate) noted_at: Time,
     pub(crate) cancelling: bool,
-    /// Its silence was held against the executor.
+    /// Its lack of progress has been counted against the executor.
     pub(crate) blamed: bool,
-    /// Wait expected when it was sent, not yet corrected.
+    /// Wait for a start that was expected when the push was sent, before the correction by observed waits.
     pub(crate) expected_wait: f64,
 }
 
@@ -262,7 +264,7 @@
     fn may_have_run(&self) -> bool {
         self.outcome.is_none_or(|outcome| !outcome.never_ran())
     }
-    /// When it has been without a start, or without news, for as long as it may.
+    /// The time at which the push exceeds its limit without a start, or without a progress note.
     pub(crate) fn due_at(&self, limits: &Limits) -> Time {
         match self.started {
             None => self.sent.saturating_add(limits.no_start),
@@ -271,44 +273,44 @@
     }
 }
 
-/// One op, from its arrival to the outcome of its last push.
+/// An op, from its arrival to the outcome of its last push.
 #[derive(Clone, Debug, Default)]
 pub struct Op {
-    /// Its pushes, in the order in which they left.
+    /// The op's pushes, in the order in which they were sent.
     pub pushes: Vec<Push>,
-    /// It has its final answer, or nobody waits for it any more.
+    /// The op has its final answer, or nobody waits for it any more.
     pub closed: bool,
-    /// Index of its category.
+    /// Index of the op's category.
     pub category: usize,
     pub(crate) slots: f64,
     pub(crate) work: f64,
     pub(crate) arrived_at: Time,
-    /// When its client stops waiting.
+    /// The time at which the client stops waiting.
     pub deadline: Time,
-    /// What it may do less than its category allows.
+    /// Per-op limits that narrow what the category allows.
     pub limits: Limits,
-    /// No further push before this.
+    /// No retry is sent before this time.
     pub(crate) not_before: Time,
     pub(crate) key: u64,
-    /// Over its tenant's share.
+    /// The op is over its tenant's quota.
     pub(crate) surplus: bool,
 }
 
 impl Op {
-    /// Pushes that are still out.
+    /// Whether any push is still in flight.
     pub fn out(&self) -> bool {
         self.pushes.iter().any(|p| p.outcome.is_none())
     }
-    /// Pushes made, without those that operators kept from leaving.
+    /// Number of pushes sent, without those held back by an operator's order.
     pub(crate) fn pushes_sent(&self) -> usize {
         self.pushes.iter().filter(|p| p.outcome != Some(Outcome::Withheld)).count()
     }
-    /// No one will wait beyond this: the instance itself is to end.
+    /// Brings the deadline forward to `at`, because the instance itself shuts down then.
     pub fn end_by(&mut self, at: Time) {
         self.deadline = self.deadline.min(at);
     }
-    /// Until when the latest push may leave: beyond that its client is gone, or the executors no longer drop
-    /// it as a repeat of one that may have run.
+    /// The latest time at which the newest push may be sent. After that the client is gone, or the executors no longer
+    /// recognise it as a repeat of a push that may have run.
     pub fn leave_by(&self, effect: Effect) -> Time {
         let before = self.pushes.split_last().map_or(&[][..], |(_, before)| before);
         match (effect, before.iter().find(|p| p.may_have_run())) {
@@ -316,80 +318,80 @@
             _ => self.deadline,
         }
     }
-    /// A push that may have run, or may still.
+    /// The first push that has run or may have run.
     pub(crate) fn may_have_run(&self) -> Option<&Push> {
         self.pushes.iter().find(|p| p.may_have_run())
     }
 }
 
-/// One line of the list of executors, under the index given at the door.
+/// One entry of the executor list, under the index that the adapter assigned.
 #[derive(Clone, Copy, Debug)]
 pub struct Listed {
     /// Index of the executor.
     pub executor: usize,
-    /// Its failure domain.
+    /// Failure domain of the executor.
     pub domain: usize,
-    /// What kind of machine it is.
+    /// Index of the kind of machine.
     pub kind: usize,
-    /// The cell in which it drops repeats.
+    /// Deduplication cell: its executors drop repeats of one another's ops.
     pub cell: usize,
-    /// It takes work.
+    /// The executor accepts work.
     pub active: bool,
-    /// Its weight or size, as the list tells it.
+    /// Weight or size of the executor, as the list gives it.
     pub weight: f64,
-    /// A hash of its name, the same at every instance.
+    /// Hash of the executor's name, the same at every instance.
     pub mark: u64,
-    /// Latest start; `None` means long past.
+    /// Time of the latest start; `None` if long past.
     pub started: Option<Time>,
 }
 
-/// What the instance is to do with an op now.
+/// What the caller has to do with an op now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
-    /// Send it to this executor.
+    /// Send the op to this executor.
     Push {
         /// Index of the executor.
         executor: usize,
     },
-    /// Call this push off, then ask again.
+    /// Cancel this push, then call `place` again.
     Stop {
         /// Index among the op's pushes.
         push: usize,
     },
-    /// Nothing now.
+    /// Do nothing for now.
     Hold,
-    /// Final: turned away, a retry is harmless; come back after this long (zero: no advice).
+    /// Final answer: rejected, and a retry by the client is harmless.
     Nack {
-        /// How long to stay away.
+        /// How long the client is to wait before it retries; zero gives no advice.
         come_back: Time,
     },
-    /// Final: failed, nothing promised.
+    /// Final answer: failed, and the op may have run.
     DeadLetter,
 }
 
-/// A hash of a name that is the same at every instance (FNV-1a, its bits then mixed).
+/// Hash of a name that is the same at every instance (FNV-1a, with its bits mixed afterwards).
 pub fn mark(name: &str) -> u64 {
-    let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01B3);
-    mix_bits(name.bytes().fold(0xCBF2_9CE4_8422_2325, step))
+    let add_byte = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01B3);
+    mix_bits(name.bytes().fold(0xCBF2_9CE4_8422_2325, add_byte))
 }
 
-/// Spreads the bits of a number over all of it.
+/// Mixes the bits of a number so that each input bit affects all of them.
 pub(crate) fn mix_bits(mut bits: u64) -> u64 {
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     bits = (bits ^ (bits >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
     bits ^ (bits >> 31)
 }
 
-/// What an instance has for others: to one of them by its number, or to all.
+/// A message to one peer or to all of them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Letter {
-    /// Number of the instance; `None`: all.
+    /// Number of the receiving instance; `None` means all peers.
     pub to: Option<usize>,
     /// The encoded message.
     pub text: Vec<u8>,
 }
 
-/// A permuted congruential generator: the same seed gives the same draws.
+/// A permuted congruential generator; the same seed gives the same draws.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pcg32(u64);
 
@@ -399,7 +401,7 @@
         rng.draw();
         rng
     }
-    /// From 0 up to 1.
+    /// Draws a number from 0 up to, but not including, 1.
     pub(crate) fn draw(&mut self) -> f64 {
         let old = self.0;
         self.0 = old.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
--- a/crates/dispatch/tests/policy.rs
+++ b/crates/dispatch/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for the decisions.
+//! Decision tests of the dispatcher, mostly tables of cases.
 
 use stileroute_dispatch::policy::{split, Dispatcher};
 use stileroute_dispatch::types::*;
@@ -23,13 +23,19 @@
     }
 }
 
-const DEDUPLICATED: Effect = Effect::Deduplicated { scope: Scope::Domain, window: SECOND };
-const EVERYWHERE: Effect = Effect::Deduplicated { scope: Scope::All, window: SECOND };
-const BY_CELL: Effect = Effect::Deduplicated { scope: Scope::Cell, window: SECOND };
+const DEDUPLICATED_BY_DOMAIN: Effect = Effect::Deduplicated { scope: Scope::Domain, window: SECOND };
+const DEDUPLICATED_EVERYWHERE: Effect = Effect::Deduplicated { scope: Scope::All, window: SECOND };
+const DEDUPLICATED_BY_CELL: Effect = Effect::Deduplicated { scope: Scope::Cell, window: SECOND };
 
 /// Categories 0 to 4: redeliverable, deduplicated by domain, everywhere and by cell, at-most-once.
-fn tariff(terms: Terms) -> Tariff {
-    let effects = [Effect::Redeliverable, DEDUPLICATED, EVERYWHERE, BY_CELL, Effect::AtMostOnce];
+fn dispatch_settings(terms: Terms) -> Tariff {
+    let effects = [
+        Effect::Redeliverable,
+        DEDUPLICATED_BY_DOMAIN,
+        DEDUPLICATED_EVERYWHERE,
+        DEDUPLICATED_BY_CELL,
+        Effect::AtMostOnce,
+    ];
     Tariff {
         terms,
         categories: effects.into_iter().map(category).collect(),
@@ -39,7 +45,7 @@
     }
 }
 
-fn line(executor: usize) -> Listed {
+fn list_entry(executor: usize) -> Listed {
     Listed {
         executor,
         domain: executor % 2,
@@ -53,17 +59,17 @@
 }
 
 /// An instance that knows `count` warm executors of four slots, alternating between two domains.
-fn desk(terms: Terms, seed: u64, count: usize) -> Dispatcher {
-    let mut desk = Dispatcher::new(&tariff(terms), seed);
-    let lines: Vec<Listed> = (0..count).map(line).collect();
-    desk.list(0, true, &lines);
+fn warm_dispatcher(terms: Terms, seed: u64, count: usize) -> Dispatcher {
+    let mut dispatcher = Dispatcher::new(&dispatch_settings(terms), seed);
+    let lines: Vec<Listed> = (0..count).map(list_entry).collect();
+    dispatcher.list(0, true, &lines);
     for executor in 0..count {
-        (0..20).for_each(|_| desk.report(0, executor, &[0.0, 4.0]));
+        (0..20).for_each(|_| dispatcher.report(0, executor, &[0.0, 4.0]));
     }
-    desk
+    dispatcher
 }
 
-fn ask(category: usize) -> Ask {
+fn request(category: usize) -> Ask {
     Ask {
         category,
         slots: 1.0,
@@ -76,19 +82,19 @@
     }
 }
 
-fn pushed(step: Step) -> usize {
+fn pushed_executor(step: Step) -> usize {
     match step {
         Step::Push { executor } => executor,
         other => panic!("expected a push, got {other:?}"),
     }
 }
 
-/// Sends one op at `now` that is acked after `ran`; where it went.
-fn serve(desk: &mut Dispatcher, now: Time, category: usize, ran: Time) -> usize {
-    let mut op = desk.arrive(now, Ask { deadline: now + 20 * SECOND, ..ask(category) });
-    let executor = pushed(desk.place(now, &mut op));
-    desk.note(now, &mut op, 0, true, 0.0);
-    assert_eq!(desk.settle(now + ran, &mut op, 0, Outcome::Acked, &[0.0, 4.0]), Step::Hold);
+/// Sends one op at `now` that is acked after `ran`, and returns the executor that it went to.
+fn run_op(dispatcher: &mut Dispatcher, now: Time, category: usize, ran: Time) -> usize {
+    let mut op = dispatcher.arrive(now, Ask { deadline: now + 20 * SECOND, ..request(category) });
+    let executor = pushed_executor(dispatcher.place(now, &mut op));
+    dispatcher.note(now, &mut op, 0, true, 0.0);
+    assert_eq!(dispatcher.settle(now + ran, &mut op, 0, Outcome::Acked, &[0.0, 4.0]), Step::Hold);
     executor
 }
 
@@ -100,24 +106,24 @@
         ("unequal, by hand", &[2.0, 1.0, 1.0], 0.6, &[0.62394, 0.18803, 0.18803]),
         ("clamped", &[8.0, 1.0], 0.6, &[1.0, 0.0]),
         ("one", &[5.0], 0.6, &[1.0]),
-        ("no spare: by rate alone", &[3.0, 1.0], 1.0, &[0.75, 0.25]),
+        ("no idle capacity: by rate alone", &[3.0, 1.0], 1.0, &[0.75, 0.25]),
         ("one is gone", &[1.0, 0.0, 1.0], 0.6, &[0.5, 0.0, 0.5]),
         ("none", &[0.0, 0.0], 0.6, &[0.0, 0.0]),
     ];
-    for (name, rates, target_use, wanted) in cases {
+    for (name, rates, target_use, expected) in cases {
         let ones = vec![1.0; rates.len()];
-        // The clock's unit scales all rates alike and must not matter.
+        // The unit of the clock scales all rates alike and must not change the shares.
         for unit in [1.0, 1e-4] {
             let scaled: Vec<f64> = rates.iter().map(|r| r * unit).collect();
             let shares = split(&scaled, &ones, &ones, 1.0, target_use);
-            for (share, want) in shares.iter().zip(wanted) {
+            for (share, want) in shares.iter().zip(expected) {
                 assert!((share - want).abs() < 1e-4, "{name}: {shares:?}");
             }
             let sum: f64 = shares.iter().sum();
             assert!(name == "none" || (sum - 1.0).abs() < 1e-9, "{name}: sums to {sum}");
         }
     }
-    // A dearer or more variable executor gets less.
+    // An executor with a higher cost or a more variable service time gets a smaller share.
     let even = [1.0, 1.0];
     assert!(split(&even, &even, &[4.0, 1.0], 1.0, 0.6)[0] < 0.5);
     assert!(split(&even, &[4.0, 1.0], &even, 1.0, 0.6)[0] < 0.5);
@@ -126,32 +132,32 @@
 #[test]
 fn equal_executors_take_even_turns_and_a_new_one_no_burst() {
     for seed in 0..5 {
-        let mut desk = desk(terms(), seed, 4);
+        let mut dispatcher = warm_dispatcher(terms(), seed, 4);
         let mut counts = [0; 5];
         for n in 0..40 {
-            counts[serve(&mut desk, n * SECOND / 4, 0, 100)] += 1;
+            counts[run_op(&mut dispatcher, n * SECOND / 4, 0, 100)] += 1;
         }
         assert!(counts[..4].iter().all(|c| (8..=12).contains(c)), "seed {seed}: {counts:?}");
-        desk.list(10 * SECOND, false, &[line(4)]);
+        dispatcher.list(10 * SECOND, false, &[list_entry(4)]);
         let mut late = 0;
         for n in 0..10 {
-            late += usize::from(serve(&mut desk, 10 * SECOND + n * SECOND / 4, 0, 100) == 4);
+            late += usize::from(run_op(&mut dispatcher, 10 * SECOND + n * SECOND / 4, 0, 100) == 4);
         }
-        assert!((1..=4).contains(&late), "seed {seed}: {late} of 10 to the new one");
+        assert!((1..=4).contains(&late), "seed {seed}: {late} of 10 ops to the new executor");
     }
 }
 
 #[test]
 fn a_slow_executor_gets_a_smaller_share() {
-    let mut desk = desk(terms(), 3, 3);
+    let mut dispatcher = warm_dispatcher(terms(), 3, 3);
     let mut counts = [0; 3];
     for n in 0..200 {
         let now = n * SECOND / 4;
-        let mut op = desk.arrive(now, Ask { deadline: now + 20 * SECOND, ..ask(0) });
-        let executor = pushed(desk.place(now, &mut op));
-        desk.note(now, &mut op, 0, true, 0.0);
+        let mut op = dispatcher.arrive(now, Ask { deadline: now + 20 * SECOND, ..request(0) });
+        let executor = pushed_executor(dispatcher.place(now, &mut op));
+        dispatcher.note(now, &mut op, 0, true, 0.0);
         let ran = if executor == 0 { 2500 } else { 1000 };
-        desk.settle(now + ran, &mut op, 0, Outcome::Acked, &[]);
+        dispatcher.settle(now + ran, &mut op, 0, Outcome::Acked, &[]);
         counts[executor] += usize::from(n >= 40);
     }
     assert!(counts[0] * 2 < counts[1], "{counts:?}");
@@ -159,20 +165,20 @@
 
 #[test]
 fn each_effect_keeps_its_rule_after_each_outcome() {
-    // What follows an outcome: a further push, a nack or a dead letter.
+    // What follows an outcome: a retry, a nack or a dead letter.
     let ran = [Outcome::Error, Outcome::Reset, Outcome::TimedOut, Outcome::Cancelled];
     let never = [Outcome::Full, Outcome::NotConnected, Outcome::Moot];
     for outcome in ran.into_iter().chain(never) {
         for kind in 0..5 {
-            let mut desk = desk(terms(), 7, 4);
-            let mut op = desk.arrive(0, ask(kind));
-            let first = pushed(desk.place(0, &mut op));
-            let step = desk.settle(MS, &mut op, 0, outcome, &[]);
+            let mut dispatcher = warm_dispatcher(terms(), 7, 4);
+            let mut op = dispatcher.arrive(0, request(kind));
+            let first = pushed_executor(dispatcher.place(0, &mut op));
+            let step = dispatcher.settle(MS, &mut op, 0, outcome, &[]);
             match (kind, ran.contains(&outcome)) {
                 (4, true) => assert_eq!(step, Step::DeadLetter, "{outcome:?}: may have run once"),
-                (1, true) => assert_eq!(pushed(step) % 2, first % 2, "{outcome:?}: same domain"),
-                (3, true) => assert_eq!(pushed(step) / 2, first / 2, "{outcome:?}: same cell"),
-                _ => assert_ne!(pushed(step), first, "{outcome:?} of category {kind}: elsewhere"),
+                (1, true) => assert_eq!(pushed_executor(step) % 2, first % 2, "{outcome:?}: same domain"),
+                (3, true) => assert_eq!(pushed_executor(step) / 2, first / 2, "{outcome:?}: same cell"),
+                _ => assert_ne!(pushed_executor(step), first, "{outcome:?} of category {kind}: elsewhere"),
             }
         }
     }
@@ -180,17 +186,17 @@
 
 #[test]
 fn a_deduplicated_op_is_not_resent_after_its_window() {
-    for (kind, wanted) in [(1, Step::DeadLetter), (2, Step::Nack { come_back: 0 })] {
-        let mut desk = desk(terms(), 7, 4);
-        let mut op = desk.arrive(0, ask(kind));
-        pushed(desk.place(0, &mut op));
-        assert_eq!(desk.settle(SECOND, &mut op, 0, Outcome::Error, &[]), wanted);
+    for (kind, expected) in [(1, Step::DeadLetter), (2, Step::Nack { come_back: 0 })] {
+        let mut dispatcher = warm_dispatcher(terms(), 7, 4);
+        let mut op = dispatcher.arrive(0, request(kind));
+        pushed_executor(dispatcher.place(0, &mut op));
+        assert_eq!(dispatcher.settle(SECOND, &mut op, 0, Outcome::Error, &[]), expected);
     }
 }
 
 #[test]
-fn a_push_may_not_leave_after_its_window_or_its_time() {
-    // Category, outcome of the first push, until when the second may leave.
+fn a_push_is_not_sent_after_its_window_or_its_deadline() {
+    // Category, outcome of the first push, latest time at which the second push may be sent.
     let cases = [
         (2, Outcome::Error, SECOND),
         (2, Outcome::Full, 9 * SECOND),
@@ -198,12 +204,16 @@
         (4, Outcome::NotConnected, 9 * SECOND),
     ];
     for (category, outcome, by) in cases {
-        let mut desk = desk(terms(), 1, 4);
-        let mut op = desk.arrive(0, Ask { deadline: 9 * SECOND, ..ask(category) });
-        pushed(desk.place(0, &mut op));
-        assert_eq!(op.leave_by(tariff(terms()).categories[category].effect), 9 * SECOND);
-        pushed(desk.settle(100, &mut op, 0, outcome, &[]));
-        assert_eq!(op.leave_by(tariff(terms()).categories[category].effect), by, "{category} {outcome:?}");
+        let mut dispatcher = warm_dispatcher(terms(), 1, 4);
+        let mut op = dispatcher.arrive(0, Ask { deadline: 9 * SECOND, ..request(category) });
+        pushed_executor(dispatcher.place(0, &mut op));
+        assert_eq!(op.leave_by(dispatch_settings(terms()).categories[category].effect), 9 * SECOND);
+        pushed_executor(dispatcher.settle(100, &mut op, 0, outcome, &[]));
+        assert_eq!(
+            op.leave_by(dispatch_settings(terms()).categories[category].effect),
+            by,
+            "{category} {outcome:?}"
+        );
         op.end_by(SECOND / 2);
         assert_eq!(op.leave_by(Effect::AtMostOnce), SECOND / 2);
     }
@@ -213,56 +223,56 @@
 fn every_op_ends_before_its_ttl() {
     let harmless = [true, false, true, false, false];
     for (kind, harmless) in harmless.into_iter().enumerate() {
-        let mut desk = desk(Terms { cancel: false, ..terms() }, 1, 2);
-        let mut op = desk.arrive(0, Ask { deadline: SECOND, ..ask(kind) });
-        pushed(desk.place(0, &mut op));
-        desk.note(MS, &mut op, 0, true, 0.0);
+        let mut dispatcher = warm_dispatcher(Terms { cancel: false, ..terms() }, 1, 2);
+        let mut op = dispatcher.arrive(0, Ask { deadline: SECOND, ..request(kind) });
+        pushed_executor(dispatcher.place(0, &mut op));
+        dispatcher.note(MS, &mut op, 0, true, 0.0);
         let mut now = MS;
         let last = loop {
-            let next = desk.wait(now, &op);
+            let next = dispatcher.wait(now, &op);
             assert!(next > now && next < SECOND);
             now = next;
-            let step = desk.place(now, &mut op);
+            let step = dispatcher.place(now, &mut op);
             if step != Step::Hold {
                 break step;
             }
         };
         assert!(now < SECOND && op.closed);
         assert_eq!(last, if harmless { Step::Nack { come_back: 0 } } else { Step::DeadLetter });
-        // The late outcome of an answered op leads to nothing.
-        assert_eq!(desk.settle(2 * SECOND, &mut op, 0, Outcome::Error, &[]), Step::Hold);
+        // The late outcome of an op that has its final answer causes no further step.
+        assert_eq!(dispatcher.settle(2 * SECOND, &mut op, 0, Outcome::Error, &[]), Step::Hold);
     }
 }
 
 #[test]
-fn nothing_goes_to_a_drained_or_dropped_executor() {
-    let mut desk = desk(terms(), 5, 4);
-    desk.list(MS, false, &[Listed { active: false, ..line(1) }]);
-    assert!((0..20).all(|n| serve(&mut desk, MS + n * SECOND / 4, 0, 100) != 1));
-    // A whole list replaces what was known.
-    desk.list(6 * SECOND, true, &[line(2)]);
-    assert!((0..8).all(|n| serve(&mut desk, 6 * SECOND + n * SECOND / 4, 0, 100) == 2));
-    desk.list(9 * SECOND, true, &[]);
-    let mut op = desk.arrive(9 * SECOND, ask(0));
-    assert_eq!(desk.place(9 * SECOND, &mut op), Step::Hold);
+fn nothing_goes_to_a_draining_or_unlisted_executor() {
+    let mut dispatcher = warm_dispatcher(terms(), 5, 4);
+    dispatcher.list(MS, false, &[Listed { active: false, ..list_entry(1) }]);
+    assert!((0..20).all(|n| run_op(&mut dispatcher, MS + n * SECOND / 4, 0, 100) != 1));
+    // A complete list replaces all that was known.
+    dispatcher.list(6 * SECOND, true, &[list_entry(2)]);
+    assert!((0..8).all(|n| run_op(&mut dispatcher, 6 * SECOND + n * SECOND / 4, 0, 100) == 2));
+    dispatcher.list(9 * SECOND, true, &[]);
+    let mut op = dispatcher.arrive(9 * SECOND, request(0));
+    assert_eq!(dispatcher.place(9 * SECOND, &mut op), Step::Hold);
     let mut now = 9 * SECOND;
     while !op.closed {
-        now = desk.wait(now, &op);
-        assert!(now <= 9 * SECOND + 2500, "kept with nothing out");
-        assert!(matches!(desk.place(now, &mut op), Step::Hold | Step::Nack { .. }));
+        now = dispatcher.wait(now, &op);
+        assert!(now <= 9 * SECOND + 2500, "the op was kept with no push in flight");
+        assert!(matches!(dispatcher.place(now, &mut op), Step::Hold | Step::Nack { .. }));
     }
 }
 
 #[test]
 fn a_cold_executor_gets_no_more_than_its_part_of_the_budget() {
-    let mut desk = desk(terms(), 5, 1);
-    desk.list(0, false, &[Listed { started: Some(1), ..line(1) }]);
+    let mut dispatcher = warm_dispatcher(terms(), 5, 1);
+    dispatcher.list(0, false, &[Listed { started: Some(1), ..list_entry(1) }]);
     // Half of 3 times a fifth of four slots for a second, shared by two nodes.
     let budget = 0.5 * 3.0 * 0.25 * 4.0 * SECOND as f64 / 2.0;
     let mut work = 0.0;
     for n in 0..60 {
-        let mut op = desk.arrive(n * MS, ask(0));
-        if desk.place(n * MS, &mut op) == (Step::Push { executor: 1 }) {
+        let mut op = dispatcher.arrive(n * MS, request(0));
+        if dispatcher.place(n * MS, &mut op) == (Step::Push { executor: 1 }) {
             work += 1000.0;
         }
     }
@@ -270,73 +280,80 @@
 }
 
 #[test]
-fn a_failing_executor_is_set_aside_and_comes_back() {
-    let mut desk = desk(terms(), 5, 2);
+fn a_failing_executor_is_ejected_and_returns() {
+    let mut dispatcher = warm_dispatcher(terms(), 5, 2);
     let mut bad = 0;
     for n in 0..200 {
         let now = n * SECOND / 10;
-        let mut op = desk.arrive(now, ask(0));
-        let executor = pushed(desk.place(now, &mut op));
+        let mut op = dispatcher.arrive(now, request(0));
+        let executor = pushed_executor(dispatcher.place(now, &mut op));
         let failing = executor == 0 && n < 100;
         bad += usize::from(failing);
-        desk.note(now, &mut op, 0, true, 0.0);
-        desk.settle(now + MS, &mut op, 0, if failing { Outcome::Error } else { Outcome::Acked }, &[]);
+        dispatcher.note(now, &mut op, 0, true, 0.0);
+        dispatcher.settle(now + MS, &mut op, 0, if failing { Outcome::Error } else { Outcome::Acked }, &[]);
     }
-    assert!((1..=6).contains(&bad), "{bad} ops met the failing executor");
-    let back = (0..20).filter(|n| serve(&mut desk, 20 * SECOND + n * SECOND / 4, 0, MS) == 0).count();
-    assert!(back >= 5, "{back} of 20 after it recovered");
+    assert!((1..=6).contains(&bad), "{bad} ops went to the failing executor");
+    let after_recovery =
+        (0..20).filter(|n| run_op(&mut dispatcher, 20 * SECOND + n * SECOND / 4, 0, MS) == 0).count();
+    assert!(after_recovery >= 5, "{after_recovery} of 20 after it recovered");
 }
 
 #[test]
 fn an_op_stuck_on_a_silent_executor_is_moved() {
     for copies in [false, true] {
-        let mut desk = desk(Terms { second_copies: copies, ..terms() }, 5, 2);
-        let mut op = desk.arrive(0, Ask { hint: Some(3 * SECOND), deadline: 20 * SECOND, ..ask(0) });
-        let first = pushed(desk.place(0, &mut op));
-        desk.note(0, &mut op, 0, true, 0.0);
-        let now = desk.wait(0, &op);
+        let mut dispatcher = warm_dispatcher(Terms { second_copies: copies, ..terms() }, 5, 2);
+        let mut op =
+            dispatcher.arrive(0, Ask { hint: Some(3 * SECOND), deadline: 20 * SECOND, ..request(0) });
+        let first = pushed_executor(dispatcher.place(0, &mut op));
+        dispatcher.note(0, &mut op, 0, true, 0.0);
+        let now = dispatcher.wait(0, &op);
         assert!(now >= 2 * SECOND, "progress is due each second");
-        let step = desk.place(now, &mut op);
+        let step = dispatcher.place(now, &mut op);
         if copies {
-            assert_ne!(pushed(step), first);
+            assert_ne!(pushed_executor(step), first);
         } else {
-            // Never two at once: the first is called off and owes its outcome before the next.
+            // Never two pushes at once: the first is cancelled, and its outcome has to arrive before the next
+            // is sent.
             assert_eq!(step, Step::Stop { push: 0 });
-            assert_eq!(desk.place(now, &mut op), Step::Hold);
-            assert_ne!(pushed(desk.settle(now + MS, &mut op, 0, Outcome::Cancelled, &[])), first);
+            assert_eq!(dispatcher.place(now, &mut op), Step::Hold);
+            assert_ne!(
+                pushed_executor(dispatcher.settle(now + MS, &mut op, 0, Outcome::Cancelled, &[])),
+                first
+            );
         }
     }
 }
 
 #[test]
 fn an_op_that_cannot_be_in_time_is_nacked_at_once() {
-    let mut desk = desk(Terms { come_back: 2 * SECOND, ..terms() }, 5, 2);
+    let mut dispatcher = warm_dispatcher(Terms { come_back: 2 * SECOND, ..terms() }, 5, 2);
     let mut last = Step::Hold;
     for n in 0..200 {
-        let mut op: Op = desk.arrive(n, ask(0));
-        last = desk.place(n, &mut op);
+        let mut op: Op = dispatcher.arrive(n, request(0));
+        last = dispatcher.place(n, &mut op);
         if let Step::Nack { come_back } = last {
             assert!(come_back > 0 && come_back <= 2 * SECOND && op.pushes.is_empty());
             return;
         }
     }
-    panic!("never full: {last:?}");
+    panic!("no op was rejected, last step: {last:?}");
 }
 
 #[test]
 fn the_list_is_subscribed_to_again_after_a_refusal() {
-    let mut desk = desk(Terms { subscribe: true, ..terms() }, 5, 2);
-    assert!(desk.upkeep(0));
-    desk.refused(MS, false);
-    assert!(!desk.upkeep(2 * MS), "not at once: all nodes would call together");
-    assert!(desk.upkeep(2 * SECOND));
-    desk.list(3 * SECOND, false, &[]);
-    assert!(!desk.upkeep(30 * SECOND), "subscribed");
+    let mut dispatcher = warm_dispatcher(Terms { subscribe: true, ..terms() }, 5, 2);
+    assert!(dispatcher.upkeep(0));
+    dispatcher.refused(MS, false);
+    assert!(!dispatcher.upkeep(2 * MS), "not at once: all nodes would call together");
+    assert!(dispatcher.upkeep(2 * SECOND));
+    dispatcher.list(3 * SECOND, false, &[]);
+    assert!(!dispatcher.upkeep(30 * SECOND), "subscribed");
 }
 
 #[test]
-fn whoever_is_turned_away_asks_less_often_the_more_nodes_there_are() {
-    // Nodes, calls turned away in a row, whether they were, and the longest wait then, in seconds.
+fn the_list_backoff_grows_with_rejections_and_nodes() {
+    // Nodes, list calls rejected in a row, whether for lack of capacity, and the longest wait after that in
+    // seconds.
     let cases = [
         (2, 6, true, 1.27),
         (48, 1, true, 3.21),
@@ -344,11 +361,11 @@
         (48, 9, true, 24.25),
         (48, 9, false, 1.73),
     ];
-    for (nodes, calls, away, most) in cases {
+    for (nodes, calls, capacity_rejection, most) in cases {
         let waits = (0..200).map(|seed| {
-            let mut desk = desk(Terms { nodes, subscribe: true, ..terms() }, seed, 4);
-            (0..calls).for_each(|_| desk.refused(0, away));
-            (0..).map(|n| n * SECOND / 20).find(|at| desk.upkeep(*at)).unwrap() as f64 / SECOND as f64
+            let mut dispatcher = warm_dispatcher(Terms { nodes, subscribe: true, ..terms() }, seed, 4);
+            (0..calls).for_each(|_| dispatcher.refused(0, capacity_rejection));
+            (0..).map(|n| n * SECOND / 20).find(|at| dispatcher.upkeep(*at)).unwrap() as f64 / SECOND as f64
         });
         let waits: Vec<f64> = waits.collect();
         let (least, longest) =
@@ -358,74 +375,78 @@
             "{nodes} {calls}: {least} {longest}"
         );
     }
-    // One list, and it counts from the beginning.
-    let mut desk = desk(Terms { nodes: 48, subscribe: true, ..terms() }, 1, 4);
-    (0..9).for_each(|_| desk.refused(0, true));
-    desk.list(0, false, &[]);
-    desk.refused(0, true);
-    assert!((0..33).any(|n| desk.upkeep(n * SECOND / 10)));
+    // A single list update resets the backoff to its start.
+    let mut dispatcher = warm_dispatcher(Terms { nodes: 48, subscribe: true, ..terms() }, 1, 4);
+    (0..9).for_each(|_| dispatcher.refused(0, true));
+    dispatcher.list(0, false, &[]);
+    dispatcher.refused(0, true);
+    assert!((0..33).any(|n| dispatcher.upkeep(n * SECOND / 10)));
 }
 
 #[test]
 fn the_same_seed_and_events_give_the_same_answers() {
     let run = |seed| {
-        let mut desk = desk(terms(), seed, 5);
-        (0..50).map(|n| serve(&mut desk, n * SECOND / 10, (n % 5) as usize, 300 + n * 7)).collect::<Vec<_>>()
+        let mut dispatcher = warm_dispatcher(terms(), seed, 5);
+        (0..50)
+            .map(|n| run_op(&mut dispatcher, n * SECOND / 10, (n % 5) as usize, 300 + n * 7))
+            .collect::<Vec<_>>()
     };
     assert_eq!(run(11), run(11));
-    assert_ne!(run(11), run(12), "ties come from the instance's seed");
+    assert_ne!(run(11), run(12), "the seed decides between equal executors");
 }
 
 #[test]
-fn room_is_judged_for_the_op_at_hand() {
-    // Reports of two executors (waiting, free slots), the op's width, and where it has to go.
+fn capacity_is_judged_for_the_width_of_the_op() {
+    // Reports of two executors (waiting, free slots), the op's width, and the executor it has to go to.
     let cases = [
         ("a wide op waits for most of an executor", [0.0, 2.0], [0.0, 4.0], 4.0, 1),
-        ("a queue behind free slots is no room", [2.0, 2.0], [0.0, 1.0], 1.0, 1),
-        ("held is worse than free", [0.0, 4.0], [0.0, 0.0], 1.0, 0),
+        ("a queue behind free slots leaves no capacity", [2.0, 2.0], [0.0, 1.0], 1.0, 1),
+        ("slots in use are worse than free slots", [0.0, 4.0], [0.0, 0.0], 1.0, 0),
     ];
-    for (name, first, second, slots, wanted) in cases {
+    for (name, first, second, slots, expected) in cases {
         for seed in 0..8 {
-            let mut desk = desk(terms(), seed, 2);
-            desk.report(MS, 0, &first);
-            desk.report(MS, 1, &second);
-            let mut op = desk.arrive(MS, Ask { slots, deadline: 30 * SECOND, ..ask(0) });
-            assert_eq!(pushed(desk.place(MS, &mut op)), wanted, "{name}, seed {seed}");
+            let mut dispatcher = warm_dispatcher(terms(), seed, 2);
+            dispatcher.report(MS, 0, &first);
+            dispatcher.report(MS, 1, &second);
+            let mut op = dispatcher.arrive(MS, Ask { slots, deadline: 30 * SECOND, ..request(0) });
+            assert_eq!(pushed_executor(dispatcher.place(MS, &mut op)), expected, "{name}, seed {seed}");
         }
     }
 }
 
 #[test]
-fn a_waiting_push_is_moved_but_never_copied() {
-    // What waits runs all the same where copies are allowed: a copy would only waste work. A short op, whose
-    // wait is less than the time between two looks, stayed behind others for as long as it lasted.
+fn a_queued_push_is_moved_but_never_hedged() {
+    // A queued push runs in any case where hedging is allowed, so a second push would only waste work. This
+    // guards against a short op, whose expected wait is less than the interval between two checks, staying
+    // queued behind others indefinitely.
     for (copies, hint) in [(false, SECOND), (false, SECOND / 10), (true, SECOND)] {
-        let mut desk = desk(Terms { second_copies: copies, ..terms() }, 5, 2);
-        let mut op = desk.arrive(0, Ask { hint: Some(hint), deadline: 20 * SECOND, ..ask(0) });
-        let first = pushed(desk.place(0, &mut op));
-        let now = 2 * desk.wait(0, &op);
+        let mut dispatcher = warm_dispatcher(Terms { second_copies: copies, ..terms() }, 5, 2);
+        let mut op = dispatcher.arrive(0, Ask { hint: Some(hint), deadline: 20 * SECOND, ..request(0) });
+        let first = pushed_executor(dispatcher.place(0, &mut op));
+        let now = 2 * dispatcher.wait(0, &op);
         if hint == SECOND {
-            desk.report(now, first, &[9.0, 0.0]);
+            dispatcher.report(now, first, &[9.0, 0.0]);
         }
-        desk.report(now, 1 - first, &[0.0, 4.0]);
-        assert_eq!(desk.place(now, &mut op), if copies { Step::Hold } else { Step::Stop { push: 0 } });
+        dispatcher.report(now, 1 - first, &[0.0, 4.0]);
+        assert_eq!(dispatcher.place(now, &mut op), if copies { Step::Hold } else { Step::Stop { push: 0 } });
     }
 }
 
 #[test]
-fn a_crossing_is_taken_only_when_it_pays() {
-    for (cross, held, wanted) in [(0.0, 4.0, 1), (0.5, 4.0, 0), (0.05, 40.0, 1)] {
-        let mut desk = desk(Terms { cross, ..terms() }, 5, 2);
-        desk.report(MS, 0, &[held - 4.0, 0.0]);
-        desk.report(MS, 1, &[0.0, 4.0]);
-        let mut op = desk.arrive(MS, Ask { deadline: 30 * SECOND, ..ask(0) });
-        assert_eq!(pushed(desk.place(MS, &mut op)), wanted, "price {cross}, held {held}");
+fn a_push_crosses_domains_only_when_it_pays() {
+    for (cross, held, expected) in [(0.0, 4.0, 1), (0.5, 4.0, 0), (0.05, 40.0, 1)] {
+        let mut dispatcher = warm_dispatcher(Terms { cross, ..terms() }, 5, 2);
+        dispatcher.report(MS, 0, &[held - 4.0, 0.0]);
+        dispatcher.report(MS, 1, &[0.0, 4.0]);
+        let mut op = dispatcher.arrive(MS, Ask { deadline: 30 * SECOND, ..request(0) });
+        assert_eq!(pushed_executor(dispatcher.place(MS, &mut op)), expected, "price {cross}, held {held}");
     }
 }
 
 #[test]
 fn an_op_may_cross_before_it_is_turned_away() {
-    // Price, nodes, what is held near here, and whether the op goes across; else it stays, or is turned away.
+    // Price, nodes, slots in use in this domain, and whether the op crosses; otherwise it stays or is
+    // rejected.
     for (cross, nodes, held, across) in [
         (0.3, 2, 4.0, false),
         (0.3, 2, 8.0, true),
@@ -433,63 +454,65 @@
         (1.5, 2, 8.0, false),
         (0.0, 2, 8.0, true),
     ] {
-        let mut posted = tariff(Terms { cross, ..terms() });
+        let mut posted = dispatch_settings(Terms { cross, ..terms() });
         posted.terms.nodes = nodes;
         posted.categories.iter_mut().for_each(|category| category.target = 1000);
-        let mut desk = Dispatcher::new(&posted, 5);
-        desk.list(0, true, &[line(0), line(1)]);
-        (0..20).for_each(|_| (0..2).for_each(|executor| desk.report(0, executor, &[0.0, 4.0])));
-        desk.report(MS, 0, &[held - 4.0, 0.0]);
-        desk.report(MS, 1, &[0.0, 4.0]);
-        let mut op = desk.arrive(MS, Ask { deadline: 30 * SECOND, ..ask(0) });
-        let step = desk.place(MS, &mut op);
+        let mut dispatcher = Dispatcher::new(&posted, 5);
+        dispatcher.list(0, true, &[list_entry(0), list_entry(1)]);
+        (0..20).for_each(|_| (0..2).for_each(|executor| dispatcher.report(0, executor, &[0.0, 4.0])));
+        dispatcher.report(MS, 0, &[held - 4.0, 0.0]);
+        dispatcher.report(MS, 1, &[0.0, 4.0]);
+        let mut op = dispatcher.arrive(MS, Ask { deadline: 30 * SECOND, ..request(0) });
+        let step = dispatcher.place(MS, &mut op);
         assert_eq!(step == Step::Push { executor: 1 }, across, "{cross}, {nodes}, {held}: {step:?}");
     }
 }
 
 #[test]
-fn many_nodes_that_hear_of_a_start_together_do_not_push_it_over() {
-    // Each node's part is a fraction of one op: were the first op free, all would send one at once.
+fn nodes_that_learn_of_a_start_together_do_not_overload_the_executor() {
+    // Each node's part of the warm-up budget is a fraction of one op: if the first op were free, all nodes
+    // would send one at once.
     let nodes = 300;
     let (mut first, mut all) = (0, 0);
     for seed in 0..nodes {
-        let wide = tariff(Terms { nodes: nodes as usize, ..terms() });
-        let mut desk = Dispatcher::new(&wide, seed);
-        desk.list(0, true, &[Listed { started: Some(1), ..line(0) }]);
-        (0..20).for_each(|_| desk.report(0, 0, &[0.0, 4.0]));
+        let settings = dispatch_settings(Terms { nodes: nodes as usize, ..terms() });
+        let mut dispatcher = Dispatcher::new(&settings, seed);
+        dispatcher.list(0, true, &[Listed { started: Some(1), ..list_entry(0) }]);
+        (0..20).for_each(|_| dispatcher.report(0, 0, &[0.0, 4.0]));
         for n in 0..10 {
-            let mut op = desk.arrive(n * SECOND, ask(0));
-            if let Step::Push { .. } = desk.place(n * SECOND, &mut op) {
+            let mut op = dispatcher.arrive(n * SECOND, request(0));
+            if let Step::Push { .. } = dispatcher.place(n * SECOND, &mut op) {
                 (first, all) = (first + usize::from(n == 0), all + 1);
-                desk.settle(n * SECOND, &mut op, 0, Outcome::Full, &[]);
+                dispatcher.settle(n * SECOND, &mut op, 0, Outcome::Full, &[]);
             }
         }
     }
-    // Ops of 0.1 s against 3 times 0.2 to 1 of four slots for a second, less than half of it used.
-    assert!(first <= 3, "{first} at once");
-    assert!((20..=400).contains(&all), "{all} while it warms up");
+    // Ops of 0.1 s against 3 times 0.2 to 1 of four slots for a second, less than half of which is used.
+    assert!(first <= 3, "{first} ops at once");
+    assert!((20..=400).contains(&all), "{all} ops during warm-up");
 }
 
 #[test]
-fn a_cold_executor_is_warmed_by_the_nodes_that_send_there() {
-    // Of 90 nodes in three domains those of its own use the budget; the others are too far off to. Dealt out
-    // evenly they gave it 35 of these ops in 5 s, an eighth of what all may send.
+fn nodes_of_its_own_domain_warm_a_cold_executor() {
+    // Of 90 nodes in three domains, only those of the executor's domain use the warm-up budget, as crossing
+    // is too expensive for the others. Divided evenly, the budget let through only 35 of these ops in 5 s, an
+    // eighth of what all nodes may send.
     let (mut work, mut near) = (0.0, 0.0);
     for seed in 0..90 {
         let domain = seed as usize % 3;
-        let wide = tariff(Terms { nodes: 90, domain, cross: 0.2, ..terms() });
-        let mut desk = Dispatcher::new(&wide, seed);
-        let lines = (0..3).map(|x| Listed { domain: x, started: (x == 0).then_some(1), ..line(x) });
-        desk.list(0, true, &lines.collect::<Vec<_>>());
-        (0..3).for_each(|x| (0..20).for_each(|_| desk.report(0, x, &[0.0, 4.0])));
+        let settings = dispatch_settings(Terms { nodes: 90, domain, cross: 0.2, ..terms() });
+        let mut dispatcher = Dispatcher::new(&settings, seed);
+        let lines = (0..3).map(|x| Listed { domain: x, started: (x == 0).then_some(1), ..list_entry(x) });
+        dispatcher.list(0, true, &lines.collect::<Vec<_>>());
+        (0..3).for_each(|x| (0..20).for_each(|_| dispatcher.report(0, x, &[0.0, 4.0])));
         for n in 0..50 {
             let now = n * SECOND / 10;
-            // Who is warm is full: a node that may send to the cold one does.
-            (1..3).for_each(|x| desk.report(now, x, &[9.0, 0.0]));
-            let mut op = desk.arrive(now, ask(0));
-            if desk.place(now, &mut op) == (Step::Push { executor: 0 }) {
+            // The warm executors are full, so a node that may send to the cold one does.
+            (1..3).for_each(|x| dispatcher.report(now, x, &[9.0, 0.0]));
+            let mut op = dispatcher.arrive(now, request(0));
+            if dispatcher.place(now, &mut op) == (Step::Push { executor: 0 }) {
                 (work, near) = (work + 1000.0, near + if domain == 0 { 1000.0 } else { 0.0 });
-                desk.settle(now, &mut op, 0, Outcome::Full, &[]);
+                dispatcher.settle(now, &mut op, 0, Outcome::Full, &[]);
             }
         }
     }
@@ -498,38 +521,43 @@
 }
 
 #[test]
-fn all_nodes_together_never_push_a_cold_executor_over() {
-    // Of 90 nodes and twelve executors in three domains: which executors start and when, by their number, and when
-    // nodes hear of it, by theirs. Each node has an op every tenth of a second and nobody warm has room.
+fn all_nodes_together_never_overload_a_cold_executor() {
+    // 90 nodes and twelve executors in three domains. A case gives the start time of each executor by its
+    // number, and the time at which each node learns of it by the node's number. Each node has an op every
+    // tenth of a second, and no warm executor has a free slot.
     type Case = (&'static str, fn(usize) -> Option<Time>, fn(u64) -> Time);
     let cases: [Case; 3] = [
         ("a domain returns cold", |x| (x % 3 == 0).then_some(1), |n| (n % 5) as Time * SECOND / 10),
         ("a fleet replaced in steps", |x| (x < 8).then_some(1 + x as Time * SECOND / 2), |_| 0),
-        ("a mass start amid cold ones", |_| Some(1), |_| SECOND),
+        ("a mass start among cold executors", |_| Some(1), |_| SECOND),
     ];
     for (what, started, heard) in cases {
         let mut sent: Vec<Vec<Time>> = vec![Vec::new(); 12];
         for node in 0..90 {
             let domain = node as usize % 3;
-            let wide = tariff(Terms { nodes: 90, domain, cross: 0.2, live_weights: true, ..terms() });
-            let mut desk = Dispatcher::new(&wide, node);
+            let settings =
+                dispatch_settings(Terms { nodes: 90, domain, cross: 0.2, live_weights: true, ..terms() });
+            let mut dispatcher = Dispatcher::new(&settings, node);
             let lines = |now: Time| -> Vec<Listed> {
-                let line =
-                    |x| Listed { domain: x % 3, started: started(x).filter(|at| *at <= now), ..line(x) };
-                (0..12).map(line).collect()
+                let entry = |x| Listed {
+                    domain: x % 3,
+                    started: started(x).filter(|at| *at <= now),
+                    ..list_entry(x)
+                };
+                (0..12).map(entry).collect()
             };
             for n in 0..60 {
                 let now = heard(node) + n * SECOND / 10 + node as Time;
-                desk.list(now, n == 0, &lines(now));
+                dispatcher.list(now, n == 0, &lines(now));
                 for x in (0..12).filter(|x| started(*x).is_none_or(|at| at > now)) {
-                    desk.report(now, x, &[9.0, 0.0]);
+                    dispatcher.report(now, x, &[9.0, 0.0]);
                 }
-                let mut op = desk.arrive(now, ask(0));
-                let mut step = desk.place(now, &mut op);
+                let mut op = dispatcher.arrive(now, request(0));
+                let mut step = dispatcher.place(now, &mut op);
                 while let Step::Push { executor } = step {
                     sent[executor].push(now);
                     let last = op.pushes.len() - 1;
-                    step = desk.settle(now, &mut op, last, Outcome::Full, &[]);
+                    step = dispatcher.settle(now, &mut op, last, Outcome::Full, &[]);
                 }
             }
         }
@@ -537,7 +565,8 @@
             let Some(start) = started(x) else { continue };
             sent.sort_unstable();
             for from in sent.iter().filter(|at| **at >= start) {
-                // Three times its capacity at the time, in ops of a tenth of a second, over the second that tips it.
+                // Three times its capacity at that time, in ops of a tenth of a second, over the one second
+                // after which it is overloaded.
                 let warm = 0.2 + 0.8 * (*from - start) as f64 / (10 * SECOND) as f64;
                 let within = sent.iter().filter(|at| (*from..from + SECOND).contains(*at)).count();
                 assert!((within as f64) <= 3.0 * 4.0 * warm * 10.0, "{what}: {within} in a second to {x}");
@@ -548,113 +577,120 @@
 }
 
 #[test]
-fn a_domain_out_of_reach_is_left_alone_as_a_whole() {
-    // At size each executor of a lost domain would cost a push of an op that has but a few.
-    for (outcome, wanted) in [(Outcome::NotConnected, 2), (Outcome::Error, 8)] {
-        let mut desk = desk(terms(), 5, 16);
-        let mut met = 0;
+fn an_unreachable_domain_is_ejected_as_a_whole() {
+    // In a large fleet, each executor of an unreachable domain would cost a push of an op that has only a
+    // few.
+    for (outcome, expected) in [(Outcome::NotConnected, 2), (Outcome::Error, 8)] {
+        let mut dispatcher = warm_dispatcher(terms(), 5, 16);
+        let mut receivers = 0;
         for n in 0..40 {
-            let mut op = desk.arrive(n * MS, ask(0));
-            let mut step = desk.place(n * MS, &mut op);
+            let mut op = dispatcher.arrive(n * MS, request(0));
+            let mut step = dispatcher.place(n * MS, &mut op);
             while let Step::Push { executor } = step {
                 let bad = executor % 2 == 0;
-                met += usize::from(bad);
+                receivers += usize::from(bad);
                 let outcome = if bad { outcome } else { Outcome::Acked };
                 let last = op.pushes.len() - 1;
-                step = desk.settle(n * MS, &mut op, last, outcome, &[0.0, 4.0]);
+                step = dispatcher.settle(n * MS, &mut op, last, outcome, &[0.0, 4.0]);
             }
         }
-        assert_eq!(met, wanted, "{outcome:?}");
+        assert_eq!(receivers, expected, "{outcome:?}");
     }
 }
 
 #[test]
-fn nodes_that_hear_the_same_do_not_all_choose_the_same() {
+fn nodes_with_the_same_weights_do_not_all_choose_the_same_executor() {
     let mut counts = vec![0; 60];
     for seed in 0..200 {
-        let many = tariff(Terms { nodes: 200, live_weights: true, ..terms() });
-        let mut desk = Dispatcher::new(&many, seed);
-        let lines: Vec<Listed> = (0..60).map(|x| Listed { domain: 0, ..line(x) }).collect();
-        desk.list(0, true, &lines);
-        // All but one hold far more than they can run.
+        let many = dispatch_settings(Terms { nodes: 200, live_weights: true, ..terms() });
+        let mut dispatcher = Dispatcher::new(&many, seed);
+        let lines: Vec<Listed> = (0..60).map(|x| Listed { domain: 0, ..list_entry(x) }).collect();
+        dispatcher.list(0, true, &lines);
+        // All executors but one have far more work than they can run.
         let busy = lines.iter().map(|l| Listed { weight: if l.executor == 7 { 1.0 } else { 0.1 }, ..*l });
-        desk.list(MS, false, &busy.collect::<Vec<_>>());
-        let mut op = desk.arrive(MS, Ask { deadline: 60 * SECOND, ..ask(0) });
-        if let Step::Push { executor } = desk.place(MS, &mut op) {
+        dispatcher.list(MS, false, &busy.collect::<Vec<_>>());
+        let mut op = dispatcher.arrive(MS, Ask { deadline: 60 * SECOND, ..request(0) });
+        if let Step::Push { executor } = dispatcher.place(MS, &mut op) {
             counts[executor] += 1;
         }
     }
-    // With eight compared it was some 27, each with an op for one who has room for a few.
-    assert!((2..16).contains(&counts[7]), "{counts:?} of 200 nodes to the one with room");
+    // With eight executors compared per node the number was some 27, each node with an op for an executor that
+    // has capacity for a few.
+    assert!((2..16).contains(&counts[7]), "{counts:?} of 200 nodes chose the executor with free slots");
 }
 
 #[test]
 fn a_slow_executor_does_not_lengthen_the_time_left() {
-    // The target is set by the op's own work: what runs there many times as long is late.
-    for (late, wanted) in [(0.0, false), (0.5, true)] {
-        let mut slow = tariff(terms());
+    // The target latency follows from the op's own work, so a run that takes many times as long is late.
+    for (late, expected) in [(0.0, false), (0.5, true)] {
+        let mut slow = dispatch_settings(terms());
         (slow.categories[0].late, slow.categories[2].late) = (late, 0.9);
-        let mut desk = Dispatcher::new(&slow, 5);
-        // Both categories are learned at one executor, then one that is many times slower is met.
+        let mut dispatcher = Dispatcher::new(&slow, 5);
+        // Both categories are learned at one executor before an executor that is many times slower joins.
         for n in 0..40 {
             let (category, executor, ran) = if n < 20 { (n % 2 * 2, 1, 1000) } else { (2, 0, 20_000) };
-            desk.list(n * SECOND, true, &[line(executor)]);
-            serve(&mut desk, n * SECOND, category as usize, ran);
+            dispatcher.list(n * SECOND, true, &[list_entry(executor)]);
+            run_op(&mut dispatcher, n * SECOND, category as usize, ran);
         }
-        desk.report(60 * SECOND, 0, &[0.0, 4.0]);
-        let mut op = desk.arrive(60 * SECOND, Ask { hint: Some(SECOND), deadline: 90 * SECOND, ..ask(0) });
-        let sent = matches!(desk.place(60 * SECOND, &mut op), Step::Push { .. });
-        assert_eq!(sent, wanted, "late answers earn {late}");
+        dispatcher.report(60 * SECOND, 0, &[0.0, 4.0]);
+        let mut op =
+            dispatcher.arrive(60 * SECOND, Ask { hint: Some(SECOND), deadline: 90 * SECOND, ..request(0) });
+        let sent = matches!(dispatcher.place(60 * SECOND, &mut op), Step::Push { .. });
+        assert_eq!(sent, expected, "late answers earn {late}");
     }
 }
 
 #[test]
-fn one_report_tells_the_slots_where_it_tells_what_runs_and_what_is_free() {
-    // Held, waiting, free; a node that sees an executor every few seconds learned them in half a minute.
+fn one_report_of_running_and_free_slots_gives_all_slots() {
+    // Reports of held and waiting ops and free slots. Guards against slow learning of the slots: a node that
+    // gets a report every few seconds needed half a minute.
     for (report, slots) in [([4.0, 0.0, 0.0], 4.0), ([7.0, 3.0, 0.0], 4.0), ([1.0, 0.0, 1.0], 2.0)] {
-        let mut all = tariff(terms());
+        let mut all = dispatch_settings(terms());
         all.gauges = vec![Gauge::Held, Gauge::Waiting, Gauge::FreeSlots];
-        let mut desk = Dispatcher::new(&all, 1);
-        desk.list(0, true, &[line(0)]);
-        desk.report(MS, 0, &report);
-        assert_eq!(desk.memory().slots, [slots], "{report:?}");
+        let mut dispatcher = Dispatcher::new(&all, 1);
+        dispatcher.list(0, true, &[list_entry(0)]);
+        dispatcher.report(MS, 0, &report);
+        assert_eq!(dispatcher.memory().slots, [slots], "{report:?}");
     }
 }
 
 #[test]
 fn a_short_op_that_was_held_up_does_not_make_all_ops_long() {
-    // One op in ten has a hint of 1 ms and took 100 ms behind others; the rest take what their hints say.
-    let mut desk = desk(terms(), 1, 1);
+    // One op in ten has a hint of 1 ms and took 100 ms behind others; the rest take as long as their hints
+    // say.
+    let mut dispatcher = warm_dispatcher(terms(), 1, 1);
     for n in 0..10 {
         let hint = if n == 4 { 10 } else { 1000 };
-        let mut op = desk.arrive(n * SECOND, Ask { hint: Some(hint), ..ask(0) });
-        pushed(desk.place(n * SECOND, &mut op));
-        desk.note(n * SECOND, &mut op, 0, true, 0.0);
-        desk.settle(n * SECOND + 1000, &mut op, 0, Outcome::Acked, &[0.0, 4.0]);
-        let mean = desk.memory().categories[0].mean;
+        let mut op = dispatcher.arrive(n * SECOND, Ask { hint: Some(hint), ..request(0) });
+        pushed_executor(dispatcher.place(n * SECOND, &mut op));
+        dispatcher.note(n * SECOND, &mut op, 0, true, 0.0);
+        dispatcher.settle(n * SECOND + 1000, &mut op, 0, Outcome::Acked, &[0.0, 4.0]);
+        let mean = dispatcher.memory().categories[0].mean;
         assert!((0.8..1.3).contains(&mean), "{mean} after {n}");
     }
 }
 
 #[test]
-fn the_way_to_an_executor_is_no_wait() {
-    // Where an op starts as soon as it has come there, what little was expected is not taken four times.
-    let mut desk = desk(Terms { by_priority: true, ..terms() }, 1, 1);
+fn network_delay_is_not_taken_for_a_queueing_wait() {
+    // Where ops start as soon as they arrive, a near-zero expected wait must not be corrected by a factor of
+    // four.
+    let mut dispatcher = warm_dispatcher(Terms { by_priority: true, ..terms() }, 1, 1);
     for n in 0..20 {
-        let mut op = desk.arrive(n * SECOND, ask(0));
-        pushed(desk.place(n * SECOND, &mut op));
-        desk.note(n * SECOND + 3 * MS, &mut op, 0, true, 0.0);
-        desk.settle(n * SECOND + 1000, &mut op, 0, Outcome::Acked, &[0.0, 4.0]);
+        let mut op = dispatcher.arrive(n * SECOND, request(0));
+        pushed_executor(dispatcher.place(n * SECOND, &mut op));
+        dispatcher.note(n * SECOND + 3 * MS, &mut op, 0, true, 0.0);
+        dispatcher.settle(n * SECOND + 1000, &mut op, 0, Outcome::Acked, &[0.0, 4.0]);
     }
-    // Six wait before four slots: an op of 0.1 s is to start after 0.18 s, and may take 0.7 s in all.
-    desk.report(20 * SECOND, 0, &[6.0, 0.0]);
-    let mut op = desk.arrive(20 * SECOND, Ask { deadline: 30 * SECOND, ..ask(0) });
-    assert_eq!(pushed(desk.place(20 * SECOND, &mut op)), 0);
+    // Six ops wait before four slots: an op of 0.1 s is expected to start after 0.18 s, and may take 0.7 s in
+    // all.
+    dispatcher.report(20 * SECOND, 0, &[6.0, 0.0]);
+    let mut op = dispatcher.arrive(20 * SECOND, Ask { deadline: 30 * SECOND, ..request(0) });
+    assert_eq!(pushed_executor(dispatcher.place(20 * SECOND, &mut op)), 0);
 }
 
 #[test]
-fn an_at_most_once_op_goes_to_who_has_answered_here() {
-    // Nodes, which executors have answered, and where ops of a category may go.
+fn an_at_most_once_op_goes_to_executors_that_have_acked() {
+    // Nodes, the executors that have acked, a category, and the executors to which its ops may go.
     let cases: [(usize, &[usize], usize, &[usize]); 5] = [
         (9, &[1], 4, &[1]),
         (9, &[1, 2], 4, &[1, 2]),
@@ -662,58 +698,63 @@
         (9, &[1], 0, &[0, 1, 2, 3]),
         (2, &[1], 4, &[0, 1, 2, 3]),
     ];
-    for (nodes, answered, category, may) in cases {
+    for (nodes, answered, category, allowed) in cases {
         let mut went = std::collections::BTreeSet::new();
         for seed in 0..40 {
-            let mut desk = desk(Terms { nodes, ..terms() }, seed, 4);
+            let mut dispatcher = warm_dispatcher(Terms { nodes, ..terms() }, seed, 4);
             for executor in answered {
-                let mut op = desk.arrive(SECOND, ask(1));
-                while pushed(desk.place(SECOND, &mut op)) != *executor {
-                    op = desk.arrive(SECOND, ask(1));
+                let mut op = dispatcher.arrive(SECOND, request(1));
+                while pushed_executor(dispatcher.place(SECOND, &mut op)) != *executor {
+                    op = dispatcher.arrive(SECOND, request(1));
                 }
-                desk.settle(SECOND + 500, &mut op, 0, Outcome::Acked, &[0.0, 4.0]);
+                dispatcher.settle(SECOND + 500, &mut op, 0, Outcome::Acked, &[0.0, 4.0]);
             }
-            let mut op = desk.arrive(2 * SECOND, ask(category));
-            went.insert(pushed(desk.place(2 * SECOND, &mut op)));
+            let mut op = dispatcher.arrive(2 * SECOND, request(category));
+            went.insert(pushed_executor(dispatcher.place(2 * SECOND, &mut op)));
         }
-        assert!(went.iter().all(|executor| may.contains(executor)), "{answered:?} {category}: {went:?}");
+        assert!(went.iter().all(|executor| allowed.contains(executor)), "{answered:?} {category}: {went:?}");
         let free = answered.is_empty() || nodes == 2;
         assert!(!free || went.len() > 1, "{nodes} {answered:?}: only {went:?}");
     }
 }
 
 #[test]
-fn a_category_that_is_not_started_bars_the_executor_for_itself_alone() {
-    let mut desk = desk(terms(), 3, 4);
+fn a_category_that_is_not_started_is_blocked_alone() {
+    let mut dispatcher = warm_dispatcher(terms(), 3, 4);
     let mut stuck = vec![];
     let mut elsewhere = 0;
     for turn in 0..200 {
         let now = turn * 20 * MS;
-        // Executor 1 starts no at-most-once op; all else goes well everywhere.
-        let mut op = desk.arrive(now, Ask { deadline: now + 20 * SECOND, ..ask(4) });
-        let executor = pushed(desk.place(now, &mut op));
+        // Executor 1 starts no at-most-once op; all other ops succeed everywhere.
+        let mut op = dispatcher.arrive(now, Ask { deadline: now + 20 * SECOND, ..request(4) });
+        let executor = pushed_executor(dispatcher.place(now, &mut op));
         if executor == 1 {
             stuck.push((now, op));
         } else {
-            desk.note(now, &mut op, 0, true, 0.0);
-            desk.settle(now + 5 * MS, &mut op, 0, Outcome::Acked, &[0.0, 4.0]);
+            dispatcher.note(now, &mut op, 0, true, 0.0);
+            dispatcher.settle(now + 5 * MS, &mut op, 0, Outcome::Acked, &[0.0, 4.0]);
         }
-        elsewhere += usize::from(serve(&mut desk, now, 2, 5 * MS) == 1);
+        elsewhere += usize::from(run_op(&mut dispatcher, now, 2, 5 * MS) == 1);
         for (sent, op) in &mut stuck {
             if (now - *sent) % (130 * MS) < 20 * MS {
-                // It is told its end as soon as it can't be in time any more.
-                let step = desk.place(now, op);
+                // The op gets its final answer as soon as it can no longer be in time.
+                let step = dispatcher.place(now, op);
                 assert!(matches!(step, Step::Hold | Step::DeadLetter | Step::Stop { .. }), "{step:?}");
             }
         }
     }
-    // Those sent before the first was overdue; it is free for others all the while.
-    assert!(stuck.len() <= 8 && elsewhere > 20, "{} stuck, {elsewhere} others there", stuck.len());
+    // Only ops sent before the first one was overdue are stuck; other categories still go to the executor all
+    // the time.
+    assert!(
+        stuck.len() <= 8 && elsewhere > 20,
+        "{} stuck, {elsewhere} ops of other categories there",
+        stuck.len()
+    );
 }
 
 #[test]
-fn a_fault_that_may_be_the_connections_alone_leaves_an_executor_in_place() {
-    // Outcomes at one executor in turn, and whether it is set aside after them.
+fn a_fault_of_one_connection_does_not_eject_the_executor() {
+    // Outcomes at one executor in turn, and whether it is ejected after them.
     use Outcome::*;
     let cases: [(&[Outcome], bool); 9] = [
         (&[Reset], false),
@@ -726,50 +767,50 @@
         (&[Unfit, Unfit, Unfit], false),
         (&[Broken, Broken, Broken], false),
     ];
-    for (outcomes, aside) in cases {
-        let mut desk = desk(terms(), 5, 1);
+    for (outcomes, expect_ejected) in cases {
+        let mut dispatcher = warm_dispatcher(terms(), 5, 1);
         for (turn, outcome) in outcomes.iter().enumerate() {
             let now = SECOND + turn as Time * 100 * MS;
-            let mut op = desk.arrive(now, Ask { deadline: now + 20 * SECOND, ..ask(0) });
-            pushed(desk.place(now, &mut op));
-            desk.note(now, &mut op, 0, true, 0.0);
-            desk.settle(now + 10 * MS, &mut op, 0, *outcome, &[]);
+            let mut op = dispatcher.arrive(now, Ask { deadline: now + 20 * SECOND, ..request(0) });
+            pushed_executor(dispatcher.place(now, &mut op));
+            dispatcher.note(now, &mut op, 0, true, 0.0);
+            dispatcher.settle(now + 10 * MS, &mut op, 0, *outcome, &[]);
         }
-        let told = desk.log.iter().any(|line| line.contains("set aside"));
-        assert_eq!(told, aside, "{outcomes:?}");
+        let ejected = dispatcher.log.iter().any(|line| line.contains("set aside"));
+        assert_eq!(ejected, expect_ejected, "{outcomes:?}");
     }
-    // A push that has gone silent is held against its executor once, not each time it is looked at.
-    let mut desk = desk(terms(), 5, 2);
-    let mut op = desk.arrive(0, Ask { deadline: 20 * SECOND, ..ask(4) });
-    let executor = pushed(desk.place(0, &mut op));
-    desk.note(0, &mut op, 0, true, 0.0);
+    // A push without progress counts against its executor once, not at each check.
+    let mut dispatcher = warm_dispatcher(terms(), 5, 2);
+    let mut op = dispatcher.arrive(0, Ask { deadline: 20 * SECOND, ..request(4) });
+    let executor = pushed_executor(dispatcher.place(0, &mut op));
+    dispatcher.note(0, &mut op, 0, true, 0.0);
     for second in 1..18 {
-        desk.place(second * SECOND, &mut op);
+        dispatcher.place(second * SECOND, &mut op);
     }
-    let word = format!("executor {executor} set aside: silent");
-    assert_eq!(desk.log.iter().filter(|line| line.starts_with(&word)).count(), 1);
+    let prefix = format!("executor {executor} set aside: silent");
+    assert_eq!(dispatcher.log.iter().filter(|line| line.starts_with(&prefix)).count(), 1);
 }
 
 #[test]
-fn limits_of_a_route_are_kept_and_only_narrow() {
-    let open = |desk: &mut Dispatcher, category, limits| {
-        let mut op = desk.arrive(0, Ask { deadline: 9 * SECOND, limits, ..ask(category) });
-        let first = pushed(desk.place(0, &mut op));
+fn route_limits_apply_and_only_narrow_the_category() {
+    let open = |dispatcher: &mut Dispatcher, category, limits| {
+        let mut op = dispatcher.arrive(0, Ask { deadline: 9 * SECOND, limits, ..request(category) });
+        let first = pushed_executor(dispatcher.place(0, &mut op));
         (op, first)
     };
-    // What is limited, the outcome of a first push after 100 ms, and what follows for a redeliverable op.
+    // The limit, the outcome of a first push after 100 ms, and what follows for a redeliverable op.
     let none = Limits::default();
-    let back = 700 * MS;
+    let retry_after = 700 * MS;
     let cases = [
         ("nothing", none, Outcome::Error, None),
         ("one push", Limits { pushes: 1, ..none }, Outcome::Error, Some(Step::Nack { come_back: 0 })),
         (
-            "the budget",
-            Limits { over_budget: back, ..none },
+            "the retry budget",
+            Limits { over_budget: retry_after, ..none },
             Outcome::Error,
-            Some(Step::Nack { come_back: back }),
+            Some(Step::Nack { come_back: retry_after }),
         ),
-        ("a pause", Limits { pause: 50 * MS, ..none }, Outcome::Error, Some(Step::Hold)),
+        ("a backoff", Limits { pause: 50 * MS, ..none }, Outcome::Error, Some(Step::Hold)),
         (
             "the effect",
             Limits { effect: Some(Effect::AtMostOnce), ..none },
@@ -778,176 +819,183 @@
         ),
     ];
     for (what, limits, outcome, expected) in cases {
-        let mut desk = desk(Terms { come_back: SECOND, ..terms() }, 3, 4);
-        let (mut op, _) = open(&mut desk, 0, limits);
-        let step = desk.settle(100 * MS, &mut op, 0, outcome, &[]);
+        let mut dispatcher = warm_dispatcher(Terms { come_back: SECOND, ..terms() }, 3, 4);
+        let (mut op, _) = open(&mut dispatcher, 0, limits);
+        let step = dispatcher.settle(100 * MS, &mut op, 0, outcome, &[]);
         match expected {
             Some(expected) => assert_eq!(step, expected, "{what}"),
             None => assert!(matches!(step, Step::Push { .. }), "{what}: {step:?}"),
         }
         if limits.pause > 0 {
-            assert_eq!(desk.wait(100 * MS, &op), 150 * MS);
-            pushed(desk.place(150 * MS, &mut op));
+            assert_eq!(dispatcher.wait(100 * MS, &op), 150 * MS);
+            pushed_executor(dispatcher.place(150 * MS, &mut op));
         }
     }
-    // A push without a start, or without news since, is called off at its time, and not before.
+    // A push without a start, or without progress since its start, is cancelled exactly at its time-out.
     let limits = Limits { no_start: 200 * MS, no_progress: 300 * MS, ..none };
     for category in [0, 1, 4] {
         for started in [false, true] {
-            let mut desk = desk(terms(), 5, 4);
-            let (mut op, first) = open(&mut desk, category, limits);
+            let mut dispatcher = warm_dispatcher(terms(), 5, 4);
+            let (mut op, first) = open(&mut dispatcher, category, limits);
             let due = if started { 350 * MS } else { 200 * MS };
-            // The others have no room, or it would be moved before.
-            (0..4).filter(|x| *x != first).for_each(|x| desk.report(due - 1, x, &[2.0, 0.0]));
+            // The other executors have no free slot, otherwise the op would be moved earlier.
+            (0..4).filter(|x| *x != first).for_each(|x| dispatcher.report(due - 1, x, &[2.0, 0.0]));
             if started {
-                desk.note(50 * MS, &mut op, 0, true, 0.0);
+                dispatcher.note(50 * MS, &mut op, 0, true, 0.0);
             }
-            assert!(desk.wait(100 * MS, &op) <= due);
-            assert!(!matches!(desk.place(due - 1, &mut op), Step::Stop { .. }));
-            assert_eq!(desk.place(due, &mut op), Step::Stop { push: 0 });
-            // Of an at-most-once op a time-out is a dead letter, never a push.
-            let step = desk.settle(due + 1, &mut op, 0, Outcome::Cancelled, &[]);
+            assert!(dispatcher.wait(100 * MS, &op) <= due);
+            assert!(!matches!(dispatcher.place(due - 1, &mut op), Step::Stop { .. }));
+            assert_eq!(dispatcher.place(due, &mut op), Step::Stop { push: 0 });
+            // An at-most-once op that times out becomes a dead letter and is never pushed again.
+            let step = dispatcher.settle(due + 1, &mut op, 0, Outcome::Cancelled, &[]);
             assert_eq!(step == Step::DeadLetter, category == 4, "{category}: {step:?}");
         }
     }
-    // Kinds and domains are left out, and a second copy goes at its time where two pushes are allowed at all.
+    // Excluded kinds and domains get no op, and a hedged request is sent at its time where two pushes at once
+    // are allowed.
     for copies in [false, true] {
-        let mut desk = desk(Terms { second_copies: copies, ..terms() }, 7, 6);
-        let (mut op, first) = open(&mut desk, 0, Limits { domains: 0b10, copy_after: 400 * MS, ..none });
+        let mut dispatcher = warm_dispatcher(Terms { second_copies: copies, ..terms() }, 7, 6);
+        let (mut op, first) =
+            open(&mut dispatcher, 0, Limits { domains: 0b10, copy_after: 400 * MS, ..none });
         assert_eq!(first % 2, 1);
-        desk.note(MS, &mut op, 0, true, 0.0);
-        assert_eq!(desk.place(399 * MS, &mut op), Step::Hold);
-        match desk.place(400 * MS, &mut op) {
+        dispatcher.note(MS, &mut op, 0, true, 0.0);
+        assert_eq!(dispatcher.place(399 * MS, &mut op), Step::Hold);
+        match dispatcher.place(400 * MS, &mut op) {
             Step::Push { executor } => assert!(copies && executor % 2 == 1 && executor != first),
             step => assert!(!copies, "{step:?}"),
         }
-        // Never of an at-most-once op, whatever is asked for.
-        let (mut op, _) = open(&mut desk, 4, Limits { copy_after: 10 * MS, ..none });
-        assert!(!matches!(desk.place(500 * MS, &mut op), Step::Push { .. }));
+        // An at-most-once op is never hedged, whatever its limits say.
+        let (mut op, _) = open(&mut dispatcher, 4, Limits { copy_after: 10 * MS, ..none });
+        assert!(!matches!(dispatcher.place(500 * MS, &mut op), Step::Push { .. }));
     }
 }
 
-// ---- No load reports, messages between instances, priced connections, shares of tenants ----
+// ---- No load reports, messages between instances, priced connections, quotas of tenants ----
 
-/// Settings of a deployment whose executors report nothing; `nodes` may send one another messages.
-fn silent(me: usize, nodes: usize) -> Tariff {
+/// Settings of a deployment whose executors report nothing; `nodes` instances may send one another messages.
+fn settings_without_reports(me: usize, nodes: usize) -> Tariff {
     let terms = Terms { me, nodes, peers: true, price_peer: 0.01, surplus: 0.05, progress: 0, ..terms() };
-    Tariff { gauges: vec![], quotas: vec![100.0, 100.0], ..tariff(terms) }
+    Tariff { gauges: vec![], quotas: vec![100.0, 100.0], ..dispatch_settings(terms) }
 }
 
-fn sized(executor: usize, weight: f64) -> Listed {
-    Listed { weight, domain: 0, kind: weight as usize, ..line(executor) }
+fn entry_of_size(executor: usize, weight: f64) -> Listed {
+    Listed { weight, domain: 0, kind: weight as usize, ..list_entry(executor) }
 }
 
 #[test]
-fn where_nothing_is_reported_the_listed_sizes_are_the_slots() {
-    let mut desk = Dispatcher::new(&silent(0, 1), 3);
-    desk.list(0, true, &[sized(0, 5.0), sized(1, 1.0)]);
+fn without_load_reports_the_listed_sizes_are_the_slots() {
+    let mut dispatcher = Dispatcher::new(&settings_without_reports(0, 1), 3);
+    dispatcher.list(0, true, &[entry_of_size(0, 5.0), entry_of_size(1, 1.0)]);
     let mut counts = [0; 2];
     for _ in 0..6 {
-        let mut op = desk.arrive(MS, Ask { deadline: 20 * SECOND, ..ask(0) });
-        counts[pushed(desk.place(MS, &mut op))] += 1;
-        desk.note(MS, &mut op, 0, true, 0.0);
+        let mut op = dispatcher.arrive(MS, Ask { deadline: 20 * SECOND, ..request(0) });
+        counts[pushed_executor(dispatcher.place(MS, &mut op))] += 1;
+        dispatcher.note(MS, &mut op, 0, true, 0.0);
     }
     assert_eq!(counts, [5, 1]);
 }
 
 #[test]
-fn parts_cover_the_fleet_and_each_instance_keeps_to_its_own() {
-    // 126 instances can pay for 42 peers each: three parts.
-    let lines: Vec<Listed> = (0..30).map(|x| sized(x, 2.0)).collect();
-    let mut met = vec![0; 30];
+fn partitions_cover_the_fleet_and_each_instance_keeps_to_its_own() {
+    // 126 instances can pay for messages to 42 peers each, which makes three partitions.
+    let lines: Vec<Listed> = (0..30).map(|x| entry_of_size(x, 2.0)).collect();
+    let mut receivers = vec![0; 30];
     for me in 0..3 {
-        let mut desk = Dispatcher::new(&silent(me, 126), me as u64);
-        desk.list(0, true, &lines);
-        let own: Vec<usize> = (0..60).map(|n| serve(&mut desk, n * 50 * MS, 0, 100)).collect();
+        let mut dispatcher = Dispatcher::new(&settings_without_reports(me, 126), me as u64);
+        dispatcher.list(0, true, &lines);
+        let own: Vec<usize> = (0..60).map(|n| run_op(&mut dispatcher, n * 50 * MS, 0, 100)).collect();
         let mut own: Vec<usize> = own.into_iter().collect();
         own.sort_unstable();
         own.dedup();
         assert_eq!(own.len(), 10, "instance {me}: {own:?}");
-        own.into_iter().for_each(|x| met[x] += 1);
+        own.into_iter().for_each(|x| receivers[x] += 1);
     }
-    assert_eq!(met, vec![1; 30]);
+    assert_eq!(receivers, vec![1; 30]);
 }
 
 #[test]
-fn an_open_connection_is_worth_its_price() {
+fn open_connections_are_reused_where_connecting_has_a_price() {
     for (handshake, most) in [(0.05, 2), (0.0, 8)] {
-        let priced = Terms { handshake, keepalive: 10 * SECOND, ..silent(0, 1).terms };
-        let mut desk = Dispatcher::new(&Tariff { terms: priced, ..silent(0, 1) }, 7);
-        desk.list(0, true, &(0..8).map(|x| sized(x, 2.0)).collect::<Vec<_>>());
-        let mut met: Vec<usize> = (0..40).map(|n| serve(&mut desk, n * 100 * MS, 0, 50 * MS)).collect();
-        met.sort_unstable();
-        met.dedup();
-        assert!(met.len() <= most && (handshake > 0.0 || met.len() == 8), "price {handshake}: {met:?}");
+        let priced = Terms { handshake, keepalive: 10 * SECOND, ..settings_without_reports(0, 1).terms };
+        let mut dispatcher = Dispatcher::new(&Tariff { terms: priced, ..settings_without_reports(0, 1) }, 7);
+        dispatcher.list(0, true, &(0..8).map(|x| entry_of_size(x, 2.0)).collect::<Vec<_>>());
+        let mut receivers: Vec<usize> =
+            (0..40).map(|n| run_op(&mut dispatcher, n * 100 * MS, 0, 50 * MS)).collect();
+        receivers.sort_unstable();
+        receivers.dedup();
+        assert!(
+            receivers.len() <= most && (handshake > 0.0 || receivers.len() == 8),
+            "price {handshake}: {receivers:?}"
+        );
     }
 }
 
 #[test]
 fn ops_of_one_key_go_to_the_same_executors_at_every_instance() {
-    let lines: Vec<Listed> = (0..20).map(|x| sized(x, 4.0)).collect();
-    let homes = |seed: u64, turned: bool| -> Vec<u64> {
-        let mut desk = Dispatcher::new(&silent(0, 1), seed);
-        // Their indices differ from instance to instance; what they are called does not.
-        let own = |x: usize| if turned { 19 - x } else { x };
+    let lines: Vec<Listed> = (0..20).map(|x| entry_of_size(x, 4.0)).collect();
+    let executors_by_key = |seed: u64, reversed: bool| -> Vec<u64> {
+        let mut dispatcher = Dispatcher::new(&settings_without_reports(0, 1), seed);
+        // Executor indices differ between instances; executor names do not.
+        let own = |x: usize| if reversed { 19 - x } else { x };
         let lines: Vec<Listed> = lines.iter().map(|l| Listed { executor: own(l.executor), ..*l }).collect();
-        desk.list(0, true, &lines);
+        dispatcher.list(0, true, &lines);
         (1..40u64)
             .map(|key| {
                 let now = key as Time * 100 * MS;
                 let key = mark(&format!("key {key}"));
-                let mut op = desk.arrive(now, Ask { key, deadline: now + 20 * SECOND, ..ask(0) });
-                let x = pushed(desk.place(now, &mut op));
-                desk.note(now, &mut op, 0, true, 0.0);
-                desk.settle(now + 50 * MS, &mut op, 0, Outcome::Acked, &[]);
+                let mut op = dispatcher.arrive(now, Ask { key, deadline: now + 20 * SECOND, ..request(0) });
+                let x = pushed_executor(dispatcher.place(now, &mut op));
+                dispatcher.note(now, &mut op, 0, true, 0.0);
+                dispatcher.settle(now + 50 * MS, &mut op, 0, Outcome::Acked, &[]);
                 lines.iter().find(|l| l.executor == x).map_or(0, |l| l.mark)
             })
             .collect()
     };
-    let first = homes(1, false);
-    assert_eq!(first, homes(2, true));
-    let mut met = first;
-    met.sort_unstable();
-    met.dedup();
-    assert!(met.len() > 8, "keys are spread: {} executors", met.len());
+    let first = executors_by_key(1, false);
+    assert_eq!(first, executors_by_key(2, true));
+    let mut receivers = first;
+    receivers.sort_unstable();
+    receivers.dedup();
+    assert!(receivers.len() > 8, "keys are spread: {} executors", receivers.len());
 }
 
-/// Two instances before the same executors; what the first sends comes to the second at once.
-fn pair(nodes: usize, count: usize) -> (Dispatcher, Dispatcher) {
-    let lines: Vec<Listed> = (0..count).map(|x| sized(x, 2.0)).collect();
-    let mut both = [0, 1].map(|me| Dispatcher::new(&silent(me, nodes), 5 + me as u64));
-    both.iter_mut().for_each(|desk| desk.list(0, true, &lines));
+/// Two instances with the same executors; messages of the first reach the second at once.
+fn pair_of_instances(nodes: usize, count: usize) -> (Dispatcher, Dispatcher) {
+    let lines: Vec<Listed> = (0..count).map(|x| entry_of_size(x, 2.0)).collect();
+    let mut both = [0, 1].map(|me| Dispatcher::new(&settings_without_reports(me, nodes), 5 + me as u64));
+    both.iter_mut().for_each(|dispatcher| dispatcher.list(0, true, &lines));
     let [one, two] = both;
     (one, two)
 }
 
-fn carry(now: Time, from: &mut Dispatcher, to: &mut Dispatcher) {
+fn deliver_messages(now: Time, from: &mut Dispatcher, to: &mut Dispatcher) {
     from.upkeep(now);
     from.letters.drain(..).for_each(|letter| to.heard(now, 0, &letter.text));
 }
 
 #[test]
-fn what_is_over_a_share_waits_for_room_and_is_told_to_come_back_in_time() {
-    // Each tenant may send 100 ops a second. A peer tells that tenant 0 sends 550 there, and what it holds.
+fn ops_over_quota_need_spare_capacity_and_get_an_early_retry_after() {
+    // Each tenant has a quota of 100 ops a second. A peer reports that tenant 0 sends 550 a second there, and
+    // the slots it uses.
     for (held, over) in [(0, 0.95..=1.01), (2, 0.05..=0.35)] {
-        let (mut desk, _) = pair(2, 12);
+        let (mut dispatcher, _) = pair_of_instances(2, 12);
         let mut served = [0.0; 2];
         for n in 0..800 {
             let now = (n + 1) * 10 * MS;
             if n % 100 == 0 {
                 let mut text = vec![1, 2, (5500 % 256) as u8, (5500 / 256) as u8, 0, 0];
                 for x in 0..12 {
-                    text.extend((line(x).mark as u16).to_le_bytes());
+                    text.extend((list_entry(x).mark as u16).to_le_bytes());
                     text.push(held);
                 }
-                desk.heard(now, 1, &text);
+                dispatcher.heard(now, 1, &text);
             }
             let tenant = (n % 2) as usize;
-            let mut op = desk.arrive(now, Ask { tenant, deadline: now + 20 * SECOND, ..ask(0) });
-            match desk.place(now, &mut op) {
+            let mut op = dispatcher.arrive(now, Ask { tenant, deadline: now + 20 * SECOND, ..request(0) });
+            match dispatcher.place(now, &mut op) {
                 Step::Push { .. } => {
-                    desk.note(now, &mut op, 0, true, 0.0);
-                    desk.settle(now + MS, &mut op, 0, Outcome::Acked, &[]);
+                    dispatcher.note(now, &mut op, 0, true, 0.0);
+                    dispatcher.settle(now + MS, &mut op, 0, Outcome::Acked, &[]);
                     // The first seconds are needed to learn the rates.
                     served[tenant] += if n >= 400 { 1.0 / 200.0 } else { 0.0 };
                 }
@@ -960,172 +1008,190 @@
 }
 
 #[test]
-fn a_node_that_gets_nothing_any_more_tells_no_rate() {
-    let (mut desk, _) = pair(2, 4);
-    (0..100).for_each(|n| _ = serve(&mut desk, n * 100 * MS, 0, MS));
-    for (now, wanted) in [(11 * SECOND, true), (60 * SECOND, false)] {
-        desk.letters.clear();
-        desk.upkeep(now);
-        let text = &desk.letters[0].text;
-        assert_eq!(text[1], 2, "rates are told");
-        assert_eq!(u16::from_le_bytes([text[2], text[3]]) > 50, wanted, "at {now}: {text:?}");
+fn the_reported_rate_of_a_node_without_arrivals_decays() {
+    let (mut dispatcher, _) = pair_of_instances(2, 4);
+    (0..100).for_each(|n| _ = run_op(&mut dispatcher, n * 100 * MS, 0, MS));
+    for (now, expected) in [(11 * SECOND, true), (60 * SECOND, false)] {
+        dispatcher.letters.clear();
+        dispatcher.upkeep(now);
+        let text = &dispatcher.letters[0].text;
+        assert_eq!(text[1], 2, "the message has two rates");
+        assert_eq!(u16::from_le_bytes([text[2], text[3]]) > 50, expected, "at {now}: {text:?}");
     }
 }
 
 #[test]
-fn peers_shun_who_one_of_them_saw_fail_a_category_and_come_back_later() {
-    let (mut one, mut two) = pair(2, 2);
-    let mut op = one.arrive(0, Ask { deadline: 60 * SECOND, ..ask(4) });
-    let x = pushed(one.place(0, &mut op));
-    // It does not start, for longer than a quarter of its target and twice the wait expected.
+fn peers_block_a_category_that_one_of_them_saw_unstarted() {
+    let (mut one, mut two) = pair_of_instances(2, 2);
+    let mut op = one.arrive(0, Ask { deadline: 60 * SECOND, ..request(4) });
+    let x = pushed_executor(one.place(0, &mut op));
+    // The op does not start for longer than a quarter of its target latency and twice the expected wait.
     one.place(130 * MS, &mut op);
-    carry(2 * SECOND, &mut one, &mut two);
-    let barred = |desk: &mut Dispatcher, category: usize| {
+    deliver_messages(2 * SECOND, &mut one, &mut two);
+    let blocked = |dispatcher: &mut Dispatcher, category: usize| {
         (0..20).all(|n| {
             let now = 2 * SECOND + n * MS;
-            let mut op = desk.arrive(now, Ask { deadline: now + 60 * SECOND, ..ask(category) });
-            let at = pushed(desk.place(now, &mut op));
-            desk.note(now, &mut op, 0, true, 0.0);
-            desk.settle(now, &mut op, 0, Outcome::Acked, &[]);
+            let mut op = dispatcher.arrive(now, Ask { deadline: now + 60 * SECOND, ..request(category) });
+            let at = pushed_executor(dispatcher.place(now, &mut op));
+            dispatcher.note(now, &mut op, 0, true, 0.0);
+            dispatcher.settle(now, &mut op, 0, Outcome::Acked, &[]);
             at != x
         })
     };
-    assert!(barred(&mut two, 4), "the category that was not started");
-    assert!(!barred(&mut two, 0), "others are free to go there");
+    assert!(blocked(&mut two, 4), "the category that was not started is blocked");
+    assert!(!blocked(&mut two, 0), "other categories still go there");
 }
 
 #[test]
 fn an_op_that_cannot_be_in_time_any_more_gets_its_answer_at_once() {
-    // An answer past 500 ms and twice its own work is worth nothing; its TTL is 20 s.
-    for (category, wanted) in [(4, Step::DeadLetter), (0, Step::Nack { come_back: 0 })] {
-        let mut desk = Dispatcher::new(&silent(0, 1), 3);
-        desk.list(0, true, &[sized(0, 2.0)]);
-        let mut op = desk.arrive(0, Ask { deadline: 20 * SECOND, ..ask(category) });
-        pushed(desk.place(0, &mut op));
+    // An answer later than 500 ms plus twice the op's own work is worth nothing; the op's TTL is 20 s.
+    for (category, expected) in [(4, Step::DeadLetter), (0, Step::Nack { come_back: 0 })] {
+        let mut dispatcher = Dispatcher::new(&settings_without_reports(0, 1), 3);
+        dispatcher.list(0, true, &[entry_of_size(0, 2.0)]);
+        let mut op = dispatcher.arrive(0, Ask { deadline: 20 * SECOND, ..request(category) });
+        pushed_executor(dispatcher.place(0, &mut op));
         let (mut now, mut step) = (0, Step::Hold);
         while step == Step::Hold && now < 20 * SECOND {
-            now = desk.wait(now, &op);
-            step = desk.place(now, &mut op);
+            now = dispatcher.wait(now, &op);
+            step = dispatcher.place(now, &mut op);
         }
-        assert!(step == wanted && now < 8000, "category {category}: {step:?} at {now}");
-        assert_eq!(desk.place(now, &mut op), Step::Stop { push: 0 }, "what nobody waits for is called off");
+        assert!(step == expected && now < 8000, "category {category}: {step:?} at {now}");
+        assert_eq!(
+            dispatcher.place(now, &mut op),
+            Step::Stop { push: 0 },
+            "a push that nobody waits for is cancelled"
+        );
     }
 }
 
 #[test]
 fn hundreds_of_nodes_with_few_ops_send_few_messages() {
-    // A day of 693 nodes broke off at four million messages.
-    let mut desk = Dispatcher::new(&silent(0, 693), 3);
-    desk.list(0, true, &(0..473).map(|x| sized(x, 2.0)).collect::<Vec<_>>());
+    // A simulated day of 693 nodes was aborted at four million messages.
+    let mut dispatcher = Dispatcher::new(&settings_without_reports(0, 693), 3);
+    dispatcher.list(0, true, &(0..473).map(|x| entry_of_size(x, 2.0)).collect::<Vec<_>>());
     let mut sent = 0;
     for n in 0..400 {
         let now = n * SECOND / 20;
         if n % 5 == 0 {
-            serve(&mut desk, now, 0, 10);
+            run_op(&mut dispatcher, now, 0, 10);
         }
-        desk.upkeep(now);
-        sent += desk.letters.drain(..).count();
+        dispatcher.upkeep(now);
+        sent += dispatcher.letters.drain(..).count();
     }
     // 20 s, 80 ops, 43 peers.
     assert!((500..1200).contains(&sent), "{sent} messages");
 }
 
 #[test]
-fn the_share_done_tells_of_a_slowed_executor_before_its_op_ends() {
-    for (done, wanted) in [(0.0, true), (0.5, true), (0.05, false)] {
-        let mut desk = Dispatcher::new(&silent(0, 1), 5);
-        desk.list(0, true, &[sized(0, 4.0), sized(1, 4.0)]);
-        (0..40).for_each(|n| _ = serve(&mut desk, n * 250 * MS, 0, 1000));
+fn the_first_progress_note_reveals_a_slowed_executor() {
+    for (done, expected) in [(0.0, true), (0.5, true), (0.05, false)] {
+        let mut dispatcher = Dispatcher::new(&settings_without_reports(0, 1), 5);
+        dispatcher.list(0, true, &[entry_of_size(0, 4.0), entry_of_size(1, 4.0)]);
+        (0..40).for_each(|n| _ = run_op(&mut dispatcher, n * 250 * MS, 0, 1000));
         let now = 10 * SECOND;
-        // One op at each; the first note comes after a tenth of a second of running.
+        // One op at each executor; the first progress note comes after a tenth of a second of running.
         let mut out: Vec<(usize, Op)> = (0..2)
             .map(|_| {
-                let mut op = desk.arrive(now, Ask { deadline: now + 60 * SECOND, ..ask(0) });
-                let x = pushed(desk.place(now, &mut op));
-                desk.note(now, &mut op, 0, true, 0.0);
+                let mut op = dispatcher.arrive(now, Ask { deadline: now + 60 * SECOND, ..request(0) });
+                let x = pushed_executor(dispatcher.place(now, &mut op));
+                dispatcher.note(now, &mut op, 0, true, 0.0);
                 (x, op)
             })
             .collect();
         let (slow, op) = &mut out[0];
         (0..8).for_each(|_| {
-            // Only the first note of a push counts.
-            desk.note(now + 500, op, 0, false, done);
+            // Only the first progress note of a push counts.
+            dispatcher.note(now + 500, op, 0, false, done);
         });
-        desk.list(now + 500, false, &[]);
+        dispatcher.list(now + 500, false, &[]);
         let slow = *slow;
-        let mut next = desk.arrive(now + 500, Ask { deadline: now + 60 * SECOND, ..ask(0) });
-        desk.place(now + 500, &mut next);
-        let share = desk.shares().nth(slow).unwrap();
-        assert_eq!(share > 0.35, wanted, "{done} done after half the usual time: share {share}");
+        let mut next = dispatcher.arrive(now + 500, Ask { deadline: now + 60 * SECOND, ..request(0) });
+        dispatcher.place(now + 500, &mut next);
+        let share = dispatcher.shares().nth(slow).unwrap();
+        assert_eq!(share > 0.35, expected, "{done} done after half the usual time: share {share}");
     }
 }
 
 #[test]
-fn an_op_waits_for_who_keeps_what_it_needs_but_not_for_longer_than_a_set_up() {
-    for (held, stays) in [(0, true), (1, true), (12, false)] {
-        let (mut desk, _) = pair(2, 6);
-        (0..30).for_each(|n| _ = serve(&mut desk, n * 250 * MS, 0, 1000));
+fn an_op_waits_for_a_cached_key_no_longer_than_a_setup_takes() {
+    for (held, same_executor) in [(0, true), (1, true), (12, false)] {
+        let (mut dispatcher, _) = pair_of_instances(2, 6);
+        (0..30).for_each(|n| _ = run_op(&mut dispatcher, n * 250 * MS, 0, 1000));
         let now = 10 * SECOND;
         let key = mark("a key");
-        let mut home = |now: Time, settle: bool| {
-            let mut op = desk.arrive(now, Ask { key, deadline: now + 60 * SECOND, ..ask(0) });
-            let x = pushed(desk.place(now, &mut op));
-            desk.note(now, &mut op, 0, true, 0.0);
+        let mut place_op = |now: Time, settle: bool| {
+            let mut op = dispatcher.arrive(now, Ask { key, deadline: now + 60 * SECOND, ..request(0) });
+            let x = pushed_executor(dispatcher.place(now, &mut op));
+            dispatcher.note(now, &mut op, 0, true, 0.0);
             if settle {
-                desk.settle(now + MS, &mut op, 0, Outcome::Acked, &[]);
+                dispatcher.settle(now + MS, &mut op, 0, Outcome::Acked, &[]);
                 let mut text = vec![1, 0];
-                text.extend((line(x).mark as u16).to_le_bytes());
+                text.extend((list_entry(x).mark as u16).to_le_bytes());
                 text.push(held);
-                desk.heard(now + MS, 1, &text);
+                dispatcher.heard(now + MS, 1, &text);
             }
             x
         };
-        let first = home(now, true);
-        assert_eq!(home(now + 2 * MS, false) == first, stays, "{held} slots of two held by a peer");
+        let first = place_op(now, true);
+        assert_eq!(
+            place_op(now + 2 * MS, false) == first,
+            same_executor,
+            "{held} of two slots in use by a peer"
+        );
     }
 }
 
 #[test]
-fn who_is_out_by_hand_gets_nothing_and_comes_back_cold() {
-    let mut desk = desk(terms(), 3, 3);
+fn a_disabled_executor_gets_nothing_and_returns_cold() {
+    let mut dispatcher = warm_dispatcher(terms(), 3, 3);
     let mut now = SECOND;
     (0..60).for_each(|n| {
-        serve(&mut desk, now + n * 100, 0, 900);
+        run_op(&mut dispatcher, now + n * 100, 0, 900);
     });
-    // A push there that was kept back is held against nobody and takes none of the op's pushes.
-    let mut op = desk.arrive(now, Ask { limits: Limits { pushes: 2, ..Limits::default() }, ..ask(4) });
-    let first = pushed(desk.place(now, &mut op));
-    desk.disable(now, first, true);
-    let second = pushed(desk.settle(now, &mut op, 0, Outcome::Withheld, &[]));
-    let third = pushed(desk.settle(now, &mut op, 1, Outcome::NotConnected, &[]));
-    assert!(second != first && third != first && desk.avoids(now, first));
-    assert_eq!(desk.settle(now, &mut op, 2, Outcome::Acked, &[]), Step::Hold);
-    // Not by a list that names it anew, nor under a fresh start, nor twice out and asked again.
+    // A push held back because its executor was disabled counts against no executor and uses up none of the
+    // op's pushes.
+    let mut op =
+        dispatcher.arrive(now, Ask { limits: Limits { pushes: 2, ..Limits::default() }, ..request(4) });
+    let first = pushed_executor(dispatcher.place(now, &mut op));
+    dispatcher.disable(now, first, true);
+    let second = pushed_executor(dispatcher.settle(now, &mut op, 0, Outcome::Withheld, &[]));
+    let third = pushed_executor(dispatcher.settle(now, &mut op, 1, Outcome::NotConnected, &[]));
+    assert!(second != first && third != first && dispatcher.avoids(now, first));
+    assert_eq!(dispatcher.settle(now, &mut op, 2, Outcome::Acked, &[]), Step::Hold);
+    // The executor stays disabled when a list names it again, when it restarts, and when it is disabled a
+    // second time.
     for round in 0..3 {
         now += SECOND;
         let started = (round == 2).then_some(now);
-        desk.list(now, round == 1, &[line(0), line(1), Listed { started, ..line(first) }, line(2)]);
-        desk.disable(now, first, true);
+        dispatcher.list(
+            now,
+            round == 1,
+            &[list_entry(0), list_entry(1), Listed { started, ..list_entry(first) }, list_entry(2)],
+        );
+        dispatcher.disable(now, first, true);
         for n in 0..30 {
-            assert_ne!(serve(&mut desk, now + n * 300, 0, 500), first, "round {round}");
+            assert_ne!(run_op(&mut dispatcher, now + n * 300, 0, 500), first, "round {round}");
         }
-        assert_eq!(desk.shares().nth(first), Some(0.0));
+        assert_eq!(dispatcher.shares().nth(first), Some(0.0));
     }
-    // All are out: what comes is nacked, and nothing is pushed.
-    (0..3).for_each(|executor| desk.disable(now, executor, true));
-    let mut none = desk.arrive(now, ask(0));
-    assert_eq!(desk.place(now, &mut none), Step::Hold);
-    assert!(matches!(desk.place(now + SECOND, &mut none), Step::Nack { .. }));
-    (0..3).filter(|executor| *executor != first).for_each(|executor| desk.disable(now, executor, false));
-    // Back, it is cold whatever the list knows of its start, and an older start is no news.
+    // With all executors disabled, an op is nacked and nothing is pushed.
+    (0..3).for_each(|executor| dispatcher.disable(now, executor, true));
+    let mut none = dispatcher.arrive(now, request(0));
+    assert_eq!(dispatcher.place(now, &mut none), Step::Hold);
+    assert!(matches!(dispatcher.place(now + SECOND, &mut none), Step::Nack { .. }));
+    (0..3)
+        .filter(|executor| *executor != first)
+        .for_each(|executor| dispatcher.disable(now, executor, false));
+    // Once enabled again the executor is cold whatever the list says of its start, and an older start changes
+    // nothing.
     now += 20 * SECOND;
-    desk.disable(now, first, false);
-    desk.list(now, false, &[Listed { started: Some(now - 3 * SECOND), ..line(first) }]);
-    assert!(!desk.avoids(now, first));
+    dispatcher.disable(now, first, false);
+    dispatcher.list(now, false, &[Listed { started: Some(now - 3 * SECOND), ..list_entry(first) }]);
+    assert!(!dispatcher.avoids(now, first));
     let mut sent = Vec::new();
     for n in 0..200 {
         let at = now + n * 250;
-        if serve(&mut desk, at, 0, 500) == first {
+        if run_op(&mut dispatcher, at, 0, 500) == first {
             sent.push(at - now);
         }
     }
@@ -1135,41 +1201,50 @@
 
 #[test]
 fn a_successor_takes_over_what_was_learned_and_no_more() {
-    let mut old = desk(terms(), 3, 4);
-    // Executor 1 runs three times as long, executor 2 has failed just now, executor 3 restarts meanwhile.
+    let mut old = warm_dispatcher(terms(), 3, 4);
+    // Executor 1 runs ops three times as long, executor 2 has just failed, executor 3 restarts meanwhile.
     for n in 0..300 {
         let now = SECOND + n * 400;
-        let mut op = old.arrive(now, Ask { deadline: now + 20 * SECOND, ..ask(0) });
-        let executor = pushed(old.place(now, &mut op));
+        let mut op = old.arrive(now, Ask { deadline: now + 20 * SECOND, ..request(0) });
+        let executor = pushed_executor(old.place(now, &mut op));
         old.note(now, &mut op, 0, true, 0.0);
         let ran = if executor == 1 { 3000 } else { 1000 };
         old.settle(now + ran, &mut op, 0, Outcome::Acked, &[0.0, 4.0]);
     }
     let now = 14 * SECOND;
-    let mut op = old.arrive(now, ask(0));
-    while pushed(old.place(now, &mut op)) != 2 {
-        op = old.arrive(now, ask(0));
+    let mut op = old.arrive(now, request(0));
+    while pushed_executor(old.place(now, &mut op)) != 2 {
+        op = old.arrive(now, request(0));
     }
     old.settle(now, &mut op, 0, Outcome::NotConnected, &[]);
     let memory = old.memory();
-    let begin = || {
-        let mut new = Dispatcher::new(&tariff(terms()), 9);
-        new.list(now, true, &[line(0), line(1), line(2), Listed { started: Some(now - 10), ..line(3) }]);
+    let successor = || {
+        let mut new = Dispatcher::new(&dispatch_settings(terms()), 9);
+        new.list(
+            now,
+            true,
+            &[
+                list_entry(0),
+                list_entry(1),
+                list_entry(2),
+                Listed { started: Some(now - 10), ..list_entry(3) },
+            ],
+        );
         new
     };
     let shares = |new: &mut Dispatcher| {
-        let mut op = new.arrive(now, ask(0));
+        let mut op = new.arrive(now, request(0));
         new.place(now, &mut op);
         new.shares().collect::<Vec<f64>>()
     };
-    let (mut bare, mut new) = (begin(), begin());
+    let (mut bare, mut new) = (successor(), successor());
     new.recall(now, memory.clone());
     let (bare, shares) = (shares(&mut bare), shares(&mut new));
     assert!(bare[1] > 0.2 && bare[2] > 0.2, "{bare:?}");
     assert!(shares[1] < shares[0] / 2.0 && shares[2] == 0.0 && new.avoids(now, 2), "{shares:?}");
     assert!(shares[3] < shares[0] / 2.0, "it has restarted since and is cold: {shares:?}");
-    // One that knows other categories has learned of something else.
-    let mut other = begin();
+    // The learned state of an instance with other categories is not taken over.
+    let mut other = successor();
     let categories = memory.categories[..2].to_vec();
     other.recall(now, stileroute_dispatch::state::Memory { categories, ..memory });
     assert!(!other.avoids(now, 2));
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: what is read of it.
+//! Messages of the simulator's wire protocol that the adapter reads.
 
 use serde::Deserialize;
 use std::borrow::Cow;
@@ -12,7 +12,7 @@
     pub msgs: Vec<Msg<'a>>,
 }
 
-/// Every message has its fields here; which ones it must have is asked where it is handled.
+/// The fields of all messages; the handler of each message checks the fields that it requires.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Msg<'a> {
--- a/crates/sim-adapter/tests/wire.rs
+++ b/crates/sim-adapter/tests/wire.rs
@@ -1,16 +1,16 @@
-//! Batches of wire text through the adapter.
+//! Runs batches of wire text through the adapter.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-fn drill(input: &str) -> (String, String, Option<i32>) {
+fn run_adapter(input: &str) -> (String, String, Option<i32>) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_stileroute-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The adapter may exit before it has read all: that is for the exit code to tell.
+    // The adapter may exit before it has read all input; the exit code shows that.
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
     let out = child.wait_with_output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_op_goes_out_and_is_answered() {
+fn an_op_is_pushed_and_acked() {
     let ingress =
         r#"{"op":"INGRESS","node":"crates/node/0","ticket":"00c5","grade":0,"drop-dead-ns":8000000000}"#;
     let result = |executor: &str| {
@@ -40,7 +40,7 @@
         )
     };
     let start = batch(1, SPAWN) + &batch(2, "") + &batch(3_000_000, ingress);
-    let (out, err, code) = drill(&start);
+    let (out, err, code) = run_adapter(&start);
     assert_eq!((err.as_str(), code), ("", Some(0)));
     let lines: Vec<&str> = out.lines().collect();
     assert!(lines[0].contains(r#""op":"OBSERVE","node":"crates/node/0","active":true"#), "{out}");
@@ -57,24 +57,24 @@
         r#"{"op":"WITHDRAWN","node":"crates/node/0","ticket":"00c5"}"#.into(),
         r#"{"op":"NEWS","node":"crates/node/0"}"#.into(),
     ];
-    let (out, err, code) = drill(&(start + &batch(9_000_000, &rest.join(","))));
+    let (out, err, code) = run_adapter(&(start + &batch(9_000_000, &rest.join(","))));
     assert_eq!((err.lines().count(), code), (1, Some(0)), "{err}");
     assert!(!out.lines().nth(3).unwrap().contains("00c5"), "{out}");
 }
 
 #[test]
-fn an_instance_can_die_and_start_again_in_one_batch() {
-    let again = format!(r#"{{"op":"KILLED","node":"crates/node/0"}},{SPAWN}"#);
+fn an_instance_can_be_killed_and_spawned_again_in_one_batch() {
+    let respawn = format!(r#"{{"op":"KILLED","node":"crates/node/0"}},{SPAWN}"#);
     let ingress =
         r#"{"op":"INGRESS","node":"crates/node/0","ticket":"01","grade":0,"drop-dead-ns":8000000000}"#;
-    let (out, _, code) = drill(&(batch(1, SPAWN) + &batch(5, &again) + &batch(3_000_000, ingress)));
+    let (out, _, code) = run_adapter(&(batch(1, SPAWN) + &batch(5, &respawn) + &batch(3_000_000, ingress)));
     assert_eq!(code, Some(0));
     assert!(out.lines().nth(1).unwrap().contains("OBSERVE"), "{out}");
     assert!(out.lines().nth(2).unwrap().contains("ATTEMPT"), "{out}");
 }
 
 #[test]
-fn bad_input_is_told_by_field() {
+fn an_error_names_the_field_that_is_wrong() {
     let cases = [
         ("no json", "line 1"),
         (r#"{"clock-ns":"soon","msgs":[]}"#, "clock-ns"),
@@ -88,12 +88,12 @@
         (r#"{"clock-ns":1,"msgs":[{"op":"INGRESS","node":"crates/node/0","ticket":7}]}"#, "ticket"),
     ];
     for (input, field) in cases {
-        let (_, err, code) = drill(&format!("{input}\n"));
+        let (_, err, code) = run_adapter(&format!("{input}\n"));
         assert_eq!(code, Some(2), "{input}");
         assert!(err.contains(field) && err.lines().count() == 1, "{input}: {err}");
     }
     let grade =
         r#"{"op":"INGRESS","node":"crates/node/0","ticket":"01","grade":9,"drop-dead-ns":8000000000}"#;
-    let (_, err, code) = drill(&(batch(1, SPAWN) + &batch(2, grade)));
+    let (_, err, code) = run_adapter(&(batch(1, SPAWN) + &batch(2, grade)));
     assert!(code == Some(2) && err.contains("grade"), "{err}");
 }
