--- a/crates/dispatch/src/policy/mod.rs
+++ b/crates/dispatch/src/policy/mod.rs
@@ -11,7 +11,7 @@
 
 mod estimate; // expected waits, running times and prices, and how they are learned
 mod health; // pushes in flight, ejected executors, blocked categories, the final answer of an op
-mod hear; // arriving ops, the executor list, load reports, messages of peers
+mod inputs; // arriving ops, the executor list, load reports, messages of peers
 mod order; // which executor an op goes to: billiard order and eligibility
 mod shares; // the share of ops that each executor gets, by the queueing model
 
