--- a/crates/dispatch/src/peers.rs
+++ b/crates/dispatch/src/peers.rs
@@ -68,9 +68,9 @@
     }
 
     /// Records that the slots used at an executor have changed, or that a category was blocked there.
-    pub fn record_change(&mut self, executor: usize, barred: Option<usize>) {
+    pub fn record_change(&mut self, executor: usize, blocked: Option<usize>) {
         if self.allowed {
-            self.pending.push((executor, barred));
+            self.pending.push((executor, blocked));
         }
     }
 
@@ -98,11 +98,11 @@
         }
         // Entries that exceed the message's length wait for the next message.
         let capacity = (LONGEST - text.len()) / 3;
-        for (executor, barred) in self.pending.drain(..self.pending.len().min(capacity)) {
+        for (executor, blocked) in self.pending.drain(..self.pending.len().min(capacity)) {
             let (mark, held) = executor_state(executor);
             text.extend((mark as u16).to_le_bytes());
             text.push(
-                barred.map_or((held as u8).min(BLOCKED_BIT - 1), |category| BLOCKED_BIT | category as u8),
+                blocked.map_or((held as u8).min(BLOCKED_BIT - 1), |category| BLOCKED_BIT | category as u8),
             );
         }
         if self.partitions == 1 {
@@ -128,7 +128,7 @@
         let peer = self.peers.entry(from).or_default();
         peer.last_heard = now;
         if !rates.is_empty() {
-            let rate = |two: &[u8]| f64::from(u16::from_le_bytes([two[0], two[1]])) / 10.0;
+            let rate = |bytes: &[u8]| f64::from(u16::from_le_bytes([bytes[0], bytes[1]])) / 10.0;
             peer.rates = rates.chunks(2).map(rate).collect();
         }
         let mut updates = Vec::with_capacity(entries.len() / 3);
--- a/crates/dispatch/src/policy/estimate.rs
+++ b/crates/dispatch/src/policy/estimate.rs
@@ -106,12 +106,12 @@
         let total: f64 = self.learned.iter().map(|l| l.fraction).sum();
         let mean: f64 = (0..self.learned.len()).map(|c| self.learned[c].fraction / total * value(c)).sum();
         let rate = (self.learned[op.category].fraction / total).max(0.01) * self.learned.len() as f64;
-        let whole = value(op.category) / mean.max(1e-9);
-        ((1.0 - self.terms.worst_category) * whole + self.terms.worst_category / rate).max(0.05)
+        let relative = value(op.category) / mean.max(1e-9);
+        ((1.0 - self.terms.worst_category) * relative + self.terms.worst_category / rate).max(0.05)
     }
 
     /// Updates the executor's pace and the category's mean from a complete running time; from an incomplete one only the pace.
-    pub(super) fn record_running_time(&mut self, x: usize, op: &Op, ran: f64, kind_of_sample: Sample) {
+    pub(super) fn record_running_time(&mut self, x: usize, op: &Op, ran: f64, sample_kind: Sample) {
         let sample = (ran / op.work).max(1e-9);
         let learned = &mut self.learned[op.category];
         let e = &mut self.executors[x];
@@ -119,7 +119,7 @@
             (learned.mean_log_time, learned.mean) = (sample.ln() - e.pace, sample / e.pace.exp());
         }
         let error = sample.ln() - learned.mean_log_time - e.pace;
-        if kind_of_sample == Sample::Censored && error < 0.0 {
+        if sample_kind == Sample::Censored && error < 0.0 {
             return;
         }
         // The log keeps one long op from dominating the estimate.
@@ -128,7 +128,7 @@
         e.samples += 1.0;
         let gain = 0.7 * (PACE_VARIANCE / (PACE_VARIANCE + e.variance)).max(1.0 / (e.samples + 3.0));
         e.pace = (e.pace + gain * clipped).clamp(-3.0, 3.0);
-        if kind_of_sample == Sample::Complete {
+        if sample_kind == Sample::Complete {
             learned.samples += 1.0;
             // A short op delayed by others says little about the mean, so samples are weighted by the op's work.
             let gain = (1.0 / (learned.samples + 3.0)).max(EWMA_GAIN / 4.0);
--- a/crates/dispatch/src/policy/inputs.rs
+++ b/crates/dispatch/src/policy/inputs.rs
@@ -10,7 +10,7 @@
 
 impl Dispatcher {
     /// Opens an op for a request; the request's `hint` is its expected work, where the client gives one.
-    pub fn arrive(&mut self, now: Time, ask: Ask) -> Op {
+    pub fn arrive(&mut self, now: Time, request: Ask) -> Op {
         let mut surplus = false;
         self.decay_tenant_rates(now);
         if let Some(last) = self.last_arrival {
@@ -20,80 +20,80 @@
             self.mean_square_gap += gain * (gap * gap - self.mean_square_gap);
         }
         self.last_arrival = Some(now);
-        if let Some(rate) = self.tenant_rates.get_mut(ask.tenant) {
+        if let Some(rate) = self.tenant_rates.get_mut(request.tenant) {
             *rate += SECOND as f64 / TENANT_RATE_WINDOW;
-            surplus = self.rng.draw() >= self.fraction_within_quota(ask.tenant);
+            surplus = self.rng.draw() >= self.fraction_within_quota(request.tenant);
         }
-        self.slots_per_op += EWMA_GAIN / 4.0 * (ask.slots - self.slots_per_op);
+        self.slots_per_op += EWMA_GAIN / 4.0 * (request.slots - self.slots_per_op);
         for (category, learned) in self.learned.iter_mut().enumerate() {
-            let one = f64::from(u8::from(category == ask.category));
-            learned.fraction += EWMA_GAIN / 4.0 * (one - learned.fraction);
+            let hit = f64::from(u8::from(category == request.category));
+            learned.fraction += EWMA_GAIN / 4.0 * (hit - learned.fraction);
         }
-        let work = ask.hint.map_or(1.0, |hint| hint.max(1) as f64);
-        let learned = &mut self.learned[ask.category];
-        if ask.hint.is_none() && learned.samples == 0.0 {
-            learned.mean = self.categories[ask.category].target as f64;
+        let work = request.hint.map_or(1.0, |hint| hint.max(1) as f64);
+        let learned = &mut self.learned[request.category];
+        if request.hint.is_none() && learned.samples == 0.0 {
+            learned.mean = self.categories[request.category].target as f64;
         }
         learned.work += if learned.work == 0.0 { work } else { EWMA_GAIN / 4.0 * (work - learned.work) };
         Op {
-            category: ask.category,
+            category: request.category,
             // An executor has one unit of memory per slot, so the scarcer of the two is the op's width.
-            slots: ask.slots.max(ask.memory),
+            slots: request.slots.max(request.memory),
             work,
             arrived_at: now,
-            deadline: ask.deadline,
-            limits: ask.limits,
-            key: ask.key,
+            deadline: request.deadline,
+            limits: request.limits,
+            key: request.key,
             surplus,
             ..Op::default()
         }
     }
 
-    /// Updates the executor list; `whole` replaces all that was known.
-    pub fn list(&mut self, now: Time, whole: bool, lines: &[Listed]) {
+    /// Updates the executor list; `complete` replaces all that was known.
+    pub fn list(&mut self, now: Time, complete: bool, entries: &[Listed]) {
         if std::mem::take(&mut self.consecutive_rejections) > 0 {
             self.log.push("list: subscribed again".to_string());
         }
         self.subscribe_at = if self.subscribe_at > 0 { Time::MAX } else { 0 };
-        if whole {
+        if complete {
             self.executors.iter_mut().for_each(|e| e.active = false);
         }
         let paces = self.kind_paces();
-        lines.iter().for_each(|line| self.update_executor(now, line, &paces));
+        entries.iter().for_each(|entry| self.update_executor(now, entry, &paces));
         self.assign_partitions();
         self.solved_at = None;
     }
 
     /// Updates one executor from its entry in the list.
-    fn update_executor(&mut self, now: Time, line: &Listed, paces: &[f64]) {
-        while self.slots.len() <= line.kind {
+    fn update_executor(&mut self, now: Time, entry: &Listed, paces: &[f64]) {
+        while self.slots.len() <= entry.kind {
             self.slots.push(self.slots.iter().copied().fold(1.0, f64::max));
         }
-        self.domains.resize(self.domains.len().max(line.domain + 1), (0, 0));
-        while self.executors.len() <= line.executor {
+        self.domains.resize(self.domains.len().max(entry.domain + 1), (0, 0));
+        while self.executors.len() <= entry.executor {
             let turn = self.rng.draw();
             let executor = Executor::new(now, turn, MAX_CREDIT, self.categories.len(), self.terms.keepalive);
             self.executors.push(executor);
         }
         let draw = self.rng.draw();
-        let e = &mut self.executors[line.executor];
+        let e = &mut self.executors[entry.executor];
         // An older start doesn't count for an executor that an operator enabled again: it counts as cold since then.
-        let restarted = line.started > e.started;
-        (e.active, e.domain, e.kind, e.cell) = (line.active, line.domain, line.kind, line.cell);
-        (e.size, e.name_hash) = (e.size.max(line.weight), line.mark);
-        self.peers.add_executor(line.mark, line.executor);
-        if self.gauges.is_empty() && line.weight > 0.0 {
+        let restarted = entry.started > e.started;
+        (e.active, e.domain, e.kind, e.cell) = (entry.active, entry.domain, entry.kind, entry.cell);
+        (e.size, e.name_hash) = (e.size.max(entry.weight), entry.mark);
+        self.peers.add_executor(entry.mark, entry.executor);
+        if self.gauges.is_empty() && entry.weight > 0.0 {
             // No load report gives the slots, so the listed sizes are the only source.
-            let slots = &mut self.slots[line.kind];
-            *slots += EWMA_GAIN * (line.weight - *slots) * if *slots <= 1.0 { 1.0 / EWMA_GAIN } else { 1.0 };
+            let slots = &mut self.slots[entry.kind];
+            *slots += EWMA_GAIN * (entry.weight - *slots) * if *slots <= 1.0 { 1.0 / EWMA_GAIN } else { 1.0 };
         }
         if restarted {
-            e.restart(now, line.started, draw);
+            e.restart(now, entry.started, draw);
         }
-        e.pace = if e.samples == 0.0 { paces.get(line.kind).copied().unwrap_or(0.0) } else { e.pace };
-        if self.terms.live_weights && line.weight > 0.0 && !restarted {
-            let held = self.slots[e.kind] * (e.size / line.weight - 1.0);
-            self.record_load(now, line.executor, held, BROADCAST_REPORT_WEIGHT);
+        e.pace = if e.samples == 0.0 { paces.get(entry.kind).copied().unwrap_or(0.0) } else { e.pace };
+        if self.terms.live_weights && entry.weight > 0.0 && !restarted {
+            let held = self.slots[e.kind] * (e.size / entry.weight - 1.0);
+            self.record_load(now, entry.executor, held, BROADCAST_REPORT_WEIGHT);
         }
     }
 
@@ -198,8 +198,8 @@
     }
 
     /// Takes in a message of a peer.
-    pub fn heard(&mut self, now: Time, from: usize, text: &[u8]) {
-        let updates = self.peers.heard(now, from, text);
+    pub fn heard(&mut self, now: Time, from: usize, message: &[u8]) {
+        let updates = self.peers.heard(now, from, message);
         self.apply_peer_updates(now, updates);
     }
 
--- a/crates/dispatch/src/policy/mod.rs
+++ b/crates/dispatch/src/policy/mod.rs
@@ -74,22 +74,22 @@
 
 impl Dispatcher {
     /// Creates an instance with these settings; the same seed gives the same random draws.
-    pub fn new(tariff: &Tariff, seed: u64) -> Dispatcher {
-        let nodes = tariff.terms.nodes.max(1);
+    pub fn new(settings: &Tariff, seed: u64) -> Dispatcher {
+        let nodes = settings.terms.nodes.max(1);
         // Peers get a message for each push and for its end, so their number is limited by what an op can pay for.
-        let max_peers = (PEER_MESSAGE_BUDGET * 256.0 / 6.0 / tariff.terms.price_peer.max(1e-4)) as usize;
-        let partitions = if tariff.terms.peers { (nodes / max_peers.max(1)).max(1) } else { 1 };
+        let max_peers = (PEER_MESSAGE_BUDGET * 256.0 / 6.0 / settings.terms.price_peer.max(1e-4)) as usize;
+        let partitions = if settings.terms.peers { (nodes / max_peers.max(1)).max(1) } else { 1 };
         Dispatcher {
-            terms: tariff.terms.clone(),
+            terms: settings.terms.clone(),
             partitions,
-            peers: Peers::new(&tariff.terms, partitions, tariff.quotas.len()),
-            tenant_rates: vec![0.0; tariff.quotas.len()],
-            quotas: tariff.quotas.clone(),
-            learned: vec![Learned { mean: 1.0, ..Learned::default() }; tariff.categories.len()],
-            categories: tariff.categories.clone(),
-            warmup_budget: tariff.overload_factor * tariff.terms.tip_after as f64,
-            warmup_budget_period: tariff.terms.tip_after * nodes as Time,
-            gauges: tariff.gauges.clone(),
+            peers: Peers::new(&settings.terms, partitions, settings.quotas.len()),
+            tenant_rates: vec![0.0; settings.quotas.len()],
+            quotas: settings.quotas.clone(),
+            learned: vec![Learned { mean: 1.0, ..Learned::default() }; settings.categories.len()],
+            categories: settings.categories.clone(),
+            warmup_budget: settings.overload_factor * settings.terms.tip_after as f64,
+            warmup_budget_period: settings.terms.tip_after * nodes as Time,
+            gauges: settings.gauges.clone(),
             target_load: MIN_LOAD,
             slots_per_op: 1.0,
             rng: Pcg32::new(seed),
--- a/crates/dispatch/src/policy/order.rs
+++ b/crates/dispatch/src/policy/order.rs
@@ -106,7 +106,7 @@
             let ejected = e.ejected_until.max(self.domains[e.domain].1) > now || risky;
             let spent =
                 !op.pushes.is_empty() && (e.credit < 1.0 || op.pushes.iter().any(|p| p.executor == at));
-            if (strict && (ejected || spent)) || e.blocked[op.category] > now || !self.allowed(now, op, at) {
+            if (strict && (ejected || spent)) || e.blocked[op.category] > now || !self.eligible(now, op, at) {
                 continue;
             }
             let first = f64::from(u8::from(at == self.fastest));
@@ -158,13 +158,13 @@
     }
 
     /// Whether the rules allow this op at the executor: listed, of the right kind, in deduplication scope, within the warm-up budget.
-    fn allowed(&self, now: Time, op: &Op, at: usize) -> bool {
+    fn eligible(&self, now: Time, op: &Op, at: usize) -> bool {
         let e = &self.executors[at];
         let category = &self.categories[op.category];
         if !e.accepts_work() || category.kind.is_some_and(|kind| kind != e.kind) {
             return false;
         }
-        // Kinds and domains beyond bit 63 of the masks share that bit.
+        // Kinds and domains from 63 on share the last bit of the masks: what the masks cannot name is not excluded.
         if op.limits.kinds >> e.kind.min(63) & 1 == 0 || op.limits.domains >> e.domain.min(63) & 1 == 0 {
             return false;
         }
