--- a/crates/dispatch/src/peers.rs
+++ b/crates/dispatch/src/peers.rs
@@ -115,7 +115,7 @@
 
     /// Decodes a message. Entries for executors that this instance's own list has not named are dropped, as nothing may
     /// be sent there.
-    pub fn heard(&mut self, now: Time, from: usize, text: &[u8]) -> Vec<PeerUpdate> {
+    pub fn receive(&mut self, now: Time, from: usize, text: &[u8]) -> Vec<PeerUpdate> {
         let known = self.allowed && from < self.nodes && from != self.me;
         let rates = 2 * text.get(1).map_or(0, |rates| usize::from(*rates));
         let complete = text.len() >= 2 + rates && (text.len() - 2 - rates).is_multiple_of(3);
--- a/crates/dispatch/src/peers/tests.rs
+++ b/crates/dispatch/src/peers/tests.rs
@@ -17,7 +17,7 @@
         one.due_messages(now, 1000, &[2.5, 0.0], |x| (1000 + x as u64, held)).remove(0).text
     };
     let first = encode(&mut one, 2 * SECOND, 2.0);
-    assert_eq!(two.heard(2 * SECOND, 0, &first), [PeerUpdate::Held(7, 2.0), PeerUpdate::Blocked(9, 1)]);
+    assert_eq!(two.receive(2 * SECOND, 0, &first), [PeerUpdate::Held(7, 2.0), PeerUpdate::Blocked(9, 1)]);
     assert_eq!(two.rate(0, 0.5), Some(6.0), "mean of the two known rates times four instances");
     assert!(
         one.due_messages(2 * SECOND + 900, 1000, &[], |_| (0, 0.0)).is_empty(),
@@ -25,7 +25,7 @@
     );
     let lost = encode(&mut one, 3 * SECOND, 5.0);
     assert!(!lost.is_empty());
-    assert_eq!(two.heard(4 * SECOND, 0, &encode(&mut one, 4 * SECOND, 1.0))[0], PeerUpdate::Held(7, -1.0));
+    assert_eq!(two.receive(4 * SECOND, 0, &encode(&mut one, 4 * SECOND, 1.0))[0], PeerUpdate::Held(7, -1.0));
     assert_eq!(two.expire_silent_peers(10 * SECOND), []);
     assert_eq!(
         two.expire_silent_peers(11 * SECOND),
@@ -63,15 +63,15 @@
     ];
     for (from, text) in cases {
         let mut two = peers(1);
-        assert!(two.heard(SECOND, from, text).is_empty() && two.garbled == 1, "{from}: {text:?}");
+        assert!(two.receive(SECOND, from, text).is_empty() && two.garbled == 1, "{from}: {text:?}");
     }
     let mut off = Peers::new(&Terms { nodes: 4, ..Terms::default() }, 1, 0);
     assert!(
-        off.heard(SECOND, 1, &[VERSION, 0]).is_empty() && off.garbled == 1,
+        off.receive(SECOND, 1, &[VERSION, 0]).is_empty() && off.garbled == 1,
         "messages are refused where peers are disabled"
     );
     // The receiver ignores an entry for an executor that its own list does not name.
     let mut two = peers(1);
-    assert_eq!(two.heard(SECOND, 0, &[VERSION, 0, 0, 0, 5]), []);
+    assert_eq!(two.receive(SECOND, 0, &[VERSION, 0, 0, 0, 5]), []);
     assert_eq!(two.garbled, 0);
 }
--- a/crates/dispatch/src/policy/inputs.rs
+++ b/crates/dispatch/src/policy/inputs.rs
@@ -199,7 +199,7 @@
 
     /// Takes in a message of a peer.
     pub fn heard(&mut self, now: Time, from: usize, message: &[u8]) {
-        let updates = self.peers.heard(now, from, message);
+        let updates = self.peers.receive(now, from, message);
         self.apply_peer_updates(now, updates);
     }
 
--- a/crates/dispatch/src/policy/mod.rs
+++ b/crates/dispatch/src/policy/mod.rs
@@ -77,7 +77,7 @@
     pub fn new(settings: &Tariff, seed: u64) -> Dispatcher {
         let nodes = settings.terms.nodes.max(1);
         // Peers get a message for each push and for its end, so their number is limited by what an op can pay for.
-        let max_peers = (PEER_MESSAGE_BUDGET * 256.0 / 6.0 / settings.terms.price_peer.max(1e-4)) as usize;
+        let max_peers = (PEER_MESSAGE_BUDGET * 256.0 / 6.0 / settings.terms.message_price.max(1e-4)) as usize;
         let partitions = if settings.terms.peers { (nodes / max_peers.max(1)).max(1) } else { 1 };
         Dispatcher {
             terms: settings.terms.clone(),
--- a/crates/dispatch/src/settings.rs
+++ b/crates/dispatch/src/settings.rs
@@ -260,7 +260,7 @@
             handshake: self.prices.handshake,
             keepalive: floor_time(caps.keepalive_ns),
             peers: caps.peers,
-            price_peer: self.prices.peer,
+            message_price: self.prices.peer,
             surplus: self.surplus_benefit,
             tail: self.score_parts.tail,
         };
--- a/crates/dispatch/src/types.rs
+++ b/crates/dispatch/src/types.rs
@@ -117,7 +117,7 @@
     /// Instances may send one another messages about what they observe.
     pub peers: bool,
     /// Price of 256 bytes delivered to a peer, in parts of an op.
-    pub price_peer: f64,
+    pub message_price: f64,
     /// Fraction of its benefit that an op over its tenant's quota keeps.
     pub surplus: f64,
     /// Weight of the latency tail in the score; with it an admitted op that ends late costs other ops too.
--- a/crates/dispatch/tests/policy.rs
+++ b/crates/dispatch/tests/policy.rs
@@ -874,7 +874,7 @@
 
 /// Settings of a deployment whose executors report nothing; `nodes` instances may send one another messages.
 fn settings_without_reports(me: usize, nodes: usize) -> Tariff {
-    let terms = Terms { me, nodes, peers: true, price_peer: 0.01, surplus: 0.05, progress: 0, ..terms() };
+    let terms = Terms { me, nodes, peers: true, message_price: 0.01, surplus: 0.05, progress: 0, ..terms() };
     Tariff { gauges: vec![], quotas: vec![100.0, 100.0], ..dispatch_settings(terms) }
 }
 
