--- a/crates/dispatch/src/peers.rs
+++ b/crates/dispatch/src/peers.rs
@@ -6,12 +6,12 @@
 //! The newest entry counts, and a lost one is made good by the next; a message that can't be decoded is counted and
 //! dropped completely.
 
-use crate::types::{Letter, Terms, Time, SECOND};
+use crate::types::{InstanceSettings, OutgoingMessage, Time, SECOND};
 use std::collections::BTreeMap;
 
 const VERSION: u8 = 1;
 /// Upper limit of a message's length, in bytes.
-pub const LONGEST: usize = 256;
+pub const MAX_MESSAGE_BYTES: usize = 256;
 const BLOCKED_BIT: u8 = 128;
 /// Interval at which tenants' rates are sent to peers.
 const RATE_REPORT_INTERVAL: Time = 2 * SECOND;
@@ -57,7 +57,7 @@
 
 impl Peers {
     /// Creates the peers of an instance, none of which has reported anything yet.
-    pub fn new(terms: &Terms, partitions: usize, tenants: usize) -> Peers {
+    pub fn new(terms: &InstanceSettings, partitions: usize, tenants: usize) -> Peers {
         let (allowed, me, nodes) = (terms.peers, terms.me, terms.nodes);
         Peers { allowed, me, nodes, partitions, tenants, ..Peers::default() }
     }
@@ -82,7 +82,7 @@
         interval: Time,
         rates: &[f64],
         executor_state: impl Fn(usize) -> (u64, f64),
-    ) -> Vec<Letter> {
+    ) -> Vec<OutgoingMessage> {
         let rates_sent_at = now >= self.rates_sent_at + RATE_REPORT_INTERVAL;
         if !self.allowed || now < self.sent_at + interval || (self.pending.is_empty() && !rates_sent_at) {
             return Vec::new();
@@ -97,7 +97,7 @@
             text.extend(((rate * 10.0).min(65_535.0) as u16).to_le_bytes());
         }
         // Entries that exceed the message's length wait for the next message.
-        let capacity = (LONGEST - text.len()) / 3;
+        let capacity = (MAX_MESSAGE_BYTES - text.len()) / 3;
         for (executor, blocked) in self.pending.drain(..self.pending.len().min(capacity)) {
             let (mark, held) = executor_state(executor);
             text.extend((mark as u16).to_le_bytes());
@@ -106,11 +106,11 @@
             );
         }
         if self.partitions == 1 {
-            return vec![Letter { to: None, text }];
+            return vec![OutgoingMessage { to: None, text }];
         }
         let peers =
             (self.me % self.partitions..self.nodes).step_by(self.partitions).filter(|peer| *peer != self.me);
-        peers.map(|peer| Letter { to: Some(peer), text: text.clone() }).collect()
+        peers.map(|peer| OutgoingMessage { to: Some(peer), text: text.clone() }).collect()
     }
 
     /// Decodes a message. Entries for executors that this instance's own list has not named are dropped, as nothing may
@@ -119,7 +119,7 @@
         let known = self.allowed && from < self.nodes && from != self.me;
         let rates = 2 * text.get(1).map_or(0, |rates| usize::from(*rates));
         let complete = text.len() >= 2 + rates && (text.len() - 2 - rates).is_multiple_of(3);
-        let fits = text.len() <= LONGEST && (rates == 0 || rates == 2 * self.tenants);
+        let fits = text.len() <= MAX_MESSAGE_BYTES && (rates == 0 || rates == 2 * self.tenants);
         if !known || !complete || !fits || text[0] != VERSION {
             self.garbled += 1;
             return Vec::new();
--- a/crates/dispatch/src/peers/tests.rs
+++ b/crates/dispatch/src/peers/tests.rs
@@ -3,7 +3,8 @@
 use super::*;
 
 fn peers(me: usize) -> Peers {
-    let mut peers = Peers::new(&Terms { peers: true, me, nodes: 4, ..Terms::default() }, 1, 2);
+    let mut peers =
+        Peers::new(&InstanceSettings { peers: true, me, nodes: 4, ..InstanceSettings::default() }, 1, 2);
     (0..300).for_each(|x| peers.add_executor(1000 + x as u64, x));
     peers
 }
@@ -42,7 +43,7 @@
     let mut entries = 0;
     for turn in 1..=3 {
         let messages = one.due_messages(turn * SECOND, 1000, &[1.0, 1.0], |x| (1000 + x as u64, 1.0));
-        assert!(messages[0].text.len() <= LONGEST);
+        assert!(messages[0].text.len() <= MAX_MESSAGE_BYTES);
         entries += (messages[0].text.len() - 2 - 2 * usize::from(messages[0].text[1])) / 3;
     }
     assert_eq!(entries, 200);
@@ -65,7 +66,7 @@
         let mut two = peers(1);
         assert!(two.receive(SECOND, from, text).is_empty() && two.garbled == 1, "{from}: {text:?}");
     }
-    let mut off = Peers::new(&Terms { nodes: 4, ..Terms::default() }, 1, 0);
+    let mut off = Peers::new(&InstanceSettings { nodes: 4, ..InstanceSettings::default() }, 1, 0);
     assert!(
         off.receive(SECOND, 1, &[VERSION, 0]).is_empty() && off.garbled == 1,
         "messages are refused where peers are disabled"
--- a/crates/dispatch/src/policy/health.rs
+++ b/crates/dispatch/src/policy/health.rs
@@ -11,7 +11,7 @@
         let (x, started, noted, sent, guess) = (p.executor, p.started, p.noted_at, p.sent, p.expected_wait);
         let check = self.categories[op.category].target / CHECKS_PER_TARGET;
         let only_one = op.pushes.iter().filter(|p| p.outcome.is_none()).count() == 1;
-        let hedging = self.terms.second_copies && self.effect(op) != Effect::AtMostOnce;
+        let hedging = self.terms.hedging && self.effect(op) != Effect::AtMostOnce;
         if hedging && only_one && !p.cancelling && now >= sent.saturating_add(op.limits.copy_after) {
             let hedge = if self.may_send(now, op) { self.choose(now, op, true) } else { None };
             if let Some(Candidate { at, .. }) = hedge {
@@ -19,7 +19,7 @@
             }
         }
         if op.pushes[last].cancelling || now - noted < check {
-            return Step::Hold;
+            return Step::Wait;
         }
         // The op can no longer end in time, and a late answer earns nothing: a final answer now is better than one later.
         let late_is_worthless = self.categories[op.category].late <= 0.0;
@@ -44,14 +44,14 @@
             }
             f64::INFINITY
         } else {
-            return Step::Hold;
+            return Step::Wait;
         };
-        let may_move = only_one && self.may_send(now, op) && (self.terms.second_copies || self.terms.cancel);
+        let may_move = only_one && self.may_send(now, op) && (self.terms.hedging || self.terms.cancel);
         let better = may_move.then(|| self.choose(now, op, true)).flatten().filter(|b| b.cost <= wait);
-        let Some(Candidate { at, .. }) = better else { return Step::Hold };
-        if self.terms.second_copies {
+        let Some(Candidate { at, .. }) = better else { return Step::Wait };
+        if self.terms.hedging {
             // A queued push runs in any case; a hedged request only pays where the first push has stalled.
-            return if wait.is_finite() { Step::Hold } else { self.push(now, op, at) };
+            return if wait.is_finite() { Step::Wait } else { self.push(now, op, at) };
         }
         cancel_push(op, last)
     }
@@ -74,14 +74,14 @@
     }
 
     /// The final answer of an abandoned op: a nack only where a retry by the client is harmless, else a dead letter.
-    pub(super) fn abandon(&mut self, op: &mut Op, come_back: Time) -> Step {
+    pub(super) fn abandon(&mut self, op: &mut Op, retry_after: Time) -> Step {
         op.closed = true;
         let ran = op.may_have_run().is_some();
         match self.effect(op) {
             Effect::AtMostOnce | Effect::Deduplicated { scope: Scope::Domain | Scope::Cell, .. } if ran => {
                 Step::DeadLetter
             }
-            _ => Step::Nack { come_back: come_back.min(self.terms.come_back) },
+            _ => Step::Nack { retry_after: retry_after.min(self.terms.retry_after) },
         }
     }
 
--- a/crates/dispatch/src/policy/inputs.rs
+++ b/crates/dispatch/src/policy/inputs.rs
@@ -10,7 +10,7 @@
 
 impl Dispatcher {
     /// Opens an op for a request; the request's `hint` is its expected work, where the client gives one.
-    pub fn arrive(&mut self, now: Time, request: Ask) -> Op {
+    pub fn arrive(&mut self, now: Time, request: OpRequest) -> Op {
         let mut surplus = false;
         self.decay_tenant_rates(now);
         if let Some(last) = self.last_arrival {
@@ -50,7 +50,7 @@
     }
 
     /// Updates the executor list; `complete` replaces all that was known.
-    pub fn list(&mut self, now: Time, complete: bool, entries: &[Listed]) {
+    pub fn list(&mut self, now: Time, complete: bool, entries: &[ListedExecutor]) {
         if std::mem::take(&mut self.consecutive_rejections) > 0 {
             self.log.push("list: subscribed again".to_string());
         }
@@ -65,7 +65,7 @@
     }
 
     /// Updates one executor from its entry in the list.
-    fn update_executor(&mut self, now: Time, entry: &Listed, paces: &[f64]) {
+    fn update_executor(&mut self, now: Time, entry: &ListedExecutor, paces: &[f64]) {
         while self.slots.len() <= entry.kind {
             self.slots.push(self.slots.iter().copied().fold(1.0, f64::max));
         }
@@ -80,8 +80,8 @@
         // An older start doesn't count for an executor that an operator enabled again: it counts as cold since then.
         let restarted = entry.started > e.started;
         (e.active, e.domain, e.kind, e.cell) = (entry.active, entry.domain, entry.kind, entry.cell);
-        (e.size, e.name_hash) = (e.size.max(entry.weight), entry.mark);
-        self.peers.add_executor(entry.mark, entry.executor);
+        (e.size, e.name_hash) = (e.size.max(entry.weight), entry.name_hash);
+        self.peers.add_executor(entry.name_hash, entry.executor);
         if self.gauges.is_empty() && entry.weight > 0.0 {
             // No load report gives the slots, so the listed sizes are the only source.
             let slots = &mut self.slots[entry.kind];
@@ -100,7 +100,7 @@
     /// Handles a failed call to the list service: subscribes again after a random wait, longer with more instances. Where the service
     /// rejected the call for lack of capacity (`turned_away`) the wait doubles each time in a row, until all instances together call about
     /// twice a second: rejected calls take capacity too, and without that limit no call would get through.
-    pub fn refused(&mut self, now: Time, turned_away: bool) {
+    pub fn list_call_failed(&mut self, now: Time, turned_away: bool) {
         self.consecutive_rejections = if turned_away { (self.consecutive_rejections + 1).min(8) } else { 0 };
         let nodes = self.terms.nodes as Time;
         let least = SECOND * (100 + nodes) / 100;
@@ -174,7 +174,7 @@
         self.other_load += EWMA_GAIN / 4.0 * (e.other_slots / self.slots[e.kind].max(1.0) - self.other_load);
     }
 
-    /// Periodic work, to be called every `UPKEEP`; returns whether to subscribe to the executor list now.
+    /// Periodic work, to be called every `UPKEEP_INTERVAL`; returns whether to subscribe to the executor list now.
     pub fn upkeep(&mut self, now: Time) -> bool {
         let observe = self.terms.subscribe && now >= self.subscribe_at;
         if observe {
@@ -194,18 +194,18 @@
         // With a message per push, hundreds of instances with few ops each would get more messages than ops.
         let peers = (self.terms.nodes / self.partitions) as f64;
         let period = (peers * self.mean_gap / MESSAGES_PER_OP).clamp(MESSAGE_INTERVAL as f64, SECOND as f64);
-        self.letters.extend(self.peers.due_messages(now, period as Time, &self.tenant_rates, of));
+        self.outgoing.extend(self.peers.due_messages(now, period as Time, &self.tenant_rates, of));
     }
 
     /// Takes in a message of a peer.
-    pub fn heard(&mut self, now: Time, from: usize, message: &[u8]) {
+    pub fn receive_message(&mut self, now: Time, from: usize, message: &[u8]) {
         let updates = self.peers.receive(now, from, message);
         self.apply_peer_updates(now, updates);
     }
 
     /// Sets how many instances are likely alive and how many may be sending. The warm-up budget of a cold executor is divided by the second
     /// number, as an unreachable instance still uses its part.
-    pub fn fleet(&mut self, likely: usize, safe: usize) {
+    pub fn set_fleet_size(&mut self, likely: usize, safe: usize) {
         self.terms.nodes = likely.max(1);
         self.warmup_budget_period = self.terms.tip_after * safe.max(likely).max(1) as Time;
     }
--- a/crates/dispatch/src/policy/mod.rs
+++ b/crates/dispatch/src/policy/mod.rs
@@ -6,7 +6,7 @@
 //!   * `settle`: what to do after this outcome of a push;
 //!   * `wait`: when to call `place` again for this op.
 //!
-//! `place` and `settle` return one [`Step`]; carry it out and call `place` again until it returns `Hold`. Other events go to `list`,
+//! `place` and `settle` return one [`Step`]; carry it out and call `place` again until it returns `Wait`. Other events go to `list`,
 //! `refused`, `note` and `report`; call `upkeep` when it is due. See `docs/design.md`.
 
 mod estimate; // expected waits, running times and prices, and how they are learned
@@ -16,13 +16,13 @@
 mod shares; // the share of ops that each executor gets, by the queueing model
 
 use crate::peers::Peers;
-use crate::state::{Executor, Learned, Memory};
+use crate::state::{Executor, Learned, LearnedState};
 use crate::types::*;
 use estimate::Sample;
 pub use shares::split;
 
 /// Interval at which the caller has to call `upkeep`.
-pub const UPKEEP: Time = SECOND / 4;
+pub const UPKEEP_INTERVAL: Time = SECOND / 4;
 const SOLVE_INTERVAL: Time = SECOND;
 const EWMA_GAIN: f64 = 0.1; // gain of moving averages updated at each outcome of a push; a quarter of it for those updated at each arrival
 const PEER_MESSAGE_BUDGET: f64 = 0.01; // part of an op's value that its two peer messages, a 3-byte entry each, may cost over all peers
@@ -34,7 +34,7 @@
 /// One instance of the dispatcher.
 #[derive(Default)]
 pub struct Dispatcher {
-    terms: Terms,
+    terms: InstanceSettings,
     categories: Vec<Category>,
     learned: Vec<Learned>,
     warmup_budget: f64,         // work per slot that overloads an executor at full warmth
@@ -66,7 +66,7 @@
     hopeless_rate: f64, // moving average of the fraction of ops judged hopeless; logged as overload
     overloaded: bool,
     /// Messages to peers, sent by the adapter.
-    pub letters: Vec<Letter>,
+    pub outgoing: Vec<OutgoingMessage>,
     /// Lines for the log, written by the adapter.
     pub log: Vec<String>,
     rng: Pcg32,
@@ -74,7 +74,7 @@
 
 impl Dispatcher {
     /// Creates an instance with these settings; the same seed gives the same random draws.
-    pub fn new(settings: &Tariff, seed: u64) -> Dispatcher {
+    pub fn new(settings: &DispatchSettings, seed: u64) -> Dispatcher {
         let nodes = settings.terms.nodes.max(1);
         // Peers get a message for each push and for its end, so their number is limited by what an op can pay for.
         let max_peers = (PEER_MESSAGE_BUDGET * 256.0 / 6.0 / settings.terms.message_price.max(1e-4)) as usize;
@@ -126,8 +126,8 @@
     }
 
     /// The learned state, to be handed to a successor.
-    pub fn memory(&self) -> Memory {
-        Memory {
+    pub fn learned_state(&self) -> LearnedState {
+        LearnedState {
             categories: self.learned.clone(),
             slots: self.slots.clone(),
             executors: self.executors.clone(),
@@ -140,7 +140,7 @@
 
     /// Restores the learned state of the predecessor for executors that the list has named here too. The predecessor's pushes in flight
     /// show up in load reports. Its warm-up budget is not taken over, since it may still be using it.
-    pub fn recall(&mut self, now: Time, memory: Memory) {
+    pub fn restore(&mut self, now: Time, memory: LearnedState) {
         if memory.categories.len() != self.learned.len() {
             return;
         }
@@ -167,13 +167,13 @@
         self.solved_at = None;
     }
 
-    /// Where to send this op: to an executor, not yet (`Hold`), or never (a final answer).
+    /// Where to send this op: to an executor, not yet (`Wait`), or never (a final answer).
     pub fn place(&mut self, now: Time, op: &mut Op) -> Step {
         if op.closed {
             // A push whose op nobody waits for is cancelled, so that it does not delay the ops queued behind it.
             return match op.pushes.iter().position(|p| p.outcome.is_none() && !p.cancelling) {
                 Some(left) if self.terms.cancel => cancel_push(op, left),
-                _ => Step::Hold,
+                _ => Step::Wait,
             };
         }
         if self.solved_at.is_none_or(|at| now >= at + SOLVE_INTERVAL) {
@@ -191,9 +191,9 @@
 
     /// Records the outcome of a push and returns what to do next with its op.
     pub fn settle(&mut self, now: Time, op: &mut Op, push: usize, outcome: Outcome, values: &[f64]) -> Step {
-        let Some(p) = op.pushes.get_mut(push).filter(|p| p.outcome.is_none()) else { return Step::Hold };
+        let Some(p) = op.pushes.get_mut(push).filter(|p| p.outcome.is_none()) else { return Step::Wait };
         p.outcome = Some(outcome);
-        op.closed |= matches!(outcome, Outcome::Acked | Outcome::Unfit);
+        op.closed |= matches!(outcome, Outcome::Acked | Outcome::Rejected);
         let (x, started) = (p.executor, p.started);
         let ran = (now - started.unwrap_or(p.sent)).max(1) as f64;
         self.report(now, x, values);
@@ -213,7 +213,7 @@
                 self.record_running_time(x, op, ran, Sample::Complete);
             }
             // The op itself is at fault: a few of these change little, but an executor that rejects all ops loses its share.
-            Outcome::Unfit => executor.success_rate -= EWMA_GAIN * executor.success_rate,
+            Outcome::Rejected => executor.success_rate -= EWMA_GAIN * executor.success_rate,
             Outcome::Full => {
                 executor.success_rate -= EWMA_GAIN * executor.success_rate;
                 let full_load = self.slots[executor.kind] * 2.0 - executor.in_use();
@@ -232,7 +232,7 @@
                 executor.credit = (executor.credit - 1.0).max(0.0);
                 self.record_running_time(x, op, ran, Sample::Censored);
             }
-            Outcome::Cancelled | Outcome::Moot | Outcome::Withheld | Outcome::Broken => {}
+            Outcome::Cancelled | Outcome::NeverStarted | Outcome::Withheld | Outcome::Broken => {}
         }
         if op.limits.pause > 0 {
             let chance = 1.0 + op.limits.pause_spread * self.rng.draw();
@@ -263,5 +263,5 @@
 /// Cancels a push; what comes next is decided only when its outcome arrives.
 fn cancel_push(op: &mut Op, push: usize) -> Step {
     op.pushes[push].cancelling = true;
-    Step::Stop { push }
+    Step::Cancel { push }
 }
--- a/crates/dispatch/src/policy/order.rs
+++ b/crates/dispatch/src/policy/order.rs
@@ -26,7 +26,7 @@
             return self.abandon(op, op.limits.over_budget);
         }
         if now < op.not_before {
-            return Step::Hold;
+            return Step::Wait;
         }
         // Ops over their tenant's quota must not take capacity that other tenants are entitled to.
         if op.surplus && op.pushes.is_empty() && self.load > SHED_LO + (SHED_HI - SHED_LO) * self.rng.draw() {
@@ -36,7 +36,7 @@
         let found = self.choose(now, op, true).or_else(|| self.choose(now, op, false));
         let Some(Candidate { at: executor, wait, .. }) = found else {
             let early = op.pushes.is_empty() && now - op.arrived_at < self.categories[op.category].target / 4;
-            return if early { Step::Hold } else { self.abandon(op, SECOND / 5) };
+            return if early { Step::Wait } else { self.abandon(op, SECOND / 5) };
         };
         let hopeless = self.lateness(now, op, executor, wait) > 0.0;
         self.hopeless_rate += EWMA_GAIN / 4.0 * (f64::from(u8::from(hopeless)) - self.hopeless_rate);
--- a/crates/dispatch/src/settings.rs
+++ b/crates/dispatch/src/settings.rs
@@ -2,7 +2,7 @@
 //!
 //! Both the simulator's adapter and the node get this object, with the same names and units.
 
-use crate::types::{Category, Effect, Gauge, Scope, Tariff, Terms, Time};
+use crate::types::{Category, DispatchSettings, Effect, Gauge, InstanceSettings, Scope, Time};
 use serde::Deserialize;
 
 /// Nanoseconds in one unit of [`Time`].
@@ -21,7 +21,7 @@
 /// The settings object of a deployment, as it is posted to each instance.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Posted {
+pub struct PostedSettings {
     balancers: usize,
     #[serde(default)]
     benefit_by: String,
@@ -159,7 +159,7 @@
     tail: f64,
 }
 
-impl Posted {
+impl PostedSettings {
     /// Names of the categories, by index.
     pub fn categories(&self) -> Vec<String> {
         self.categories.iter().map(|category| category.name.clone()).collect()
@@ -185,7 +185,7 @@
     /// # Errors
     ///
     /// A text that names the key and what is wrong with its value.
-    pub fn tariff(&self) -> Result<Tariff, String> {
+    pub fn dispatch_settings(&self) -> Result<DispatchSettings, String> {
         let mut categories = Vec::new();
         for (index, category) in self.categories.iter().enumerate() {
             let effect = match category.semantics.as_str() {
@@ -238,12 +238,12 @@
             _ => Gauge::Other,
         };
         let caps = &self.caps;
-        let terms = Terms {
+        let terms = InstanceSettings {
             domain: self.my_zone,
             tick: ceil_time(self.granularity_ns).max(1),
             cancel: caps.cancel,
-            second_copies: caps.parallel_tries,
-            come_back: if caps.retry_after { floor_time(caps.max_retry_after_ns) } else { 0 },
+            hedging: caps.parallel_tries,
+            retry_after: if caps.retry_after { floor_time(caps.max_retry_after_ns) } else { 0 },
             max_pushes: caps.max_pushes,
             subscribe: self.discovery == "subscribe",
             tip_after: ceil_time(self.rules.tip_after_ns),
@@ -264,7 +264,7 @@
             surplus: self.surplus_benefit,
             tail: self.score_parts.tail,
         };
-        Ok(Tariff {
+        Ok(DispatchSettings {
             terms,
             categories,
             quotas: self.tenants.iter().map(|tenant| tenant.quota_per_s).collect(),
--- a/crates/dispatch/src/state.rs
+++ b/crates/dispatch/src/state.rs
@@ -8,7 +8,7 @@
 /// knows.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
-pub struct Memory {
+pub struct LearnedState {
     /// Learned state of each category, by index.
     pub categories: Vec<Learned>,
     /// Estimated slots of an executor, by kind.
--- a/crates/dispatch/src/types.rs
+++ b/crates/dispatch/src/types.rs
@@ -73,7 +73,7 @@
 // The switches are independent of one another; each is a key of the settings object.
 #[allow(clippy::struct_excessive_bools)]
 #[derive(Clone, Debug, Default)]
-pub struct Terms {
+pub struct InstanceSettings {
     /// Failure domain of this instance.
     pub domain: usize,
     /// Granularity of the clock.
@@ -81,9 +81,9 @@
     /// A push can be cancelled.
     pub cancel: bool,
     /// Hedging is allowed: an op may be at two executors at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// The longest retry-after time that clients honour; zero where none may be given.
-    pub come_back: Time,
+    pub retry_after: Time,
     /// The most pushes that an op may have.
     pub max_pushes: usize,
     /// The executor list comes by subscription.
@@ -126,9 +126,9 @@
 
 /// All settings read at start. The instance derives its parameters from them and does not keep them.
 #[derive(Clone, Debug, Default)]
-pub struct Tariff {
+pub struct DispatchSettings {
     /// Settings that stay unchanged while the instance runs.
-    pub terms: Terms,
+    pub terms: InstanceSettings,
     /// The categories of ops, by index.
     pub categories: Vec<Category>,
     /// Quota of each tenant over all instances, in ops a second.
@@ -183,7 +183,7 @@
 
 /// A request to dispatch an op, as it arrives.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct OpRequest {
     /// Index of the op's category.
     pub category: usize,
     /// Slots that the op takes at an executor.
@@ -221,7 +221,7 @@
     /// The push was cancelled.
     Cancelled,
     /// The push was cancelled before it started; the op never ran.
-    Moot,
+    NeverStarted,
     /// The push was held back before any byte was written, because an operator disabled its executor.
     Withheld,
     /// The connection broke before the op was written completely; the op never ran.
@@ -230,7 +230,7 @@
     /// executor.
     Broken,
     /// The executor rejected the op for what it is; final, since every executor would reject it.
-    Unfit,
+    Rejected,
 }
 
 impl Outcome {
@@ -238,7 +238,7 @@
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            Outcome::Full | Outcome::NotConnected | Outcome::Moot | Outcome::Withheld | Outcome::Cut
+            Outcome::Full | Outcome::NotConnected | Outcome::NeverStarted | Outcome::Withheld | Outcome::Cut
         )
     }
 }
@@ -306,12 +306,12 @@
         self.pushes.iter().filter(|p| p.outcome != Some(Outcome::Withheld)).count()
     }
     /// Brings the deadline forward to `at`, because the instance itself shuts down then.
-    pub fn end_by(&mut self, at: Time) {
+    pub fn limit_deadline(&mut self, at: Time) {
         self.deadline = self.deadline.min(at);
     }
     /// The latest time at which the newest push may be sent. After that the client is gone, or the executors no longer
     /// recognise it as a repeat of a push that may have run.
-    pub fn leave_by(&self, effect: Effect) -> Time {
+    pub fn send_deadline(&self, effect: Effect) -> Time {
         let before = self.pushes.split_last().map_or(&[][..], |(_, before)| before);
         match (effect, before.iter().find(|p| p.may_have_run())) {
             (Effect::Deduplicated { window, .. }, Some(p)) => self.deadline.min(p.sent + window),
@@ -326,7 +326,7 @@
 
 /// One entry of the executor list, under the index that the adapter assigned.
 #[derive(Clone, Copy, Debug)]
-pub struct Listed {
+pub struct ListedExecutor {
     /// Index of the executor.
     pub executor: usize,
     /// Failure domain of the executor.
@@ -340,7 +340,7 @@
     /// Weight or size of the executor, as the list gives it.
     pub weight: f64,
     /// Hash of the executor's name, the same at every instance.
-    pub mark: u64,
+    pub name_hash: u64,
     /// Time of the latest start; `None` if long past.
     pub started: Option<Time>,
 }
@@ -354,23 +354,23 @@
         executor: usize,
     },
     /// Cancel this push, then call `place` again.
-    Stop {
+    Cancel {
         /// Index among the op's pushes.
         push: usize,
     },
     /// Do nothing for now.
-    Hold,
+    Wait,
     /// Final answer: rejected, and a retry by the client is harmless.
     Nack {
         /// How long the client is to wait before it retries; zero gives no advice.
-        come_back: Time,
+        retry_after: Time,
     },
     /// Final answer: failed, and the op may have run.
     DeadLetter,
 }
 
 /// Hash of a name that is the same at every instance (FNV-1a, with its bits mixed afterwards).
-pub fn mark(name: &str) -> u64 {
+pub fn name_hash(name: &str) -> u64 {
     let add_byte = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01B3);
     mix_bits(name.bytes().fold(0xCBF2_9CE4_8422_2325, add_byte))
 }
@@ -384,7 +384,7 @@
 
 /// A message to one peer or to all of them.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Letter {
+pub struct OutgoingMessage {
     /// Number of the receiving instance; `None` means all peers.
     pub to: Option<usize>,
     /// The encoded message.
--- a/crates/dispatch/tests/policy.rs
+++ b/crates/dispatch/tests/policy.rs
@@ -9,8 +9,8 @@
     Category { target: 5000, stretch: 2.0, effect, benefit: 1.0, late: 0.0, kind: None, priority: 0 }
 }
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> InstanceSettings {
+    InstanceSettings {
         tick: 2 * MS,
         nodes: 2,
         cancel: true,
@@ -19,7 +19,7 @@
         start_share: 0.2,
         warm_within: 10 * SECOND,
         progress: SECOND,
-        ..Terms::default()
+        ..InstanceSettings::default()
     }
 }
 
@@ -28,7 +28,7 @@
 const DEDUPLICATED_BY_CELL: Effect = Effect::Deduplicated { scope: Scope::Cell, window: SECOND };
 
 /// Categories 0 to 4: redeliverable, deduplicated by domain, everywhere and by cell, at-most-once.
-fn dispatch_settings(terms: Terms) -> Tariff {
+fn dispatch_settings(terms: InstanceSettings) -> DispatchSettings {
     let effects = [
         Effect::Redeliverable,
         DEDUPLICATED_BY_DOMAIN,
@@ -36,32 +36,32 @@
         DEDUPLICATED_BY_CELL,
         Effect::AtMostOnce,
     ];
-    Tariff {
+    DispatchSettings {
         terms,
         categories: effects.into_iter().map(category).collect(),
         overload_factor: 3.0,
         gauges: vec![Gauge::Waiting, Gauge::FreeSlots],
-        ..Tariff::default()
+        ..DispatchSettings::default()
     }
 }
 
-fn list_entry(executor: usize) -> Listed {
-    Listed {
+fn list_entry(executor: usize) -> ListedExecutor {
+    ListedExecutor {
         executor,
         domain: executor % 2,
         kind: 0,
         cell: executor / 2,
         active: true,
         weight: 1.0,
-        mark: mark(&format!("executor {executor}")),
+        name_hash: name_hash(&format!("executor {executor}")),
         started: None,
     }
 }
 
 /// An instance that knows `count` warm executors of four slots, alternating between two domains.
-fn warm_dispatcher(terms: Terms, seed: u64, count: usize) -> Dispatcher {
+fn warm_dispatcher(terms: InstanceSettings, seed: u64, count: usize) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(&dispatch_settings(terms), seed);
-    let lines: Vec<Listed> = (0..count).map(list_entry).collect();
+    let lines: Vec<ListedExecutor> = (0..count).map(list_entry).collect();
     dispatcher.list(0, true, &lines);
     for executor in 0..count {
         (0..20).for_each(|_| dispatcher.report(0, executor, &[0.0, 4.0]));
@@ -69,8 +69,8 @@
     dispatcher
 }
 
-fn request(category: usize) -> Ask {
-    Ask {
+fn request(category: usize) -> OpRequest {
+    OpRequest {
         category,
         slots: 1.0,
         memory: 0.0,
@@ -91,10 +91,10 @@
 
 /// Sends one op at `now` that is acked after `ran`, and returns the executor that it went to.
 fn run_op(dispatcher: &mut Dispatcher, now: Time, category: usize, ran: Time) -> usize {
-    let mut op = dispatcher.arrive(now, Ask { deadline: now + 20 * SECOND, ..request(category) });
+    let mut op = dispatcher.arrive(now, OpRequest { deadline: now + 20 * SECOND, ..request(category) });
     let executor = pushed_executor(dispatcher.place(now, &mut op));
     dispatcher.note(now, &mut op, 0, true, 0.0);
-    assert_eq!(dispatcher.settle(now + ran, &mut op, 0, Outcome::Acked, &[0.0, 4.0]), Step::Hold);
+    assert_eq!(dispatcher.settle(now + ran, &mut op, 0, Outcome::Acked, &[0.0, 4.0]), Step::Wait);
     executor
 }
 
@@ -153,7 +153,7 @@
     let mut counts = [0; 3];
     for n in 0..200 {
         let now = n * SECOND / 4;
-        let mut op = dispatcher.arrive(now, Ask { deadline: now + 20 * SECOND, ..request(0) });
+        let mut op = dispatcher.arrive(now, OpRequest { deadline: now + 20 * SECOND, ..request(0) });
         let executor = pushed_executor(dispatcher.place(now, &mut op));
         dispatcher.note(now, &mut op, 0, true, 0.0);
         let ran = if executor == 0 { 2500 } else { 1000 };
@@ -167,7 +167,7 @@
 fn each_effect_keeps_its_rule_after_each_outcome() {
     // What follows an outcome: a retry, a nack or a dead letter.
     let ran = [Outcome::Error, Outcome::Reset, Outcome::TimedOut, Outcome::Cancelled];
-    let never = [Outcome::Full, Outcome::NotConnected, Outcome::Moot];
+    let never = [Outcome::Full, Outcome::NotConnected, Outcome::NeverStarted];
     for outcome in ran.into_iter().chain(never) {
         for kind in 0..5 {
             let mut dispatcher = warm_dispatcher(terms(), 7, 4);
@@ -186,7 +186,7 @@
 
 #[test]
 fn a_deduplicated_op_is_not_resent_after_its_window() {
-    for (kind, expected) in [(1, Step::DeadLetter), (2, Step::Nack { come_back: 0 })] {
+    for (kind, expected) in [(1, Step::DeadLetter), (2, Step::Nack { retry_after: 0 })] {
         let mut dispatcher = warm_dispatcher(terms(), 7, 4);
         let mut op = dispatcher.arrive(0, request(kind));
         pushed_executor(dispatcher.place(0, &mut op));
@@ -205,17 +205,17 @@
     ];
     for (category, outcome, by) in cases {
         let mut dispatcher = warm_dispatcher(terms(), 1, 4);
-        let mut op = dispatcher.arrive(0, Ask { deadline: 9 * SECOND, ..request(category) });
+        let mut op = dispatcher.arrive(0, OpRequest { deadline: 9 * SECOND, ..request(category) });
         pushed_executor(dispatcher.place(0, &mut op));
-        assert_eq!(op.leave_by(dispatch_settings(terms()).categories[category].effect), 9 * SECOND);
+        assert_eq!(op.send_deadline(dispatch_settings(terms()).categories[category].effect), 9 * SECOND);
         pushed_executor(dispatcher.settle(100, &mut op, 0, outcome, &[]));
         assert_eq!(
-            op.leave_by(dispatch_settings(terms()).categories[category].effect),
+            op.send_deadline(dispatch_settings(terms()).categories[category].effect),
             by,
             "{category} {outcome:?}"
         );
-        op.end_by(SECOND / 2);
-        assert_eq!(op.leave_by(Effect::AtMostOnce), SECOND / 2);
+        op.limit_deadline(SECOND / 2);
+        assert_eq!(op.send_deadline(Effect::AtMostOnce), SECOND / 2);
     }
 }
 
@@ -223,8 +223,8 @@
 fn every_op_ends_before_its_ttl() {
     let harmless = [true, false, true, false, false];
     for (kind, harmless) in harmless.into_iter().enumerate() {
-        let mut dispatcher = warm_dispatcher(Terms { cancel: false, ..terms() }, 1, 2);
-        let mut op = dispatcher.arrive(0, Ask { deadline: SECOND, ..request(kind) });
+        let mut dispatcher = warm_dispatcher(InstanceSettings { cancel: false, ..terms() }, 1, 2);
+        let mut op = dispatcher.arrive(0, OpRequest { deadline: SECOND, ..request(kind) });
         pushed_executor(dispatcher.place(0, &mut op));
         dispatcher.note(MS, &mut op, 0, true, 0.0);
         let mut now = MS;
@@ -233,40 +233,40 @@
             assert!(next > now && next < SECOND);
             now = next;
             let step = dispatcher.place(now, &mut op);
-            if step != Step::Hold {
+            if step != Step::Wait {
                 break step;
             }
         };
         assert!(now < SECOND && op.closed);
-        assert_eq!(last, if harmless { Step::Nack { come_back: 0 } } else { Step::DeadLetter });
+        assert_eq!(last, if harmless { Step::Nack { retry_after: 0 } } else { Step::DeadLetter });
         // The late outcome of an op that has its final answer causes no further step.
-        assert_eq!(dispatcher.settle(2 * SECOND, &mut op, 0, Outcome::Error, &[]), Step::Hold);
+        assert_eq!(dispatcher.settle(2 * SECOND, &mut op, 0, Outcome::Error, &[]), Step::Wait);
     }
 }
 
 #[test]
 fn nothing_goes_to_a_draining_or_unlisted_executor() {
     let mut dispatcher = warm_dispatcher(terms(), 5, 4);
-    dispatcher.list(MS, false, &[Listed { active: false, ..list_entry(1) }]);
+    dispatcher.list(MS, false, &[ListedExecutor { active: false, ..list_entry(1) }]);
     assert!((0..20).all(|n| run_op(&mut dispatcher, MS + n * SECOND / 4, 0, 100) != 1));
     // A complete list replaces all that was known.
     dispatcher.list(6 * SECOND, true, &[list_entry(2)]);
     assert!((0..8).all(|n| run_op(&mut dispatcher, 6 * SECOND + n * SECOND / 4, 0, 100) == 2));
     dispatcher.list(9 * SECOND, true, &[]);
     let mut op = dispatcher.arrive(9 * SECOND, request(0));
-    assert_eq!(dispatcher.place(9 * SECOND, &mut op), Step::Hold);
+    assert_eq!(dispatcher.place(9 * SECOND, &mut op), Step::Wait);
     let mut now = 9 * SECOND;
     while !op.closed {
         now = dispatcher.wait(now, &op);
         assert!(now <= 9 * SECOND + 2500, "the op was kept with no push in flight");
-        assert!(matches!(dispatcher.place(now, &mut op), Step::Hold | Step::Nack { .. }));
+        assert!(matches!(dispatcher.place(now, &mut op), Step::Wait | Step::Nack { .. }));
     }
 }
 
 #[test]
 fn a_cold_executor_gets_no_more_than_its_part_of_the_budget() {
     let mut dispatcher = warm_dispatcher(terms(), 5, 1);
-    dispatcher.list(0, false, &[Listed { started: Some(1), ..list_entry(1) }]);
+    dispatcher.list(0, false, &[ListedExecutor { started: Some(1), ..list_entry(1) }]);
     // Half of 3 times a fifth of four slots for a second, shared by two nodes.
     let budget = 0.5 * 3.0 * 0.25 * 4.0 * SECOND as f64 / 2.0;
     let mut work = 0.0;
@@ -301,9 +301,9 @@
 #[test]
 fn an_op_stuck_on_a_silent_executor_is_moved() {
     for copies in [false, true] {
-        let mut dispatcher = warm_dispatcher(Terms { second_copies: copies, ..terms() }, 5, 2);
+        let mut dispatcher = warm_dispatcher(InstanceSettings { hedging: copies, ..terms() }, 5, 2);
         let mut op =
-            dispatcher.arrive(0, Ask { hint: Some(3 * SECOND), deadline: 20 * SECOND, ..request(0) });
+            dispatcher.arrive(0, OpRequest { hint: Some(3 * SECOND), deadline: 20 * SECOND, ..request(0) });
         let first = pushed_executor(dispatcher.place(0, &mut op));
         dispatcher.note(0, &mut op, 0, true, 0.0);
         let now = dispatcher.wait(0, &op);
@@ -314,8 +314,8 @@
         } else {
             // Never two pushes at once: the first is cancelled, and its outcome has to arrive before the next
             // is sent.
-            assert_eq!(step, Step::Stop { push: 0 });
-            assert_eq!(dispatcher.place(now, &mut op), Step::Hold);
+            assert_eq!(step, Step::Cancel { push: 0 });
+            assert_eq!(dispatcher.place(now, &mut op), Step::Wait);
             assert_ne!(
                 pushed_executor(dispatcher.settle(now + MS, &mut op, 0, Outcome::Cancelled, &[])),
                 first
@@ -326,13 +326,13 @@
 
 #[test]
 fn an_op_that_cannot_be_in_time_is_nacked_at_once() {
-    let mut dispatcher = warm_dispatcher(Terms { come_back: 2 * SECOND, ..terms() }, 5, 2);
-    let mut last = Step::Hold;
+    let mut dispatcher = warm_dispatcher(InstanceSettings { retry_after: 2 * SECOND, ..terms() }, 5, 2);
+    let mut last = Step::Wait;
     for n in 0..200 {
         let mut op: Op = dispatcher.arrive(n, request(0));
         last = dispatcher.place(n, &mut op);
-        if let Step::Nack { come_back } = last {
-            assert!(come_back > 0 && come_back <= 2 * SECOND && op.pushes.is_empty());
+        if let Step::Nack { retry_after } = last {
+            assert!(retry_after > 0 && retry_after <= 2 * SECOND && op.pushes.is_empty());
             return;
         }
     }
@@ -341,9 +341,9 @@
 
 #[test]
 fn the_list_is_subscribed_to_again_after_a_refusal() {
-    let mut dispatcher = warm_dispatcher(Terms { subscribe: true, ..terms() }, 5, 2);
+    let mut dispatcher = warm_dispatcher(InstanceSettings { subscribe: true, ..terms() }, 5, 2);
     assert!(dispatcher.upkeep(0));
-    dispatcher.refused(MS, false);
+    dispatcher.list_call_failed(MS, false);
     assert!(!dispatcher.upkeep(2 * MS), "not at once: all nodes would call together");
     assert!(dispatcher.upkeep(2 * SECOND));
     dispatcher.list(3 * SECOND, false, &[]);
@@ -363,8 +363,9 @@
     ];
     for (nodes, calls, capacity_rejection, most) in cases {
         let waits = (0..200).map(|seed| {
-            let mut dispatcher = warm_dispatcher(Terms { nodes, subscribe: true, ..terms() }, seed, 4);
-            (0..calls).for_each(|_| dispatcher.refused(0, capacity_rejection));
+            let mut dispatcher =
+                warm_dispatcher(InstanceSettings { nodes, subscribe: true, ..terms() }, seed, 4);
+            (0..calls).for_each(|_| dispatcher.list_call_failed(0, capacity_rejection));
             (0..).map(|n| n * SECOND / 20).find(|at| dispatcher.upkeep(*at)).unwrap() as f64 / SECOND as f64
         });
         let waits: Vec<f64> = waits.collect();
@@ -376,10 +377,10 @@
         );
     }
     // A single list update resets the backoff to its start.
-    let mut dispatcher = warm_dispatcher(Terms { nodes: 48, subscribe: true, ..terms() }, 1, 4);
-    (0..9).for_each(|_| dispatcher.refused(0, true));
+    let mut dispatcher = warm_dispatcher(InstanceSettings { nodes: 48, subscribe: true, ..terms() }, 1, 4);
+    (0..9).for_each(|_| dispatcher.list_call_failed(0, true));
     dispatcher.list(0, false, &[]);
-    dispatcher.refused(0, true);
+    dispatcher.list_call_failed(0, true);
     assert!((0..33).any(|n| dispatcher.upkeep(n * SECOND / 10)));
 }
 
@@ -408,7 +409,7 @@
             let mut dispatcher = warm_dispatcher(terms(), seed, 2);
             dispatcher.report(MS, 0, &first);
             dispatcher.report(MS, 1, &second);
-            let mut op = dispatcher.arrive(MS, Ask { slots, deadline: 30 * SECOND, ..request(0) });
+            let mut op = dispatcher.arrive(MS, OpRequest { slots, deadline: 30 * SECOND, ..request(0) });
             assert_eq!(pushed_executor(dispatcher.place(MS, &mut op)), expected, "{name}, seed {seed}");
         }
     }
@@ -420,25 +421,29 @@
     // guards against a short op, whose expected wait is less than the interval between two checks, staying
     // queued behind others indefinitely.
     for (copies, hint) in [(false, SECOND), (false, SECOND / 10), (true, SECOND)] {
-        let mut dispatcher = warm_dispatcher(Terms { second_copies: copies, ..terms() }, 5, 2);
-        let mut op = dispatcher.arrive(0, Ask { hint: Some(hint), deadline: 20 * SECOND, ..request(0) });
+        let mut dispatcher = warm_dispatcher(InstanceSettings { hedging: copies, ..terms() }, 5, 2);
+        let mut op =
+            dispatcher.arrive(0, OpRequest { hint: Some(hint), deadline: 20 * SECOND, ..request(0) });
         let first = pushed_executor(dispatcher.place(0, &mut op));
         let now = 2 * dispatcher.wait(0, &op);
         if hint == SECOND {
             dispatcher.report(now, first, &[9.0, 0.0]);
         }
         dispatcher.report(now, 1 - first, &[0.0, 4.0]);
-        assert_eq!(dispatcher.place(now, &mut op), if copies { Step::Hold } else { Step::Stop { push: 0 } });
+        assert_eq!(
+            dispatcher.place(now, &mut op),
+            if copies { Step::Wait } else { Step::Cancel { push: 0 } }
+        );
     }
 }
 
 #[test]
 fn a_push_crosses_domains_only_when_it_pays() {
     for (cross, held, expected) in [(0.0, 4.0, 1), (0.5, 4.0, 0), (0.05, 40.0, 1)] {
-        let mut dispatcher = warm_dispatcher(Terms { cross, ..terms() }, 5, 2);
+        let mut dispatcher = warm_dispatcher(InstanceSettings { cross, ..terms() }, 5, 2);
         dispatcher.report(MS, 0, &[held - 4.0, 0.0]);
         dispatcher.report(MS, 1, &[0.0, 4.0]);
-        let mut op = dispatcher.arrive(MS, Ask { deadline: 30 * SECOND, ..request(0) });
+        let mut op = dispatcher.arrive(MS, OpRequest { deadline: 30 * SECOND, ..request(0) });
         assert_eq!(pushed_executor(dispatcher.place(MS, &mut op)), expected, "price {cross}, held {held}");
     }
 }
@@ -454,7 +459,7 @@
         (1.5, 2, 8.0, false),
         (0.0, 2, 8.0, true),
     ] {
-        let mut posted = dispatch_settings(Terms { cross, ..terms() });
+        let mut posted = dispatch_settings(InstanceSettings { cross, ..terms() });
         posted.terms.nodes = nodes;
         posted.categories.iter_mut().for_each(|category| category.target = 1000);
         let mut dispatcher = Dispatcher::new(&posted, 5);
@@ -462,7 +467,7 @@
         (0..20).for_each(|_| (0..2).for_each(|executor| dispatcher.report(0, executor, &[0.0, 4.0])));
         dispatcher.report(MS, 0, &[held - 4.0, 0.0]);
         dispatcher.report(MS, 1, &[0.0, 4.0]);
-        let mut op = dispatcher.arrive(MS, Ask { deadline: 30 * SECOND, ..request(0) });
+        let mut op = dispatcher.arrive(MS, OpRequest { deadline: 30 * SECOND, ..request(0) });
         let step = dispatcher.place(MS, &mut op);
         assert_eq!(step == Step::Push { executor: 1 }, across, "{cross}, {nodes}, {held}: {step:?}");
     }
@@ -475,9 +480,9 @@
     let nodes = 300;
     let (mut first, mut all) = (0, 0);
     for seed in 0..nodes {
-        let settings = dispatch_settings(Terms { nodes: nodes as usize, ..terms() });
+        let settings = dispatch_settings(InstanceSettings { nodes: nodes as usize, ..terms() });
         let mut dispatcher = Dispatcher::new(&settings, seed);
-        dispatcher.list(0, true, &[Listed { started: Some(1), ..list_entry(0) }]);
+        dispatcher.list(0, true, &[ListedExecutor { started: Some(1), ..list_entry(0) }]);
         (0..20).for_each(|_| dispatcher.report(0, 0, &[0.0, 4.0]));
         for n in 0..10 {
             let mut op = dispatcher.arrive(n * SECOND, request(0));
@@ -500,9 +505,10 @@
     let (mut work, mut near) = (0.0, 0.0);
     for seed in 0..90 {
         let domain = seed as usize % 3;
-        let settings = dispatch_settings(Terms { nodes: 90, domain, cross: 0.2, ..terms() });
+        let settings = dispatch_settings(InstanceSettings { nodes: 90, domain, cross: 0.2, ..terms() });
         let mut dispatcher = Dispatcher::new(&settings, seed);
-        let lines = (0..3).map(|x| Listed { domain: x, started: (x == 0).then_some(1), ..list_entry(x) });
+        let lines =
+            (0..3).map(|x| ListedExecutor { domain: x, started: (x == 0).then_some(1), ..list_entry(x) });
         dispatcher.list(0, true, &lines.collect::<Vec<_>>());
         (0..3).for_each(|x| (0..20).for_each(|_| dispatcher.report(0, x, &[0.0, 4.0])));
         for n in 0..50 {
@@ -535,11 +541,16 @@
         let mut sent: Vec<Vec<Time>> = vec![Vec::new(); 12];
         for node in 0..90 {
             let domain = node as usize % 3;
-            let settings =
-                dispatch_settings(Terms { nodes: 90, domain, cross: 0.2, live_weights: true, ..terms() });
+            let settings = dispatch_settings(InstanceSettings {
+                nodes: 90,
+                domain,
+                cross: 0.2,
+                live_weights: true,
+                ..terms()
+            });
             let mut dispatcher = Dispatcher::new(&settings, node);
-            let lines = |now: Time| -> Vec<Listed> {
-                let entry = |x| Listed {
+            let lines = |now: Time| -> Vec<ListedExecutor> {
+                let entry = |x| ListedExecutor {
                     domain: x % 3,
                     started: started(x).filter(|at| *at <= now),
                     ..list_entry(x)
@@ -602,14 +613,16 @@
 fn nodes_with_the_same_weights_do_not_all_choose_the_same_executor() {
     let mut counts = vec![0; 60];
     for seed in 0..200 {
-        let many = dispatch_settings(Terms { nodes: 200, live_weights: true, ..terms() });
+        let many = dispatch_settings(InstanceSettings { nodes: 200, live_weights: true, ..terms() });
         let mut dispatcher = Dispatcher::new(&many, seed);
-        let lines: Vec<Listed> = (0..60).map(|x| Listed { domain: 0, ..list_entry(x) }).collect();
+        let lines: Vec<ListedExecutor> =
+            (0..60).map(|x| ListedExecutor { domain: 0, ..list_entry(x) }).collect();
         dispatcher.list(0, true, &lines);
         // All executors but one have far more work than they can run.
-        let busy = lines.iter().map(|l| Listed { weight: if l.executor == 7 { 1.0 } else { 0.1 }, ..*l });
+        let busy =
+            lines.iter().map(|l| ListedExecutor { weight: if l.executor == 7 { 1.0 } else { 0.1 }, ..*l });
         dispatcher.list(MS, false, &busy.collect::<Vec<_>>());
-        let mut op = dispatcher.arrive(MS, Ask { deadline: 60 * SECOND, ..request(0) });
+        let mut op = dispatcher.arrive(MS, OpRequest { deadline: 60 * SECOND, ..request(0) });
         if let Step::Push { executor } = dispatcher.place(MS, &mut op) {
             counts[executor] += 1;
         }
@@ -633,8 +646,8 @@
             run_op(&mut dispatcher, n * SECOND, category as usize, ran);
         }
         dispatcher.report(60 * SECOND, 0, &[0.0, 4.0]);
-        let mut op =
-            dispatcher.arrive(60 * SECOND, Ask { hint: Some(SECOND), deadline: 90 * SECOND, ..request(0) });
+        let mut op = dispatcher
+            .arrive(60 * SECOND, OpRequest { hint: Some(SECOND), deadline: 90 * SECOND, ..request(0) });
         let sent = matches!(dispatcher.place(60 * SECOND, &mut op), Step::Push { .. });
         assert_eq!(sent, expected, "late answers earn {late}");
     }
@@ -650,7 +663,7 @@
         let mut dispatcher = Dispatcher::new(&all, 1);
         dispatcher.list(0, true, &[list_entry(0)]);
         dispatcher.report(MS, 0, &report);
-        assert_eq!(dispatcher.memory().slots, [slots], "{report:?}");
+        assert_eq!(dispatcher.learned_state().slots, [slots], "{report:?}");
     }
 }
 
@@ -661,11 +674,11 @@
     let mut dispatcher = warm_dispatcher(terms(), 1, 1);
     for n in 0..10 {
         let hint = if n == 4 { 10 } else { 1000 };
-        let mut op = dispatcher.arrive(n * SECOND, Ask { hint: Some(hint), ..request(0) });
+        let mut op = dispatcher.arrive(n * SECOND, OpRequest { hint: Some(hint), ..request(0) });
         pushed_executor(dispatcher.place(n * SECOND, &mut op));
         dispatcher.note(n * SECOND, &mut op, 0, true, 0.0);
         dispatcher.settle(n * SECOND + 1000, &mut op, 0, Outcome::Acked, &[0.0, 4.0]);
-        let mean = dispatcher.memory().categories[0].mean;
+        let mean = dispatcher.learned_state().categories[0].mean;
         assert!((0.8..1.3).contains(&mean), "{mean} after {n}");
     }
 }
@@ -674,7 +687,7 @@
 fn network_delay_is_not_taken_for_a_queueing_wait() {
     // Where ops start as soon as they arrive, a near-zero expected wait must not be corrected by a factor of
     // four.
-    let mut dispatcher = warm_dispatcher(Terms { by_priority: true, ..terms() }, 1, 1);
+    let mut dispatcher = warm_dispatcher(InstanceSettings { by_priority: true, ..terms() }, 1, 1);
     for n in 0..20 {
         let mut op = dispatcher.arrive(n * SECOND, request(0));
         pushed_executor(dispatcher.place(n * SECOND, &mut op));
@@ -684,7 +697,7 @@
     // Six ops wait before four slots: an op of 0.1 s is expected to start after 0.18 s, and may take 0.7 s in
     // all.
     dispatcher.report(20 * SECOND, 0, &[6.0, 0.0]);
-    let mut op = dispatcher.arrive(20 * SECOND, Ask { deadline: 30 * SECOND, ..request(0) });
+    let mut op = dispatcher.arrive(20 * SECOND, OpRequest { deadline: 30 * SECOND, ..request(0) });
     assert_eq!(pushed_executor(dispatcher.place(20 * SECOND, &mut op)), 0);
 }
 
@@ -701,7 +714,7 @@
     for (nodes, answered, category, allowed) in cases {
         let mut went = std::collections::BTreeSet::new();
         for seed in 0..40 {
-            let mut dispatcher = warm_dispatcher(Terms { nodes, ..terms() }, seed, 4);
+            let mut dispatcher = warm_dispatcher(InstanceSettings { nodes, ..terms() }, seed, 4);
             for executor in answered {
                 let mut op = dispatcher.arrive(SECOND, request(1));
                 while pushed_executor(dispatcher.place(SECOND, &mut op)) != *executor {
@@ -726,7 +739,7 @@
     for turn in 0..200 {
         let now = turn * 20 * MS;
         // Executor 1 starts no at-most-once op; all other ops succeed everywhere.
-        let mut op = dispatcher.arrive(now, Ask { deadline: now + 20 * SECOND, ..request(4) });
+        let mut op = dispatcher.arrive(now, OpRequest { deadline: now + 20 * SECOND, ..request(4) });
         let executor = pushed_executor(dispatcher.place(now, &mut op));
         if executor == 1 {
             stuck.push((now, op));
@@ -739,7 +752,7 @@
             if (now - *sent) % (130 * MS) < 20 * MS {
                 // The op gets its final answer as soon as it can no longer be in time.
                 let step = dispatcher.place(now, op);
-                assert!(matches!(step, Step::Hold | Step::DeadLetter | Step::Stop { .. }), "{step:?}");
+                assert!(matches!(step, Step::Wait | Step::DeadLetter | Step::Cancel { .. }), "{step:?}");
             }
         }
     }
@@ -764,14 +777,14 @@
         (&[Cut, Cut], true),
         (&[Error], true),
         (&[NotConnected], true),
-        (&[Unfit, Unfit, Unfit], false),
+        (&[Rejected, Rejected, Rejected], false),
         (&[Broken, Broken, Broken], false),
     ];
     for (outcomes, expect_ejected) in cases {
         let mut dispatcher = warm_dispatcher(terms(), 5, 1);
         for (turn, outcome) in outcomes.iter().enumerate() {
             let now = SECOND + turn as Time * 100 * MS;
-            let mut op = dispatcher.arrive(now, Ask { deadline: now + 20 * SECOND, ..request(0) });
+            let mut op = dispatcher.arrive(now, OpRequest { deadline: now + 20 * SECOND, ..request(0) });
             pushed_executor(dispatcher.place(now, &mut op));
             dispatcher.note(now, &mut op, 0, true, 0.0);
             dispatcher.settle(now + 10 * MS, &mut op, 0, *outcome, &[]);
@@ -781,7 +794,7 @@
     }
     // A push without progress counts against its executor once, not at each check.
     let mut dispatcher = warm_dispatcher(terms(), 5, 2);
-    let mut op = dispatcher.arrive(0, Ask { deadline: 20 * SECOND, ..request(4) });
+    let mut op = dispatcher.arrive(0, OpRequest { deadline: 20 * SECOND, ..request(4) });
     let executor = pushed_executor(dispatcher.place(0, &mut op));
     dispatcher.note(0, &mut op, 0, true, 0.0);
     for second in 1..18 {
@@ -794,7 +807,7 @@
 #[test]
 fn route_limits_apply_and_only_narrow_the_category() {
     let open = |dispatcher: &mut Dispatcher, category, limits| {
-        let mut op = dispatcher.arrive(0, Ask { deadline: 9 * SECOND, limits, ..request(category) });
+        let mut op = dispatcher.arrive(0, OpRequest { deadline: 9 * SECOND, limits, ..request(category) });
         let first = pushed_executor(dispatcher.place(0, &mut op));
         (op, first)
     };
@@ -803,14 +816,14 @@
     let retry_after = 700 * MS;
     let cases = [
         ("nothing", none, Outcome::Error, None),
-        ("one push", Limits { pushes: 1, ..none }, Outcome::Error, Some(Step::Nack { come_back: 0 })),
+        ("one push", Limits { pushes: 1, ..none }, Outcome::Error, Some(Step::Nack { retry_after: 0 })),
         (
             "the retry budget",
             Limits { over_budget: retry_after, ..none },
             Outcome::Error,
-            Some(Step::Nack { come_back: retry_after }),
+            Some(Step::Nack { retry_after: retry_after }),
         ),
-        ("a backoff", Limits { pause: 50 * MS, ..none }, Outcome::Error, Some(Step::Hold)),
+        ("a backoff", Limits { pause: 50 * MS, ..none }, Outcome::Error, Some(Step::Wait)),
         (
             "the effect",
             Limits { effect: Some(Effect::AtMostOnce), ..none },
@@ -819,7 +832,7 @@
         ),
     ];
     for (what, limits, outcome, expected) in cases {
-        let mut dispatcher = warm_dispatcher(Terms { come_back: SECOND, ..terms() }, 3, 4);
+        let mut dispatcher = warm_dispatcher(InstanceSettings { retry_after: SECOND, ..terms() }, 3, 4);
         let (mut op, _) = open(&mut dispatcher, 0, limits);
         let step = dispatcher.settle(100 * MS, &mut op, 0, outcome, &[]);
         match expected {
@@ -844,8 +857,8 @@
                 dispatcher.note(50 * MS, &mut op, 0, true, 0.0);
             }
             assert!(dispatcher.wait(100 * MS, &op) <= due);
-            assert!(!matches!(dispatcher.place(due - 1, &mut op), Step::Stop { .. }));
-            assert_eq!(dispatcher.place(due, &mut op), Step::Stop { push: 0 });
+            assert!(!matches!(dispatcher.place(due - 1, &mut op), Step::Cancel { .. }));
+            assert_eq!(dispatcher.place(due, &mut op), Step::Cancel { push: 0 });
             // An at-most-once op that times out becomes a dead letter and is never pushed again.
             let step = dispatcher.settle(due + 1, &mut op, 0, Outcome::Cancelled, &[]);
             assert_eq!(step == Step::DeadLetter, category == 4, "{category}: {step:?}");
@@ -854,12 +867,12 @@
     // Excluded kinds and domains get no op, and a hedged request is sent at its time where two pushes at once
     // are allowed.
     for copies in [false, true] {
-        let mut dispatcher = warm_dispatcher(Terms { second_copies: copies, ..terms() }, 7, 6);
+        let mut dispatcher = warm_dispatcher(InstanceSettings { hedging: copies, ..terms() }, 7, 6);
         let (mut op, first) =
             open(&mut dispatcher, 0, Limits { domains: 0b10, copy_after: 400 * MS, ..none });
         assert_eq!(first % 2, 1);
         dispatcher.note(MS, &mut op, 0, true, 0.0);
-        assert_eq!(dispatcher.place(399 * MS, &mut op), Step::Hold);
+        assert_eq!(dispatcher.place(399 * MS, &mut op), Step::Wait);
         match dispatcher.place(400 * MS, &mut op) {
             Step::Push { executor } => assert!(copies && executor % 2 == 1 && executor != first),
             step => assert!(!copies, "{step:?}"),
@@ -873,13 +886,21 @@
 // ---- No load reports, messages between instances, priced connections, quotas of tenants ----
 
 /// Settings of a deployment whose executors report nothing; `nodes` instances may send one another messages.
-fn settings_without_reports(me: usize, nodes: usize) -> Tariff {
-    let terms = Terms { me, nodes, peers: true, message_price: 0.01, surplus: 0.05, progress: 0, ..terms() };
-    Tariff { gauges: vec![], quotas: vec![100.0, 100.0], ..dispatch_settings(terms) }
+fn settings_without_reports(me: usize, nodes: usize) -> DispatchSettings {
+    let terms = InstanceSettings {
+        me,
+        nodes,
+        peers: true,
+        message_price: 0.01,
+        surplus: 0.05,
+        progress: 0,
+        ..terms()
+    };
+    DispatchSettings { gauges: vec![], quotas: vec![100.0, 100.0], ..dispatch_settings(terms) }
 }
 
-fn entry_of_size(executor: usize, weight: f64) -> Listed {
-    Listed { weight, domain: 0, kind: weight as usize, ..list_entry(executor) }
+fn entry_of_size(executor: usize, weight: f64) -> ListedExecutor {
+    ListedExecutor { weight, domain: 0, kind: weight as usize, ..list_entry(executor) }
 }
 
 #[test]
@@ -888,7 +909,7 @@
     dispatcher.list(0, true, &[entry_of_size(0, 5.0), entry_of_size(1, 1.0)]);
     let mut counts = [0; 2];
     for _ in 0..6 {
-        let mut op = dispatcher.arrive(MS, Ask { deadline: 20 * SECOND, ..request(0) });
+        let mut op = dispatcher.arrive(MS, OpRequest { deadline: 20 * SECOND, ..request(0) });
         counts[pushed_executor(dispatcher.place(MS, &mut op))] += 1;
         dispatcher.note(MS, &mut op, 0, true, 0.0);
     }
@@ -898,7 +919,7 @@
 #[test]
 fn partitions_cover_the_fleet_and_each_instance_keeps_to_its_own() {
     // 126 instances can pay for messages to 42 peers each, which makes three partitions.
-    let lines: Vec<Listed> = (0..30).map(|x| entry_of_size(x, 2.0)).collect();
+    let lines: Vec<ListedExecutor> = (0..30).map(|x| entry_of_size(x, 2.0)).collect();
     let mut receivers = vec![0; 30];
     for me in 0..3 {
         let mut dispatcher = Dispatcher::new(&settings_without_reports(me, 126), me as u64);
@@ -916,8 +937,10 @@
 #[test]
 fn open_connections_are_reused_where_connecting_has_a_price() {
     for (handshake, most) in [(0.05, 2), (0.0, 8)] {
-        let priced = Terms { handshake, keepalive: 10 * SECOND, ..settings_without_reports(0, 1).terms };
-        let mut dispatcher = Dispatcher::new(&Tariff { terms: priced, ..settings_without_reports(0, 1) }, 7);
+        let priced =
+            InstanceSettings { handshake, keepalive: 10 * SECOND, ..settings_without_reports(0, 1).terms };
+        let mut dispatcher =
+            Dispatcher::new(&DispatchSettings { terms: priced, ..settings_without_reports(0, 1) }, 7);
         dispatcher.list(0, true, &(0..8).map(|x| entry_of_size(x, 2.0)).collect::<Vec<_>>());
         let mut receivers: Vec<usize> =
             (0..40).map(|n| run_op(&mut dispatcher, n * 100 * MS, 0, 50 * MS)).collect();
@@ -932,22 +955,24 @@
 
 #[test]
 fn ops_of_one_key_go_to_the_same_executors_at_every_instance() {
-    let lines: Vec<Listed> = (0..20).map(|x| entry_of_size(x, 4.0)).collect();
+    let lines: Vec<ListedExecutor> = (0..20).map(|x| entry_of_size(x, 4.0)).collect();
     let executors_by_key = |seed: u64, reversed: bool| -> Vec<u64> {
         let mut dispatcher = Dispatcher::new(&settings_without_reports(0, 1), seed);
         // Executor indices differ between instances; executor names do not.
         let own = |x: usize| if reversed { 19 - x } else { x };
-        let lines: Vec<Listed> = lines.iter().map(|l| Listed { executor: own(l.executor), ..*l }).collect();
+        let lines: Vec<ListedExecutor> =
+            lines.iter().map(|l| ListedExecutor { executor: own(l.executor), ..*l }).collect();
         dispatcher.list(0, true, &lines);
         (1..40u64)
             .map(|key| {
                 let now = key as Time * 100 * MS;
-                let key = mark(&format!("key {key}"));
-                let mut op = dispatcher.arrive(now, Ask { key, deadline: now + 20 * SECOND, ..request(0) });
+                let key = name_hash(&format!("key {key}"));
+                let mut op =
+                    dispatcher.arrive(now, OpRequest { key, deadline: now + 20 * SECOND, ..request(0) });
                 let x = pushed_executor(dispatcher.place(now, &mut op));
                 dispatcher.note(now, &mut op, 0, true, 0.0);
                 dispatcher.settle(now + 50 * MS, &mut op, 0, Outcome::Acked, &[]);
-                lines.iter().find(|l| l.executor == x).map_or(0, |l| l.mark)
+                lines.iter().find(|l| l.executor == x).map_or(0, |l| l.name_hash)
             })
             .collect()
     };
@@ -961,7 +986,7 @@
 
 /// Two instances with the same executors; messages of the first reach the second at once.
 fn pair_of_instances(nodes: usize, count: usize) -> (Dispatcher, Dispatcher) {
-    let lines: Vec<Listed> = (0..count).map(|x| entry_of_size(x, 2.0)).collect();
+    let lines: Vec<ListedExecutor> = (0..count).map(|x| entry_of_size(x, 2.0)).collect();
     let mut both = [0, 1].map(|me| Dispatcher::new(&settings_without_reports(me, nodes), 5 + me as u64));
     both.iter_mut().for_each(|dispatcher| dispatcher.list(0, true, &lines));
     let [one, two] = both;
@@ -970,7 +995,7 @@
 
 fn deliver_messages(now: Time, from: &mut Dispatcher, to: &mut Dispatcher) {
     from.upkeep(now);
-    from.letters.drain(..).for_each(|letter| to.heard(now, 0, &letter.text));
+    from.outgoing.drain(..).for_each(|letter| to.receive_message(now, 0, &letter.text));
 }
 
 #[test]
@@ -985,13 +1010,14 @@
             if n % 100 == 0 {
                 let mut text = vec![1, 2, (5500 % 256) as u8, (5500 / 256) as u8, 0, 0];
                 for x in 0..12 {
-                    text.extend((list_entry(x).mark as u16).to_le_bytes());
+                    text.extend((list_entry(x).name_hash as u16).to_le_bytes());
                     text.push(held);
                 }
-                dispatcher.heard(now, 1, &text);
+                dispatcher.receive_message(now, 1, &text);
             }
             let tenant = (n % 2) as usize;
-            let mut op = dispatcher.arrive(now, Ask { tenant, deadline: now + 20 * SECOND, ..request(0) });
+            let mut op =
+                dispatcher.arrive(now, OpRequest { tenant, deadline: now + 20 * SECOND, ..request(0) });
             match dispatcher.place(now, &mut op) {
                 Step::Push { .. } => {
                     dispatcher.note(now, &mut op, 0, true, 0.0);
@@ -999,7 +1025,7 @@
                     // The first seconds are needed to learn the rates.
                     served[tenant] += if n >= 400 { 1.0 / 200.0 } else { 0.0 };
                 }
-                Step::Nack { come_back } => assert!(come_back <= 1250, "{come_back}"),
+                Step::Nack { retry_after } => assert!(retry_after <= 1250, "{retry_after}"),
                 other => panic!("{other:?}"),
             }
         }
@@ -1012,9 +1038,9 @@
     let (mut dispatcher, _) = pair_of_instances(2, 4);
     (0..100).for_each(|n| _ = run_op(&mut dispatcher, n * 100 * MS, 0, MS));
     for (now, expected) in [(11 * SECOND, true), (60 * SECOND, false)] {
-        dispatcher.letters.clear();
+        dispatcher.outgoing.clear();
         dispatcher.upkeep(now);
-        let text = &dispatcher.letters[0].text;
+        let text = &dispatcher.outgoing[0].text;
         assert_eq!(text[1], 2, "the message has two rates");
         assert_eq!(u16::from_le_bytes([text[2], text[3]]) > 50, expected, "at {now}: {text:?}");
     }
@@ -1023,7 +1049,7 @@
 #[test]
 fn peers_block_a_category_that_one_of_them_saw_unstarted() {
     let (mut one, mut two) = pair_of_instances(2, 2);
-    let mut op = one.arrive(0, Ask { deadline: 60 * SECOND, ..request(4) });
+    let mut op = one.arrive(0, OpRequest { deadline: 60 * SECOND, ..request(4) });
     let x = pushed_executor(one.place(0, &mut op));
     // The op does not start for longer than a quarter of its target latency and twice the expected wait.
     one.place(130 * MS, &mut op);
@@ -1031,7 +1057,8 @@
     let blocked = |dispatcher: &mut Dispatcher, category: usize| {
         (0..20).all(|n| {
             let now = 2 * SECOND + n * MS;
-            let mut op = dispatcher.arrive(now, Ask { deadline: now + 60 * SECOND, ..request(category) });
+            let mut op =
+                dispatcher.arrive(now, OpRequest { deadline: now + 60 * SECOND, ..request(category) });
             let at = pushed_executor(dispatcher.place(now, &mut op));
             dispatcher.note(now, &mut op, 0, true, 0.0);
             dispatcher.settle(now, &mut op, 0, Outcome::Acked, &[]);
@@ -1045,20 +1072,20 @@
 #[test]
 fn an_op_that_cannot_be_in_time_any_more_gets_its_answer_at_once() {
     // An answer later than 500 ms plus twice the op's own work is worth nothing; the op's TTL is 20 s.
-    for (category, expected) in [(4, Step::DeadLetter), (0, Step::Nack { come_back: 0 })] {
+    for (category, expected) in [(4, Step::DeadLetter), (0, Step::Nack { retry_after: 0 })] {
         let mut dispatcher = Dispatcher::new(&settings_without_reports(0, 1), 3);
         dispatcher.list(0, true, &[entry_of_size(0, 2.0)]);
-        let mut op = dispatcher.arrive(0, Ask { deadline: 20 * SECOND, ..request(category) });
+        let mut op = dispatcher.arrive(0, OpRequest { deadline: 20 * SECOND, ..request(category) });
         pushed_executor(dispatcher.place(0, &mut op));
-        let (mut now, mut step) = (0, Step::Hold);
-        while step == Step::Hold && now < 20 * SECOND {
+        let (mut now, mut step) = (0, Step::Wait);
+        while step == Step::Wait && now < 20 * SECOND {
             now = dispatcher.wait(now, &op);
             step = dispatcher.place(now, &mut op);
         }
         assert!(step == expected && now < 8000, "category {category}: {step:?} at {now}");
         assert_eq!(
             dispatcher.place(now, &mut op),
-            Step::Stop { push: 0 },
+            Step::Cancel { push: 0 },
             "a push that nobody waits for is cancelled"
         );
     }
@@ -1076,7 +1103,7 @@
             run_op(&mut dispatcher, now, 0, 10);
         }
         dispatcher.upkeep(now);
-        sent += dispatcher.letters.drain(..).count();
+        sent += dispatcher.outgoing.drain(..).count();
     }
     // 20 s, 80 ops, 43 peers.
     assert!((500..1200).contains(&sent), "{sent} messages");
@@ -1092,7 +1119,7 @@
         // One op at each executor; the first progress note comes after a tenth of a second of running.
         let mut out: Vec<(usize, Op)> = (0..2)
             .map(|_| {
-                let mut op = dispatcher.arrive(now, Ask { deadline: now + 60 * SECOND, ..request(0) });
+                let mut op = dispatcher.arrive(now, OpRequest { deadline: now + 60 * SECOND, ..request(0) });
                 let x = pushed_executor(dispatcher.place(now, &mut op));
                 dispatcher.note(now, &mut op, 0, true, 0.0);
                 (x, op)
@@ -1105,7 +1132,7 @@
         });
         dispatcher.list(now + 500, false, &[]);
         let slow = *slow;
-        let mut next = dispatcher.arrive(now + 500, Ask { deadline: now + 60 * SECOND, ..request(0) });
+        let mut next = dispatcher.arrive(now + 500, OpRequest { deadline: now + 60 * SECOND, ..request(0) });
         dispatcher.place(now + 500, &mut next);
         let share = dispatcher.shares().nth(slow).unwrap();
         assert_eq!(share > 0.35, expected, "{done} done after half the usual time: share {share}");
@@ -1118,17 +1145,17 @@
         let (mut dispatcher, _) = pair_of_instances(2, 6);
         (0..30).for_each(|n| _ = run_op(&mut dispatcher, n * 250 * MS, 0, 1000));
         let now = 10 * SECOND;
-        let key = mark("a key");
+        let key = name_hash("a key");
         let mut place_op = |now: Time, settle: bool| {
-            let mut op = dispatcher.arrive(now, Ask { key, deadline: now + 60 * SECOND, ..request(0) });
+            let mut op = dispatcher.arrive(now, OpRequest { key, deadline: now + 60 * SECOND, ..request(0) });
             let x = pushed_executor(dispatcher.place(now, &mut op));
             dispatcher.note(now, &mut op, 0, true, 0.0);
             if settle {
                 dispatcher.settle(now + MS, &mut op, 0, Outcome::Acked, &[]);
                 let mut text = vec![1, 0];
-                text.extend((list_entry(x).mark as u16).to_le_bytes());
+                text.extend((list_entry(x).name_hash as u16).to_le_bytes());
                 text.push(held);
-                dispatcher.heard(now + MS, 1, &text);
+                dispatcher.receive_message(now + MS, 1, &text);
             }
             x
         };
@@ -1151,13 +1178,13 @@
     // A push held back because its executor was disabled counts against no executor and uses up none of the
     // op's pushes.
     let mut op =
-        dispatcher.arrive(now, Ask { limits: Limits { pushes: 2, ..Limits::default() }, ..request(4) });
+        dispatcher.arrive(now, OpRequest { limits: Limits { pushes: 2, ..Limits::default() }, ..request(4) });
     let first = pushed_executor(dispatcher.place(now, &mut op));
     dispatcher.disable(now, first, true);
     let second = pushed_executor(dispatcher.settle(now, &mut op, 0, Outcome::Withheld, &[]));
     let third = pushed_executor(dispatcher.settle(now, &mut op, 1, Outcome::NotConnected, &[]));
     assert!(second != first && third != first && dispatcher.avoids(now, first));
-    assert_eq!(dispatcher.settle(now, &mut op, 2, Outcome::Acked, &[]), Step::Hold);
+    assert_eq!(dispatcher.settle(now, &mut op, 2, Outcome::Acked, &[]), Step::Wait);
     // The executor stays disabled when a list names it again, when it restarts, and when it is disabled a
     // second time.
     for round in 0..3 {
@@ -1166,7 +1193,7 @@
         dispatcher.list(
             now,
             round == 1,
-            &[list_entry(0), list_entry(1), Listed { started, ..list_entry(first) }, list_entry(2)],
+            &[list_entry(0), list_entry(1), ListedExecutor { started, ..list_entry(first) }, list_entry(2)],
         );
         dispatcher.disable(now, first, true);
         for n in 0..30 {
@@ -1177,7 +1204,7 @@
     // With all executors disabled, an op is nacked and nothing is pushed.
     (0..3).for_each(|executor| dispatcher.disable(now, executor, true));
     let mut none = dispatcher.arrive(now, request(0));
-    assert_eq!(dispatcher.place(now, &mut none), Step::Hold);
+    assert_eq!(dispatcher.place(now, &mut none), Step::Wait);
     assert!(matches!(dispatcher.place(now + SECOND, &mut none), Step::Nack { .. }));
     (0..3)
         .filter(|executor| *executor != first)
@@ -1186,7 +1213,7 @@
     // nothing.
     now += 20 * SECOND;
     dispatcher.disable(now, first, false);
-    dispatcher.list(now, false, &[Listed { started: Some(now - 3 * SECOND), ..list_entry(first) }]);
+    dispatcher.list(now, false, &[ListedExecutor { started: Some(now - 3 * SECOND), ..list_entry(first) }]);
     assert!(!dispatcher.avoids(now, first));
     let mut sent = Vec::new();
     for n in 0..200 {
@@ -1205,7 +1232,7 @@
     // Executor 1 runs ops three times as long, executor 2 has just failed, executor 3 restarts meanwhile.
     for n in 0..300 {
         let now = SECOND + n * 400;
-        let mut op = old.arrive(now, Ask { deadline: now + 20 * SECOND, ..request(0) });
+        let mut op = old.arrive(now, OpRequest { deadline: now + 20 * SECOND, ..request(0) });
         let executor = pushed_executor(old.place(now, &mut op));
         old.note(now, &mut op, 0, true, 0.0);
         let ran = if executor == 1 { 3000 } else { 1000 };
@@ -1217,7 +1244,7 @@
         op = old.arrive(now, request(0));
     }
     old.settle(now, &mut op, 0, Outcome::NotConnected, &[]);
-    let memory = old.memory();
+    let memory = old.learned_state();
     let successor = || {
         let mut new = Dispatcher::new(&dispatch_settings(terms()), 9);
         new.list(
@@ -1227,7 +1254,7 @@
                 list_entry(0),
                 list_entry(1),
                 list_entry(2),
-                Listed { started: Some(now - 10), ..list_entry(3) },
+                ListedExecutor { started: Some(now - 10), ..list_entry(3) },
             ],
         );
         new
@@ -1238,7 +1265,7 @@
         new.shares().collect::<Vec<f64>>()
     };
     let (mut bare, mut new) = (successor(), successor());
-    new.recall(now, memory.clone());
+    new.restore(now, memory.clone());
     let (bare, shares) = (shares(&mut bare), shares(&mut new));
     assert!(bare[1] > 0.2 && bare[2] > 0.2, "{bare:?}");
     assert!(shares[1] < shares[0] / 2.0 && shares[2] == 0.0 && new.avoids(now, 2), "{shares:?}");
@@ -1246,6 +1273,6 @@
     // The learned state of an instance with other categories is not taken over.
     let mut other = successor();
     let categories = memory.categories[..2].to_vec();
-    other.recall(now, stileroute_dispatch::state::Memory { categories, ..memory });
+    other.restore(now, stileroute_dispatch::state::LearnedState { categories, ..memory });
     assert!(!other.avoids(now, 2));
 }
--- a/crates/node/src/desk/mod.rs
+++ b/crates/node/src/desk/mod.rs
@@ -17,9 +17,11 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use stileroute_dispatch::policy::{Dispatcher, UPKEEP};
-use stileroute_dispatch::state::Memory;
-use stileroute_dispatch::types::{mark, Ask, Effect, Limits, Listed, Outcome, Step, Time, SECOND};
+use stileroute_dispatch::policy::{Dispatcher, UPKEEP_INTERVAL};
+use stileroute_dispatch::state::LearnedState;
+use stileroute_dispatch::types::{
+    name_hash, Effect, Limits, ListedExecutor, OpRequest, Outcome, Step, Time, SECOND,
+};
 use stileroute_route_limits::gate::{Entry, Gate, Pass};
 use stileroute_route_limits::pattern::Request as Ways;
 use stileroute_route_limits::table::Table;
@@ -93,7 +95,7 @@
     /// Whom they took out.
     pub outs: State,
     /// Takes what is learned, for a successor.
-    pub learns: Option<Sender<Memory>>,
+    pub learns: Option<Sender<LearnedState>>,
 }
 
 pub struct Desk {
@@ -103,7 +105,7 @@
     outlet: Box<dyn Outlet>,
     front: Arc<dyn Front>,
     /// The longest come-back time that clients heed.
-    come_back: Time,
+    retry_after: Time,
     names: Indices,
     domains: Indices,
     kinds: Indices,
@@ -140,7 +142,7 @@
             ops: Ops::default(),
             outlet,
             front,
-            come_back: start.tariff.terms.come_back,
+            retry_after: start.tariff.terms.retry_after,
             names: Indices::default(),
             domains: Indices::of(&start.domains),
             kinds: Indices::of(&start.kinds),
@@ -164,9 +166,9 @@
     }
 
     /// Takes over what the process before has learned.
-    pub fn recall(&mut self, kept: Memory) {
+    pub fn recall(&mut self, kept: LearnedState) {
         say!("takes over what was learned of {} executors", kept.executors.len());
-        self.dispatcher.recall(self.clock.now(), kept);
+        self.dispatcher.restore(self.clock.now(), kept);
     }
 
     /// Serves until the end that was asked for.
@@ -270,7 +272,7 @@
                 }
             }
             Event::Ended { ticket, push, how, load } => self.ended(now, ticket, push, how, load),
-            Event::Heard { from, text } => self.dispatcher.heard(now, from, &text),
+            Event::Heard { from, text } => self.dispatcher.receive_message(now, from, &text),
             Event::Free { number, keep } => {
                 // It may have carried a task when its executor left the list.
                 let executor = self.outlet.back(number, keep);
@@ -285,14 +287,14 @@
                 }
                 self.list(now, &list);
             }
-            Event::ListSilent { turned_away } => self.dispatcher.refused(now, turned_away),
+            Event::ListSilent { turned_away } => self.dispatcher.list_call_failed(now, turned_away),
             Event::Routes(table) => {
                 self.front.want(&table.headers);
                 if let Some(gate) = &mut self.gate {
                     gate.turn(table);
                 }
             }
-            Event::Fleet { likely, safe } => self.dispatcher.fleet(likely, safe),
+            Event::Fleet { likely, safe } => self.dispatcher.set_fleet_size(likely, safe),
             Event::End => self.end(now),
         }
     }
@@ -329,13 +331,13 @@
 
     /// An op that has no place, and never will have: nothing of it was pushed.
     fn turn_away(&self, ticket: u64, job: &dyn Job, reply: Owed, came: Time, back: Time) {
-        let come_back = back.min(self.come_back);
+        let retry_after = back.min(self.retry_after);
         let now = self.clock.now();
         let (id, took_ms) = (job.id(), (now - came) as f64 / 10.0);
-        let back_ms = come_back as f64 / 10.0;
+        let back_ms = retry_after as f64 / 10.0;
         say!(op { op = id, code = "no-place", took_ms, come_back_ms = back_ms } "op {ticket} nacked: no place");
         let until = self.clock.instant(now + SECOND);
-        reply.give(Fate::Nacked { why: "nacked: no place in hand", come_back }, until);
+        reply.give(Fate::Nacked { why: "nacked: no place in hand", retry_after }, until);
     }
 
     /// Ops that have a place now are asked of the module; those whose wait is over are turned away.
@@ -387,8 +389,8 @@
         // Whose tenant is not among those of the settings has no share to be held to.
         let tenant = self.tenants.iter().position(|own| Some(own.as_str()) == tenant).unwrap_or(usize::MAX);
         let about = job.path().rsplit('/').next().filter(|about| self.set_up_by_path && !about.is_empty());
-        let key = about.map_or(0, mark);
-        let ask = Ask { category, slots, memory, hint, deadline, limits, tenant, key };
+        let key = about.map_or(0, name_hash);
+        let ask = OpRequest { category, slots, memory, hint, deadline, limits, tenant, key };
         let mut op = self.dispatcher.arrive(now, ask);
         let step = self.dispatcher.place(now, &mut op);
         let held = Held { op, reply: Some(reply), job, pushes: Vec::new(), pass, came };
@@ -407,17 +409,17 @@
             How::Unfit(status) => {
                 let executor = held.op.pushes[push].executor;
                 say!("executor {executor}: refused an op for what it is: status {status}");
-                (Outcome::Unfit, Some(Fate::Unfit { status }))
+                (Outcome::Rejected, Some(Fate::Unfit { status }))
             }
             How::Failed => (Outcome::Error, None),
             How::Returned => (Outcome::Full, None),
             // It never left, for its executor was taken out: that is the fault of nobody.
             How::Untried | How::Unconnected if withheld => (Outcome::Withheld, None),
-            How::Untried => (Outcome::Moot, None),
+            How::Untried => (Outcome::NeverStarted, None),
             // Given up before its last byte was written: that is no fault of the executor.
-            How::Unconnected | How::Cut { .. } if given_up.is_some() => (Outcome::Moot, None),
+            How::Unconnected | How::Cut { .. } if given_up.is_some() => (Outcome::NeverStarted, None),
             // That an idle connection has just ended tells nothing of its executor.
-            How::Cut { used } => (if used { Outcome::Moot } else { Outcome::Cut }, None),
+            How::Cut { used } => (if used { Outcome::NeverStarted } else { Outcome::Cut }, None),
             How::Unconnected => (Outcome::NotConnected, None),
             How::Lost => (given_up.unwrap_or(Outcome::Reset), None),
             How::Broken => (given_up.unwrap_or(Outcome::Broken), None),
@@ -451,20 +453,20 @@
                         pass.pushed(now);
                     }
                     if untried {
-                        step = self.dispatcher.settle(now, &mut held.op, push, Outcome::Moot, &[]);
+                        step = self.dispatcher.settle(now, &mut held.op, push, Outcome::NeverStarted, &[]);
                         continue;
                     }
                 }
-                Step::Stop { push } => held.give_up(push, Outcome::Cancelled),
-                Step::Nack { come_back } => {
-                    self.tell(now, &held, "nacked", come_back);
-                    self.answer(&mut held, Fate::Nacked { why: "nacked", come_back });
+                Step::Cancel { push } => held.give_up(push, Outcome::Cancelled),
+                Step::Nack { retry_after } => {
+                    self.tell(now, &held, "nacked", retry_after);
+                    self.answer(&mut held, Fate::Nacked { why: "nacked", retry_after });
                 }
                 Step::DeadLetter => {
                     self.tell(now, &held, "dead-lettered", 0);
                     self.answer(&mut held, Fate::DeadLettered);
                 }
-                Step::Hold => break,
+                Step::Wait => break,
             }
             held.budget(now);
             step = self.dispatcher.place(now, &mut held.op);
@@ -473,7 +475,7 @@
     }
 
     /// Tells what became of an op that was not acked.
-    fn tell(&self, now: Time, held: &Held, code: &'static str, come_back: Time) {
+    fn tell(&self, now: Time, held: &Held, code: &'static str, retry_after: Time) {
         let last = held.op.pushes.last().map(|push| push.executor);
         say!(op {
             op = held.job.id(),
@@ -483,7 +485,7 @@
             code,
             pushes = held.op.pushes.len() as u64,
             took_ms = (now - held.came) as f64 / 10.0,
-            come_back_ms = come_back as f64 / 10.0,
+            come_back_ms = retry_after as f64 / 10.0,
         } "op {code}");
     }
 
@@ -527,7 +529,7 @@
             // one, which takes some round trips and shows that someone is there; where it fails, the op never ran.
             anew: effect == Effect::AtMostOnce,
             until: self.clock.instant(held.op.deadline),
-            leave_by: self.clock.instant(held.op.leave_by(effect)),
+            leave_by: self.clock.instant(held.op.send_deadline(effect)),
             connect: connect.map(|time| Duration::from_micros(time.max(1) as u64 * 100)),
         };
         self.outlet.push(executor, to, push)
@@ -555,8 +557,8 @@
             }
             (known.active, known.listed) = (entry.active, entry.listed);
             known.out = out_by_hand.contains(&entry.name);
-            lines.push(Listed {
-                mark: mark(&entry.name),
+            lines.push(ListedExecutor {
+                name_hash: name_hash(&entry.name),
                 executor,
                 domain: self.domains.index(&entry.domain),
                 kind: self.kinds.index(&entry.kind),
@@ -604,12 +606,12 @@
             self.carry(now, ticket, held, step);
         }
         if now >= self.upkeep {
-            self.upkeep = now + UPKEEP;
+            self.upkeep = now + UPKEEP_INTERVAL;
             self.outlet.retire();
             self.publish(now);
             let learns = self.operators.as_ref().and_then(|own| own.learns.as_ref());
             if let Some(learns) = learns.filter(|learns| learns.is_empty()) {
-                let _ = learns.try_send(self.dispatcher.memory());
+                let _ = learns.try_send(self.dispatcher.learned_state());
             }
             if self.dispatcher.upkeep(now) {
                 let _ = self.ask.try_send(());
@@ -618,7 +620,7 @@
                 self.front.steer();
             }
         }
-        for letter in self.dispatcher.letters.drain(..) {
+        for letter in self.dispatcher.outgoing.drain(..) {
             if let Some(peers) = &self.peers {
                 peers.send(&letter);
             }
@@ -647,7 +649,7 @@
         self.ending = Some(Ending { by, steer, leave: steer + LEAVE_AFTER + stay });
         for ticket in tickets {
             let Some(mut held) = self.ops.take(ticket) else { continue };
-            held.op.end_by(by);
+            held.op.limit_deadline(by);
             self.keep(now, ticket, held);
         }
         for ticket in self.queue.tickets() {
--- a/crates/node/src/drive/calls.rs
+++ b/crates/node/src/drive/calls.rs
@@ -17,7 +17,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
-use stileroute_dispatch::state::Memory;
+use stileroute_dispatch::state::LearnedState;
 use thiserror::Error;
 
 /// How long one may take to send a call, or to take its answer in.
@@ -44,7 +44,7 @@
     pub clients: Arc<Clients>,
     pub desk: Sender<Order>,
     pub outs: Outs,
-    pub learned: Receiver<Memory>,
+    pub learned: Receiver<LearnedState>,
     /// The other instances, where they may talk.
     pub members: Option<Arc<MembershipReport>>,
 }
--- a/crates/node/src/drive/clients.rs
+++ b/crates/node/src/drive/clients.rs
@@ -26,7 +26,7 @@
     /// The op that it ends, if it does end one.
     pub in_hand: Option<Box<InHand>>,
     pub body: Body,
-    pub come_back: Time,
+    pub retry_after: Time,
     /// When no one waits for it any more.
     pub until: Instant,
 }
@@ -47,15 +47,15 @@
 
 impl From<Answer> for Reply {
     fn from(answer: Answer) -> Reply {
-        let (status, body, come_back) = match answer.fate {
+        let (status, body, retry_after) = match answer.fate {
             Fate::Acked(result) => (200, Body::Result(result), 0),
-            Fate::Nacked { why, come_back } => (503, Body::Text(format!("{why}\n")), come_back),
+            Fate::Nacked { why, retry_after } => (503, Body::Text(format!("{why}\n")), retry_after),
             Fate::DeadLettered => (500, Body::Text("dead-lettered\n".to_string()), 0),
             Fate::Unfit { status } => {
                 (status, Body::Text(format!("refused by an executor: status {status}\n")), 0)
             }
         };
-        Reply { status, in_hand: answer.in_hand, body, come_back, until: answer.until }
+        Reply { status, in_hand: answer.in_hand, body, retry_after, until: answer.until }
     }
 }
 
@@ -310,7 +310,10 @@
         };
         request.entry = Some(entry);
         if self.seats.busy() > self.budget().requests {
-            return Err(Reply { come_back: self.door.come_back, ..own(503, "too many requests in hand") });
+            return Err(Reply {
+                retry_after: self.door.retry_after,
+                ..own(503, "too many requests in hand")
+            });
         }
         let pen = match pen {
             Some(pen) => pen,
@@ -356,7 +359,7 @@
     fn answer(&self, seat: &Seat, reply: &Reply, known: bool) -> bool {
         let close = seat.last() || self.steer.load(Ordering::Relaxed) || reply.status / 100 == 4;
         let body = reply.body.bytes();
-        let head = answer_head(reply.status, body.len(), reply.come_back, close);
+        let head = answer_head(reply.status, body.len(), reply.retry_after, close);
         // A client that takes nothing in must not hold this thread for good.
         let left = reply.until.saturating_duration_since(Instant::now()).max(BRIEF);
         let _ = seat.stream.set_write_timeout(Some(left));
@@ -418,7 +421,7 @@
 /// An answer that the node gives without the desk.
 fn own(status: u16, text: &str) -> Reply {
     let body = Body::Text(format!("{text}\n"));
-    Reply { status, in_hand: None, body, come_back: 0, until: Instant::now() + BRIEF }
+    Reply { status, in_hand: None, body, retry_after: 0, until: Instant::now() + BRIEF }
 }
 
 /// The longest budget that is believed.
--- a/crates/node/src/drive/peers.rs
+++ b/crates/node/src/drive/peers.rs
@@ -10,8 +10,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use stileroute_dispatch::peers::LONGEST;
-use stileroute_dispatch::types::Letter;
+use stileroute_dispatch::peers::MAX_MESSAGE_BYTES;
+use stileroute_dispatch::types::OutgoingMessage;
 use thiserror::Error;
 
 /// The longest that the desk may be held up by a message that finds no room on its way out.
@@ -53,13 +53,14 @@
         let socket = self.socket.try_clone().map_err(PeersError::Clone)?;
         let (nodes, dropped) = (self.nodes.clone(), self.dropped.clone());
         Ok(move |desk: Sender<Event>| {
-            let mut bytes = [0; LONGEST + 1];
+            let mut bytes = [0; MAX_MESSAGE_BYTES + 1];
             loop {
                 let Ok((length, from)) = socket.recv_from(&mut bytes) else {
                     std::thread::sleep(PAUSE);
                     continue;
                 };
-                let from = nodes.iter().position(|node| *node == from).filter(|_| length <= LONGEST);
+                let from =
+                    nodes.iter().position(|node| *node == from).filter(|_| length <= MAX_MESSAGE_BYTES);
                 let event = from.map(|from| Event::Heard { from, text: bytes[..length].to_vec() });
                 match event.map(|event| desk.try_send(event)) {
                     Some(Ok(())) => {}
@@ -75,7 +76,7 @@
 
 impl Carrier for Peers {
     /// One that can't leave by then is dropped.
-    fn send(&self, letter: &Letter) {
+    fn send(&self, letter: &OutgoingMessage) {
         for (number, node) in self.nodes.iter().enumerate() {
             if number != self.me && letter.to.is_none_or(|to| to == number) {
                 let _ = self.socket.send_to(&letter.text, node);
--- a/crates/node/src/life/operator.rs
+++ b/crates/node/src/life/operator.rs
@@ -5,7 +5,7 @@
 use super::start::Start;
 use std::path::Path;
 use std::sync::Arc;
-use stileroute_dispatch::types::Terms;
+use stileroute_dispatch::types::InstanceSettings;
 use stileroute_operator_file::{load, Fault, Section};
 use stileroute_route_limits::table::Table;
 use stileroute_route_limits::Ground;
@@ -69,7 +69,7 @@
             kinds: self.kinds.clone(),
             domains: self.domains.clone(),
             // Whether messages are allowed, not whether some go out already.
-            terms: Terms { peers: self.may_talk, ..self.tariff.terms.clone() },
+            terms: InstanceSettings { peers: self.may_talk, ..self.tariff.terms.clone() },
         }
     }
 }
--- a/crates/node/src/life/start.rs
+++ b/crates/node/src/life/start.rs
@@ -8,8 +8,8 @@
 use std::os::fd::RawFd;
 use std::path::PathBuf;
 use std::time::Duration;
-use stileroute_dispatch::settings::Posted;
-use stileroute_dispatch::types::{Effect, Tariff, Time};
+use stileroute_dispatch::settings::PostedSettings;
+use stileroute_dispatch::types::{DispatchSettings, Effect, Time};
 use thiserror::Error;
 
 /// All that the node starts with.
@@ -26,7 +26,7 @@
     pub seed: u64,
     pub budget: Budget,
     pub known: List,
-    pub tariff: Tariff,
+    pub tariff: DispatchSettings,
     /// Addresses of all nodes by number, where they send one another messages.
     pub peers: Option<Vec<SocketAddr>>,
     /// The settings allow messages among instances.
@@ -53,7 +53,7 @@
     /// Categories by name.
     pub categories: HashMap<String, Kind>,
     /// When to come back if the node itself is full; zero where no such advice may be given.
-    pub come_back: Time,
+    pub retry_after: Time,
 }
 
 /// What a request of a category must keep to.
@@ -78,7 +78,7 @@
     peers: Option<Peers>,
     #[serde(default)]
     set_up_by_path: bool,
-    settings: Posted,
+    settings: PostedSettings,
 }
 
 #[derive(Deserialize)]
@@ -168,7 +168,7 @@
 }
 
 /// The nodes' addresses, one for each; the settings must allow messages and tell which one this is.
-fn addresses(peers: &Peers, tariff: &Tariff) -> Result<Vec<SocketAddr>, StartError> {
+fn addresses(peers: &Peers, tariff: &DispatchSettings) -> Result<Vec<SocketAddr>, StartError> {
     if !tariff.terms.peers {
         return Err(StartError::PeersNotAllowed);
     }
@@ -225,7 +225,7 @@
             .map_or(1, |since| since.as_nanos() as u64),
     };
     let posted = file.settings;
-    let mut tariff = posted.tariff().map_err(StartError::Settings)?;
+    let mut tariff = posted.dispatch_settings().map_err(StartError::Settings)?;
     // On sockets the list always has to be asked for.
     tariff.terms.subscribe = true;
     let peers = file.peers.map(|peers| addresses(&peers, &tariff)).transpose()?;
@@ -270,7 +270,7 @@
         may_talk,
         tenants: posted.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
         set_up_by_path: file.set_up_by_path,
-        door: Door { categories, come_back: tariff.terms.come_back.min(COME_BACK) },
+        door: Door { categories, retry_after: tariff.terms.retry_after.min(COME_BACK) },
         categories: posted.categories(),
         domains: posted.failure_domains.clone(),
         kinds: posted.shapes.clone(),
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -34,7 +34,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, AtomicU64};
 use std::sync::{Arc, RwLock};
-use stileroute_dispatch::types::mark;
+use stileroute_dispatch::types::name_hash;
 use stileroute_route_limits::Ground;
 use store::figures::Figures;
 use store::outs::Outs;
@@ -94,8 +94,12 @@
     desk: Sender<Event>,
 ) -> Result<MembershipThread, MembersError> {
     let terms = &start.tariff.terms;
-    let own =
-        Instance { id: mark(&start.name), domain: terms.domain as u8, nodes: terms.nodes, seed: start.seed };
+    let own = Instance {
+        id: name_hash(&start.name),
+        domain: terms.domain as u8,
+        nodes: terms.nodes,
+        seed: start.seed,
+    };
     MembershipThread::open(at, own, desk)
 }
 
@@ -165,7 +169,7 @@
     let (mut reach, mut kept) = (None, None);
     let operators = figures.map(|figures| {
         let ((order, orders), (learns, learned)) = (bounded(ORDERS), bounded(1));
-        let outs = Outs::join(start.home.as_deref(), mark(&start.name));
+        let outs = Outs::join(start.home.as_deref(), name_hash(&start.name));
         // Only where another process takes this one's place is it of use to keep what is learned.
         let learns = start.inherited.map(|_| learns);
         kept = learns.as_ref().and_then(|_| outs.kept());
--- a/crates/node/src/port.rs
+++ b/crates/node/src/port.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use stileroute_dispatch::types::{Letter, Time};
+use stileroute_dispatch::types::{OutgoingMessage, Time};
 use stileroute_route_limits::table::Table;
 
 /// What a client hands in. Whatever an outlet needs of it to speak its own protocol, it asks for here.
@@ -68,7 +68,7 @@
     /// A retry is harmless; not before this long, zero for no advice.
     Nacked {
         why: &'static str,
-        come_back: Time,
+        retry_after: Time,
     },
     DeadLettered,
     /// Refused by an executor for what it is, with a status of its own.
@@ -125,7 +125,7 @@
 
 /// What carries messages to other nodes. It drops what would make the desk wait.
 pub trait Carrier {
-    fn send(&self, letter: &Letter);
+    fn send(&self, letter: &OutgoingMessage);
     /// Messages of others that were dropped before they came to the desk.
     fn dropped(&self) -> u64;
 }
--- a/crates/node/src/wire/serve.rs
+++ b/crates/node/src/wire/serve.rs
@@ -295,8 +295,8 @@
 /// Tells a client that waits for it to send its body.
 pub const GO_ON: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// The head of an answer. `come_back` is in tenths of a millisecond, zero for no advice.
-pub fn answer_head(status: u16, length: usize, come_back: i64, close: bool) -> String {
+/// The head of an answer. `retry_after` is in tenths of a millisecond, zero for no advice.
+pub fn answer_head(status: u16, length: usize, retry_after: i64, close: bool) -> String {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
@@ -311,8 +311,8 @@
         _ => "Service Unavailable",
     };
     let mut head = format!("HTTP/1.1 {status} {reason}\r\nContent-Length: {length}\r\n");
-    if come_back > 0 {
-        head += &format!("Retry-After: {}.{:04}\r\n", come_back / 10_000, come_back % 10_000);
+    if retry_after > 0 {
+        head += &format!("Retry-After: {}.{:04}\r\n", retry_after / 10_000, retry_after % 10_000);
     }
     if close {
         head += "Connection: close\r\n";
--- a/crates/queue/src/ordering.rs
+++ b/crates/queue/src/ordering.rs
@@ -35,7 +35,7 @@
 /// Rendezvous hashing: each store is as likely as the others, and few groups move when one goes (Thaler and Ravishankar,
 /// 1998).
 pub fn preferred_store(group: &str, nodes: impl Iterator<Item = Node>) -> Option<Node> {
-    nodes.max_by_key(|node| stileroute_dispatch::types::mark(&format!("{group}/{node}")))
+    nodes.max_by_key(|node| stileroute_dispatch::types::name_hash(&format!("{group}/{node}")))
 }
 
 impl Queue {
--- a/crates/queue/src/queue/configuration.rs
+++ b/crates/queue/src/queue/configuration.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 use stileroute_config::{Config, Service};
-use stileroute_dispatch::types::{mark, Time};
+use stileroute_dispatch::types::{name_hash, Time};
 
 /// The latency target of a service that no route leads to.
 const DEFAULT_RUN_TARGET_MS: u64 = 1000;
@@ -44,7 +44,7 @@
         let routes = config.routes.iter().filter(|route| config.services[route.service].name == service.name);
         let run_target_ms =
             routes.map(|route| route.completion_target_ms).min().unwrap_or(DEFAULT_RUN_TARGET_MS);
-        let seed = self.settings.seed ^ mark(&service.name);
+        let seed = self.settings.seed ^ name_hash(&service.name);
         let service_queue =
             ServiceQueue::new(&service.name, self.settings.zone, INITIAL_STORE_COUNT, run_target_ms, seed);
         self.service_queues.push(service_queue);
--- a/crates/queue/src/queue/delivery.rs
+++ b/crates/queue/src/queue/delivery.rs
@@ -351,12 +351,12 @@
 fn dispatch_outcome(outcome: &AttemptOutcome) -> DispatchOutcome {
     match outcome {
         AttemptOutcome::Completed { .. } => DispatchOutcome::Acked,
-        AttemptOutcome::Rejected | AttemptOutcome::Failed => DispatchOutcome::Unfit,
+        AttemptOutcome::Rejected | AttemptOutcome::Failed => DispatchOutcome::Rejected,
         AttemptOutcome::ExecutorFull => DispatchOutcome::Full,
         AttemptOutcome::RateLimited
         | AttemptOutcome::AlreadyRunning
         | AttemptOutcome::NotRun
-        | AttemptOutcome::NoFreeConnection => DispatchOutcome::Moot,
+        | AttemptOutcome::NoFreeConnection => DispatchOutcome::NeverStarted,
         AttemptOutcome::WrongServer => DispatchOutcome::Error,
         AttemptOutcome::NotConnected => DispatchOutcome::NotConnected,
         AttemptOutcome::ConnectionBroken => DispatchOutcome::Reset,
--- a/crates/queue/src/queue/token_holders.rs
+++ b/crates/queue/src/queue/token_holders.rs
@@ -7,7 +7,7 @@
 use crate::peer_message::PeerMessage;
 use crate::token_bucket::TokenBucket;
 use std::collections::{BTreeMap, HashMap};
-use stileroute_dispatch::types::mark;
+use stileroute_dispatch::types::name_hash;
 
 /// Most tokens granted to one request of another store.
 const MAX_TOKENS_PER_GRANT: u32 = 16;
@@ -22,7 +22,7 @@
 }
 
 fn holder_weight(service: &str, node: Node) -> u64 {
-    mark(&format!("{service}/{node}"))
+    name_hash(&format!("{service}/{node}"))
 }
 
 /// A store that ceases to hand out the tokens of a service grants its successor so many, more than any request is granted. They
--- a/crates/queue/src/service_queue.rs
+++ b/crates/queue/src/service_queue.rs
@@ -14,7 +14,7 @@
 use selection::InFlightAttempt;
 use std::collections::{BTreeSet, HashMap};
 use stileroute_dispatch::policy::Dispatcher;
-use stileroute_dispatch::types::{Category, Effect, Gauge, Tariff, Terms, Time, SECOND};
+use stileroute_dispatch::types::{Category, DispatchSettings, Effect, Gauge, InstanceSettings, Time, SECOND};
 
 /// How much slower an executor may be that has just started: for so long at most it is taken to warm up.
 const WARM_UP: Time = 5 * SECOND;
@@ -132,7 +132,7 @@
 
     /// So many stores deliver, and this one stands at `index` among them.
     pub fn set_store_position(&mut self, index: usize, stores: usize) {
-        self.dispatcher.fleet(stores, stores);
+        self.dispatcher.set_fleet_size(stores, stores);
         let position = StorePosition { index, stores };
         if std::mem::replace(&mut self.store_position, position) != position {
             self.assign_retry_slots();
@@ -211,14 +211,14 @@
 
     /// The dispatcher's log lines since the last call.
     pub fn take_log(&mut self) -> Vec<String> {
-        self.dispatcher.letters.clear();
+        self.dispatcher.outgoing.clear();
         std::mem::take(&mut self.dispatcher.log)
     }
 }
 
 /// The dispatcher's settings. Category 0 is for ordinary messages, category 1 for a service with nothing in flight: whatever its
 /// executors are like, one message goes, for else nothing more would ever be learned of them.
-fn tariff(zone: usize, stores: usize, latency_target: Time) -> Tariff {
+fn tariff(zone: usize, stores: usize, latency_target: Time) -> DispatchSettings {
     let category = |target: Time| Category {
         target,
         stretch: 0.0,
@@ -228,11 +228,11 @@
         kind: None,
         priority: 0,
     };
-    Tariff {
-        terms: Terms {
+    DispatchSettings {
+        terms: InstanceSettings {
             domain: zone,
             tick: DISPATCH_TICKS_PER_MS,
-            come_back: SECOND,
+            retry_after: SECOND,
             max_pushes: usize::MAX,
             tip_after: SECOND,
             start_share: 0.6,
@@ -241,7 +241,7 @@
             nodes: stores,
             handshake: 0.02,
             keepalive: 4 * SECOND,
-            ..Terms::default()
+            ..InstanceSettings::default()
         },
         categories: vec![category(latency_target), category(IDLE_LATENCY_TARGET)],
         quotas: Vec::new(),
--- a/crates/queue/src/service_queue/executors.rs
+++ b/crates/queue/src/service_queue/executors.rs
@@ -4,7 +4,7 @@
 use crate::message::Millis;
 use crate::retry_budget::share_retry_slots;
 use std::net::SocketAddrV4;
-use stileroute_dispatch::types::{mark, Listed, Time};
+use stileroute_dispatch::types::{name_hash, ListedExecutor, Time};
 
 /// From this length of the list on the place of an executor that is gone is used again.
 const REUSE_FROM: usize = 128;
@@ -112,15 +112,15 @@
         self.executors.iter().position(|state| !state.is_listed && state.in_flight == 0)
     }
 
-    fn dispatcher_list(&self) -> Vec<Listed> {
-        let listed = |(index, state): (usize, &ExecutorState)| Listed {
+    fn dispatcher_list(&self) -> Vec<ListedExecutor> {
+        let listed = |(index, state): (usize, &ExecutorState)| ListedExecutor {
             executor: index,
             domain: state.executor.zone,
             kind: 0,
             cell: 0,
             active: state.is_serving(),
             weight: state.executor.capacity,
-            mark: mark(&state.executor.id),
+            name_hash: name_hash(&state.executor.id),
             started: state.started_at,
         };
         self.executors.iter().enumerate().map(listed).collect()
--- a/crates/queue/src/service_queue/selection.rs
+++ b/crates/queue/src/service_queue/selection.rs
@@ -3,7 +3,7 @@
 use super::{ExecutorState, ServiceQueue};
 use crate::message::{Key, Millis};
 use crate::retry_budget::STUCK_RETRY_LIMIT_MS;
-use stileroute_dispatch::types::{Ask, Limits, Op, Outcome as DispatchOutcome, Step, Time, SECOND};
+use stileroute_dispatch::types::{Limits, Op, OpRequest, Outcome as DispatchOutcome, Step, Time, SECOND};
 
 /// The longest pause of a service whose fixed endpoint fails, and the pause while no executor serves.
 const UNAVAILABLE_PAUSE_MS: Millis = 400;
@@ -111,9 +111,9 @@
                         return Selection::RetriesFullUntil(now + NO_EXECUTOR_PAUSE_MS);
                     }
                 },
-                Step::Nack { come_back } => {
+                Step::Nack { retry_after } => {
                     let (shortest, longest) = DISPATCHER_PAUSE_RANGE_MS;
-                    let pause = (come_back / super::DISPATCH_TICKS_PER_MS).clamp(shortest, longest);
+                    let pause = (retry_after / super::DISPATCH_TICKS_PER_MS).clamp(shortest, longest);
                     return Selection::WaitUntil(now + pause as Millis);
                 }
                 _ => return Selection::WaitUntil(now + NO_EXECUTOR_PAUSE_MS),
@@ -143,8 +143,8 @@
         is_full.then_some(now + SATURATED_PAUSE_MS)
     }
 
-    fn ask(&self, dispatch_time: Time) -> Ask {
-        Ask {
+    fn ask(&self, dispatch_time: Time) -> OpRequest {
+        OpRequest {
             category: usize::from(self.in_flight.is_empty()),
             slots: 1.0,
             memory: 0.0,
@@ -277,7 +277,10 @@
 fn is_answer(outcome: &DispatchOutcome) -> bool {
     matches!(
         outcome,
-        DispatchOutcome::Acked | DispatchOutcome::Unfit | DispatchOutcome::Full | DispatchOutcome::Moot
+        DispatchOutcome::Acked
+            | DispatchOutcome::Rejected
+            | DispatchOutcome::Full
+            | DispatchOutcome::NeverStarted
     )
 }
 
--- a/crates/route-limits/examples/cost.rs
+++ b/crates/route-limits/examples/cost.rs
@@ -3,7 +3,7 @@
 use std::hint::black_box;
 use std::sync::Arc;
 use std::time::Instant;
-use stileroute_dispatch::types::{Category, Effect, Terms, SECOND};
+use stileroute_dispatch::types::{Category, Effect, InstanceSettings, SECOND};
 use stileroute_route_limits::gate::{Entry, Gate};
 use stileroute_route_limits::pattern::Request;
 use stileroute_route_limits::table::Table;
@@ -24,7 +24,7 @@
     };
     let ground = Ground {
         categories: vec![category("lookup", Effect::Redeliverable), category("booking", Effect::AtMostOnce)],
-        terms: Terms { max_pushes: 5, ..Terms::default() },
+        terms: InstanceSettings { max_pushes: 5, ..InstanceSettings::default() },
         ..Ground::default()
     };
     println!("{:>7} {:>12} {:>12} {:>12}", "routes", "check ms", "match ns", "enter ns");
--- a/crates/route-limits/src/check.rs
+++ b/crates/route-limits/src/check.rs
@@ -213,7 +213,7 @@
     /// Second copies and further pushes need an effect and settings that allow them.
     fn copies_and_pushes(&mut self, category: usize) {
         let twice = Some(Broken::NoEffectTwice);
-        let (most, copies) = (self.ground.terms.max_pushes, self.ground.terms.second_copies);
+        let (most, copies) = (self.ground.terms.max_pushes, self.ground.terms.hedging);
         let base = match self.effect_of(category) {
             Effect::Redeliverable => Narrowed::Redeliverable,
             Effect::Deduplicated { .. } => Narrowed::Deduplicated,
--- a/crates/route-limits/src/gate.rs
+++ b/crates/route-limits/src/gate.rs
@@ -217,7 +217,7 @@
 mod tests {
     use super::*;
     use crate::Ground;
-    use stileroute_dispatch::types::{Category, Effect, Terms, SECOND};
+    use stileroute_dispatch::types::{Category, Effect, InstanceSettings, SECOND};
 
     fn table(text: &str) -> Arc<Table> {
         let own = Category {
@@ -229,7 +229,7 @@
             kind: None,
             priority: 0,
         };
-        let terms = Terms { max_pushes: 5, ..Terms::default() };
+        let terms = InstanceSettings { max_pushes: 5, ..InstanceSettings::default() };
         let ground =
             Ground { categories: vec![("c".to_string(), 9 * SECOND, own)], terms, ..Ground::default() };
         let read = stileroute_operator_file::read("t.toml", text, |keys| Table::read(keys, &ground));
--- a/crates/route-limits/src/lib.rs
+++ b/crates/route-limits/src/lib.rs
@@ -15,8 +15,8 @@
 mod read;
 pub mod table;
 
-use stileroute_dispatch::settings::Posted;
-use stileroute_dispatch::types::{Category, Terms, Time};
+use stileroute_dispatch::settings::PostedSettings;
+use stileroute_dispatch::types::{Category, InstanceSettings, Time};
 use thiserror::Error;
 
 /// The dispatcher does not accept the settings, for this reason.
@@ -31,13 +31,13 @@
     pub categories: Vec<(String, Time, Category)>,
     pub kinds: Vec<String>,
     pub domains: Vec<String>,
-    pub terms: Terms,
+    pub terms: InstanceSettings,
 }
 
 impl Ground {
     /// What the settings object says.
-    pub fn of(posted: &Posted) -> Result<Ground, SettingsError> {
-        let tariff = posted.tariff().map_err(SettingsError)?;
+    pub fn of(posted: &PostedSettings) -> Result<Ground, SettingsError> {
+        let tariff = posted.dispatch_settings().map_err(SettingsError)?;
         let names = posted.categories().into_iter().zip(posted.ttls());
         let categories = names.zip(tariff.categories).map(|((name, ttl), own)| (name, ttl, own)).collect();
         let (kinds, domains) = (posted.shapes.clone(), posted.failure_domains.clone());
--- a/crates/route-limits/tests/common/mod.rs
+++ b/crates/route-limits/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! The ground that the tests of routes stand on.
 #![allow(dead_code)]
 
-use stileroute_dispatch::types::{Category, Effect, Scope, Terms, SECOND};
+use stileroute_dispatch::types::{Category, Effect, InstanceSettings, Scope, SECOND};
 use stileroute_operator_file::Fault;
 use stileroute_route_limits::table::Table;
 use stileroute_route_limits::Ground;
@@ -25,16 +25,16 @@
         ],
         kinds: vec!["large".to_string(), "small".to_string()],
         domains: vec!["north".to_string(), "south".to_string()],
-        terms: Terms {
+        terms: InstanceSettings {
             max_pushes: 5,
-            second_copies: true,
+            hedging: true,
             tick: 20,
             cancel: true,
-            come_back: 2 * SECOND,
+            retry_after: 2 * SECOND,
             tip_after: SECOND,
             start_share: 0.5,
             warm_within: SECOND,
-            ..Terms::default()
+            ..InstanceSettings::default()
         },
     }
 }
--- a/crates/route-limits/tests/files.rs
+++ b/crates/route-limits/tests/files.rs
@@ -174,7 +174,7 @@
 #[test]
 fn copies_are_refused_where_the_settings_forbid_two_pushes_at_once() {
     let mut ground = ground();
-    ground.terms.second_copies = false;
+    ground.terms.hedging = false;
     let text = "[category.lookup]\ncopy-after = 0.9\n";
     let faults = common::read_on(text, &ground).unwrap_err();
     assert!(faults[0].to_string().ends_with("(category lookup) [rule 2]"), "{}", faults[0]);
--- a/crates/route-limits/tests/safe.rs
+++ b/crates/route-limits/tests/safe.rs
@@ -11,7 +11,9 @@
 use rand_pcg::Pcg64Mcg;
 use std::sync::Arc;
 use stileroute_dispatch::policy::Dispatcher;
-use stileroute_dispatch::types::{Ask, Effect, Listed, Outcome, Scope, Step, Tariff, Time, SECOND};
+use stileroute_dispatch::types::{
+    DispatchSettings, Effect, ListedExecutor, OpRequest, Outcome, Scope, Step, Time, SECOND,
+};
 use stileroute_route_limits::gate::{Entry, Gate};
 use stileroute_route_limits::limits::{narrowness, Narrowed};
 use stileroute_route_limits::pattern::{Path, Pattern, Request};
@@ -201,11 +203,11 @@
 fn whatever_loads_never_leads_to_a_forbidden_push() {
     let ground = ground();
     let mut chance = Pcg64Mcg::seed_from_u64(5);
-    let tariff = Tariff {
+    let tariff = DispatchSettings {
         terms: ground.terms.clone(),
         categories: ground.categories.iter().map(|(_, _, own)| own.clone()).collect(),
         overload_factor: 50.0,
-        ..Tariff::default()
+        ..DispatchSettings::default()
     };
     let (mut files, mut further, mut copies) = (0, 0, 0);
     while files < 300 {
@@ -214,8 +216,8 @@
         files += 1;
         let mut gate = Gate::new(Arc::new(table));
         let mut module = Dispatcher::new(&tariff, files);
-        let line = |executor: usize| Listed {
-            mark: 0,
+        let line = |executor: usize| ListedExecutor {
+            name_hash: 0,
             executor,
             domain: executor % 2,
             kind: executor / 4,
@@ -235,7 +237,7 @@
             let Entry::In(mut pass) = gate.enter(now, ticket as u64, &request) else { continue };
             let effect = ground.categories[category].2.effect;
             let deadline = now + ground.ttl(category).min(pass.op);
-            let ask = Ask {
+            let ask = OpRequest {
                 category,
                 slots: 1.0,
                 memory: 0.0,
@@ -270,7 +272,7 @@
                         sent.push((at, executor, true));
                         pass.pushed(at);
                     }
-                    Step::Stop { push } => {
+                    Step::Cancel { push } => {
                         // It may have run all the same.
                         step = module.settle(at, &mut op, push, Outcome::Cancelled, &[]);
                         continue;
@@ -281,8 +283,8 @@
                         break;
                     }
                     Step::DeadLetter => break,
-                    Step::Hold if op.closed => break,
-                    Step::Hold => {
+                    Step::Wait if op.closed => break,
+                    Step::Wait => {
                         let out = op.pushes.iter().position(|p| p.outcome.is_none());
                         at = module.wait(at, &op).min(at + SECOND / 3).min(deadline);
                         let Some(push) = out.filter(|_| chance.random_bool(0.4)) else {
@@ -296,7 +298,7 @@
                             Outcome::Reset,
                             Outcome::Cut,
                             Outcome::Broken,
-                            Outcome::Moot,
+                            Outcome::NeverStarted,
                             Outcome::Acked,
                         ];
                         let outcome = *outcomes.choose(&mut chance).unwrap();
--- a/crates/server/src/net/client/connection.rs
+++ b/crates/server/src/net/client/connection.rs
@@ -7,7 +7,7 @@
 use crate::net::fault_injection::{is_injected, InjectedFault};
 use crate::net::Millis;
 use std::collections::VecDeque;
-use stileroute_dispatch::types::mark;
+use stileroute_dispatch::types::name_hash;
 
 /// So many requests are remembered of a connection, to recognise a second reply to one of them.
 const MAX_REMEMBERED_REQUESTS: usize = 256;
@@ -103,7 +103,7 @@
     /// Whether the connection has carried a request with this identifier: a second reply to that one could not be told from
     /// the reply to a repetition of it.
     pub fn has_carried(&self, request_id: &str) -> bool {
-        self.carried.contains(&mark(request_id))
+        self.carried.contains(&name_hash(request_id))
     }
 
     fn owner_of(&self, reply: &CallReply) -> ReplyOwner {
@@ -205,7 +205,7 @@
         let Some(call) = self.pending.take() else { return Progress::Close };
         self.carried.truncate(MAX_REMEMBERED_REQUESTS - 1);
         if let Some(request_id) = &call.request_id {
-            self.carried.push_front(mark(request_id));
+            self.carried.push_front(name_hash(request_id));
         }
         Progress::Completed { call_id: call.call_id, result, keep_alive_ms }
     }
--- a/crates/server/src/node.rs
+++ b/crates/server/src/node.rs
@@ -43,7 +43,7 @@
 
 /// A store's identifier: a hash of its name. Messages and disks name it.
 pub fn store_id(name: &str) -> Node {
-    (stileroute_dispatch::types::mark(name) >> 32) as Node
+    (stileroute_dispatch::types::name_hash(name) >> 32) as Node
 }
 
 /// The identifier of a process: of two roles on one machine, which share its name, each has its own.
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -8,9 +8,9 @@
 use std::collections::{BTreeSet, HashMap};
 use std::fmt::Write as _;
 use std::io::{BufRead, Write as _};
-use stileroute_dispatch::policy::{Dispatcher, UPKEEP};
+use stileroute_dispatch::policy::{Dispatcher, UPKEEP_INTERVAL};
 use stileroute_dispatch::settings::{ceil_time, floor_time, NS_PER_UNIT};
-use stileroute_dispatch::types::{mark, Ask, Limits, Listed, Op, Outcome, Step, Time};
+use stileroute_dispatch::types::{name_hash, Limits, ListedExecutor, Op, OpRequest, Outcome, Step, Time};
 use wire::{Batch, Element, Msg};
 
 /// One instance with the ops and timers that the adapter keeps for it.
@@ -74,14 +74,14 @@
                 "leaving" | "left" => false,
                 other => return Err(format!("MEMBERS: field 'stage-state' has unknown value '{other}'")),
             };
-            entries.push(Listed {
+            entries.push(ListedExecutor {
                 executor: self.index(&element.executor),
                 domain: element.site,
                 kind: element.family_type,
                 cell: element.group,
                 active,
                 weight: element.nominal,
-                mark: mark(&element.executor),
+                name_hash: name_hash(&element.executor),
                 started: (element.last_start_ns > 0).then(|| ceil_time(element.last_start_ns)),
             });
         }
@@ -98,16 +98,16 @@
                     let address = &self.addresses[executor];
                     reply.emit("ATTEMPT", &self.name, format_args!("{fields},\"executor\":\"{address}\""));
                 }
-                Step::Stop { push } => {
+                Step::Cancel { push } => {
                     reply.emit("STOP_ATTEMPT", &self.name, format_args!("{fields},\"round-no\":{push}"))
                 }
-                Step::Nack { come_back: 0 } => reply.emit("DENY", &self.name, format_args!("{fields}")),
-                Step::Nack { come_back } => {
-                    let stay_away_ns = come_back * NS_PER_UNIT;
+                Step::Nack { retry_after: 0 } => reply.emit("DENY", &self.name, format_args!("{fields}")),
+                Step::Nack { retry_after } => {
+                    let stay_away_ns = retry_after * NS_PER_UNIT;
                     reply.emit("DENY", &self.name, format_args!("{fields},\"stay-away-ns\":{stay_away_ns}"));
                 }
                 Step::DeadLetter => reply.emit("END_FAILED", &self.name, format_args!("{fields}")),
-                Step::Hold => return self.store(now, ticket, op),
+                Step::Wait => return self.store(now, ticket, op),
             }
             step = self.dispatcher.place(now, &mut op);
         }
@@ -136,7 +136,7 @@
                 if grade >= self.categories {
                     return Err(format!("INGRESS: field 'grade' names no category: {grade}"));
                 }
-                let request = Ask {
+                let request = OpRequest {
                     category: grade,
                     slots: msg.cores_needed.unwrap_or(1.0),
                     memory: msg.ram_units.unwrap_or(0.0),
@@ -144,7 +144,7 @@
                     deadline: floor_time(require(msg.drop_dead_ns, &msg.op, "drop-dead-ns")?),
                     limits: Limits::default(),
                     tenant: msg.project.unwrap_or(0),
-                    key: msg.resource.as_deref().map_or(0, mark),
+                    key: msg.resource.as_deref().map_or(0, name_hash),
                 };
                 let mut op = self.dispatcher.arrive(now, request);
                 let step = self.dispatcher.place(now, &mut op);
@@ -161,7 +161,7 @@
                     "C" => Outcome::NotConnected,
                     "R" => Outcome::Reset,
                     "X" => Outcome::Cancelled,
-                    "N" => Outcome::Moot,
+                    "N" => Outcome::NeverStarted,
                     other => return Err(format!("RESULT: field 'status' has unknown value '{other}'")),
                 };
                 let values = msg.gauge.as_deref().unwrap_or_default();
@@ -202,7 +202,7 @@
             "MEMBERS" => {
                 let scope = require(msg.scope.as_deref(), &msg.op, "scope")?;
                 if scope == "refused" {
-                    self.dispatcher.refused(now, false);
+                    self.dispatcher.list_call_failed(now, false);
                     return Ok(());
                 }
                 let generation = require(msg.generation, &msg.op, "generation")?;
@@ -223,7 +223,7 @@
                 let byte = |at| text.get(at..at + 2).and_then(|digits| u8::from_str_radix(digits, 16).ok());
                 let bytes: Option<Vec<u8>> = (0..text.len()).step_by(2).map(byte).collect();
                 // Text that is not hexadecimal is passed on as an empty message, which counts as malformed.
-                self.dispatcher.heard(now, from, &bytes.unwrap_or_default());
+                self.dispatcher.receive_message(now, from, &bytes.unwrap_or_default());
             }
             "BELL" | "PROBE_RESULT" => {}
             other => eprintln!("unknown message '{other}' ignored"),
@@ -242,12 +242,12 @@
             }
         }
         if now >= self.upkeep_at {
-            self.upkeep_at = now + UPKEEP;
+            self.upkeep_at = now + UPKEEP_INTERVAL;
             if self.dispatcher.upkeep(now) {
                 reply.emit("OBSERVE", &self.name, format_args!(",\"active\":true"));
             }
         }
-        for letter in self.dispatcher.letters.drain(..) {
+        for letter in self.dispatcher.outgoing.drain(..) {
             let hex: String = letter.text.iter().map(|byte| format!("{byte:02x}")).collect();
             let to = letter.to.map_or("\"*\"".to_string(), |to| to.to_string());
             reply.emit("NOTIFY", &self.name, format_args!(",\"dst\":{to},\"octets\":\"{hex}\""));
@@ -277,7 +277,7 @@
             "SPAWN" => {
                 let seed = require(msg.init_seed, &msg.op, "init-seed")?;
                 let tariff = require(msg.conf.as_ref(), &msg.op, "conf")?
-                    .tariff()
+                    .dispatch_settings()
                     .map_err(|error| format!("SPAWN: {error}"))?;
                 let node = Instance {
                     name: name.to_string(),
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 use std::borrow::Cow;
-use stileroute_dispatch::settings::Posted;
+use stileroute_dispatch::settings::PostedSettings;
 
 #[derive(Deserialize)]
 pub struct Batch<'a> {
@@ -23,7 +23,7 @@
     #[serde(borrow)]
     pub ticket: Option<Cow<'a, str>>,
     pub init_seed: Option<u64>,
-    pub conf: Option<Box<Posted>>,
+    pub conf: Option<Box<PostedSettings>>,
     #[serde(borrow)]
     pub scope: Option<Cow<'a, str>>,
     pub elements: Option<Vec<Element<'a>>>,
--- a/crates/testbed/src/play/clients.rs
+++ b/crates/testbed/src/play/clients.rs
@@ -131,9 +131,9 @@
 pub async fn job(world: Arc<World>, front: Arc<Front>, job: usize, asked: Asked) {
     for number in 0..=world.plan.load.retries {
         let Some(answer) = one_try(&world, &front, job, &asked).await else { return };
-        let Answer::Nacked(come_back) = answer else { return };
+        let Answer::Nacked(retry_after) = answer else { return };
         if number < world.plan.load.retries {
-            let wait = come_back.max(ms(world.plan.load.retry_wait_ms));
+            let wait = retry_after.max(ms(world.plan.load.retry_wait_ms));
             sleep(super::world::span(wait)).await;
         }
     }
--- a/crates/testbed/src/policy.rs
+++ b/crates/testbed/src/policy.rs
@@ -9,7 +9,8 @@
 use rand_pcg::Pcg64Mcg;
 use stileroute_dispatch::policy::Dispatcher;
 use stileroute_dispatch::types::{
-    Ask, Effect, Letter, Listed, Op, Outcome, Push, Step, Tariff, Time, SECOND,
+    DispatchSettings, Effect, ListedExecutor, Op, OpRequest, Outcome, OutgoingMessage, Push, Step, Time,
+    SECOND,
 };
 
 /// The true state, which only the seeing baseline looks at.
@@ -25,7 +26,7 @@
 
 /// What a node asks: the module's calls, with the truth for who may look.
 pub trait Policy {
-    fn arrive(&mut self, now: Time, ask: Ask) -> Op;
+    fn arrive(&mut self, now: Time, ask: OpRequest) -> Op;
     fn place(&mut self, now: Time, op: &mut Op, truth: &Truth) -> Step;
     fn settle(
         &mut self,
@@ -37,7 +38,7 @@
         truth: &Truth,
     ) -> Step;
     fn wait(&self, now: Time, op: &Op) -> Time;
-    fn list(&mut self, now: Time, whole: bool, lines: &[Listed]);
+    fn list(&mut self, now: Time, whole: bool, lines: &[ListedExecutor]);
     fn note(&mut self, _now: Time, _op: &mut Op, _push: usize, _start: bool) {}
     /// Until when the latest push may leave its node.
     fn leave_by(&self, op: &Op, _effect: Effect) -> Time {
@@ -50,7 +51,7 @@
     /// A call for the list has failed; the service had no room, or said nothing.
     fn refused(&mut self, _now: Time, _turned_away: bool) {}
     /// Messages for other nodes, and one of another.
-    fn letters(&mut self) -> Vec<Letter> {
+    fn letters(&mut self) -> Vec<OutgoingMessage> {
         Vec::new()
     }
     fn heard(&mut self, _now: Time, _from: usize, _text: &[u8]) {}
@@ -63,7 +64,7 @@
 }
 
 impl Policy for Dispatcher {
-    fn arrive(&mut self, now: Time, ask: Ask) -> Op {
+    fn arrive(&mut self, now: Time, ask: OpRequest) -> Op {
         Dispatcher::arrive(self, now, ask)
     }
     fn place(&mut self, now: Time, op: &mut Op, _truth: &Truth) -> Step {
@@ -83,26 +84,26 @@
     fn wait(&self, now: Time, op: &Op) -> Time {
         Dispatcher::wait(self, now, op)
     }
-    fn list(&mut self, now: Time, whole: bool, lines: &[Listed]) {
+    fn list(&mut self, now: Time, whole: bool, lines: &[ListedExecutor]) {
         Dispatcher::list(self, now, whole, lines);
     }
     fn note(&mut self, now: Time, op: &mut Op, push: usize, start: bool) {
         Dispatcher::note(self, now, op, push, start, 0.0);
     }
     fn leave_by(&self, op: &Op, effect: Effect) -> Time {
-        op.leave_by(effect)
+        op.send_deadline(effect)
     }
     fn upkeep(&mut self, now: Time) -> bool {
         Dispatcher::upkeep(self, now)
     }
     fn refused(&mut self, now: Time, turned_away: bool) {
-        Dispatcher::refused(self, now, turned_away);
+        Dispatcher::list_call_failed(self, now, turned_away);
     }
-    fn letters(&mut self) -> Vec<Letter> {
-        std::mem::take(&mut self.letters)
+    fn letters(&mut self) -> Vec<OutgoingMessage> {
+        std::mem::take(&mut self.outgoing)
     }
     fn heard(&mut self, now: Time, from: usize, text: &[u8]) {
-        Dispatcher::heard(self, now, from, text);
+        Dispatcher::receive_message(self, now, from, text);
     }
     fn add_shares(&self, times: f64, sums: &mut [f64]) {
         self.shares().zip(sums).for_each(|(share, sum)| *sum += share * times);
@@ -115,7 +116,7 @@
 /// A baseline's way to choose among the executors that an op may go to.
 pub struct Baseline {
     name: PolicyName,
-    tariff: Tariff,
+    tariff: DispatchSettings,
     chance: Pcg64Mcg,
     /// Whether it is listed as active, its kind, and own pushes out.
     executors: Vec<(bool, usize, usize)>,
@@ -125,7 +126,7 @@
 }
 
 impl Baseline {
-    pub fn new(name: PolicyName, tariff: &Tariff, seed: u64) -> Baseline {
+    pub fn new(name: PolicyName, tariff: &DispatchSettings, seed: u64) -> Baseline {
         Baseline {
             name,
             tariff: tariff.clone(),
@@ -143,13 +144,13 @@
         op.pushes.len() < self.tariff.terms.max_pushes && free
     }
 
-    fn give_up(&self, op: &mut Op, come_back: Time) -> Step {
+    fn give_up(&self, op: &mut Op, retry_after: Time) -> Step {
         op.closed = true;
         let ran = op.pushes.iter().any(|p| p.outcome.is_none_or(|outcome| !outcome.never_ran()));
         if ran && self.tariff.categories[op.category].effect != Effect::Redeliverable {
             return Step::DeadLetter;
         }
-        Step::Nack { come_back: come_back.min(self.tariff.terms.come_back) }
+        Step::Nack { retry_after: retry_after.min(self.tariff.terms.retry_after) }
     }
 
     fn pick(&mut self, now: Time, op: &Op, truth: &Truth) -> Option<usize> {
@@ -206,7 +207,7 @@
 }
 
 impl Policy for Baseline {
-    fn arrive(&mut self, _now: Time, ask: Ask) -> Op {
+    fn arrive(&mut self, _now: Time, ask: OpRequest) -> Op {
         let mut op = Op::default();
         (op.category, op.deadline) = (ask.category, ask.deadline);
         op
@@ -217,13 +218,13 @@
             let cancel = self.tariff.terms.cancel;
             // Asked again, it is only told once: what is stopped has its outcome before the next call.
             let out = op.pushes.iter().position(|p| p.outcome.is_none());
-            return out.filter(|_| cancel).map_or(Step::Hold, |push| Step::Stop { push });
+            return out.filter(|_| cancel).map_or(Step::Wait, |push| Step::Cancel { push });
         }
         if now + 2 * self.tariff.terms.tick >= op.deadline {
             return self.give_up(op, 0);
         }
         if op.out() {
-            return Step::Hold;
+            return Step::Wait;
         }
         if !self.may_send(op) {
             return self.give_up(op, SECOND / 5);
@@ -245,7 +246,7 @@
         _values: &[f64],
         truth: &Truth,
     ) -> Step {
-        let Some(p) = op.pushes.get_mut(push).filter(|p| p.outcome.is_none()) else { return Step::Hold };
+        let Some(p) = op.pushes.get_mut(push).filter(|p| p.outcome.is_none()) else { return Step::Wait };
         p.outcome = Some(outcome);
         op.closed |= outcome == Outcome::Acked;
         let out = &mut self.executors[p.executor].2;
@@ -265,7 +266,7 @@
         self.asks_at = now + self.chance.random_range(SECOND / 4..SECOND * 2);
     }
 
-    fn list(&mut self, _now: Time, whole: bool, lines: &[Listed]) {
+    fn list(&mut self, _now: Time, whole: bool, lines: &[ListedExecutor]) {
         if whole {
             self.executors.iter_mut().for_each(|e| e.0 = false);
         }
@@ -280,7 +281,7 @@
 }
 
 /// Who decides at a node, by name.
-pub fn policy(name: PolicyName, tariff: &Tariff, seed: u64) -> Box<dyn Policy> {
+pub fn policy(name: PolicyName, tariff: &DispatchSettings, seed: u64) -> Box<dyn Policy> {
     match name {
         PolicyName::Stileroute => Box::new(Dispatcher::new(tariff, seed)),
         other => Box::new(Baseline::new(other, tariff, seed)),
--- a/crates/testbed/src/run.rs
+++ b/crates/testbed/src/run.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
-use stileroute_dispatch::types::Tariff;
+use stileroute_dispatch::types::DispatchSettings;
 
 /// What clocks and network add to a limit of the rules in simulated time, in milliseconds: a call-off is on its way
 /// while the next push is, which a farther way lets arrive first.
@@ -19,7 +19,7 @@
 
 /// Plays one day with the policy that the plan names.
 pub fn play_simulated(plan: &Plan, seed: u64) -> Result<Played, String> {
-    let make = |_: usize, tariff: &Tariff, seed: u64| policy(plan.policy, tariff, seed);
+    let make = |_: usize, tariff: &DispatchSettings, seed: u64| policy(plan.policy, tariff, seed);
     play_with(plan, seed, &make)
 }
 
@@ -27,7 +27,7 @@
 pub fn play_with(
     plan: &Plan,
     seed: u64,
-    make: &dyn Fn(usize, &Tariff, u64) -> Box<dyn Policy>,
+    make: &dyn Fn(usize, &DispatchSettings, u64) -> Box<dyn Policy>,
 ) -> Result<Played, String> {
     let day = Sim::new(plan, seed, make)?.play();
     let mut played = figures(plan, &day.ledger, &day.asked, Some(&day.meant), slack(plan), 0, seed);
--- a/crates/testbed/src/settings.rs
+++ b/crates/testbed/src/settings.rs
@@ -4,7 +4,7 @@
 use crate::plan::{EffectName, GaugeName, Group, Order, Plan};
 use serde_json::{json, Value};
 use std::sync::Arc;
-use stileroute_dispatch::settings::Posted;
+use stileroute_dispatch::settings::PostedSettings;
 use stileroute_route_limits::table::Table;
 use stileroute_route_limits::Ground;
 
@@ -105,7 +105,8 @@
 /// The routes of a plan, and those that replace them in turn; texts with faults are left out, as a node does.
 pub fn routes(plan: &Plan) -> Result<Routes, String> {
     let Some(text) = &plan.operator else { return Ok((None, Vec::new())) };
-    let posted: Posted = serde_json::from_value(settings(plan, 0)).map_err(|error| error.to_string())?;
+    let posted: PostedSettings =
+        serde_json::from_value(settings(plan, 0)).map_err(|error| error.to_string())?;
     let ground = Ground::of(&posted).map_err(|error| error.to_string())?;
     let read =
         |text: &str| stileroute_operator_file::read("operator", text, |keys| Table::read(keys, &ground));
--- a/crates/testbed/src/sim/list.rs
+++ b/crates/testbed/src/sim/list.rs
@@ -8,7 +8,7 @@
 
 /// What one replica of discovery has been told, and what it bears.
 pub struct Replica {
-    lines: Vec<Listed>,
+    lines: Vec<ListedExecutor>,
     /// The version in which each line changed; zero where it does not know the executor.
     changed: Vec<u64>,
     pub(super) version: u64,
@@ -42,7 +42,7 @@
 }
 
 impl Replica {
-    pub fn new(lines: &[Listed]) -> Replica {
+    pub fn new(lines: &[ListedExecutor]) -> Replica {
         let changed = vec![1; lines.len()];
         Replica { lines: lines.to_vec(), changed, version: 1, news_by: 0, bears: Bears::default() }
     }
@@ -50,7 +50,7 @@
 
 impl Sim<'_> {
     /// Tells every node, or every replica that they ask, late as the list is.
-    pub(super) fn tell(&mut self, whole: bool, lines: Vec<Listed>) {
+    pub(super) fn tell(&mut self, whole: bool, lines: Vec<ListedExecutor>) {
         self.version += 1;
         self.before.push((self.now, self.listed.clone()));
         let lines = Rc::new(lines);
@@ -77,7 +77,7 @@
         late + self.weather.list_late(replica).unwrap_or(0)
     }
 
-    pub(super) fn news(&mut self, node: usize, whole: bool, lines: Rc<Vec<Listed>>) {
+    pub(super) fn news(&mut self, node: usize, whole: bool, lines: Rc<Vec<ListedExecutor>>) {
         let late = self.late(self.plan.replica_of(node));
         // News doesn't overtake older news.
         let own = &mut self.nodes[node];
@@ -87,9 +87,10 @@
     }
 
     /// News comes to a replica; while it is down, or cut off from where the news is from, it comes later.
-    pub(super) fn reported(&mut self, replica: usize, whole: bool, lines: Rc<Vec<Listed>>) {
-        let cut = |line: &&Listed| self.weather.news_cut(replica, line.domain);
-        let (held, passes): (Vec<Listed>, Vec<Listed>) = match self.weather.list_late(replica) {
+    pub(super) fn reported(&mut self, replica: usize, whole: bool, lines: Rc<Vec<ListedExecutor>>) {
+        let cut = |line: &&ListedExecutor| self.weather.news_cut(replica, line.domain);
+        let (held, passes): (Vec<ListedExecutor>, Vec<ListedExecutor>) = match self.weather.list_late(replica)
+        {
             None => (lines.to_vec(), Vec::new()),
             Some(_) => lines.iter().partition(cut),
         };
@@ -189,7 +190,7 @@
         // Versions that it never told are another service's, or those from before it was lost: all is told.
         let whole = known > own.version;
         let news = |x: &usize| own.changed[*x] > known;
-        let lines: Vec<Listed> = (0..own.lines.len()).filter(news).map(|x| own.lines[x]).collect();
+        let lines: Vec<ListedExecutor> = (0..own.lines.len()).filter(news).map(|x| own.lines[x]).collect();
         let version = own.version;
         // Of an older version than it has, a node hears nothing but that the service is there.
         if whole {
@@ -213,7 +214,7 @@
             let (held, _) = self.machines[x].load();
             self.listed[x].weight = 1.0 / (1.0 + held as f64 / self.machines[x].spec.slots);
         }
-        let lines: Vec<Listed> = self.listed.iter().filter(|line| line.active).copied().collect();
+        let lines: Vec<ListedExecutor> = self.listed.iter().filter(|line| line.active).copied().collect();
         let lines = Rc::new(lines);
         for node in 0..self.nodes.len() {
             let at = self.nodes[node].news_by.max(self.now + every);
--- a/crates/testbed/src/sim/mod.rs
+++ b/crates/testbed/src/sim/mod.rs
@@ -24,15 +24,17 @@
 use std::collections::{BTreeSet, BinaryHeap, HashMap, VecDeque};
 use std::rc::Rc;
 use std::sync::Arc;
-use stileroute_dispatch::policy::UPKEEP;
-use stileroute_dispatch::settings::Posted;
-use stileroute_dispatch::types::{Ask, Limits, Listed, Op, Outcome, Step, Tariff, Time, SECOND};
+use stileroute_dispatch::policy::UPKEEP_INTERVAL;
+use stileroute_dispatch::settings::PostedSettings;
+use stileroute_dispatch::types::{
+    DispatchSettings, Limits, ListedExecutor, Op, OpRequest, Outcome, Step, Time, SECOND,
+};
 use stileroute_route_limits::gate::{Entry, Gate, Pass};
 use stileroute_route_limits::pattern::Request;
 use stileroute_route_limits::table::Table;
 
 /// Who decides at a node, made anew at each start of it, from its settings and a seed.
-pub type Maker<'a> = &'a dyn Fn(usize, &Tariff, u64) -> Box<dyn Policy>;
+pub type Maker<'a> = &'a dyn Fn(usize, &DispatchSettings, u64) -> Box<dyn Policy>;
 
 /// What a day leaves behind.
 pub struct Day {
@@ -57,7 +59,7 @@
     Ask(usize),
     Note(usize, usize, bool),
     Ended(usize, usize, Outcome, Vec<f64>),
-    News(u64, bool, Rc<Vec<Listed>>),
+    News(u64, bool, Rc<Vec<ListedExecutor>>),
     /// Its watch of the list has ended, by the number of the call; or a call of it comes to discovery.
     WatchOver(u64),
     Call,
@@ -65,7 +67,7 @@
     /// A message of another node.
     Letter(usize, Rc<Vec<u8>>),
     /// At a replica of discovery.
-    Reported(bool, Rc<Vec<Listed>>),
+    Reported(bool, Rc<Vec<ListedExecutor>>),
     Due,
     Upkeep,
     /// An op has waited for a place as long as it may.
@@ -181,13 +183,13 @@
     order: u64,
     events: BinaryHeap<Reverse<Event>>,
     nodes: Vec<Node>,
-    tariffs: Vec<Tariff>,
+    tariffs: Vec<DispatchSettings>,
     machines: Vec<ExecutorModel>,
     /// Of each executor: the latest wake-up that counts, connections, what the list says of it.
     wake: Vec<u64>,
     connections: Vec<usize>,
-    listed: Vec<Listed>,
-    before: Vec<(Time, Vec<Listed>)>,
+    listed: Vec<ListedExecutor>,
+    before: Vec<(Time, Vec<ListedExecutor>)>,
     version: u64,
     /// Where discovery is asked and may turn callers away; empty where each node is told by itself.
     replicas: Vec<Replica>,
@@ -227,8 +229,8 @@
         if cold {
             day_lives.fill(vec![Life { at: 0, up: Availability::Serving, started, halted: false }]);
         }
-        let line = |x: usize| Listed {
-            mark: 0,
+        let line = |x: usize| ListedExecutor {
+            name_hash: 0,
             executor: x,
             domain: specs[x].domain,
             kind: specs[x].kind,
@@ -237,13 +239,14 @@
             weight: 1.0,
             started,
         };
-        let listed: Vec<Listed> = (0..specs.len()).map(line).collect();
+        let listed: Vec<ListedExecutor> = (0..specs.len()).map(line).collect();
         let mut tariffs = Vec::new();
         // Nodes of a domain have the same settings, but for their numbers where they talk.
         let alike = if plan.nodes.talk { plan.nodes.count } else { plan.fleet.domains.len() };
         for node in 0..alike {
-            let posted: Posted = serde_json::from_value(settings(plan, node)).map_err(|e| e.to_string())?;
-            let mut tariff = posted.tariff()?;
+            let posted: PostedSettings =
+                serde_json::from_value(settings(plan, node)).map_err(|e| e.to_string())?;
+            let mut tariff = posted.dispatch_settings()?;
             tariff.terms.peers = plan.nodes.talk;
             // On sockets the list always has to be asked for.
             tariff.terms.subscribe |= asks(plan);
@@ -319,7 +322,7 @@
                 pushed: 0.0,
             });
             sim.boot(node);
-            let phase = sim.chance.random_range(0..UPKEEP);
+            let phase = sim.chance.random_range(0..UPKEEP_INTERVAL);
             sim.push_event(phase, node, Coming::Upkeep);
         }
         for change in changes {
@@ -336,7 +339,7 @@
         Ok(sim)
     }
 
-    fn tariff(&self, node: usize) -> &Tariff {
+    fn tariff(&self, node: usize) -> &DispatchSettings {
         &self.tariffs[node % self.tariffs.len()]
     }
 
@@ -443,7 +446,7 @@
                     self.post(who);
                 }
                 if now < seconds(self.plan.seconds) + 30 * SECOND {
-                    self.push_event(now + UPKEEP, who, Coming::Upkeep);
+                    self.push_event(now + UPKEEP_INTERVAL, who, Coming::Upkeep);
                 }
             }
             Coming::Call => self.called(who),
@@ -520,11 +523,11 @@
     fn answered(&mut self, op: usize, answer: Answer) {
         self.day.ledger.saw(op, self.now, Saw::Answered(answer));
         let job = self.day.ledger.sheets[op].job;
-        if let Answer::Nacked(come_back) = answer {
+        if let Answer::Nacked(retry_after) = answer {
             let asked = &mut self.day.asked[job];
             if asked.tries < self.plan.load.retries {
                 asked.tries += 1;
-                let wait = come_back.max(ms(self.plan.load.retry_wait_ms)).max(1);
+                let wait = retry_after.max(ms(self.plan.load.retry_wait_ms)).max(1);
                 self.push_event(self.now + wait, 0, Coming::Retry(job));
             }
         }
--- a/crates/testbed/src/sim/node.rs
+++ b/crates/testbed/src/sim/node.rs
@@ -73,7 +73,7 @@
             deadline = deadline.min(sheet.asked.saturating_add(pass.op));
         }
         let hint = self.day.asked[sheet.job].hint;
-        let ask = Ask {
+        let ask = OpRequest {
             category: sheet.category,
             slots: own.slots,
             memory: own.memory,
@@ -104,17 +104,17 @@
                     }
                     self.send(node, op, executor, leave_by);
                 }
-                Step::Stop { push } => {
+                Step::Cancel { push } => {
                     self.stop(op, push);
                     held.budget(now);
                     step = self.settle(node, &mut held.op, push, Outcome::Cancelled, &[]);
                     continue;
                 }
-                Step::Nack { come_back } => {
-                    self.push_event(now + DOOR, 0, Coming::Answer(op, Answer::Nacked(come_back)))
+                Step::Nack { retry_after } => {
+                    self.push_event(now + DOOR, 0, Coming::Answer(op, Answer::Nacked(retry_after)))
                 }
                 Step::DeadLetter => self.push_event(now + DOOR, 0, Coming::Answer(op, Answer::DeadLettered)),
-                Step::Hold => break,
+                Step::Wait => break,
             }
             held.budget(now);
             step = self.place(node, &mut held.op);
@@ -216,7 +216,7 @@
         }
     }
 
-    pub(super) fn hear_list(&mut self, node: usize, version: u64, whole: bool, lines: &[Listed]) {
+    pub(super) fn hear_list(&mut self, node: usize, version: u64, whole: bool, lines: &[ListedExecutor]) {
         let own = &mut self.nodes[node];
         // A node that is down hears nothing; an older version than it knows is left out.
         if !own.up || version < own.version {
--- a/crates/testbed/src/sim/trouble.rs
+++ b/crates/testbed/src/sim/trouble.rs
@@ -159,7 +159,7 @@
                 self.front_finds_out(node);
                 self.nodes[node].takes = false;
                 let by = self.now + 3 * SECOND;
-                self.nodes[node].ops.values_mut().for_each(|held| held.op.end_by(by));
+                self.nodes[node].ops.values_mut().for_each(|held| held.op.limit_deadline(by));
                 let mut all: Vec<usize> = self.nodes[node].ops.keys().copied().collect();
                 all.sort_unstable();
                 for op in all {
--- a/crates/testbed/src/sim/way.rs
+++ b/crates/testbed/src/sim/way.rs
@@ -61,7 +61,7 @@
             self.connections[x] -= 1;
             let at = flight.arrives - lat;
             self.tries[op].flights.push(flight);
-            self.push_event(at, node, Coming::Ended(op, push, Outcome::Moot, Vec::new()));
+            self.push_event(at, node, Coming::Ended(op, push, Outcome::NeverStarted, Vec::new()));
             return;
         }
         if way.dribble {
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/judge.rs
@@ -2,7 +2,9 @@
 //! and the op is named with its time line. The module on the same days is not.
 
 use stileroute_dispatch::policy::Dispatcher;
-use stileroute_dispatch::types::{Ask, Listed, Op, Outcome, Push, Step, Tariff, Time};
+use stileroute_dispatch::types::{
+    DispatchSettings, ListedExecutor, Op, OpRequest, Outcome, Push, Step, Time,
+};
 use stileroute_testbed::experiment::read;
 use stileroute_testbed::plan::Plan;
 use stileroute_testbed::policy::{Policy, Truth};
@@ -35,7 +37,7 @@
 /// Chooses turn by turn, and is wrong in one way.
 struct Faulty {
     wrong: Wrong,
-    lines: Vec<Listed>,
+    lines: Vec<ListedExecutor>,
     turn: usize,
     held: Vec<Time>,
 }
@@ -56,7 +58,7 @@
             .collect();
         if may.is_empty() {
             op.closed = true;
-            return Step::Nack { come_back: 0 };
+            return Step::Nack { retry_after: 0 };
         }
         self.turn += 1;
         let crowds = self.wrong == Wrong::Crowds;
@@ -69,7 +71,7 @@
 }
 
 impl Policy for Faulty {
-    fn arrive(&mut self, _now: Time, ask: Ask) -> Op {
+    fn arrive(&mut self, _now: Time, ask: OpRequest) -> Op {
         let mut op = Op::default();
         (op.category, op.deadline) = (ask.category, ask.deadline);
         op
@@ -79,28 +81,28 @@
             if self.wrong == Wrong::AfterAnswer && op.pushes.len() == 1 {
                 return self.send(op);
             }
-            return Step::Hold;
+            return Step::Wait;
         }
         if now + 100 >= op.deadline {
             if self.wrong == Wrong::Silent {
-                return Step::Hold;
+                return Step::Wait;
             }
             op.closed = true;
-            return if op.pushes.is_empty() { Step::Nack { come_back: 0 } } else { Step::DeadLetter };
+            return if op.pushes.is_empty() { Step::Nack { retry_after: 0 } } else { Step::DeadLetter };
         }
         let copies = self.wrong == Wrong::Copies && op.pushes.len() < 2;
         let failed = op.pushes.iter().any(|p| p.outcome.is_some_and(|o| !o.never_ran()));
         if op.out() && !copies {
-            return Step::Hold;
+            return Step::Wait;
         }
         match self.wrong {
             Wrong::Nacks if failed => {
                 op.closed = true;
-                Step::Nack { come_back: 0 }
+                Step::Nack { retry_after: 0 }
             }
             Wrong::TooLate if failed && !self.held.contains(&op.deadline) => {
                 self.held.push(op.deadline);
-                Step::Hold
+                Step::Wait
             }
             Wrong::Resends | Wrong::OutOfGroup | Wrong::TooLate | Wrong::Copies => self.send(op),
             _ if failed => {
@@ -129,7 +131,7 @@
         }
         (op.deadline - 100).max(now + 100)
     }
-    fn list(&mut self, _now: Time, whole: bool, lines: &[Listed]) {
+    fn list(&mut self, _now: Time, whole: bool, lines: &[ListedExecutor]) {
         if whole {
             self.lines.clear();
         }
@@ -155,7 +157,7 @@
 const RELEASE: &str = "[[fault]]\nwhat = 'release'\nfrom-s = 2.0\nfor-s = 9.0\n";
 
 fn with(plan: &Plan, wrong: Wrong) -> Played {
-    let make = |_: usize, _: &Tariff, _: u64| -> Box<dyn Policy> {
+    let make = |_: usize, _: &DispatchSettings, _: u64| -> Box<dyn Policy> {
         Box::new(Faulty { wrong, lines: Vec::new(), turn: 0, held: Vec::new() })
     };
     play_with(plan, 1, &make).unwrap()
@@ -227,7 +229,8 @@
     let played = play_simulated(&plan, 1).unwrap();
     assert!(played.broken.is_empty() && played.acked > 0, "{:?}", played.broken.first());
     // The same days under the module itself, made by hand as a node makes it.
-    let make =
-        |_: usize, tariff: &Tariff, seed: u64| -> Box<dyn Policy> { Box::new(Dispatcher::new(tariff, seed)) };
+    let make = |_: usize, tariff: &DispatchSettings, seed: u64| -> Box<dyn Policy> {
+        Box::new(Dispatcher::new(tariff, seed))
+    };
     assert_eq!(play_with(&plan, 1, &make).unwrap(), played);
 }
--- a/crates/testbed/tests/together.rs
+++ b/crates/testbed/tests/together.rs
@@ -2,7 +2,9 @@
 //! days with each fault between processes, each beside the same day without it.
 
 use stileroute_dispatch::policy::Dispatcher;
-use stileroute_dispatch::types::{Ask, Listed, Op, Outcome, Push, Step, Tariff, Time, SECOND};
+use stileroute_dispatch::types::{
+    DispatchSettings, ListedExecutor, Op, OpRequest, Outcome, Push, Step, Time, SECOND,
+};
 use stileroute_testbed::executor::{specs, Availability};
 use stileroute_testbed::experiment::read;
 use stileroute_testbed::faults::Weather;
@@ -235,19 +237,19 @@
 
 struct Planted {
     wrong: Wrong,
-    lines: Vec<Listed>,
+    lines: Vec<ListedExecutor>,
     turn: usize,
 }
 
 impl Policy for Planted {
-    fn arrive(&mut self, _now: Time, ask: Ask) -> Op {
+    fn arrive(&mut self, _now: Time, ask: OpRequest) -> Op {
         let mut op = Op::default();
         (op.category, op.deadline) = (ask.category, ask.deadline);
         op
     }
     fn place(&mut self, now: Time, op: &mut Op, _truth: &Truth) -> Step {
         if op.closed || (op.out() && !(self.wrong == Wrong::Twice && op.pushes.len() < 2)) {
-            return Step::Hold;
+            return Step::Wait;
         }
         let may: Vec<usize> =
             self.lines.iter().filter(|line| line.active).map(|line| line.executor).collect();
@@ -279,7 +281,7 @@
     fn wait(&self, _now: Time, op: &Op) -> Time {
         op.deadline
     }
-    fn list(&mut self, _now: Time, _whole: bool, lines: &[Listed]) {
+    fn list(&mut self, _now: Time, _whole: bool, lines: &[ListedExecutor]) {
         for line in lines {
             match self.lines.iter_mut().find(|own| own.executor == line.executor) {
                 Some(own) if self.wrong != Wrong::OldList => *own = *line,
@@ -295,7 +297,7 @@
     let release = "[[fault]]\nwhat = 'release'\non = 'part:0.5'\nfrom-s = 3.0\nfor-s = 7.0\n";
     let played = |wrong: Option<Wrong>, more: &str| -> Played {
         let plan = plan(&format!("{BASE}{more}"));
-        let make = |_: usize, tariff: &Tariff, seed: u64| -> Box<dyn Policy> {
+        let make = |_: usize, tariff: &DispatchSettings, seed: u64| -> Box<dyn Policy> {
             match wrong {
                 Some(wrong) => Box::new(Planted { wrong, lines: Vec::new(), turn: 0 }),
                 None => Box::new(Dispatcher::new(tariff, seed)),
@@ -369,7 +371,7 @@
     let plan = plan(&format!(
         "{replicas}[[fault]]\nwhat = 'release'\non = 'executor:0'\nfrom-s = 3.0\nfor-s = 2.0\n"
     ));
-    let make = |_: usize, tariff: &Tariff, seed: u64| policy(plan.policy, tariff, seed);
+    let make = |_: usize, tariff: &DispatchSettings, seed: u64| policy(plan.policy, tariff, seed);
     let sim = stileroute_testbed::sim::Sim::new(&plan, 1, &make).unwrap().play();
     let told = |node: usize| sim.ledger.told[&(node, 0)].iter().find(|(_, active)| !active).unwrap().0;
     assert!((32_000..34_500).contains(&told(0)) && told(1) > told(0) + SECOND, "{} {}", told(0), told(1));
@@ -392,7 +394,7 @@
     let lost = |what: &str| format!("[[fault]]\nwhat = '{what}'\nfrom-s = 4.0\nfor-s = 2.6\nms = 5600.0\n");
     let revived = |faults: &str| {
         let plan = self::plan(&format!("{replicas}{faults}"));
-        let make = |_: usize, tariff: &Tariff, seed: u64| policy(plan.policy, tariff, seed);
+        let make = |_: usize, tariff: &DispatchSettings, seed: u64| policy(plan.policy, tariff, seed);
         let day = stileroute_testbed::sim::Sim::new(&plan, 1, &make).unwrap().play();
         day.ledger.told[&(0, 0)].iter().any(|(at, active)| *active && (60_000..119_000).contains(at))
     };
@@ -412,7 +414,7 @@
     let dies = "[[fault]]\nwhat = 'killed'\non = 'executor:1'\nfrom-s = 4.5\nfor-s = 7.0\n";
     let heard = |faults: &str| {
         let plan = self::plan(&format!("{replicas}{faults}"));
-        let make = |_: usize, tariff: &Tariff, seed: u64| policy(plan.policy, tariff, seed);
+        let make = |_: usize, tariff: &DispatchSettings, seed: u64| policy(plan.policy, tariff, seed);
         let day = stileroute_testbed::sim::Sim::new(&plan, 1, &make).unwrap().play();
         [0, 1].map(|node| day.ledger.told[&(node, 1)].iter().find(|(_, active)| !active).unwrap().0)
     };
