--- a/crates/dispatch/src/peers.rs
+++ b/crates/dispatch/src/peers.rs
@@ -63,8 +63,8 @@
     }
 
     /// Adds an executor that the list has named, under the hash by which messages name it.
-    pub fn add_executor(&mut self, mark: u64, executor: usize) {
-        self.ids.insert(mark as u16, executor);
+    pub fn add_executor(&mut self, name_hash: u64, executor: usize) {
+        self.ids.insert(name_hash as u16, executor);
     }
 
     /// Records that the slots used at an executor have changed, or that a category was blocked there.
@@ -99,8 +99,8 @@
         // Entries that exceed the message's length wait for the next message.
         let capacity = (MAX_MESSAGE_BYTES - text.len()) / 3;
         for (executor, blocked) in self.pending.drain(..self.pending.len().min(capacity)) {
-            let (mark, held) = executor_state(executor);
-            text.extend((mark as u16).to_le_bytes());
+            let (name_hash, held) = executor_state(executor);
+            text.extend((name_hash as u16).to_le_bytes());
             text.push(
                 blocked.map_or((held as u8).min(BLOCKED_BIT - 1), |category| BLOCKED_BIT | category as u8),
             );
--- a/crates/dispatch/src/policy/mod.rs
+++ b/crates/dispatch/src/policy/mod.rs
@@ -7,7 +7,7 @@
 //!   * `wait`: when to call `place` again for this op.
 //!
 //! `place` and `settle` return one [`Step`]; carry it out and call `place` again until it returns `Wait`. Other events go to `list`,
-//! `refused`, `note` and `report`; call `upkeep` when it is due. See `docs/design.md`.
+//! `list_call_failed`, `note` and `report`; call `upkeep` when it is due. See `docs/design.md`.
 
 mod estimate; // expected waits, running times and prices, and how they are learned
 mod health; // pushes in flight, ejected executors, blocked categories, the final answer of an op
@@ -140,17 +140,17 @@
 
     /// Restores the learned state of the predecessor for executors that the list has named here too. The predecessor's pushes in flight
     /// show up in load reports. Its warm-up budget is not taken over, since it may still be using it.
-    pub fn restore(&mut self, now: Time, memory: LearnedState) {
-        if memory.categories.len() != self.learned.len() {
+    pub fn restore(&mut self, now: Time, learned: LearnedState) {
+        if learned.categories.len() != self.learned.len() {
             return;
         }
-        self.learned = memory.categories;
-        (self.other_load, self.slots_per_op) = (memory.other_load, memory.slots_per_op);
-        (self.mean_gap, self.mean_square_gap) = (memory.mean_gap, memory.mean_square_gap);
-        for (own, slots) in self.slots.iter_mut().zip(memory.slots) {
+        self.learned = learned.categories;
+        (self.other_load, self.slots_per_op) = (learned.other_load, learned.slots_per_op);
+        (self.mean_gap, self.mean_square_gap) = (learned.mean_gap, learned.mean_square_gap);
+        for (own, slots) in self.slots.iter_mut().zip(learned.slots) {
             *own = slots;
         }
-        for old in memory.executors {
+        for old in learned.executors {
             let Some(e) = self.executors.iter_mut().find(|e| e.name_hash == old.name_hash) else { continue };
             if e.started > old.started || old.in_flight.len() != e.in_flight.len() {
                 continue;
--- a/crates/dispatch/tests/policy.rs
+++ b/crates/dispatch/tests/policy.rs
@@ -813,15 +813,15 @@
     };
     // The limit, the outcome of a first push after 100 ms, and what follows for a redeliverable op.
     let none = Limits::default();
-    let retry_after = 700 * MS;
+    let budget_wait = 700 * MS;
     let cases = [
         ("nothing", none, Outcome::Error, None),
         ("one push", Limits { pushes: 1, ..none }, Outcome::Error, Some(Step::Nack { retry_after: 0 })),
         (
             "the retry budget",
-            Limits { over_budget: retry_after, ..none },
+            Limits { over_budget: budget_wait, ..none },
             Outcome::Error,
-            Some(Step::Nack { retry_after: retry_after }),
+            Some(Step::Nack { retry_after: budget_wait }),
         ),
         ("a backoff", Limits { pause: 50 * MS, ..none }, Outcome::Error, Some(Step::Wait)),
         (
