--- a/crates/node/src/dispatch_loop/mod.rs
+++ b/crates/node/src/dispatch_loop/mod.rs
@@ -21,9 +21,11 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use stileroute_dispatch::policy::{Dispatcher, UPKEEP};
-use stileroute_dispatch::state::Memory;
-use stileroute_dispatch::types::{mark, Ask, Effect, Limits, Listed, Outcome, Step, Time, SECOND};
+use stileroute_dispatch::policy::{Dispatcher, UPKEEP_INTERVAL};
+use stileroute_dispatch::state::LearnedState;
+use stileroute_dispatch::types::{
+    name_hash, Effect, Limits, ListedExecutor, OpRequest, Outcome, Step, Time, SECOND,
+};
 use stileroute_route_limits::admission::{Admission, AdmissionControl, Permit};
 use stileroute_route_limits::pattern::Request as RouteRequest;
 use stileroute_route_limits::table::Table;
@@ -100,7 +102,7 @@
     /// The executors that operators have disabled.
     pub disabled_set: DisabledSet,
     /// Receives snapshots of the learned executor state, for a successor process.
-    pub learned_tx: Option<Sender<Memory>>,
+    pub learned_tx: Option<Sender<LearnedState>>,
 }
 
 pub struct DispatchLoop {
@@ -110,7 +112,7 @@
     transport: Box<dyn ExecutorTransport>,
     clients: Arc<dyn ClientFrontend>,
     /// The longest retry-after time that clients respect, in ticks of 100 µs.
-    come_back: Time,
+    retry_after: Time,
     executor_names: NameIndex,
     domains: NameIndex,
     kinds: NameIndex,
@@ -148,7 +150,7 @@
             ops: InFlightOps::default(),
             transport,
             clients,
-            come_back: settings.tariff.terms.come_back,
+            retry_after: settings.tariff.terms.retry_after,
             executor_names: NameIndex::default(),
             domains: NameIndex::of(&settings.domains),
             kinds: NameIndex::of(&settings.kinds),
@@ -172,9 +174,9 @@
     }
 
     /// Restores the executor state that the previous process has learned.
-    pub fn restore(&mut self, memory: Memory) {
+    pub fn restore(&mut self, memory: LearnedState) {
         log_info!("takes over what was learned of {} executors", memory.executors.len());
-        self.dispatcher.recall(self.clock.now(), memory);
+        self.dispatcher.restore(self.clock.now(), memory);
     }
 
     /// Runs until the node has shut down.
@@ -291,7 +293,7 @@
             Event::PushEnded { ticket, push, push_outcome, load } => {
                 self.push_ended(now, ticket, push, push_outcome, load)
             }
-            Event::PeerMessage { from, text } => self.dispatcher.heard(now, from, &text),
+            Event::PeerMessage { from, text } => self.dispatcher.receive_message(now, from, &text),
             Event::ConnectionReleased { number, is_reusable } => {
                 // The executor may have been removed from the list while the connection carried its push.
                 let executor = self.transport.release(number, is_reusable);
@@ -308,14 +310,16 @@
                 }
                 self.update_executors(now, &list);
             }
-            Event::DiscoveryFailed { was_rejected } => self.dispatcher.refused(now, was_rejected),
+            Event::DiscoveryFailed { was_rejected } => self.dispatcher.list_call_failed(now, was_rejected),
             Event::Routes(table) => {
                 self.clients.set_routed_headers(&table.headers);
                 if let Some(gate) = &mut self.gate {
                     gate.replace_table(table);
                 }
             }
-            Event::FleetSize { live, possibly_sending } => self.dispatcher.fleet(live, possibly_sending),
+            Event::FleetSize { live, possibly_sending } => {
+                self.dispatcher.set_fleet_size(live, possibly_sending)
+            }
             Event::Shutdown => self.begin_shutdown(now),
         }
     }
@@ -365,13 +369,13 @@
 
     /// Rejects an op that got no concurrency slot. Nothing of it was pushed.
     fn reject(&self, ticket: u64, job: &dyn Job, reply: PendingReply, received_at: Time, retry_after: Time) {
-        let come_back = retry_after.min(self.come_back);
+        let retry_after = retry_after.min(self.retry_after);
         let now = self.clock.now();
         let (id, took_ms) = (job.id(), (now - received_at) as f64 / 10.0);
-        let retry_after_ms = come_back as f64 / 10.0;
+        let retry_after_ms = retry_after as f64 / 10.0;
         log_info!(op { op = id, code = "no-place", took_ms, come_back_ms = retry_after_ms } "op {ticket} nacked: no place");
         let until = self.clock.instant(now + SECOND);
-        reply.send(OpOutcome::Nacked { why: "nacked: no concurrency slot free", come_back }, until);
+        reply.send(OpOutcome::Nacked { why: "nacked: no concurrency slot free", retry_after }, until);
     }
 
     /// Starts the queued ops that now hold a concurrency slot, and rejects those whose queueing time is over.
@@ -425,8 +429,8 @@
         let tenant = self.tenants.iter().position(|name| Some(name.as_str()) == tenant).unwrap_or(usize::MAX);
         let path_key =
             job.path().rsplit('/').next().filter(|path_key| self.set_up_by_path && !path_key.is_empty());
-        let key = path_key.map_or(0, mark);
-        let ask = Ask { category, slots, memory, hint, deadline, limits, tenant, key };
+        let key = path_key.map_or(0, name_hash);
+        let ask = OpRequest { category, slots, memory, hint, deadline, limits, tenant, key };
         let mut op = self.dispatcher.arrive(now, ask);
         let step = self.dispatcher.place(now, &mut op);
         let in_flight = InFlightOp { op, reply: Some(reply), job, pushes: Vec::new(), pass, received_at };
@@ -453,19 +457,21 @@
             PushOutcome::Rejected(status) => {
                 let executor = in_flight.op.pushes[push].executor;
                 log_info!("executor {executor}: rejected an op as invalid: status {status}");
-                (Outcome::Unfit, Some(OpOutcome::Rejected { status }))
+                (Outcome::Rejected, Some(OpOutcome::Rejected { status }))
             }
             PushOutcome::Failed => (Outcome::Error, None),
             PushOutcome::Returned => (Outcome::Full, None),
             // The push was not sent because its executor was disabled; this is no failure of the executor.
             PushOutcome::NotSent | PushOutcome::NotConnected if withheld => (Outcome::Withheld, None),
-            PushOutcome::NotSent => (Outcome::Moot, None),
+            PushOutcome::NotSent => (Outcome::NeverStarted, None),
             // The push was abandoned before its last byte was written; this is no failure of the executor.
             PushOutcome::NotConnected | PushOutcome::WriteFailed { .. } if abandoned_as.is_some() => {
-                (Outcome::Moot, None)
+                (Outcome::NeverStarted, None)
             }
             // An idle connection that has just been closed says nothing about the health of its executor.
-            PushOutcome::WriteFailed { used } => (if used { Outcome::Moot } else { Outcome::Cut }, None),
+            PushOutcome::WriteFailed { used } => {
+                (if used { Outcome::NeverStarted } else { Outcome::Cut }, None)
+            }
             PushOutcome::NotConnected => (Outcome::NotConnected, None),
             PushOutcome::Lost => (abandoned_as.unwrap_or(Outcome::Reset), None),
             PushOutcome::StaleConnection => (abandoned_as.unwrap_or(Outcome::Broken), None),
@@ -506,20 +512,21 @@
                         pass.record_push(now);
                     }
                     if not_sent {
-                        step = self.dispatcher.settle(now, &mut in_flight.op, push, Outcome::Moot, &[]);
+                        step =
+                            self.dispatcher.settle(now, &mut in_flight.op, push, Outcome::NeverStarted, &[]);
                         continue;
                     }
                 }
-                Step::Stop { push } => in_flight.abandon(push, Outcome::Cancelled),
-                Step::Nack { come_back } => {
-                    self.log_outcome(now, &in_flight, "nacked", come_back);
-                    self.reply(&mut in_flight, OpOutcome::Nacked { why: "nacked", come_back });
+                Step::Cancel { push } => in_flight.abandon(push, Outcome::Cancelled),
+                Step::Nack { retry_after } => {
+                    self.log_outcome(now, &in_flight, "nacked", retry_after);
+                    self.reply(&mut in_flight, OpOutcome::Nacked { why: "nacked", retry_after });
                 }
                 Step::DeadLetter => {
                     self.log_outcome(now, &in_flight, "dead-lettered", 0);
                     self.reply(&mut in_flight, OpOutcome::DeadLettered);
                 }
-                Step::Hold => break,
+                Step::Wait => break,
             }
             in_flight.update_retry_budget(now);
             step = self.dispatcher.place(now, &mut in_flight.op);
@@ -528,7 +535,7 @@
     }
 
     /// Logs the outcome of an op that was not acked.
-    fn log_outcome(&self, now: Time, in_flight: &InFlightOp, code: &'static str, come_back: Time) {
+    fn log_outcome(&self, now: Time, in_flight: &InFlightOp, code: &'static str, retry_after: Time) {
         let last = in_flight.op.pushes.last().map(|push| push.executor);
         log_info!(op {
             op = in_flight.job.id(),
@@ -538,7 +545,7 @@
             code,
             pushes = in_flight.op.pushes.len() as u64,
             took_ms = (now - in_flight.received_at) as f64 / 10.0,
-            come_back_ms = come_back as f64 / 10.0,
+            come_back_ms = retry_after as f64 / 10.0,
         } "op {code}");
     }
 
@@ -589,7 +596,7 @@
             // connecting fails, the op has not run.
             new_connection: effect == Effect::AtMostOnce,
             deadline: self.clock.instant(in_flight.op.deadline),
-            write_deadline: self.clock.instant(in_flight.op.leave_by(effect)),
+            write_deadline: self.clock.instant(in_flight.op.send_deadline(effect)),
             connect_timeout: connect_timeout.map(|time| Duration::from_micros(time.max(1) as u64 * 100)),
         };
         self.transport.push(executor, to, push)
@@ -621,8 +628,8 @@
             }
             (executor_state.active, executor_state.listed) = (entry.active, entry.listed);
             executor_state.is_disabled = disabled_names.contains(&entry.name);
-            lines.push(Listed {
-                mark: mark(&entry.name),
+            lines.push(ListedExecutor {
+                name_hash: name_hash(&entry.name),
                 executor,
                 domain: self.domains.get_or_insert(&entry.domain),
                 kind: self.kinds.get_or_insert(&entry.kind),
@@ -670,12 +677,12 @@
             self.run_steps(now, ticket, in_flight, step);
         }
         if now >= self.next_upkeep {
-            self.next_upkeep = now + UPKEEP;
+            self.next_upkeep = now + UPKEEP_INTERVAL;
             self.transport.close_expired();
             self.publish_metrics(now);
             let learned_tx = self.admin.as_ref().and_then(|admin| admin.learned_tx.as_ref());
             if let Some(learned_tx) = learned_tx.filter(|learned_tx| learned_tx.is_empty()) {
-                let _ = learned_tx.try_send(self.dispatcher.memory());
+                let _ = learned_tx.try_send(self.dispatcher.learned_state());
             }
             if self.dispatcher.upkeep(now) {
                 let _ = self.refresh.try_send(());
@@ -684,7 +691,7 @@
                 self.clients.close_connections();
             }
         }
-        for letter in self.dispatcher.letters.drain(..) {
+        for letter in self.dispatcher.outgoing.drain(..) {
             if let Some(peers) = &self.peers {
                 peers.send(&letter);
             }
@@ -721,7 +728,7 @@
         });
         for ticket in tickets {
             let Some(mut in_flight) = self.ops.take(ticket) else { continue };
-            in_flight.op.end_by(deadline);
+            in_flight.op.limit_deadline(deadline);
             self.store_or_finish(now, ticket, in_flight);
         }
         for ticket in self.queue.tickets() {
--- a/crates/node/src/interfaces.rs
+++ b/crates/node/src/interfaces.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use stileroute_dispatch::types::{Letter, Time};
+use stileroute_dispatch::types::{OutgoingMessage, Time};
 use stileroute_route_limits::table::Table;
 
 /// A job submitted by a client, with everything that an executor transport needs to encode it.
@@ -66,10 +66,10 @@
 pub enum OpOutcome {
     /// The op ran; this is the result from the executor.
     Acked(Bytes),
-    /// A retry is harmless, but not before `come_back` (in ticks of 100 µs); zero means no advice.
+    /// A retry is harmless, but not before `retry_after` (in ticks of 100 µs); zero means no advice.
     Nacked {
         why: &'static str,
-        come_back: Time,
+        retry_after: Time,
     },
     DeadLettered,
     /// An executor rejected the request as invalid, with this status.
@@ -128,7 +128,7 @@
 
 /// Sends messages to other nodes. Messages that would block the dispatch loop are dropped.
 pub trait PeerTransport {
-    fn send(&self, letter: &Letter);
+    fn send(&self, letter: &OutgoingMessage);
     /// Number of received messages that were dropped before they reached the dispatch loop.
     fn dropped(&self) -> u64;
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -38,7 +38,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, AtomicU64};
 use std::sync::{Arc, RwLock};
-use stileroute_dispatch::types::mark;
+use stileroute_dispatch::types::name_hash;
 use stileroute_route_limits::PlatformSettings;
 use thiserror::Error;
 
@@ -95,7 +95,7 @@
 ) -> Result<MembershipThread, MembersError> {
     let terms = &settings.tariff.terms;
     let handle = Instance {
-        id: mark(&settings.name),
+        id: name_hash(&settings.name),
         domain: terms.domain as u8,
         nodes: terms.nodes,
         seed: settings.seed,
@@ -173,7 +173,8 @@
     let (mut context, mut learned_text) = (None, None);
     let admin = metrics.map(|metrics| {
         let ((command_tx, commands), (learned_tx, learned_rx)) = (bounded(COMMAND_QUEUE_LENGTH), bounded(1));
-        let disabled_executors = DisabledExecutors::join(settings.state_dir.as_deref(), mark(&settings.name));
+        let disabled_executors =
+            DisabledExecutors::join(settings.state_dir.as_deref(), name_hash(&settings.name));
         // Saving learned state is useful only if a successor process can take over.
         let learned_tx = settings.inherited_descriptor.map(|_| learned_tx);
         learned_text = learned_tx.as_ref().and_then(|_| disabled_executors.load_learned_state());
--- a/crates/node/src/net/admin.rs
+++ b/crates/node/src/net/admin.rs
@@ -17,7 +17,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
-use stileroute_dispatch::state::Memory;
+use stileroute_dispatch::state::LearnedState;
 use thiserror::Error;
 
 /// How long a client may take to send its request, and how long one write of the response may take.
@@ -45,7 +45,7 @@
     pub clients: Arc<Clients>,
     pub commands: Sender<AdminCommand>,
     pub disabled_executors: DisabledExecutors,
-    pub learned_rx: Receiver<Memory>,
+    pub learned_rx: Receiver<LearnedState>,
     /// The membership report; `None` if membership is off.
     pub members: Option<Arc<MembershipReport>>,
 }
--- a/crates/node/src/net/clients.rs
+++ b/crates/node/src/net/clients.rs
@@ -27,7 +27,7 @@
     /// Guard of the op that this response ends; `None` if it ends no op.
     pub in_flight: Option<Box<InFlightGuard>>,
     pub body: Body,
-    pub come_back: Time,
+    pub retry_after: Time,
     /// The time after which no client waits for the response.
     pub deadline: Instant,
 }
@@ -48,15 +48,15 @@
 
 impl From<OpReply> for Reply {
     fn from(answer: OpReply) -> Reply {
-        let (status, body, come_back) = match answer.outcome {
+        let (status, body, retry_after) = match answer.outcome {
             OpOutcome::Acked(result) => (200, Body::Result(result), 0),
-            OpOutcome::Nacked { why, come_back } => (503, Body::Text(format!("{why}\n")), come_back),
+            OpOutcome::Nacked { why, retry_after } => (503, Body::Text(format!("{why}\n")), retry_after),
             OpOutcome::DeadLettered => (500, Body::Text("dead-lettered\n".to_string()), 0),
             OpOutcome::Rejected { status } => {
                 (status, Body::Text(format!("refused by an executor: status {status}\n")), 0)
             }
         };
-        Reply { status, in_flight: answer.in_flight, body, come_back, deadline: answer.deadline }
+        Reply { status, in_flight: answer.in_flight, body, retry_after, deadline: answer.deadline }
     }
 }
 
@@ -337,7 +337,7 @@
         request.id_guard = Some(id_guard);
         if self.client_slots.count_busy() > self.budget().requests {
             return Err(Reply {
-                come_back: self.request_rules.come_back,
+                retry_after: self.request_rules.retry_after,
                 ..local_reply(503, "too many requests in flight")
             });
         }
@@ -388,7 +388,7 @@
         let close =
             slot.is_last() || self.closing_connections.load(Ordering::Relaxed) || reply.status / 100 == 4;
         let body = reply.body.bytes();
-        let head = answer_head(reply.status, body.len(), reply.come_back, close);
+        let head = answer_head(reply.status, body.len(), reply.retry_after, close);
         // A client that does not read must not block this thread forever.
         let remaining = reply.deadline.saturating_duration_since(Instant::now()).max(LAST_RESPONSE_TIMEOUT);
         let _ = slot.stream.set_write_timeout(Some(remaining));
@@ -451,7 +451,7 @@
 /// A response that is made without the dispatch loop.
 fn local_reply(status: u16, text: &str) -> Reply {
     let body = Body::Text(format!("{text}\n"));
-    Reply { status, in_flight: None, body, come_back: 0, deadline: Instant::now() + LAST_RESPONSE_TIMEOUT }
+    Reply { status, in_flight: None, body, retry_after: 0, deadline: Instant::now() + LAST_RESPONSE_TIMEOUT }
 }
 
 /// The longest accepted time budget, in milliseconds.
--- a/crates/node/src/net/peers.rs
+++ b/crates/node/src/net/peers.rs
@@ -11,8 +11,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use stileroute_dispatch::peers::LONGEST;
-use stileroute_dispatch::types::Letter;
+use stileroute_dispatch::peers::MAX_MESSAGE_BYTES;
+use stileroute_dispatch::types::OutgoingMessage;
 use thiserror::Error;
 
 /// The longest time that sending a message may block the dispatch loop while the socket buffer is full.
@@ -54,13 +54,14 @@
         let socket = self.socket.try_clone().map_err(PeersError::Clone)?;
         let (nodes, dropped) = (self.nodes.clone(), self.dropped.clone());
         Ok(move |dispatch_loop: Sender<Event>| {
-            let mut bytes = [0; LONGEST + 1];
+            let mut bytes = [0; MAX_MESSAGE_BYTES + 1];
             loop {
                 let Ok((length, from)) = socket.recv_from(&mut bytes) else {
                     std::thread::sleep(READ_RETRY_DELAY);
                     continue;
                 };
-                let from = nodes.iter().position(|node| *node == from).filter(|_| length <= LONGEST);
+                let from =
+                    nodes.iter().position(|node| *node == from).filter(|_| length <= MAX_MESSAGE_BYTES);
                 let event = from.map(|from| Event::PeerMessage { from, text: bytes[..length].to_vec() });
                 match event.map(|event| dispatch_loop.try_send(event)) {
                     Some(Ok(())) => {}
@@ -76,7 +77,7 @@
 
 impl PeerTransport for Peers {
     /// A message that cannot be sent within the time-out is dropped.
-    fn send(&self, message: &Letter) {
+    fn send(&self, message: &OutgoingMessage) {
         for (number, node) in self.nodes.iter().enumerate() {
             if number != self.own_index && message.to.is_none_or(|to| to == number) {
                 let _ = self.socket.send_to(&message.text, node);
--- a/crates/node/src/process/operator_file.rs
+++ b/crates/node/src/process/operator_file.rs
@@ -5,7 +5,7 @@
 use super::settings::NodeSettings;
 use std::path::Path;
 use std::sync::Arc;
-use stileroute_dispatch::types::Terms;
+use stileroute_dispatch::types::InstanceSettings;
 use stileroute_operator_file::{load, Fault, Section};
 use stileroute_route_limits::table::Table;
 use stileroute_route_limits::PlatformSettings;
@@ -74,7 +74,7 @@
             kinds: self.kinds.clone(),
             domains: self.domains.clone(),
             // Whether messages among instances are permitted, even if none are configured yet.
-            terms: Terms { peers: self.peers_allowed, ..self.tariff.terms.clone() },
+            terms: InstanceSettings { peers: self.peers_allowed, ..self.tariff.terms.clone() },
         }
     }
 }
--- a/crates/node/src/process/settings.rs
+++ b/crates/node/src/process/settings.rs
@@ -8,8 +8,8 @@
 use std::os::fd::RawFd;
 use std::path::PathBuf;
 use std::time::Duration;
-use stileroute_dispatch::settings::Posted;
-use stileroute_dispatch::types::{Effect, Tariff, Time};
+use stileroute_dispatch::settings::PostedSettings;
+use stileroute_dispatch::types::{DispatchSettings, Effect, Time};
 use thiserror::Error;
 
 /// All settings with which the node starts.
@@ -26,7 +26,7 @@
     pub seed: u64,
     pub budget: Budget,
     pub known: EndpointList,
-    pub tariff: Tariff,
+    pub tariff: DispatchSettings,
     /// Addresses of all nodes by number; `None` if they exchange no messages.
     pub peers: Option<Vec<SocketAddr>>,
     /// The settings permit messages among instances.
@@ -54,7 +54,7 @@
     /// The categories by name.
     pub categories: HashMap<String, CategoryRules>,
     /// Retry-after time if the node itself is full, in ticks of 100 µs; zero if no such advice may be given.
-    pub come_back: Time,
+    pub retry_after: Time,
 }
 
 /// The requirements on requests of one category.
@@ -79,7 +79,7 @@
     peers: Option<Peers>,
     #[serde(default)]
     set_up_by_path: bool,
-    settings: Posted,
+    settings: PostedSettings,
 }
 
 #[derive(Deserialize)]
@@ -170,7 +170,7 @@
 }
 
 /// Parses one address per node. The settings must permit messages and say which node this is.
-fn parse_peers(peers: &Peers, tariff: &Tariff) -> Result<Vec<SocketAddr>, StartError> {
+fn parse_peers(peers: &Peers, tariff: &DispatchSettings) -> Result<Vec<SocketAddr>, StartError> {
     if !tariff.terms.peers {
         return Err(StartError::PeersNotAllowed);
     }
@@ -231,7 +231,7 @@
             .map_or(1, |since| since.as_nanos() as u64),
     };
     let posted = file.settings;
-    let mut tariff = posted.tariff().map_err(StartError::Settings)?;
+    let mut tariff = posted.dispatch_settings().map_err(StartError::Settings)?;
     // On sockets the executor list always has to be requested.
     tariff.terms.subscribe = true;
     let peers = file.peers.map(|peers| parse_peers(&peers, &tariff)).transpose()?;
@@ -276,7 +276,10 @@
         peers_allowed,
         tenants: posted.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
         set_up_by_path: file.set_up_by_path,
-        request_rules: RequestRules { categories, come_back: tariff.terms.come_back.min(MAX_RETRY_AFTER) },
+        request_rules: RequestRules {
+            categories,
+            retry_after: tariff.terms.retry_after.min(MAX_RETRY_AFTER),
+        },
         categories: posted.categories(),
         domains: posted.failure_domains.clone(),
         kinds: posted.shapes.clone(),
--- a/crates/node/src/wire/client_request.rs
+++ b/crates/node/src/wire/client_request.rs
@@ -308,8 +308,8 @@
 /// The interim response that lets a waiting client send its body.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Formats the head of a response. `come_back` is in units of 0.1 ms; zero omits Retry-After.
-pub fn answer_head(status: u16, length: usize, come_back: i64, close: bool) -> String {
+/// Formats the head of a response. `retry_after` is in units of 0.1 ms; zero omits Retry-After.
+pub fn answer_head(status: u16, length: usize, retry_after: i64, close: bool) -> String {
     let reason = match status {
         200 => "OK",
         400 => "Bad Request",
@@ -324,8 +324,8 @@
         _ => "Service Unavailable",
     };
     let mut head = format!("HTTP/1.1 {status} {reason}\r\nContent-Length: {length}\r\n");
-    if come_back > 0 {
-        head += &format!("Retry-After: {}.{:04}\r\n", come_back / 10_000, come_back % 10_000);
+    if retry_after > 0 {
+        head += &format!("Retry-After: {}.{:04}\r\n", retry_after / 10_000, retry_after % 10_000);
     }
     if close {
         head += "Connection: close\r\n";
--- a/crates/route-limits/src/admission.rs
+++ b/crates/route-limits/src/admission.rs
@@ -248,7 +248,7 @@
 mod tests {
     use super::*;
     use crate::PlatformSettings;
-    use stileroute_dispatch::types::{Category, Effect, Terms, SECOND};
+    use stileroute_dispatch::types::{Category, Effect, InstanceSettings, SECOND};
 
     fn table(text: &str) -> Arc<Table> {
         let own = Category {
@@ -260,7 +260,7 @@
             kind: None,
             priority: 0,
         };
-        let terms = Terms { max_pushes: 5, ..Terms::default() };
+        let terms = InstanceSettings { max_pushes: 5, ..InstanceSettings::default() };
         let platform = PlatformSettings {
             categories: vec![("c".to_string(), 9 * SECOND, own)],
             terms,
--- a/crates/route-limits/src/check.rs
+++ b/crates/route-limits/src/check.rs
@@ -240,7 +240,7 @@
     fn check_hedging_and_pushes(&mut self, category: usize) {
         let duplicates_effect = Some(SafetyRule::NoDuplicateEffect);
         let (settings_max_pushes, hedging_allowed) =
-            (self.platform.terms.max_pushes, self.platform.terms.second_copies);
+            (self.platform.terms.max_pushes, self.platform.terms.hedging);
         let category_override = match self.category_effect(category) {
             Effect::Redeliverable => EffectOverride::Redeliverable,
             Effect::Deduplicated { .. } => EffectOverride::Deduplicated,
--- a/crates/route-limits/src/lib.rs
+++ b/crates/route-limits/src/lib.rs
@@ -16,8 +16,8 @@
 mod read;
 pub mod table;
 
-use stileroute_dispatch::settings::Posted;
-use stileroute_dispatch::types::{Category, Terms, Time};
+use stileroute_dispatch::settings::PostedSettings;
+use stileroute_dispatch::types::{Category, InstanceSettings, Time};
 use thiserror::Error;
 
 /// The reason why the dispatcher rejects the platform's settings.
@@ -32,13 +32,13 @@
     pub categories: Vec<(String, Time, Category)>,
     pub kinds: Vec<String>,
     pub domains: Vec<String>,
-    pub terms: Terms,
+    pub terms: InstanceSettings,
 }
 
 impl PlatformSettings {
     /// Takes these parts from the platform's settings object.
-    pub fn from_posted(posted: &Posted) -> Result<PlatformSettings, SettingsError> {
-        let tariff = posted.tariff().map_err(SettingsError)?;
+    pub fn from_posted(posted: &PostedSettings) -> Result<PlatformSettings, SettingsError> {
+        let tariff = posted.dispatch_settings().map_err(SettingsError)?;
         let names = posted.categories().into_iter().zip(posted.ttls());
         let categories = names.zip(tariff.categories).map(|((name, ttl), own)| (name, ttl, own)).collect();
         let (kinds, domains) = (posted.shapes.clone(), posted.failure_domains.clone());
--- a/crates/route-limits/tests/files.rs
+++ b/crates/route-limits/tests/files.rs
@@ -173,7 +173,7 @@
 #[test]
 fn hedging_is_rejected_where_the_settings_forbid_concurrent_pushes() {
     let mut platform = platform();
-    platform.terms.second_copies = false;
+    platform.terms.hedging = false;
     let text = "[category.lookup]\ncopy-after = 0.9\n";
     let faults = common::read_on(text, &platform).unwrap_err();
     assert!(faults[0].to_string().ends_with("(category lookup) [rule 2]"), "{}", faults[0]);
--- a/crates/route-limits/tests/safe.rs
+++ b/crates/route-limits/tests/safe.rs
@@ -12,7 +12,9 @@
 use rand_pcg::Pcg64Mcg;
 use std::sync::Arc;
 use stileroute_dispatch::policy::Dispatcher;
-use stileroute_dispatch::types::{Ask, Effect, Listed, Outcome, Scope, Step, Tariff, Time, SECOND};
+use stileroute_dispatch::types::{
+    DispatchSettings, Effect, ListedExecutor, OpRequest, Outcome, Scope, Step, Time, SECOND,
+};
 use stileroute_route_limits::admission::{Admission, AdmissionControl};
 use stileroute_route_limits::limits::{narrowness, EffectOverride};
 use stileroute_route_limits::pattern::{Path, Pattern, Request};
@@ -216,11 +218,11 @@
 fn files_that_load_never_lead_to_a_forbidden_push() {
     let platform = platform();
     let mut rng = Pcg64Mcg::seed_from_u64(5);
-    let tariff = Tariff {
+    let tariff = DispatchSettings {
         terms: platform.terms.clone(),
         categories: platform.categories.iter().map(|(_, _, own)| own.clone()).collect(),
         overload_factor: 50.0,
-        ..Tariff::default()
+        ..DispatchSettings::default()
     };
     let (mut files, mut retries, mut hedged) = (0, 0, 0);
     while files < 300 {
@@ -229,8 +231,8 @@
         files += 1;
         let mut admission = AdmissionControl::new(Arc::new(table));
         let mut dispatcher = Dispatcher::new(&tariff, files);
-        let endpoint = |executor: usize| Listed {
-            mark: 0,
+        let endpoint = |executor: usize| ListedExecutor {
+            name_hash: 0,
             executor,
             domain: executor % 2,
             kind: executor / 4,
@@ -252,7 +254,7 @@
             };
             let effect = platform.categories[category].2.effect;
             let deadline = now + platform.ttl(category).min(permit.op_timeout);
-            let ask = Ask {
+            let ask = OpRequest {
                 category,
                 slots: 1.0,
                 memory: 0.0,
@@ -293,7 +295,7 @@
                         sent.push((at, executor, true));
                         permit.record_push(at);
                     }
-                    Step::Stop { push } => {
+                    Step::Cancel { push } => {
                         // A cancelled push may still have run.
                         step = dispatcher.settle(at, &mut op, push, Outcome::Cancelled, &[]);
                         continue;
@@ -307,8 +309,8 @@
                         break;
                     }
                     Step::DeadLetter => break,
-                    Step::Hold if op.closed => break,
-                    Step::Hold => {
+                    Step::Wait if op.closed => break,
+                    Step::Wait => {
                         let out = op.pushes.iter().position(|p| p.outcome.is_none());
                         at = dispatcher.wait(at, &op).min(at + SECOND / 3).min(deadline);
                         let Some(push) = out.filter(|_| rng.random_bool(0.4)) else {
@@ -322,7 +324,7 @@
                             Outcome::Reset,
                             Outcome::Cut,
                             Outcome::Broken,
-                            Outcome::Moot,
+                            Outcome::NeverStarted,
                             Outcome::Acked,
                         ];
                         let outcome = *outcomes.choose(&mut rng).unwrap();
--- a/crates/sim-adapter/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -1,8 +1,8 @@
-//! The simulator's wire: what is read of it.
+//! Messages of the simulator's wire protocol that the adapter reads.
 
 use serde::Deserialize;
 use std::borrow::Cow;
-use stileroute_dispatch::settings::Posted;
+use stileroute_dispatch::settings::PostedSettings;
 
 #[derive(Deserialize)]
 pub struct Batch<'a> {
@@ -12,7 +12,7 @@
     pub msgs: Vec<Msg<'a>>,
 }
 
-/// Every message has its fields here; which ones it must have is asked where it is handled.
+/// The fields of all messages; the handler of each message checks the fields that it requires.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Msg<'a> {
@@ -23,7 +23,7 @@
     #[serde(borrow)]
     pub ticket: Option<Cow<'a, str>>,
     pub init_seed: Option<u64>,
-    pub conf: Option<Box<Posted>>,
+    pub conf: Option<Box<PostedSettings>>,
     #[serde(borrow)]
     pub scope: Option<Cow<'a, str>>,
     pub elements: Option<Vec<Element<'a>>>,
