--- a/crates/queue/src/control_contact.rs
+++ b/crates/queue/src/control_contact.rs
@@ -1,23 +1,25 @@
-//! Contact with the control group, as the program sees it.
+//! Whether this store is in contact with the control group, as the program observes it.
 
-/// Whether the control nodes hear this store. Without them and without a peer it may be the one that is cut off.
+/// State of the contact with the control nodes. A store that reaches neither them nor a peer may be the one that is
+/// partitioned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControlContact {
-    /// A control node has answered lately.
+    /// A control node has answered this store recently.
     pub is_heard: bool,
-    /// The last answer is so old that the control nodes may declare this store's session lapsed.
+    /// The last answer of a control node is so old that the control nodes may have declared this store's session
+    /// lapsed.
     pub session_may_have_lapsed: bool,
-    /// The control node that answers may itself be cut off from the others, for so long that these may have listed this store as
-    /// gone.
+    /// The control node that answers may itself be partitioned from the other control nodes, for so long that they may
+    /// have removed this store from the membership.
     pub group_may_be_lost: bool,
 }
 
 impl ControlContact {
-    /// As long as control nodes answer and hear one another.
+    /// Full contact: control nodes answer this store and reach one another.
     pub const FULL: ControlContact =
         ControlContact { is_heard: true, session_may_have_lapsed: false, group_may_be_lost: false };
 
-    /// Whether control nodes that this store can't hear may have listed it as gone.
+    /// Whether control nodes that this store cannot reach may have removed it from the membership.
     pub(crate) fn may_be_listed_as_gone(self) -> bool {
         self.session_may_have_lapsed || self.group_may_be_lost || !self.is_heard
     }
--- a/crates/queue/src/durability.rs
+++ b/crates/queue/src/durability.rs
@@ -1,6 +1,8 @@
-//! On how many lasting disks a message, or the end of one, lies: decided here alone, for repair, retirement, the transfer of ends
-//! and the metrics. A copy counts only where its holder has confirmed it with the disk that it has now, and is neither being
-//! retired nor written off.
+//! Counts the disks that hold a message or its recorded end. Repair, retirement, the transfer of ends and the metrics
+//! all use these functions.
+//!
+//! A replica counts only if its holder has confirmed it with the disk it has now, and if the holder is neither retiring
+//! nor written off.
 
 use crate::entry::Entry;
 use crate::message::Node;
@@ -8,18 +10,19 @@
 use crate::planted_fault::PlantedFault;
 use crate::queue::Queue;
 
-/// What lies on too few disks, as one store knows it.
+/// Numbers of messages and ends that are stored on too few disks, as known to one store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MissingCopies {
-    /// Messages that have not ended, or whose callback is pending: those owned here, and those whose owner has lost them with its
-    /// disk and which nobody has taken over yet.
+    /// Messages that have not ended, or whose callback is pending: those owned by this store, and those whose owner
+    /// lost them with its disk and that no store has taken over yet.
     pub messages: usize,
-    /// Ends known here.
+    /// Ended messages known to this store.
     pub ends: usize,
 }
 
 impl Queue {
-    /// What lies on too few disks now. While either number is above zero the next loss of a disk may lose something.
+    /// Counts what is stored on too few disks now. While either number is above zero, the next loss of a disk may lose
+    /// data.
     pub fn missing_copies(&self) -> MissingCopies {
         MissingCopies {
             messages: self.under_replicated.len() + self.lost_by_owner.len(),
@@ -27,8 +30,8 @@
         }
     }
 
-    /// Whether the loss of one more disk is tolerated, for all that this store knows: nothing lies on too few disks, and all stores
-    /// whose copies count have said since they were last connected what they hold.
+    /// Whether the loss of one more disk would be tolerated, as far as this store knows: nothing is stored on too few
+    /// disks, and every store whose replicas count has reported what it holds since it last connected.
     pub fn is_fully_replicated(&self) -> bool {
         let mut counted = self.peers.values().filter(|peer| peer.is_member || !peer.is_written_off());
         self.missing_copies() == MissingCopies::default()
@@ -39,29 +42,30 @@
             && self.owned_here().all(|(_, entry)| self.lasting_replicas(entry) >= self.settings.replica_count)
     }
 
-    /// Whether copies at another store count.
+    /// Whether replicas stored at another store count: it is neither retiring nor written off.
     pub(crate) fn counts_copies_at(&self, node: Node) -> bool {
-        let is_gone = |peer: &Peer| peer.is_written_off() && !self.planted(PlantedFault::GoneReplicasCounted);
-        self.peers.get(&node).is_some_and(|peer| !peer.is_retiring() && !is_gone(peer))
+        let is_not_counted =
+            |peer: &Peer| peer.is_written_off() && !self.planted(PlantedFault::GoneReplicasCounted);
+        self.peers.get(&node).is_some_and(|peer| !peer.is_retiring() && !is_not_counted(peer))
     }
 
-    /// The replicas of a message that count, those not confirmed yet among them.
+    /// Number of replicas of a message at stores whose replicas count, including replicas that are not confirmed yet.
     pub(crate) fn lasting_replicas(&self, entry: &Entry) -> usize {
         entry.replicas.iter().filter(|node| self.counts_copies_at(**node)).count()
     }
 
-    /// The other stores that hold the end of a message, and count.
+    /// Number of other stores that hold the end of a message and whose replicas count.
     pub(crate) fn lasting_holders(&self, entry: &Entry) -> usize {
         entry.other_holders(self.settings.node).filter(|node| self.counts_copies_at(*node)).count()
     }
 
-    /// The end of a message, and nothing else of it, is kept, and lies on too few disks.
+    /// Whether only the end of this message is kept and is stored on too few disks.
     pub(crate) fn is_end_under_replicated(&self, entry: &Entry) -> bool {
         entry.is_settled() && self.lasting_holders(entry) < self.settings.replica_count
     }
 
-    /// Whether a store that was to hold a message may not hold it now: it has not confirmed its copy, or has lost a disk since the
-    /// message was accepted.
+    /// Whether a store that was to hold a message may not hold it now, because it has not confirmed its replica or has
+    /// lost a disk since the message was accepted.
     pub(crate) fn is_holder_uncertain(&self, entry: &Entry, node: Node) -> bool {
         let disk_lost_at = self.peers.get(&node).and_then(|peer| peer.disk_lost_at);
         entry.unconfirmed.contains(&node) || disk_lost_at.is_some_and(|at| entry.accepted_at <= at as i64)
--- a/crates/queue/src/effect.rs
+++ b/crates/queue/src/effect.rs
@@ -1,74 +1,78 @@
-//! What the queue wants done: the program carries effects out and reports back by the methods named here.
+//! Effects: the actions that the queue requests. The program carries them out and reports the results through the
+//! methods of [`Queue`](crate::Queue) named here.
 
 use crate::message::{Key, Node, PutError};
 use crate::peer_message::PeerMessage;
 use std::net::SocketAddrV4;
 
-/// A record of a [`Effect::Persist`] that says how many attempts of a message have failed, and that outlives the process.
+/// A record within an [`Effect::Persist`] that holds the number of failed attempts of a message. The program keeps it
+/// across a restart of the process even before it is on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeptFailure {
-    /// The message: a later record of it makes this one needless.
+    /// Key of the message. A later record for the same key replaces this one.
     pub key: Key,
-    /// Index of the record.
+    /// Index of the record in [`Effect::Persist::records`](Effect::Persist).
     pub index: usize,
 }
 
-/// One action for the program, from [`Queue::take_effects`](crate::Queue::take_effects).
+/// One action for the program to carry out, from [`Queue::take_effects`](crate::Queue::take_effects).
 #[derive(Debug)]
 pub enum Effect {
-    /// Append records to the log; the result goes to [`Queue::write_completed`](crate::Queue::write_completed).
+    /// Append records to the log. The result is passed to [`Queue::write_completed`](crate::Queue::write_completed).
     Persist {
-        /// Names this write in the answer.
+        /// Identifies this write when its result is reported.
         ticket: u64,
-        /// Encoded [`Record`](crate::Record)s, in the order in which they must lie on disk.
+        /// Encoded [`Record`](crate::Record)s, in the order in which they must be written.
         records: Vec<Vec<u8>>,
-        /// Which of the records, by index, outlive the process from now on, whatever the disk does: other stores and executors know of
-        /// these ends before the disk has them. Each may be applied again at any later time, by
-        /// [`StateTable::apply_kept_end`](crate::StateTable::apply_kept_end).
+        /// Indices of records of ends that must survive a restart of the process from now on, even if the disk never
+        /// writes them, because other stores and executors learn of these ends before they are on disk. Each may be
+        /// applied again at any later time with [`StateTable::apply_kept_end`](crate::StateTable::apply_kept_end).
         kept_ends: Vec<usize>,
-        /// Those that outlive the process in the same way because an executor, or another store, knows of a failed attempt. Each may be
-        /// applied again by [`StateTable::apply_kept_failure`](crate::StateTable::apply_kept_failure).
+        /// Records of failed attempts that must survive a restart of the process in the same way, because an executor
+        /// or another store knows of the failure. Each may be applied again with
+        /// [`StateTable::apply_kept_failure`](crate::StateTable::apply_kept_failure).
         kept_failures: Vec<KeptFailure>,
-        /// Something waits for these records: they are synced at once instead of with a later write.
+        /// Whether an operation waits for these records. If so they are synced at once instead of together with a later
+        /// write.
         sync: bool,
     },
     /// Send a message to another store.
     Send {
         /// The receiving store.
         to: Node,
-        /// What to send.
+        /// The message to send.
         message: PeerMessage,
     },
     /// Answer a [`Queue::put`](crate::Queue::put).
     PutResult {
-        /// The ticket that `put` was given.
+        /// The ticket that was passed to `put`.
         ticket: u64,
-        /// The name by which clients ask for the message, or why it was not accepted.
+        /// The text key by which clients look the message up, or the reason why it was not accepted.
         result: Result<String, PutError>,
     },
-    /// Send a message to an executor; the outcome goes to [`Queue::attempt_ended`](crate::Queue::attempt_ended).
+    /// Send a message to an executor. The outcome is passed to [`Queue::attempt_ended`](crate::Queue::attempt_ended).
     StartAttempt {
-        /// Names this attempt in its outcome.
+        /// Identifies this attempt when its outcome is reported.
         attempt: u64,
-        /// The message; its content is read with [`Queue::message`](crate::Queue::message).
+        /// Key of the message. Its content is read with [`Queue::message`](crate::Queue::message).
         key: Key,
         /// Address of the executor.
         to: SocketAddrV4,
-        /// The executor's identity, which it has to confirm; `None` for a fixed endpoint.
+        /// The identity that the executor has to confirm; `None` for a fixed endpoint.
         expected_server: Option<String>,
-        /// How long the attempt may take.
+        /// Time limit of the attempt, in milliseconds.
         timeout_ms: u64,
-        /// How many connections this store may open to that executor.
+        /// Maximum number of connections that this store may open to the executor.
         max_connections: usize,
     },
-    /// Post an end to the sender's callback URL; the result goes to
+    /// Post the end of a message to the sender's callback URL. The result is passed to
     /// [`Queue::callback_ended`](crate::Queue::callback_ended).
     CallBack {
-        /// The message that has ended.
+        /// Key of the message that has ended.
         key: Key,
-        /// The receiver's URL.
+        /// URL of the callback receiver.
         url: String,
-        /// The JSON body.
+        /// JSON body of the callback request.
         body: String,
     },
 }
--- a/crates/queue/src/end_holders.rs
+++ b/crates/queue/src/end_holders.rs
@@ -1,8 +1,9 @@
-//! Which other stores hold the end of a message that is done with.
+//! Tracks which other stores hold the end of a message for which no work is left.
 //!
-//! Every store that knows an end keeps a list of the others that have it, whoever owned the message: from the message's own list
-//! when it ends, and from then on from what the others confirm. When one of them loses its disk, each of the others sees which
-//! ends lie on too few disks now, and copies them once more.
+//! Every store that knows an end keeps a list of the other stores that have it, whichever store owned the message. The
+//! list starts as the message's replica list when it ends, and is updated by confirmations from other stores. When one
+//! of the holders loses its disk, each other holder sees which ends are now stored on too few disks, and copies them
+//! again.
 
 use crate::entry::Entry;
 use crate::message::{Key, Node};
@@ -10,8 +11,9 @@
 use crate::record::Record;
 
 impl Queue {
-    /// A message has ended, and nothing else is left to do for it: only its end is kept from now on, on as many disks as the
-    /// message was. Stores that may not hold it are taken off its list, on disk too.
+    /// Starts tracking the end of a message that has ended and for which nothing is left to do. From now on only its
+    /// end is kept, on as many disks as the message was. Stores that may not hold it are removed from its holder list,
+    /// on disk too.
     pub(crate) fn track_end(&mut self, key: Key) {
         let Some(entry) = self.entries.get(&key).filter(|entry| entry.is_settled()) else { return };
         let holders = entry.other_holders(self.settings.node);
@@ -22,11 +24,12 @@
         for node in uncertain {
             self.remove_end_holder(key, node);
         }
-        self.note_under_replicated_end(key);
+        self.mark_if_under_replicated(key);
         self.end_replication.mark_incomplete();
     }
 
-    /// The disk of a store is lost, or the store was away for so long that what it holds is made anew elsewhere.
+    /// Removes a store from all holder lists, because its disk is lost, or because it was away for so long that its
+    /// replicas are recreated elsewhere.
     pub(crate) fn holder_lost(&mut self, node: Node) {
         self.end_replication.forget_store(node);
         self.end_replication.lost_stores.insert(node);
@@ -36,23 +39,23 @@
         let held: Vec<Key> = held.map(|(key, _)| key).collect();
         for key in held {
             self.remove_end_holder(key, node);
-            self.note_under_replicated_end(key);
+            self.mark_if_under_replicated(key);
         }
     }
 
-    /// Whether a store is on the list of those that hold some end.
+    /// Whether a store is on the holder list of any end.
     pub(crate) fn is_end_holder(&self, node: Node) -> bool {
         let own_node = self.settings.node;
         self.settled_entries().any(|(_, entry)| entry.other_holders(own_node).any(|holder| holder == node))
     }
 
-    /// Looks through all ends for those on too few disks: after a start, and when another store is to be emptied.
+    /// Finds the ends that are stored on too few disks. Called after a start and when another store begins to retire.
     pub(crate) fn find_under_replicated_ends(&mut self) {
         let keys: Vec<Key> = self.settled_entries().map(|(key, _)| key).collect();
-        keys.into_iter().for_each(|key| self.note_under_replicated_end(key));
+        keys.into_iter().for_each(|key| self.mark_if_under_replicated(key));
     }
 
-    /// Another store has the end of a message on its disk.
+    /// Adds a store that has confirmed the end of a message on its disk to the end's holder list.
     pub(crate) fn add_end_holder(&mut self, key: Key, node: Node) {
         let own_node = self.settings.node;
         let Some(entry) = self.entries.get_mut(&key).filter(|entry| entry.is_settled()) else { return };
@@ -73,15 +76,15 @@
         self.record_end_holders(key);
     }
 
-    /// Not synced: after a crash that loses the record the loss of the disk is found once more, for the disk that the other store
-    /// had before is recorded until all ends are on enough disks again.
+    /// Records the holder list of an end, without a sync. If a crash loses the record, the loss of the disk is detected
+    /// again, because the previous disk of the other store stays on record until all ends are on enough disks again.
     fn record_end_holders(&mut self, key: Key) {
         let Some(entry) = self.entries.get(&key) else { return };
         let (owner, term, replicas) = (entry.owner, entry.term, entry.replicas.clone());
         self.record(&Record::OwnerChanged { key, owner, term, replicas }, false);
     }
 
-    fn note_under_replicated_end(&mut self, key: Key) {
+    fn mark_if_under_replicated(&mut self, key: Key) {
         let is_under_replicated = |entry: &Entry| self.is_end_under_replicated(entry);
         if self.entries.get(&key).is_some_and(is_under_replicated) {
             self.end_replication.under_replicated.insert(key);
--- a/crates/queue/src/end_transfer.rs
+++ b/crates/queue/src/end_transfer.rs
@@ -1,7 +1,9 @@
-//! Transfer of ends to other stores. Ends are known on as many disks as messages lie on: before a store that retires is gone,
-//! so many others have the ends that it knows; and when a store is lost for good, or back with another disk, those that know ends
-//! which lie on too few disks now transfer them. Else a question within the time that states are kept would be answered as if
-//! there had been no such message.
+//! Transfer of ends to other stores.
+//!
+//! An end is stored on as many disks as a message. Before a retiring store is removed, that many other stores have the
+//! ends that it knows. When a store is lost for good or returns with a different disk, the stores that know ends which
+//! are now on too few disks transfer them. Otherwise a lookup within the retention period would be answered as if the
+//! message had never existed.
 
 use crate::effect::Effect;
 use crate::entry::{Entry, Stage};
@@ -17,16 +19,17 @@
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// Bytes at each check, of which there are four a second: the rate of repair.
+/// Maximum bytes per check. There are four checks a second, which adds up to the rate of repair.
 const MAX_BYTES_PER_CHECK: u64 = REPAIR_BYTES_PER_SECOND / 4;
 
-/// Ends that are looked at in one check, where too few stores are there to take them.
+/// Maximum number of ends examined in one check, which bounds the work when too few stores are available to receive
+/// ends.
 const MAX_ENDS_PER_CHECK: usize = 8000;
 
-/// Estimated bytes of an end beside the body of a message that failed.
+/// Estimated size of an end without the body of a failed message, in bytes.
 const END_OVERHEAD_BYTES: u64 = 80;
 
-/// The ends that are sent to each store in one check.
+/// Ends to send in one check, by receiving store.
 #[derive(Default)]
 struct EndBatches {
     by_receiver: BTreeMap<Node, Vec<TransferredEnd>>,
@@ -45,7 +48,7 @@
 }
 
 impl Queue {
-    /// Transfers, at a bounded rate, the ends that too few other stores hold.
+    /// Transfers the ends that too few other stores hold, at a bounded rate.
     pub(crate) fn transfer_ends(&mut self, now: Millis) {
         if self.planted(PlantedFault::EndsGoAlong) {
             return;
@@ -57,22 +60,23 @@
         }
     }
 
-    /// This store is being retired: one more of the others than elsewhere has to confirm each end, for its own disk goes.
+    /// Transfers all ends of a retiring store. One more of the other stores than usual has to confirm each end, because
+    /// this store's own disk goes away.
     fn transfer_all_ends(&mut self, now: Millis) {
         if self.end_replication.is_complete() {
             return;
         }
-        let is_able = |peer: &Peer| peer.is_member && peer.is_connected && !peer.is_draining();
-        let able = self.peers.iter().filter(|(_, peer)| is_able(peer));
-        let stores: Vec<Node> = able.map(|(node, _)| *node).collect();
+        let is_eligible = |peer: &Peer| peer.is_member && peer.is_connected && !peer.is_draining();
+        let eligible = self.peers.iter().filter(|(_, peer)| is_eligible(peer));
+        let stores: Vec<Node> = eligible.map(|(node, _)| *node).collect();
         let wanted = stores.len().min(self.settings.replica_count + 1);
         if wanted == 0 {
             return;
         }
         let mut is_complete = true;
         let mut batches = EndBatches::default();
-        // One whose callback is pending is its owner's to replicate, whole: a store that has the end alone takes the callback for
-        // delivered.
+        // An end whose callback is pending is left to its owner, which replicates the complete message: a store that
+        // has only the end would assume that the callback was delivered.
         for (key, entry) in self.entries.iter().filter(|(_, entry)| entry.is_settled()) {
             let confirmed = stores.iter().filter(|node| self.end_replication.is_confirmed(**node, *key));
             let lacking = wanted.saturating_sub(confirmed.count());
@@ -88,13 +92,13 @@
         }
         if is_complete {
             self.end_replication.mark_complete();
-            tracing::info!("all ends lie on enough other disks: this store's is not needed for them");
+            tracing::info!("all ends are stored on enough other disks; the disk of this store is no longer needed for them");
         }
         self.send_end_batches(now, batches);
     }
 
-    /// The stores to which a retiring store sends an end now. Those that held the message come first: they know its end already,
-    /// most often.
+    /// The stores to which a retiring store sends an end now. Stores that held the message come first, because most of
+    /// them already know its end.
     fn retirement_receivers(
         &self,
         now: Millis,
@@ -115,25 +119,26 @@
         receivers
     }
 
-    /// Copies the ends that lie on too few disks to other stores.
+    /// Copies ends that are stored on too few disks to other stores.
     fn replicate_ends(&mut self, now: Millis) {
         if self.end_replication.under_replicated.is_empty() {
             return self.ends_replicated(now);
         }
-        // What ends after a loss with a holder that is not certain is copied too, and is too little to be told each time.
+        // Logged only after the loss of a store. Ends with an uncertain holder are copied too, but are too few to log
+        // each time.
         if self.end_replication.under_replicated_since.is_none()
             && !self.end_replication.lost_stores.is_empty()
         {
             let ends = self.end_replication.under_replicated.len();
-            tracing::info!(ends, "ends lie on too few disks: they are copied to other stores");
+            tracing::info!(ends, "ends are stored on too few disks; copying them to other stores");
             self.end_replication.under_replicated_since = Some(now);
         }
         let keys = self.next_ends_to_check();
         let mut batches = EndBatches::default();
-        let mut next_look_from = keys.last().copied().filter(|_| keys.len() == MAX_ENDS_PER_CHECK);
+        let mut next_check_from = keys.last().copied().filter(|_| keys.len() == MAX_ENDS_PER_CHECK);
         for key in keys {
             if !batches.has_room() {
-                next_look_from = Some(key);
+                next_check_from = Some(key);
                 break;
             }
             let Some(entry) = self.entries.get(&key).filter(|entry| self.is_end_under_replicated(entry))
@@ -145,19 +150,19 @@
                 batches.add(to, key, entry);
             }
         }
-        self.end_replication.next_look_from = next_look_from;
+        self.end_replication.next_check_from = next_check_from;
         self.send_end_batches(now, batches);
     }
 
-    /// The ends to look at in this check: from where the last one stopped.
+    /// The ends to examine in this check, starting where the previous check stopped.
     fn next_ends_to_check(&mut self) -> Vec<Key> {
         let ends = &self.end_replication;
-        let from = ends.next_look_from.map_or(Bound::Unbounded, Bound::Included);
+        let from = ends.next_check_from.map_or(Bound::Unbounded, Bound::Included);
         ends.under_replicated.range((from, Bound::Unbounded)).take(MAX_ENDS_PER_CHECK).copied().collect()
     }
 
-    /// The stores that are sent an end now, beside those that hold it. All that know the end choose the same ones, so that it does
-    /// not come to lie on more disks than it has to.
+    /// The stores to send an end to now, in addition to those that hold it. All stores that know the end choose the
+    /// same ones, so that it is not stored on more disks than needed.
     fn end_receivers(&self, now: Millis, key: Key, entry: &Entry) -> Vec<Node> {
         let holders: Vec<Node> = entry.other_holders(self.settings.node).collect();
         let lacking = self.settings.replica_count.saturating_sub(self.lasting_holders(entry));
@@ -175,33 +180,34 @@
         }
     }
 
-    /// No end lies on too few disks: the disks that other stores have now are recorded in the place of those that they have lost.
+    /// Called when no end is stored on too few disks. Records the disks that other stores have now, in place of the
+    /// ones they lost.
     fn ends_replicated(&mut self, now: Millis) {
         if let Some(since) = self.end_replication.under_replicated_since.take() {
             let ms = now.saturating_sub(since);
             let ends_sent = self.metrics.ends_transferred;
-            tracing::info!(ms, ends_sent, "all ends are on enough disks again");
+            tracing::info!(ms, ends_sent, "all ends are stored on enough disks again");
         }
         let restored = std::mem::take(&mut self.end_replication.lost_stores);
         self.record_replaced_disks(restored);
     }
 
-    /// Another store has these ends on its disk.
+    /// Handles the confirmation of another store that these ends are on its disk.
     pub(crate) fn ends_stored_at(&mut self, node: Node, keys: Vec<Key>) {
         if self.is_retiring() {
             return self.end_replication.confirm(node, &keys);
         }
         for key in keys {
-            self.end_replication.sent_end_settled(node, key);
+            self.end_replication.clear_in_flight(node, key);
             self.add_end_holder(key, node);
         }
     }
 
-    /// Stores the ends that another store transfers, and confirms each once it is on disk. The sender holds them as well, unless
-    /// it is being retired.
+    /// Stores the ends that another store transfers, and confirms each one once it is on disk. The sender is recorded
+    /// as a holder as well, unless it is retiring.
     pub(crate) fn store_ends(&mut self, now: Millis, from: Node, ends: Vec<TransferredEnd>) {
         let is_tracked = !self.planted(PlantedFault::EndsCopiedOnce);
-        let lasting_sender = Some(from).filter(|from| is_tracked && self.counts_copies_at(*from));
+        let counted_sender = Some(from).filter(|from| is_tracked && self.counts_copies_at(*from));
         for TransferredEnd { key, end, callback_pending, failed_message } in ends {
             let known = self.entries.get(&key);
             let callback_pending = match known {
@@ -210,16 +216,16 @@
                 None => false,
             };
             let (is_known, is_live) = (known.is_some(), known.is_some_and(|entry| entry.end.is_none()));
-            // The end first: what is read of a torn batch is never a live message.
+            // The end is recorded first, so that a torn batch never leaves a live message on disk.
             let ended_at_ms = self.wall_clock_ms(now);
             self.record(&Record::Ended { key, end: end.clone(), callback_pending, ended_at_ms }, true);
             if is_live {
                 self.close_entry(now, key, end, callback_pending);
             } else if !is_known {
-                self.insert_end(now, key, end, failed_message, lasting_sender);
+                self.insert_end(now, key, end, failed_message, counted_sender);
             }
-            if let Some(sender) = lasting_sender {
-                self.end_replication.sent_end_settled(sender, key);
+            if let Some(sender) = counted_sender {
+                self.end_replication.clear_in_flight(sender, key);
                 self.add_end_holder(key, sender);
             }
             self.after_write(PendingWrite::EndFrom(from, key));
@@ -256,7 +262,8 @@
     }
 }
 
-/// The end of a message as it is transferred; of one that failed the body goes along, for clients may ask for it.
+/// The end of a message in the form in which it is transferred. The body of a failed message is included, because
+/// clients may ask for it.
 fn transferred_end(key: Key, entry: &Entry) -> Option<TransferredEnd> {
     let end = entry.end.clone()?;
     let message = &entry.message;
--- a/crates/queue/src/entry.rs
+++ b/crates/queue/src/entry.rs
@@ -127,7 +127,7 @@
     /// It ran, or may have run: the next attempt is a retry.
     pub(crate) has_run: bool,
     /// Another store may have accepted it too: its edge says which one is kept.
-    pub(crate) may_be_elsewhere: bool,
+    pub(crate) may_be_duplicated: bool,
     /// The executor where it last ran in vain: a retry goes elsewhere.
     pub(crate) last_failed_on: Option<ExecutorRef>,
     /// How it ended.
@@ -173,7 +173,7 @@
             failures: FailureCount::at_least(shared.attempts),
             backoff_steps: 0,
             has_run: shared.attempts > 0,
-            may_be_elsewhere: false,
+            may_be_duplicated: false,
             last_failed_on: None,
             end: None,
             callback_pending: false,
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -1,5 +1,8 @@
-//! The durable queue of one store: messages, their replicas, attempts, ends, callbacks and rate limits. A state
-//! machine: events and a clock go in, [`Effect`]s come out; sockets, disk and time are the program's.
+//! The durable message queue of one store: messages and their replicas, delivery attempts, completion, callbacks and
+//! rate limits.
+//!
+//! The queue is a state machine without I/O: the program feeds in events with the current time and carries out the
+//! [`Effect`]s that come out. Sockets, disk access and clocks belong to the program.
 
 mod attempt_outcome;
 mod control_contact;
--- a/crates/queue/src/queue/intake.rs
+++ b/crates/queue/src/queue/intake.rs
@@ -61,7 +61,7 @@
         let mut entry = Entry::from_shared(&shared, now);
         entry.stage = Stage::Persisting;
         entry.ticket = Some(ticket);
-        entry.may_be_elsewhere = is_resubmitted;
+        entry.may_be_duplicated = is_resubmitted;
         entry.unconfirmed = unconfirmed;
         let check_at = now + crate::peer::REPLICA_CONFIRM_LIMIT;
         entry.persist_check_at = Some(check_at);
@@ -219,8 +219,8 @@
         let is_late = entry.age_ms(now) >= LATE_ACCEPTANCE_MS
             || wall_clock_ms >= entry.message.accepted_at_ms + LATE_ACCEPTANCE_MS;
         // A message with an idempotency key is nowhere else: its edge says nothing of it.
-        entry.may_be_elsewhere |= is_late && entry.message.accepted_at_ms > 0 && entry.digest.is_none();
-        if entry.may_be_elsewhere && !is_unasked {
+        entry.may_be_duplicated |= is_late && entry.message.accepted_at_ms > 0 && entry.digest.is_none();
+        if entry.may_be_duplicated && !is_unasked {
             entry.not_before = entry.not_before.max(now + CONFIRMATION_WINDOW_MS);
         }
         let ticket = entry.ticket.take();
