--- a/crates/queue/src/entry.rs
+++ b/crates/queue/src/entry.rs
@@ -1,30 +1,30 @@
-//! What a store knows of one message.
+//! The entry of one message in the table of a store.
 
 use crate::failure_count::FailureCount;
 use crate::idempotency::IdempotencyDigest;
 use crate::message::{End, Message, Millis, Node, ReplicatedMessage};
 use crate::service_queue::QueuePosition;
 
-/// Where a message stands at this store.
+/// Processing stage of a message at this store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Accepted here and not yet on all of its disks: its sender has no answer.
+    /// Accepted by this store but not yet on all of its disks; the sender has no answer yet.
     Persisting,
-    /// Owned here, but not started before the stores that hold replicas have said what became of it: it was read from
-    /// disk, or offered to a successor.
+    /// Owned by this store, but not started before the stores that hold replicas have reported its state: it was read
+    /// from disk, or offered to a successor.
     Suspended,
-    /// Owned here: it waits for its time, or for an executor.
+    /// Owned by this store, and waiting for its due time or for an executor.
     Waiting,
-    /// An attempt started here has not ended.
+    /// An attempt that this store started has not ended.
     InFlight,
-    /// Another store owns and delivers it.
+    /// Another store owns and delivers the message; this store holds a replica.
     Replica,
-    /// It has completed or failed.
+    /// The message has completed or failed.
     Ended,
 }
 
 impl Stage {
-    /// The word for this stage in reports and in the labels of metrics.
+    /// Label of this stage in reports and in metrics.
     pub const fn label(self) -> &'static str {
         match self {
             Stage::Persisting => "landing",
@@ -37,127 +37,128 @@
     }
 }
 
-/// The state of a message as its sender may learn it.
+/// The state of a message, as reported to its sender.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MessageState {
-    /// It has not ended.
+    /// The message has not ended.
     Waiting,
-    /// It has been processed.
+    /// An executor has processed the message.
     Complete {
-        /// The executor's proof of completion.
+        /// The executor's proof that it completed the message.
         seal: String,
     },
-    /// It has failed for good.
+    /// The message has failed permanently.
     Failed,
 }
 
-/// One executor of one service, by their indices.
+/// One executor of one service, identified by the index of the service queue and the index of the executor within it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ExecutorRef {
     pub service_queue: usize,
     pub executor: usize,
 }
 
-/// Where a message waits for an executor.
+/// Position of a message that waits for an executor: the service queue and the place in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ServiceQueueSlot {
     pub service_queue: usize,
     pub position: QueuePosition,
 }
 
-/// Where a message stands among those of the same ordering key.
+/// Position of a message among the messages with the same ordering key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct OrderSlot {
     pub ordering_key: String,
-    /// Time of day at which the message was accepted, in milliseconds: the first part of the order.
+    /// Time of day at which the message was accepted, in milliseconds since 1970. The order goes by this time first.
     pub accepted_at_ms: u64,
 }
 
-/// Whether a message with an idempotency key was accepted.
+/// Whether a message with an idempotency key is known to be the accepted one for that key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Acceptance {
-    /// It was accepted here, or handed over by the store that had accepted it; or it has no key.
+    /// The message was accepted here or handed over by the store that had accepted it, or it has no idempotency key.
     Certain,
-    /// It was read from disk, or taken over: another may have been accepted with its key instead.
+    /// The message was read from disk or taken over; another message may have been accepted with its key instead.
     Unchecked,
-    /// No other was accepted; it is being written to all its disks in a new term of its shard.
+    /// No other message was accepted with this key. The message is being written to all its disks in a new term of its
+    /// shard.
     Reaccepting,
 }
 
-/// What ordered delivery needs to know of a message. Flags alone, so that they lie in the padding of [`Entry`], of which a store
-/// has very many.
+/// Flags of a message for ordered delivery. They are plain booleans so that they fit into the padding of [`Entry`], of
+/// which a store holds very many.
 #[derive(Debug, Default)]
 pub(crate) struct OrderState {
-    /// It has been announced to other stores, which are notified of its end, too.
+    /// The message was announced to other stores, which are therefore notified of its end.
     pub is_announced: bool,
-    /// Enough of the other stores have said which earlier messages they know.
+    /// Enough of the other stores have reported which earlier messages of the group they know.
     pub is_confirmed: bool,
-    /// It is not persisted before other stores have answered.
+    /// The message is not persisted before other stores have answered the group query.
     pub awaits_answers: bool,
 }
 
-/// One message in the table of a store.
+/// One message in the table of a store, with its delivery state.
 #[derive(Debug)]
 pub struct Entry {
-    /// The message; without its content where it has ended.
+    /// The message. Most of its content is discarded when it has ended.
     pub message: Message,
-    /// The store that delivers it.
+    /// The store that delivers the message.
     pub owner: Node,
-    /// Rises with each change of owner: of two claims the higher term holds.
+    /// Term of the ownership, raised with each change of owner. Of two claims the one with the higher term is valid.
     pub term: u32,
-    /// Stores that hold, or are to hold, replicas beside the owner.
+    /// Stores other than the owner that hold, or are to hold, replicas of the message.
     pub replicas: Vec<Node>,
-    /// Where it stands here.
+    /// Processing stage of the message at this store.
     pub stage: Stage,
-    /// Not started before this time, as its sender asked.
+    /// Earliest start of the message, as requested by its sender.
     pub due_at: Millis,
-    /// Not started before this time, for backoff or to hear other stores first. Its position in the queue stays that of
-    /// `due_at`.
+    /// Earliest start of the next attempt, set for backoff or to wait for reports of other stores. The position in the
+    /// queue is still determined by `due_at`.
     pub(crate) not_before: Millis,
-    /// Its time in the queue's index of delayed messages.
+    /// Time under which the message is entered in the queue's index of delayed messages.
     pub(crate) delayed_until: Option<Millis>,
-    /// When it was accepted, on this process's clock: negative if before its start.
+    /// Time of acceptance on this process's steady clock, in milliseconds; negative if before the start of the process.
     pub(crate) accepted_at: i64,
-    /// When it fails for having waited too long.
+    /// Time at which the message fails because it has waited too long.
     pub expires_at: Millis,
-    /// Attempts that the executor said had failed; limited by the route.
+    /// Attempts that the executor reported as failed. The route limits their number.
     pub(crate) failures: FailureCount,
-    /// Attempts from here that did not complete, whatever the reason: the exponent of the backoff.
+    /// Number of attempts by this store that did not complete, for whatever reason. It is the exponent of the backoff.
     pub(crate) backoff_steps: u32,
-    /// It ran, or may have run: the next attempt is a retry.
+    /// The message ran, or may have run, so that the next attempt is a retry.
     pub(crate) has_run: bool,
-    /// Another store may have accepted it too: its edge says which one is kept.
+    /// Another store may have accepted the message too; the edge decides which copy is kept.
     pub(crate) may_be_duplicated: bool,
-    /// The executor where it last ran in vain: a retry goes elsewhere.
+    /// The executor on which the message last ran without completing. A retry avoids it.
     pub(crate) last_failed_on: Option<ExecutorRef>,
-    /// How it ended.
+    /// How the message ended, or `None` while it has not ended.
     pub end: Option<End>,
-    /// It has ended and the receiver of its callback has not acknowledged it.
+    /// The message has ended, and the receiver of its callback has not acknowledged it.
     pub callback_pending: bool,
-    /// Stores, this one among them, that have not confirmed their replica.
+    /// Stores that have not confirmed their replica of the message, possibly including this store.
     pub(crate) unconfirmed: Vec<Node>,
-    /// The `put` to answer once it is persisted.
+    /// Ticket of the `put` call that is answered once the message is persisted.
     pub(crate) ticket: Option<u64>,
-    /// Its time in the queue's index of messages that are being persisted.
+    /// Time under which the message is entered in the queue's index of messages being persisted.
     pub(crate) persist_check_at: Option<Millis>,
-    /// Its time in the queue's index of under-replicated messages.
+    /// Time under which the message is entered in the queue's index of under-replicated messages.
     pub(crate) repair_at: Option<Millis>,
-    /// The owner under which the index of live messages has it.
+    /// The owner under which the message is entered in the index of live messages.
     pub(crate) indexed_owner: Option<Node>,
-    /// Where the index of ordered messages has it; `None` if it has no ordering key or has ended.
+    /// Position of the message in the index of ordered messages; `None` if it has no ordering key or has ended.
     pub(crate) order_slot: Option<Box<OrderSlot>>,
-    /// Its part in ordered delivery.
+    /// State of the message in ordered delivery.
     pub(crate) order: OrderState,
-    /// Where it waits for an executor.
+    /// Position at which the message waits for an executor; `None` while it does not wait for one.
     pub(crate) queue_slot: Option<ServiceQueueSlot>,
-    /// The digest of its idempotency key, if it has one.
+    /// Digest of the message's idempotency key, if it has one.
     pub(crate) digest: Option<IdempotencyDigest>,
-    /// Whether it was accepted, as far as its idempotency key goes.
+    /// Whether the message is known to be the accepted one for its idempotency key.
     pub(crate) acceptance: Acceptance,
 }
 
 impl Entry {
-    /// An entry for a message as another store describes it; the caller sets the stage.
+    /// Creates an entry for a message that another store describes; the caller sets the stage.
     pub(crate) fn from_shared(shared: &ReplicatedMessage, now: Millis) -> Entry {
         Entry {
             message: shared.message.clone(),
@@ -190,9 +191,9 @@
         }
     }
 
-    /// Frees the content of a message that has ended, but for what is still needed: identity and URL for a pending
-    /// callback, the body of a failed message, which operators may ask for, the tenant, who alone may ask, and the idempotency key,
-    /// for further tries may come.
+    /// Frees the content of a message that has ended, except what is still needed: the id and URL for a pending
+    /// callback, the body of a failed message, which operators may request, the tenant, which alone may look the
+    /// message up, and the idempotency key, because more submissions with the same key may arrive.
     pub(crate) fn discard_content(&mut self) {
         self.failures.discard_readers();
         let mut message = std::mem::take(&mut self.message);
@@ -207,13 +208,14 @@
         (self.message.tenant, self.message.idempotency_key) = (tenant, idempotency_key);
     }
 
-    /// The stores beside `node` that hold it, as far as `node` knows: the replicas, and the owner where that is another.
+    /// The stores other than `node` that hold the message, as far as `node` knows: the stores with replicas, and the
+    /// owner if it is another store.
     pub(crate) fn other_holders(&self, node: Node) -> impl Iterator<Item = Node> + '_ {
         let owner = Some(self.owner).filter(|owner| !self.replicas.contains(owner));
         self.replicas.iter().copied().chain(owner).filter(move |holder| *holder != node)
     }
 
-    /// How long ago it was accepted, in milliseconds.
+    /// Time since the message was accepted, in milliseconds.
     pub(crate) fn age_ms(&self, now: Millis) -> u64 {
         (now as i64 - self.accepted_at).max(0) as u64
     }
--- a/crates/queue/src/entry_table.rs
+++ b/crates/queue/src/entry_table.rs
@@ -1,16 +1,17 @@
-//! The entries of all messages that a store knows, by key.
+//! Table of the entries of all messages that a store knows, by key.
 
 use crate::entry::Entry;
 use crate::idempotency::IdempotencyDigest;
 use crate::message::Key;
 use std::collections::{BTreeSet, HashMap};
 
-/// Entries lie on the heap one by one, and the table holds pointers. A table that grows has the old and the new slots for a moment, and
-/// then twice the slots that it needs: with the entries themselves in them that was more memory than all else.
+/// Maps keys to entries. Each entry is allocated separately on the heap and the map holds pointers: while a hash map
+/// grows, the old and the new slots exist at once, and afterwards it has up to twice the slots it needs. With the
+/// entries stored in the slots this took more memory than everything else.
 #[derive(Default)]
 pub(crate) struct EntryTable {
     entries: HashMap<Key, Box<Entry>>,
-    /// Those that have an idempotency key, by its digest.
+    /// Keys of the messages with an idempotency key, by the digest of that key.
     by_digest: BTreeSet<(IdempotencyDigest, Key)>,
 }
 
@@ -27,7 +28,7 @@
         self.entries.contains_key(key)
     }
 
-    /// Adds an entry, in place of an earlier one of the same key.
+    /// Inserts an entry, replacing an earlier one with the same key.
     pub fn insert(&mut self, key: Key, entry: Entry) {
         self.by_digest.extend(entry.digest.map(|digest| (digest, key)));
         self.entries.insert(key, Box::new(entry));
@@ -41,12 +42,13 @@
         Some(*entry)
     }
 
-    /// The messages whose idempotency key has this digest: one, unless a message was not accepted and then submitted again.
+    /// The messages whose idempotency key has this digest. There is one, unless a message was not accepted and then
+    /// submitted again.
     pub fn with_digest(&self, digest: IdempotencyDigest) -> impl Iterator<Item = Key> + '_ {
         self.with_digests_from(digest).take_while(move |(other, _)| *other == digest).map(|(_, key)| key)
     }
 
-    /// The messages whose digest is this one or a higher one, in order.
+    /// The messages whose digest is this one or a higher one, in the order of digests.
     pub fn with_digests_from(
         &self,
         digest: IdempotencyDigest,
@@ -62,7 +64,7 @@
         self.entries.values().map(Box::as_ref)
     }
 
-    /// How many messages are known, those that have ended among them.
+    /// Number of messages in the table, including ended ones.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
--- a/crates/queue/src/failure_count.rs
+++ b/crates/queue/src/failure_count.rs
@@ -1,47 +1,49 @@
-//! How many attempts of a message have failed, as far as one store knows.
+//! Counts the failed attempts of a message, as far as one store knows.
 //!
-//! Two stores may run a message at once: one stands still and wakes as its owner, while another has taken the message over. Each then
-//! reads answers that the other has not heard of, and the higher of two totals forgets those of one side. So each store also says how
-//! many answers it has read itself; these add up, and none is counted twice, for an answer is read by one store.
+//! Two stores may run a message at the same time: one process is paused and wakes up believing that it owns the
+//! message, while another store has taken it over. Each store then reads responses that the other has not heard of, and
+//! taking the higher of two totals would lose the failures seen by one side. Each store therefore also reports how many
+//! responses it has read itself. These numbers add up without counting any response twice, because each response is
+//! read by only one store.
 
 use crate::message::Node;
 use std::collections::BTreeMap;
 
-/// Answers that said that an attempt had failed, by the store that has read them.
+/// Numbers of responses that reported a failed attempt, by the store that read them.
 #[derive(Debug, Default)]
-struct ReadAnswers(BTreeMap<Node, u32>);
+struct ReadResponses(BTreeMap<Node, u32>);
 
-impl ReadAnswers {
+impl ReadResponses {
     fn sum(&self) -> u32 {
         self.0.values().fold(0, |sum, count| sum.saturating_add(*count))
     }
 }
 
-/// Failed attempts of one message. All figures are lower bounds, and only rise.
+/// Number of failed attempts of one message. All values are lower bounds and only increase.
 #[derive(Debug, Default)]
 pub(crate) struct FailureCount {
     total: u32,
-    /// `None` as long as no store has said what it has read.
-    read_answers: Option<Box<ReadAnswers>>,
+    /// Responses read by each store; `None` until a store has reported any.
+    read_responses: Option<Box<ReadResponses>>,
 }
 
 impl FailureCount {
-    /// At least so many have failed, whoever has read the answers.
+    /// Creates a count of at least `total` failed attempts, without the stores that read the responses.
     pub fn at_least(total: u32) -> FailureCount {
-        FailureCount { total, read_answers: None }
+        FailureCount { total, read_responses: None }
     }
 
-    /// How many have failed.
+    /// Lower bound of the number of failed attempts.
     pub fn total(&self) -> u32 {
         self.total
     }
 
-    /// How many of these answers that store has read.
+    /// Number of failure responses that the store `node` is known to have read.
     pub fn read_by(&self, node: Node) -> u32 {
-        self.read_answers.as_ref().and_then(|answers| answers.0.get(&node)).copied().unwrap_or(0)
+        self.read_responses.as_ref().and_then(|responses| responses.0.get(&node)).copied().unwrap_or(0)
     }
 
-    /// A store has read one more answer.
+    /// Counts one more failure response, read by the store `node`.
     pub fn add_read_by(&mut self, node: Node) {
         let read = self.read_by(node).saturating_add(1);
         let total = self.total.saturating_add(1);
@@ -49,27 +51,28 @@
         self.raise(total);
     }
 
-    /// A store has read so many answers at least. Whether the total has risen.
+    /// Records that the store `node` has read at least `read` failure responses. Returns whether the total has
+    /// increased.
     pub fn raise_read_by(&mut self, node: Node, read: u32) -> bool {
         if read <= self.read_by(node) {
             return false;
         }
-        let answers = self.read_answers.get_or_insert_default();
-        answers.0.insert(node, read);
-        let sum = answers.sum();
+        let responses = self.read_responses.get_or_insert_default();
+        responses.0.insert(node, read);
+        let sum = responses.sum();
         self.raise(sum)
     }
 
-    /// At least so many have failed. Whether fewer were known.
+    /// Raises the total to at least `total` failed attempts. Returns whether it has increased.
     pub fn raise(&mut self, total: u32) -> bool {
         let is_raised = total > self.total;
         self.total = self.total.max(total);
         is_raised
     }
 
-    /// The message has ended: who has read which answers is not needed any more.
+    /// Discards the numbers per store, which are not needed once the message has ended.
     pub fn discard_readers(&mut self) {
-        self.read_answers = None;
+        self.read_responses = None;
     }
 }
 
--- a/crates/queue/src/failure_count/tests.rs
+++ b/crates/queue/src/failure_count/tests.rs
@@ -4,13 +4,13 @@
 const B: Node = 2;
 
 #[test]
-fn answers_that_two_stores_have_read_add_up() {
+fn responses_read_by_two_stores_add_up() {
     let mut at_a = FailureCount::at_least(1);
     let mut at_b = FailureCount::at_least(1);
     at_a.add_read_by(A);
     at_b.add_read_by(B);
     assert_eq!((at_a.total(), at_b.total()), (2, 2));
-    // The higher of the totals is 2: one of the first store and one of the second are beyond the one that both knew.
+    // Both totals are 2. Beyond the failure that both stores knew, each has seen one that the other has not.
     assert!(!at_b.raise(at_a.total()));
     assert!(!at_b.raise_read_by(A, at_a.read_by(A)), "one of each may be all that is known");
     at_a.add_read_by(A);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_notice_that_comes_twice_or_late_counts_once() {
+fn a_repeated_or_late_notice_counts_once() {
     let mut count = FailureCount::default();
     count.add_read_by(B);
     assert!(count.raise_read_by(A, 2));
@@ -31,9 +31,9 @@
     assert_eq!((count.total(), count.read_by(A), count.read_by(B)), (3, 2, 1));
 }
 
-/// A store that was started anew does not know what it had read before: its total does.
+/// A restarted store does not know which responses it had read before, but its total includes them.
 #[test]
-fn a_total_that_came_without_readers_is_never_lowered() {
+fn a_total_without_readers_is_never_lowered() {
     let mut count = FailureCount::at_least(2);
     count.add_read_by(A);
     assert_eq!((count.total(), count.read_by(A)), (3, 1));
--- a/crates/queue/src/fault_injection.rs
+++ b/crates/queue/src/fault_injection.rs
@@ -1,12 +1,13 @@
-//! Planting a fault in a queue. Without the feature `planted`, which only the package `crates/model-check/queue` has, no fault
-//! can be set, and nothing of this is left in a build.
+//! Fault injection for tests of the queue. Without the feature `planted`, which only the package
+//! `crates/model-check/queue` enables, no fault can be set, and the compiler removes all of this code.
 
 use crate::planted_fault::PlantedFault;
 use crate::queue::Queue;
 
 #[cfg(not(feature = "planted"))]
 impl Queue {
-    /// Whether this store has the fault: never, so that the compiler removes what depends on it.
+    /// Whether this fault is injected into this store. Constantly false without the feature `planted`, so that the
+    /// compiler removes the code that depends on it.
     #[inline(always)]
     pub(crate) const fn planted(&self, _: PlantedFault) -> bool {
         false
@@ -15,12 +16,12 @@
 
 #[cfg(feature = "planted")]
 impl Queue {
-    /// Whether this store has the fault.
+    /// Whether this fault is injected into this store.
     pub(crate) fn planted(&self, fault: PlantedFault) -> bool {
         self.planted == Some(fault)
     }
 
-    /// From here on this store has the fault, or none.
+    /// Injects a fault into this store, or removes it.
     pub fn plant(&mut self, fault: Option<PlantedFault>) {
         self.planted = fault;
     }
--- a/crates/queue/src/ordering.rs
+++ b/crates/queue/src/ordering.rs
@@ -111,7 +111,7 @@
         let min_accepted_at_ms = if is_known || !is_announcement { 0 } else { group.time_after_others(key) };
         let live = group.lowest_others(key);
         if is_announcement && !self.entries.contains_key(&key) {
-            self.ordering.announced(&name, position);
+            self.ordering.record_announcement(&name, position);
         }
         let message = PeerMessage::GroupQueryReply { query_id, min_accepted_at_ms, live };
         self.emit(Effect::Send { to: from, message });
@@ -190,7 +190,7 @@
         entry.order.is_confirmed = true;
         let position = GroupPosition { accepted_at_ms: entry.message.accepted_at_ms, key };
         // Earlier ones that no store names have ended. Of later ones nothing is known by that: those that came
-        // since then and were announced here wait for them.
+        // since then and were record_announcement here wait for them.
         let group = self.ordering.group_mut(&name);
         group.elsewhere.retain(|other| is_new || *other > position);
         let known = found.into_iter().chain(announced_meanwhile);
@@ -246,7 +246,7 @@
         false
     }
 
-    /// Messages that another store had announced have ended.
+    /// Messages that another store had record_announcement have ended.
     pub(crate) fn group_messages_ended(&mut self, ended: Vec<GroupMessage>) {
         for GroupMessage { group, key } in ended {
             self.ordering.group_mut(&group).remove_elsewhere(key);
