--- a/crates/queue/src/fifo_groups.rs
+++ b/crates/queue/src/fifo_groups.rs
@@ -93,9 +93,9 @@
     pub(crate) key: Key,
     /// Why the other stores are queried.
     pub(crate) purpose: QueryPurpose,
-    /// Stores that have replied.
+    /// Stores that have not replied yet.
     pub(crate) awaited: BTreeSet<Node>,
-    /// Stores that have answered.
+    /// Stores that have replied.
     pub(crate) answered: BTreeSet<Node>,
     /// Messages of the group that the replies have named.
     pub(crate) found: BTreeSet<GroupPosition>,
--- a/crates/queue/src/message_encoding.rs
+++ b/crates/queue/src/message_encoding.rs
@@ -1,9 +1,9 @@
-//! The bytes of a [`Message`], between stores and on disk.
+//! Encoding of a [`Message`], between stores and on disk.
 //!
-//! A message without a tenant and without an idempotency key has the bytes that earlier releases write and read. One that has either
-//! says so in the highest bit of its time of acceptance, which no clock reaches, and has the fields that earlier releases don't know
-//! behind the body. An earlier release that is sent such a message can't read it: a fleet is upgraded before its configuration names
-//! tenants.
+//! A message with neither a tenant nor an idempotency key is encoded as in earlier releases. A message with either sets
+//! the highest bit of its time of acceptance, which no clock reaches, and has the fields unknown to earlier releases
+//! after the body. An earlier release cannot decode such a message, so all stores must be upgraded before the
+//! configuration names tenants.
 
 use crate::message::Message;
 use serde::de::{Error, SeqAccess, Visitor};
@@ -11,9 +11,9 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 
-/// Set in the time of acceptance where the fields in [`EXTENSION_FIELDS`] follow.
+/// Bit that is set in the time of acceptance if the last [`EXTENSION_FIELDS`] fields follow.
 const EXTENSION_FLAG: u64 = 1 << 63;
-/// All fields, in their order on the wire.
+/// Names of all fields, in the order in which they are encoded.
 const FIELDS: &[&str] = &[
     "id",
     "host",
@@ -30,7 +30,7 @@
     "idempotency_key",
     "shard_term",
 ];
-/// How many of them are written only behind the flag.
+/// Number of fields, at the end of [`FIELDS`], that are encoded only if [`EXTENSION_FLAG`] is set.
 const EXTENSION_FIELDS: usize = 3;
 
 impl Message {
@@ -77,34 +77,34 @@
     type Value = Message;
 
     fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        formatter.write_str("the fields of a message")
+        formatter.write_str("the fields of an encoded message")
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut fields: A) -> Result<Message, A::Error> {
         let mut message = Message {
-            id: next(&mut fields)?,
-            host: next(&mut fields)?,
-            method: next(&mut fields)?,
-            target: next(&mut fields)?,
-            content_type: next(&mut fields)?,
-            callback_url: next(&mut fields)?,
-            ordering_key: next(&mut fields)?,
-            delay_ms: next(&mut fields)?,
-            accepted_at_ms: next(&mut fields)?,
-            config_revision: next(&mut fields)?,
-            body: next(&mut fields)?,
+            id: next_field(&mut fields)?,
+            host: next_field(&mut fields)?,
+            method: next_field(&mut fields)?,
+            target: next_field(&mut fields)?,
+            content_type: next_field(&mut fields)?,
+            callback_url: next_field(&mut fields)?,
+            ordering_key: next_field(&mut fields)?,
+            delay_ms: next_field(&mut fields)?,
+            accepted_at_ms: next_field(&mut fields)?,
+            config_revision: next_field(&mut fields)?,
+            body: next_field(&mut fields)?,
             ..Message::default()
         };
         if message.accepted_at_ms & EXTENSION_FLAG != 0 {
             message.accepted_at_ms &= !EXTENSION_FLAG;
-            message.tenant = next(&mut fields)?;
-            message.idempotency_key = next(&mut fields)?;
-            message.shard_term = next(&mut fields)?;
+            message.tenant = next_field(&mut fields)?;
+            message.idempotency_key = next_field(&mut fields)?;
+            message.shard_term = next_field(&mut fields)?;
         }
         Ok(message)
     }
 }
 
-fn next<'de, T: Deserialize<'de>, A: SeqAccess<'de>>(fields: &mut A) -> Result<T, A::Error> {
-    fields.next_element()?.ok_or_else(|| A::Error::custom("a message that ends early"))
+fn next_field<'de, T: Deserialize<'de>, A: SeqAccess<'de>>(fields: &mut A) -> Result<T, A::Error> {
+    fields.next_element()?.ok_or_else(|| A::Error::custom("encoded message is truncated"))
 }
--- a/crates/queue/src/metrics.rs
+++ b/crates/queue/src/metrics.rs
@@ -1,78 +1,80 @@
-//! Counters of the queue, since the start of the process.
+//! Counters of the queue since the start of the process.
 
-/// Events that the queue has counted, and the gauges of repair.
+/// Counts of events in the queue, and gauges of the repair of replicas.
 #[derive(Clone, Debug, Default)]
 pub struct QueueMetrics {
-    /// Messages accepted: all of their replicas are on disk.
+    /// Messages accepted, with all of their replicas on disk.
     pub accepted: u64,
-    /// Messages not accepted: draining, a stalled disk, too few peers for the replicas, or a full table.
+    /// Messages rejected because the store is draining, its disk is stalled, too few peers can take replicas, or the
+    /// table is full.
     pub rejected: u64,
     /// Messages that may run although their sender got no acknowledgement.
     pub outcome_unknown: u64,
-    /// Messages that ended completed.
+    /// Messages that an executor has completed.
     pub completed: u64,
-    /// Messages that ended failed.
+    /// Messages that have failed permanently.
     pub failed: u64,
-    /// Messages that failed because the configuration has no route for them any more.
+    /// Messages that failed because the configuration no longer has a route for them.
     pub failed_without_route: u64,
     /// Messages that failed because they had waited too long.
     pub expired: u64,
-    /// Attempts started.
+    /// Delivery attempts started.
     pub attempts: u64,
-    /// Attempts started after one that did not complete.
+    /// Delivery attempts started after one that did not complete.
     pub retries: u64,
-    /// Callbacks started.
+    /// Callback requests started.
     pub callbacks_started: u64,
-    /// Callbacks that their receiver has accepted.
+    /// Callback requests that their receiver has accepted.
     pub callbacks_delivered: u64,
     /// Messages taken over from another store.
     pub taken_over: u64,
     /// Messages handed over to another store.
     pub handed_over: u64,
-    /// Replicas sent once more, by repair.
+    /// Replicas sent again by repair.
     pub replicas_resent: u64,
-    /// Messages dropped because another store keeps the same one.
+    /// Messages dropped because another store keeps its copy of the same message.
     pub withdrawn: u64,
-    /// Submissions that were answered with the name of the first message with their idempotency key.
+    /// Submissions answered with the key of the first message that was submitted with the same idempotency key.
     pub deduplicated: u64,
-    /// Submissions rejected because the shard of their key was not held in time.
+    /// Submissions rejected because this store did not get hold of the shard of their idempotency key in time.
     pub shard_timeouts: u64,
     /// Submissions rejected because the tenant had used up its quota.
     pub over_quota: u64,
     /// Submissions rejected because the holder of the tenant's quota did not answer in time.
     pub quota_timeouts: u64,
-    /// Claims of shards that were made.
+    /// Claims of shards made by this store.
     pub shard_claims: u64,
-    /// Claims of shards that were refused, or not granted by enough stores.
+    /// Claims of shards by this store that were refused, or not granted by enough stores.
     pub shard_claims_failed: u64,
-    /// Messages that may not have been accepted, and were dropped because another was accepted with their key.
+    /// Messages dropped because they may not have been accepted and another message was accepted with the same
+    /// idempotency key.
     pub rivals_dropped: u64,
-    /// Times that a message was not started because its end could not be kept until the disk has it.
+    /// Times that a message was not started because the program had no capacity to keep its end until it is on disk.
     pub attempts_delayed_by_disk: u64,
-    /// Writes that the disk refused.
+    /// Writes that failed on disk.
     pub failed_writes: u64,
-    /// Claims of former owners or token holders that were ignored.
+    /// Ignored claims of former owners of messages or former token holders.
     pub stale_claims: u64,
-    /// Times that the token holders of all services were settled anew.
+    /// Times that the token holders of all services were reassigned.
     pub token_holder_assignments: u64,
-    /// Times that this store stopped starting attempts because others might have taken over.
+    /// Times that this store stopped starting attempts because others might have taken over its messages.
     pub fence_activations: u64,
-    /// Messages owned here that have too few replicas now.
+    /// Messages owned by this store that have too few replicas now.
     pub under_replicated: usize,
-    /// How long the last period lasted in which some messages had too few replicas.
+    /// Duration of the last period in which some messages had too few replicas, in milliseconds.
     pub last_under_replication_ms: u64,
-    /// Messages that repair brought back to the full number of replicas.
+    /// Messages for which repair restored the full number of replicas.
     pub repaired: u64,
-    /// Bytes sent by repair.
+    /// Bytes of replicas sent by repair.
     pub repaired_bytes: u64,
-    /// Ends sent to other stores because too few had them.
+    /// Ends sent to other stores because too few stores had them.
     pub ends_transferred: u64,
-    /// Ends that other stores have transferred, recorded here for the first time.
+    /// Ends transferred by other stores that this store recorded for the first time.
     pub ends_received: u64,
-    /// Messages removed from the table because the time for which their end can be looked up is over.
+    /// Messages removed from the table because their retention period is over.
     pub ends_forgotten: u64,
-    /// Comparisons of digests with other stores.
+    /// Comparisons of message digests with other stores.
     pub digest_comparisons: u64,
-    /// Ranges of messages whose digests differed.
+    /// Message ranges whose digests differed from those of another store.
     pub differing_ranges: u64,
 }
--- a/crates/queue/src/ordering.rs
+++ b/crates/queue/src/ordering.rs
@@ -1,11 +1,13 @@
-//! Messages in order: of one FIFO group each message starts when all that were accepted before it was sent have ended.
+//! Ordered delivery: a message of a FIFO group starts only when all messages of the group that were accepted before it
+//! was sent have ended.
 //!
-//! All stores see one order, by [`GroupPosition`]. The time in it is raised at the store beyond all that is known of the
-//! group when a message is put, so that clocks of edges don't matter. Edges choose the store for a group by
-//! [`preferred_store`]. A store that is not the preferred one, or has not queried the others since its peers changed, queries
-//! them *before* it stores the message: they name what they know of the group, and remember the new message. So whoever
-//! takes the next one knows of this one, wherever it is. A message that came in another way (taken over, handed over, read
-//! from disk) causes a query before it starts. No message waits for a higher one, so no two wait for each other.
+//! All stores use the same order, given by [`GroupPosition`]. When a message is put, the store raises the time in its
+//! position beyond all known messages of the group, so that the clocks of edges do not matter. Edges choose the store
+//! for a group with [`preferred_store`]. A store that is not the preferred one, or has not queried the other stores
+//! since its peers changed, queries them before it stores the message: they report what they know of the group and
+//! remember the new message. Whichever store accepts the next message therefore knows of this one, wherever it is
+//! stored. For a message that was taken over, handed over or read from disk, the other stores are queried before it
+//! starts. No message waits for one with a higher position, so no two messages wait for each other.
 
 use crate::effect::Effect;
 use crate::entry::Stage;
@@ -18,21 +20,21 @@
 use crate::record::Record;
 use std::collections::BTreeSet;
 
-/// A query of another store about a FIFO group: the fields of [`PeerMessage::GroupQuery`].
+/// A query from another store about a FIFO group: the fields of [`PeerMessage::GroupQuery`].
 pub(crate) struct ReceivedQuery {
-    /// Identifies the query in its answer.
+    /// Identifies the query in the reply.
     pub(crate) query_id: u64,
     /// The group's ordering key.
     pub(crate) group: String,
-    /// The message for which the sender asks, and its position.
+    /// Key and position of the message for which the query is made.
     pub(crate) position: GroupPosition,
-    /// The sender is about to store that message.
+    /// Whether the sender is about to store that message.
     pub(crate) is_announcement: bool,
 }
 
-/// The store, among those given, at which messages of a FIFO group are put.
+/// The store at which messages of a FIFO group are put, among the given stores.
 ///
-/// Rendezvous hashing: each store is as likely as the others, and few groups move when one goes (Thaler and Ravishankar,
+/// Rendezvous hashing: each store is equally likely, and few groups move when a store leaves (Thaler and Ravishankar,
 /// 1998).
 pub fn preferred_store(group: &str, nodes: impl Iterator<Item = Node>) -> Option<Node> {
     nodes.max_by_key(|node| stileroute_dispatch::types::mark(&format!("{group}/{node}")))
@@ -43,8 +45,8 @@
         self.peers.iter().filter(|(_, peer)| peer.is_connected).map(|(node, _)| *node).collect()
     }
 
-    /// This store knows all messages of the group: it is the one where all edges would put them, knows all stores that might
-    /// have another, and has queried them.
+    /// Whether this store knows all messages of the group: it is the preferred store for the group at all edges, knows
+    /// all stores that might hold other messages of the group, and has queried them.
     fn knows_group(&self, group: &str) -> bool {
         let members = || self.peers.iter().filter(|(_, peer)| peer.is_member);
         let nodes = members().map(|(node, _)| *node).chain([self.settings.node]);
@@ -55,8 +57,8 @@
             && self.ordering.is_current(group)
     }
 
-    /// Places a new message in its FIFO group, if it has one. True: it may be persisted at once; else other stores are queried
-    /// first.
+    /// Assigns a new message its position in its FIFO group, if it has one. Returns true if the message may be
+    /// persisted at once, and false if other stores are queried first.
     pub(crate) fn place_in_group(&mut self, now: Millis, key: Key) -> bool {
         let Some(name) = self.entries.get(&key).and_then(|entry| entry.message.ordering_key.clone()) else {
             return true;
@@ -74,7 +76,7 @@
         if knows_group {
             return true;
         }
-        // With no store to query it is persisted by this call already.
+        // If there is no store to query, this call persists the message already.
         self.query_group(now, name, key, QueryPurpose::Announce);
         false
     }
@@ -100,13 +102,13 @@
         self.finish_query(now, query_id);
     }
 
-    /// Another store queries a group, and may announce a message that it is about to store.
+    /// Answers a group query of another store, which may announce a message that it is about to store.
     pub(crate) fn answer_group_query(&mut self, now: Millis, from: Node, query: ReceivedQuery) {
         let ReceivedQuery { query_id, group: name, position, is_announcement } = query;
         let key = position.key;
         let group = self.ordering.group_mut(&name);
         group.last_used_at = now;
-        // What is known when it is first heard of comes before it; what comes later is put behind it.
+        // Messages that are known when a message is first announced precede it; later ones are placed after it.
         let is_known = group.elsewhere.iter().any(|other| other.key == key);
         let min_accepted_at_ms = if is_known || !is_announcement { 0 } else { group.time_after_others(key) };
         let live = group.lowest_others(key);
@@ -117,7 +119,7 @@
         self.emit(Effect::Send { to: from, message });
     }
 
-    /// Another store has answered a query.
+    /// Handles the reply of another store to a query.
     pub(crate) fn group_query_answered(
         &mut self,
         now: Millis,
@@ -134,7 +136,8 @@
         self.finish_query(now, query_id);
     }
 
-    /// A store can't answer any more: what it had lies with its replicas, whose stores are queried too.
+    /// Stops waiting for replies of a store that cannot answer any more. The stores with replicas of its messages are
+    /// queried too.
     pub(crate) fn stop_awaiting_answers_of(&mut self, now: Millis, node: Node) {
         self.ordering.peers_changed_at = now;
         for query_id in self.ordering.pending_query_ids() {
@@ -145,15 +148,16 @@
         }
     }
 
-    /// Enough stores have answered to know all accepted messages of a group: an accepted message lies on one store more than
-    /// `replica_count`, so if no more than `replica_count` stores are silent, each is named.
+    /// Whether enough stores have answered to know all accepted messages of a group. An accepted message is stored on
+    /// `replica_count` + 1 stores, so if no more than `replica_count` stores have not answered, each accepted message
+    /// is named in a reply.
     fn is_quorum(&self, answered: &BTreeSet<Node>) -> bool {
         let may_know = |peer: &Peer| peer.is_member || !peer.is_written_off();
         let silent = self.peers.iter().filter(|(node, peer)| may_know(peer) && !answered.contains(node));
         silent.count() <= self.settings.replica_count && self.knows_members
     }
 
-    /// Acts on the answers to a query once none is awaited any more.
+    /// Acts on the replies to a query once no more replies are awaited.
     fn finish_query(&mut self, now: Millis, query_id: u64) {
         let Some(query) = self.ordering.take_answered_query(query_id) else { return };
         let has_quorum = self.is_quorum(&query.answered);
@@ -164,17 +168,17 @@
             if query.purpose == QueryPurpose::Start {
                 group.is_query_open = false;
             }
-            self.apply_answers(now, query);
+            self.apply_replies(now, query);
         } else if query.purpose == QueryPurpose::Start {
             group.is_query_open = false;
             group.next_query_at = now + GROUP_QUERY_INTERVAL;
             group.elsewhere.extend(query.announced_meanwhile);
             self.ordering.check_later(now + GROUP_QUERY_INTERVAL, query.group);
         }
-        // Without a quorum a new message is rolled back soon, and its edge asks another store.
+        // A new message without a quorum is rolled back when its time limit passes, and its edge asks another store.
     }
 
-    fn apply_answers(&mut self, now: Millis, query: PendingQuery) {
+    fn apply_replies(&mut self, now: Millis, query: PendingQuery) {
         let PendingQuery {
             group: name, key, purpose, found, min_accepted_at_ms, announced_meanwhile, ..
         } = query;
@@ -183,21 +187,21 @@
             return;
         };
         let is_new = purpose == QueryPurpose::Announce;
-        let is_moved = is_new && min_accepted_at_ms > entry.message.accepted_at_ms;
-        if is_moved {
+        let is_raised = is_new && min_accepted_at_ms > entry.message.accepted_at_ms;
+        if is_raised {
             entry.message.accepted_at_ms = min_accepted_at_ms;
         }
         entry.order.is_confirmed = true;
         let position = GroupPosition { accepted_at_ms: entry.message.accepted_at_ms, key };
-        // Earlier ones that no store names have ended. Of later ones nothing is known by that: those that came
-        // since then and were record_announcement here wait for them.
+        // Earlier messages that no store names have ended. This says nothing about later messages: those announced here
+        // since the query wait for the earlier ones.
         let group = self.ordering.group_mut(&name);
         group.elsewhere.retain(|other| is_new || *other > position);
         let known = found.into_iter().chain(announced_meanwhile);
         group.elsewhere.extend(known.filter(|other| !self.entries.contains_key(&other.key)));
         self.ordering.mark_changed(name.clone());
-        if is_moved {
-            // The others learn its new position before it is stored, and put what comes next behind it.
+        if is_raised {
+            // The other stores learn the new position before the message is stored, and place later messages after it.
             self.reindex(key);
             self.query_group(now, name, key, QueryPurpose::Announce);
         } else if is_new {
@@ -205,7 +209,7 @@
         }
     }
 
-    /// The position of a new message is known: it is stored, here and at its replicas.
+    /// Persists a new message whose position is known, at this store and at the stores that hold its replicas.
     pub(crate) fn persist_new_message(&mut self, now: Millis, key: Key) {
         let Some(entry) = self.entries.get_mut(&key).filter(|entry| entry.stage == Stage::Persisting) else {
             return;
@@ -220,7 +224,7 @@
         }
     }
 
-    /// Whether a message that is due may start, as far as its group goes. If not, it is scheduled again when that changes.
+    /// Whether its FIFO group allows a due message to start. If not, the message is scheduled again when that changes.
     pub(crate) fn may_start(&mut self, now: Millis, key: Key) -> bool {
         let Some(entry) = self.entries.get(&key) else { return false };
         let Some(name) = entry.message.ordering_key.clone() else { return true };
@@ -246,7 +250,7 @@
         false
     }
 
-    /// Messages that another store had record_announcement have ended.
+    /// Removes messages from their groups that another store had announced and reports as ended.
     pub(crate) fn group_messages_ended(&mut self, ended: Vec<GroupMessage>) {
         for GroupMessage { group, key } in ended {
             self.ordering.group_mut(&group).remove_elsewhere(key);
@@ -254,7 +258,7 @@
         }
     }
 
-    /// Starts what comes next in groups that have changed, and tells others what has ended.
+    /// Schedules the next message in groups that have changed, and notifies other stores of ended messages.
     pub(crate) fn advance_groups(&mut self, now: Millis) {
         let ended = self.ordering.take_ended();
         if !ended.is_empty() {
--- a/crates/queue/src/outbox.rs
+++ b/crates/queue/src/outbox.rs
@@ -1,56 +1,57 @@
-//! What is about to be sent to another store, gathered into few messages.
+//! Outbox: items to be sent to another store, collected into few messages.
 
 use crate::message::{Key, ReplicatedMessage};
 use crate::peer_message::{
     AcceptedHandover, EndNotice, FailureNotice, HandoverOffer, Ownership, PeerMessage,
 };
 
-/// Entries of one message at the most: frames are bounded.
+/// Maximum number of entries in one message, because frames are bounded.
 const MAX_ENTRIES_PER_MESSAGE: usize = 4000;
 
-/// Bytes of replicas in one message at the most, unless a single one is larger.
+/// Maximum bytes of replicas in one message, unless a single replica is larger.
 const MAX_REPLICA_BYTES_PER_MESSAGE: usize = 1 << 20;
 
-/// Estimated bytes of a replica beside its body.
+/// Estimated size of a replica without its body, in bytes.
 const REPLICA_OVERHEAD_BYTES: usize = 512;
 
-/// What is sent to another store at the end of the turn; ends and callbacks go with the next batch of ends.
+/// Items for another store, sent at the end of the turn. Ends and delivered callbacks are sent with the next batch of
+/// ends.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
-    /// Replicas that it is to store.
+    /// Replicas that the other store is to store.
     pub(crate) replicas: Vec<ReplicatedMessage>,
-    /// Replicas of messages with idempotency keys that are about to be accepted here.
+    /// Replicas of messages with idempotency keys that this store is about to accept.
     pub(crate) new_replicas: Vec<ReplicatedMessage>,
-    /// Replicas of its messages that are on disk here.
+    /// Keys of the other store's messages whose replicas are on disk at this store.
     pub(crate) replicated: Vec<Key>,
-    /// Replicas of its messages that could not be stored here.
+    /// Keys of the other store's messages whose replicas could not be stored here.
     pub(crate) replication_rejected: Vec<Key>,
-    /// Messages that were accepted from it in a handover.
+    /// Messages that this store accepted from the other store in a handover.
     pub(crate) handover_accepted: Vec<AcceptedHandover>,
-    /// Messages that it has offered and that are not known here.
+    /// Keys of messages that the other store has offered and that this store does not know.
     pub(crate) handover_rejected: Vec<Key>,
-    /// Messages that are offered to it in a handover.
+    /// Messages offered to the other store in a handover.
     pub(crate) handover_offers: Vec<HandoverOffer>,
-    /// Owners that it should know.
+    /// Changes of ownership that the other store should know.
     pub(crate) ownership: Vec<Ownership>,
-    /// Messages that it is to discard.
+    /// Keys of messages that the other store is to discard.
     pub(crate) drops: Vec<Key>,
-    /// Failed attempts that it should know.
+    /// Failed attempts that the other store should know.
     pub(crate) failures: Vec<FailureNotice>,
-    /// Ends that it should know.
+    /// Ends of messages that the other store should know.
     pub(crate) ends: Vec<EndNotice>,
-    /// Ends that it has transferred and that are on disk here.
+    /// Keys of ended messages that the other store has transferred and whose ends are on disk here.
     pub(crate) ends_stored: Vec<Key>,
-    /// Messages whose callbacks were delivered.
+    /// Keys of messages whose callbacks were delivered.
     pub(crate) callbacks_delivered: Vec<Key>,
 }
 
-/// The messages that carry `keys`: one, or none if there are none.
+/// Takes `items` and wraps them in one message; `None` if there are none.
 fn message_of<Item>(items: &mut Vec<Item>, message: fn(Vec<Item>) -> PeerMessage) -> Option<PeerMessage> {
     (!items.is_empty()).then(|| message(std::mem::take(items)))
 }
 
-/// Takes replicas, in as many messages as their bytes need.
+/// Takes replicas and splits them into as many messages as their size requires.
 fn batches_of(
     replicas: &mut Vec<ReplicatedMessage>,
     message: fn(Vec<ReplicatedMessage>) -> PeerMessage,
@@ -69,7 +70,7 @@
 }
 
 impl Outbox {
-    /// Takes the batch of ends and of delivered callbacks.
+    /// Takes the collected ends and delivered callbacks, as messages.
     pub(crate) fn take_ends(&mut self) -> Vec<PeerMessage> {
         let ends = std::mem::take(&mut self.ends);
         let batches = ends.chunks(MAX_ENTRIES_PER_MESSAGE);
@@ -79,13 +80,13 @@
         messages
     }
 
-    /// Takes everything but the batch of ends, which goes along only where a handover depends on it.
+    /// Takes everything except the ends, which are included only if a handover depends on them.
     pub(crate) fn take_messages(&mut self) -> Vec<PeerMessage> {
         let mut messages = batches_of(&mut self.replicas, PeerMessage::Replicate);
         messages.extend(batches_of(&mut self.new_replicas, PeerMessage::ReplicateNew));
         messages.extend(message_of(&mut self.replicated, PeerMessage::Replicated));
         messages.extend(message_of(&mut self.replication_rejected, PeerMessage::ReplicationRejected));
-        // After the replicas that they are of.
+        // Notices of failed attempts are sent after the replicas to which they refer.
         let failures = std::mem::take(&mut self.failures);
         let batches = failures.chunks(MAX_ENTRIES_PER_MESSAGE);
         messages.extend(batches.map(|batch| PeerMessage::AttemptsFailed(batch.to_vec())));
@@ -97,7 +98,7 @@
         messages.extend(message_of(&mut self.handover_rejected, PeerMessage::HandoverRejected));
         messages.extend(message_of(&mut self.handover_accepted, PeerMessage::HandoverAccepted));
         if !self.handover_offers.is_empty() {
-            // Ends first: what has ended must not be run by the new owner.
+            // Ends are sent before handover offers, so that the new owner does not run a message that has ended.
             messages.extend(message_of(&mut self.ends, PeerMessage::Ended));
             messages.extend(message_of(&mut self.handover_offers, PeerMessage::Handover));
         }
