--- a/crates/queue/src/peer.rs
+++ b/crates/queue/src/peer.rs
@@ -1,84 +1,85 @@
-//! Another store, as this one knows it.
+//! Peers: the other stores, as this one knows them.
 
 use crate::message::{Millis, Node};
 use crate::outbox::Outbox;
 use std::collections::BTreeMap;
 
-/// The other stores, by their identifiers.
+/// The other stores, by node identifier.
 pub(crate) type Peers = BTreeMap<Node, Peer>;
 
-/// A replica that is not confirmed for so long is requested from another store: well before an edge gives up a silent
-/// store (200 ms).
+/// A replica that is not confirmed within this time is requested from another store. The limit is well below the 200 ms
+/// after which an edge gives up on a silent store.
 pub(crate) const REPLICA_CONFIRM_LIMIT: Millis = 120;
 
-/// Whether a peer takes part in the service.
+/// Whether a peer is in service, shutting down or retiring.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum ServiceState {
-    /// It accepts messages and replicas.
+    /// The peer accepts messages and replicas.
     #[default]
     InService,
-    /// It shuts down, and accepts nothing more.
+    /// The peer is shutting down and accepts nothing more.
     Draining,
-    /// It is being retired: it accepts nothing more, and no replica there is relied on.
+    /// The peer is retiring: it accepts nothing more, and no replica there is relied on.
     Retiring,
 }
 
-/// Whether the replicas at a peer still count.
+/// Whether the replicas at a peer still count as copies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum ReplicaStatus {
-    /// They count: the peer is there, or not away for long.
+    /// The replicas count: the peer is present, or has not been away for long.
     #[default]
     CountedOn,
-    /// The peer was away so long that its replicas are made anew elsewhere.
+    /// The peer was away for so long that its replicas are recreated elsewhere.
     WrittenOff,
 }
 
-/// Whether messages with idempotency keys may lie at a peer that no other store knows of.
+/// Whether a peer may hold messages with idempotency keys that no other store knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum KeyHolder {
-    /// They may.
+    /// The peer may hold such messages.
     Counts,
-    /// It was never connected to this store: the control group lists it, or lists of replicas on the disk name it.
+    /// The peer was never connected to this store: the control group lists it, or replica lists on disk name it.
     #[default]
     Unheard,
-    /// It is gone for good: what it held lies elsewhere by now, or its keys may be used again. That is on disk.
+    /// The peer is gone for good: what it held is stored elsewhere by now, or its keys may be used again. This fact is
+    /// on disk.
     Gone,
 }
 
-/// Whether a peer has lost its disk, and does not know yet which messages lay there.
+/// Whether a peer has lost its disk and does not know yet which messages were on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum PeerRecovery {
-    /// It has not said so on this connection.
+    /// The peer has not reported a lost disk on this connection.
     #[default]
     None,
-    /// It has.
+    /// The peer has reported a lost disk on this connection.
     Pending,
 }
 
-/// Whether a peer takes notices of failed attempts.
+/// Whether a peer accepts notices of failed attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum FailureNotices {
-    /// It has not said so on this connection; an earlier version never does.
+    /// The peer has not announced on this connection that it accepts such notices. Earlier versions never do.
     #[default]
     Unsupported,
-    /// It has.
+    /// The peer has announced on this connection that it accepts such notices.
     Supported,
 }
 
-/// Which disks a peer has named.
+/// Disk identifiers that a peer has reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum PeerDisk {
-    /// None.
+    /// The peer has not reported a disk.
     #[default]
     Unnamed,
-    /// Always the same one.
+    /// The peer has always reported this disk.
     First(u64),
-    /// This one, and another one before: that is lost.
+    /// The peer reports this disk, and reported a different one before, which is lost.
     Replacement(u64),
 }
 
 impl PeerDisk {
-    /// What is known once the peer has named this disk.
+    /// The state after the peer has reported the disk `disk_id`.
     pub(crate) fn named(self, disk_id: u64) -> PeerDisk {
         match self {
             PeerDisk::Unnamed => PeerDisk::First(disk_id),
@@ -87,86 +88,87 @@
         }
     }
 
-    /// Another disk was known before.
+    /// Whether the peer reported a different disk before.
     pub(crate) fn is_replacement(self) -> bool {
         matches!(self, PeerDisk::Replacement(_))
     }
 }
 
-/// Another store: its membership, its connection, and what is about to be sent to it.
+/// Another store: its membership, its connection, and what is to be sent to it.
 #[derive(Debug, Default)]
 pub struct Peer {
-    /// Index of its zone.
+    /// Index of the zone that the peer runs in.
     pub(crate) zone: usize,
-    /// It is a member, as the control group says.
+    /// Whether the control group lists the peer as a member.
     pub(crate) is_member: bool,
-    /// A connection to it is open.
+    /// Whether a connection to the peer is open.
     pub(crate) is_connected: bool,
-    /// It has said, on this connection, all that it knows about the messages that both hold.
+    /// Whether the peer has reported, on this connection, all that it knows about the messages that both stores hold.
     pub(crate) is_reconciled: bool,
-    /// When its connection was last opened or lost.
+    /// Time at which the connection to the peer was last opened or lost.
     pub(crate) connection_changed_at: Millis,
-    /// Whether it accepts messages.
+    /// Whether the peer accepts messages and replicas.
     pub(crate) service: ServiceState,
-    /// When it was last sent that this store needs no replica there.
+    /// Time at which the peer was last notified that this store needs no replica there.
     pub(crate) released_at: Millis,
-    /// When the messages that it owned were last listed for a takeover.
+    /// Time at which the messages owned by the peer were last listed for a takeover.
     pub(crate) orphans_listed_at: Millis,
-    /// Whether its replicas count.
+    /// Whether the replicas at the peer count as copies.
     pub(crate) replica_status: ReplicaStatus,
-    /// Whether messages with idempotency keys may lie there alone.
+    /// Whether the peer may be the only holder of messages with idempotency keys.
     pub(crate) key_holder: KeyHolder,
-    /// Whether it recovers from the loss of its disk.
+    /// Whether the peer is recovering from the loss of its disk.
     pub(crate) recovery: PeerRecovery,
-    /// Whether it takes notices of failed attempts.
+    /// Whether the peer accepts notices of failed attempts.
     pub(crate) failure_notices: FailureNotices,
-    /// Its disk, as it has named it, or as this store had recorded it before its start.
+    /// The peer's disk, as the peer reported it or as this store had recorded it before its start.
     pub(crate) disk: PeerDisk,
-    /// When it was last seen to have another disk than before.
+    /// Time at which the peer was last seen to have a different disk than before.
     pub(crate) disk_lost_at: Option<Millis>,
-    /// When digests were last compared with it.
+    /// Time at which message digests were last compared with the peer.
     pub(crate) compared_at: Millis,
-    /// Until then other stores are preferred for replicas: it was slow, or its disk was full.
+    /// Time until which other stores are preferred for replicas, because the peer was slow or its disk was full.
     pub(crate) avoided_until: Millis,
-    /// When a message of it came last, or its connection was opened.
+    /// Time at which the last message of the peer arrived or its connection was opened.
     pub(crate) last_heard_at: Millis,
-    /// A replica of a message accepted at that time was not confirmed in time, and the store has not been heard since: its
-    /// connection may be dead.
+    /// Time of acceptance of a message whose replica the peer did not confirm in time. Set while nothing has been
+    /// received from the peer since, so that its connection may be dead.
     pub(crate) unresponsive_since: Option<i64>,
-    /// It refused a replica, and is not offered another before then.
+    /// Time until which the peer is offered no replica, because it rejected one.
     pub(crate) refuses_until: Millis,
-    /// What it is sent at the end of the turn.
+    /// Items that are sent to the peer at the end of the turn.
     pub(crate) outbox: Outbox,
 }
 
 impl Peer {
-    /// A store that was not known before, and that the control group lists: as long as it is never connected it is others that know
-    /// whether what it holds matters.
+    /// Creates a peer that was unknown before and that the control group lists. As long as it has never been connected,
+    /// the other stores know whether what it holds matters.
     pub(crate) fn listed(now: Millis) -> Peer {
         Peer { connection_changed_at: now, ..Peer::default() }
     }
 
-    /// A store that is known from the disk, and is not connected.
+    /// Creates a peer that is known from disk and is not connected.
     pub(crate) fn new(now: Millis) -> Peer {
         Peer { connection_changed_at: now, key_holder: KeyHolder::Counts, ..Peer::default() }
     }
 
-    /// It accepts neither messages nor replicas: it shuts down or is being retired.
+    /// Whether the peer accepts neither messages nor replicas, because it is shutting down or retiring.
     pub(crate) fn is_draining(&self) -> bool {
         self.service != ServiceState::InService
     }
 
-    /// It is being retired.
+    /// Whether the peer is retiring.
     pub(crate) fn is_retiring(&self) -> bool {
         self.service == ServiceState::Retiring
     }
 
-    /// It may claim shards of idempotency keys: it is connected, in service, and has not lost its disk.
+    /// Whether the peer may claim shards of idempotency keys: it is connected, in service, and has not lost its disk.
     pub(crate) fn can_hold_shards(&self) -> bool {
         self.is_connected && !self.is_draining() && self.recovery == PeerRecovery::None
     }
 
-    /// A replica may be sent to it: it is connected, in service, and neither silent nor known to refuse.
+    /// Whether a replica may be sent to the peer: it is connected, in service, responsive, and has not just rejected
+    /// one.
     pub(crate) fn takes_replicas(&self, now: Millis) -> bool {
         self.is_connected
             && !self.is_draining()
@@ -174,30 +176,30 @@
             && now >= self.refuses_until
     }
 
-    /// Notices of failed attempts may be sent to it.
+    /// Whether notices of failed attempts may be sent to the peer.
     pub(crate) fn takes_failure_notices(&self) -> bool {
         self.is_connected && self.failure_notices == FailureNotices::Supported
     }
 
-    /// Notes that a message of it has come.
+    /// Notes that a message of the peer has arrived.
     pub(crate) fn heard(&mut self, now: Millis) {
         self.last_heard_at = now;
         self.unresponsive_since = None;
     }
 
-    /// A replica sent to it, of a message that was accepted at that time, was not confirmed in time.
+    /// Notes that the peer did not confirm in time a replica of a message that was accepted at `accepted_at`.
     pub(crate) fn replica_overdue(&mut self, accepted_at: i64) {
         if (self.last_heard_at as i64) < accepted_at {
             self.unresponsive_since.get_or_insert(accepted_at);
         }
     }
 
-    /// Its replicas no longer count.
+    /// Whether the replicas at the peer no longer count as copies.
     pub(crate) fn is_written_off(&self) -> bool {
         self.replica_status == ReplicaStatus::WrittenOff
     }
 
-    /// It is a member or connected: what it knows may still be heard from it.
+    /// Whether the peer is a member or connected, so that its state can still be learned from it.
     pub(crate) fn is_present(&self) -> bool {
         self.is_member || self.is_connected
     }
--- a/crates/queue/src/peer_disks.rs
+++ b/crates/queue/src/peer_disks.rs
@@ -1,6 +1,9 @@
-//! The disks of other stores. A store that is back with another disk has lost the ends that it knew, and those that knew them
-//! with it transfer them to other disks. So that a restart of this store forgets neither the disk that the other had before
-//! nor a transfer that is not complete, the disk is recorded, and recorded anew only when the transfer is.
+//! Tracks the disks of other stores.
+//!
+//! A store that returns with a different disk has lost the ends that it knew, and the other stores that know them
+//! transfer them to other disks. A peer's disk is recorded on this store's disk, and the record is replaced only when
+//! that transfer is complete, so that a restart of this store loses neither the peer's previous disk nor an incomplete
+//! transfer.
 
 use crate::message::{Millis, Node};
 use crate::peer::Peer;
@@ -10,7 +13,8 @@
 use std::collections::BTreeMap;
 
 impl Queue {
-    /// Enters the disks that were known before this store started. Their stores are waited for as those that hold replicas.
+    /// Restores the disks of other stores that were recorded before this store started. These stores are waited for
+    /// like those that hold replicas.
     pub(crate) fn restore_peer_disks(&mut self, now: Millis, peer_disks: BTreeMap<Node, u64>) {
         for (node, disk_id) in &peer_disks {
             let peer = self.peers.entry(*node).or_insert_with(|| Peer::new(now));
@@ -19,7 +23,7 @@
         self.peer_disks = peer_disks;
     }
 
-    /// Another store has identified its disk.
+    /// Handles another store's report of its disk.
     pub(crate) fn disk_identified(&mut self, now: Millis, from: Node, disk_id: u64) {
         let peer = self.peers.entry(from).or_default();
         peer.disk = peer.disk.named(disk_id);
@@ -31,17 +35,19 @@
         if known.is_none() && is_trusted {
             return self.record_peer_disk(from, Some(disk_id));
         }
-        // Also where nothing is known of an earlier disk, and the store is said to hold ends: by whom it was said may be long ago.
+        // A store that is listed as a holder of ends is treated as having lost its disk even if no earlier disk is
+        // known, because the list may be old.
         tracing::info!(node = from, "a store is back with another disk");
         self.peers.entry(from).or_default().disk_lost_at = Some(now);
         self.holder_lost(from);
     }
 
-    /// The ends that these stores may have lost lie on enough disks: from now on the disks that they have now are known.
+    /// Records the current disks of these stores, because the ends that they may have lost are stored on enough disks
+    /// again.
     pub(crate) fn record_replaced_disks(&mut self, stores: impl IntoIterator<Item = Node>) {
         for node in stores {
-            let is_there = self.peers.get(&node).is_some_and(Peer::is_present);
-            if !is_there {
+            let is_present = self.peers.get(&node).is_some_and(Peer::is_present);
+            if !is_present {
                 self.peer_disks.remove(&node);
             }
             self.record_peer_disk(node, self.peer_disks.get(&node).copied());
--- a/crates/queue/src/peer_message.rs
+++ b/crates/queue/src/peer_message.rs
@@ -1,32 +1,33 @@
-//! What stores send to each other.
+//! Messages that stores send to each other.
 
 use crate::idempotency::{IdempotencyDigest, Shard, ShardTerm};
 use crate::message::{End, Key, Message, Node, ReplicatedMessage};
 use serde::{Deserialize, Serialize};
 
-/// Who owns a message, and which other stores hold a replica of it.
+/// The owner of a message and the other stores that hold a replica of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ownership {
-    /// Which message.
+    /// Key of the message.
     pub key: Key,
-    /// The store that delivers it.
+    /// The store that delivers the message.
     pub owner: Node,
-    /// Of two claims the one with the higher term holds; of equal terms that of the lower node.
+    /// Term of the ownership. Of two claims the one with the higher term is valid; of equal terms that of the lower
+    /// node.
     pub term: u32,
-    /// The other stores that hold a replica.
+    /// Stores other than the owner that hold a replica of the message.
     pub replicas: Vec<Node>,
 }
 
-/// State of one message at one store, without its content: live, or ended with its callback pending.
+/// State of one message at one store, without its content. The message is live, or has ended with its callback pending.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EntrySummary {
-    /// Which message.
+    /// Key of the message.
     pub key: Key,
-    /// Its owner, for all that the sender knows.
+    /// Owner of the message, as far as the sender knows.
     pub owner: Node,
-    /// The term of that ownership.
+    /// Term of the ownership.
     pub term: u32,
-    /// The message has ended, and its callback is pending.
+    /// Whether the message has ended, with its callback pending.
     pub has_ended: bool,
 }
 
@@ -39,32 +40,32 @@
     pub block: u64,
 }
 
-/// Digest of the messages of one range: two stores whose digests are equal hold the same.
+/// Digest of the messages of one range. Two stores with equal digests hold the same messages.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RangeDigest {
-    /// Which messages.
+    /// The range of message keys.
     pub range: KeyRange,
-    /// How many there are.
+    /// Number of messages in the range.
     pub count: u32,
-    /// Exclusive or of a hash of each message's state: the order does not matter.
+    /// Exclusive or of a hash of each message's state, so that the order of messages does not matter.
     pub hash: u64,
 }
 
-/// A message that its owner gives to a store that holds a replica.
+/// Offer of a message by its owner to a store that holds a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HandoverOffer {
-    /// Which message.
+    /// Key of the message.
     pub key: Key,
-    /// The term of the present owner: the new one takes a higher one.
+    /// Term of the present owner. The new owner takes a higher one.
     pub term: u32,
-    /// Attempts that have failed so far.
+    /// Number of attempts that have failed so far.
     pub attempts: u32,
 }
 
 /// A message that the sender has accepted in a handover.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedHandover {
-    /// Which message.
+    /// Key of the message.
     pub key: Key,
     /// The term of the new ownership.
     pub term: u32,
@@ -73,86 +74,89 @@
 /// The end of a message, sent to the stores that hold a replica of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndNotice {
-    /// Which message.
+    /// Key of the message.
     pub key: Key,
-    /// How it ended.
+    /// How the message ended.
     pub end: End,
-    /// Its callback has yet to be delivered.
+    /// Whether the callback of the message has yet to be delivered.
     pub callback_pending: bool,
 }
 
-/// How many attempts of a message have failed, sent to the stores that hold a replica of it.
+/// Number of failed attempts of a message, sent to the stores that hold a replica of it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FailureNotice {
-    /// Which message.
+    /// Key of the message.
     pub key: Key,
-    /// How many have failed so far, as far as the sender knows.
+    /// Number of attempts that have failed so far, as far as the sender knows.
     pub failed_attempts: u32,
-    /// Of how many of them the sender has read the answer itself.
+    /// Number of failed attempts whose response the sender has read itself.
     pub read_by_sender: u32,
 }
 
-/// The end of a message that a retiring store transfers to one that did not know it.
+/// The end of a message that is transferred to a store that did not know it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TransferredEnd {
-    /// Which message.
+    /// Key of the message.
     pub key: Key,
-    /// How it ended.
+    /// How the message ended.
     pub end: End,
-    /// Its callback has yet to be delivered.
+    /// Whether the callback of the message has yet to be delivered.
     pub callback_pending: bool,
-    /// Body and time of a message that failed: clients may still ask for them. Tenant and idempotency key of any that has them.
+    /// Body and time of acceptance of a failed message, because clients may still ask for them; tenant and idempotency
+    /// key of any message that has them.
     pub failed_message: Option<Message>,
 }
 
-/// A message with an idempotency key, as a store names it to one that claims the shard of the key.
+/// A message with an idempotency key, as reported to a store that claims the shard of the key.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KnownSubmission {
-    /// The digest of its key.
+    /// Digest of the message's idempotency key.
     pub digest: IdempotencyDigest,
-    /// Which message.
+    /// Key of the message.
     pub key: Key,
-    /// The term of the shard in which it was to be accepted.
+    /// Term of the shard in which the message was to be accepted.
     pub shard_term: u64,
-    /// It was accepted, or will be delivered all the same; else it may have been accepted or not.
+    /// Whether the message was accepted, or will be delivered in any case. Otherwise it may have been accepted or not.
     pub is_accepted: bool,
 }
 
 /// A store's answer to a claim of shards.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ClaimAnswer {
-    /// The claim is granted; these messages of the shards lie on the sender's disk.
+    /// The claim is granted. Contains the messages of the claimed shards that are on the sender's disk.
     Granted(Vec<KnownSubmission>),
-    /// A higher claim of one of the shards was granted before.
+    /// The claim is refused because a higher claim of one of the shards was granted before.
     Refused {
-        /// Its term.
+        /// Term of the higher claim.
         term: u64,
     },
-    /// The sender can't say: it has lost its disk, or misses too many stores.
+    /// The sender cannot decide, because it has lost its disk or is not connected to enough stores.
     Abstained,
 }
 
-/// What a store says to one that has lost its disk.
+/// Answer to a store that has lost its disk.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecoveryReport {
-    /// The request that is answered.
+    /// Number of the request that is answered.
     pub round: u64,
-    /// All messages and ends that lie at the sender, and that the lost disk may have held, lie on enough disks.
+    /// Whether all messages and ends that the sender holds, and that the lost disk may have held, are on enough disks.
     pub is_replicated: bool,
-    /// The sender knew the receiver with another disk: that one is lost. Else the receiver may be new.
+    /// Whether the sender knew the receiver with a different disk, which is therefore lost. Otherwise the receiver may
+    /// be a new store.
     pub knew_other_disk: bool,
-    /// The sender has lost its disk, too, and has not recovered.
+    /// Whether the sender has lost its disk, too, and has not recovered.
     pub is_recovering: bool,
-    /// The other stores that may hold messages with idempotency keys, as the sender knows them.
+    /// The other stores that may hold messages with idempotency keys, as far as the sender knows.
     pub holders: Vec<Node>,
 }
 
-/// Position of a message in its FIFO group: messages start in this order.
+/// Position of a message in its FIFO group. The messages of a group start in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct GroupPosition {
-    /// When it was accepted: time of day in milliseconds, raised beyond those of the group's earlier messages.
+    /// Time of day at which the message was accepted, in milliseconds since 1970, raised beyond the times of earlier
+    /// messages of the group.
     pub accepted_at_ms: u64,
-    /// Which message; of two that were accepted at the same time the lower key is first.
+    /// Key of the message. Of two messages that were accepted at the same time the one with the lower key is first.
     pub key: Key,
 }
 
@@ -161,162 +165,167 @@
 pub struct GroupMessage {
     /// The group's ordering key.
     pub group: String,
-    /// Which message.
+    /// Key of the message.
     pub key: Key,
 }
 
 /// A message between two stores.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Keep these replicas; answered with `Replicated` once they are on disk.
+    /// Request to store these replicas, answered with `Replicated` once they are on disk.
     Replicate(Vec<ReplicatedMessage>),
-    /// The sender has these replicas on disk.
+    /// Notice that the sender has these replicas on disk.
     Replicated(Vec<Key>),
-    /// The sender could not keep these replicas: its disk is full or does not answer.
+    /// Notice that the sender could not store these replicas, because its disk is full or does not answer.
     ReplicationRejected(Vec<Key>),
-    /// These messages have ended.
+    /// Notice that these messages have ended.
     Ended(Vec<EndNotice>),
-    /// The callbacks of these ended messages were delivered. An empty one says that the sender takes `AttemptsFailed`; an earlier version
-    /// makes nothing of it.
+    /// Notice that the callbacks of these ended messages were delivered. An empty list announces that the sender
+    /// accepts `AttemptsFailed`; earlier versions ignore an empty list.
     CallbacksDelivered(Vec<Key>),
-    /// Who owns these messages now.
+    /// The current ownership of these messages.
     OwnershipChanged(Vec<Ownership>),
-    /// Discard these messages, of which the sender is the owner.
+    /// Request to discard these messages, of which the sender is the owner.
     Drop(Vec<Key>),
-    /// The sender owned these messages and has lost them with its disk.
+    /// Notice that the sender owned these messages and has lost them with its disk.
     LostWithDisk(Vec<Key>),
-    /// The sender should hold replicas of these messages and has none.
+    /// Request for replicas of these messages, which the sender should hold and does not.
     RequestReplicas(Vec<Key>),
-    /// Identifies the sender's disk; sent first on each connection. A different one means that the disk was replaced.
+    /// Identifier of the sender's disk, sent first on each connection. A different identifier than before means that
+    /// the disk was replaced.
     DiskId(u64),
     /// Digests of the messages that both stores hold.
     Digests {
-        /// Identifies the sender's disk.
+        /// Identifier of the sender's disk.
         disk_id: u64,
-        /// Messages younger than this, in milliseconds, are left out.
+        /// Minimum age of the included messages, in milliseconds. Younger messages are left out.
         min_age_ms: u64,
-        /// One for each range that is not empty.
+        /// Digests of all ranges that are not empty.
         digests: Vec<RangeDigest>,
     },
-    /// The messages of these ranges that both stores hold, as the sender sees them.
+    /// The messages of some ranges that both stores hold, as the sender knows them.
     RangeContents {
-        /// Identifies the sender's disk.
+        /// Identifier of the sender's disk.
         disk_id: u64,
-        /// The receiver is to answer with its own contents of the ranges.
+        /// Whether the receiver is to answer with its own contents of the ranges.
         reply_wanted: bool,
-        /// The ranges that are listed in full.
+        /// The ranges whose messages are listed in full.
         ranges: Vec<KeyRange>,
         /// The live messages of these ranges.
         entries: Vec<EntrySummary>,
     },
-    /// The sender has answered a `RangeContents` in full, or found no difference: the two stores are reconciled.
+    /// Notice that the sender has answered a `RangeContents` in full, or has found no difference, so that the two
+    /// stores are reconciled.
     Reconciled,
-    /// The sender shuts down and offers these messages to the receiver, which holds replicas of them.
+    /// Offer of these messages by a sender that is shutting down, to a receiver that holds replicas of them.
     Handover(Vec<HandoverOffer>),
-    /// The sender has become the owner of these.
+    /// Notice that the sender has become the owner of these messages.
     HandoverAccepted(Vec<AcceptedHandover>),
-    /// The sender does not know these messages and becomes the owner of none of them.
+    /// Notice that the sender does not know these messages and does not become their owner.
     HandoverRejected(Vec<Key>),
-    /// Asks which messages of a FIFO group are live at the receiver.
+    /// Query for the messages of a FIFO group that are live at the receiver.
     GroupQuery {
-        /// Identifies the query in its answer.
+        /// Identifies the query in the reply.
         query_id: u64,
         /// The group's ordering key.
         group: String,
-        /// Position of the message for which the sender asks: see [`GroupPosition`].
+        /// Time of acceptance of the message for which the query is made, in milliseconds since 1970; with the key it
+        /// is the message's [`GroupPosition`].
         accepted_at_ms: u64,
-        /// The message for which the sender asks.
+        /// Key of the message for which the query is made.
         key: Key,
-        /// The sender is about to store this message: the receiver is to remember it.
+        /// Whether the sender is about to store this message, so that the receiver has to remember it.
         is_announcement: bool,
     },
-    /// Answers a `GroupQuery`.
+    /// Reply to a `GroupQuery`.
     GroupQueryReply {
-        /// The query's identifier.
+        /// Identifier of the query.
         query_id: u64,
-        /// The announced message is to be placed no earlier than this time of day, in milliseconds.
+        /// Lower bound for the time of acceptance of the announced message, in milliseconds since 1970.
         min_accepted_at_ms: u64,
-        /// The group's live messages at the sender, the lowest first; at most 64.
+        /// Live messages of the group at the sender, the lowest first; at most 64.
         live: Vec<GroupPosition>,
     },
-    /// These messages, which the sender had announced, have ended.
+    /// Notice that these messages, which the sender had announced, have ended.
     GroupMessagesEnded(Vec<GroupMessage>),
-    /// The sender is draining: it accepts no more messages and replicas.
+    /// Notice that the sender is draining and accepts no more messages and replicas.
     Draining,
-    /// The sender is being retired: replicas that it holds must be made elsewhere.
+    /// Notice that the sender is retiring, so that the replicas it holds must be recreated elsewhere.
     Retiring,
-    /// The sender relies on no replica at the receiver.
+    /// Notice that the sender relies on no replica at the receiver.
     NoReplicasNeeded,
-    /// The sender is being retired: store these ends; answered with `EndsStored` once they are on disk.
+    /// Request to store these ends, answered with `EndsStored` once they are on disk.
     TransferEnds(Vec<TransferredEnd>),
-    /// The sender has these ends on disk.
+    /// Notice that the sender has these ends on disk.
     EndsStored(Vec<Key>),
-    /// The sender wants tokens of a rate-limited service from their holder.
+    /// Request for tokens of a rate-limited service, sent to their holder.
     RequestTokens {
         /// Name of the service.
         service: String,
-        /// How many are wanted.
+        /// Number of tokens requested.
         count: u32,
     },
-    /// The holder of a rate-limited service grants tokens.
+    /// Grant of tokens of a rate-limited service by their holder.
     GrantTokens {
         /// Name of the service.
         service: String,
-        /// How many requests may be sent; 0 if none.
+        /// Number of tokens granted; each allows one request, and 0 means that none were available.
         count: u32,
     },
-    /// Keep these replicas of messages that the sender is about to accept, unless another store has claimed the shards of their
-    /// idempotency keys; answered with `Replicated` once they are on disk, or with `StaleShard`.
+    /// Request to store replicas of messages that the sender is about to accept, unless another store has claimed the
+    /// shards of their idempotency keys. Answered with `Replicated` once they are on disk, or with `StaleShard`.
     ReplicateNew(Vec<ReplicatedMessage>),
-    /// A replica was not kept: a higher claim of its shard was granted.
+    /// Notice that a replica was not stored because a higher claim of its shard was granted.
     StaleShard {
-        /// The term of that claim.
+        /// Term of the higher claim.
         term: u64,
-        /// The message.
+        /// Key of the message.
         key: Key,
     },
-    /// The sender wants to hold these shards; answered with `ClaimAnswered`.
+    /// Claim of shards by the sender, answered with `ClaimAnswered`.
     ClaimShards {
-        /// Identifies the claim in its answer.
+        /// Identifies the claim in the answer.
         claim_id: u64,
-        /// The term of the claim.
+        /// Term of the claim.
         term: u64,
-        /// The shards.
+        /// The claimed shards.
         shards: Vec<Shard>,
     },
-    /// Answers `ClaimShards`.
+    /// Answer to `ClaimShards`.
     ClaimAnswered {
-        /// The claim's identifier.
+        /// Identifier of the claim.
         claim_id: u64,
-        /// What the sender says to it.
+        /// The sender's answer to the claim.
         answer: ClaimAnswer,
     },
-    /// The sender has lost its disk, and with it the claims that it had granted: answered with `ShardTerms`.
+    /// Request for the granted claims of shards, sent by a store that has lost its own record of them with its disk.
+    /// Answered with `ShardTerms`.
     RequestShardTerms,
-    /// The highest claims that the sender has granted.
+    /// The highest claims of shards that the sender has granted.
     ShardTerms(Vec<(Shard, ShardTerm)>),
-    /// The sender owns these messages, and can't say whether they were accepted: answered with `SubmissionVerdicts` by a store that
-    /// holds the shards of their keys.
+    /// Messages that the sender owns without knowing whether they were accepted. A store that holds the shards of their
+    /// keys answers with `SubmissionVerdicts`.
     UncertainSubmissions(Vec<KnownSubmission>),
-    /// What becomes of messages that were not certain.
+    /// Decision about messages that may not have been accepted.
     SubmissionVerdicts {
-        /// These are to be accepted anew, each in this term.
+        /// Keys of the messages that are to be accepted again, each with the shard term in which it is accepted.
         accepted: Vec<(Key, u64)>,
-        /// These were not accepted: there are others with their keys.
+        /// Keys of messages that were not accepted, because other messages have their idempotency keys.
         dropped: Vec<Key>,
     },
-    /// The sender has accepted these messages anew.
+    /// Notice that the sender has accepted these messages again.
     SubmissionsAccepted(Vec<KnownSubmission>),
-    /// The sender has lost its disk, and does not know which messages lay there; answered with `RecoveryReport`.
+    /// Request for a `RecoveryReport`, sent by a store that has lost its disk and does not know which messages were on
+    /// it.
     RequestRecoveryReport {
-        /// Counts the requests of the sender: named in the answer.
+        /// Number of the request, repeated in the answer.
         round: u64,
     },
-    /// Answers `RequestRecoveryReport`.
+    /// Answer to `RequestRecoveryReport`.
     RecoveryReport(RecoveryReport),
-    /// All that lay on the sender's lost disk lies on enough others.
+    /// Notice that everything on the sender's lost disk is stored on enough other disks.
     Recovered,
-    /// Attempts of these messages have failed. Only for a receiver that has said, by an empty `CallbacksDelivered`, that it knows this
-    /// message.
+    /// Notice that attempts of these messages have failed. Sent only to a receiver that has announced, with an empty
+    /// `CallbacksDelivered`, that it knows this message.
     AttemptsFailed(Vec<FailureNotice>),
 }
--- a/crates/queue/src/pending_writes.rs
+++ b/crates/queue/src/pending_writes.rs
@@ -1,4 +1,4 @@
-//! Records on their way to disk, and what has to happen once they are there.
+//! Records that are being written to disk, and the operations that wait for them.
 
 use crate::effect::{Effect, KeptFailure};
 use crate::idempotency::Shard;
@@ -6,56 +6,56 @@
 use crate::record::Record;
 use std::collections::{BTreeMap, HashMap};
 
-/// A disk that has not completed a write for so long is taken for stalled.
+/// A disk that has not completed a write for this time is treated as stalled.
 const DISK_STALL_LIMIT_MS: Millis = 120;
 
-/// What waits for a write.
+/// An operation that waits for a write.
 #[derive(Clone, Debug)]
 pub(crate) enum PendingWrite {
-    /// A message owned here, or its new owner, is recorded: this store's own replica is then durable.
+    /// A message owned here, or its new owner, is recorded, so that this store's own replica is durable.
     Ownership(Key),
-    /// A replica is kept for its owner, which is notified.
+    /// A replica is stored for its owner, which is then notified.
     ReplicaFor(Node, Key),
-    /// A message was handed over by another store, which is notified.
+    /// A message was handed over by another store, which is then notified.
     TakenOverFrom(Node, Key),
-    /// An end is kept for another store, which is notified.
+    /// An end is stored for another store, which is then notified.
     EndFrom(Node, Key),
     /// The order to retire this store is recorded.
     Retirement,
-    /// This store's own claim of shards is recorded, by its identifier.
+    /// This store's own claim of shards is recorded; contains the identifier of the claim.
     OwnClaim(u64),
-    /// A claim of another store is granted, which is answered.
+    /// A claim of another store is granted, and is then answered.
     Grant {
         /// The store that claims the shards.
         to: Node,
-        /// Its identifier of the claim.
+        /// The other store's identifier of the claim.
         claim_id: u64,
-        /// The shards.
+        /// The claimed shards.
         shards: Vec<Shard>,
     },
-    /// The claims that other stores know are recorded.
+    /// The claims of shards that other stores know are recorded.
     ShardTerms,
 }
 
-/// Collects the records of one turn into one write, and remembers what waits for each write.
+/// Collects the records of one turn into one write, and tracks which operations wait for each write.
 #[derive(Debug, Default)]
 pub(crate) struct PendingWrites {
     records: Vec<Vec<u8>>,
-    /// Which of them outlive the process from this turn on, by index.
+    /// Indices of the records of ends that must survive a restart of the process from this turn on.
     kept_ends: Vec<usize>,
-    /// Counts of failed attempts that do so, too.
+    /// Records of failed attempts that must survive a restart of the process from this turn on.
     kept_failures: Vec<KeptFailure>,
     needs_sync: bool,
-    /// Waits for the write that is being collected.
+    /// Operations that wait for the write that is being collected.
     collecting: Vec<PendingWrite>,
-    /// Waits for a write that the program has been given, by its ticket.
+    /// Operations that wait for a write that the program has been given, by its ticket.
     in_flight: HashMap<u64, Vec<PendingWrite>>,
     started_at: BTreeMap<u64, Millis>,
     last_ticket: u64,
 }
 
 impl PendingWrites {
-    /// Adds a record to the next write; with `needs_sync` that write is synced at once.
+    /// Adds a record to the next write. With `needs_sync` that write is synced at once.
     pub fn add(&mut self, record: &Record, needs_sync: bool) {
         if let Ok(bytes) = postcard::to_stdvec(record) {
             self.records.push(bytes);
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Adds the record of an end, which others know before it is on disk. With it nobody needs to know how many attempts have failed.
+    /// Adds the record of an end, which other stores and executors learn before it is on disk. The number of failed
+    /// attempts of the message is no longer needed then.
     pub fn add_end(&mut self, key: Key, record: &Record) {
         self.kept_failures.retain(|failure| failure.key != key);
         let index = self.records.len();
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Adds a count of failed attempts, which executors know before it is on disk.
+    /// Adds a record of the number of failed attempts, which executors learn before it is on disk.
     pub fn add_failure(&mut self, key: Key, record: &Record, needs_sync: bool) {
         self.kept_failures.retain(|failure| failure.key != key);
         let index = self.records.len();
@@ -83,17 +84,17 @@
         }
     }
 
-    /// How many records that outlive the process the program has not been given yet.
+    /// Number of records that must survive a restart of the process and that the program has not been given yet.
     pub fn kept_count(&self) -> usize {
         self.kept_ends.len() + self.kept_failures.len()
     }
 
-    /// Something waits for the records added so far in this turn.
+    /// Registers an operation that waits for the records added so far in this turn.
     pub fn wait(&mut self, wait: PendingWrite) {
         self.collecting.push(wait);
     }
 
-    /// The write of this turn, if there is anything to write.
+    /// Takes the write of this turn, if there is anything to write.
     pub fn take(&mut self, now: Millis) -> Option<Effect> {
         if self.records.is_empty() {
             return None;
@@ -112,21 +113,21 @@
         Some(Effect::Persist { ticket, records, kept_ends, kept_failures, sync })
     }
 
-    /// The disk has answered for a write: gives what waited for it.
+    /// Handles the completion of a write, and returns the operations that waited for it.
     pub fn complete(&mut self, ticket: u64) -> Vec<PendingWrite> {
         self.started_at.remove(&ticket);
         self.in_flight.remove(&ticket).unwrap_or_default()
     }
 
-    /// A replica is dropped while its record is on its way to disk: that is not confirmed any more, for what comes after it on the
-    /// disk is that it was dropped.
+    /// Cancels the confirmation of a replica that is dropped while its record is being written, because the next record
+    /// on disk says that it was dropped.
     pub fn cancel_replica(&mut self, key: Key) {
         let is_other = |wait: &PendingWrite| !matches!(wait, PendingWrite::ReplicaFor(_, of) if *of == key);
         self.collecting.retain(is_other);
         self.in_flight.values_mut().for_each(|waits| waits.retain(is_other));
     }
 
-    /// Whether the oldest write that something waits for is overdue.
+    /// Whether the oldest write that an operation waits for is overdue.
     pub fn is_disk_stalled(&self, now: Millis) -> bool {
         self.started_at.first_key_value().is_some_and(|(_, since)| now > since + DISK_STALL_LIMIT_MS)
     }
