--- a/crates/queue/src/peer_disks.rs
+++ b/crates/queue/src/peer_disks.rs
@@ -37,7 +37,10 @@
         }
         // A store that is listed as a holder of ends is treated as having lost its disk even if no earlier disk is
         // known, because the list may be old.
-        tracing::info!(node = from, "a store is back with another disk");
+        tracing::info!(
+            node = from,
+            "peer has a different disk than before; the ends on its previous disk are lost"
+        );
         self.peers.entry(from).or_default().disk_lost_at = Some(now);
         self.holder_lost(from);
     }
--- a/crates/queue/src/planted_fault.rs
+++ b/crates/queue/src/planted_fault.rs
@@ -1,77 +1,81 @@
-//! The faults that the search in `crates/model-check/`, or a test, must find.
+//! Faults that can be injected into a queue, and that the model check in `crates/model-check/` or a test must find.
 
-/// A fault of which a property has to tell. Each undoes one rule of the queue.
+/// A fault that a checked property must detect. Each one disables one rule of the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlantedFault {
-    /// A message is acknowledged when the owner's disk has it, and no replica yet.
+    /// A message is acknowledged as soon as it is on the owner's disk, before any replica is stored.
     EarlyAnswer,
-    /// A replica is confirmed before its record is synced.
+    /// A replica is confirmed before its record is synced to disk.
     CopyUnsynced,
-    /// A fenced store starts messages that others may have taken over.
+    /// A fenced store starts messages that other stores may have taken over.
     FenceUnheeded,
-    /// After a start messages are released before the stores that hold replicas have reconciled.
+    /// After a restart, messages are released before the stores that hold replicas have reconciled.
     ReleasedEarly,
-    /// A slow replica is replaced by another, and the list of replicas on disk stays the old one.
+    /// A slow replica is replaced by another one, but the replica list on disk is not updated.
     OldCopyList,
     /// The store of a slow replica that was replaced is not told to drop the message.
     DropUnsent,
-    /// An end is sent to others and not kept on disk.
+    /// The end of a message is sent to other stores but not written to disk.
     EndUnkept,
-    /// An end is not kept by the process until the disk has it.
+    /// The end of a message does not survive a restart of the process until it is on disk.
     EndKeptByDiskAlone,
-    /// A message is offered to all stores that hold replicas of it, not to one.
+    /// A message is offered in a handover to all stores that hold its replicas instead of one.
     HandedTwice,
-    /// A takeover does not raise the term.
+    /// A takeover of a message does not raise the term of its ownership.
     TermUnraised,
-    /// A message that was taken over is started before others could object that it has ended.
+    /// A message that was taken over is started before other stores could report that it has ended.
     TakenUnasked,
-    /// A store reports that it is empty when it owns nothing, whoever relies on its replicas.
+    /// A retiring store reports that it is empty once it owns nothing, although other stores rely on its replicas.
     RetiredEarly,
-    /// What a store has said once, that it needs no replica here, stands whatever it says later.
+    /// A peer's notice that it needs no replica here stays in force even if the peer relies on replicas here again.
     RelievedForever,
-    /// A store reports that it is empty while it holds replicas of what a lost store owned.
+    /// A retiring store reports that it is empty while it holds replicas of messages that a lost store owned.
     OrphansUnheeded,
-    /// A replica is relied on though its store has not confirmed it since this store started.
+    /// A replica is relied on although its store has not confirmed it since this store started.
     CopiesUnconfirmed,
     /// The ends that a retiring store knows are lost with it.
     EndsGoAlong,
-    /// A store forgets with its process which disks the others had, and takes the one that it hears of next for the same.
+    /// A restarted store does not know which disks the other stores had, and takes the next disk that each reports for
+    /// the same one.
     PeerDisksForgotten,
-    /// A message that another store may have accepted too is started before its edge has said which one is kept.
+    /// A message that another store may have accepted too is started before its edge has decided which copy is kept.
     ResubmittedUnasked,
-    /// A retiring store leaves the list of replicas before the replica that replaces its own is confirmed.
+    /// A retiring store is removed from a replica list before the replica that replaces its own is confirmed.
     ListShortenedEarly,
-    /// A store that restarts does not ask stores that are being retired what became of its messages.
+    /// A restarted store does not ask retiring stores about the state of its messages.
     RetiringUnasked,
-    /// After a fence only the stores in the list of replicas are asked what became of a message.
+    /// After a fence, only the stores in the replica list are asked about the state of a message.
     FenceUnannounced,
-    /// A store forgets with its process how many attempts of a message have failed.
+    /// A restarted store does not know how many attempts of a message have failed.
     FailedAttemptsForgotten,
-    /// How many attempts have failed is not kept by the process until the disk has it.
+    /// The number of failed attempts does not survive a restart of the process until it is on disk.
     FailuresKeptByDiskAlone,
-    /// The stores that hold replicas are not told how many attempts have failed.
+    /// The stores that hold replicas of a message are not told how many of its attempts have failed.
     FailuresUnannounced,
-    /// An end that was copied once to another store is not copied again when one of its disks is lost.
+    /// An end that was copied once to another store is not copied again when one of the disks holding it is lost.
     EndsCopiedOnce,
-    /// A store that takes a message over counts the replicas of the former owner's list without having heard of them.
+    /// A store that takes a message over counts the replicas in the former owner's list without having heard from their
+    /// stores.
     InheritedListTrusted,
-    /// Replicas at a store that is gone for good, and was written off, count.
+    /// Replicas at a store that is gone for good and was written off still count.
     GoneReplicasCounted,
     /// A replica that was dropped before it was on disk is confirmed all the same.
     DroppedConfirmed,
-    /// Two slow replicas of a message are replaced by one and the same store, which then counts twice.
+    /// Two slow replicas of a message are replaced by the same store, which then counts twice.
     ReplicaChosenTwice,
-    /// A store counts on a control node that may be cut off together with it.
+    /// A store trusts a control node that may be partitioned together with it.
     CutOffControlNodeTrusted,
-    /// A store holds a shard without the grants of other stores.
+    /// A store holds a shard of idempotency keys without the grants of other stores.
     ShardsHeldUnasked,
-    /// A store that has granted a claim of a shard keeps new replicas from its earlier holder all the same.
+    /// A store that has granted a claim of a shard still stores new replicas from the shard's earlier holder.
     StaleHolderHeeded,
-    /// A store whose disk was lost grants claims, and keeps new replicas, before it knows what it had granted.
+    /// A store whose disk was lost grants claims of shards, and stores new replicas, before it knows which claims it
+    /// had granted.
     BlankStoreGrants,
-    /// A message that was taken over, or read from disk, starts before it is certain that no other was accepted with its key.
+    /// A message that was taken over, or read from disk, is started before it is certain that no other message was
+    /// accepted with its idempotency key.
     KeyUnchecked,
-    /// A store that has lost its disk grants claims, and makes them, as if no message had lain there.
+    /// A store that has lost its disk grants and makes claims of shards as if no message had been on that disk.
     BlankGrantCounts,
 }
 
--- a/crates/queue/src/queue/completion.rs
+++ b/crates/queue/src/queue/completion.rs
@@ -1,4 +1,5 @@
-//! The end of a message: recorded, sent to the stores that hold replicas, and forgotten in time.
+//! Handling of the end of a message: it is recorded, sent to the stores that hold replicas, and forgotten after the
+//! retention period.
 
 use super::{Queue, RETENTION_MARGIN_MS};
 use crate::entry::Stage;
@@ -7,11 +8,11 @@
 use crate::planted_fault::PlantedFault;
 use crate::record::Record;
 
-/// Ends are sent to the replicas in batches, at the latest after this time.
+/// Maximum delay of an end that is sent to other stores, because ends are sent in batches.
 pub(super) const END_BATCH_INTERVAL_MS: Millis = 40;
 
 impl Queue {
-    /// A message has ended here.
+    /// Ends a message at this store.
     pub(crate) fn finish(&mut self, now: Millis, key: Key, end: End) {
         self.unschedule(key);
         let Some(entry) = self.entries.get_mut(&key) else { return };
@@ -20,10 +21,10 @@
             (Stage::Ended, Some(end.clone()), callback_pending);
         entry.discard_content();
         self.expiring.remove(&(entry.expires_at, key));
-        let mut peers_to_tell = entry.replicas.clone();
-        // Another store may have become the owner while the message ran here: that one calls back.
+        let mut peers_to_notify = entry.replicas.clone();
+        // Another store may have become the owner while the message ran here, and is then responsible for the callback.
         if entry.owner != self.settings.node && !entry.replicas.contains(&entry.owner) {
-            peers_to_tell.push(entry.owner);
+            peers_to_notify.push(entry.owner);
         }
         match end {
             End::Complete { .. } => self.metrics.completed += 1,
@@ -31,7 +32,7 @@
         }
         self.schedule_forget(now, key);
         self.record_end(now, key, &end, callback_pending);
-        for peer in peers_to_tell {
+        for peer in peers_to_notify {
             self.outbox(peer).ends.push(EndNotice { key, end: end.clone(), callback_pending });
         }
         self.flush_ends_at.get_or_insert(now + END_BATCH_INTERVAL_MS);
@@ -43,7 +44,8 @@
         self.track_end(key);
     }
 
-    /// Records an end that others know, or will within a moment: it must outlive the process before the disk has it.
+    /// Records an end that other stores know already or will know soon. It must survive a restart of the process before
+    /// it is on disk.
     pub(crate) fn record_end(&mut self, now: Millis, key: Key, end: &End, callback_pending: bool) {
         if self.planted(PlantedFault::EndUnkept) {
             return;
@@ -62,17 +64,17 @@
         self.forget_at(now + self.settings.status_retention_ms + RETENTION_MARGIN_MS, key);
     }
 
-    /// Looks at a message at that time, and removes it if nothing needs it any more.
+    /// Schedules a check of a message at the time `at`, which removes it if nothing needs it any more.
     pub(super) fn forget_at(&mut self, at: Millis, key: Key) {
         self.forgetting.push_back((at, key));
     }
 
-    /// The time of day at a time of the steady clock, in milliseconds.
+    /// Converts a time of the steady clock to the time of day, in milliseconds since 1970.
     pub(crate) fn wall_clock_ms(&self, now: Millis) -> u64 {
         self.wall_clock_offset_ms + now
     }
 
-    /// Another store has ended a message, which this store owns or holds as a replica.
+    /// Ends a message here that another store has ended; this store owns it or holds a replica.
     pub(crate) fn close_entry(&mut self, now: Millis, key: Key, end: End, callback_pending: bool) {
         self.unschedule(key);
         let Some(entry) = self.entries.get_mut(&key) else { return };
@@ -95,7 +97,7 @@
         self.track_end(key);
     }
 
-    /// Sends all ends to the peers now, as before the process ends.
+    /// Sends all collected ends to the peers now, as is done before the process ends.
     pub fn flush_ends(&mut self) {
         self.send_ends();
     }
--- a/crates/queue/src/queue/failures.rs
+++ b/crates/queue/src/queue/failures.rs
@@ -1,7 +1,8 @@
-//! How many attempts of a message have failed: recorded, told to the stores that hold it, and taken from them.
+//! Distribution of the number of failed attempts of a message: it is recorded, sent to the stores that hold the
+//! message, and received from them.
 //!
-//! A count is a lower bound wherever it is known (see [`FailureCount`](crate::failure_count::FailureCount)), so a notice may come late or
-//! more than once.
+//! Every known number is a lower bound (see [`FailureCount`](crate::failure_count::FailureCount)), so a notice may
+//! arrive late or more than once.
 
 use super::Queue;
 use crate::entry::Entry;
@@ -11,17 +12,18 @@
 use crate::planted_fault::PlantedFault;
 use crate::record::Record;
 
-/// Where a store knows from that an attempt has failed.
+/// How a store learned that an attempt has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FailureSource {
-    /// It read the answer itself, or owns the message from now on: the count is synced at once.
+    /// The store read the response itself, or owns the message from now on; the number is synced to disk at once.
     Own,
-    /// Another store has told it, which has kept and recorded the count before: a restart of that one does not forget it.
+    /// Another store sent a notice. That store had recorded the number before, so its restart does not lose it.
     Notice,
 }
 
 impl Queue {
-    /// Records how many attempts of a message have failed, so that a restart does not grant it all of them again.
+    /// Records the number of failed attempts of a message, so that a restart does not grant it all of its attempts
+    /// again.
     pub(crate) fn record_failed_attempts(&mut self, key: Key, source: FailureSource) {
         let Some(entry) = self.entries.get(&key) else { return };
         if self.planted(PlantedFault::FailedAttemptsForgotten) {
@@ -35,8 +37,8 @@
         self.pending_writes.add_failure(key, &record, needs_sync);
     }
 
-    /// Tells the other stores that hold a message how many of its attempts have failed, at the end of this turn: any of them may
-    /// become its owner. `source`: the store that has told this one.
+    /// Notifies the other stores that hold a message of its failed attempts, at the end of this turn, because any of
+    /// them may become its owner. `source` is the store from which the number came; it is left out.
     pub(crate) fn announce_failed_attempts(&mut self, key: Key, source: Option<Node>) {
         let Some(entry) = self.entries.get(&key) else { return };
         let holders = entry.other_holders(self.settings.node).filter(|node| Some(*node) != source);
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Tells one other store, if it takes such notices.
+    /// Notifies one other store of the failed attempts of a message, if it accepts such notices.
     pub(crate) fn send_failed_attempts(&mut self, to: Node, key: Key) {
         if self.planted(PlantedFault::FailuresUnannounced) {
             return;
@@ -58,8 +60,8 @@
         }
     }
 
-    /// Another store says that it takes notices of failed attempts: it gets those of all messages that both hold, for what was sent
-    /// before got lost with the connection, and an attempt may have ended meanwhile.
+    /// Handles a peer's announcement that it accepts notices of failed attempts. It gets those of all messages that
+    /// both stores hold, because earlier notices were lost with the connection and an attempt may have ended meanwhile.
     pub(crate) fn peer_takes_failure_notices(&mut self, node: Node) {
         let Some(peer) = self.peers.get_mut(&node) else { return };
         peer.failure_notices = FailureNotices::Supported;
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Another store says how many attempts of messages have failed.
+    /// Applies notices of failed attempts from another store.
     pub(crate) fn apply_failure_notices(&mut self, now: Millis, from: Node, notices: Vec<FailureNotice>) {
         for FailureNotice { key, failed_attempts, read_by_sender } in notices {
             let entry = self.entries.get_mut(&key).filter(|entry| entry.end.is_none());
@@ -83,7 +85,7 @@
             entry.has_run = true;
             self.record_failed_attempts(key, FailureSource::Notice);
             self.announce_failed_attempts(key, Some(from));
-            // Where it waits here it may have used up its attempts.
+            // A message that waits here may have used up its attempts, so it is scheduled again.
             self.unschedule(key);
             self.schedule(now, key);
         }
--- a/crates/queue/src/queue/intake.rs
+++ b/crates/queue/src/queue/intake.rs
@@ -1,4 +1,5 @@
-//! Accepting a message: its replicas are placed, and its sender is answered once all of its disks have it.
+//! Acceptance of messages: stores for the replicas are chosen, and the sender is answered once the message is on all of
+//! its disks.
 
 use super::{Queue, RetirementOrder};
 use crate::effect::Effect;
@@ -9,19 +10,19 @@
 use crate::planted_fault::PlantedFault;
 use crate::record::Record;
 
-/// Most messages that the table holds, ended ones among them.
+/// Maximum number of messages in the table, including ended ones.
 const MAX_ENTRIES: usize = 400_000;
 
-/// An edge that hears nothing for 200 ms offers a message to another store. One that was accepted so long after the edge took it
-/// may have been offered elsewhere.
+/// Age at which a message is treated as possibly offered to another store as well when it is accepted. An edge offers a
+/// message elsewhere after 200 ms without an answer.
 const LATE_ACCEPTANCE_MS: Millis = 120;
 
-/// A message that another store may have accepted too is not started for so long, unless its edge says before that it is kept
-/// here. If the other one is kept, its edge says so in that time.
+/// Time for which a message that another store may also have accepted is not started, unless its edge confirms earlier
+/// that this copy is kept. If the other copy is kept, the edge says so within this time.
 const CONFIRMATION_WINDOW_MS: Millis = 100;
 
 impl Queue {
-    /// A message has come from an edge. The answer is an [`Effect::PutResult`] with the same `ticket`.
+    /// Accepts a message from an edge. The answer is an [`Effect::PutResult`] with the same `ticket`.
     pub fn put(&mut self, now: Millis, ticket: u64, message: Message) {
         match message.idempotency_digest() {
             Some(digest) => self.submit_once(now, ticket, message, digest),
@@ -29,16 +30,17 @@
         }
     }
 
-    /// The same of a message that the edge has offered to another store before, which has not answered: that one may have it.
+    /// Accepts a message that the edge has already offered to another store, which has not answered and may have
+    /// accepted it.
     pub fn put_resubmitted(&mut self, now: Millis, ticket: u64, message: Message) {
         match message.idempotency_digest() {
-            // Wherever the first one is: by its key it is the same message.
+            // The idempotency key identifies it as the same message, wherever the first copy is.
             Some(digest) => self.submit_once(now, ticket, message, digest),
             None => self.admit(now, ticket, message, true),
         }
     }
 
-    pub(crate) fn take_in(&mut self, now: Millis, ticket: u64, message: Message, is_resubmitted: bool) {
+    pub(crate) fn accept_new(&mut self, now: Millis, ticket: u64, message: Message, is_resubmitted: bool) {
         let replicas = self.choose_replica_stores(now, &[], &[], self.settings.replica_count);
         if self.must_reject(now, replicas.len()) {
             self.metrics.rejected += 1;
@@ -74,22 +76,22 @@
         }
     }
 
-    /// Whether a message that came now would be accepted, as far as replicas, disk and table allow it.
+    /// Whether a message that arrived now would be accepted, as far as replicas, disk and table allow it.
     pub fn accepts_messages(&self, now: Millis) -> bool {
         let replicas = self.choose_replica_stores(now, &[], &[], self.settings.replica_count);
         !self.must_reject(now, replicas.len())
     }
 
-    /// Logs where the store begins or ceases to accept messages.
+    /// Logs when the store begins or stops accepting messages.
     pub(super) fn log_intake_change(&mut self, now: Millis) {
         let accepts = self.accepts_messages(now);
         if std::mem::replace(&mut self.was_accepting, accepts) == accepts {
             return;
         }
         if accepts {
-            tracing::info!("accepts messages");
+            tracing::info!("store accepts messages");
         } else {
-            tracing::warn!("accepts no messages: it drains, or too few stores can take replicas");
+            tracing::warn!("store accepts no messages: it is draining, its disk is stalled, its table is full, or too few stores can take replicas");
         }
     }
 
@@ -100,12 +102,13 @@
             || self.entries.len() >= MAX_ENTRIES
     }
 
-    /// The disk does not answer: what is accepted now would wait behind earlier writes, and another store takes it in time.
+    /// Whether the disk does not answer. A message accepted now would wait behind earlier writes, while another store
+    /// can accept it in time.
     pub(crate) fn is_disk_stalled(&self, now: Millis) -> bool {
         self.pending_writes.is_disk_stalled(now)
     }
 
-    /// The disk has answered for an [`Effect::Persist`]: `is_durable` says whether its records are on disk.
+    /// Handles the result of an [`Effect::Persist`]: `is_durable` says whether its records are on disk.
     pub fn write_completed(&mut self, now: Millis, ticket: u64, is_durable: bool) {
         for wait in self.pending_writes.complete(ticket) {
             if is_durable {
@@ -139,18 +142,19 @@
                 self.metrics.failed_writes += 1;
                 self.refuse_replica(owner, key);
             }
-            // Confirmed all the same: the message lies on both disks, and the former owner says on both restarts who owns it.
-            // Without an answer it would wait until the message expires.
+            // The handover is confirmed in spite of the failed write: the message is on both disks, and after a restart
+            // of either store the former owner reports who owns it. Without a confirmation the former owner would wait
+            // until the message expires.
             PendingWrite::TakenOverFrom(former_owner, key) => {
                 self.metrics.failed_writes += 1;
                 self.confirm_handover(former_owner, key);
             }
-            // The sender repeats it.
+            // The sender transfers the end again.
             PendingWrite::EndFrom(..) => self.metrics.failed_writes += 1,
-            // A restart would forget the order: the operator has to repeat it.
+            // A restart would lose the order, so the operator has to repeat it.
             PendingWrite::Retirement => self.retirement = RetirementOrder::None,
             PendingWrite::Grant { to, claim_id, .. } => self.grant_failed(to, claim_id),
-            // A claim that isn't recorded ends by its time-out; terms are asked for again.
+            // A claim that is not recorded ends by its time-out, and shard terms are requested again.
             PendingWrite::OwnClaim(_) => self.metrics.failed_writes += 1,
             PendingWrite::ShardTerms => {
                 self.metrics.failed_writes += 1;
@@ -166,7 +170,7 @@
         }
     }
 
-    /// Drops a replica that could not be written, unless the message has become another's meanwhile.
+    /// Drops a replica that could not be written, unless the message has a different owner by now.
     fn refuse_replica(&mut self, owner: Node, key: Key) {
         let is_replica = |entry: &Entry| entry.stage == Stage::Replica && entry.owner == owner;
         if self.entries.get(&key).is_some_and(is_replica) {
@@ -176,7 +180,8 @@
         }
     }
 
-    /// A message could not be persisted here: its replicas are dropped, and its sender learns that the outcome is unknown.
+    /// Rolls back a message that could not be persisted: its replicas are dropped, and its sender learns that the
+    /// outcome is unknown.
     pub(crate) fn roll_back(&mut self, key: Key) {
         let Some(entry) = self.entries.get(&key).filter(|entry| entry.stage == Stage::Persisting) else {
             return;
@@ -191,7 +196,8 @@
         self.report_unknown_outcome(ticket);
     }
 
-    /// A store, this one included, has a message on its disk. With the last of them the message is accepted, or repaired.
+    /// Records that a store, possibly this one, has a message on its disk. With the last confirmation a new message is
+    /// accepted, or the repair of an older one is complete.
     pub(crate) fn confirm_persisted(&mut self, now: Millis, key: Key, node: Node) {
         let accepts_early = self.planted(PlantedFault::EarlyAnswer) && node == self.settings.node;
         let Some(entry) = self.entries.get_mut(&key) else { return };
@@ -209,22 +215,23 @@
         }
     }
 
-    /// All disks have a new message: its sender is answered, and it waits for its turn.
+    /// Accepts a new message that is on all of its disks: its sender is answered, and it is scheduled.
     fn accept(&mut self, now: Millis, key: Key) {
         let wall_clock_ms = self.wall_clock_ms(now);
         let is_unasked = self.planted(PlantedFault::ResubmittedUnasked);
         let Some(entry) = self.entries.get_mut(&key) else { return };
         entry.stage = Stage::Waiting;
-        // By both clocks: the process may have read the message late, or stood still since.
+        // Both clocks are used, because the process may have read the message late, or been paused since.
         let is_late = entry.age_ms(now) >= LATE_ACCEPTANCE_MS
             || wall_clock_ms >= entry.message.accepted_at_ms + LATE_ACCEPTANCE_MS;
-        // A message with an idempotency key is nowhere else: its edge says nothing of it.
+        // A message with an idempotency key has no copy elsewhere, and its edge sends no decision about it.
         entry.may_be_duplicated |= is_late && entry.message.accepted_at_ms > 0 && entry.digest.is_none();
         if entry.may_be_duplicated && !is_unasked {
             entry.not_before = entry.not_before.max(now + CONFIRMATION_WINDOW_MS);
         }
         let ticket = entry.ticket.take();
-        // Of a message with an idempotency key the name is the same for each further submission, wherever its replicas lie by then.
+        // The text key of a message with an idempotency key has to be the same for every submission, wherever its
+        // replicas are by then, so it names no replica.
         let first_replica = entry.replicas.first().copied().filter(|_| entry.digest.is_none());
         if let Some(at) = entry.persist_check_at.take() {
             self.persisting.remove(&(at, key));
@@ -236,7 +243,7 @@
         self.schedule(now, key);
     }
 
-    /// Answers a `put` whose message may run or not, if anybody waits for the answer.
+    /// Answers a `put` whose message may or may not run, if a client waits for the answer.
     pub(crate) fn report_unknown_outcome(&mut self, ticket: Option<u64>) {
         if let Some(ticket) = ticket {
             self.metrics.outcome_unknown += 1;
--- a/crates/queue/src/record.rs
+++ b/crates/queue/src/record.rs
@@ -1,89 +1,91 @@
-//! The records that a store writes to its log.
+//! Records that a store writes to its log.
 
 use crate::idempotency::{Shard, ShardTerm};
 use crate::message::{End, Key, Node, ReplicatedMessage};
 use serde::{Deserialize, Serialize};
 
-/// One change of the store's state, as it is kept on disk.
-// Most records are of the large variant: a box would only add an allocation to each.
+/// One change of the store's state, as written to the log on disk.
+// Most records are of the large variant, so boxing it would only add an allocation to each.
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// The store has started.
+    /// The store has started a new incarnation.
     IncarnationStarted {
-        /// Identifies the disk: a different one means that the disk was replaced.
+        /// Identifier of the disk. A different one means that the disk was replaced.
         disk_id: u64,
-        /// The first message number of this incarnation.
+        /// First message number of this incarnation.
         first_number: u64,
     },
-    /// A message, owned or a replica, is stored.
+    /// A message is stored, as owner or as replica.
     Put {
         /// The message with its ownership.
         replica: ReplicatedMessage,
     },
     /// A message has ended.
     Ended {
-        /// Which message.
+        /// Key of the message.
         key: Key,
-        /// How it ended.
+        /// How the message ended.
         end: End,
-        /// Its callback has yet to be delivered.
+        /// Whether the callback of the message has yet to be delivered.
         callback_pending: bool,
         /// Time of day of the end, in milliseconds since 1970.
         ended_at_ms: u64,
     },
     /// The callback of an ended message was delivered.
     CallbackDelivered {
-        /// Which message.
+        /// Key of the message.
         key: Key,
     },
-    /// The owner of a message, or the list of its replicas, has changed.
+    /// The owner of a message, or its replica list, has changed.
     OwnerChanged {
-        /// Which message.
+        /// Key of the message.
         key: Key,
-        /// The store that delivers it from now on.
+        /// The store that delivers the message from now on.
         owner: Node,
-        /// The term of that ownership.
+        /// Term of the new ownership.
         term: u32,
-        /// The other stores that hold a replica.
+        /// Stores other than the owner that hold a replica of the message.
         replicas: Vec<Node>,
     },
-    /// A message is discarded: it was never confirmed, or another store keeps it.
+    /// A message is discarded, because it was never confirmed or because another store keeps its copy.
     Dropped {
-        /// Which message.
+        /// Key of the message.
         key: Key,
     },
-    /// An operator has ordered that this store be retired.
+    /// An operator has ordered the retirement of this store.
     RetirementOrdered,
-    /// Another store has named its disk, and all ends that the disk before it may have held lie on enough other disks.
+    /// Another store has reported its disk, and all ends that its previous disk may have held are on enough other
+    /// disks.
     PeerDiskKnown {
         /// The other store.
         node: Node,
-        /// Its disk; `None` where the store is gone for good.
+        /// Identifier of the other store's disk; `None` if the store is gone for good.
         disk_id: Option<u64>,
     },
-    /// An executor has said of one more attempt of a message that it failed.
+    /// An executor has reported that one more attempt of a message failed.
     AttemptFailed {
-        /// Which message.
+        /// Key of the message.
         key: Key,
-        /// How many have failed so far, as far as this store knows.
+        /// Number of attempts that have failed so far, as far as this store knows.
         failed_attempts: u32,
     },
-    /// A claim of shards was granted, or made.
+    /// A claim of shards was granted to another store, or made by this one.
     ShardsGranted {
-        /// The claim.
+        /// The claim, as term and claiming store.
         claim: ShardTerm,
-        /// The shards.
+        /// The claimed shards.
         shards: Vec<Shard>,
     },
-    /// Whether the disk before this one was lost, and the recovery from that is not complete: the claims that were granted, and the messages
-    /// with idempotency keys that lay there, may not be known yet.
+    /// Whether the previous disk was lost and the recovery is not complete: the claims granted on it, and the messages
+    /// with idempotency keys stored on it, may not be known yet.
     ShardTermsMissing(bool),
-    /// Whether another store is gone for good, so that no message with an idempotency key lies there alone.
+    /// Whether another store is gone for good, so that it is not the only holder of any message with an idempotency
+    /// key.
     MessageHolderGone {
         /// The other store.
         node: Node,
-        /// `false` where it was connected for the first time, or is back after all.
+        /// `false` if the store was connected for the first time, or has returned after all.
         is_gone: bool,
     },
 }
--- a/crates/queue/src/repair.rs
+++ b/crates/queue/src/repair.rs
@@ -1,4 +1,4 @@
-//! Repair: replicas that are missing are made again, at a bounded rate.
+//! Repair of replicas: missing replicas are recreated, at a bounded rate.
 
 use crate::entry::{Entry, Stage};
 use crate::message::{Key, Millis, Node};
@@ -8,25 +8,27 @@
 use crate::planted_fault::PlantedFault;
 use crate::queue::Queue;
 
-/// The replicas of a store that is no member and not connected for so long are made anew. An orderly restart is shorter.
+/// The replicas of a store that is neither a member nor connected for this time are recreated elsewhere. An orderly
+/// restart takes less time.
 const WRITE_OFF_DELAY: Millis = 5000;
 
-/// How often replicas are made while some are missing.
+/// Interval at which replicas are sent while some are missing.
 const REPAIR_INTERVAL: Millis = 50;
 
-/// A replica made anew that is not confirmed for so long is sent again.
+/// A replica sent by repair that is not confirmed within this time is sent again.
 const REPAIR_CONFIRM_LIMIT: Millis = 3000;
 
-/// Where no store can take a replica the message is looked at again after so long.
+/// Delay until a message is examined again if no store can take its replica.
 const NO_STORE_RETRY_DELAY: Millis = 1000;
 
-/// How often digests are compared with each store.
+/// Interval at which message digests are compared with each store.
 const COMPARISON_INTERVAL: Millis = 10_000;
 
-/// Messages younger than this are left out of comparisons: what is on its way would always differ.
+/// Messages younger than this, in milliseconds, are left out of digest comparisons, because messages still being
+/// replicated would always differ.
 const COMPARISON_MIN_AGE_MS: u64 = 2000;
 
-/// Estimated bytes of a replica beside its body.
+/// Estimated size of a replica without its body, in bytes.
 const REPLICA_OVERHEAD_BYTES: u64 = 400;
 
 impl Queue {
@@ -44,7 +46,8 @@
             .is_some_and(|entry| self.lasting_replicas(entry) >= self.settings.replica_count)
     }
 
-    /// After a change of a message's replicas: schedules a repair if it has too few, and ends one if it has enough.
+    /// Checks a message after a change of its replicas: schedules a repair if it has too few, and cancels the repair if
+    /// it has enough.
     pub(crate) fn check_replication(&mut self, now: Millis, key: Key) {
         let Some(entry) = self.entries.get(&key) else { return };
         let is_owned_here = entry.owner == self.settings.node;
@@ -62,8 +65,9 @@
         }
     }
 
-    /// The replicas that replace those at stores which do not count are confirmed: only now those leave the list, on disk too. A store that
-    /// restarted before would ask only the ones in the list what became of the message, and they may know nothing of it.
+    /// Removes the stores whose replicas do not count from the replica list of a message, on disk too, once the
+    /// replicas that replace theirs are confirmed. If they were removed earlier and the owner restarted, it would ask
+    /// only the stores in the list about the message, and those might not know it.
     fn drop_uncounted_replicas(&mut self, key: Key) {
         let Some(entry) = self.entries.get(&key).filter(|entry| !entry.is_settled()) else { return };
         let lasting = entry.replicas.iter().copied().filter(|node| self.counts_copies_at(*node));
@@ -77,21 +81,21 @@
         self.record_ownership(&ownership);
     }
 
-    /// All stores with replicas of a message have said, since they were last connected, what they hold. A replica that was on
-    /// its way when this store ended is read from disk as if it had been made.
+    /// Whether all stores with replicas of a message have reported what they hold since they last connected. A replica
+    /// that was in transit when this store ended is read from disk as if it had been stored.
     pub(crate) fn are_replicas_confirmed(&self, entry: &Entry) -> bool {
         let is_reconciled = |node: &Node| self.peers.get(node).is_some_and(|peer| peer.is_reconciled);
         entry.replicas.iter().all(is_reconciled) || self.planted(PlantedFault::CopiesUnconfirmed)
     }
 
-    /// A message that is owned here, is stored, and of which something is left to do.
+    /// Entry of a message that is owned here, is persisted, and for which work is left.
     fn owned_entry_mut(&mut self, key: Key) -> Option<&mut Entry> {
         let node = self.settings.node;
         let entry = self.entries.get_mut(&key);
         entry.filter(|entry| entry.owner == node && entry.stage != Stage::Persisting && !entry.is_settled())
     }
 
-    /// A store that should hold a replica has none yet.
+    /// Schedules the repair of a replica that a store should hold and does not.
     pub(crate) fn replica_missing(&mut self, now: Millis, key: Key, node: Node) {
         if self.is_peer_retiring(node) {
             return self.replica_lost(now, key, node);
@@ -106,7 +110,7 @@
         self.check_replication(now, key);
     }
 
-    /// A store that should hold a replica has no room for it, or is gone.
+    /// Removes a replica whose store has no capacity for it or is gone.
     pub(crate) fn replica_lost(&mut self, now: Millis, key: Key, node: Node) {
         let Some(entry) = self.owned_entry_mut(key) else { return };
         entry.replicas.retain(|replica| *replica != node);
@@ -114,7 +118,7 @@
         self.check_replication(now, key);
     }
 
-    /// A store holds a replica that was not counted: too few are there, so it counts again.
+    /// Adds an uncounted replica that a store holds to the replica list, because the message has too few.
     pub(crate) fn adopt_replica(&mut self, now: Millis, key: Key, node: Node) {
         if self.is_peer_retiring(node) {
             return;
@@ -127,7 +131,7 @@
         self.check_replication(now, key);
     }
 
-    /// A connection is lost, and with it the repaired replicas that were on their way.
+    /// Handles the loss of a connection, and with it of the repaired replicas that were in transit.
     pub(crate) fn drop_repairs_in_flight_to(&mut self, now: Millis, node: Node) {
         let keys = self.under_replicated.iter().map(|(_, key)| *key);
         let is_in_flight =
@@ -138,7 +142,8 @@
         }
     }
 
-    /// Writes off the replicas of stores that are gone for good, and compares digests with the others when it is time.
+    /// Writes off the replicas of stores that are gone for good, and compares digests with the other stores when that
+    /// is due.
     pub(crate) fn check_replica_holders(&mut self, now: Millis) {
         for node in self.write_off_absent_peers(now) {
             self.holder_lost(node);
@@ -150,7 +155,7 @@
         }
         let node = self.settings.node;
         let due = self.peers.iter().filter(|(other, peer)| {
-            // Of two stores the lower one begins.
+            // Of two stores, the one with the lower node identifier starts the comparison.
             node < **other
                 && peer.is_connected
                 && peer.is_reconciled
@@ -162,7 +167,7 @@
         }
     }
 
-    /// The stores whose replicas no longer count from now on.
+    /// Marks the absent stores whose replicas no longer count from now on, and returns them.
     fn write_off_absent_peers(&mut self, now: Millis) -> Vec<Node> {
         let may_write_off = self.control_contact.is_heard && self.knows_members;
         let mut written_off = Vec::new();
@@ -180,13 +185,13 @@
         written_off
     }
 
-    /// When [`Queue::repair`] has something to do.
+    /// Time at which [`Queue::repair`] has work to do.
     pub(crate) fn next_repair_at(&self) -> Millis {
         let first = self.under_replicated.first();
         first.map_or(Millis::MAX, |(at, _)| (*at).max(self.repair_budget.filled_at() + REPAIR_INTERVAL))
     }
 
-    /// Sends missing replicas, as many as the budget allows.
+    /// Sends missing replicas, as many as the repair budget allows.
     pub(crate) fn repair(&mut self, now: Millis) {
         self.metrics.under_replicated = self.missing_copies().messages;
         if self.metrics.under_replicated == 0 {
@@ -208,18 +213,19 @@
         if let Some(since) = self.under_replicated_since.take() {
             self.metrics.last_under_replication_ms = now.saturating_sub(since);
             let ms = self.metrics.last_under_replication_ms;
-            tracing::info!(ms, "all messages are on enough disks again");
+            tracing::info!(ms, "all messages are stored on enough disks again");
         }
     }
 
-    /// Sends the missing replicas of one message, and chooses stores for those that have none.
+    /// Sends the missing replicas of one message, and chooses stores for new ones.
     fn repair_message(&mut self, now: Millis, key: Key) {
         let Some(entry) = self.owned_entry_mut(key) else {
             self.under_replicated.pop_first();
             return;
         };
         if entry.unconfirmed.is_empty() && self.has_enough_replicas(key) {
-            // A store that had been written off is back: its confirmation came before its replicas counted again.
+            // A store that had been written off has returned: its confirmation arrived before its replicas counted
+            // again.
             self.check_replication(now, key);
             return self.replicas_confirmed(now, key);
         }
@@ -242,7 +248,8 @@
         let bytes = replica_bytes * receivers.len() as u64;
         self.repair_budget.take(bytes);
         self.metrics.repaired_bytes += bytes;
-        // Known on disk before the replica is sent: after a restart the stores in the list are waited for.
+        // The new replica list is recorded before the replica is sent, so that a restarted owner waits for the stores
+        // in the list.
         if !added.is_empty() {
             self.record_ownership(&ownership);
             self.after_write(PendingWrite::Ownership(key));
--- a/crates/queue/src/retirement.rs
+++ b/crates/queue/src/retirement.rs
@@ -1,5 +1,6 @@
-//! Retirement of a store: it accepts nothing more and hands over what it owns to stores that hold replicas, and the others
-//! make the replicas that lie here anew elsewhere. It is empty when all of them have said that they need no replica here.
+//! Retirement of a store: it accepts nothing more and hands over the messages it owns to stores that hold their
+//! replicas, while the other stores recreate elsewhere the replicas it holds. It is empty when all of them have
+//! reported that they need no replica here.
 
 use crate::effect::Effect;
 use crate::message::{Key, Millis, Node};
@@ -10,17 +11,18 @@
 use crate::queue::{Queue, RetirementOrder};
 use crate::record::Record;
 
-/// How often a retiring store is sent that none of its replicas is needed, should the message get lost with a connection.
+/// Interval at which a retiring store is notified again that none of its replicas is needed, in case a notice is lost
+/// with its connection.
 const RELEASE_INTERVAL: Millis = 500;
 
-/// How far the retirement of a store has come.
+/// Progress of the retirement of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetirementState {
-    /// The store is in service, or the order is not on disk yet.
+    /// The store is in service, or the order to retire is not on disk yet.
     NotOrdered,
-    /// The order is on disk; messages or ends that lie here do not all lie elsewhere yet.
+    /// The order to retire is on disk, but not all messages and ends on this store are stored elsewhere yet.
     InProgress,
-    /// No other store relies on anything here: the store may be removed with its disk.
+    /// No other store relies on anything stored here: the store may be removed with its disk.
     Empty,
 }
 
@@ -35,7 +37,8 @@
 }
 
 impl Queue {
-    /// Retires the store, as an operator has ordered. It holds over restarts: the order is on disk before it is confirmed.
+    /// Retires the store, as ordered by an operator. The order survives restarts, because it is on disk before it is
+    /// confirmed.
     pub fn retire(&mut self, now: Millis) {
         if self.is_retiring() {
             return;
@@ -51,7 +54,7 @@
         self.begin_draining(now);
     }
 
-    /// How far the retirement has come.
+    /// Progress of the retirement of this store.
     pub fn retirement_state(&self) -> RetirementState {
         if self.retirement != RetirementOrder::Durable {
             return RetirementState::NotOrdered;
@@ -73,7 +76,8 @@
         self.end_replication.is_complete() || self.planted(PlantedFault::EndsGoAlong)
     }
 
-    /// Each member has said that it needs no replica here. Cut off, or before it knows them, this store can't tell.
+    /// Whether every member has reported that it needs no replica here. A store that is partitioned, or does not know
+    /// the members yet, cannot tell.
     fn is_released_by_members(&self) -> bool {
         let mut members = self.peers.iter().filter(|(_, peer)| peer.is_member).peekable();
         let are_members_known =
@@ -81,8 +85,8 @@
         are_members_known && members.all(|(node, peer)| peer.is_connected && self.released_by.contains(node))
     }
 
-    /// Of each replica that lies here the owner has said that it needs none. One whose owner is gone may be the only one
-    /// that is left: it is taken over, and handed over, first.
+    /// Whether the owner of each replica held here has reported that it needs no replica here. A replica whose owner is
+    /// gone may be the only copy left: the message is first taken over and handed over.
     fn is_released_by_owners(&self) -> bool {
         let has_released = |node: Node| {
             let is_connected = self.peers.get(&node).is_some_and(|peer| peer.is_connected);
@@ -91,26 +95,26 @@
         self.owners().all(has_released) || self.planted(PlantedFault::OrphansUnheeded)
     }
 
-    /// A store relies on a replica here: what it said before, that it needs none, holds no longer.
+    /// Cancels a peer's earlier report that it needs no replica here, because it relies on one again.
     pub(crate) fn needs_replicas_again(&mut self, node: Node) {
         if !self.planted(PlantedFault::RelievedForever) {
             self.released_by.remove(&node);
         }
     }
 
-    /// The other store is being retired: no replica that lies there is relied on.
+    /// Whether the other store is retiring, so that no replica there is relied on.
     pub(crate) fn is_peer_retiring(&self, node: Node) -> bool {
         self.peers.get(&node).is_some_and(Peer::is_retiring)
     }
 
-    /// Goes on with this store's retirement, and with that of others: their replicas are made elsewhere, at the rate of
-    /// repair, and they are notified once none is needed.
+    /// Continues this store's retirement and that of peers: the replicas at retiring peers are recreated elsewhere, at
+    /// the rate of repair, and the peers are notified once none of them is needed.
     pub(crate) fn check_retirements(&mut self, now: Millis) {
         if self.is_retiring() {
             self.offer_all();
         }
         if self.fenced_since.is_some() {
-            // The stores with replicas may have taken over, and are heard first.
+            // The stores that hold replicas may have taken over, so their reports are awaited first.
             return;
         }
         let is_due = |peer: &Peer| {
@@ -123,7 +127,7 @@
         }
     }
 
-    /// Makes elsewhere what a retiring store holds, or tells it that it holds nothing that is needed.
+    /// Recreates elsewhere the replicas at a retiring store, or notifies it that none of them is needed.
     fn release_peer(&mut self, now: Millis, node: Node) {
         let replicated = self.owned_here().filter(|(_, entry)| entry.replicas.contains(&node));
         let replicated: Vec<Key> = replicated.map(|(key, _)| key).collect();
--- a/crates/queue/src/retry_budget/tests.rs
+++ b/crates/queue/src/retry_budget/tests.rs
@@ -1,9 +1,9 @@
-//! The bounds of retries over all stores.
+//! Tests that the bounds of retries hold over all stores together.
 
 use super::*;
 
 #[test]
-fn all_stores_together_keep_to_a_part_of_each_executors_slots() {
+fn all_stores_together_use_a_fraction_of_each_executors_slots() {
     for stores in 1..9 {
         let capacities = [1.0, 3.0, 8.0, 2.0, 3.0];
         let shares: Vec<Vec<usize>> =
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn failed_retries_are_a_part_of_first_attempts() {
+fn failed_retries_are_a_fraction_of_first_attempts() {
     let mut budget = RetryBudget::new(0);
     budget.resize(20.0, 3);
     let (mut retries, mut now) = (0, 0);
@@ -28,7 +28,7 @@
         }
     }
     assert!((200..=8 + 200 + 4 * now / 1000 / 3 + 1).contains(&retries), "{retries}");
-    // What completes makes place for the next.
+    // A retry that completes makes room for another one.
     budget.refund();
     assert!(budget.next_retry_at(now).is_none());
 }
--- a/crates/queue/src/state_table.rs
+++ b/crates/queue/src/state_table.rs
@@ -1,4 +1,5 @@
-//! The state that the records on disk add up to: read when the store starts, and written anew when its log is compacted.
+//! State table of a store, built by applying the records on disk. It is read when the store starts and written as a
+//! snapshot when its log is compacted.
 
 use crate::idempotency::{Shard, ShardTerm};
 use crate::message::{End, Key, Node, ReplicatedMessage};
@@ -6,56 +7,59 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use stileroute_wal::StateMachine;
 
-/// Ends are kept on disk for so long, in milliseconds: clients ask for them no later.
+/// Time for which ends are kept on disk, in milliseconds. Clients do not ask for them later.
 const END_RETENTION_MS: u64 = 240_000;
 
-/// Incarnations of a disk that are remembered. A replica of a message from an earlier one than that has waited too long.
+/// Maximum number of incarnations of a disk that are remembered. A replica of a message from an older incarnation has
+/// waited too long.
 const MAX_INCARNATIONS: usize = 64;
 
-/// The end of a message, as it is kept on disk.
+/// The end of a message, in the form kept on disk.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredEnd {
-    /// How the message ended.
+    /// How the message ended: completed or failed.
     pub end: End,
-    /// Its callback has yet to be delivered.
+    /// Whether the callback of the message has yet to be delivered.
     pub callback_pending: bool,
     /// Time of day of the end, in milliseconds since 1970.
     pub ended_at_ms: u64,
 }
 
-/// What the disk holds of one message.
+/// Content of the disk for one message.
 #[derive(Clone, Debug, Default)]
 pub struct StoredMessage {
     /// The message with its ownership; `None` where only its end is known.
     pub replica: Option<ReplicatedMessage>,
-    /// How it ended; `None` while it is live.
+    /// The end of the message; `None` while it is live.
     pub end: Option<StoredEnd>,
 }
 
-/// The state of a store as its records add up to.
+/// The state of a store that results from its records.
 #[derive(Debug, Default)]
 pub struct StateTable {
-    /// Identifies the disk; `None` if it is empty.
+    /// Identifier of the disk; `None` if the disk is empty.
     pub disk_id: Option<u64>,
-    /// The first message numbers of the incarnations that began with this disk, the newest last.
+    /// First message numbers of the incarnations that began with this disk, the newest last.
     pub incarnation_first_numbers: Vec<u64>,
-    /// An operator has ordered that this store be retired.
+    /// Whether an operator has ordered the retirement of this store.
     pub retirement_ordered: bool,
-    /// The disks of other stores, as they were last named.
+    /// Disk identifiers of other stores, as last recorded.
     pub peer_disks: BTreeMap<Node, u64>,
-    /// Stores that were connected and are not gone for good: messages with idempotency keys may lie there alone.
+    /// Stores that were connected and are not gone for good; each may be the only holder of messages with idempotency
+    /// keys.
     pub message_holders: BTreeSet<Node>,
-    /// Stores that are gone for good: no message with an idempotency key lies there alone.
+    /// Stores that are gone for good; none is the only holder of a message with an idempotency key.
     pub gone_message_holders: BTreeSet<Node>,
     /// The highest claim of each shard that was granted or made.
     pub shard_terms: BTreeMap<Shard, ShardTerm>,
-    /// The claims that were granted before the disk was lost are not known yet.
+    /// Whether the claims of shards that were granted before the disk was lost are not known yet.
     pub are_shard_terms_missing: bool,
     /// All messages that are live, or whose end is kept.
     pub messages: HashMap<Key, StoredMessage>,
-    /// Records that could not be decoded.
+    /// Number of records that could not be decoded.
     pub unreadable_records: u64,
-    /// The latest end that was recorded: the age of other ends is measured from it, not from the clock.
+    /// Time of day of the latest recorded end, in milliseconds since 1970. The age of other ends is measured from it
+    /// and not from the clock.
     latest_end_ms: u64,
 }
 
@@ -116,9 +120,9 @@
         }
     }
 
-    /// Applies an end that outlived the process before without the disk, unless one is known. The message itself may not have been
-    /// written either: then the end alone is known, and another store that has the message live is told. Whether the end was new, and
-    /// has to be written.
+    /// Applies an end that survived the previous process without being on disk, unless an end is known. The message
+    /// itself may not have been written either: then only the end is known, and another store that has the message live
+    /// is notified. Returns whether the end was new and has to be written.
     pub fn apply_kept_end(&mut self, record: &[u8]) -> bool {
         let Ok(Record::Ended { key, end, callback_pending, ended_at_ms }) = postcard::from_bytes(record)
         else {
@@ -131,8 +135,8 @@
         is_new
     }
 
-    /// Applies a count of failed attempts that outlived the process before without the disk, if the message is live and more have
-    /// failed than is known. Whether that is so, and the record has to be written.
+    /// Applies a number of failed attempts that survived the previous process without being on disk, if the message is
+    /// live and fewer are known. Returns whether that is so and the record has to be written.
     pub fn apply_kept_failure(&mut self, record: &[u8]) -> bool {
         match postcard::from_bytes(record) {
             Ok(Record::AttemptFailed { key, failed_attempts }) if self.is_live(key) => {
@@ -146,7 +150,8 @@
         self.messages.get(&key).is_some_and(|message| message.end.is_none())
     }
 
-    /// So many attempts of a message have failed at least. Whether fewer were known.
+    /// Raises the number of failed attempts of a message to at least `failed_attempts`. Returns whether it has
+    /// increased.
     fn raise_failed_attempts(&mut self, key: Key, failed_attempts: u32) -> bool {
         let message = self.messages.get_mut(&key);
         let Some(replica) = message.and_then(|message| message.replica.as_mut()) else { return false };
@@ -168,7 +173,8 @@
         if let Some(old) = &message.replica {
             replica.attempts = replica.attempts.max(old.attempts);
         }
-        // Of one that has ended only what was not known: the bytes of a failed one, transferred by another store.
+        // For a message that has ended, only a replica that was not known is stored: the body of a failed message,
+        // transferred by another store.
         let is_live = message.end.is_none();
         if message.replica.as_ref().is_none_or(|old| is_live && old.term <= replica.term) {
             message.replica = Some(replica);
@@ -178,7 +184,8 @@
     fn end(&mut self, key: Key, end: StoredEnd) {
         self.latest_end_ms = self.latest_end_ms.max(end.ended_at_ms);
         let message = self.messages.entry(key).or_default();
-        // The rest is what a callback needs; of a failed message clients may ask for the body.
+        // The rest of the message is needed for a callback. The body of a failed message is kept, because clients may
+        // ask for it.
         if let Some(replica) = message.replica.as_mut().filter(|_| end.end != End::Failed) {
             replica.message.body = Vec::new();
         }
--- a/crates/queue/src/tenant_quotas.rs
+++ b/crates/queue/src/tenant_quotas.rs
@@ -1,9 +1,10 @@
-//! Quotas: how many messages of a tenant may be accepted, over all stores together.
+//! Quotas: limits on the messages of a tenant that may be accepted, over all stores together.
 //!
-//! Each tenant's token bucket lies at one store, its holder, by the same rules as that of a service's rate limit: one holder at a time, of
-//! which the next one begins with an empty bucket once the former has stopped (`token_bucket.rs`). Any store takes a token before
-//! it accepts a message, from its own grants or from the holder. Further submissions with the idempotency key of an accepted
-//! message take none. What can't have a token is rejected; nothing of it is kept.
+//! Each tenant has a token bucket at one store, its holder, by the same rules as the bucket of a service's rate limit:
+//! there is one holder at a time, and the next holder begins with an empty bucket once the former one has stopped
+//! (`token_bucket.rs`). Any store takes a token before it accepts a message, from its own grants or from the holder.
+//! Further submissions with the idempotency key of an accepted message take no token. A submission that cannot get a
+//! token is rejected, and nothing of it is kept.
 
 use crate::effect::Effect;
 use crate::message::{Message, Millis, PutError};
@@ -13,16 +14,16 @@
 use std::collections::{HashMap, VecDeque};
 use stileroute_config::Config;
 
-/// Stands before a tenant's name where tokens are asked for: services and tenants may have one name.
+/// Prefix of a tenant's name in token requests, because a service and a tenant may have the same name.
 const TENANT_PREFIX: &str = "tenant\0";
 
-/// A submission waits so long for the holder's answer: its edge gives the store up a little later.
-const HOLDER_PATIENCE_MS: Millis = 150;
+/// Time-out of a submission that waits for the holder's answer. Its edge gives up on this store a little later.
+const HOLDER_TIMEOUT_MS: Millis = 150;
 
-/// After the holder had too few tokens it is not asked again for so long.
-const DENIAL_MS: Millis = 60;
+/// Time for which the holder is not asked again after it had too few tokens.
+const DENIED_RETRY_DELAY_MS: Millis = 60;
 
-/// Most tokens that are asked for at once.
+/// Maximum number of tokens in one request.
 const MAX_TOKENS_PER_REQUEST: usize = 16;
 
 /// A submission that waits for a token.
@@ -34,46 +35,46 @@
     deadline: Millis,
 }
 
-/// The quota of one tenant, as one store has it.
+/// The quota of one tenant, as known to one store.
 #[derive(Debug)]
 pub(crate) struct TenantQuota {
     pub(crate) bucket: TokenBucket,
     waiting: VecDeque<WaitingForToken>,
-    /// So many tokens the holder was asked for last.
+    /// Number of tokens in the last request to the holder.
     requested: u32,
-    /// The holder had too few tokens: until then nothing is asked for.
+    /// Time until which no tokens are requested, because the holder had too few.
     denied_until: Millis,
 }
 
-/// The quotas of all tenants that have one, by the names under which their tokens are asked for.
+/// The quotas of all tenants that have one, by the names used in token requests.
 #[derive(Debug, Default)]
 pub(crate) struct TenantQuotas {
     pub(crate) by_name: HashMap<String, TenantQuota>,
-    /// The configuration names tenants.
+    /// Whether the configuration names tenants.
     are_tenants_known: bool,
 }
 
 impl TenantQuotas {
-    /// When [`Queue::settle_quotas`] has to be called next.
+    /// Time at which [`Queue::settle_quotas`] has to be called next.
     pub(crate) fn next_deadline(&self) -> Millis {
         let first = |quota: &TenantQuota| quota.waiting.front().map(|waiting| waiting.deadline);
         self.by_name.values().filter_map(first).min().unwrap_or(Millis::MAX)
     }
 }
 
-/// Whether a message may be accepted.
+/// Whether the tenant's quota allows a message to be accepted.
 enum Admission {
     Granted,
     /// The tenant has used up its quota.
     Exceeded,
-    /// The tenant is not known here, so neither is its quota.
+    /// The tenant, and therefore its quota, is not known to this store.
     Unknown,
-    /// The holder has to be asked.
+    /// The holder of the quota has to be asked for a token.
     Wait,
 }
 
 impl Queue {
-    /// Applies the quotas of a configuration.
+    /// Applies the tenant quotas of a configuration.
     pub(crate) fn configure_quotas(&mut self, now: Millis, config: &Config) {
         let tenants = config.tenants.as_ref().map_or(&[][..], |table| &table.tenants);
         self.quotas.are_tenants_known = config.tenants.is_some();
@@ -95,20 +96,20 @@
         }
     }
 
-    /// Takes a message in if its tenant's quota allows it.
+    /// Accepts a message if its tenant's quota allows it.
     pub(crate) fn admit(&mut self, now: Millis, ticket: u64, message: Message, is_resubmitted: bool) {
         let Some(name) = message.tenant.as_ref().map(|tenant| format!("{TENANT_PREFIX}{tenant}")) else {
-            return self.take_in(now, ticket, message, is_resubmitted);
+            return self.accept_new(now, ticket, message, is_resubmitted);
         };
         match self.take_quota(now, &name) {
-            Admission::Granted => self.take_in(now, ticket, message, is_resubmitted),
+            Admission::Granted => self.accept_new(now, ticket, message, is_resubmitted),
             Admission::Exceeded => {
                 self.metrics.over_quota += 1;
                 self.reject_with(ticket, PutError::QuotaExceeded);
             }
             Admission::Unknown => self.reject_with(ticket, PutError::QuotaUnknown),
             Admission::Wait => {
-                let deadline = now + HOLDER_PATIENCE_MS;
+                let deadline = now + HOLDER_TIMEOUT_MS;
                 let waiting = WaitingForToken { ticket, message, is_resubmitted, deadline };
                 if let Some(quota) = self.quotas.by_name.get_mut(&name) {
                     quota.waiting.push_back(waiting);
@@ -134,7 +135,8 @@
         }
     }
 
-    /// Asks the holder for as many tokens as submissions wait, unless it has been asked already.
+    /// Asks the holder for as many tokens as submissions are waiting, up to [`MAX_TOKENS_PER_REQUEST`], unless a
+    /// request is pending.
     fn ask_for_tokens(&mut self, now: Millis, name: &str) {
         let holder = token_holder(name, self.settings.node, &self.peers);
         let Some(quota) = self.quotas.by_name.get_mut(name) else { return };
@@ -147,8 +149,9 @@
         self.emit(Effect::Send { to: holder, message });
     }
 
-    /// The holder has answered a request with so many tokens: as many submissions are looked at again, and the others wait for
-    /// the next answer. Where it had fewer than it was asked for, all that wait are over the quota.
+    /// Handles a grant of `count` tokens by the holder: as many submissions are processed again, and the others wait
+    /// for the next answer. If the holder granted fewer tokens than requested, all waiting submissions exceed the
+    /// quota.
     pub(crate) fn quota_tokens_received(&mut self, now: Millis, name: &str, count: u32) {
         let Some(quota) = self.quotas.by_name.get_mut(name) else { return };
         let is_denied = count < quota.requested;
@@ -156,10 +159,10 @@
         let settled: Vec<WaitingForToken> = quota.waiting.drain(..settled).collect();
         let must_ask_again = !quota.waiting.is_empty();
         if is_denied {
-            quota.denied_until = now + DENIAL_MS;
+            quota.denied_until = now + DENIED_RETRY_DELAY_MS;
         }
         for WaitingForToken { ticket, message, is_resubmitted, .. } in settled {
-            // Meanwhile another submission may have come with its key.
+            // Another submission with the same idempotency key may have arrived in the meantime.
             match message.idempotency_digest() {
                 Some(digest) => self.submit_once(now, ticket, message, digest),
                 None => self.admit(now, ticket, message, is_resubmitted),
@@ -170,7 +173,7 @@
         }
     }
 
-    /// Rejects submissions for which the holder has not answered in time.
+    /// Rejects submissions for which the holder has not answered within the time-out.
     pub(crate) fn settle_quotas(&mut self, now: Millis) {
         let mut late = Vec::new();
         for quota in self.quotas.by_name.values_mut() {
@@ -184,7 +187,7 @@
         }
     }
 
-    /// Nobody waits any more for a submission, whose connection is gone.
+    /// Discards a waiting submission whose connection is gone.
     pub(crate) fn forget_quota_submission(&mut self, ticket: u64) {
         for quota in self.quotas.by_name.values_mut() {
             quota.waiting.retain(|waiting| waiting.ticket != ticket);
--- a/crates/queue/src/token_bucket/tests.rs
+++ b/crates/queue/src/token_bucket/tests.rs
@@ -1,9 +1,9 @@
-//! The lifetime of tokens, and what a new holder begins with.
+//! Tests of the lifetime of tokens and of the tokens with which a new holder begins.
 
 use super::*;
 
 #[test]
-fn a_token_that_is_given_back_again_and_again_lives_no_longer() {
+fn repeatedly_returning_a_token_does_not_extend_its_lifetime() {
     let mut bucket = TokenBucket::new(0, RateLimit { rate_per_s: 20.0, window_ms: 5000, tolerance: 1.1 });
     bucket.receive(0, 1);
     for now in (0..TOKEN_LIFETIME_MS).step_by(10) {
@@ -21,7 +21,7 @@
     bucket
 }
 
-/// A holder whose bucket is full, and its successor.
+/// A holder with a full bucket, and its successor.
 fn full_holder_and_successor() -> (TokenBucket, TokenBucket) {
     let (mut holder, mut successor) = (quota_bucket(), quota_bucket());
     holder.set_holder(1, true);
@@ -30,9 +30,10 @@
     (holder, successor)
 }
 
-/// Guards against 429 below the quota after a planned change of the holder, whose successor began with an empty bucket.
+/// Guards against rejections with status 429 below the quota: after a planned change of the holder, the successor began
+/// with an empty bucket.
 #[test]
-fn a_successor_begins_with_what_the_former_holder_had_left() {
+fn a_successor_begins_with_the_tokens_left_by_the_former_holder() {
     let (mut holder, mut successor) = full_holder_and_successor();
     let used = holder.hand_out(20_000, 5);
     let left = holder.hand_out(20_000, u32::MAX);
@@ -40,11 +41,11 @@
     successor.take_over(20_000, left);
     assert_eq!(used, 5);
     assert_eq!(successor.hand_out(20_000, u32::MAX), left);
-    assert_eq!(holder.hand_out(20_000, 1), 0, "what was handed over is there twice");
+    assert_eq!(holder.hand_out(20_000, 1), 0, "tokens that were handed over were handed out twice");
 }
 
 #[test]
-fn tokens_that_are_handed_over_late_fill_the_bucket_to_its_burst_and_no_more() {
+fn tokens_handed_over_late_fill_the_bucket_only_to_its_burst() {
     let (mut holder, mut successor) = full_holder_and_successor();
     let left = holder.hand_out(20_000, u32::MAX);
     let burst = successor.burst.floor() as u32;
