--- a/crates/queue/src/durability.rs
+++ b/crates/queue/src/durability.rs
@@ -55,13 +55,13 @@
     }
 
     /// Number of other stores that hold the end of a message and whose replicas count.
-    pub(crate) fn lasting_holders(&self, entry: &Entry) -> usize {
+    pub(crate) fn counted_holders(&self, entry: &Entry) -> usize {
         entry.other_holders(self.settings.node).filter(|node| self.counts_copies_at(*node)).count()
     }
 
     /// Whether only the end of this message is kept and is stored on too few disks.
     pub(crate) fn is_end_under_replicated(&self, entry: &Entry) -> bool {
-        entry.is_settled() && self.lasting_holders(entry) < self.settings.replica_count
+        entry.is_settled() && self.counted_holders(entry) < self.settings.replica_count
     }
 
     /// Whether a store that was to hold a message may not hold it now, because it has not confirmed its replica or has
--- a/crates/queue/src/end_transfer.rs
+++ b/crates/queue/src/end_transfer.rs
@@ -122,7 +122,7 @@
     /// Copies ends that are stored on too few disks to other stores.
     fn replicate_ends(&mut self, now: Millis) {
         if self.end_replication.under_replicated.is_empty() {
-            return self.ends_replicated(now);
+            return self.finish_end_replication(now);
         }
         // Logged only after the loss of a store. Ends with an uncertain holder are copied too, but are too few to log
         // each time.
@@ -165,7 +165,7 @@
     /// same ones, so that it is not stored on more disks than needed.
     fn end_receivers(&self, now: Millis, key: Key, entry: &Entry) -> Vec<Node> {
         let holders: Vec<Node> = entry.other_holders(self.settings.node).collect();
-        let lacking = self.settings.replica_count.saturating_sub(self.lasting_holders(entry));
+        let lacking = self.settings.replica_count.saturating_sub(self.counted_holders(entry));
         let preference = |node: Node| mix(&[u64::from(key.origin), key.number, u64::from(node)]);
         let mut receivers = self.choose_stores(now, &holders, &holders, lacking, preference);
         receivers.retain(|node| !self.end_replication.is_in_flight(now, *node, key));
@@ -182,7 +182,7 @@
 
     /// Called when no end is stored on too few disks. Records the disks that other stores have now, in place of the
     /// ones they lost.
-    fn ends_replicated(&mut self, now: Millis) {
+    fn finish_end_replication(&mut self, now: Millis) {
         if let Some(since) = self.end_replication.under_replicated_since.take() {
             let ms = now.saturating_sub(since);
             let ends_sent = self.metrics.ends_transferred;
--- a/crates/queue/src/queue.rs
+++ b/crates/queue/src/queue.rs
@@ -1,4 +1,4 @@
-//! The table of messages of one store, and the indices kept in step with it.
+//! The durable queue of one store: the table of its messages and the indices that are kept consistent with it.
 
 mod callbacks;
 mod completion;
@@ -38,33 +38,34 @@
 use stileroute_config::Config;
 use token_holders::TokenHolders;
 
-/// Added to the time that a message may wait, for differing clocks of clients and for their first attempts to submit it: a
-/// message must not be called failed while its sender counts on it.
+/// Margin added to the time that a message may wait, in milliseconds. It allows for clock differences of clients and
+/// for their first attempts to submit the message: a message must not be reported as failed while its sender still
+/// relies on it.
 const EXPIRY_MARGIN_MS: Millis = 1500;
 
-/// How long a message may wait while its route is not known.
+/// Time that a message may wait while its route is not known, in milliseconds.
 const DEFAULT_MAX_WAIT_MS: Millis = 90_000;
 
-/// How often members, executors and peers are looked after.
+/// Interval at which members, executors and peers are checked.
 const UPKEEP_INTERVAL_MS: Millis = 250;
 
-/// The end of a message is remembered for longer than it can be looked up, so that late copies of the message are
-/// recognised.
+/// Time for which the end of a message is remembered after it can no longer be looked up, so that late replicas of the
+/// message are recognised.
 const RETENTION_MARGIN_MS: Millis = 60_000;
 
-/// How much later than reckoned a delayed message read from disk is started at most: clocks of machines differ a little, and
-/// late is better than early.
+/// Maximum delay beyond the computed start of a delayed message read from disk. The clocks of machines differ a little,
+/// and starting late is better than starting early.
 const CLOCK_DIFFERENCE_MS: Millis = 60;
 
-/// Whether an operator has ordered this store to be emptied for good.
+/// Whether an operator has ordered the retirement of this store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum RetirementOrder {
-    /// No such order.
+    /// Retirement is not ordered.
     #[default]
     None,
-    /// Ordered, and not yet on disk.
+    /// Retirement is ordered, but the order is not on disk yet.
     Pending,
-    /// Ordered, and on disk: it holds over restarts.
+    /// Retirement is ordered and the order is on disk, so it survives restarts.
     Durable,
 }
 
@@ -76,43 +77,44 @@
     pub(crate) settings: QueueSettings,
     /// Contact with the control group, as the program observes it.
     pub control_contact: ControlContact,
-    /// How many ends, or counts of failed attempts, the program can keep, until the disk has them, beyond those that it was given: no more
-    /// attempts than that are in flight, for each may lead to one.
+    /// Number of further ends, or numbers of failed attempts, that the program can keep until they are on disk. It
+    /// limits the attempts in flight, because each may lead to one.
     pub end_capacity: usize,
-    /// Counters since the start.
+    /// Counters since the start of the process.
     pub metrics: QueueMetrics,
 
     pub(crate) entries: EntryTable,
-    /// Messages that have not ended, or whose callback is pending, by owner: what is compared with other stores and searched
-    /// when one is gone. The table with its ended messages is about a hundred times as large.
+    /// Messages that have not ended, or whose callback is pending, by owner. This index is used to compare messages
+    /// with other stores and to find those of a store that is gone. The table with its ended messages is about a
+    /// hundred times as large.
     pub(crate) live_by_owner: BTreeSet<(Node, Key)>,
     pub(crate) ordering: crate::fifo_groups::FifoGroups,
 
-    /// Messages that are due at a later time.
+    /// Messages that are due later, by their start time.
     delayed: BTreeSet<(Millis, Key)>,
-    /// Messages that have not ended, by the time at which they fail for having waited too long.
+    /// Messages that have not ended, by the time at which they fail because they have waited too long.
     expiring: BTreeSet<(Millis, Key)>,
-    /// Messages to be removed, in order of time.
+    /// Messages to be removed from the table, in the order of their removal times.
     forgetting: VecDeque<(Millis, Key)>,
-    /// Messages being persisted, by the time at which a missing confirmation is acted on.
+    /// Messages being persisted, by the time at which a missing confirmation is handled.
     pub(crate) persisting: BTreeSet<(Millis, Key)>,
-    /// Messages owned here that have too few replicas, by the time at which repair looks at them.
+    /// Messages owned by this store that have too few replicas, by the time at which repair checks them.
     pub(crate) under_replicated: BTreeSet<(Millis, Key)>,
     pub(crate) under_replicated_since: Option<Millis>,
     pub(crate) repair_budget: crate::repair_budget::RepairBudget,
-    /// Messages accepted under a configuration that has not arrived here.
+    /// Messages accepted under a configuration that has not reached this store.
     awaiting_config: HashSet<Key>,
-    /// Messages read from disk that wait for the stores that hold replicas.
+    /// Messages read from disk that wait for reports of the stores that hold replicas.
     pub(crate) unreleased: BTreeSet<Key>,
-    /// Messages of which another store keeps the same one: not started here, whoever owns them.
+    /// Messages of which another store keeps its copy. They are not started here, whichever store owns them.
     pub(crate) superseded_keys: HashSet<Key>,
-    /// What edges have said of messages that several stores were offered.
+    /// Decisions of edges about messages that were offered to several stores.
     pub(crate) superseded_messages: crate::duplicates::SupersededMessages,
-    /// Messages offered to a successor that has not answered.
+    /// Messages offered in a handover to a successor that has not answered.
     pub(crate) handovers: HashMap<Key, Node>,
-    /// Messages to be taken over at a time, if their owner is not back by then.
+    /// Messages to be taken over, by the time at which this happens if their owner has not returned.
     pub(crate) orphans: BTreeSet<(Millis, Key)>,
-    /// Messages that their owner has lost with its disk.
+    /// Messages that their owner has lost with its disk, with the owner.
     pub(crate) lost_by_owner: HashMap<Key, Node>,
 
     config: Option<Arc<Config>>,
@@ -123,46 +125,47 @@
     callbacks: Callbacks,
     next_number: u64,
     next_attempt: u64,
-    /// How many attempts may still be started in this turn: the ends of no more can be kept.
+    /// Number of attempts that may still be started in this turn; the program cannot keep the ends of more.
     free_attempts: usize,
 
     effects: Vec<Effect>,
     pub(crate) pending_writes: PendingWrites,
-    /// When ends that were not sent yet are sent to the peers.
+    /// Time at which ends that have not been sent yet are sent to the peers.
     pub(crate) flush_ends_at: Option<Millis>,
-    /// When the service queues are to be looked at again.
+    /// Time at which the service queues are examined again.
     next_dispatch_at: Millis,
     pub(crate) last_tick_at: Millis,
     last_upkeep_at: Millis,
-    /// Time of day at zero of the steady clock.
+    /// Time of day at zero of the steady clock, in milliseconds since 1970.
     wall_clock_offset_ms: u64,
 
     pub(crate) peers: BTreeMap<Node, Peer>,
-    /// The disks of other stores, as they named them last.
+    /// Disk identifiers of other stores, as they last reported them.
     pub(crate) peer_disks: BTreeMap<Node, u64>,
-    /// The membership has arrived: before that a store would take itself for the only one.
+    /// Whether the membership has arrived. Before that a store would assume that it is the only one.
     pub(crate) knows_members: bool,
-    /// Whether messages were accepted when that was last looked at, for the log.
+    /// Whether messages were accepted at the last check, used to log changes.
     was_accepting: bool,
-    /// No more messages are accepted; those that wait are handed over.
+    /// Whether the store is draining: no more messages are accepted, and waiting messages are handed over.
     pub is_draining: bool,
     pub(crate) retirement: RetirementOrder,
-    /// Stores that have said that they count on no replica here.
+    /// Stores that have reported that they need no replica here.
     pub(crate) released_by: BTreeSet<Node>,
     /// The quotas of tenants.
     pub(crate) quotas: TenantQuotas,
     /// The shards of idempotency keys.
     pub(crate) shards: ShardTable,
-    /// Ends that are passed on to other stores.
+    /// Progress of copying ends to other stores.
     pub(crate) end_replication: crate::end_replication::EndReplication,
-    /// Since when no attempt is started, for others may have taken over.
+    /// Time since which no attempt is started, because other stores may have taken over.
     pub(crate) fenced_since: Option<Millis>,
     #[cfg(feature = "planted")]
     pub(crate) planted: Option<PlantedFault>,
 }
 
 impl Queue {
-    /// A queue that begins with what the disk holds. `wall_clock_ms` is the time of day at `now`, in milliseconds.
+    /// Creates a queue with the state read from disk. `wall_clock_ms` is the time of day at `now`, in milliseconds
+    /// since 1970.
     pub fn new(settings: QueueSettings, stored: StateTable, now: Millis, wall_clock_ms: u64) -> Queue {
         let has_lost_disk = stored.are_shard_terms_missing || settings.has_lost_disk;
         let shards = ShardTable::new(now, &stored.shard_terms, has_lost_disk);
@@ -208,7 +211,7 @@
             token_holders: TokenHolders::default(),
             executors: HashMap::new(),
             callbacks: Callbacks::default(),
-            // Numbers never come again: each incarnation has a range of its own.
+            // Message numbers never repeat, because each incarnation has a range of its own.
             next_number: settings.first_number,
             next_attempt: 1,
             free_attempts: usize::MAX,
@@ -236,7 +239,7 @@
         }
     }
 
-    /// Enters a message as it was read from disk.
+    /// Restores a message that was read from disk.
     fn restore(&mut self, key: Key, stored: StoredMessage, now: Millis, wall_clock_ms: u64) {
         let is_content_known = stored.replica.is_some();
         let shared = stored.replica.unwrap_or_default();
@@ -248,7 +251,7 @@
             return;
         }
         if is_content_known {
-            self.expect_peers_of(&shared, now);
+            self.add_peers_of(&shared, now);
         }
         let age_ms = wall_clock_ms.saturating_sub(shared.message.accepted_at_ms);
         let mut entry = Entry::from_shared(&shared, now);
@@ -283,15 +286,16 @@
         self.update_expiry(key);
     }
 
-    /// The owner and the stores with replicas may be gone for good: they count as missing from now on.
-    fn expect_peers_of(&mut self, shared: &ReplicatedMessage, now: Millis) {
+    /// Creates peers for the owner and the stores with replicas of a message. They may be gone for good, so they count
+    /// as absent from now on.
+    fn add_peers_of(&mut self, shared: &ReplicatedMessage, now: Millis) {
         let others = shared.replicas.iter().chain([&shared.owner]);
         for node in others.filter(|node| **node != self.settings.node) {
             self.peers.entry(*node).or_insert_with(|| Peer::new(now));
         }
     }
 
-    /// Works out anew when a message has waited too long, by its route as it is now.
+    /// Recomputes when a message has waited too long, by its present route.
     pub(crate) fn update_expiry(&mut self, key: Key) {
         let Some(entry) = self.entries.get_mut(&key) else { return };
         self.expiring.remove(&(entry.expires_at, key));
@@ -310,12 +314,12 @@
         }
     }
 
-    /// The message as it was submitted, or what is left of it after its end.
+    /// The message as it was submitted, or what is kept of it after its end.
     pub fn message(&self, key: Key) -> Option<&Message> {
         self.entries.get(&key).map(|entry| &entry.message)
     }
 
-    /// The state of a message, and its body where this store still has it.
+    /// The state of a message, and its body if this store still has it.
     pub fn lookup(&self, key: Key) -> Option<(MessageState, Option<&[u8]>)> {
         let entry = self.entries.get(&key)?;
         let state = match &entry.end {
@@ -327,7 +331,7 @@
         Some((state, has_body.then_some(entry.message.body.as_slice())))
     }
 
-    /// Removes a message from the table and all indices.
+    /// Removes a message from the table and from all indices.
     pub(crate) fn remove(&mut self, key: Key) {
         self.unschedule(key);
         let Some(entry) = self.entries.remove(&key) else { return };
@@ -354,7 +358,7 @@
         self.end_replication.under_replicated.remove(&key);
     }
 
-    /// Brings the indices by owner, of ordered messages and of repair into step with an entry that has changed.
+    /// Updates the indices by owner, of ordered messages and of repair for an entry that has changed.
     pub(crate) fn reindex(&mut self, key: Key) {
         self.reindex_owner(key);
         self.reindex_order(key);
@@ -408,14 +412,14 @@
         }
     }
 
-    /// Enters a message that another store describes, in place of what was known of it: nothing that is under way for the
-    /// former entry goes on.
+    /// Inserts a message that another store describes, replacing the entry that was known here. Operations in progress
+    /// for the former entry are abandoned.
     pub(crate) fn insert_replica_of(&mut self, now: Millis, shared: &ReplicatedMessage, stage: Stage) {
         let mut entry = Entry::from_shared(shared, now);
         entry.stage = stage;
         let mut former_ticket = None;
         if let Some(former) = self.entries.get_mut(&shared.key) {
-            // The other store may not have heard of attempts that failed here.
+            // The other store may not know of attempts that failed here.
             entry.failures = std::mem::take(&mut former.failures);
             entry.failures.raise(shared.attempts);
             former_ticket = former.ticket.take();
@@ -433,12 +437,12 @@
         self.effects.push(effect);
     }
 
-    /// An operator has ordered this store to be emptied for good.
+    /// Whether an operator has ordered the retirement of this store.
     pub(crate) fn is_retiring(&self) -> bool {
         self.retirement != RetirementOrder::None
     }
 
-    /// How many attempts, unpersisted messages and handovers have not come to their end.
+    /// Number of unfinished attempts, messages being persisted, and handovers.
     pub fn unfinished_count(&self) -> usize {
         self.attempts_in_flight() + self.persisting.len() + self.handovers.len()
     }
@@ -447,7 +451,7 @@
         self.service_queues.iter().map(|service_queue| service_queue.in_flight.len()).sum()
     }
 
-    /// How many messages have not ended or have a callback pending, replicas included.
+    /// Number of messages that have not ended or have a callback pending, including replicas.
     pub fn live_count(&self) -> usize {
         self.live_by_owner.len()
     }
--- a/crates/queue/src/queue/callbacks.rs
+++ b/crates/queue/src/queue/callbacks.rs
@@ -1,4 +1,5 @@
-//! Callbacks: a queue for each receiver, with few connections, and longer pauses after failures.
+//! Callbacks to the senders of messages: each receiver has its own queue and few connections, and a backoff after
+//! failures.
 
 use super::completion::END_BATCH_INTERVAL_MS;
 use super::Queue;
@@ -7,23 +8,24 @@
 use crate::record::Record;
 use std::collections::{HashMap, VecDeque};
 
-/// Most connections from one store to one receiver.
+/// Maximum number of connections from one store to one receiver.
 const MAX_CALLS_PER_STORE: usize = 4;
 
-/// Most connections from all stores together to one receiver, which resets what is beyond.
+/// Maximum number of connections from all stores together to one receiver, which resets connections beyond that.
 const MAX_CALLS_PER_RECEIVER: usize = 48;
 
-/// The pause after the first failure is twice this.
+/// Base of the pause after failures of a receiver, in milliseconds. The pause after the first failure is twice this.
 const BACKOFF_BASE_MS: Millis = 50;
 
-/// The pause doubles with each failure up to this.
+/// Maximum pause after failures of a receiver, in milliseconds. The pause doubles with each failure up to this.
 const BACKOFF_LIMIT_MS: Millis = 2000;
 
-/// Callbacks that wait, and those that have been started.
+/// Callbacks that wait, and those in flight.
 #[derive(Debug, Default)]
 pub(super) struct Callbacks {
     receivers: HashMap<String, Receiver>,
-    /// Callbacks that have not ended, and their receiver: when one ends, its message may be gone from the table.
+    /// Callbacks in flight, with their receiver. When a callback ends, its message may already have been removed from
+    /// the table.
     in_flight: HashMap<Key, String>,
 }
 
@@ -36,13 +38,13 @@
     queue: VecDeque<Key>,
 }
 
-/// Host and port of a URL: callbacks to one of them share a queue.
+/// Host and port of a URL. Callbacks to the same host and port share a queue.
 fn receiver_of(url: &str) -> &str {
     let rest = url.strip_prefix("http://").unwrap_or(url);
     rest.split('/').next().unwrap_or_default()
 }
 
-/// A text as a JSON string.
+/// Encodes a text as a JSON string.
 fn json_string(text: &str) -> String {
     let mut json = String::with_capacity(text.len() + 2);
     json.push('"');
@@ -69,7 +71,7 @@
 }
 
 impl Queue {
-    /// Puts the callback of a message that has ended into its receiver's queue.
+    /// Adds the callback of an ended message to its receiver's queue.
     pub(crate) fn queue_callback(&mut self, key: Key) {
         let Some(url) = self.entries.get(&key).and_then(|entry| entry.message.callback_url.as_deref()) else {
             return;
@@ -78,13 +80,13 @@
         self.callbacks.receivers.entry(receiver).or_default().queue.push_back(key);
     }
 
-    /// Starts the callbacks that may go now. Gives the time at which the next one may.
+    /// Starts the callbacks that may start now. Returns the time at which the next one may start.
     pub(super) fn start_callbacks(&mut self, now: Millis) -> Millis {
         let stores = 1 + self.peers.values().filter(|peer| peer.is_member).count();
         let max_calls = (MAX_CALLS_PER_RECEIVER / stores).clamp(1, MAX_CALLS_PER_STORE);
         let mut next_start = Millis::MAX;
         for (name, receiver) in &mut self.callbacks.receivers {
-            // A receiver that fails is tried with one call at a time, and less and less often.
+            // A failing receiver gets only one callback at a time, with increasing pauses.
             let max_calls = if receiver.consecutive_failures > 0 { 1 } else { max_calls };
             while receiver.in_flight < max_calls && !receiver.queue.is_empty() {
                 if now < receiver.not_before {
@@ -113,7 +115,7 @@
         next_start
     }
 
-    /// An [`Effect::CallBack`] has come to its end: `is_accepted` says whether the receiver answered with success.
+    /// Handles the result of an [`Effect::CallBack`]: `is_accepted` says whether the receiver answered with success.
     pub fn callback_ended(&mut self, now: Millis, key: Key, is_accepted: bool) {
         let Some(name) = self.callbacks.in_flight.remove(&key) else { return };
         let receiver = self.callbacks.receivers.entry(name).or_default();
--- a/crates/queue/src/queue/configuration.rs
+++ b/crates/queue/src/queue/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration and the lists of executors, as the control nodes give them.
+//! The configuration and the executor lists, as provided by the control nodes.
 
 use super::Queue;
 use crate::entry::{Entry, Stage};
@@ -11,17 +11,17 @@
 use stileroute_config::{Config, Service};
 use stileroute_dispatch::types::{mark, Time};
 
-/// The latency target of a service that no route leads to.
+/// Latency target of a service without routes, in milliseconds.
 const DEFAULT_RUN_TARGET_MS: u64 = 1000;
 
-/// How many stores a service queue reckons with until the members are known.
+/// Number of stores that a service queue assumes until the members are known.
 const INITIAL_STORE_COUNT: usize = 3;
 
-/// How many messages a fixed endpoint is taken to work on at once.
+/// Number of messages that a fixed endpoint is assumed to process at once.
 const FIXED_ENDPOINT_CAPACITY: f64 = 8.0;
 
 impl Queue {
-    /// A new configuration is in force.
+    /// Applies a new configuration.
     pub fn configure(&mut self, now: Millis, dispatch_time: Time, config: Arc<Config>) {
         for service in &config.services {
             let index = self.service_queue_for(service, &config);
@@ -36,7 +36,7 @@
         self.reschedule_all(now);
     }
 
-    /// The index of a service's queue, which is made if there is none.
+    /// Returns the index of a service's queue, creating the queue if there is none.
     fn service_queue_for(&mut self, service: &Service, config: &Config) -> usize {
         if let Some(index) = self.service_queue_index.get(&service.name) {
             return *index;
@@ -78,8 +78,8 @@
         }
     }
 
-    /// The routes of all messages are looked up anew: another service may be responsible, or none, and the time that a message
-    /// may wait may differ. For messages read from disk it was not known before.
+    /// Looks up the routes of all messages again: another service may be responsible, or none, and the time that a
+    /// message may wait may differ. For messages read from disk the route was not known before.
     fn reschedule_all(&mut self, now: Millis) {
         let waiting = self.keys_where(|entry| entry.stage == Stage::Waiting);
         self.awaiting_config.clear();
@@ -96,7 +96,7 @@
         self.entries.iter().filter(|(_, entry)| predicate(entry)).map(|(key, _)| *key).collect()
     }
 
-    /// The executors of all services, by the service's name.
+    /// Sets the executors of all services, by the service's name.
     pub fn set_executors(
         &mut self,
         now: Millis,
@@ -116,13 +116,13 @@
         self.executors = executors;
     }
 
-    /// The log lines of the dispatchers since the last call.
+    /// Takes the log lines that the dispatchers have written since the last call.
     pub fn take_dispatch_log(&mut self) -> Vec<String> {
         self.service_queues.iter_mut().flat_map(ServiceQueue::take_log).collect()
     }
 }
 
-/// A service with one configured address is treated as one executor, which has no identity to confirm.
+/// Creates the only executor of a service with one configured address. It has no identity to confirm.
 fn fixed_endpoint(address: SocketAddrV4, zone: usize) -> Executor {
     Executor {
         id: String::new(),
--- a/crates/queue/src/queue/delivery.rs
+++ b/crates/queue/src/queue/delivery.rs
@@ -1,4 +1,4 @@
-//! Delivery: when a message's turn comes, its attempts, and what the outcome of an attempt leads to.
+//! Delivery of messages: scheduling, delivery attempts, and the handling of their outcomes.
 
 use super::failures::FailureSource;
 use super::token_holders::token_holder;
@@ -13,42 +13,43 @@
 use std::ops::ControlFlow;
 use stileroute_dispatch::types::{Outcome as DispatchOutcome, Time};
 
-/// The pause after a failed attempt is this, doubled with each attempt.
+/// Base of the backoff after a failed attempt; it doubles with each attempt.
 const BACKOFF_BASE_MS: Millis = 40;
 
-/// The longest pause after a failed attempt.
+/// Maximum backoff after a failed attempt.
 const BACKOFF_LIMIT_MS: Millis = 1500;
 
-/// The pause after an attempt that was turned away or reached nobody: the message may go elsewhere soon.
+/// Base of the backoff after an attempt that was rejected or did not reach an executor. It is shorter, because another
+/// executor may take the message.
 const REJECTED_BACKOFF_BASE_MS: Millis = BACKOFF_BASE_MS / 4;
 
-/// The pause after the answer that an earlier attempt of the same message still runs.
+/// Pause after an executor answered that an earlier attempt of the same message is still running.
 const STILL_RUNNING_PAUSE_MS: Millis = 100;
 
-/// The pause of a whole service after the answer that its rate limit is exceeded.
+/// Pause of a service after the answer that its rate limit is exceeded.
 const RATE_LIMITED_PAUSE_MS: Millis = 200;
 
-/// When to look again for tokens of the rate limit.
+/// Interval at which a service that waits for rate-limit tokens is checked.
 const TOKEN_POLL_INTERVAL_MS: Millis = 15;
 
-/// Most tokens that are asked for at once.
+/// Maximum number of tokens in one request to the token holder.
 const MAX_TOKENS_PER_REQUEST: usize = 4;
 
-/// Fewest connections that a store may open to one executor.
+/// Minimum number of connections that a store may open to one executor.
 const MIN_CONNECTION_SHARE: usize = 2;
 
-/// What becomes of the message at the head of a service's queue.
+/// Result of checking the message at the head of a service's queue.
 enum Candidate {
-    /// It may be started.
+    /// The message may be started.
     Ready { timeout_ms: u64 },
-    /// It has left that place; another one is at the head now.
+    /// The message is no longer at the head of the queue; another one is.
     Moved,
-    /// Its route is unknown: nothing more is started from this queue in this turn.
+    /// The route of the message is unknown, so nothing more is started from this queue in this turn.
     Blocked,
 }
 
 impl Queue {
-    /// Puts an accepted message where it waits: for its time, for a configuration, or for an executor.
+    /// Schedules an accepted message: it waits for its due time, for a configuration, or for an executor.
     pub(crate) fn schedule(&mut self, now: Millis, key: Key) {
         let Some(entry) = self.entries.get(&key).filter(|entry| entry.stage == Stage::Waiting) else {
             return;
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Enters a message that may start into the queue of its route's service.
+    /// Adds a message that may start to the queue of its route's service.
     fn enter_service_queue(&mut self, now: Millis, key: Key) {
         let Some(entry) = self.entries.get_mut(&key) else { return };
         let Some(config) = &self.config else {
@@ -106,7 +107,7 @@
         self.next_dispatch_at = 0;
     }
 
-    /// Takes a message out of wherever it waits.
+    /// Removes a message from the index or queue in which it waits.
     pub(crate) fn unschedule(&mut self, key: Key) {
         if let Some(entry) = self.entries.get_mut(&key) {
             if let Some(at) = entry.delayed_until.take() {
@@ -135,8 +136,8 @@
         }
     }
 
-    /// Starts one attempt of a service, or moves a message that is in the way. Breaks when the service has nothing more to
-    /// start in this turn; `may_retry` is cleared when that holds for its retries.
+    /// Starts one attempt of a service, or moves a message that cannot start. Breaks when the service has nothing more
+    /// to start in this turn; clears `may_retry` when no more of its retries may start.
     fn start_next(
         &mut self,
         now: Millis,
@@ -144,8 +145,8 @@
         index: usize,
         may_retry: &mut bool,
     ) -> ControlFlow<()> {
-        let (position, look_again_at) = self.service_queues[index].next_position(now, *may_retry);
-        self.dispatch_again_at(look_again_at);
+        let (position, check_at) = self.service_queues[index].next_position(now, *may_retry);
+        self.schedule_dispatch(check_at);
         let Some(position) = position else { return ControlFlow::Break(()) };
         let timeout_ms = match self.check_candidate(now, index, position) {
             Candidate::Ready { timeout_ms } => timeout_ms,
@@ -154,16 +155,16 @@
         };
         if self.free_attempts == 0 {
             self.metrics.attempts_delayed_by_disk += 1;
-            self.dispatch_again_at(now + UPKEEP_INTERVAL_MS);
+            self.schedule_dispatch(now + UPKEEP_INTERVAL_MS);
             return ControlFlow::Break(());
         }
         let paused_until = self.service_queues[index].paused_until;
         if now < paused_until {
-            self.dispatch_again_at(paused_until);
+            self.schedule_dispatch(paused_until);
             return ControlFlow::Break(());
         }
         if !self.take_token(now, index) {
-            self.dispatch_again_at(now + TOKEN_POLL_INTERVAL_MS);
+            self.schedule_dispatch(now + TOKEN_POLL_INTERVAL_MS);
             return ControlFlow::Break(());
         }
         match self.select_executor(now, dispatch_time, index, position.key) {
@@ -173,19 +174,19 @@
             }
             Selection::RetriesFullUntil(at) => {
                 self.give_token_back(index);
-                self.dispatch_again_at(at);
+                self.schedule_dispatch(at);
                 *may_retry = false;
                 ControlFlow::Continue(())
             }
             Selection::WaitUntil(at) => {
                 self.give_token_back(index);
-                self.dispatch_again_at(at);
+                self.schedule_dispatch(at);
                 ControlFlow::Break(())
             }
         }
     }
 
-    fn dispatch_again_at(&mut self, at: Millis) {
+    fn schedule_dispatch(&mut self, at: Millis) {
         self.next_dispatch_at = self.next_dispatch_at.min(at);
     }
 
@@ -197,7 +198,7 @@
             service_queue.leave(&position);
             return Candidate::Moved;
         };
-        // An earlier message of the same ordering key may have come to light since: then this one waits again.
+        // If an earlier message with the same ordering key has become known since, this message waits again.
         let order_position = GroupPosition { accepted_at_ms: entry.message.accepted_at_ms, key };
         let ordering_key = entry.message.ordering_key.as_ref();
         if ordering_key.is_some_and(|ordering_key| !self.ordering.is_first(ordering_key, order_position)) {
@@ -209,7 +210,7 @@
             return Candidate::Blocked;
         };
         let route = &config.routes[route];
-        // Too late for its latency target: messages that can still meet theirs go first.
+        // A message past its latency target goes behind those that can still meet theirs.
         if !position.is_late && now > position.due_at + route.completion_target_ms {
             let late = QueuePosition { is_late: true, ..position };
             entry.queue_slot = Some(ServiceQueueSlot { service_queue: index, position: late });
@@ -219,7 +220,8 @@
         Candidate::Ready { timeout_ms: route.timeout_ms }
     }
 
-    /// Takes a token of the service's rate limit, if it has one. Asks the token holder for more where there is none.
+    /// Takes a token of the service's rate limit, if it has one. Requests more tokens from the token holder if there is
+    /// none.
     fn take_token(&mut self, now: Millis, index: usize) -> bool {
         let service_queue = &mut self.service_queues[index];
         let Some(bucket) = &mut service_queue.token_bucket else { return true };
@@ -255,7 +257,7 @@
         service_queue.select_executor(dispatch_time, now, key, self.next_attempt, retry)
     }
 
-    /// An executor has been selected: the attempt goes out.
+    /// Starts an attempt at the selected executor.
     fn start_attempt(&mut self, index: usize, executor: usize, position: QueuePosition, timeout_ms: u64) {
         let key = position.key;
         let service_queue = &mut self.service_queues[index];
@@ -278,7 +280,7 @@
         self.next_attempt += 1;
     }
 
-    /// An [`Effect::StartAttempt`] has come to its end. `load` is what the executor reported of itself: messages running,
+    /// Handles the outcome of an [`Effect::StartAttempt`]. `load` is the executor's reported load: messages running,
     /// messages waiting, and slots.
     pub fn attempt_ended(
         &mut self,
@@ -291,8 +293,15 @@
         let has_attempt = |index: &usize| self.service_queues[*index].in_flight.contains_key(&attempt);
         let Some(index) = (0..self.service_queues.len()).find(has_attempt) else { return };
         let service_queue = &mut self.service_queues[index];
-        let judged = dispatch_outcome(&outcome);
-        let settled = service_queue.settle(dispatch_time, now, attempt, judged, outcome.may_have_run(), load);
+        let dispatcher_outcome = dispatch_outcome(&outcome);
+        let settled = service_queue.settle(
+            dispatch_time,
+            now,
+            attempt,
+            dispatcher_outcome,
+            outcome.may_have_run(),
+            load,
+        );
         let Some(SettledAttempt { key, executor }) = settled else { return };
         if outcome == AttemptOutcome::RateLimited {
             service_queue.paused_until = now + RATE_LIMITED_PAUSE_MS;
@@ -301,7 +310,7 @@
         self.apply_outcome(now, key, ExecutorRef { service_queue: index, executor }, outcome);
     }
 
-    /// What the outcome of an attempt means for its message.
+    /// Applies the outcome of an attempt to its message.
     fn apply_outcome(&mut self, now: Millis, key: Key, executor: ExecutorRef, outcome: AttemptOutcome) {
         let Some(entry) = self.entries.get_mut(&key).filter(|entry| entry.end.is_none()) else { return };
         if outcome.may_have_run() || outcome == AttemptOutcome::AlreadyRunning {
@@ -323,7 +332,7 @@
             return;
         }
         if entry.owner != self.settings.node {
-            // Another store has become the owner meanwhile, and delivers it.
+            // Another store has become the owner in the meantime, and delivers the message.
             entry.stage = Stage::Replica;
             return;
         }
@@ -331,7 +340,7 @@
         self.retry_or_fail(now, key, &outcome);
     }
 
-    /// After an attempt that did not complete: the message fails for good, or waits for its next attempt.
+    /// Handles an attempt that did not complete: the message fails permanently, or waits for its next attempt.
     fn retry_or_fail(&mut self, now: Millis, key: Key, outcome: &AttemptOutcome) {
         let Some(entry) = self.entries.get_mut(&key) else { return };
         let max_attempts = self.config.as_ref().and_then(|config| {
@@ -347,7 +356,7 @@
     }
 }
 
-/// What an outcome tells the dispatcher of the executor.
+/// Converts an outcome to what it tells the dispatcher about the executor.
 fn dispatch_outcome(outcome: &AttemptOutcome) -> DispatchOutcome {
     match outcome {
         AttemptOutcome::Completed { .. } => DispatchOutcome::Acked,
@@ -365,8 +374,8 @@
     }
 }
 
-/// How long a message waits for its next attempt. One that was turned away, or reached nobody, may go elsewhere soon; one that
-/// failed waits longer.
+/// Time that a message waits for its next attempt, in milliseconds. After a rejection, or an attempt that reached no
+/// executor, it is short, because another executor may take the message; after a failure it is longer.
 fn backoff_ms(outcome: &AttemptOutcome, steps: u32) -> Millis {
     match outcome {
         AttemptOutcome::ExecutorFull
--- a/crates/queue/src/queue/intake.rs
+++ b/crates/queue/src/queue/intake.rs
@@ -218,7 +218,7 @@
     /// Accepts a new message that is on all of its disks: its sender is answered, and it is scheduled.
     fn accept(&mut self, now: Millis, key: Key) {
         let wall_clock_ms = self.wall_clock_ms(now);
-        let is_unasked = self.planted(PlantedFault::ResubmittedUnasked);
+        let skips_confirmation = self.planted(PlantedFault::ResubmittedUnasked);
         let Some(entry) = self.entries.get_mut(&key) else { return };
         entry.stage = Stage::Waiting;
         // Both clocks are used, because the process may have read the message late, or been paused since.
@@ -226,7 +226,7 @@
             || wall_clock_ms >= entry.message.accepted_at_ms + LATE_ACCEPTANCE_MS;
         // A message with an idempotency key has no copy elsewhere, and its edge sends no decision about it.
         entry.may_be_duplicated |= is_late && entry.message.accepted_at_ms > 0 && entry.digest.is_none();
-        if entry.may_be_duplicated && !is_unasked {
+        if entry.may_be_duplicated && !skips_confirmation {
             entry.not_before = entry.not_before.max(now + CONFIRMATION_WINDOW_MS);
         }
         let ticket = entry.ticket.take();
--- a/crates/queue/src/queue/report.rs
+++ b/crates/queue/src/queue/report.rs
@@ -1,4 +1,5 @@
-//! What the queue reports to operators. Most of it goes through all entries: for occasional questions, not for each turn.
+//! Reports on the queue for operators. Most functions iterate over all entries, so they are meant for occasional
+//! requests and not for each turn.
 
 use super::token_holders::token_holder;
 use super::Queue;
@@ -6,22 +7,22 @@
 use crate::message::{End, Key, Millis, Node};
 use crate::service_queue::{ExecutorShare, RetryCounts, ServiceQueue};
 
-/// One service as this store sees it.
+/// State of one service at this store.
 #[derive(Clone, Debug)]
 pub struct ServiceView {
     /// The service's name.
     pub name: String,
-    /// Messages that wait for an executor, retries among them.
+    /// Number of messages that wait for an executor, including retries.
     pub waiting: usize,
-    /// Attempts that have not ended.
+    /// Number of attempts in flight.
     pub in_flight: usize,
-    /// How far the oldest waiting message is past its due time, in milliseconds.
+    /// Time by which the oldest waiting message is past its due time, in milliseconds.
     pub oldest_overdue_ms: Millis,
-    /// The executors that serve now.
+    /// Shares of the executors that are serving now.
     pub executor_shares: Vec<ExecutorShare>,
-    /// Retries that wait.
+    /// Number of waiting retries.
     pub retries_waiting: usize,
-    /// Attempts started since the start of the process.
+    /// Counts of attempts started since the start of the process.
     pub retry_counts: RetryCounts,
     /// The rate limit, if the service has one.
     pub rate_limit: Option<RateLimitView>,
@@ -30,97 +31,100 @@
 /// The rate limit of a service.
 #[derive(Clone, Copy, Debug)]
 pub struct RateLimitView {
-    /// Requests a second, over all stores.
+    /// Requests per second, over all stores.
     pub rate_per_s: f64,
-    /// The store that should hand out the tokens.
+    /// The store that is the token holder of the service.
     pub token_holder: Node,
-    /// This store hands them out.
+    /// Whether this store is acting as the token holder.
     pub is_held_here: bool,
 }
 
-/// How many messages are in each [`Stage`].
+/// Number of messages in each [`Stage`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StageCounts {
-    /// In [`Stage::Persisting`].
+    /// Messages in [`Stage::Persisting`].
     pub persisting: usize,
-    /// In [`Stage::Suspended`].
+    /// Messages in [`Stage::Suspended`].
     pub suspended: usize,
-    /// In [`Stage::Waiting`].
+    /// Messages in [`Stage::Waiting`].
     pub waiting: usize,
-    /// In [`Stage::InFlight`].
+    /// Messages in [`Stage::InFlight`].
     pub in_flight: usize,
-    /// In [`Stage::Replica`].
+    /// Messages in [`Stage::Replica`].
     pub replica: usize,
-    /// In [`Stage::Ended`].
+    /// Messages in [`Stage::Ended`].
     pub ended: usize,
-    /// Replicas that the list of their owner, as it is known here, does not name: this store holds more than its share.
+    /// Replicas held here that their owner's replica list, as known here, does not name. This store holds more than its
+    /// share of them.
     pub surplus_replicas: usize,
-    /// Ended messages that, for all that this store knows, lie on fewer other disks than replicas are wanted.
+    /// Ended messages that are stored on fewer other disks than the required number of replicas, as far as this store
+    /// knows.
     pub under_replicated_ends: usize,
     /// Ended messages owned here whose callback has not been accepted.
     pub callbacks_pending: usize,
-    /// How far the oldest message owned here that has not ended is past its due time, in milliseconds.
+    /// Time by which the oldest live message owned here is past its due time, in milliseconds.
     pub oldest_overdue_ms: Millis,
 }
 
-/// One message as this store knows it.
+/// State of one message, as known to this store.
 #[derive(Clone, Debug)]
 pub struct MessageView {
-    /// The identity that its sender gave it.
+    /// Message identifier chosen by the sender.
     pub id: String,
-    /// The tenant whose message it is.
+    /// Tenant to which the message belongs.
     pub tenant: Option<String>,
-    /// The store that delivers it.
+    /// Owner of the message, which delivers it.
     pub owner: Node,
-    /// Stores with replicas beside the owner.
+    /// Stores other than the owner that hold replicas of the message.
     pub replicas: Vec<Node>,
-    /// The term of the owner.
+    /// Term of the ownership.
     pub term: u32,
-    /// Where it stands at this store.
+    /// Processing stage of the message at this store.
     pub stage: Stage,
-    /// Attempts that the executor said had failed.
+    /// Number of attempts that the executor reported as failed.
     pub failed_attempts: u32,
-    /// Milliseconds until it is due; negative if that is past.
+    /// Time until the message is due, in milliseconds; negative if that is past.
     pub due_in_ms: i64,
-    /// Milliseconds until it fails for having waited too long; negative if that is past.
+    /// Time until the message fails because it has waited too long, in milliseconds; negative if that is past.
     pub expires_in_ms: i64,
-    /// Time of day at which it was accepted, in milliseconds; 0 if that is not kept any more.
+    /// Time of day at which the message was accepted, in milliseconds since 1970; 0 if that is no longer kept.
     pub accepted_at_ms: u64,
-    /// Revision of the configuration under which it was accepted.
+    /// Revision of the configuration under which the message was accepted.
     pub config_revision: u64,
-    /// Length of the body.
+    /// Length of the body, in bytes.
     pub bytes: usize,
-    /// How it ended.
+    /// How the message ended, or `None` while it is live.
     pub end: Option<End>,
-    /// Its callback has not been accepted.
+    /// Whether the callback of the message has not been accepted yet.
     pub callback_pending: bool,
 }
 
-/// Another store as this one sees it.
+/// State of another store, as known to this one.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerView {
-    /// The other store.
+    /// Node identifier of the other store.
     pub node: Node,
-    /// A connection is open.
+    /// Whether a connection to the other store is open.
     pub is_connected: bool,
-    /// It is a member, as the control group says.
+    /// Whether the control group lists the other store as a member.
     pub is_member: bool,
-    /// It accepts no more messages and is about to end.
+    /// Whether the other store is draining: it accepts no more messages and will shut down.
     pub is_draining: bool,
 }
 
 impl Queue {
-    /// How many shards of idempotency keys this store holds.
+    /// Number of shards of idempotency keys that this store holds.
     pub fn held_shard_count(&self) -> usize {
         self.shards.held_count()
     }
 
-    /// Whether this store has lost its disk, and the idempotency keys that lay there are not known to lie on enough others.
+    /// Whether this store has lost its disk and it is not known yet that the idempotency keys on it are stored on
+    /// enough other disks.
     pub fn is_key_recovery_pending(&self) -> bool {
         self.shards.is_recovery_pending()
     }
 
-    /// All services.
+    /// State of all services.
     pub fn service_views(&self, now: Millis) -> Vec<ServiceView> {
         self.service_queues.iter().map(|service_queue| self.service_view(now, service_queue)).collect()
     }
@@ -148,7 +152,7 @@
         })
     }
 
-    /// The messages here, by stage.
+    /// Numbers of messages at this store, by stage.
     pub fn stage_counts(&self, now: Millis) -> StageCounts {
         let mut counts = StageCounts::default();
         for entry in self.entries.values() {
@@ -176,7 +180,7 @@
         counts
     }
 
-    /// All that this store knows of a message, or `None` if it knows nothing.
+    /// State of a message, or `None` if this store does not know it.
     pub fn message_view(&self, now: Millis, key: Key) -> Option<MessageView> {
         let entry = self.entries.get(&key)?;
         let from_now = |at: Millis| i64::try_from(at).unwrap_or(i64::MAX).saturating_sub(now as i64);
@@ -198,14 +202,14 @@
         })
     }
 
-    /// How long past its due time a message is, in milliseconds; `None` unless this is its first attempt here.
+    /// Time by which a message is past its due time, in milliseconds; `None` unless this is its first attempt here.
     pub fn first_attempt_delay_ms(&self, now: Millis, key: Key) -> Option<Millis> {
         let entry = self.entries.get(&key)?;
         let is_first = entry.backoff_steps == 0 && entry.failures.total() == 0;
         is_first.then(|| now.saturating_sub(entry.due_at))
     }
 
-    /// The other stores that this one knows.
+    /// State of the other stores that this one knows.
     pub fn peer_views(&self) -> impl Iterator<Item = PeerView> + '_ {
         self.peers.iter().map(|(node, peer)| PeerView {
             node: *node,
--- a/crates/queue/src/queue/timers.rs
+++ b/crates/queue/src/queue/timers.rs
@@ -1,4 +1,4 @@
-//! What is due at a given time, and the effects of a turn handed to the program.
+//! Timers of the queue, and the hand-off of a turn's effects to the program.
 
 use super::{Queue, RETENTION_MARGIN_MS, UPKEEP_INTERVAL_MS};
 use crate::effect::Effect;
@@ -9,21 +9,22 @@
 use std::collections::BTreeSet;
 use stileroute_dispatch::types::Time;
 
-/// A turn that comes so much too late comes after a pause of the whole process.
+/// Delay of a turn, in milliseconds, beyond which the process is assumed to have been paused.
 const PROCESS_PAUSE_LIMIT_MS: Millis = 500;
 
-/// After a pause longer than this, others may have taken over what is owned here.
+/// Pause of the process, in milliseconds, after which other stores may have taken over messages owned here.
 const TAKEOVER_POSSIBLE_AFTER_MS: Millis = 1200;
 
 impl Queue {
-    /// Does what is due. To be called at the end of each turn, before [`take_effects`](Queue::take_effects).
+    /// Runs everything that is due. Must be called at the end of each turn, before
+    /// [`take_effects`](Queue::take_effects).
     ///
     /// `dispatch_time` is `now` in the dispatcher's unit of a tenth of a millisecond.
     pub fn tick(&mut self, now: Millis, dispatch_time: Time) {
         self.last_tick_at = now;
         self.pause_token_buckets();
         self.refresh_token_holders(now);
-        self.notice_process_pause(now);
+        self.detect_process_pause(now);
         self.start_delayed(now);
         self.fail_expired(now);
         self.forget_due(now);
@@ -60,8 +61,9 @@
         }
     }
 
-    /// A process that stood still may have been taken over from without having heard of it.
-    fn notice_process_pause(&mut self, now: Millis) {
+    /// Updates the fence after a pause of the process, because other stores may have taken over without its having
+    /// received notice.
+    fn detect_process_pause(&mut self, now: Millis) {
         let expected = self.last_upkeep_at + UPKEEP_INTERVAL_MS;
         let was_paused = now > expected + PROCESS_PAUSE_LIMIT_MS;
         let may_be_taken_over = now > expected + TAKEOVER_POSSIBLE_AFTER_MS;
@@ -87,7 +89,8 @@
                 self.metrics.expired += 1;
                 self.finish(now, key, End::Failed);
             } else {
-                // Of a replica the owner still has to send the end: it is waited for, but not for ever.
+                // The end of a replica has to come from its owner. The message is kept for it, but only for the
+                // retention period.
                 self.forget_at(now + self.settings.status_retention_ms, key);
             }
         }
@@ -109,9 +112,9 @@
             (true, Some(_)) if entry.callback_pending => {
                 self.forget_at(now + self.settings.status_retention_ms + RETENTION_MARGIN_MS, key);
             }
-            // It was a replica when it was scheduled to be forgotten, and has been taken over.
+            // The message was a replica when its removal was scheduled, and has been taken over since.
             (true, None) => {}
-            // Its owner never sent an end. Left on the disk it would be read as live for ever.
+            // The owner never sent an end. If the message stayed on disk, it would be read as live for ever.
             (false, None) => {
                 self.record(&Record::Dropped { key }, false);
                 self.remove(key);
@@ -135,7 +138,7 @@
         self.log_intake_change(now);
     }
 
-    /// When [`tick`](Queue::tick) has to be called next, if nothing else happens before.
+    /// Time at which [`tick`](Queue::tick) has to be called next, if nothing else happens before.
     pub fn next_deadline(&self) -> Millis {
         let first = |index: &BTreeSet<(Millis, Key)>| index.first().map_or(Millis::MAX, |(at, _)| *at);
         let deadlines = [
@@ -154,17 +157,17 @@
         deadlines.into_iter().min().unwrap_or(0)
     }
 
-    /// Adds a record to the write of this turn; with `needs_sync` the write is synced at once.
+    /// Adds a record to the write of this turn. With `needs_sync` the write is synced at once.
     pub(crate) fn record(&mut self, record: &Record, needs_sync: bool) {
         self.pending_writes.add(record, needs_sync);
     }
 
-    /// Has something done once the records of this turn are on disk.
+    /// Registers an operation that runs once the records of this turn are on disk.
     pub(crate) fn after_write(&mut self, wait: PendingWrite) {
         self.pending_writes.wait(wait);
     }
 
-    /// What the program has to carry out, in order.
+    /// Takes the effects that the program has to carry out, in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         let mut effects = std::mem::take(&mut self.effects);
         effects.extend(self.pending_writes.take(self.last_tick_at));
@@ -172,7 +175,7 @@
     }
 }
 
-/// Takes the first key whose time has come out of an index.
+/// Takes the first key of an index whose time has come.
 fn pop_due(index: &mut BTreeSet<(Millis, Key)>, now: Millis) -> Option<Key> {
     let (at, key) = index.first().copied()?;
     if at > now {
--- a/crates/queue/src/queue/token_holders.rs
+++ b/crates/queue/src/queue/token_holders.rs
@@ -1,4 +1,5 @@
-//! Which store hands out the tokens of a service's rate limit, and how the others get some.
+//! Assignment of token holders, the stores that hand out the tokens of rate limits, and the distribution of tokens to
+//! other stores.
 
 use super::Queue;
 use crate::effect::Effect;
@@ -9,11 +10,11 @@
 use std::collections::{BTreeMap, HashMap};
 use stileroute_dispatch::types::mark;
 
-/// Most tokens granted to one request of another store.
+/// Maximum number of tokens granted for one request of another store.
 const MAX_TOKENS_PER_GRANT: u32 = 16;
 
-/// The store that hands out the tokens of a service: the first of the members by rendezvous hashing, so that the services are
-/// spread over the stores.
+/// The token holder of a service: the first member by rendezvous hashing, so that the services are spread over the
+/// stores.
 pub(crate) fn token_holder(service: &str, own_node: Node, peers: &BTreeMap<Node, Peer>) -> Node {
     let own_weight = holder_weight(service, own_node);
     token_successor(service, peers)
@@ -25,36 +26,36 @@
     mark(&format!("{service}/{node}"))
 }
 
-/// A store that ceases to hand out the tokens of a service grants its successor so many, more than any request is granted. They
-/// are not used: they say that the successor may begin at once. A second grant of so many and of the tokens that were left follows,
-/// which a store of an earlier version ignores, for it does not come from the holder.
+/// Number of tokens in a grant that notifies the successor of a token holder that it may begin at once. It exceeds any
+/// grant for a request, and the tokens are not used. A second grant follows with this number plus the tokens that were
+/// left; a store of an earlier version ignores it, because it does not come from the holder.
 const HANDOVER_TOKENS: u32 = MAX_TOKENS_PER_GRANT + 1;
 
-/// A store that has just started may hear that it is to begin before it knows the members. It counts for so long, which is less
-/// than any other store would wait before it began.
+/// Time for which a handover notice is valid, in milliseconds, because a store that has just started may receive it
+/// before it knows the members. It is less than any other store would wait before it began.
 const HANDOVER_LIFETIME: Millis = 1000;
 
-/// The store that hands out the tokens of a service once this one has ceased to.
+/// The store that hands out the tokens of a service after this store has stopped.
 fn token_successor(service: &str, peers: &BTreeMap<Node, Peer>) -> Option<Node> {
     let members =
         peers.iter().filter(|(_, peer)| peer.is_member && !peer.is_draining()).map(|(node, _)| *node);
     members.max_by_key(|node| holder_weight(service, *node))
 }
 
-/// What decides whether the token holders have to be settled anew, and what former holders have said.
+/// State that decides whether the token holders have to be reassigned, and the handover notices of former holders.
 #[derive(Debug)]
 pub(super) struct TokenHolders {
-    /// Members or the configuration have changed since they were settled.
+    /// Whether the members or the configuration have changed since the last assignment.
     is_stale: bool,
-    /// Whether this store might hand out tokens at all, when they were settled.
+    /// Whether this store could be a token holder at all at the last assignment.
     may_hold: bool,
-    /// By service, what its former holder last said.
+    /// The last handover notice of each service's former holder.
     handovers: HashMap<String, Handover>,
-    /// What could not be said to a successor that there was no connection with.
+    /// Handover notices for successors to which there was no connection.
     undelivered: Vec<UndeliveredHandover>,
 }
 
-/// This store has stopped handing out the tokens of a service, and its successor has not been told.
+/// A handover of a service's tokens of which the successor has not been notified.
 #[derive(Debug)]
 struct UndeliveredHandover {
     successor: Node,
@@ -63,16 +64,16 @@
     stopped_at: Millis,
 }
 
-/// A successor is told so long after the former holder has stopped. With the time for which the word counts there it is no more
-/// than a successor waits that hears nothing.
+/// Time after the former holder has stopped, in milliseconds, within which its successor is still notified. Together
+/// with [`HANDOVER_LIFETIME`] it is no longer than a successor waits that receives no notice.
 const HANDOVER_DELIVERY_LIMIT: Millis = 500;
 
-/// The former holder of a service says that it has stopped.
+/// Notice of a service's former token holder that it has stopped.
 #[derive(Debug)]
 struct Handover {
-    /// When it was heard.
+    /// Time at which the notice was received.
     at: Millis,
-    /// What was left in the bucket, as far as this store has not taken it over.
+    /// Tokens that were left in the bucket and that this store has not taken over yet.
     tokens_left: u32,
 }
 
@@ -83,12 +84,13 @@
 }
 
 impl Queue {
-    /// Notes that members, configuration or this store's own part have changed: the token holders are settled anew in this turn.
+    /// Notes that members, configuration or this store's own role have changed, so that the token holders are
+    /// reassigned in this turn.
     pub(crate) fn invalidate_token_holders(&mut self) {
         self.token_holders.is_stale = true;
     }
 
-    /// Settles the token holders, if anything has changed that decides who they are.
+    /// Reassigns the token holders, if anything has changed that determines them.
     pub(crate) fn refresh_token_holders(&mut self, now: Millis) {
         let may_hold = self.control_contact.is_heard && self.knows_members && !self.is_draining;
         let has_changed = std::mem::replace(&mut self.token_holders.may_hold, may_hold) != may_hold;
@@ -97,7 +99,8 @@
         }
     }
 
-    /// Settles for each service and each tenant whether this store hands out its tokens, and this store's share of the retry slots.
+    /// Determines for each service and each tenant whether this store is the token holder, and this store's share of
+    /// the retry slots.
     fn assign_token_holders(&mut self, now: Millis) {
         self.metrics.token_holder_assignments += 1;
         let own_node = self.settings.node;
@@ -140,7 +143,7 @@
         }
     }
 
-    /// Tells the successor that it may begin, at once or when there is a connection with it.
+    /// Notifies the successor that it may begin, at once or when there is a connection to it.
     fn hand_over(&mut self, handover: UndeliveredHandover) {
         let to = handover.successor;
         if !self.peers.get(&to).is_some_and(|peer| peer.is_connected) {
@@ -155,7 +158,7 @@
         }
     }
 
-    /// There is a connection with another store: it is told what it could not be told before, unless that is too long ago.
+    /// Delivers the pending handover notices to a store to which there is now a connection, unless they are too old.
     pub(crate) fn deliver_handovers(&mut self, now: Millis, node: Node) {
         let undelivered = std::mem::take(&mut self.token_holders.undelivered);
         let is_recent = |handover: &UndeliveredHandover| now < handover.stopped_at + HANDOVER_DELIVERY_LIMIT;
@@ -169,15 +172,15 @@
         }
     }
 
-    /// Another store wants tokens of a service.
+    /// Answers another store's request for tokens of a service.
     pub(crate) fn tokens_wanted(&mut self, now: Millis, from: Node, service: String, count: u32) {
         let bucket = self.token_bucket(&service);
         let count = bucket.map_or(0, |bucket| bucket.hand_out(now, count.min(MAX_TOKENS_PER_GRANT)));
         self.emit(Effect::Send { to: from, message: PeerMessage::GrantTokens { service, count } });
     }
 
-    /// Tokens have come. Those of a store that is not the holder any more are refused: together with the successor's they would
-    /// exceed the rate limit.
+    /// Handles tokens that another store has granted. Tokens of a store that is no longer the holder are ignored:
+    /// together with those of its successor they would exceed the rate limit.
     pub(crate) fn tokens_received(&mut self, now: Millis, from: Node, service: &str, count: u32) {
         if let Some(tokens_left) = count.checked_sub(HANDOVER_TOKENS) {
             return self.handed_over(now, service, tokens_left);
@@ -193,8 +196,8 @@
         }
     }
 
-    /// The former holder of a service has stopped. Where this store does not know yet that it is the successor that counts for
-    /// [`HANDOVER_LIFETIME`]; it never is a grant.
+    /// Handles the notice of a service's former holder that it has stopped. It is never a grant. If this store does not
+    /// know yet that it is the successor, the notice stays valid for [`HANDOVER_LIFETIME`].
     fn handed_over(&mut self, now: Millis, service: &str, tokens_left: u32) {
         let mut handover = Handover { at: now, tokens_left };
         if let Some(bucket) = self.token_bucket(service) {
@@ -214,7 +217,7 @@
 }
 
 impl Handover {
-    /// Lets a holder begin, unless the word is too old. The tokens that were left are taken over once.
+    /// Lets a holder begin, unless the notice is too old. The tokens that were left are taken over once.
     fn apply(&mut self, now: Millis, bucket: &mut TokenBucket) {
         if now < self.at + HANDOVER_LIFETIME && bucket.is_holder() {
             bucket.take_over(now, std::mem::take(&mut self.tokens_left));
--- a/crates/queue/src/repair.rs
+++ b/crates/queue/src/repair.rs
@@ -195,7 +195,7 @@
     pub(crate) fn repair(&mut self, now: Millis) {
         self.metrics.under_replicated = self.missing_copies().messages;
         if self.metrics.under_replicated == 0 {
-            return self.repair_completed(now);
+            return self.finish_repair(now);
         }
         if now < self.next_repair_at() {
             return;
@@ -209,7 +209,7 @@
         }
     }
 
-    fn repair_completed(&mut self, now: Millis) {
+    fn finish_repair(&mut self, now: Millis) {
         if let Some(since) = self.under_replicated_since.take() {
             self.metrics.last_under_replication_ms = now.saturating_sub(since);
             let ms = self.metrics.last_under_replication_ms;
