--- a/crates/model-check/src/queue/fleet/connections.rs
+++ b/crates/model-check/src/queue/fleet/connections.rs
@@ -84,7 +84,7 @@
         for at in 0..self.stores.len() {
             if self.stores[at].runs(self.now) && !self.stores[at].is_isolated {
                 self.call(at, None, |queue, now| {
-                    (queue.control_contact.is_heard, queue.control_contact.session_may_have_lapsed) =
+                    (queue.control_contact.is_reachable, queue.control_contact.session_may_have_lapsed) =
                         (true, false);
                     queue.set_members(now, &all);
                 });
--- a/crates/model-check/src/queue/fleet/events.rs
+++ b/crates/model-check/src/queue/fleet/events.rs
@@ -116,7 +116,7 @@
             // Until the control nodes have been heard again it knows that it may be cut off.
             Event::Thaw { at, life } => {
                 self.call(at, Some(life), |queue, _| {
-                    (queue.control_contact.is_heard, queue.control_contact.session_may_have_lapsed) =
+                    (queue.control_contact.is_reachable, queue.control_contact.session_may_have_lapsed) =
                         (false, true)
                 });
                 self.resend_superseded(at);
@@ -124,7 +124,7 @@
             Event::ControlLost { at, life, heard } => {
                 if self.stores[at].is_isolated {
                     self.call(at, Some(life), |queue, _| {
-                        (queue.control_contact.is_heard, queue.control_contact.session_may_have_lapsed) =
+                        (queue.control_contact.is_reachable, queue.control_contact.session_may_have_lapsed) =
                             (heard, true)
                     });
                 }
--- a/crates/queue/src/control_contact.rs
+++ b/crates/queue/src/control_contact.rs
@@ -5,7 +5,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControlContact {
     /// A control node has answered this store recently.
-    pub is_heard: bool,
+    pub is_reachable: bool,
     /// The last answer of a control node is so old that the control nodes may have declared this store's session
     /// lapsed.
     pub session_may_have_lapsed: bool,
@@ -17,10 +17,10 @@
 impl ControlContact {
     /// Full contact: control nodes answer this store and reach one another.
     pub const FULL: ControlContact =
-        ControlContact { is_heard: true, session_may_have_lapsed: false, group_may_be_lost: false };
+        ControlContact { is_reachable: true, session_may_have_lapsed: false, group_may_be_lost: false };
 
     /// Whether control nodes that this store cannot reach may have removed it from the membership.
-    pub(crate) fn may_be_listed_as_gone(self) -> bool {
-        self.session_may_have_lapsed || self.group_may_be_lost || !self.is_heard
+    pub(crate) fn may_be_removed_from_membership(self) -> bool {
+        self.session_may_have_lapsed || self.group_may_be_lost || !self.is_reachable
     }
 }
--- a/crates/queue/src/durability.rs
+++ b/crates/queue/src/durability.rs
@@ -12,7 +12,7 @@
 
 /// Numbers of messages and ends that are stored on too few disks, as known to one store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct MissingCopies {
+pub struct MissingReplicas {
     /// Messages that have not ended, or whose callback is pending: those owned by this store, and those whose owner
     /// lost them with its disk and that no store has taken over yet.
     pub messages: usize,
@@ -23,8 +23,8 @@
 impl Queue {
     /// Counts what is stored on too few disks now. While either number is above zero, the next loss of a disk may lose
     /// data.
-    pub fn missing_copies(&self) -> MissingCopies {
-        MissingCopies {
+    pub fn missing_replicas(&self) -> MissingReplicas {
+        MissingReplicas {
             messages: self.under_replicated.len() + self.lost_by_owner.len(),
             ends: self.end_replication.under_replicated.len(),
         }
@@ -34,29 +34,29 @@
     /// disks, and every store whose replicas count has reported what it holds since it last connected.
     pub fn is_fully_replicated(&self) -> bool {
         let mut counted = self.peers.values().filter(|peer| peer.is_member || !peer.is_written_off());
-        self.missing_copies() == MissingCopies::default()
+        self.missing_replicas() == MissingReplicas::default()
             && self.knows_members
             && self.are_shards_safe()
             && self.orphans.is_empty()
             && counted.all(|peer| peer.is_connected && peer.is_reconciled)
-            && self.owned_here().all(|(_, entry)| self.lasting_replicas(entry) >= self.settings.replica_count)
+            && self.owned_here().all(|(_, entry)| self.counted_replicas(entry) >= self.settings.replica_count)
     }
 
     /// Whether replicas stored at another store count: it is neither retiring nor written off.
-    pub(crate) fn counts_copies_at(&self, node: Node) -> bool {
+    pub(crate) fn counts_replicas_at(&self, node: Node) -> bool {
         let is_not_counted =
             |peer: &Peer| peer.is_written_off() && !self.planted(PlantedFault::GoneReplicasCounted);
         self.peers.get(&node).is_some_and(|peer| !peer.is_retiring() && !is_not_counted(peer))
     }
 
     /// Number of replicas of a message at stores whose replicas count, including replicas that are not confirmed yet.
-    pub(crate) fn lasting_replicas(&self, entry: &Entry) -> usize {
-        entry.replicas.iter().filter(|node| self.counts_copies_at(**node)).count()
+    pub(crate) fn counted_replicas(&self, entry: &Entry) -> usize {
+        entry.replicas.iter().filter(|node| self.counts_replicas_at(**node)).count()
     }
 
     /// Number of other stores that hold the end of a message and whose replicas count.
     pub(crate) fn counted_holders(&self, entry: &Entry) -> usize {
-        entry.other_holders(self.settings.node).filter(|node| self.counts_copies_at(*node)).count()
+        entry.other_holders(self.settings.node).filter(|node| self.counts_replicas_at(*node)).count()
     }
 
     /// Whether only the end of this message is kept and is stored on too few disks.
--- a/crates/queue/src/end_transfer.rs
+++ b/crates/queue/src/end_transfer.rs
@@ -207,7 +207,7 @@
     /// as a holder as well, unless it is retiring.
     pub(crate) fn store_ends(&mut self, now: Millis, from: Node, ends: Vec<TransferredEnd>) {
         let is_tracked = !self.planted(PlantedFault::EndsCopiedOnce);
-        let counted_sender = Some(from).filter(|from| is_tracked && self.counts_copies_at(*from));
+        let counted_sender = Some(from).filter(|from| is_tracked && self.counts_replicas_at(*from));
         for TransferredEnd { key, end, callback_pending, failed_message } in ends {
             let known = self.entries.get(&key);
             let callback_pending = match known {
--- a/crates/queue/src/idempotency/claims.rs
+++ b/crates/queue/src/idempotency/claims.rs
@@ -2,7 +2,7 @@
 
 use super::digest::{preferred_store_of_shard, Shard, SHARD_COUNT};
 use super::shard_table::{PendingClaim, ShardTerm};
-use crate::durability::MissingCopies;
+use crate::durability::MissingReplicas;
 use crate::effect::Effect;
 use crate::message::{Millis, Node};
 use crate::peer::{KeyHolder, Peer, PeerRecovery};
@@ -262,7 +262,7 @@
             if gone.contains(node) {
                 peer.key_holder = KeyHolder::Gone;
             } else if are_holders_known && !holders.contains(node) && !self.peer_disks.contains_key(node) {
-                peer.key_holder = KeyHolder::Unheard;
+                peer.key_holder = KeyHolder::NeverConnected;
             }
         }
         self.record_restored_holders(holders);
@@ -282,11 +282,11 @@
     /// they held lies elsewhere then. While more are absent, or have lost their disks, than may be lost at once, they may be alive, behind
     /// a cut, and what they have accepted may lie among themselves alone: then they count until the window of all their keys is over.
     pub(crate) fn note_gone_stores(&mut self, now: Millis) {
-        let may_judge = self.control_contact.is_heard && self.knows_members;
+        let may_judge = self.control_contact.is_reachable && self.knows_members;
         let lost_or_absent = self.absent_stores() + self.recovering_peers();
         let may_be_gone = lost_or_absent <= self.settings.replica_count
             && !self.is_recovering()
-            && self.missing_copies() == MissingCopies::default();
+            && self.missing_replicas() == MissingReplicas::default();
         let window_ms = self.settings.idempotency_window_ms + WINDOW_MARGIN_MS;
         let is_gone = |peer: &Peer| {
             let absent_ms = now.saturating_sub(peer.connection_changed_at);
--- a/crates/queue/src/idempotency/recovery.rs
+++ b/crates/queue/src/idempotency/recovery.rs
@@ -9,7 +9,7 @@
 //! It is on disk that a store recovers: a restart begins the recovery anew. Where the others can't answer it ends with the window of the
 //! keys, for none that lay on the lost disk counts any more by then.
 
-use crate::durability::MissingCopies;
+use crate::durability::MissingReplicas;
 use crate::effect::Effect;
 use crate::entry::{Entry, Stage};
 use crate::message::{Millis, Node};
@@ -156,12 +156,12 @@
         let is_reconciled = |node: Node| self.peers.get(&node).is_some_and(|peer| peer.is_reconciled);
         let is_replicated = |entry: &Entry| {
             let is_confirmed = entry.unconfirmed.is_empty() || entry.end.is_some();
-            is_confirmed && self.lasting_replicas(entry) >= self.settings.replica_count
+            is_confirmed && self.counted_replicas(entry) >= self.settings.replica_count
         };
         let mut accepted = self.owned_here().filter(|(_, entry)| entry.stage != Stage::Persisting);
         self.knows_members
             && is_reconciled(recovering)
-            && self.missing_copies() == MissingCopies::default()
+            && self.missing_replicas() == MissingReplicas::default()
             && self.owners().all(|owner| owner == self.settings.node || is_reconciled(owner))
             && accepted.all(|(_, entry)| is_replicated(entry))
     }
--- a/crates/queue/src/idempotency/submissions.rs
+++ b/crates/queue/src/idempotency/submissions.rs
@@ -197,7 +197,7 @@
         self.request_terms(now);
         self.continue_recovery(now);
         self.check_unchecked(now);
-        if self.control_contact.is_heard {
+        if self.control_contact.is_reachable {
             self.shards.control_lost_since = None;
         } else {
             self.shards.control_lost_since.get_or_insert(now);
--- a/crates/queue/src/idempotency/unchecked.rs
+++ b/crates/queue/src/idempotency/unchecked.rs
@@ -66,7 +66,7 @@
             return true;
         }
         let is_settled =
-            entry.unconfirmed.is_empty() && self.lasting_replicas(entry) >= self.settings.replica_count;
+            entry.unconfirmed.is_empty() && self.counted_replicas(entry) >= self.settings.replica_count;
         match entry.acceptance {
             Acceptance::Certain => true,
             Acceptance::Reaccepting if is_settled => {
--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -45,7 +45,7 @@
 
 pub use attempt_outcome::AttemptOutcome;
 pub use control_contact::ControlContact;
-pub use durability::MissingCopies;
+pub use durability::MissingReplicas;
 pub use effect::{Effect, KeptFailure};
 pub use entry::{Entry, MessageState, Stage};
 pub use idempotency::{preferred_store_of_shard, IdempotencyDigest, Shard, ShardTerm, SHARD_COUNT};
--- a/crates/queue/src/ordering.rs
+++ b/crates/queue/src/ordering.rs
@@ -51,7 +51,7 @@
         let members = || self.peers.iter().filter(|(_, peer)| peer.is_member);
         let nodes = members().map(|(node, _)| *node).chain([self.settings.node]);
         self.knows_members
-            && self.control_contact.is_heard
+            && self.control_contact.is_reachable
             && members().all(|(_, peer)| peer.is_connected && !peer.is_draining())
             && preferred_store(group, nodes) == Some(self.settings.node)
             && self.ordering.is_current(group)
--- a/crates/queue/src/peer.rs
+++ b/crates/queue/src/peer.rs
@@ -40,7 +40,7 @@
     Counts,
     /// The peer was never connected to this store: the control group lists it, or replica lists on disk name it.
     #[default]
-    Unheard,
+    NeverConnected,
     /// The peer is gone for good: what it held is stored elsewhere by now, or its keys may be used again. This fact is
     /// on disk.
     Gone,
@@ -135,7 +135,7 @@
     /// received from the peer since, so that its connection may be dead.
     pub(crate) unresponsive_since: Option<i64>,
     /// Time until which the peer is offered no replica, because it rejected one.
-    pub(crate) refuses_until: Millis,
+    pub(crate) rejects_replicas_until: Millis,
     /// Items that are sent to the peer at the end of the turn.
     pub(crate) outbox: Outbox,
 }
@@ -173,7 +173,7 @@
         self.is_connected
             && !self.is_draining()
             && self.unresponsive_since.is_none()
-            && now >= self.refuses_until
+            && now >= self.rejects_replicas_until
     }
 
     /// Whether notices of failed attempts may be sent to the peer.
@@ -182,7 +182,7 @@
     }
 
     /// Notes that a message of the peer has arrived.
-    pub(crate) fn heard(&mut self, now: Millis) {
+    pub(crate) fn record_contact(&mut self, now: Millis) {
         self.last_heard_at = now;
         self.unresponsive_since = None;
     }
--- a/crates/queue/src/queue/token_holders.rs
+++ b/crates/queue/src/queue/token_holders.rs
@@ -92,7 +92,7 @@
 
     /// Reassigns the token holders, if anything has changed that determines them.
     pub(crate) fn refresh_token_holders(&mut self, now: Millis) {
-        let may_hold = self.control_contact.is_heard && self.knows_members && !self.is_draining;
+        let may_hold = self.control_contact.is_reachable && self.knows_members && !self.is_draining;
         let has_changed = std::mem::replace(&mut self.token_holders.may_hold, may_hold) != may_hold;
         if std::mem::take(&mut self.token_holders.is_stale) || has_changed {
             self.assign_token_holders(now);
--- a/crates/queue/src/repair.rs
+++ b/crates/queue/src/repair.rs
@@ -43,7 +43,7 @@
     fn has_enough_replicas(&self, key: Key) -> bool {
         self.entries
             .get(&key)
-            .is_some_and(|entry| self.lasting_replicas(entry) >= self.settings.replica_count)
+            .is_some_and(|entry| self.counted_replicas(entry) >= self.settings.replica_count)
     }
 
     /// Checks a message after a change of its replicas: schedules a repair if it has too few, and cancels the repair if
@@ -52,7 +52,7 @@
         let Some(entry) = self.entries.get(&key) else { return };
         let is_owned_here = entry.owner == self.settings.node;
         let has_enough =
-            self.lasting_replicas(entry) >= self.settings.replica_count && entry.unconfirmed.is_empty();
+            self.counted_replicas(entry) >= self.settings.replica_count && entry.unconfirmed.is_empty();
         if !has_enough && is_owned_here {
             self.under_replicated_since.get_or_insert(now);
             return self.schedule_repair(now, key);
@@ -70,7 +70,7 @@
     /// only the stores in the list about the message, and those might not know it.
     fn drop_uncounted_replicas(&mut self, key: Key) {
         let Some(entry) = self.entries.get(&key).filter(|entry| !entry.is_settled()) else { return };
-        let lasting = entry.replicas.iter().copied().filter(|node| self.counts_copies_at(*node));
+        let lasting = entry.replicas.iter().copied().filter(|node| self.counts_replicas_at(*node));
         let lasting: Vec<Node> = lasting.collect();
         if lasting.len() == entry.replicas.len() {
             return;
@@ -169,7 +169,7 @@
 
     /// Marks the absent stores whose replicas no longer count from now on, and returns them.
     fn write_off_absent_peers(&mut self, now: Millis) -> Vec<Node> {
-        let may_write_off = self.control_contact.is_heard && self.knows_members;
+        let may_write_off = self.control_contact.is_reachable && self.knows_members;
         let mut written_off = Vec::new();
         for (node, peer) in &mut self.peers {
             if peer.is_present() {
@@ -193,7 +193,7 @@
 
     /// Sends missing replicas, as many as the repair budget allows.
     pub(crate) fn repair(&mut self, now: Millis) {
-        self.metrics.under_replicated = self.missing_copies().messages;
+        self.metrics.under_replicated = self.missing_replicas().messages;
         if self.metrics.under_replicated == 0 {
             return self.finish_repair(now);
         }
@@ -232,7 +232,7 @@
         let Some(entry) = self.entries.get(&key) else { return };
         let replica_bytes = entry.message.body.len() as u64 + REPLICA_OVERHEAD_BYTES;
         let present = entry.replicas.clone();
-        let lasting = self.entries.get(&key).map_or(0, |entry| self.lasting_replicas(entry));
+        let lasting = self.entries.get(&key).map_or(0, |entry| self.counted_replicas(entry));
         let lacking = self.settings.replica_count.saturating_sub(lasting);
         let added = self.choose_replica_stores(now, &present, &present, lacking);
         let Some(entry) = self.entries.get_mut(&key) else { return };
--- a/crates/queue/src/replication/connections.rs
+++ b/crates/queue/src/replication/connections.rs
@@ -41,8 +41,8 @@
         peer.recovery = PeerRecovery::None;
         peer.failure_notices = FailureNotices::default();
         peer.connection_changed_at = now;
-        peer.heard(now);
-        peer.refuses_until = 0;
+        peer.record_contact(now);
+        peer.rejects_replicas_until = 0;
         // One that is still retiring says so again: an order that was lost with its power is none.
         peer.service = ServiceState::InService;
         peer.outbox = Outbox::default();
--- a/crates/queue/src/replication/fence.rs
+++ b/crates/queue/src/replication/fence.rs
@@ -25,7 +25,7 @@
     pub(crate) fn update_fence(&mut self, now: Millis, was_frozen: bool, was_frozen_long: bool) {
         let mut contact = self.control_contact;
         contact.group_may_be_lost &= !self.planted(PlantedFault::CutOffControlNodeTrusted);
-        let is_cut_off = contact.may_be_listed_as_gone();
+        let is_cut_off = contact.may_be_removed_from_membership();
         let may_have_given_up = |peer: &Peer| {
             let missed_since = peer.connection_changed_at;
             peer.is_member
--- a/crates/queue/src/replication/ownership.rs
+++ b/crates/queue/src/replication/ownership.rs
@@ -134,7 +134,7 @@
     /// This store owns a message by what another says: the replicas that the other names have not confirmed theirs to this owner.
     fn distrust_list(&mut self, now: Millis, key: Key) {
         let Some(entry) = self.entries.get(&key) else { return };
-        let expected = entry.replicas.iter().copied().filter(|replica| self.counts_copies_at(*replica));
+        let expected = entry.replicas.iter().copied().filter(|replica| self.counts_replicas_at(*replica));
         let expected: Vec<Node> = expected.collect();
         if let Some(entry) = self.entries.get_mut(&key) {
             entry.unconfirmed = expected;
--- a/crates/queue/src/replication/peer_messages.rs
+++ b/crates/queue/src/replication/peer_messages.rs
@@ -11,7 +11,7 @@
     /// Acts on a message of another store.
     pub fn handle_peer_message(&mut self, now: Millis, from: Node, message: PeerMessage) {
         if let Some(peer) = self.peers.get_mut(&from) {
-            peer.heard(now);
+            peer.record_contact(now);
         }
         match message {
             PeerMessage::Replicate(replicas) => {
--- a/crates/queue/src/replication/replicas.rs
+++ b/crates/queue/src/replication/replicas.rs
@@ -152,7 +152,7 @@
     pub(super) fn replication_rejected(&mut self, now: Millis, from: Node, keys: Vec<Key>) {
         let peer = self.peers.entry(from).or_default();
         peer.avoided_until = now + FULL_STORE_AVOIDANCE;
-        peer.refuses_until = now + REFUSAL_RETRY_DELAY;
+        peer.rejects_replicas_until = now + REFUSAL_RETRY_DELAY;
         for key in keys {
             self.replace_unconfirmed(now, key, Some(from));
             self.replica_lost(now, key, from);
--- a/crates/queue/src/replication/takeover.rs
+++ b/crates/queue/src/replication/takeover.rs
@@ -74,7 +74,7 @@
         let Some(entry) = self.entries.get(&key) else { return };
         // The list is as the former owner had it when this store's replica was made, and may have changed since: what it names
         // counts once it has confirmed to this owner. Of a store that is gone, or is being retired, nothing is expected.
-        let is_expected = |replica: &Node| *replica != entry.owner && self.counts_copies_at(*replica);
+        let is_expected = |replica: &Node| *replica != entry.owner && self.counts_replicas_at(*replica);
         let expected: Vec<Node> = entry.replicas.iter().copied().filter(is_expected).collect();
         let Some(entry) = self.entries.get_mut(&key) else { return };
         let former_owner = std::mem::replace(&mut entry.owner, node);
@@ -126,7 +126,7 @@
 
     /// What has to be looked at a few times a second: stores that are gone, messages to take over, replicas, and ends.
     pub(crate) fn check_peers(&mut self, now: Millis) {
-        if self.control_contact.is_heard && self.knows_members {
+        if self.control_contact.is_reachable && self.knows_members {
             self.list_orphans(now);
             self.take_over_orphans(now);
         }
--- a/crates/queue/src/retirement.rs
+++ b/crates/queue/src/retirement.rs
@@ -81,7 +81,7 @@
     fn is_released_by_members(&self) -> bool {
         let mut members = self.peers.iter().filter(|(_, peer)| peer.is_member).peekable();
         let are_members_known =
-            members.peek().is_some() && self.control_contact.is_heard && self.knows_members;
+            members.peek().is_some() && self.control_contact.is_reachable && self.knows_members;
         are_members_known && members.all(|(node, peer)| peer.is_connected && self.released_by.contains(node))
     }
 
--- a/crates/queue/src/retry_budget.rs
+++ b/crates/queue/src/retry_budget.rs
@@ -68,7 +68,7 @@
     }
 
     /// Number of retries that could start now.
-    pub fn whole_retries(&self) -> usize {
+    pub fn available_retries(&self) -> usize {
         self.available as usize
     }
 
--- a/crates/queue/src/service_queue.rs
+++ b/crates/queue/src/service_queue.rs
@@ -157,7 +157,7 @@
     pub fn enter(&mut self, position: QueuePosition, is_retry: bool) {
         if is_retry {
             self.retries.insert(position);
-            let is_delayed = self.retries.len() > self.retry_budget.whole_retries();
+            let is_delayed = self.retries.len() > self.retry_budget.available_retries();
             self.retry_counts.retries_delayed += u64::from(is_delayed);
         } else {
             self.ready.insert(position);
--- a/crates/queue/tests/simulation/actions.rs
+++ b/crates/queue/tests/simulation/actions.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 const LAPSED: ControlContact = ControlContact { session_may_have_lapsed: true, ..ControlContact::FULL };
-const UNHEARD: ControlContact = ControlContact { is_heard: false, ..LAPSED };
+const UNHEARD: ControlContact = ControlContact { is_reachable: false, ..LAPSED };
 
 /// What a store knows so long after it was cut off. It last heard the control nodes just before.
 const ISOLATED_ALONE: [(u64, ControlContact); 2] = [(1500, LAPSED), (2500, UNHEARD)];
--- a/crates/queue/tests/simulation/checks.rs
+++ b/crates/queue/tests/simulation/checks.rs
@@ -137,7 +137,7 @@
     /// What a store's process holds that has not ended, for the text of a failure.
     pub fn describe(&self, at: usize) -> String {
         let Some(queue) = &self.stores[at].queue else { return "its process is not there".into() };
-        format!("{:?} {:?}", queue.stage_counts(self.time(at)), queue.missing_copies())
+        format!("{:?} {:?}", queue.stage_counts(self.time(at)), queue.missing_replicas())
     }
 
     /// Every accepted message, live or ended, lies on so many disks.
--- a/crates/queue/tests/simulation/events.rs
+++ b/crates/queue/tests/simulation/events.rs
@@ -54,7 +54,7 @@
             Event::Thaw { at, life } => {
                 if life > 0 {
                     self.with(at, |queue, _| {
-                        (queue.control_contact.is_heard, queue.control_contact.session_may_have_lapsed) =
+                        (queue.control_contact.is_reachable, queue.control_contact.session_may_have_lapsed) =
                             (false, true);
                     });
                 }
--- a/crates/queue/tests/single_store.rs
+++ b/crates/queue/tests/single_store.rs
@@ -173,9 +173,9 @@
 fn what_an_owner_lost_is_taken_over_when_the_control_group_is_heard_again() {
     let mut one = SingleStore::ready(ledger(&shared(B, vec![C, ME])));
     one.note(B, PeerMessage::LostWithDisk(vec![Key { origin: B, number: 99 }]));
-    one.queue.control_contact.is_heard = false;
+    one.queue.control_contact.is_reachable = false;
     assert!(attempts(&one.pass(2000)).is_empty());
-    one.queue.control_contact.is_heard = true;
+    one.queue.control_contact.is_reachable = true;
     assert_eq!(attempts(&one.pass(600)).len(), 1);
 }
 
--- a/crates/queue/tests/token_handover.rs
+++ b/crates/queue/tests/token_handover.rs
@@ -155,7 +155,7 @@
     assert_eq!(one.queue.metrics.token_holder_assignments, before);
     one.note(B, PeerMessage::Draining);
     assert_eq!(one.queue.metrics.token_holder_assignments, before + 1);
-    one.queue.control_contact.is_heard = false;
+    one.queue.control_contact.is_reachable = false;
     one.pass(10);
     assert_eq!(one.queue.metrics.token_holder_assignments, before + 2);
 }
--- a/crates/server/src/node/session.rs
+++ b/crates/server/src/node/session.rs
@@ -266,7 +266,7 @@
     pub fn control_contact(&self) -> ControlContact {
         let now = self.net.now();
         ControlContact {
-            is_heard: self.has_fresh_session(),
+            is_reachable: self.has_fresh_session(),
             // Counted from the last update: the session was alive then, and other nodes count it for so long after its end.
             session_may_have_lapsed: now >= self.session.last_update_at + SESSION_GRACE,
             group_may_be_lost: now >= self.session.last_group_contact_at + GROUP_CONTACT_GRACE,
--- a/crates/server/src/store/report.rs
+++ b/crates/server/src/store/report.rs
@@ -21,7 +21,7 @@
             "surplus" => stages.surplus_replicas,
             "owed" => stages.callbacks_pending,
             "oldest_ms" => stages.oldest_overdue_ms,
-            "thin" => self.queue.missing_copies().messages,
+            "thin" => self.queue.missing_replicas().messages,
             "thin_ends" => stages.under_replicated_ends,
         }
     }
