--- a/crates/queue/src/lib.rs
+++ b/crates/queue/src/lib.rs
@@ -1,5 +1,8 @@
-//! The durable queue of one store: messages, their replicas, attempts, ends, callbacks and rate limits. A state
-//! machine: events and a clock go in, [`Effect`]s come out; sockets, disk and time are the program's.
+//! The durable message queue of one store: messages and their replicas, delivery attempts, completion, callbacks and
+//! rate limits.
+//!
+//! The queue is a state machine without I/O: the program feeds in events with the current time and carries out the
+//! [`Effect`]s that come out. Sockets, disk access and clocks belong to the program.
 
 mod attempt_outcome;
 mod control_contact;
@@ -42,7 +45,7 @@
 
 pub use attempt_outcome::AttemptOutcome;
 pub use control_contact::ControlContact;
-pub use durability::MissingCopies;
+pub use durability::MissingReplicas;
 pub use effect::{Effect, KeptFailure};
 pub use entry::{Entry, MessageState, Stage};
 pub use idempotency::{preferred_store_of_shard, IdempotencyDigest, Shard, ShardTerm, SHARD_COUNT};
