--- a/crates/queue/src/idempotency/digest.rs
+++ b/crates/queue/src/idempotency/digest.rs
@@ -1,25 +1,25 @@
-//! Digests of idempotency keys, and the shards into which they are divided.
+//! Digests of idempotency keys, and the shards into which the keys are divided.
 
 use crate::hashing::mix;
 use crate::message::{Message, Node};
 use serde::{Deserialize, Serialize};
 
-/// How many shards there are: a few dozen for each store, so that all hold about the same share.
+/// Number of shards: a few dozen per store, so that all stores hold about the same share.
 pub const SHARD_COUNT: u16 = 1024;
 
-/// A part of the idempotency keys.
+/// Index of a shard, one part of the idempotency keys.
 pub type Shard = u16;
 
-/// Stands for a tenant's idempotency key, the same at all stores.
+/// Hash of a tenant and its idempotency key; it is the same at all stores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct IdempotencyDigest([u8; 16]);
 
 impl IdempotencyDigest {
-    /// The digest of a tenant's key; `None` stands for requests that are no tenant's.
+    /// Computes the digest of a tenant's key. `None` stands for requests without a tenant.
     pub fn of(tenant: Option<&str>, key: &str) -> IdempotencyDigest {
         let tenant = tenant.unwrap_or_default();
         let mut hasher = blake3::Hasher::new();
-        // With its length: no tenant's name and key can be read as those of another.
+        // The length of the tenant's name is hashed too, so that no pair of tenant and key is read as another pair.
         hasher.update(&(tenant.len() as u64).to_le_bytes());
         hasher.update(tenant.as_bytes());
         hasher.update(key.as_bytes());
@@ -28,7 +28,7 @@
         IdempotencyDigest(digest)
     }
 
-    /// The shard that it is in. Digests of one shard are consecutive.
+    /// The shard of this digest. The digests of one shard are consecutive.
     pub fn shard(self) -> Shard {
         u16::from_be_bytes([self.0[0], self.0[1]]) / (u16::MAX / SHARD_COUNT + 1)
     }
@@ -42,14 +42,14 @@
 }
 
 impl Message {
-    /// The digest of its idempotency key, if it has one.
+    /// The digest of the message's idempotency key, if it has one.
     pub fn idempotency_digest(&self) -> Option<IdempotencyDigest> {
         let key = self.idempotency_key.as_deref()?;
         Some(IdempotencyDigest::of(self.tenant.as_deref(), key))
     }
 }
 
-/// The store, among those given, to which the messages of a shard are sent, by rendezvous hashing.
+/// The store among `nodes` to which the messages of a shard are sent, by rendezvous hashing.
 pub fn preferred_store_of_shard(shard: Shard, nodes: impl Iterator<Item = Node>) -> Option<Node> {
     nodes.max_by_key(|node| (mix(&[u64::from(shard), u64::from(*node)]), *node))
 }
--- a/crates/queue/src/idempotency/recovery.rs
+++ b/crates/queue/src/idempotency/recovery.rs
@@ -1,13 +1,14 @@
 //! Recovery of a store whose disk was lost.
 //!
-//! Such a store can't say which messages lay on its disk, so what it names in a grant is no evidence: until it has recovered it grants no
-//! claim, and counts at each claimant as one that was not heard. It makes no claim either, for it does not know which other stores
-//! there are to be heard. It has recovered once all that lay on its disk lies on as many other disks as before. Each store that may hold
-//! such a message says so of what lies at it; which stores these are they say as well, for the recovering store has lost that
-//! knowledge too. New replicas are kept as soon as the terms of the shards are known again (see `grants`).
+//! Such a store cannot say which messages were on its disk, so the messages that it would list in a grant prove
+//! nothing. Until it has recovered it grants no claim, and claimants count it as a store that has not answered. It
+//! makes no claim either, because it does not know which other stores have to be asked. It has recovered once
+//! everything that was on its disk is on as many other disks as before. Each store that may hold such messages
+//! reports this for its own messages, and also reports which stores these are, because the recovering store has lost
+//! that knowledge too. New replicas are stored as soon as the shard terms are known again (see `grants`).
 //!
-//! It is on disk that a store recovers: a restart begins the recovery anew. Where the others can't answer it ends with the window of the
-//! keys, for none that lay on the lost disk counts any more by then.
+//! That a store is recovering is recorded on disk: a restart begins the recovery again. If the other stores cannot
+//! answer, the recovery ends with the idempotency window, because no key of the lost disk counts any more by then.
 
 use crate::durability::MissingCopies;
 use crate::effect::Effect;
@@ -20,31 +21,33 @@
 use crate::record::Record;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The others are asked anew for their reports so often.
-const ROUND_INTERVAL_MS: Millis = 250;
+/// Interval at which the other stores are asked for new reports.
+const REPORT_ROUND_INTERVAL_MS: Millis = 250;
 
-/// So many rounds in a row have to find all on enough disks: between two reports of one round a message may change its owner.
-const COMPLETE_ROUNDS: u32 = 2;
+/// Number of consecutive rounds that must find all messages on enough disks: between two reports of one round a
+/// message may change its owner.
+const REQUIRED_COMPLETE_ROUNDS: u32 = 2;
 
-/// Beyond the window of the keys, what lay on the lost disk does not matter any more.
-const WINDOW_MARGIN_MS: Millis = 10_000;
+/// Margin added to the idempotency window; the messages of the lost disk no longer matter after that.
+const IDEMPOTENCY_WINDOW_MARGIN_MS: Millis = 10_000;
 
-/// How far a store has come that recovers from the loss of its disk.
+/// Progress of a store's recovery from the loss of its disk.
 #[derive(Debug)]
 pub(super) struct Recovery {
     is_pending: bool,
-    /// When this store's process was started.
+    /// When this store's process started.
     started_at: Millis,
-    /// Counts the rounds of reports.
+    /// Number of the current round of reports.
     round: u64,
     next_round_at: Millis,
-    /// None of the keys that lay on the lost disk counts any more.
+    /// The idempotency window of every key that was on the lost disk is over.
     is_window_over: bool,
-    /// Another store knew a disk before the present one. One that nobody knew is new, and has lost nothing.
+    /// Another store has seen an earlier disk of this store. A store of which no other has seen a disk is new and has
+    /// lost nothing.
     had_other_disk: bool,
-    /// Rounds in a row that have found all on enough disks.
+    /// Consecutive rounds that found all messages on enough disks.
     complete_rounds: u32,
-    /// The last report of each store that is connected.
+    /// The last report of each connected store.
     reports: BTreeMap<Node, RecoveryReport>,
 }
 
@@ -67,17 +70,17 @@
         self.is_pending
     }
 
-    /// A store that has lost no disk has reported: it knows the others from its own disk.
+    /// Whether a store that has not lost its disk has reported: such a store knows the others from its own disk.
     fn has_heard_intact_store(&self) -> bool {
         self.reports.values().any(|report| !report.is_recovering)
     }
 
-    /// The stores that the others count among those that may hold messages.
+    /// The stores that the reports list as possible holders of messages.
     fn reported_holders(&self) -> impl Iterator<Item = Node> + '_ {
         self.reports.values().flat_map(|report| report.holders.iter().copied())
     }
 
-    /// In this round all these stores have said that all is on enough disks.
+    /// Whether all these stores have reported in this round that every message is on enough disks.
     fn is_round_complete(&self, holders: &BTreeSet<Node>) -> bool {
         let is_complete = |report: &RecoveryReport| report.round == self.round && report.is_replicated;
         holders.iter().all(|node| self.reports.get(node).is_some_and(is_complete))
@@ -85,27 +88,28 @@
 }
 
 impl Queue {
-    /// Whether what this store says of the messages that lie here is no evidence that there are no others.
+    /// Whether this store is recovering: the messages it has do not prove that there were no others.
     pub(super) fn is_recovering(&self) -> bool {
         self.shards.recovery.is_pending() && !self.planted(PlantedFault::BlankGrantCounts)
     }
 
-    /// All other stores that may hold messages with idempotency keys, as far as this store and those that have reported know.
+    /// All other stores that may hold messages with idempotency keys, as far as this store and those that have
+    /// reported know.
     fn recovery_holders(&self) -> BTreeSet<Node> {
         let own = self.message_holders();
         let reported = self.shards.recovery.reported_holders();
         own.chain(reported).filter(|node| *node != self.settings.node).collect()
     }
 
-    /// Asks the others for their reports when it is time, and ends the recovery with the window of the keys.
+    /// Requests reports from the other stores when they are due, and ends the recovery with the idempotency window.
     pub(super) fn continue_recovery(&mut self, now: Millis) {
         if !self.shards.recovery.is_pending() {
             return;
         }
-        let window_ms = self.settings.idempotency_window_ms + WINDOW_MARGIN_MS;
+        let window_ms = self.settings.idempotency_window_ms + IDEMPOTENCY_WINDOW_MARGIN_MS;
         self.shards.recovery.is_window_over = now > self.shards.recovery.started_at + window_ms;
         if self.shards.recovery.is_window_over {
-            self.adopt_named_terms();
+            self.adopt_received_terms();
             if !self.shards.are_terms_missing {
                 return self.end_recovery(now);
             }
@@ -119,12 +123,12 @@
     fn begin_recovery_round(&mut self, now: Millis) {
         let recovery = &mut self.shards.recovery;
         recovery.round += 1;
-        recovery.next_round_at = now + ROUND_INTERVAL_MS;
+        recovery.next_round_at = now + REPORT_ROUND_INTERVAL_MS;
         let round = recovery.round;
         self.send_to_connected(&PeerMessage::RequestRecoveryReport { round });
     }
 
-    /// A connection is open: that this store recovers is said on it before the two have reconciled.
+    /// Announces on a new connection that this store is recovering, before the two stores have reconciled.
     pub(crate) fn announce_recovery(&mut self, node: Node) {
         if !self.shards.recovery.is_pending() || !self.shards.are_used {
             return;
@@ -136,7 +140,7 @@
         }
     }
 
-    /// Another store recovers, and asks whether all that lies here lies on enough disks.
+    /// Answers a recovering store's question whether all messages at this store are on enough disks.
     pub(crate) fn recovery_report_requested(&mut self, now: Millis, from: Node, round: u64) {
         self.shards.are_used = true;
         self.set_peer_recovery(now, from, PeerRecovery::Pending);
@@ -150,8 +154,8 @@
         self.emit(Effect::Send { to: from, message: PeerMessage::RecoveryReport(report) });
     }
 
-    /// Whether nothing that lies here needs what lay on the lost disk of another store. Of a replica its owner has to say so, and is asked
-    /// as well: it has to know of this one.
+    /// Whether no message at this store depends on the lost disk of `recovering`. For a replica, only its owner can
+    /// say so, and the owner is asked as well; it therefore has to know of this replica.
     fn is_all_replicated_for(&self, recovering: Node) -> bool {
         let is_reconciled = |node: Node| self.peers.get(&node).is_some_and(|peer| peer.is_reconciled);
         let is_replicated = |entry: &Entry| {
@@ -166,23 +170,23 @@
             && accepted.all(|(_, entry)| is_replicated(entry))
     }
 
-    /// Another store has reported.
+    /// Handles the recovery report of another store.
     pub(crate) fn recovery_reported(&mut self, now: Millis, from: Node, report: RecoveryReport) {
         if !self.shards.recovery.is_pending() {
             return;
         }
         self.shards.recovery.had_other_disk |= report.knew_other_disk;
         self.shards.recovery.reports.insert(from, report);
-        self.adopt_named_terms();
+        self.adopt_received_terms();
         self.check_recovery(now);
     }
 
-    /// A connection is lost: what was reported on it may not hold any more.
-    pub(crate) fn forget_recovery_report(&mut self, node: Node) {
+    /// Discards a store's report after its connection was lost: the report may no longer hold.
+    pub(crate) fn discard_recovery_report(&mut self, node: Node) {
         self.shards.recovery.reports.remove(&node);
     }
 
-    /// Ends the recovery once enough rounds have found all on enough disks.
+    /// Ends the recovery once enough rounds have found all messages on enough disks.
     fn check_recovery(&mut self, now: Millis) {
         let recovery = &self.shards.recovery;
         let may_end =
@@ -197,15 +201,15 @@
             return;
         }
         self.shards.recovery.complete_rounds += 1;
-        if self.shards.recovery.complete_rounds >= COMPLETE_ROUNDS {
+        if self.shards.recovery.complete_rounds >= REQUIRED_COMPLETE_ROUNDS {
             self.end_recovery(now);
         } else {
             self.begin_recovery_round(now);
         }
     }
 
-    /// No other store knew a disk of this one before the present one, and no more than may be lost were not asked: nothing of this store's is
-    /// lost.
+    /// Whether this store is new and has lost nothing: no other store has seen an earlier disk of it, and no more
+    /// stores than may be lost have not been asked.
     fn is_new_store(&self) -> bool {
         let recovery = &self.shards.recovery;
         let holders = self.recovery_holders();
@@ -221,16 +225,16 @@
         self.shards_may_move(now);
         tracing::info!(
             ms,
-            "what lay on a lost disk lies on enough others, or none was lost: claims are granted"
+            "recovery complete: no message depends on a lost disk of this store; granting shard claims"
         );
     }
 
-    /// Another store has recovered.
+    /// Handles that another store has recovered.
     pub(crate) fn peer_recovered(&mut self, now: Millis, node: Node) {
         self.set_peer_recovery(now, node, PeerRecovery::None);
     }
 
-    /// The shards of a store that recovers fall to others meanwhile.
+    /// Sets the recovery state of a store. While it recovers, its shards move to other stores.
     fn set_peer_recovery(&mut self, now: Millis, node: Node, recovery: PeerRecovery) {
         let peer = self.peers.entry(node).or_default();
         if std::mem::replace(&mut peer.recovery, recovery) != recovery {
@@ -238,26 +242,28 @@
         }
     }
 
-    /// How many connected stores recover from the loss of a disk, or may not have said yet whether they do.
+    /// Number of connected stores that are recovering from the loss of a disk, or may not have said yet whether they
+    /// are.
     pub(super) fn recovering_peers(&self) -> usize {
         let has_not_said = |peer: &Peer| peer.recovery == PeerRecovery::Pending || !peer.is_reconciled;
         self.peers.values().filter(|peer| peer.is_connected && has_not_said(peer)).count()
     }
 
-    /// Whether the terms are known that bind this store: those that it may have granted before it lost its disk. All stores have named
-    /// theirs but fewer than may be lost, for this one's disk is among the losses; or all that have any. New stores have none, however
-    /// many they are, and have granted none.
-    pub(super) fn have_enough_named_terms(&self) -> bool {
+    /// Whether every shard term is known that this store may have granted before it lost its disk. That is so if
+    /// fewer stores than may be lost have not sent their terms (this store's disk is one of the losses), or if all
+    /// stores that have any terms have sent them. New stores, however many, have none and have granted none.
+    pub(super) fn has_enough_terms(&self) -> bool {
         let holders = self.recovery_holders();
-        let mut unnamed = holders.iter().filter(|node| !self.shards.terms_named_by.contains(node));
+        let mut missing = holders.iter().filter(|node| !self.shards.terms_received_from.contains(node));
         let own_loss = usize::from(!self.is_new_store());
-        let is_unnamed_by_few = unnamed.clone().count() + own_loss <= self.settings.replica_count;
-        let are_others_blank = unnamed.all(|node| self.shards.blank_peers.contains(node));
+        let are_few_missing = missing.clone().count() + own_loss <= self.settings.replica_count;
+        let have_others_no_terms = missing.all(|node| self.shards.peers_without_terms.contains(node));
         let recovery = &self.shards.recovery;
-        // Where more disks were lost than may be, no store is left that names any. Once the window is over there is nothing to be named, and
-        // all that are asked are heard: whoever holds a shard yet has named its term.
-        let is_nothing_left = recovery.is_window_over && are_others_blank;
-        let is_known = recovery.has_heard_intact_store() && (is_unnamed_by_few || are_others_blank);
-        self.knows_members && (is_known || is_nothing_left)
+        // If more disks were lost than may be, no store may be left that can send any terms. Once the idempotency
+        // window is over there is nothing left to send, and every store that is asked answers: each that still holds
+        // a shard has sent its term.
+        let are_no_terms_left = recovery.is_window_over && have_others_no_terms;
+        let is_known = recovery.has_heard_intact_store() && (are_few_missing || have_others_no_terms);
+        self.knows_members && (is_known || are_no_terms_left)
     }
 }
--- a/crates/queue/src/idempotency/submissions.rs
+++ b/crates/queue/src/idempotency/submissions.rs
@@ -1,4 +1,5 @@
-//! Submissions with an idempotency key: each is the first one, or is answered with the name of the first.
+//! Submissions with an idempotency key: each is either the first with its key, or is answered with the name of the
+//! first message.
 
 use super::digest::IdempotencyDigest;
 use super::shard_table::WaitingSubmission;
@@ -7,33 +8,36 @@
 use crate::message::{Key, Message, Millis, PutError};
 use crate::queue::Queue;
 
-/// A submission waits so long for its shard, in milliseconds: its edge asks another store after 200 ms of silence.
-const SHARD_PATIENCE_MS: Millis = 160;
+/// How long a submission waits until this store holds its shard, in milliseconds. Its edge asks another store after
+/// 200 ms without an answer.
+const SHARD_WAIT_TIMEOUT_MS: Millis = 160;
 
-/// A shard whose replicas are in doubt is not claimed anew sooner.
-const REFRESH_INTERVAL_MS: Millis = 1000;
+/// Minimum time between two claims of a shard because of a message that is in doubt.
+const IN_DOUBT_CLAIM_INTERVAL_MS: Millis = 1000;
 
-/// After a roll-back its key is not used again for so long: a replica may still be on its way to be dropped.
-const ROLLBACK_MEMORY_MS: Millis = 2000;
+/// How long the key of a message that was rolled back is not used again: a replica that is to be dropped may still be
+/// on its way.
+const ROLLBACK_RETENTION_MS: Millis = 2000;
 
-/// Without control nodes for so long, no new key is accepted: other stores may soon take this one for gone.
+/// How long this store may be without control nodes before it accepts no new key: other stores may then soon treat
+/// this one as gone.
 const CONTROL_LOSS_LIMIT_MS: Millis = 6000;
 
-/// What is known of a key.
+/// What is known of the message with a given key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Submission {
-    /// No message has it, as far as is known here.
+    /// No message with the key is known here.
     Unknown,
-    /// A message that is accepted.
+    /// A message with the key is accepted.
     Accepted(Key),
-    /// A message that is being persisted here.
+    /// A message with the key is being persisted at this store.
     Persisting(Key),
-    /// Of a message only a replica is known: it may be dropped, or taken over.
+    /// Only a replica of a message with the key is known; it may be dropped, or taken over.
     InDoubt,
 }
 
 impl Queue {
-    /// A submission whose message has an idempotency key.
+    /// Handles a submission whose message has an idempotency key.
     pub(crate) fn submit_once(
         &mut self,
         now: Millis,
@@ -44,7 +48,7 @@
         self.shards.are_used = true;
         match self.known_submission(digest) {
             Submission::Accepted(key) => self.answer_with_first(ticket, key),
-            Submission::Persisting(key) => self.shards.followers.entry(key).or_default().push(ticket),
+            Submission::Persisting(key) => self.shards.duplicates.entry(key).or_default().push(ticket),
             Submission::Unknown if self.shards.was_rolled_back(digest) || self.is_control_lost(now) => {
                 self.reject(ticket);
             }
@@ -55,7 +59,9 @@
                 }
                 None => self.wait_for_shard(now, ticket, message, digest),
             },
-            Submission::InDoubt if now < self.shards.claimed_at(digest.shard()) + REFRESH_INTERVAL_MS => {
+            Submission::InDoubt
+                if now < self.shards.claimed_at(digest.shard()) + IN_DOUBT_CLAIM_INTERVAL_MS =>
+            {
                 self.reject(ticket);
             }
             Submission::InDoubt => {
@@ -75,9 +81,9 @@
                 _ => {}
             }
         }
-        for named in self.shards.named(digest) {
-            if named.is_accepted {
-                return Submission::Accepted(named.key);
+        for reported in self.shards.reported(digest) {
+            if reported.is_accepted {
+                return Submission::Accepted(reported.key);
             }
             if known == Submission::Unknown {
                 known = Submission::InDoubt;
@@ -86,7 +92,7 @@
         known
     }
 
-    /// Whether it is certain that a message was accepted, or will be delivered all the same.
+    /// Whether a message was certainly accepted, or will be delivered in any case.
     pub(super) fn is_accepted(&self, entry: &Entry) -> bool {
         let is_owned_here = entry.owner == self.settings.node;
         entry.end.is_some()
@@ -106,19 +112,19 @@
         self.emit(Effect::PutResult { ticket, result: Err(PutError::Rejected) });
     }
 
-    /// A further submission is the first message, whose name it gets.
+    /// Answers a further submission with the name of the first message with its key.
     fn answer_with_first(&mut self, ticket: u64, key: Key) {
         self.metrics.deduplicated += 1;
         self.emit(Effect::PutResult { ticket, result: Ok(key.to_text(None)) });
     }
 
     fn wait_for_shard(&mut self, now: Millis, ticket: u64, message: Message, digest: IdempotencyDigest) {
-        // Answered at once: its edge asks another store, or its client comes back.
-        if self.is_recovering() || self.is_claim_hopeless() {
+        // Rejected without waiting: its edge then asks another store, or its client retries.
+        if self.is_recovering() || self.is_quorum_unreachable() {
             return self.reject(ticket);
         }
-        self.shards.wanted.insert(digest.shard());
-        let deadline = now + SHARD_PATIENCE_MS;
+        self.shards.shards_to_claim.insert(digest.shard());
+        let deadline = now + SHARD_WAIT_TIMEOUT_MS;
         self.shards.waiting.push(WaitingSubmission { ticket, message, deadline });
         self.start_claim(now);
     }
@@ -130,7 +136,7 @@
         }
     }
 
-    /// Looks again at submissions that wait for a shard, after a claim has succeeded.
+    /// Retries the submissions that wait for a shard, after a claim has succeeded.
     pub(super) fn resume_waiting(&mut self, now: Millis) {
         for submission in std::mem::take(&mut self.shards.waiting) {
             let WaitingSubmission { ticket, message, deadline } = submission;
@@ -143,7 +149,8 @@
         }
     }
 
-    /// Rejects submissions that have waited for too long, and answers those whose first one has come to an end of its own.
+    /// Rejects submissions whose wait has timed out, and answers further submissions once the first message with
+    /// their key is no longer being persisted.
     pub(crate) fn settle_submissions(&mut self, now: Millis) {
         while let Some(late) = self.shards.waiting.iter().position(|waiting| waiting.deadline <= now) {
             let ticket = self.shards.waiting.remove(late).ticket;
@@ -152,10 +159,10 @@
         }
         let is_settled =
             |key: &Key| self.entries.get(key).is_none_or(|entry| !self.is_being_persisted(entry));
-        let settled: Vec<Key> = self.shards.followers.keys().copied().filter(is_settled).collect();
+        let settled: Vec<Key> = self.shards.duplicates.keys().copied().filter(is_settled).collect();
         for key in settled {
             let is_accepted = self.entries.get(&key).is_some_and(|entry| self.is_accepted(entry));
-            for ticket in self.shards.followers.remove(&key).unwrap_or_default() {
+            for ticket in self.shards.duplicates.remove(&key).unwrap_or_default() {
                 if is_accepted {
                     self.answer_with_first(ticket, key);
                 } else {
@@ -165,12 +172,12 @@
         }
     }
 
-    /// When [`Queue::settle_submissions`] has to be called next.
+    /// Time at which [`Queue::settle_submissions`] must be called next.
     pub(crate) fn next_submission_deadline(&self) -> Millis {
         self.shards.waiting.iter().map(|waiting| waiting.deadline).min().unwrap_or(Millis::MAX)
     }
 
-    /// A message with an idempotency key is rolled back.
+    /// Remembers the idempotency key of a message that is rolled back.
     pub(crate) fn note_rolled_back_submission(&mut self, key: Key) {
         let digest = self.entries.get(&key).and_then(|entry| entry.message.idempotency_digest());
         if let Some(digest) = digest {
@@ -178,21 +185,22 @@
         }
     }
 
-    /// Whether others wait for the outcome of a message besides the one that submitted it.
+    /// Whether further submissions wait for the outcome of a message, besides the one that submitted it.
     pub(crate) fn has_followers(&self, key: Key) -> bool {
-        self.shards.followers.contains_key(&key)
+        self.shards.duplicates.contains_key(&key)
     }
 
-    /// Nobody waits any more for a submission, whose connection is gone.
+    /// Forgets a submission whose connection is gone, so that nobody waits for its answer.
     pub(crate) fn forget_submission(&mut self, ticket: u64) {
         self.shards.waiting.retain(|waiting| waiting.ticket != ticket);
-        self.shards.followers.values_mut().for_each(|tickets| tickets.retain(|other| *other != ticket));
+        self.shards.duplicates.values_mut().for_each(|tickets| tickets.retain(|other| *other != ticket));
     }
 
-    /// Forgets what is too old, and notes since when no control node is heard.
+    /// Runs the periodic work on the shards: discards outdated records, updates gone stores, shard claims, terms and
+    /// recovery, and records since when no control node has been reachable.
     pub(crate) fn maintain_shards(&mut self, now: Millis) {
-        self.shards.forget_old(now, ROLLBACK_MEMORY_MS);
-        self.note_gone_stores(now);
+        self.shards.discard_expired(now, ROLLBACK_RETENTION_MS);
+        self.record_gone_stores(now);
         self.rebalance_shards(now);
         self.request_terms(now);
         self.continue_recovery(now);
--- a/crates/queue/src/idempotency/unchecked.rs
+++ b/crates/queue/src/idempotency/unchecked.rs
@@ -1,12 +1,13 @@
-//! Messages of which it is not certain that they were accepted: read from disk, or taken over. With the key of one that was not,
-//! another may have been accepted since.
+//! Unchecked messages: read from disk or taken over, and possibly never accepted. If such a message was not accepted,
+//! another with the same key may have been accepted since.
 //!
-//! Of all messages with one key only the one from the highest term of its shard can have been accepted: who held the shard then knew of
-//! all that had been accepted before, and nothing was accepted in earlier terms any more. So the owner of an uncertain message asks the
-//! holder of the shard. That one says to drop the message if it knows of another of a higher term, or of one that was accepted;
-//! else the owner accepts the message anew, in the holder's term, on as many disks as at first. This is how a leader of Paxos goes
-//! on with what its predecessors have left. The owner doesn't claim the shard itself: after a loss of all power every store has uncertain
-//! messages in nearly every shard, and each claim would take the shard from all others.
+//! Among all messages with one key, only the one from the highest term of its shard can have been accepted: the
+//! holder in that term knew of everything accepted before, and nothing was accepted in earlier terms any more. So the
+//! owner of an unchecked message asks the holder of the shard. The holder answers to drop the message if it knows of
+//! another with the same key that has a higher term or was accepted. Otherwise the owner re-accepts the message in
+//! the holder's term, on as many disks as at first. A Paxos leader completes the proposals of its predecessors in the
+//! same way. The owner does not claim the shard itself: after a power loss at all stores, each has unchecked messages
+//! in nearly every shard, and each claim would take the shard from all others.
 
 use super::digest::{preferred_store_of_shard, IdempotencyDigest};
 use super::shard_table::ShardTerm;
@@ -20,14 +21,14 @@
 use crate::record::Record;
 use std::collections::BTreeMap;
 
-/// The holder of a shard is asked again for the same message no sooner.
-const QUESTION_INTERVAL_MS: Millis = 500;
+/// Minimum time before the holder of a shard is asked again about the same message.
+const VERDICT_REQUEST_INTERVAL_MS: Millis = 500;
 
-/// Messages that are asked for in one check at most.
-const MAX_QUESTIONS_PER_CHECK: usize = 1000;
+/// Maximum number of messages that one check asks about.
+const MAX_VERDICT_REQUESTS_PER_CHECK: usize = 1000;
 
-/// Orders the messages with one key: by the term in which each was to be accepted, and those of one term by their numbers, for a store
-/// takes the next one only once it has rolled back the one before.
+/// Order of the messages with one key: by the shard term in which each was to be accepted, then by message number,
+/// because within a term a store accepts the next message only after it has rolled back the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     shard_term: u64,
@@ -41,24 +42,25 @@
     }
 }
 
-/// What the holder of a shard says of an uncertain message.
+/// What the holder of a shard decides about an unchecked message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Verdict {
-    /// It may have been accepted, and is to be accepted anew in this term.
-    AcceptAnew(u64),
-    /// It was not accepted: there is another with its key.
+    /// The message may have been accepted, and is to be re-accepted in this term.
+    Reaccept(u64),
+    /// The message was not accepted: there is another with its key.
     Drop,
 }
 
 impl Queue {
-    /// A message is owned here, and it is not certain that it was accepted.
+    /// Marks a message owned by this store as unchecked: it may not have been accepted.
     pub(crate) fn mark_key_unchecked(&mut self, key: Key) {
         if let Some(entry) = self.entries.get_mut(&key).filter(|entry| entry.digest.is_some()) {
             entry.acceptance = Acceptance::Unchecked;
         }
     }
 
-    /// Whether a message may be delivered as far as its idempotency key goes. If it is not certain yet, its shard's holder is asked.
+    /// Whether the idempotency key of a message allows its delivery. If the message is unchecked, the holder of its
+    /// shard is asked.
     pub(crate) fn is_key_checked(&mut self, key: Key) -> bool {
         let is_skipped = self.planted(PlantedFault::KeyUnchecked);
         let Some(entry) = self.entries.get(&key) else { return false };
@@ -70,7 +72,7 @@
         match entry.acceptance {
             Acceptance::Certain => true,
             Acceptance::Reaccepting if is_settled => {
-                self.accepted_anew(key);
+                self.finish_reacceptance(key);
                 true
             }
             Acceptance::Reaccepting => false,
@@ -82,28 +84,29 @@
         }
     }
 
-    /// Asks the holders of the shards what is to become of the messages that are not certain.
+    /// Asks the holders of the shards whether to accept or drop the unchecked messages.
     pub(crate) fn check_unchecked(&mut self, now: Millis) {
-        let is_due = |asked_at: &Option<Millis>| asked_at.is_none_or(|at| now >= at + QUESTION_INTERVAL_MS);
+        let is_due =
+            |asked_at: &Option<Millis>| asked_at.is_none_or(|at| now >= at + VERDICT_REQUEST_INTERVAL_MS);
         let due = self.shards.unchecked.iter().filter(|(_, asked_at)| is_due(asked_at));
-        let due: Vec<Key> = due.map(|(key, _)| *key).take(MAX_QUESTIONS_PER_CHECK).collect();
-        let mut questions: BTreeMap<Node, Vec<KnownSubmission>> = BTreeMap::new();
+        let due: Vec<Key> = due.map(|(key, _)| *key).take(MAX_VERDICT_REQUESTS_PER_CHECK).collect();
+        let mut requests: BTreeMap<Node, Vec<KnownSubmission>> = BTreeMap::new();
         for key in due {
             let entry = self.entries.get(&key).filter(|entry| entry.end.is_none());
             let Some(entry) = entry.filter(|entry| entry.acceptance != Acceptance::Certain) else {
                 self.shards.unchecked.remove(&key);
                 continue;
             };
-            if !self.may_be_asked_for(entry) {
+            if !self.can_request_verdict(entry) {
                 continue;
             }
             let Some(digest) = entry.digest else { continue };
             let shard_term = entry.message.shard_term;
             let submission = KnownSubmission { digest, key, shard_term, is_accepted: false };
             self.shards.unchecked.insert(key, Some(now));
-            questions.entry(self.likely_holder(digest)).or_default().push(submission);
+            requests.entry(self.expected_holder(digest)).or_default().push(submission);
         }
-        for (holder, submissions) in questions {
+        for (holder, submissions) in requests {
             if holder == self.settings.node {
                 let verdicts = self.verdicts(now, submissions);
                 self.apply_verdicts(now, holder, verdicts.0, verdicts.1);
@@ -114,24 +117,25 @@
         }
     }
 
-    /// It waits here, and no confirmation is on its way from an earlier term, which would be taken for one of the term to come.
-    fn may_be_asked_for(&self, entry: &Entry) -> bool {
+    /// Whether the holder may be asked about a message: it is waiting, and no replica confirmation from an earlier
+    /// term is still on its way, which would be taken for one of the next term.
+    fn can_request_verdict(&self, entry: &Entry) -> bool {
         let is_connected = |node: &Node| self.peers.get(node).is_some_and(|peer| peer.is_connected);
         entry.acceptance == Acceptance::Unchecked
             && entry.stage == Stage::Waiting
             && !entry.unconfirmed.iter().any(is_connected)
     }
 
-    /// The store to which edges send messages of a key, as far as this store can know.
-    fn likely_holder(&self, digest: IdempotencyDigest) -> Node {
+    /// The store to which edges send messages with this key, as far as this store can know.
+    fn expected_holder(&self, digest: IdempotencyDigest) -> Node {
         let able = self.peers.iter().filter(|(_, peer)| peer.can_hold_shards());
         let own = Some(self.settings.node).filter(|_| !self.is_draining && !self.is_recovering());
         let stores = able.map(|(node, _)| *node).chain(own);
         preferred_store_of_shard(digest.shard(), stores).unwrap_or(self.settings.node)
     }
 
-    /// Another store has messages that are not certain.
-    pub(crate) fn uncertain_received(&mut self, now: Millis, from: Node, submissions: Vec<KnownSubmission>) {
+    /// Answers another store's question about its unchecked messages.
+    pub(crate) fn unchecked_received(&mut self, now: Millis, from: Node, submissions: Vec<KnownSubmission>) {
         self.shards.are_used = true;
         let (accepted, dropped) = self.verdicts(now, submissions);
         if !accepted.is_empty() || !dropped.is_empty() {
@@ -140,16 +144,16 @@
         }
     }
 
-    /// The messages to be accepted anew, each with its term, and those to be dropped. Of shards that are not held here nothing is said
-    /// before they are.
+    /// Divides unchecked messages into those to be re-accepted, each with its term, and those to be dropped. Messages
+    /// of shards that this store does not hold are left out until it holds them.
     fn verdicts(&mut self, now: Millis, submissions: Vec<KnownSubmission>) -> (Vec<(Key, u64)>, Vec<Key>) {
         let (mut accepted, mut dropped) = (Vec::new(), Vec::new());
         for submission in submissions {
             match self.verdict(now, submission) {
-                Some(Verdict::AcceptAnew(term)) => accepted.push((submission.key, term)),
+                Some(Verdict::Reaccept(term)) => accepted.push((submission.key, term)),
                 Some(Verdict::Drop) => dropped.push(submission.key),
                 None => {
-                    self.shards.wanted.insert(submission.digest.shard());
+                    self.shards.shards_to_claim.insert(submission.digest.shard());
                 }
             }
         }
@@ -166,19 +170,19 @@
         let is_ruled_out_here = entries.any(|(other, entry)| {
             self.is_accepted(entry) || Rank::new(entry.message.shard_term, other) > own
         });
-        let is_ruled_out_elsewhere = self.shards.named(digest).any(|other| {
+        let is_ruled_out_elsewhere = self.shards.reported(digest).any(|other| {
             let is_higher = Rank::new(other.shard_term, other.key) > own;
             other.key != key && (other.is_accepted || is_higher)
         });
         if is_ruled_out_here || is_ruled_out_elsewhere {
             return Some(Verdict::Drop);
         }
-        // From now on no other with this key is accepted in this term.
-        self.shards.add_named(now, KnownSubmission { shard_term: term, ..submission });
-        Some(Verdict::AcceptAnew(term))
+        // From now on no other message with this key is accepted in this term.
+        self.shards.add_reported(now, KnownSubmission { shard_term: term, ..submission });
+        Some(Verdict::Reaccept(term))
     }
 
-    /// The holder of a shard has said what becomes of messages that are not certain.
+    /// Applies the answer of a shard's holder about unchecked messages.
     pub(crate) fn apply_verdicts(
         &mut self,
         now: Millis,
@@ -188,37 +192,38 @@
     ) {
         let mut is_holder_outdated = false;
         for (key, term) in accepted {
-            let Some(entry) = self.entries.get(&key).filter(|entry| self.may_be_asked_for(entry)) else {
+            let Some(entry) = self.entries.get(&key).filter(|entry| self.can_request_verdict(entry)) else {
                 continue;
             };
             if self.is_claim_outdated(entry, term) {
                 is_holder_outdated = true;
             } else {
-                self.accept_anew(now, key, term);
+                self.reaccept(now, key, term);
             }
         }
-        // One that was away does not know that its shards were claimed, and would say the same for ever.
+        // A holder that was disconnected does not know that its shards were claimed, and would give the same answer
+        // forever.
         if is_holder_outdated && from != self.settings.node {
             self.send_terms(from);
         }
         for key in dropped {
-            if self.entries.get(&key).is_some_and(|entry| self.may_be_asked_for(entry)) {
-                tracing::info!("a message that was not accepted is dropped: there is another with its key");
+            if self.entries.get(&key).is_some_and(|entry| self.can_request_verdict(entry)) {
+                tracing::info!("dropping an unchecked message that was not accepted: another message has its idempotency key");
                 self.metrics.rivals_dropped += 1;
                 self.withdraw(key);
             }
         }
     }
 
-    /// Whether a higher claim of a message's shard is known here than that of the store that has given a verdict on it.
+    /// Whether this store knows a higher claim of the message's shard than that of the store that gave the verdict.
     fn is_claim_outdated(&self, entry: &Entry, term: u64) -> bool {
         let claim = ShardTerm::from_term(term);
         entry.digest.is_some_and(|digest| self.shards.term_of(digest.shard()) > claim)
     }
 
-    /// Accepts a message anew in the term in which its shard is held: it is delivered once it lies in that term on enough disks. Stores
-    /// that are away are not waited for: others take their place.
-    fn accept_anew(&mut self, now: Millis, key: Key, term: u64) {
+    /// Re-accepts a message in the term in which its shard is held. It is delivered once it is on enough disks in
+    /// that term. Disconnected stores are not waited for; their replicas go to other stores.
+    fn reaccept(&mut self, now: Millis, key: Key, term: u64) {
         let node = self.settings.node;
         let Some(entry) = self.entries.get(&key) else { return };
         let takes_replicas = |node: &Node| self.peers.get(node).is_some_and(|peer| peer.takes_replicas(now));
@@ -240,11 +245,11 @@
         for to in replicas {
             self.send_replica(to, replica.clone());
         }
-        // Where one of them does not answer repair sends it again, or to another store.
+        // If a store does not answer, repair sends the replica again or to another store.
         self.check_replication(now, key);
     }
 
-    /// All replicas of a message are confirmed: if it was being accepted anew, it is accepted.
+    /// Schedules a message that was being re-accepted once all its replicas are confirmed.
     pub(crate) fn replicas_confirmed(&mut self, now: Millis, key: Key) {
         let entry = self.entries.get(&key);
         if entry.is_some_and(|entry| entry.acceptance == Acceptance::Reaccepting) {
@@ -252,8 +257,8 @@
         }
     }
 
-    /// A message lies on enough disks in the term of its shard's holder, which is told.
-    fn accepted_anew(&mut self, key: Key) {
+    /// Marks a message as accepted once it is on enough disks in its holder's term, and notifies the holder.
+    fn finish_reacceptance(&mut self, key: Key) {
         self.shards.unchecked.remove(&key);
         self.set_acceptance(key, Acceptance::Certain);
         let Some(entry) = self.entries.get(&key) else { return };
@@ -267,11 +272,11 @@
         }
     }
 
-    /// The owners of these messages have accepted them anew.
+    /// Records messages that their owners have re-accepted.
     pub(crate) fn submissions_accepted(&mut self, now: Millis, submissions: Vec<KnownSubmission>) {
         for submission in submissions {
             if self.shards.held_term(submission.digest.shard()).is_some() {
-                self.shards.add_named(now, submission);
+                self.shards.add_reported(now, submission);
             }
         }
     }
--- a/crates/queue/src/replication/connections.rs
+++ b/crates/queue/src/replication/connections.rs
@@ -102,7 +102,7 @@
         self.handovers.retain(|_, to| *to != node);
         self.drop_repairs_in_flight_to(now, node);
         self.stop_awaiting_answers_of(now, node);
-        self.forget_recovery_report(node);
+        self.discard_recovery_report(node);
         self.stop_awaiting_claim_answer(now, node);
         self.shards_may_move(now);
     }
--- a/crates/queue/src/replication/peer_messages.rs
+++ b/crates/queue/src/replication/peer_messages.rs
@@ -81,7 +81,7 @@
             }
             PeerMessage::RequestShardTerms => self.terms_requested(from),
             PeerMessage::ShardTerms(terms) => self.terms_received(from, terms),
-            PeerMessage::UncertainSubmissions(submissions) => self.uncertain_received(now, from, submissions),
+            PeerMessage::UncertainSubmissions(submissions) => self.unchecked_received(now, from, submissions),
             PeerMessage::SubmissionVerdicts { accepted, dropped } => {
                 self.apply_verdicts(now, from, accepted, dropped)
             }
