--- a/crates/queue/src/replication.rs
+++ b/crates/queue/src/replication.rs
@@ -1,4 +1,5 @@
-//! Replication between stores: who owns a message, where its replicas lie, and how two stores come to agree on both.
+//! Replication between stores: which store owns a message, which stores hold its replicas, and how two stores come to
+//! agree on both.
 
 mod connections;
 mod fence;
@@ -19,23 +20,24 @@
 use crate::peer_message::PeerMessage;
 use crate::queue::Queue;
 
-/// A store that is no member and not connected for so long has lost what it owned to the stores that hold replicas.
-const TAKEOVER_DELAY: Millis = 2000;
+/// How long a store must be no member and not connected before the stores that hold replicas take over the messages
+/// that it owned.
+const TAKEOVER_DELAY_MS: Millis = 2000;
 
-/// After its start, or a fence, a store waits so long for those that hold replicas of what it owned.
-const RECONCILIATION_LIMIT: Millis = 3000;
+/// How long a store waits, after its start or while fenced, for the stores that hold replicas of its messages.
+const RECONCILIATION_TIMEOUT_MS: Millis = 3000;
 
-/// A message that others may have run waits so long before it starts here: whoever knows that it has ended, or has a newer
-/// owner, objects in that time.
-const OBJECTION_WINDOW: Millis = 100;
+/// How long a message that others may have run waits before it starts here. A store that knows that it has ended, or
+/// has a newer owner, objects within that time.
+const OBJECTION_WINDOW_MS: Millis = 100;
 
 impl Queue {
-    /// What is sent to that store at the end of the turn.
+    /// Messages to be sent to a store at the end of the turn.
     pub(crate) fn outbox(&mut self, node: Node) -> &mut Outbox {
         &mut self.peers.entry(node).or_default().outbox
     }
 
-    /// Sends a message to all stores that are connected.
+    /// Sends a message to all connected stores.
     pub(crate) fn send_to_connected(&mut self, message: &PeerMessage) {
         let connected = self.peers.iter().filter(|(_, peer)| peer.is_connected);
         let connected: Vec<Node> = connected.map(|(node, _)| *node).collect();
@@ -44,13 +46,13 @@
         }
     }
 
-    /// Sends the batches of ends and of delivered callbacks.
+    /// Sends the batched ends and delivered callbacks.
     pub(crate) fn send_ends(&mut self) {
         self.flush_ends_at = None;
         self.send_from_outboxes(Outbox::take_ends);
     }
 
-    /// Sends what has gathered in this turn, but for the batches of ends.
+    /// Sends everything that was collected in this turn, except the batched ends.
     pub(crate) fn send_gathered(&mut self) {
         self.send_from_outboxes(Outbox::take_messages);
     }
@@ -65,13 +67,14 @@
         }
     }
 
-    /// The owner of a message; no node has the identifier that stands for an unknown message.
+    /// The owner of a message; `Node::MAX`, which no node has, stands for an unknown message.
     fn owner_of(&self, key: Key) -> Node {
         self.entries.get(&key).map_or(Node::MAX, |entry| entry.owner)
     }
 
-    /// How many connected stores come before this one in the list of replicas: the first takes over at once. A store that the
-    /// list no longer names comes last. One that recovers from the loss of its disk has nothing to take over.
+    /// Number of connected stores before this one in the message's replica list: the first store in the list takes
+    /// over at once. A store that is no longer in the list comes last. A store that recovers from the loss of its
+    /// disk is not counted, because it has nothing to take over.
     fn takeover_rank(&self, entry: &Entry) -> u64 {
         let may_take_over = |peer: &Peer| peer.is_connected && peer.recovery == PeerRecovery::None;
         let before = entry.replicas.iter().take_while(|node| **node != self.settings.node);
--- a/crates/queue/src/replication/connections.rs
+++ b/crates/queue/src/replication/connections.rs
@@ -1,4 +1,4 @@
-//! Membership and connections: what is sent to a store that connects, and done about one that is gone.
+//! Membership and connections: what is sent to a store that connects, and what is done when a store disconnects.
 
 use crate::effect::Effect;
 use crate::message::{Key, Millis, Node};
@@ -13,7 +13,7 @@
 }
 
 impl Queue {
-    /// Sets the stores that are members, each with the index of its zone, as the control group says.
+    /// Sets the member stores, each with the index of its zone, as announced by the control group.
     pub fn set_members(&mut self, now: Millis, stores: &[(Node, usize)]) {
         self.knows_members = true;
         let before = members_of(&self.peers);
@@ -32,7 +32,7 @@
         self.invalidate_token_holders();
     }
 
-    /// A connection to another store is open: each tells the other what it holds in common with it.
+    /// Handles a new connection to another store: both send what they know of the messages that they share.
     pub fn peer_connected(&mut self, now: Millis, node: Node) {
         let peer = self.peers.entry(node).or_default();
         peer.is_connected = true;
@@ -43,7 +43,8 @@
         peer.connection_changed_at = now;
         peer.heard(now);
         peer.refuses_until = 0;
-        // One that is still retiring says so again: an order that was lost with its power is none.
+        // A store that is still retiring announces it again. If a power loss has erased its order to retire, the
+        // order no longer holds.
         peer.service = ServiceState::InService;
         peer.outbox = Outbox::default();
         if former_holder != KeyHolder::Counts {
@@ -56,7 +57,7 @@
         self.emit(Effect::Send { to: node, message: PeerMessage::CallbacksDelivered(Vec::new()) });
         self.announce_recovery(node);
         self.deliver_handovers(now, node);
-        // One of the two begins: the other answers with what differs.
+        // Only one of the two stores starts the comparison; the other answers with the differences.
         if self.settings.node < node {
             self.send_digests(now, node, 0);
         }
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Ends that were sent while it was away, or got lost with the connection.
+    /// Sends the ends that were sent while the store was disconnected, or were lost with the connection.
     fn send_known_ends(&mut self, now: Millis, node: Node) {
         let shared = self.owned_here().filter(|(_, entry)| entry.replicas.contains(&node));
         let ends = shared.filter_map(|(key, entry)| {
@@ -81,7 +82,7 @@
         self.flush_ends_at.get_or_insert(now);
     }
 
-    /// The connection to another store is lost.
+    /// Handles the loss of the connection to another store.
     pub fn peer_disconnected(&mut self, now: Millis, node: Node) {
         let peer = self.peers.entry(node).or_default();
         peer.is_connected = false;
@@ -97,8 +98,8 @@
         for key in unconfirmed {
             self.replace_unconfirmed(now, key, Some(node));
         }
-        // It may have accepted these or not. They stay as they are until it says so, here or after the next
-        // start; but nobody waits for its answer any more.
+        // The store may or may not have accepted the messages that were offered to it. They stay suspended until it
+        // says so, after it reconnects or after this store's next start, but its answer is no longer awaited.
         self.handovers.retain(|_, to| *to != node);
         self.drop_repairs_in_flight_to(now, node);
         self.stop_awaiting_answers_of(now, node);
@@ -107,7 +108,7 @@
         self.shards_may_move(now);
     }
 
-    /// Another store has said all that it knows about what both hold.
+    /// Handles that another store has sent everything it knows about the messages that both hold.
     pub(super) fn peer_reconciled(&mut self, now: Millis, from: Node) {
         let peer = self.peers.entry(from).or_default();
         let was_reconciled = std::mem::replace(&mut peer.is_reconciled, true);
--- a/crates/queue/src/replication/handover.rs
+++ b/crates/queue/src/replication/handover.rs
@@ -1,4 +1,4 @@
-//! Handover: a store that drains gives what waits to stores that hold replicas.
+//! Handover: a draining store transfers its waiting messages to stores that hold replicas.
 
 use crate::entry::{Acceptance, Entry, Stage};
 use crate::message::{Key, Millis, Node};
@@ -7,7 +7,8 @@
 use crate::queue::Queue;
 
 impl Queue {
-    /// Begins a graceful shutdown: the store accepts nothing more, and gives what waits to stores that hold replicas.
+    /// Begins a graceful shutdown: the store accepts no more messages and transfers its waiting ones to stores that
+    /// hold replicas.
     pub fn begin_draining(&mut self, now: Millis) {
         if std::mem::replace(&mut self.is_draining, true) {
             return;
@@ -18,10 +19,10 @@
         self.offer_all();
     }
 
-    /// Offers each message that is owned here and not in flight to a store that holds a replica.
+    /// Offers each message that this store owns and that is not in flight to a store that holds a replica.
     pub(crate) fn offer_all(&mut self) {
         let can_be_offered = |key: &Key, entry: &Entry| {
-            entry.stage == Stage::Waiting || entry.end.is_some() || self.was_offered_in_vain(*key, entry)
+            entry.stage == Stage::Waiting || entry.end.is_some() || self.is_offer_unanswered(*key, entry)
         };
         let offered = self.owned_here().filter(|(key, entry)| can_be_offered(key, entry));
         let keys = offered.map(|(key, _)| key).filter(|key| !self.handovers.contains_key(key));
@@ -31,17 +32,18 @@
         }
     }
 
-    /// A retiring store has offered the message to one whose connection broke before it answered, and all stores with replicas
-    /// have reconciled since: none has accepted it, so it is this store's still, and is offered again. (A store that only
-    /// drains leaves that to its next start.)
-    fn was_offered_in_vain(&self, key: Key, entry: &Entry) -> bool {
+    /// Whether a retiring store has offered the message to a store whose connection broke before it answered, and all
+    /// stores with replicas have reconciled since. None of them has accepted it then, so this store still owns it and
+    /// offers it again. A store that only drains does this at its next start.
+    fn is_offer_unanswered(&self, key: Key, entry: &Entry) -> bool {
         let has_answered =
             |node: &Node| self.peers.get(node).is_none_or(|peer| peer.is_reconciled || !peer.is_present());
         let is_open = entry.stage == Stage::Suspended && !self.unreleased.contains(&key);
         self.is_retiring() && is_open && entry.replicas.iter().all(has_answered)
     }
 
-    /// Offers one message to a store that holds a confirmed replica: neither starts it until that one has accepted.
+    /// Offers a message to a store that holds a confirmed replica. Neither store starts it until that one has
+    /// accepted.
     pub(crate) fn offer(&mut self, key: Key) {
         let Some(entry) = self.entries.get(&key).filter(|entry| entry.acceptance == Acceptance::Certain)
         else {
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Another store has accepted messages that were offered to it.
+    /// Handles that another store has accepted messages that were offered to it.
     pub(super) fn handover_accepted(&mut self, now: Millis, from: Node, accepted: Vec<AcceptedHandover>) {
         for AcceptedHandover { key, term } in accepted {
             self.handovers.remove(&key);
@@ -80,12 +82,13 @@
         }
     }
 
-    /// Another store does not know messages that were offered to it.
+    /// Handles that another store does not know messages that were offered to it.
     pub(super) fn handover_rejected(&mut self, now: Millis, from: Node, keys: Vec<Key>) {
         for key in keys {
             self.handovers.remove(&key);
             if self.is_retiring() {
-                // It holds no replica after all: it gets one, or another store does, before the message is offered again.
+                // That store holds no replica after all: it, or another store, gets one before the message is offered
+                // again.
                 let entry = self.entries.get_mut(&key);
                 if let Some(entry) = entry.filter(|entry| entry.stage == Stage::Suspended) {
                     entry.stage = Stage::Waiting;
--- a/crates/queue/src/replication/ownership.rs
+++ b/crates/queue/src/replication/ownership.rs
@@ -1,4 +1,4 @@
-//! Ownership and ends: two stores that disagree settle both, and the newer claim holds.
+//! Ownership and ends of messages: if two stores disagree, both exchange what they know and the newer claim wins.
 
 use crate::entry::Stage;
 use crate::message::{End, Key, Millis, Node};
@@ -8,26 +8,27 @@
 use crate::record::Record;
 use std::cmp::Reverse;
 
-/// Orders claims to own a message: the greatest holds. That is the one with the higher term, and of equal terms the one of
-/// the lower node.
+/// Orders the claims to own a message; the greatest one wins. It is the one with the higher term, or among equal
+/// terms the one of the lower node number.
 pub(super) fn claim(term: u32, owner: Node) -> (u32, Reverse<Node>) {
     (term, Reverse(owner))
 }
 
 impl Queue {
-    /// Who owns a message, for all that is known here.
+    /// The owner, term and replicas of a message, as known here.
     pub(super) fn ownership(&self, key: Key) -> Option<Ownership> {
         let entry = self.entries.get(&key)?;
         Some(Ownership { key, owner: entry.owner, term: entry.term, replicas: entry.replicas.clone() })
     }
 
-    /// The end of a message, as this store sends it to others; `None` while the message is live or unknown.
+    /// The end of a message in the form in which it is sent to other stores; `None` while the message is live or
+    /// unknown.
     pub(super) fn end_notice(&self, key: Key) -> Option<EndNotice> {
         let entry = self.entries.get(&key)?;
         Some(EndNotice { key, end: entry.end.clone()?, callback_pending: entry.callback_pending })
     }
 
-    /// Another store says that messages have ended.
+    /// Applies the ends of messages that another store has reported.
     pub(super) fn apply_end_notices(&mut self, now: Millis, notices: Vec<EndNotice>) {
         for EndNotice { key, end, callback_pending } in notices {
             let Some(entry) = self.entries.get(&key) else { continue };
@@ -44,8 +45,8 @@
         self.close_entry(now, key, end, callback_pending);
     }
 
-    /// Another store says that the callback of a message was delivered. Of one that has not ended here all content is still
-    /// needed.
+    /// Handles that another store has delivered the callback of a message. If the message has not ended here, its
+    /// whole content is still needed and nothing is done.
     pub(super) fn callback_delivered_elsewhere(&mut self, key: Key) {
         let Some(entry) = self.entries.get_mut(&key).filter(|entry| entry.end.is_some()) else { return };
         entry.callback_pending = false;
@@ -55,18 +56,18 @@
         self.track_end(key);
     }
 
-    /// Another store says who owns messages.
+    /// Applies the ownership claims that another store has sent.
     pub(super) fn apply_ownership_changes(&mut self, now: Millis, from: Node, claims: Vec<Ownership>) {
         for ownership in claims {
             if ownership.owner == from {
-                self.object_to(now, &ownership);
+                self.reject_stale_claim(now, &ownership);
             }
             self.apply_ownership(now, ownership);
         }
     }
 
-    /// A store claims a message that is known here to have ended, or to have a newer owner: it is notified.
-    fn object_to(&mut self, now: Millis, claimed: &Ownership) {
+    /// Notifies a store that claims a message if the message is known here to have ended, or to have a newer owner.
+    fn reject_stale_claim(&mut self, now: Millis, claimed: &Ownership) {
         let Some(entry) = self.entries.get(&claimed.key) else { return };
         let (term, owner) = (entry.term, entry.owner);
         if let Some(notice) = self.end_notice(claimed.key) {
@@ -76,12 +77,12 @@
             let known = self.ownership(claimed.key);
             self.outbox(claimed.owner).ownership.extend(known);
         } else {
-            // The claimant may not have heard of attempts that failed here, or elsewhere.
+            // The claimant may not know of attempts that failed at this or another store.
             self.send_failed_attempts(claimed.owner, claimed.key);
         }
     }
 
-    /// Applies a claim to own a message, if it is newer than what is known here.
+    /// Applies an ownership claim if it is newer than the one known here.
     pub(super) fn apply_ownership(&mut self, now: Millis, ownership: Ownership) {
         let Ownership { key, owner, term, mut replicas } = ownership;
         if owner == self.settings.node {
@@ -96,7 +97,7 @@
         entry.owner = owner;
         entry.term = term;
         entry.replicas.clone_from(&replicas);
-        // Its former owner may have lost it with its disk: now another one has it.
+        // The former owner may have lost the message with its disk, but now another store owns it.
         self.lost_by_owner.remove(&key);
         if replicas.contains(&self.settings.node) {
             self.needs_replicas_again(owner);
@@ -121,18 +122,20 @@
         if is_owned_here && has_ended {
             self.queue_callback(key);
         } else if is_owned_here && !is_in_flight {
-            // It was taken over here, and that was lost with the power. Others may have gone on since.
+            // This store had taken the message over and has lost the record in a power loss. Other stores may have
+            // continued since.
             self.mark_key_unchecked(key);
             self.unreleased.insert(key);
             self.release_suspended(now);
         }
         if is_owned_here {
-            self.distrust_list(now, key);
+            self.mark_replicas_unconfirmed(now, key);
         }
     }
 
-    /// This store owns a message by what another says: the replicas that the other names have not confirmed theirs to this owner.
-    fn distrust_list(&mut self, now: Millis, key: Key) {
+    /// Marks the replicas of a message as unconfirmed, because this store owns it by another store's account: the
+    /// listed stores have not confirmed their replicas to this owner.
+    fn mark_replicas_unconfirmed(&mut self, now: Millis, key: Key) {
         let Some(entry) = self.entries.get(&key) else { return };
         let expected = entry.replicas.iter().copied().filter(|replica| self.counts_copies_at(*replica));
         let expected: Vec<Node> = expected.collect();
@@ -142,8 +145,9 @@
         self.check_replication(now, key);
     }
 
-    /// A replica that was dropped is not confirmed to its owner, neither once its record is on disk nor at the end of this turn: the
-    /// owner may have sent another since, which is not on disk yet, or was rejected.
+    /// Withdraws the confirmation of a replica that was dropped, whether its record is still to reach the disk or the
+    /// confirmation is to be sent at the end of this turn. The owner may have sent another replica since, which is
+    /// not on disk yet or was rejected.
     fn cancel_replica_confirmation(&mut self, owner: Node, key: Key) {
         if !self.planted(PlantedFault::DroppedConfirmed) {
             self.pending_writes.cancel_replica(key);
@@ -151,7 +155,7 @@
         }
     }
 
-    /// The owner of these messages has discarded them.
+    /// Removes messages that their owner has discarded.
     pub(super) fn apply_drops(&mut self, from: Node, keys: Vec<Key>) {
         for key in keys {
             let Some(entry) = self.entries.get(&key).filter(|entry| entry.end.is_none()) else { continue };
--- a/crates/queue/src/replication/peer_messages.rs
+++ b/crates/queue/src/replication/peer_messages.rs
@@ -1,4 +1,4 @@
-//! Dispatch of what other stores send.
+//! Dispatch of the messages that other stores send.
 
 use crate::effect::Effect;
 use crate::message::{Millis, Node};
@@ -8,7 +8,7 @@
 use crate::queue::Queue;
 
 impl Queue {
-    /// Acts on a message of another store.
+    /// Handles a message from another store.
     pub fn handle_peer_message(&mut self, now: Millis, from: Node, message: PeerMessage) {
         if let Some(peer) = self.peers.get_mut(&from) {
             peer.heard(now);
@@ -60,8 +60,8 @@
                 self.group_query_answered(now, from, query_id, min_accepted_at_ms, live);
             }
             PeerMessage::GroupMessagesEnded(ended) => self.group_messages_ended(ended),
-            PeerMessage::Draining => self.peer_drains(now, from),
-            PeerMessage::Retiring => self.peer_retires(from),
+            PeerMessage::Draining => self.peer_started_draining(now, from),
+            PeerMessage::Retiring => self.peer_started_retiring(from),
             PeerMessage::NoReplicasNeeded => {
                 self.released_by.insert(from);
             }
@@ -93,7 +93,7 @@
         }
     }
 
-    fn peer_drains(&mut self, now: Millis, node: Node) {
+    fn peer_started_draining(&mut self, now: Millis, node: Node) {
         self.ordering.peers_changed_at = now;
         let peer = self.peers.entry(node).or_default();
         if peer.service == ServiceState::InService {
@@ -103,7 +103,7 @@
         self.shards_may_move(now);
     }
 
-    fn peer_retires(&mut self, node: Node) {
+    fn peer_started_retiring(&mut self, node: Node) {
         self.peers.entry(node).or_default().service = ServiceState::Retiring;
         self.find_under_replicated_ends();
         self.invalidate_token_holders();
--- a/crates/queue/src/replication/placement.rs
+++ b/crates/queue/src/replication/placement.rs
@@ -1,11 +1,11 @@
-//! Placement: at which stores the replicas of a message lie.
+//! Replica placement: which stores hold the replicas of a message.
 
 use crate::message::{Millis, Node};
 use crate::peer::Peer;
 use crate::queue::Queue;
 use std::collections::BTreeSet;
 
-/// Zone and region of a store, by their indices.
+/// Zone and region of a store, by index.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct FailureDomain {
     zone: usize,
@@ -13,18 +13,19 @@
 }
 
 impl Queue {
-    /// The failure domain of the stores in a zone; all zones without a known region are in one.
+    /// The failure domain of the stores in a zone. All zones without a known region count as one region.
     fn failure_domain(&self, zone: usize) -> FailureDomain {
         let region = self.settings.region_of_zone.get(zone).copied().unwrap_or(usize::MAX);
         FailureDomain { zone, region }
     }
 
-    /// Chooses stores for so many more replicas of a message, beside those that lie at `present`; stores in `excluded` are not
-    /// taken.
+    /// Chooses stores for `count` more replicas of a message, besides those at `present`; stores in `excluded` are
+    /// not chosen.
     ///
-    /// Replicas go into one zone and one region more than may be lost at once, and nearby from then on, for bytes between
-    /// zones are dear. Where too few stores are there, all of them are given. A store that has let a replica run into its
-    /// time-out is none of them before it is heard again, and one that has refused a replica is none for a short time.
+    /// Replicas are spread over one zone and one region more than may be lost at once; further replicas stay nearby,
+    /// because traffic between zones is expensive. If there are too few stores, all of them are returned. A store
+    /// that let a replica time out is not chosen until it is heard again, and a store that has rejected a replica is
+    /// not chosen for a short time.
     pub(crate) fn choose_replica_stores(
         &self,
         now: Millis,
@@ -32,12 +33,14 @@
         excluded: &[Node],
         count: usize,
     ) -> Vec<Node> {
-        // In a ring from this store on, so that replicas are spread over all.
+        // Starts at this store's successor in the ring of node numbers, so that the replicas are spread over all
+        // stores.
         let preference = |node: Node| u64::from(node.wrapping_sub(self.settings.node));
         self.choose_stores(now, present, excluded, count, preference)
     }
 
-    /// The same; of stores that are equally good that with the lowest `preference` is taken.
+    /// Like [`Queue::choose_replica_stores`], but among equally good stores the one with the lowest `preference` is
+    /// chosen.
     pub(crate) fn choose_stores(
         &self,
         now: Millis,
@@ -65,7 +68,7 @@
         chosen
     }
 
-    /// The best of these stores, with its zone, beside replicas in these failure domains.
+    /// The best of these stores for one more replica besides those in `domains`, with its zone.
     fn best_store<'peers>(
         &self,
         now: Millis,
@@ -81,7 +84,8 @@
         let own = self.failure_domain(self.settings.zone);
         let best = stores.min_by_key(|(node, peer)| {
             let domain = self.failure_domain(peer.zone);
-            // Safe first: one that is slow, in another zone, is waited for rather than two replicas lost with one zone.
+            // Safety comes first: a slow store in another zone is better than two replicas that one zone's loss
+            // destroys.
             (
                 needs_region && regions.contains(&domain.region),
                 needs_zone && zones.contains(&domain.zone),
--- a/crates/queue/src/replication/reconciliation.rs
+++ b/crates/queue/src/replication/reconciliation.rs
@@ -1,5 +1,5 @@
-//! Reconciliation of two stores (anti-entropy): digests over ranges show where they differ, and of those ranges each lists
-//! what it holds. Owners, replicas and ends are then set right by the newer claim.
+//! Reconciliation of two stores (anti-entropy): digests over key ranges show where they differ, and each then lists
+//! its messages in those ranges. Owners, replicas and ends are corrected according to the newer claim.
 
 use super::ownership::claim;
 use crate::effect::Effect;
@@ -10,11 +10,11 @@
 use crate::queue::Queue;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
-/// Bits of a message number that tell messages of one range apart.
-const RANGE_BITS: u32 = 10;
+/// Number of low bits of a message number that distinguish the messages within one range.
+const KEY_RANGE_BITS: u32 = 10;
 
 fn range_of(owner: Node, key: Key) -> KeyRange {
-    KeyRange { owner, block: key.number >> RANGE_BITS }
+    KeyRange { owner, block: key.number >> KEY_RANGE_BITS }
 }
 
 /// Hash of a message's state.
@@ -23,14 +23,14 @@
     mix(&[u64::from(key.origin), key.number, u64::from(entry.owner), u64::from(entry.term), has_ended])
 }
 
-/// Count and hash of the messages of one range.
+/// Count and combined hash of the messages in one range.
 #[derive(Clone, Copy, Default, PartialEq)]
 struct Digest {
     count: u32,
     hash: u64,
 }
 
-/// What the other store has to change, found from what it listed.
+/// Corrections that the other store has to make, derived from what it has listed.
 #[derive(Default)]
 struct Corrections {
     ownership: Vec<Ownership>,
@@ -63,8 +63,8 @@
         digests
     }
 
-    /// Begins to compare with another store. Messages younger than `min_age_ms` are left out: what is on its way would always
-    /// differ.
+    /// Starts a comparison with another store. Messages younger than `min_age_ms` are left out: those still being
+    /// replicated would always differ.
     pub(crate) fn send_digests(&mut self, now: Millis, node: Node, min_age_ms: u64) {
         self.peers.entry(node).or_default().compared_at = now;
         self.metrics.digest_comparisons += 1;
@@ -76,7 +76,8 @@
         self.emit(Effect::Send { to: node, message });
     }
 
-    /// Answers the digests of another store: lists what differs, or says that nothing does.
+    /// Compares another store's digests with this store's: sends the contents of the ranges that differ, or reports
+    /// that none does.
     pub(super) fn compare_digests(
         &mut self,
         now: Millis,
@@ -101,7 +102,7 @@
         self.send_range_contents(from, differing.into_iter().collect(), true);
     }
 
-    /// Lists all that is in these ranges and that both stores should hold.
+    /// Sends a list of all messages in these ranges that both stores should hold.
     pub(super) fn send_range_contents(&mut self, to: Node, ranges: Vec<KeyRange>, reply_wanted: bool) {
         let wanted: BTreeSet<&KeyRange> = ranges.iter().collect();
         let listed =
@@ -118,7 +119,7 @@
         self.emit(Effect::Send { to, message });
     }
 
-    /// Sets right what two stores hold in common, from what the other has listed of these ranges.
+    /// Corrects the messages that two stores share, from what the other has listed of these ranges.
     pub(super) fn reconcile_ranges(
         &mut self,
         now: Millis,
@@ -135,7 +136,8 @@
                 self.reconcile_unknown(from, summary, &mut corrections);
             }
         }
-        // What it should hold and does not: it has lost its disk, or never got the replica.
+        // Messages that the other store should hold but has not listed: it has lost its disk, or never received the
+        // replica.
         let wanted: HashSet<&KeyRange> = ranges.iter().collect();
         let node = self.settings.node;
         let unnamed = self
@@ -145,19 +147,20 @@
             unnamed.filter(|(_, entry)| entry.stage != Stage::Persisting && entry.replicas.contains(&from));
         let missing: Vec<Key> = missing.map(|(key, _)| key).collect();
         for key in missing {
-            // It may own the message by now, and then lists it as its own.
+            // The other store may own the message by now; it then lists the message as its own.
             self.announce_and_wait(now, key);
             self.replica_missing(now, key, from);
         }
-        // What it owned and does not name it has ended, never finished persisting, or lost: it says which, for
-        // this store has named it. Taken over on its silence alone the message would run twice.
+        // A message that the other store owned and does not list has ended, was never completely persisted, or is
+        // lost. It says which, because this store has listed the message. If this store took it over only because the
+        // other did not list it, the message would run twice.
         self.send_ends();
         for message in corrections.into_messages() {
             self.emit(Effect::Send { to: from, message });
         }
     }
 
-    /// The other store holds a message that is not known here.
+    /// Handles a message that the other store holds and this store does not know.
     fn reconcile_unknown(&self, from: Node, summary: EntrySummary, corrections: &mut Corrections) {
         let EntrySummary { key, owner, .. } = summary;
         let node = self.settings.node;
@@ -166,17 +169,17 @@
         } else if owner == node {
             let was_accepted_here = key.origin == node;
             if was_accepted_here && self.is_number_of_present_disk(key.number) {
-                // A replica of what this store has never finished persisting: its acceptance was never acknowledged.
+                // This store never finished persisting the message, so its acceptance was never acknowledged.
                 corrections.drops.push(key);
             } else {
-                // A replica of what was lost with the disk before this one, or of what another store had accepted, this
-                // store has taken over, and its disk has lost.
+                // The message was lost with this store's previous disk: either it was accepted here, or another store
+                // had accepted it and this store had taken it over.
                 corrections.lost_with_disk.push(key);
             }
         }
     }
 
-    /// Both stores hold a message.
+    /// Reconciles a message that both stores hold.
     fn reconcile_entry(
         &mut self,
         now: Millis,
@@ -194,7 +197,7 @@
             return;
         }
         if has_ended {
-            // Its end comes in answer to what this store lists.
+            // The end of the message arrives in answer to what this store lists.
             return;
         }
         if claim(entry.term, entry.owner) > claim(term, owner) {
@@ -210,8 +213,9 @@
         }
     }
 
-    /// The other store holds a replica that is not in the list: it was replaced by another. If that one is safe it is
-    /// dropped; else it is as good as a new one.
+    /// Handles a replica at a store that is not in the replica list, because another store has replaced it. If the
+    /// list's replicas are all confirmed, the surplus replica is dropped; if one is missing, the surplus one takes
+    /// its place.
     fn reconcile_surplus_replica(
         &mut self,
         now: Millis,
@@ -226,6 +230,6 @@
         } else if self.are_replicas_confirmed(entry) {
             corrections.drops.push(key);
         }
-        // Else it is not known, before the others have reconciled, whether they have theirs.
+        // Otherwise it is unknown whether the other listed stores have their replicas, until they have reconciled.
     }
 }
--- a/crates/queue/src/replication/release.rs
+++ b/crates/queue/src/replication/release.rs
@@ -1,6 +1,7 @@
-//! Release: messages that were read from disk, or waited behind a fence, start once the stores with replicas have been heard.
+//! Release: messages that were read from disk, or were held back by the fence, start once the stores with replicas
+//! have been heard.
 
-use super::{OBJECTION_WINDOW, RECONCILIATION_LIMIT};
+use super::{OBJECTION_WINDOW_MS, RECONCILIATION_TIMEOUT_MS};
 use crate::entry::{Entry, Stage};
 use crate::message::{Key, Millis, Node};
 use crate::peer::Peer;
@@ -8,12 +9,13 @@
 use crate::queue::Queue;
 
 impl Queue {
-    /// Releases messages read from disk once all stores with replicas have reconciled, or are not there.
+    /// Releases messages that were read from disk once all stores with replicas have reconciled, or are known to be
+    /// absent.
     pub(super) fn release_suspended(&mut self, now: Millis) {
         if self.unreleased.is_empty() {
             return;
         }
-        let is_over = now > RECONCILIATION_LIMIT;
+        let is_over = now > RECONCILIATION_TIMEOUT_MS;
         let is_heard = |node: &Node| match self.peers.get(node) {
             Some(peer) => peer.is_reconciled || (!peer.is_connected && is_over),
             None => is_over,
@@ -25,7 +27,7 @@
         let ready: Vec<Key> = self.unreleased.iter().copied().filter(is_ready).collect();
         for key in ready {
             self.unreleased.remove(&key);
-            self.announce_doubtful(now, key);
+            self.announce_if_uncertain(now, key);
             let entry = self.entries.get_mut(&key);
             if let Some(entry) = entry.filter(|entry| entry.stage == Stage::Suspended) {
                 entry.stage = Stage::Waiting;
@@ -34,9 +36,10 @@
         }
     }
 
-    /// After a fence: announces all that waits to all, so that they can object. Also what lies at stores that have answered: one
-    /// that was replaced in the list while the message was being persisted may have it all the same, and may have taken over on the
-    /// other side of a partition.
+    /// After the fence was lowered, announces all waiting messages to all stores, so that they can object. This
+    /// includes messages whose listed stores have all answered: a store that was replaced in the list while the
+    /// message was being persisted may hold a replica all the same, and may have taken the message over on the other
+    /// side of a network partition.
     pub(super) fn announce_all_waiting(&mut self, now: Millis) {
         let waiting = self.owned_here().filter(|(_, entry)| entry.stage == Stage::Waiting);
         let waiting: Vec<Key> = waiting.map(|(key, _)| key).collect();
@@ -45,17 +48,18 @@
             if asks_all {
                 self.announce_and_wait(now, key);
             } else {
-                self.announce_doubtful(now, key);
+                self.announce_if_uncertain(now, key);
             }
             self.unschedule(key);
             self.schedule(now, key);
         }
     }
 
-    /// Others may own the message by now. A store that holds a replica is not back, or has yet to confirm it: it may have handed
-    /// the message to another and be gone for good, so all are asked. Else only those that are being retired: such a one left the
-    /// list when its replica was made anew elsewhere, has it still, and may have taken over.
-    fn announce_doubtful(&mut self, now: Millis, key: Key) {
+    /// Announces a message that another store may own by now. If a store with a replica has not reconnected, or has
+    /// yet to confirm its replica, it may have handed the message to another store and be gone for good, so all
+    /// stores are asked. Otherwise only retiring stores are asked that are not in the list: such a store was removed
+    /// from the list when its replica was repaired elsewhere, still has it, and may have taken over.
+    fn announce_if_uncertain(&mut self, now: Millis, key: Key) {
         let Some(entry) = self.entries.get(&key) else { return };
         let is_reconciled = |node: &Node| self.peers.get(node).is_some_and(|peer| peer.is_reconciled);
         let is_list_settled = entry.repair_at.is_none() && entry.unconfirmed.is_empty();
@@ -72,7 +76,8 @@
         }
     }
 
-    /// Whoever is connected and knows of an end, or of a newer owner, objects before the message is started here.
+    /// Announces the message to all connected stores; any that knows of its end, or of a newer owner, objects before
+    /// it is started here.
     pub(super) fn announce_and_wait(&mut self, now: Millis, key: Key) {
         let connected = self.peers.iter().filter(|(_, peer)| peer.is_connected).map(|(node, _)| *node);
         let connected: Vec<Node> = connected.collect();
@@ -92,7 +97,7 @@
             }
         }
         if let Some(entry) = self.entries.get_mut(&key) {
-            entry.not_before = entry.not_before.max(now + OBJECTION_WINDOW);
+            entry.not_before = entry.not_before.max(now + OBJECTION_WINDOW_MS);
         }
     }
 }
--- a/crates/queue/src/replication/replicas.rs
+++ b/crates/queue/src/replication/replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas: how they are sent, stored, confirmed, and requested from another store when one is slow.
+//! Replicas: how they are sent, stored and confirmed, and how a slow store's replica is requested from another store.
 
 use super::ownership::claim;
 use crate::effect::Effect;
@@ -11,21 +11,21 @@
 use crate::queue::Queue;
 use crate::record::Record;
 
-/// A message that is not safe by then is rolled back: its edge gives up soon (400 ms) and asks another store, and a
-/// message that two stores have accepted runs twice.
-const PERSIST_LIMIT: Millis = 360;
+/// Time by which a new message must be persisted; after that it is rolled back. Its edge gives up at 400 ms and asks
+/// another store, and a message that two stores have accepted runs twice.
+const PERSIST_TIMEOUT_MS: Millis = 360;
 
-/// A store that did not confirm a replica in time is avoided for so long.
-const SLOW_STORE_AVOIDANCE: Millis = 1500;
+/// How long a store that did not confirm a replica in time is avoided.
+const SLOW_STORE_AVOIDANCE_MS: Millis = 1500;
 
-/// A store whose disk had no room is avoided for so long.
-const FULL_STORE_AVOIDANCE: Millis = 2000;
+/// How long a store whose disk was full is avoided.
+const FULL_STORE_AVOIDANCE_MS: Millis = 2000;
 
-/// A store that has refused a replica is offered the next one no sooner, even where there is no other store.
-const REFUSAL_RETRY_DELAY: Millis = 200;
+/// Minimum time before a store that has rejected a replica is offered the next one, even if there is no other store.
+const REJECTION_RETRY_DELAY_MS: Millis = 200;
 
 impl Queue {
-    /// Sends a replica at the end of the turn.
+    /// Queues a replica to be sent at the end of the turn.
     pub(crate) fn send_replica(&mut self, to: Node, replica: ReplicatedMessage) {
         let entry = self.entries.get(&replica.key);
         let is_new = entry.is_some_and(|entry| {
@@ -34,14 +34,15 @@
             entry.digest.is_some() && is_being_accepted
         });
         let outbox = self.outbox(to);
-        // One that is about to be accepted is kept only as long as this store holds the shard of its key.
+        // A replica of a message that is about to be accepted is stored by the receiver only while this store holds
+        // the shard of its key.
         let replicas = if is_new { &mut outbox.new_replicas } else { &mut outbox.replicas };
         let key = replica.key;
         replicas.push(replica);
         self.send_failed_attempts(to, key);
     }
 
-    /// A message with its ownership, as it is sent to other stores and kept on disk.
+    /// A message with its ownership, in the form in which it is sent to other stores and written to disk.
     pub(crate) fn replicated_message(&self, now: Millis, key: Key) -> Option<ReplicatedMessage> {
         let entry = self.entries.get(&key)?;
         Some(ReplicatedMessage {
@@ -56,7 +57,7 @@
         })
     }
 
-    /// Sends a replica of a message that is owned here and not settled; if it has ended, the end follows the message.
+    /// Sends a replica of an unsettled message that this store owns; if the message has ended, its end follows it.
     pub(crate) fn resend_replica(&mut self, now: Millis, key: Key, to: Node) {
         let Some(entry) = self.entries.get(&key) else { return };
         if entry.owner != self.settings.node || entry.is_settled() {
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Looks for replicas of new messages that are not confirmed in time.
+    /// Replaces the replicas of new messages that were not confirmed in time.
     pub(crate) fn replace_overdue(&mut self, now: Millis) {
         while let Some((at, key)) = self.persisting.first().copied().filter(|(at, _)| *at <= now) {
             self.persisting.remove(&(at, key));
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Requests the replicas of a new message that are not confirmed from other stores. `lost_at`: of all stores only this one
-    /// is known to have none.
+    /// Requests the unconfirmed replicas of a new message from other stores. With `lost_at`, only the replica at that
+    /// store is replaced, because it is known to have none.
     pub(super) fn replace_unconfirmed(&mut self, now: Millis, key: Key, lost_at: Option<Node>) {
         let Some(entry) = self.entries.get_mut(&key).filter(|entry| entry.stage == Stage::Persisting) else {
             return;
@@ -91,14 +92,15 @@
             self.persisting.remove(&(at, key));
         }
         let age_ms = entry.age_ms(now);
-        if age_ms >= PERSIST_LIMIT {
+        if age_ms >= PERSIST_TIMEOUT_MS {
             return self.roll_back(key);
         }
-        let next_check_at = (now + REPLICA_CONFIRM_LIMIT).min(now + (PERSIST_LIMIT - age_ms)).max(now + 1);
+        let next_check_at =
+            (now + REPLICA_CONFIRM_LIMIT).min(now + (PERSIST_TIMEOUT_MS - age_ms)).max(now + 1);
         entry.persist_check_at = Some(next_check_at);
         self.persisting.insert((next_check_at, key));
         if entry.order.awaits_answers {
-            // Nothing has been sent yet: stores that are gone by then are replaced at the next check.
+            // No replica has been sent yet; stores that have disconnected are replaced at the next check.
             return;
         }
         let node = self.settings.node;
@@ -110,15 +112,18 @@
         }
     }
 
-    /// Requests one replica of a new message from another store. The slow store may have it all the same and is asked to drop
-    /// it: else both would take over. `before`: the list of replicas before any was replaced.
+    /// Requests one replica of a new message from another store. The slow store may have received its replica all the
+    /// same and is asked to drop it; otherwise both could take the message over. `before` is the replica list before
+    /// any store was replaced.
     fn replace_replica(&mut self, now: Millis, key: Key, slow: Node, before: &[Node]) {
-        // Others get the replicas of the next messages: each would wait here as long as this one has.
+        // The replicas of the next messages go to other stores, since each message would wait for this store as long
+        // as this one has.
         let Some(accepted_at) = self.entries.get(&key).map(|entry| entry.accepted_at) else { return };
         let peer = self.peers.entry(slow).or_default();
-        peer.avoided_until = now + SLOW_STORE_AVOIDANCE;
+        peer.avoided_until = now + SLOW_STORE_AVOIDANCE_MS;
         peer.replica_overdue(accepted_at);
-        // The list as it is now, too: another slow store may just have been replaced by one that is not to be chosen twice.
+        // The current list is excluded as well: another slow store may just have been replaced by a store that must
+        // not be chosen twice.
         let mut excluded = before.to_vec();
         if !self.planted(PlantedFault::ReplicaChosenTwice) {
             excluded.extend(self.entries.get(&key).into_iter().flat_map(|entry| &entry.replicas));
@@ -132,7 +137,8 @@
         let Some(entry) = self.entries.get_mut(&key) else { return };
         replace_in(&mut entry.unconfirmed, slow, to);
         replace_in(&mut entry.replicas, slow, to);
-        // On disk before the message is acknowledged: after a restart the stores in the list are waited for, and no others.
+        // The list is on disk before the message is acknowledged, because after a restart this store waits for
+        // exactly the listed stores.
         if is_list_recorded {
             entry.unconfirmed.push(node);
             let ownership =
@@ -148,18 +154,18 @@
         }
     }
 
-    /// Another store could not keep replicas.
+    /// Handles that another store could not store replicas.
     pub(super) fn replication_rejected(&mut self, now: Millis, from: Node, keys: Vec<Key>) {
         let peer = self.peers.entry(from).or_default();
-        peer.avoided_until = now + FULL_STORE_AVOIDANCE;
-        peer.refuses_until = now + REFUSAL_RETRY_DELAY;
+        peer.avoided_until = now + FULL_STORE_AVOIDANCE_MS;
+        peer.refuses_until = now + REJECTION_RETRY_DELAY_MS;
         for key in keys {
             self.replace_unconfirmed(now, key, Some(from));
             self.replica_lost(now, key, from);
         }
     }
 
-    /// Stores a replica for another store, and confirms it once it is on disk.
+    /// Stores a replica for another store and confirms it once it is on disk.
     pub(crate) fn store_replica(&mut self, now: Millis, from: Node, replica: ReplicatedMessage) {
         let key = replica.key;
         self.needs_replicas_again(from);
@@ -198,7 +204,7 @@
     }
 }
 
-/// Puts one store in the place of another.
+/// Replaces every occurrence of one store by another.
 fn replace_in(stores: &mut [Node], from: Node, to: Node) {
     for store in stores.iter_mut().filter(|store| **store == from) {
         *store = to;
--- a/crates/queue/src/replication/takeover.rs
+++ b/crates/queue/src/replication/takeover.rs
@@ -1,6 +1,6 @@
-//! Takeover: this store becomes the owner of what another owned, which is gone or hands it over.
+//! Takeover: this store becomes the owner of messages whose former owner is gone or hands them over.
 
-use super::{OBJECTION_WINDOW, TAKEOVER_DELAY};
+use super::{OBJECTION_WINDOW_MS, TAKEOVER_DELAY_MS};
 use crate::entry::{Acceptance, Stage};
 use crate::message::{Key, Millis, Node};
 use crate::peer::Peer;
@@ -11,17 +11,18 @@
 use crate::queue::Queue;
 use crate::record::Record;
 
-/// Each next store in the list of replicas waits so much longer before it takes over, for the one before may be about to.
-const TAKEOVER_STAGGER: Millis = 1500;
+/// Additional delay for each further store in the replica list before it takes over, because the one before it may be
+/// about to.
+const TAKEOVER_STAGGER_MS: Millis = 1500;
 
-/// How often the messages of a store that is gone are listed again.
-const ORPHAN_LISTING_INTERVAL: Millis = 3000;
+/// Interval at which the messages of a disconnected store are listed again.
+const ORPHAN_LISTING_INTERVAL_MS: Millis = 3000;
 
-/// Takeovers in one turn at the most: the rest is not late by that, and deliveries go on between.
+/// Maximum number of takeovers in one turn. The rest is not delayed noticeably, and deliveries continue in between.
 const MAX_TAKEOVERS_PER_TURN: usize = 500;
 
 impl Queue {
-    /// Another store offers messages that it owned.
+    /// Accepts messages that their owner hands over.
     pub(super) fn accept_handover(&mut self, now: Millis, from: Node, offers: Vec<HandoverOffer>) {
         for offer in offers {
             let Some(entry) = self.entries.get_mut(&offer.key) else {
@@ -41,8 +42,8 @@
         }
     }
 
-    /// The owner of these messages has lost them with its disk: of several stores that hold replicas one takes over at once,
-    /// and the others if it does not.
+    /// Handles that the owner of these messages has lost them with its disk. Of several stores with replicas one
+    /// takes over at once, and the others do so if it does not.
     pub(super) fn take_over_lost(&mut self, now: Millis, from: Node, keys: Vec<Key>) {
         for key in keys {
             let entry = self.entries.get(&key).filter(|entry| entry.owner == from);
@@ -52,12 +53,12 @@
             } else {
                 self.lost_by_owner.insert(key, from);
                 self.under_replicated_since.get_or_insert(now);
-                self.orphans.insert((now + rank * TAKEOVER_STAGGER, key));
+                self.orphans.insert((now + rank * TAKEOVER_STAGGER_MS, key));
             }
         }
     }
 
-    /// The owner of a message is gone: this store owns it from now on.
+    /// Takes over a message whose owner is gone.
     fn take_over(&mut self, now: Millis, key: Key) {
         let entry = self.entries.get(&key);
         if entry.is_some_and(|entry| entry.owner != self.settings.node && !entry.is_settled()) {
@@ -65,15 +66,17 @@
         }
     }
 
-    /// This store delivers a message from now on. `giver`: the store that hands it over.
+    /// Makes this store the owner of a message, which it delivers from now on. `giver` is the store that hands it
+    /// over, if any.
     fn become_owner(&mut self, now: Millis, key: Key, giver: Option<Node>) {
         let node = self.settings.node;
         let is_term_raised = !self.planted(PlantedFault::TermUnraised);
         let is_list_trusted = self.planted(PlantedFault::InheritedListTrusted);
         let awaits_objections = giver.is_none() && !self.planted(PlantedFault::TakenUnasked);
         let Some(entry) = self.entries.get(&key) else { return };
-        // The list is as the former owner had it when this store's replica was made, and may have changed since: what it names
-        // counts once it has confirmed to this owner. Of a store that is gone, or is being retired, nothing is expected.
+        // The replica list is the former owner's at the time when this store's replica was made, and may have changed
+        // since. A listed replica counts once it is confirmed to this owner. No replica is expected at a store that
+        // is gone or retiring.
         let is_expected = |replica: &Node| *replica != entry.owner && self.counts_copies_at(*replica);
         let expected: Vec<Node> = entry.replicas.iter().copied().filter(is_expected).collect();
         let Some(entry) = self.entries.get_mut(&key) else { return };
@@ -86,7 +89,7 @@
             entry.acceptance = Acceptance::Unchecked;
         }
         if awaits_objections {
-            entry.not_before = entry.not_before.max(now + OBJECTION_WINDOW);
+            entry.not_before = entry.not_before.max(now + OBJECTION_WINDOW_MS);
         }
         let has_ended = entry.end.is_some();
         if !has_ended && entry.stage != Stage::InFlight {
@@ -94,14 +97,15 @@
         }
         let ownership = Ownership { key, owner: node, term: entry.term, replicas: entry.replicas.clone() };
         self.reindex(key);
-        // The former owner may come back with an empty disk, or not at all: others get a replica.
+        // The former owner may return with an empty disk, or never, so other stores get a replica.
         self.check_replication(now, key);
         self.update_expiry(key);
         self.metrics.taken_over += 1;
         self.record_ownership(&ownership);
         match giver {
             Some(giver) => self.after_write(PendingWrite::TakenOverFrom(giver, key)),
-            // All are notified, for another may hold a replica that nobody knows of any more, and would take over too.
+            // All stores are notified, since one may hold a replica that is in no list any more and would take over
+            // too.
             None => self.announce_ownership(&ownership),
         }
         if has_ended {
@@ -111,20 +115,20 @@
         }
     }
 
-    /// Tells all connected stores who owns a message.
+    /// Announces the owner of a message to all connected stores.
     pub(super) fn announce_ownership(&mut self, ownership: &Ownership) {
         for peer in self.peers.values_mut().filter(|peer| peer.is_connected) {
             peer.outbox.ownership.push(ownership.clone());
         }
     }
 
-    /// Writes to disk who owns a message, so that the record is synced before what depends on it goes on.
+    /// Writes the owner of a message to disk with a synced record, before anything that depends on it continues.
     pub(crate) fn record_ownership(&mut self, ownership: &Ownership) {
         let Ownership { key, owner, term, replicas } = ownership.clone();
         self.record(&Record::OwnerChanged { key, owner, term, replicas }, true);
     }
 
-    /// What has to be looked at a few times a second: stores that are gone, messages to take over, replicas, and ends.
+    /// Runs the checks that are due several times a second: disconnected stores, takeovers, replicas and ends.
     pub(crate) fn check_peers(&mut self, now: Millis) {
         if self.control_contact.is_heard && self.knows_members {
             self.list_orphans(now);
@@ -136,31 +140,32 @@
         self.transfer_ends(now);
     }
 
-    /// Lists the messages of stores that are gone, with the time at which this store takes each over.
+    /// Lists the messages of stores that are gone, each with the time at which this store takes it over.
     fn list_orphans(&mut self, now: Millis) {
         let is_lost = |peer: &Peer| {
             !peer.is_present()
-                && now > peer.connection_changed_at + TAKEOVER_DELAY
-                && now >= peer.orphans_listed_at + ORPHAN_LISTING_INTERVAL
+                && now > peer.connection_changed_at + TAKEOVER_DELAY_MS
+                && now >= peer.orphans_listed_at + ORPHAN_LISTING_INTERVAL_MS
         };
         let lost = self.peers.iter().filter(|(_, peer)| is_lost(peer));
         let lost: Vec<Node> = lost.map(|(node, _)| *node).collect();
         for node in lost {
             self.peers.entry(node).or_default().orphans_listed_at = now;
             let owned = self.owned_by_node(node);
-            let orphans: Vec<(Millis, Key)> =
-                owned.map(|(key, entry)| (now + self.takeover_rank(entry) * TAKEOVER_STAGGER, key)).collect();
+            let orphans: Vec<(Millis, Key)> = owned
+                .map(|(key, entry)| (now + self.takeover_rank(entry) * TAKEOVER_STAGGER_MS, key))
+                .collect();
             self.orphans.extend(orphans);
         }
     }
 
-    /// Takes over messages whose owner is not back in time.
+    /// Takes over listed messages whose owner has not returned in time.
     fn take_over_orphans(&mut self, now: Millis) {
         for _ in 0..MAX_TAKEOVERS_PER_TURN {
             let due = self.orphans.first().copied().filter(|(at, _)| *at <= now);
             let Some((_, key)) = due else { break };
             self.orphans.pop_first();
-            // The owner may be back, or another store may own the message.
+            // The owner may have returned, or another store may own the message by now.
             let owner = self.owner_of(key);
             let is_back = self.peers.get(&owner).is_none_or(|peer| peer.is_connected);
             let is_lost = self.lost_by_owner.remove(&key) == Some(owner);
--- a/crates/queue/src/service_queue.rs
+++ b/crates/queue/src/service_queue.rs
@@ -1,4 +1,4 @@
-//! One service: the messages that wait for it, its executors, and the dispatcher that chooses among them.
+//! Queue of one service: its waiting messages, its executors, and the dispatcher that chooses among them.
 
 mod executors;
 mod selection;
@@ -16,57 +16,57 @@
 use stileroute_dispatch::policy::Dispatcher;
 use stileroute_dispatch::types::{Category, Effect, Gauge, Tariff, Terms, Time, SECOND};
 
-/// How much slower an executor may be that has just started: for so long at most it is taken to warm up.
-const WARM_UP: Time = 5 * SECOND;
+/// Longest time for which an executor that has just started is treated as warming up.
+const WARM_UP_TICKS: Time = 5 * SECOND;
 
-/// The cost of sending a message to another zone, as a part of the message's value.
-const CROSS_ZONE_COST: f64 = 0.15;
+/// Cost of sending a message to another zone, as a fraction of the message's value.
+const CROSS_ZONE_COST_FRACTION: f64 = 0.15;
 
-/// Dispatcher time per millisecond.
+/// Dispatcher ticks per millisecond.
 const DISPATCH_TICKS_PER_MS: Time = 10;
 
-/// The latency target of the category for services with nothing in flight.
-const IDLE_LATENCY_TARGET: Time = 60 * SECOND;
+/// Latency target of the dispatcher category for services with nothing in flight.
+const IDLE_LATENCY_TARGET_TICKS: Time = 60 * SECOND;
 
 /// Connections to one executor until the configuration is known.
 const DEFAULT_MAX_CONNECTIONS: usize = 64;
 
-/// Where a message stands in a service's queue: those that can still meet their latency target first, then by priority, then by
-/// due time. The derived order is the order of the queue.
+/// Position of a message in a service's queue. Messages that can still meet their latency target come first; then the
+/// order is by priority, then by due time. The derived order is the order of the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuePosition {
     pub is_late: bool,
-    /// The lower one goes first.
+    /// Messages with a lower value go first.
     pub priority: i64,
     pub due_at: Millis,
     pub key: Key,
 }
 
-/// Attempts at one service since the start of the process.
+/// Counts of the attempts at one service since the process started.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RetryCounts {
     /// First attempts started.
     pub first_attempts: u64,
-    /// Retries started: attempts of messages that ran before, or may have run.
+    /// Retries started: attempts of messages that have run before, or may have.
     pub retries: u64,
     /// Retries that had to wait for the retry budget.
     pub retries_delayed: u64,
-    /// Most retries that were in flight at one executor at once.
+    /// Highest number of retries in flight at one executor at the same time.
     pub max_retries_per_executor: usize,
 }
 
-/// One executor of a service.
+/// An executor's share of a service's messages.
 #[derive(Clone, Debug)]
 pub struct ExecutorShare {
     /// The executor's identity.
     pub id: String,
-    /// The part of the service's messages that it is to get, between 0 and 1.
+    /// Fraction of the service's messages that the executor should get, between 0 and 1.
     pub share: f64,
     /// Attempts from this store that have not ended.
     pub in_flight: usize,
 }
 
-/// The position of this store among those that deliver.
+/// Position of this store among the stores that deliver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct StorePosition {
     index: usize,
@@ -76,37 +76,38 @@
 /// The queue of one service.
 pub(crate) struct ServiceQueue {
     pub name: String,
-    /// All executors seen so far, by the dispatcher's index; the list grows, and has those that are gone, too.
+    /// All executors seen so far, by the dispatcher's index. The list only grows and keeps executors that are gone.
     pub executors: Vec<ExecutorState>,
     /// Messages that wait for their first attempt.
     pub ready: BTreeSet<QueuePosition>,
-    /// Messages that wait for a retry: in a queue of their own, so that they hold up nobody's first attempt.
+    /// Messages that wait for a retry, in a separate queue so that they do not delay first attempts.
     pub retries: BTreeSet<QueuePosition>,
     pub retry_budget: RetryBudget,
     pub retry_counts: RetryCounts,
     /// Since when no retry has found an executor.
     retries_stuck_since: Option<Millis>,
     store_position: StorePosition,
-    /// Attempts that have not ended, by their number.
+    /// Attempts that have not ended, by attempt number.
     pub in_flight: HashMap<u64, InFlightAttempt>,
     /// The rate limit, if there is one.
     pub token_bucket: Option<TokenBucket>,
-    /// The service has one configured address in place of executors that announce themselves.
+    /// Whether the service has one configured address instead of executors that register themselves.
     pub has_fixed_endpoint: bool,
-    /// Most connections to one executor from all stores together.
+    /// Maximum number of connections to one executor from all stores together.
     pub max_connections: usize,
-    /// Connections to one executor from this store.
+    /// Maximum number of connections to one executor from this store.
     pub connection_share: usize,
     dispatcher: Dispatcher,
     latency_target: Time,
-    /// Nothing is started before this time.
+    /// No attempt is started before this time.
     pub paused_until: Millis,
-    /// Attempts in a row that a fixed endpoint has not answered.
+    /// Consecutive attempts that a fixed endpoint has not answered.
     consecutive_failures: u32,
 }
 
 impl ServiceQueue {
-    /// An empty queue of a service without executors. `zone` is this store's, `stores` how many deliver.
+    /// Creates the queue of a service without executors. `zone` is this store's zone, `stores` the number of stores
+    /// that deliver.
     pub fn new(name: &str, zone: usize, stores: usize, latency_target_ms: Millis, seed: u64) -> ServiceQueue {
         let latency_target = latency_target_ms as Time * DISPATCH_TICKS_PER_MS;
         ServiceQueue {
@@ -123,14 +124,14 @@
             has_fixed_endpoint: false,
             max_connections: DEFAULT_MAX_CONNECTIONS,
             connection_share: 2,
-            dispatcher: Dispatcher::new(&tariff(zone, stores, latency_target), seed),
+            dispatcher: Dispatcher::new(&dispatcher_settings(zone, stores, latency_target), seed),
             latency_target,
             paused_until: 0,
             consecutive_failures: 0,
         }
     }
 
-    /// So many stores deliver, and this one stands at `index` among them.
+    /// Sets the number of stores that deliver and this store's index among them.
     pub fn set_store_position(&mut self, index: usize, stores: usize) {
         self.dispatcher.fleet(stores, stores);
         let position = StorePosition { index, stores };
@@ -139,8 +140,8 @@
         }
     }
 
-    /// The message that goes next: one that waits for a retry only if `may_retry` and the budget allows. Beside it the time at
-    /// which to look again for a retry.
+    /// The next message to start, with the time at which to look for a retry again. A retry is returned only if
+    /// `may_retry` is set and the retry budget allows it.
     pub fn next_position(&mut self, now: Millis, may_retry: bool) -> (Option<QueuePosition>, Millis) {
         let first = self.ready.first().copied();
         let Some(retry) = self.retries.first().copied() else { return (first, Millis::MAX) };
@@ -153,7 +154,7 @@
         }
     }
 
-    /// A message waits from now on.
+    /// Adds a message to the waiting ones.
     pub fn enter(&mut self, position: QueuePosition, is_retry: bool) {
         if is_retry {
             self.retries.insert(position);
@@ -164,14 +165,14 @@
         }
     }
 
-    /// A message does not wait any more.
+    /// Removes a message from the waiting ones.
     pub fn leave(&mut self, position: &QueuePosition) {
         if !self.ready.remove(position) {
             self.retries.remove(position);
         }
     }
 
-    /// A message waits at another position from now on.
+    /// Moves a waiting message to another position.
     pub fn replace(&mut self, former: &QueuePosition, position: QueuePosition, is_retry: bool) {
         self.leave(former);
         if is_retry {
@@ -181,18 +182,18 @@
         }
     }
 
-    /// How many messages wait, retries among them.
+    /// Number of waiting messages, including retries.
     pub fn waiting_count(&self) -> usize {
         self.ready.len() + self.retries.len()
     }
 
-    /// How far the oldest waiting message is past its due time.
+    /// How far the oldest waiting message is past its due time, in milliseconds.
     pub fn oldest_overdue_ms(&self, now: Millis) -> Millis {
         let waiting = self.ready.iter().chain(&self.retries);
         waiting.map(|position| now.saturating_sub(position.due_at)).max().unwrap_or(0)
     }
 
-    /// The executors that serve now, and the part of the messages that each is to get.
+    /// The serving executors, each with the fraction of the messages that it should get.
     pub fn executor_shares(&self) -> Vec<ExecutorShare> {
         let shares = self.dispatcher.shares().chain(std::iter::repeat(0.0));
         let serving = self.executors.iter().zip(shares).filter(|(state, _)| state.is_serving());
@@ -204,21 +205,22 @@
         serving.map(share).collect()
     }
 
-    /// Lets the dispatcher do what it does from time to time.
+    /// Runs the dispatcher's periodic maintenance.
     pub fn run_upkeep(&mut self, dispatch_time: Time) {
         self.dispatcher.upkeep(dispatch_time);
     }
 
-    /// The dispatcher's log lines since the last call.
+    /// Takes the dispatcher's log lines since the last call.
     pub fn take_log(&mut self) -> Vec<String> {
         self.dispatcher.letters.clear();
         std::mem::take(&mut self.dispatcher.log)
     }
 }
 
-/// The dispatcher's settings. Category 0 is for ordinary messages, category 1 for a service with nothing in flight: whatever its
-/// executors are like, one message goes, for else nothing more would ever be learned of them.
-fn tariff(zone: usize, stores: usize, latency_target: Time) -> Tariff {
+/// The dispatcher's settings. Category 0 is for ordinary messages. Category 1 is for a service with nothing in
+/// flight: one message is sent whatever the state of its executors, because nothing new would be learned of them
+/// otherwise.
+fn dispatcher_settings(zone: usize, stores: usize, latency_target: Time) -> Tariff {
     let category = |target: Time| Category {
         target,
         stretch: 0.0,
@@ -236,14 +238,14 @@
             max_pushes: usize::MAX,
             tip_after: SECOND,
             start_share: 0.6,
-            warm_within: WARM_UP,
-            cross: CROSS_ZONE_COST,
+            warm_within: WARM_UP_TICKS,
+            cross: CROSS_ZONE_COST_FRACTION,
             nodes: stores,
             handshake: 0.02,
             keepalive: 4 * SECOND,
             ..Terms::default()
         },
-        categories: vec![category(latency_target), category(IDLE_LATENCY_TARGET)],
+        categories: vec![category(latency_target), category(IDLE_LATENCY_TARGET_TICKS)],
         quotas: Vec::new(),
         overload_factor: 4.0,
         gauges: vec![Gauge::Held, Gauge::Waiting, Gauge::FreeSlots],
--- a/crates/queue/src/service_queue/executors.rs
+++ b/crates/queue/src/service_queue/executors.rs
@@ -1,58 +1,58 @@
-//! The executors of a service: who serves now, and this store's share of their retry slots.
+//! Executors of a service: which of them serve, and this store's share of their retry slots.
 
-use super::{ServiceQueue, DISPATCH_TICKS_PER_MS, WARM_UP};
+use super::{ServiceQueue, DISPATCH_TICKS_PER_MS, WARM_UP_TICKS};
 use crate::message::Millis;
 use crate::retry_budget::share_retry_slots;
 use std::net::SocketAddrV4;
 use stileroute_dispatch::types::{mark, Listed, Time};
 
-/// From this length of the list on the place of an executor that is gone is used again.
-const REUSE_FROM: usize = 128;
+/// Length of the executor list from which on the entries of executors that are gone are reused.
+const MIN_EXECUTORS_FOR_REUSE: usize = 128;
 
-/// An executor, as the control nodes announce it.
+/// An executor as announced by the control nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Executor {
-    /// Its identity, which it confirms with each request; empty for a fixed endpoint.
+    /// The executor's identity, which it confirms with each request; empty for a fixed endpoint.
     pub id: String,
-    /// Where it listens.
+    /// Address on which the executor listens.
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// Index of the executor's zone.
     pub zone: usize,
-    /// How many messages it works on at once.
+    /// Number of messages that the executor processes at once.
     pub capacity: f64,
-    /// It takes messages; false while it drains.
+    /// Whether the executor takes messages; false while it drains.
     pub is_serving: bool,
-    /// How much longer it warms up, in milliseconds.
+    /// Remaining warm-up time in milliseconds.
     pub warm_up_left_ms: u64,
 }
 
-/// What this store knows of an executor.
+/// State of an executor as known at this store.
 #[derive(Debug)]
 pub(crate) struct ExecutorState {
     pub executor: Executor,
-    /// When it started, in the dispatcher's time, as far as that matters: `None` if it does not warm up.
+    /// Start time in dispatcher ticks; `None` if the executor does not warm up.
     pub started_at: Option<Time>,
-    /// When it last answered anything.
+    /// When the executor last answered a request.
     pub last_answer_at: Millis,
-    /// Attempts from here that have not ended.
+    /// Attempts from this store that have not ended.
     pub in_flight: usize,
-    /// Retries among them.
+    /// Retries among the attempts in flight.
     pub retries_in_flight: usize,
-    /// How many retries this store may have in flight there.
+    /// Number of retries that this store may have in flight at the executor.
     pub retry_slots: usize,
-    /// It is in the latest list.
+    /// Whether the latest list contains the executor.
     pub is_listed: bool,
 }
 
 impl ExecutorState {
-    /// Whether it takes messages, as far as is known.
+    /// Whether the executor takes messages, as far as this store knows.
     pub fn is_serving(&self) -> bool {
         self.is_listed && self.executor.is_serving
     }
 }
 
 impl ServiceQueue {
-    /// The latest list of executors, complete.
+    /// Replaces the list of executors by the latest complete one.
     pub fn set_executors(&mut self, dispatch_time: Time, now: Millis, executors: &[Executor]) {
         for state in &mut self.executors {
             state.is_listed = false;
@@ -70,8 +70,8 @@
         }
         let listed = self.dispatcher_list();
         self.dispatcher.list(dispatch_time, true, &listed);
-        // The dispatcher gets the slots of a new executor before its first load report: guessed from no report it would be
-        // sent too much.
+        // The dispatcher learns the capacity of a new executor before its first load report; estimated without a
+        // report, the executor would be sent too much.
         for index in added {
             let capacity = self.executors[index].executor.capacity;
             self.dispatcher.report(dispatch_time, index, &[0.0, 0.0, capacity]);
@@ -79,10 +79,10 @@
         self.assign_retry_slots();
     }
 
-    /// Gives the index of the new executor.
+    /// Adds a new executor and returns its index.
     fn add_executor(&mut self, dispatch_time: Time, now: Millis, executor: &Executor) -> usize {
         let warm_up_left = executor.warm_up_left_ms as Time * DISPATCH_TICKS_PER_MS;
-        let started_at = (warm_up_left > 0).then(|| dispatch_time - (WARM_UP - warm_up_left).max(0));
+        let started_at = (warm_up_left > 0).then(|| dispatch_time - (WARM_UP_TICKS - warm_up_left).max(0));
         let state = ExecutorState {
             executor: executor.clone(),
             started_at,
@@ -94,7 +94,7 @@
         };
         match self.reusable_index() {
             Some(index) => {
-                let started_at = Some(started_at.unwrap_or(dispatch_time - WARM_UP));
+                let started_at = Some(started_at.unwrap_or(dispatch_time - WARM_UP_TICKS));
                 self.executors[index] = ExecutorState { started_at, ..state };
                 index
             }
@@ -106,7 +106,7 @@
     }
 
     fn reusable_index(&self) -> Option<usize> {
-        if self.executors.len() < REUSE_FROM {
+        if self.executors.len() < MIN_EXECUTORS_FOR_REUSE {
             return None;
         }
         self.executors.iter().position(|state| !state.is_listed && state.in_flight == 0)
@@ -126,7 +126,7 @@
         self.executors.iter().enumerate().map(listed).collect()
     }
 
-    /// Works out this store's share of the retry slots. All stores have the same list, in the order of the executors' identities.
+    /// Computes this store's share of the retry slots. All stores have the same list, sorted by executor identity.
     pub(super) fn assign_retry_slots(&mut self) {
         for state in &mut self.executors {
             state.retry_slots = 0;
@@ -143,12 +143,12 @@
         self.retry_budget.resize(self.serving_capacity(), position.stores);
     }
 
-    /// How many messages the serving executors work on together.
+    /// Total number of messages that the serving executors process at once.
     pub(super) fn serving_capacity(&self) -> f64 {
         self.executors.iter().filter(|state| state.is_serving()).map(|state| state.executor.capacity).sum()
     }
 
-    /// How many executors serve.
+    /// Number of serving executors.
     pub fn serving_count(&self) -> usize {
         self.executors.iter().filter(|state| state.is_serving()).count()
     }
--- a/crates/queue/src/service_queue/selection.rs
+++ b/crates/queue/src/service_queue/selection.rs
@@ -1,55 +1,55 @@
-//! Which executor gets the next message, and what the end of an attempt says of the executor.
+//! Executor selection: which executor gets the next message, and what the end of an attempt says about the executor.
 
 use super::{ExecutorState, ServiceQueue};
 use crate::message::{Key, Millis};
 use crate::retry_budget::STUCK_RETRY_LIMIT_MS;
 use stileroute_dispatch::types::{Ask, Limits, Op, Outcome as DispatchOutcome, Step, Time, SECOND};
 
-/// The longest pause of a service whose fixed endpoint fails, and the pause while no executor serves.
+/// Longest pause of a service whose fixed endpoint fails, and the pause while no executor serves.
 const UNAVAILABLE_PAUSE_MS: Millis = 400;
 
-/// The pause after a failure of a fixed endpoint is this, doubled with each failure in a row.
+/// Base of the pause after a failure of a fixed endpoint; it is doubled with each consecutive failure.
 const ENDPOINT_BACKOFF_BASE_MS: Millis = 50;
 
-/// When to look again after all executors had enough in flight from here.
+/// Pause after all executors were found to have enough attempts in flight from this store.
 const SATURATED_PAUSE_MS: Millis = 10;
 
-/// When to look again after the dispatcher found no executor, or none for a retry.
+/// Pause after the dispatcher found no executor, or none for a retry.
 const NO_EXECUTOR_PAUSE_MS: Millis = 20;
 
-/// The bounds of the pause that the dispatcher asks for.
+/// Shortest and longest pause that is taken from the dispatcher.
 const DISPATCHER_PAUSE_RANGE_MS: (Time, Time) = (5, 100);
 
-/// Fewest attempts that a store may have in flight at a service, however small its executors.
+/// Number of attempts that a store may always have in flight at a service, however small its executors are.
 const MIN_IN_FLIGHT_LIMIT: f64 = 4.0;
 
-/// The deadline that the dispatcher reckons with for each message.
-const DISPATCH_DEADLINE: Time = 60 * SECOND;
+/// Deadline that the dispatcher assumes for each message.
+const DISPATCH_DEADLINE_TICKS: Time = 60 * SECOND;
 
 /// An attempt that has not ended.
 pub(crate) struct InFlightAttempt {
     key: Key,
     executor: usize,
     sent_at: Millis,
-    /// The dispatcher's state of the message, and the index of this attempt in it.
+    /// The dispatcher's state of the message; `push` is the index of this attempt in it.
     op: Op,
     push: usize,
     is_retry: bool,
 }
 
-/// A retry: an attempt of a message that ran before, or may have run.
+/// A retry: an attempt of a message that has run before, or may have.
 pub(crate) struct Retry {
-    /// The executor where the message failed last.
+    /// The executor at which the message failed last.
     pub avoid: Option<usize>,
 }
 
-/// What a search for an executor has come to.
+/// Result of a search for an executor.
 pub(crate) enum Selection {
-    /// The message goes to this executor, and counts as in flight there.
+    /// The message goes to this executor and counts as in flight there.
     Send { executor: usize },
-    /// Nothing can go before that time, unless something changes.
+    /// No message can be sent before this time unless something changes.
     WaitUntil(Millis),
-    /// No executor has a slot for a retry from this store before that time; first attempts go on.
+    /// No executor has a slot for a retry from this store before this time; first attempts continue.
     RetriesFullUntil(Millis),
 }
 
@@ -59,16 +59,16 @@
     pub executor: usize,
 }
 
-/// An answer of the dispatcher.
+/// The dispatcher's answer to a placement request.
 struct Placement {
     op: Op,
     step: Step,
-    /// Executors that were refused because they may not have this retry.
-    passed_over: usize,
+    /// Executors that were skipped because they may not get this retry.
+    skipped: usize,
 }
 
 impl ServiceQueue {
-    /// Looks for an executor for a message; if there is one, the attempt counts as started.
+    /// Searches for an executor for a message; if one is found, the attempt counts as started.
     pub fn select_executor(
         &mut self,
         dispatch_time: Time,
@@ -84,12 +84,12 @@
         let asked = self.dispatcher.arrive(dispatch_time, ask);
         let mut zones = u64::MAX;
         loop {
-            let Placement { mut op, step, passed_over } =
+            let Placement { mut op, step, skipped } =
                 self.place(dispatch_time, now, &asked, zones, retry.as_ref());
             match step {
                 Step::Push { executor } if self.is_saturated(executor) => {
                     self.close(dispatch_time, &mut op);
-                    // The nearby executors have enough in flight: those of other zones may be idle.
+                    // The nearby executors have enough attempts in flight; executors of other zones may be idle.
                     let zone = zone_bit(&self.executors[executor]);
                     if zones & zone == 0 {
                         return Selection::WaitUntil(now + SATURATED_PAUSE_MS);
@@ -103,8 +103,8 @@
                     self.start(attempt, started);
                     return Selection::Send { executor };
                 }
-                _ if passed_over > 0 => match &mut retry {
-                    // No other executor serves: the one that failed the message is better than none.
+                _ if skipped > 0 => match &mut retry {
+                    // No other executor serves: the executor that failed the message is better than none.
                     Some(retry) if retry.avoid.is_some() => retry.avoid = None,
                     _ => {
                         self.retries_stuck_since.get_or_insert(now);
@@ -121,20 +121,20 @@
         }
     }
 
-    /// The time to wait for if no message may go now, whatever the dispatcher would say.
+    /// The time to wait for if no message may start now, whatever the dispatcher would answer.
     fn must_wait_until(&self, now: Millis) -> Option<Millis> {
         if now < self.paused_until {
             return Some(self.paused_until);
         }
-        // A fixed endpoint that fails is tried with one message at a time.
+        // A failing fixed endpoint is probed with one message at a time.
         let is_probing =
             self.has_fixed_endpoint && self.consecutive_failures > 0 && !self.in_flight.is_empty();
         if is_probing || self.serving_count() == 0 {
             return Some(now + UNAVAILABLE_PAUSE_MS);
         }
-        // After an outage all waiting messages are due at once, and each store knows only its own part of what the executors
-        // have in flight: so no store alone has more in flight than they work on together. One store alone can still keep all
-        // of them busy.
+        // After an outage all waiting messages are due at once, and each store knows only its own part of the
+        // executors' load. So no store has more attempts in flight than the executors process together; a single
+        // store can still keep all of them busy.
         let is_full = if self.has_fixed_endpoint {
             self.in_flight.len() >= self.connection_share
         } else {
@@ -148,17 +148,17 @@
             category: usize::from(self.in_flight.is_empty()),
             slots: 1.0,
             memory: 0.0,
-            // Expected duration before the first answer: an eighth of the latency target. With the whole of it no message would
-            // seem to be in time.
+            // The expected duration before the first answer is an eighth of the latency target. With the whole target
+            // no message would seem to be in time.
             hint: Some(self.latency_target / 8),
-            deadline: dispatch_time + DISPATCH_DEADLINE,
+            deadline: dispatch_time + DISPATCH_DEADLINE_TICKS,
             limits: Limits { pushes: 1, ..Limits::default() },
             tenant: usize::MAX,
             key: 0,
         }
     }
 
-    /// Asks the dispatcher for an executor in `zones`. Those that may not have this retry are passed over, each once.
+    /// Asks the dispatcher for an executor in `zones`. Executors that may not get this retry are skipped, each once.
     fn place(
         &mut self,
         dispatch_time: Time,
@@ -170,21 +170,21 @@
         let mut op = asked.clone();
         op.limits.domains = zones;
         let mut step = self.dispatcher.place(dispatch_time, &mut op);
-        let mut passed_over = 0;
+        let mut skipped = 0;
         while let (Step::Push { executor }, Some(retry)) = (&step, retry) {
             if self.is_saturated(*executor) || self.accepts_retry(now, *executor, retry) {
                 break;
             }
-            passed_over += 1;
-            op.closed = passed_over > self.executors.len();
+            skipped += 1;
+            op.closed = skipped > self.executors.len();
             let push = op.pushes.len().saturating_sub(1);
             step = self.dispatcher.settle(dispatch_time, &mut op, push, DispatchOutcome::Withheld, &[]);
         }
-        Placement { op, step, passed_over }
+        Placement { op, step, skipped }
     }
 
-    /// Takes the last placement back and asks for no other: without the latter the dispatcher would send it again at once, and
-    /// count that as in flight for ever.
+    /// Withdraws the last placement and closes the request. If it were not closed, the dispatcher would place the
+    /// message again at once and count it as in flight forever.
     fn close(&mut self, dispatch_time: Time, op: &mut Op) {
         let push = op.pushes.len().saturating_sub(1);
         op.closed = true;
@@ -208,8 +208,8 @@
         self.in_flight.insert(attempt, started);
     }
 
-    /// Whether a retry may go to an executor: not to the one that failed it, and no more than this store's share of the slots,
-    /// unless retries have been stuck for long.
+    /// Whether a retry may go to an executor: it must not be the one that failed the message, and this store's share
+    /// of the executor's retry slots must not be used up, unless retries have been stuck for long.
     fn accepts_retry(&self, now: Millis, executor: usize, retry: &Retry) -> bool {
         let Some(state) = self.executors.get(executor) else { return false };
         let is_stuck = self.retries_stuck_since.is_some_and(|since| now > since + STUCK_RETRY_LIMIT_MS);
@@ -217,8 +217,8 @@
         retry.avoid != Some(executor) && (has_slot || is_stuck && state.retries_in_flight == 0)
     }
 
-    /// Whether an executor has, from this store alone, twice what it works on, or as much as this store has connections to it.
-    /// With many stores the latter is the narrower bound.
+    /// Whether this store alone has twice an executor's capacity in flight there, or as many attempts as it has
+    /// connections to it. With many stores the connections are the narrower bound.
     fn is_saturated(&self, executor: usize) -> bool {
         let is_full = |state: &ExecutorState| {
             state.in_flight >= self.connection_share
@@ -227,8 +227,8 @@
         !self.has_fixed_endpoint && self.executors.get(executor).is_some_and(is_full)
     }
 
-    /// An attempt has ended; `outcome` is what its end says of the executor, `load` what the executor reported of itself. Gives
-    /// `None` for an attempt that is not known.
+    /// Handles the end of an attempt. `outcome` is what the end says about the executor, `load` is the executor's own
+    /// load report. Returns `None` for an unknown attempt.
     pub fn settle(
         &mut self,
         dispatch_time: Time,
@@ -248,7 +248,8 @@
         if is_retry && !may_have_run {
             self.retry_budget.refund();
         }
-        // Silence alone may be one lost answer; an executor that has answered nobody since is gone.
+        // A time-out alone may be one lost answer; an executor that has answered nothing since the attempt was sent
+        // is gone.
         let is_silent = outcome == DispatchOutcome::TimedOut && state.last_answer_at < sent_at;
         let is_answered = is_answer(&outcome);
         if is_answered {
@@ -259,7 +260,7 @@
             self.back_off_endpoint(now, is_answered);
         }
         let load = load.as_ref().map_or(&[][..], |values| &values[..]);
-        // The dispatcher's answer is not needed: the message comes again as another one.
+        // The dispatcher's answer is not needed: a retry is placed as a new request.
         self.dispatcher.settle(dispatch_time, &mut op, push, outcome, load);
         Some(SettledAttempt { key, executor })
     }
@@ -281,7 +282,7 @@
     )
 }
 
-/// The dispatcher's bit for the zone of an executor.
+/// The dispatcher's bit for an executor's zone.
 fn zone_bit(state: &ExecutorState) -> u64 {
     1u64.checked_shl(state.executor.zone as u32).unwrap_or(0)
 }
