--- a/crates/queue/src/idempotency/shard_table.rs
+++ b/crates/queue/src/idempotency/shard_table.rs
@@ -63,7 +63,7 @@
     pub(super) started_at: Millis,
     /// This store's own record of the claim is on disk.
     pub(super) is_durable: bool,
-    /// Stores that have not answered yet.
+    /// Connected stores that have not answered the claim yet.
     pub(super) awaited: BTreeSet<Node>,
     /// Stores that have granted the claim.
     pub(super) granted: BTreeSet<Node>,
--- a/crates/queue/tests/faults.rs
+++ b/crates/queue/tests/faults.rs
@@ -341,7 +341,7 @@
             world.check_replicas();
         }
     }
-    // The same with a store that never returns.
+    // Each message also has its replicas after a store was removed for good.
     for at in 0..4 {
         let mut world = waiting_workload(18, 4);
         world.act(2700, Action::Remove(at));
--- a/crates/queue/tests/retries.rs
+++ b/crates/queue/tests/retries.rs
@@ -203,7 +203,8 @@
         true => (30, AttemptOutcome::ConnectionBroken),
         false => serve(in_flight),
     });
-    // A share of the 750 first attempts of that time, a few retries per second, and the saved-up budget.
+    // Bound on failed retries: a share of the 750 first attempts of that time, a few retries per second, and the
+    // saved-up budget.
     assert!(stats.failed_retries < 150 + 24 + 3 * 27, "{stats:?}");
     assert!(stats.max_retries_at_once <= 2, "{stats:?}");
     // The delayed messages complete as fast as the service allows.
--- a/crates/queue/tests/simulation/checks.rs
+++ b/crates/queue/tests/simulation/checks.rs
@@ -172,7 +172,7 @@
         self.check_replicas_without(usize::MAX);
     }
 
-    /// Checks the same without the disk of the store `gone`.
+    /// Checks that every accepted message is on `replica_count` + 1 disks even without the disk of the store `gone`.
     pub fn check_replicas_without(&self, gone: usize) {
         let mut disks = self.disks(false);
         disks
--- a/crates/queue/tests/single_store.rs
+++ b/crates/queue/tests/single_store.rs
@@ -360,7 +360,7 @@
 fn a_superseded_message_is_dropped_at_each_stage_but_in_flight() {
     let kept = Some(Key { origin: 9, number: 9 });
     let dropped = |one: &SingleStore, key: Key| one.queue.lookup(key).is_none();
-    // Not yet persisted, waiting until it is due, and a replica that is taken over later.
+    // A message that is not persisted yet, one that waits until it is due, and a replica that is taken over later.
     let mut one = SingleStore::ready(StateTable::default());
     let (key, to) = replicas_sent(&one.put(1, message("plain")))[0];
     one.queue.drop_superseded("m", message("plain").fingerprint(), kept);
--- a/crates/queue/tests/support/mod.rs
+++ b/crates/queue/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! A single store that gets the messages which other stores and executors would send, for situations that a simulated
 //! workload seldom produces.
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code)] // Each test file uses only a part of this module.
 
 use crate::simulation::{config, START_WALL_CLOCK_MS};
 use std::collections::HashMap;
