--- a/crates/control-group/src/backup.rs
+++ b/crates/control-group/src/backup.rs
@@ -1,4 +1,4 @@
-//! A backup's part: acknowledging the primary's heartbeats, and storing what it sends.
+//! Backup: acknowledges the primary's heartbeats and stores the control states that the primary sends.
 
 use crate::node_state::{LastHeard, OnPersisted, UnknownPrimary};
 use crate::role::Role;
@@ -20,10 +20,10 @@
         if self.durable_epoch < view.epoch {
             return self.persist_view(view.clone(), OnPersisted::ConfirmView { view });
         }
-        // The vote is bound from here on: a candidacy that was under way does not count with it any more.
+        // From here on this node's vote belongs to the primary, so a candidacy of its own that was under way is abandoned.
         self.vote_for(from);
         self.role = Role::Backup;
-        // A node that was removed because its process ends does not join again.
+        // A node that was removed from the voters because its process is shutting down does not join again.
         let is_voting = !self.may_exit || view.voters.contains(&self.settings.node_id);
         if let Some(sent_at) = heartbeat.last_acked {
             self.primary_contact.ack_confirmed(sent_at);
@@ -38,7 +38,7 @@
         self.send(to, Message::HeartbeatAck(HeartbeatAck { epoch, sent_at, is_voting, has_state }));
     }
 
-    /// Commits the value that is committed at the primary, or asks for it if another is on disk here.
+    /// Commits the control state that the primary has committed, or requests it if this node's disk holds a different one.
     fn catch_up(&mut self, primary: NodeId, heartbeat: &Heartbeat) {
         let committed = self.committed.as_ref().map_or(Rank::default(), ControlState::rank);
         if committed >= heartbeat.committed {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The primary wants this written; also to a node that is to become a replica.
+    /// Writes a control state that the primary sent to disk. The receiver may also be a node that is about to become a replica.
     pub(crate) fn store(&mut self, from: NodeId, epoch: u64, write_id: u64, state: ControlState) {
         let Some(view) = self.view.clone() else { return };
         if !self.is_from_primary(from, epoch, &view) || self.is_storing(from, write_id) {
@@ -69,10 +69,12 @@
         })
     }
 
-    /// Whether the sender is the primary of the own view. If not, the one with the older view learns of the newer.
+    /// Whether the sender is the primary of this node's view. If it is not, the node with the older view is sent, or requests,
+    /// the newer one.
     fn is_from_primary(&mut self, from: NodeId, epoch: u64, view: &View) -> bool {
         if epoch < view.epoch {
-            // Else the sender has proposed the later view itself, and will hear that it is granted.
+            // If the sender is itself the primary of the later view, it proposed that view and will learn from the grants that
+            // it is in force.
             if from != view.primary {
                 self.send(from, Message::Denied { view: view.clone() });
             }
--- a/crates/control-group/src/candidate.rs
+++ b/crates/control-group/src/candidate.rs
@@ -1,4 +1,4 @@
-//! A candidate's part: proposing itself as primary when none is heard, and counting the grants.
+//! Candidate: proposes itself as primary when no primary is heard from, and counts the grants.
 
 use crate::node_state::OnPersisted;
 use crate::proposal::Proposal;
@@ -6,7 +6,8 @@
 use crate::{ControlGroup, Message, Millis, NodeId, Planted, RoleChange, View};
 
 impl ControlGroup {
-    /// If nobody has been heard for long enough, a replica becomes a candidate, and a candidate proposes its view again.
+    /// Starts a candidacy on a replica that has heard from no primary until its candidacy time, and repeats the proposal of a
+    /// node that is already a candidate.
     pub(crate) fn seek_leadership(&mut self, now: Millis) {
         let Some(view) = self.view.clone() else { return };
         if now < self.candidacy_at || self.may_exit || self.departure.is_some() {
@@ -24,13 +25,15 @@
         if view.replicas.contains(&self.settings.node_id) && may_be_primary {
             return self.become_candidate(now, false);
         }
-        // Others than the replicas may know of a change of replicas, but only the replicas can be candidates by it.
+        // A node that is no replica may know of a newer membership, but only replicas can become candidates under it, so they
+        // are sent the view.
         for replica in view.replicas.clone() {
             self.send(replica, Message::ViewReply { view: Some(view.clone()) });
         }
     }
 
-    /// A proposal, or its answer, was lost. The same view is proposed again, for it may have been granted.
+    /// Repeats a proposal that was lost or whose answer was lost. The same view is proposed again, because it may already have
+    /// been granted.
     fn repeat_candidacy(&mut self, now: Millis, view: &View, proposed: View, by_handover: bool) {
         self.candidacy_at = now + self.settings.heartbeat_interval_ms;
         if proposed == *view && self.durable_epoch < proposed.epoch {
@@ -40,10 +43,11 @@
         self.propose(&proposed, &[], by_handover);
     }
 
-    /// Asks the others first. This node grants its own view when theirs suffice, so one that is partitioned raises no epochs.
+    /// Proposes a view to the other voters. This node grants its own view only once their grants suffice, so a partitioned node
+    /// does not raise the epoch.
     fn become_candidate(&mut self, now: Millis, by_handover: bool) {
         let Some(previous) = self.view.clone() else { return };
-        // The replicas stay as before, a lost one too: it may yet come back and be candidate, should this node end.
+        // The replicas stay unchanged, including a lost one: it may come back and become a candidate if this node fails.
         let view = View { epoch: previous.epoch + 1, primary: self.settings.node_id, ..previous.clone() };
         self.role = Role::Candidate(Proposal::new(now, view.clone(), previous, by_handover));
         self.candidacy_at = now + self.settings.heartbeat_interval_ms;
@@ -52,7 +56,7 @@
         self.count_grants(now);
     }
 
-    /// Sends a proposal to its voters, and to those who vote until it is granted.
+    /// Sends a proposal to the voters of the proposed view, and to the voters of the previous view that the proposal removes.
     pub(crate) fn propose(&mut self, view: &View, previous_voters: &[NodeId], by_handover: bool) {
         let leaving = previous_voters.iter().filter(|voter| !view.voters.contains(voter));
         for voter in view.voters.iter().chain(leaving).copied() {
@@ -60,7 +64,8 @@
         }
     }
 
-    /// With enough grants of others a candidate grants its view itself, and with that on disk it is primary.
+    /// Grants the candidate's own view once the other voters' grants suffice, and makes this node primary once that view is on
+    /// its disk.
     pub(crate) fn count_grants(&mut self, now: Millis) {
         let Role::Candidate(proposal) = &self.role else { return };
         let needs_no_others = self.planted(Planted::OwnVoteEnough);
@@ -79,7 +84,7 @@
         }
     }
 
-    /// The primary has stepped down and named this node.
+    /// Handles a handover: the primary has stepped down and named this node as its successor.
     pub(crate) fn handover_received(
         &mut self,
         now: Millis,
--- a/crates/control-group/src/control_group.rs
+++ b/crates/control-group/src/control_group.rs
@@ -1,4 +1,4 @@
-//! The state of one control node, and how it takes events in and gives effects out.
+//! The state of one control node, and the entry points that take events and return effects.
 
 use crate::node_state::{Connection, Departure, LastHeard, OnPersisted, UnknownPrimary, ViewRecovery};
 use crate::primary_contact::PrimaryContact;
@@ -10,63 +10,70 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most nodes that are sent heartbeats and are no voters: far more than ever join together.
+/// The maximum number of learners (nodes that receive heartbeats but are no voters): far more than ever join at one time.
 const MAX_LEARNERS: usize = 64;
 
 /// One node of a control group.
 ///
-/// The caller hands in events, each with the present time of a steady clock, calls [`tick`](ControlGroup::tick) when
-/// [`next_tick`](ControlGroup::next_tick) is due, and carries out what [`take_effects`](ControlGroup::take_effects) returns.
+/// The caller passes in events, each with the current reading of a monotonic clock, calls [`tick`](ControlGroup::tick) when
+/// [`next_tick`](ControlGroup::next_tick) is due, and carries out the effects that [`take_effects`](ControlGroup::take_effects)
+/// returns.
 #[derive(Clone)]
 pub struct ControlGroup {
     pub(crate) settings: GroupSettings,
-    /// The newest view that is known here. None: the node has lost its disk, or is new. It votes for nobody until a majority of
-    /// the others has told it their view.
+    /// The newest view that this node knows. `None` if the node is new or has lost its disk; it then votes for no candidate
+    /// until a majority of the other voters has sent it their views.
     pub(crate) view: Option<View>,
-    /// The highest epoch that is on disk: nothing is acknowledged by a view that a loss of power would take back.
+    /// The highest epoch that is on disk. Nothing is acknowledged under a view that is not on disk, because a power loss would
+    /// undo it.
     pub(crate) durable_epoch: u64,
-    /// Its view has been granted, or it would send no heartbeats.
+    /// A primary whose view this node does not know. That view has been granted, because its primary sends heartbeats.
     pub(crate) unknown_primary: Option<UnknownPrimary>,
-    /// What this node's disk holds. It may be older than what is committed, unless the node is a replica of the newest view.
+    /// The control state on this node's disk. It may be older than the committed one, unless the node is a replica of the newest
+    /// view.
     pub(crate) state: ControlState,
-    /// The newest value that is known to be committed.
+    /// The newest control state that this node knows to be committed.
     pub(crate) committed: Option<ControlState>,
-    /// Of the committed value. Kept, because each heartbeat carries it and a configuration may be long.
+    /// The digest of the committed control state. It is cached because each heartbeat carries it and a configuration may be
+    /// long.
     pub(crate) committed_digest: u64,
-    /// A value is on disk. Without one the node may be named as a replica, but does not become a candidate before it is filled.
+    /// Whether a control state is on disk. A node without one may be named as a replica, but does not become a candidate before
+    /// the primary has sent it the value.
     pub(crate) has_state: bool,
     pub(crate) view_recovery: ViewRecovery,
     pub(crate) role: Role,
     pub(crate) started_at: Millis,
-    /// When the node last acknowledged a heartbeat or granted a view; its vote is bound for a grace period from then on.
+    /// When the node last acknowledged a heartbeat or granted a view. Its vote stays bound for one grace period from then on.
     pub(crate) heard_at: Millis,
     pub(crate) last_heard: LastHeard,
     pub(crate) primary_contact: PrimaryContact,
-    /// Who has this node's vote until the grace period is over.
+    /// The node that has this node's vote until the grace period is over.
     pub(crate) voted_for: Option<NodeId>,
-    /// The epoch of the last vote that was handed to the disk.
+    /// The epoch of the last vote that was submitted to the disk.
     pub(crate) persisted_vote_epoch: u64,
-    /// When the node becomes a candidate, unless a primary is heard. Partly random, so that two do not go on colliding.
+    /// When the node becomes a candidate, unless it hears from a primary first. Partly random, so that two candidates do not
+    /// collide repeatedly.
     pub(crate) candidacy_at: Millis,
-    /// Nodes that are connected and are no voters, but may become ones.
+    /// Connected nodes that are not voters but may become voters.
     pub(crate) learners: BTreeSet<NodeId>,
     pub(crate) connections: BTreeMap<NodeId, Connection>,
     pub(crate) pending_persists: BTreeMap<u64, OnPersisted>,
     pub(crate) next_ticket: u64,
-    /// Counts the writes to replicas. It starts at random, so that a late answer to an earlier incarnation is not counted.
+    /// The number of the last write to the replicas. Numbering starts at a random value, so that a late answer to an earlier
+    /// incarnation of this process does not match a current write.
     pub(crate) last_write_id: u64,
     pub(crate) random_state: u64,
-    /// The process may exit: the node becomes no candidate any more.
+    /// The process may exit; the node no longer becomes a candidate.
     pub(crate) may_exit: bool,
-    /// The process ends, and the node waits to be removed from the voters.
+    /// Set while the process is shutting down and the node waits to be removed from the voters.
     pub(crate) departure: Option<Departure>,
-    /// The primary that ended and named this node as its successor, unless it has come back.
+    /// The primary that shut down and named this node as its successor; cleared if that node reconnects.
     pub(crate) departed_primary: Option<NodeId>,
     pub(crate) effects: Vec<Effect>,
 }
 
 impl ControlGroup {
-    /// A node that has just started, with what its disk holds.
+    /// Creates a node that has just started, from the state on its disk.
     pub fn new(settings: GroupSettings, persisted: PersistedState, now: Millis) -> ControlGroup {
         let mut group = ControlGroup::with_persisted(settings, persisted, now);
         if let Some(view) = group.first_view() {
@@ -77,7 +84,8 @@
         }
         group.schedule_candidacy(now);
         if group.voted_for == Some(group.settings.node_id) {
-            // It was primary, and gave its vote to nobody else: nothing has to run out before it asks the others again.
+            // This node was primary and gave its vote to no other node, so it may ask for votes again without waiting for a
+            // grace period.
             group.candidacy_at = now;
         }
         group
@@ -117,9 +125,9 @@
         }
     }
 
-    /// The view by which a new group starts, if this node is one of its seeds.
+    /// The first view of a new group, if this node is one of its seeds.
     ///
-    /// All seeds compute the same: nothing has to be elected, and nobody waits for anybody.
+    /// All seeds compute the same view, so no election is needed and no seed waits for another.
     fn first_view(&self) -> Option<View> {
         let is_first_start = self.settings.is_first_start || self.planted(Planted::BlankVotes);
         if self.view.is_some() || !is_first_start || !self.settings.seeds.contains(&self.settings.node_id) {
@@ -135,7 +143,8 @@
 
     fn adopt_first_view(&mut self, now: Millis, view: View) {
         if view.replicas.contains(&self.settings.node_id) {
-            // That there is no value yet is known too: a replica without one counts as one that has lost it.
+            // A replica of a new group is known to have an empty control state. Without a stored value it would count as a
+            // replica that has lost its disk.
             self.has_state = true;
             self.persist(Record::ControlState(ControlState::default()), OnPersisted::Nothing);
         }
@@ -147,7 +156,7 @@
         }
     }
 
-    /// The first view is on all seeds' disks soon: this node only waits for their grants.
+    /// Waits for the grants of the first view without an election: all seeds are about to write the same view to disk.
     fn become_first_candidate(&mut self, now: Millis, view: View) {
         self.role = Role::Candidate(Proposal::new(now, view.clone(), view.clone(), false));
         self.candidacy_at = now + self.settings.heartbeat_interval_ms;
@@ -155,39 +164,40 @@
         self.persist_view(view.clone(), OnPersisted::CountOwnGrant { view });
     }
 
-    /// Takes out what is to be done, in order. Call it after each event.
+    /// Takes the pending effects, in the order in which they have to be carried out. Call this after each event.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// The newest view that is known here.
+    /// The newest view that this node knows.
     pub fn view(&self) -> Option<&View> {
         self.view.as_ref()
     }
 
-    /// Whether the node has lost its disk, or is new, and has yet to learn the view from the others. It does not vote.
+    /// Whether the node is new or has lost its disk, and has not learned the view from the others yet. It does not vote until
+    /// then.
     pub fn is_awaiting_view(&self) -> bool {
         self.view.is_none()
     }
 
-    /// The newest value that is known to be committed.
+    /// The newest control state that this node knows to be committed.
     pub fn committed(&self) -> Option<&ControlState> {
         self.committed.as_ref()
     }
 
-    /// The value on this node's disk, committed or not. At a primary: the value that changes are applied to.
+    /// The control state on this node's disk, committed or not. On a primary, changes are applied to this value.
     pub fn state(&self) -> &ControlState {
         &self.state
     }
 
-    /// Whether what this node tells others is recent: it holds the lease itself, or it was in contact with a primary that did
-    /// less than two grace periods ago.
+    /// Whether this node's information is recent: it holds the lease itself, or was in contact with a primary that held it less
+    /// than two grace periods ago.
     pub fn is_in_contact(&self, now: Millis) -> bool {
         self.last_contact(now).is_some()
     }
 
-    /// Since when this node can't know whether others have gone on without it: the last instant at which it heard a majority as
-    /// primary, or a primary that did. `None` if it is not in contact.
+    /// The last time at which this node was in contact with a majority as primary, or with a primary that was. Since then the
+    /// others may have continued without it. `None` if the node is not in contact.
     pub fn last_contact(&self, now: Millis) -> Option<Millis> {
         if self.is_awaiting_view() {
             return None;
@@ -196,7 +206,7 @@
         self.majority_heard_at(now).or_else(|| self.primary_contact.within(now, span))
     }
 
-    /// The primary of the newest view that is known here.
+    /// The primary of the newest view that this node knows.
     pub fn primary(&self) -> Option<NodeId> {
         self.view.as_ref().map(|view| view.primary)
     }
@@ -205,12 +215,12 @@
         self.view.as_ref().map_or(0, |view| view.epoch)
     }
 
-    /// The primary, unless it is this node: whom a caller is sent to.
+    /// The primary that a caller is redirected to; `None` if it is this node.
     pub(crate) fn other_primary(&self) -> Option<NodeId> {
         self.primary().filter(|primary| *primary != self.settings.node_id)
     }
 
-    /// A connection to another control node is open.
+    /// Handles the opening of a connection to another control node.
     pub fn peer_connected(&mut self, now: Millis, peer: NodeId) {
         self.connections.insert(peer, Connection::Open);
         self.cancel_departure(peer);
@@ -219,12 +229,13 @@
         }
     }
 
-    /// The connection to another control node broke.
+    /// Handles the loss of the connection to another control node.
     pub fn peer_disconnected(&mut self, now: Millis, peer: NodeId) {
         self.connections.insert(peer, Connection::Broken);
         self.learners.remove(&peer);
         if self.primary() == Some(peer) && matches!(self.role, Role::Backup) {
-            // Its process ended: no heartbeat will come. A short wait is left for one that starts again at once.
+            // The primary's process has ended, so no heartbeat will arrive. Half a heartbeat interval is left for a primary that
+            // restarts at once.
             let vote_free_at = now.max(self.vote_free_at());
             self.candidacy_at = self.candidacy_at.min(vote_free_at + self.settings.heartbeat_interval_ms / 2);
         }
@@ -234,7 +245,7 @@
         self.connections.get(node) == Some(&Connection::Broken)
     }
 
-    /// A control node is connected that may be no voter: it is sent heartbeats, and may become one.
+    /// Adds a connected control node that may not be a voter as a learner: it receives heartbeats and may become a voter.
     pub fn add_learner(&mut self, node: NodeId) {
         let is_self = node == self.settings.node_id;
         if !is_self && !self.is_disconnected(&node) && self.learners.len() < MAX_LEARNERS {
@@ -242,7 +253,7 @@
         }
     }
 
-    /// A message from another control node.
+    /// Handles a message from another control node.
     pub fn handle_message(&mut self, now: Millis, from: NodeId, message: Message) {
         match message {
             Message::Propose { view, by_handover } => self.proposed(now, from, view, by_handover),
@@ -267,7 +278,7 @@
         }
     }
 
-    /// Does what is due. Call it at [`next_tick`](ControlGroup::next_tick), and after each event.
+    /// Carries out the work that is due. Call this at [`next_tick`](ControlGroup::next_tick) and after each event.
     pub fn tick(&mut self, now: Millis) {
         if self.is_awaiting_view() {
             self.request_views(now);
@@ -280,7 +291,7 @@
         }
     }
 
-    /// When [`tick`](ControlGroup::tick) is due next: always later than `now`.
+    /// When the next call of [`tick`](ControlGroup::tick) is due; always later than `now`.
     pub fn next_tick(&self, now: Millis) -> Millis {
         if self.is_awaiting_view() {
             return self.view_recovery.next_request_at.max(now + 1);
@@ -292,7 +303,7 @@
             return departure.next_tick(now);
         }
         if self.may_exit {
-            // It becomes no candidate any more: nothing is due but what arrives.
+            // A node that may exit no longer becomes a candidate, so it has no timed work and only answers messages.
             return now + self.settings.grace_period_ms;
         }
         self.candidacy_at.max(now + 1)
@@ -308,7 +319,7 @@
         self.effects.push(Effect::RoleChanged { epoch, change });
     }
 
-    /// The vote is with the primary of the present epoch.
+    /// Gives this node's vote in the current epoch to the primary, and persists the vote once in each epoch.
     pub(crate) fn vote_for(&mut self, primary: NodeId) {
         self.voted_for = Some(primary);
         let epoch = self.epoch();
@@ -318,16 +329,17 @@
         }
     }
 
-    /// A number below `limit`, by a linear congruential generator: all that is random depends on the seed alone.
+    /// A pseudo-random number below `limit`, from a linear congruential generator, so that all random choices depend on the seed
+    /// alone.
     pub(crate) fn random_below(&mut self, limit: u64) -> u64 {
         self.random_state =
             self.random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.random_state >> 33) % limit.max(1)
     }
 
-    /// The node becomes a candidate when the primary has been silent for a grace period and a random time.
+    /// Schedules a candidacy for when the primary has been silent for a grace period plus a random wait.
     pub(crate) fn schedule_candidacy(&mut self, now: Millis) {
-        // After a start of all nodes the one that was primary before is the first candidate.
+        // The previous primary adds no random wait, so that it is the first candidate after all nodes have restarted.
         let random_wait = if self.primary() == Some(self.settings.node_id) {
             0
         } else {
@@ -336,7 +348,7 @@
         self.candidacy_at = now + self.settings.grace_period_ms + random_wait;
     }
 
-    /// A value is committed. What is committed here never goes back.
+    /// Records a control state as committed. The committed state of a node never goes back to an older one.
     pub(crate) fn commit(&mut self, state: ControlState) {
         let is_newer = self.committed.as_ref().is_none_or(|known| state.rank() > known.rank());
         let is_other = self.planted(Planted::CommitGoesBack) && self.committed.as_ref() != Some(&state);
--- a/crates/control-group/src/control_state.rs
+++ b/crates/control-group/src/control_state.rs
@@ -1,26 +1,27 @@
-//! The replicated value, its digest, and which of two values is the newer.
+//! The replicated control state, its digest, and the order that decides which of two control states is newer.
 
 use crate::Retirement;
 use serde::{Deserialize, Serialize};
 
-/// The replicated value: the operators' configuration, and which stores are retired.
+/// The replicated control state: the operators' configuration and the retired stores.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ControlState {
-    /// Counts the changes of the value: one more with each.
+    /// The number of changes so far; each change raises it by one.
     pub serial: u64,
-    /// The operators' own number of the configuration. 0: none has been submitted yet.
+    /// The version that the operators gave the configuration. 0 if none has been submitted yet.
     pub version: u64,
     /// The configuration, as the operators sent it.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
-    /// In the order in which they were accepted; at most [`MAX_RETIREMENTS`](crate::MAX_RETIREMENTS).
+    /// The retirements in the order in which they were accepted; at most [`MAX_RETIREMENTS`](crate::MAX_RETIREMENTS).
     pub retirements: Vec<Retirement>,
 }
 
 impl ControlState {
-    /// Distinguishes two values with one serial: one of them was abandoned, and must not be taken for the other.
+    /// A digest that distinguishes two control states with the same serial: one of them was abandoned, and must not be taken for
+    /// the other.
     ///
-    /// It guards against confusion, not against an attacker: each heartbeat carries it, so it is short.
+    /// The digest guards against confusion, not against an attacker. It is short because each heartbeat carries it.
     pub fn digest(&self) -> u64 {
         let mut hash = Fnv::default();
         hash.add_number(self.serial);
@@ -34,36 +35,37 @@
         hash.0
     }
 
-    /// Its place in the order of values.
+    /// The position of this control state in the order of all control states.
     pub fn rank(&self) -> Rank {
         Rank { version: self.version, serial: self.serial }
     }
 
-    /// Whether both have the same version with the same body, whatever else was written with it.
+    /// Whether both control states have the same configuration version and body, whatever their serials and retirements.
     pub fn same_configuration(&self, other: &ControlState) -> bool {
         self.version == other.version && self.body == other.body
     }
 
-    /// The accepted order to retire this store, if there is one.
+    /// The accepted retirement order for this store, if there is one.
     pub fn retirement(&self, node: u32) -> Option<&Retirement> {
         self.retirements.iter().find(|retirement| retirement.node == node)
     }
 }
 
-/// Which of two values is the newer: first by version, then by serial.
+/// The order of control states: the newer one has the higher version or, with equal versions, the higher serial.
 ///
-/// Neither number ever falls from one write to the next, so the serial alone would do, but for one case: a control group that
-/// has lost most of its disks and is started anew by hand counts serials from one, and the nodes that are left accept its
-/// configuration by its higher version.
+/// Neither number decreases from one write to the next, so the serial alone would suffice, except in one case: a control group
+/// that has lost most of its disks and is restarted by hand counts serials from one, and the remaining nodes accept its
+/// configuration because of its higher version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Rank {
-    /// Of the configuration.
+    /// The version of the configuration.
     pub version: u64,
-    /// Of the value.
+    /// The serial of the control state.
     pub serial: u64,
 }
 
-/// The hash FNV-1a with 64 bits. Each byte string goes in after its length, so that two parts never run together.
+/// The 64-bit hash FNV-1a. Each byte string is hashed after its length, so that different splits of the same bytes hash
+/// differently.
 struct Fnv(u64);
 
 impl Default for Fnv {
--- a/crates/control-group/src/departure.rs
+++ b/crates/control-group/src/departure.rs
@@ -1,15 +1,14 @@
-//! How a backup whose process ends has itself removed from the voters.
+//! Removal of a backup from the voters when its process shuts down.
 
 use crate::node_state::{Departure, LastHeard};
 use crate::role::Role;
 use crate::{ControlGroup, Effect, Message, Millis, NodeId};
 
 impl ControlGroup {
-    /// Starts to have this node removed, if it is a voter of an even group; else returns false.
+    /// Begins the removal of this node from the voters, if it is a voter of an even group; otherwise returns false.
     ///
-    /// In an even group the node that comes in its place has come before this one goes. The group tolerates no more losses
-    /// with it than without it, and as a voter that is gone it would count as lost. In an odd group its end is taken for a
-    /// restart.
+    /// In an even group the node that replaces this one has already joined. The group tolerates no more losses with this node
+    /// than without it, and after its exit it would count as a lost voter. In an odd group a shutdown is treated as a restart.
     pub(crate) fn begin_departure(&mut self, now: Millis, deadline: Millis) -> bool {
         if !self.is_surplus_voter() || !self.has_recent_heartbeat(now) {
             return false;
@@ -30,8 +29,8 @@
         self.last_heard == LastHeard::Heartbeat && now < self.heard_at + self.settings.grace_period_ms
     }
 
-    /// Asks again to be removed. The process may exit when the node is out of the voters by a view on its disk, or at the
-    /// deadline. Until then it votes as ever.
+    /// Repeats the request to be removed. The process may exit once a view without this voter is on the node's disk, or at the
+    /// deadline. Until then the node votes as usual.
     pub(crate) fn continue_departure(&mut self, now: Millis) {
         let Some(view) = &self.view else { return };
         let Some(departure) = &mut self.departure else { return };
@@ -46,14 +45,14 @@
         }
     }
 
-    /// Nothing holds the process back any more.
+    /// Reports that the process may exit.
     pub(crate) fn exit(&mut self) {
         self.departure = None;
         self.may_exit = true;
         self.effects.push(Effect::ReadyToExit);
     }
 
-    /// A node that was to end is connected again: it does not leave.
+    /// Cancels the departure of a node that was shutting down and has reconnected.
     pub(crate) fn cancel_departure(&mut self, node: NodeId) {
         self.departed_primary = self.departed_primary.filter(|departed| *departed != node);
         if let Role::Primary(leadership) = &mut self.role {
--- a/crates/control-group/src/effect.rs
+++ b/crates/control-group/src/effect.rs
@@ -1,88 +1,89 @@
-//! What the state machine wants its caller to do.
+//! The effects that the state machine asks its caller to carry out.
 
 use crate::{ControlState, Message, NodeId, Record};
 use serde::{Deserialize, Serialize};
 
-/// Something the caller has to do, in the order in which effects come out.
+/// An action for the caller. Effects have to be carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
-    /// Send a message. It may get lost; messages to one node must not overtake each other.
+    /// Send a message. It may be lost, but messages to one node must not be reordered.
     Send {
-        /// Another control node, never this one.
+        /// The receiver: another control node, never this one.
         to: NodeId,
-        /// What to send.
+        /// The message to send.
         message: Message,
     },
     /// Append the record to the log and sync it, then call [`ControlGroup::persisted`](crate::ControlGroup::persisted).
     Persist {
-        /// To be handed back.
+        /// Identifies the record; to be passed to [`ControlGroup::persisted`](crate::ControlGroup::persisted).
         ticket: u64,
-        /// What to write.
+        /// The record to write.
         record: Record,
     },
     /// The answer to a call that changes the state, or to a read that this node may not serve.
     Answer {
-        /// As the caller gave it.
+        /// The ticket that the caller passed with the request.
         ticket: u64,
-        /// How the call ended.
+        /// The result of the request.
         verdict: Verdict,
     },
-    /// The answer to a read.
+    /// The answer to a read of the control state.
     ReadAnswer {
-        /// As the caller gave it.
+        /// The ticket that the caller passed with the read.
         ticket: u64,
-        /// None: no configuration has been submitted yet.
+        /// The committed control state; `None` if no configuration has been submitted yet.
         state: Option<ControlState>,
     },
-    /// [`ControlGroup::committed`](crate::ControlGroup::committed) has another value.
+    /// The value of [`ControlGroup::committed`](crate::ControlGroup::committed) has changed.
     Committed {
-        /// Of the value.
+        /// The serial of the newly committed control state.
         serial: u64,
     },
-    /// The node's role, or the membership by which it leads, has changed; for the log.
+    /// The node's role, or the membership under which it leads, has changed. The caller logs it.
     RoleChanged {
-        /// Of the view that it is about.
+        /// The epoch of the view to which the change refers.
         epoch: u64,
-        /// What changed.
+        /// The kind of change.
         change: RoleChange,
     },
-    /// Leadership is handed over, and the node is no voter that is missed: the process may exit.
+    /// The process may exit: leadership is handed over, and the node is no longer a voter that the group needs.
     ReadyToExit,
 }
 
-/// How an operator's call ended.
+/// The result of an operator's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It is on all replicas, and committed.
+    /// The change is on all replicas and committed.
     Accepted,
-    /// The present value has it, or something newer: acknowledged, and nothing is changed.
+    /// The current control state already contains this change or a newer one; the request is acknowledged and nothing is
+    /// changed.
     Unchanged,
-    /// This node does not decide.
+    /// This node is not the primary.
     NotPrimary {
-        /// Whom to ask instead, as far as is known here.
+        /// The primary to ask instead, as far as this node knows it.
         primary: Option<NodeId>,
     },
-    /// It may be committed, or may yet be.
+    /// The change may be committed already, or may still be committed later.
     Uncertain,
-    /// It is not committed and will not be, unless it is sent again.
+    /// The change is not committed and will not be, unless it is submitted again.
     NotCommitted,
 }
 
-/// A change of a node's role, or of the membership by which it leads.
+/// A change of a node's role, or of the membership under which it leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RoleChange {
-    /// It proposes itself as primary.
+    /// The node proposes itself as primary.
     BecameCandidate,
-    /// A majority has granted its view.
+    /// A majority has granted the node's view.
     BecamePrimary,
-    /// It was candidate or primary, and is a backup now.
+    /// The node was candidate or primary, and is now a backup.
     SteppedDown,
-    /// A majority has granted the primary other replicas or voters, or the same ones under its own epoch.
+    /// A majority has granted the primary a view with other replicas or voters, or with the same ones under its own epoch.
     MembershipChanged,
 }
 
 impl RoleChange {
-    /// The words for the log.
+    /// The text for the log.
     pub fn as_str(self) -> &'static str {
         match self {
             RoleChange::BecameCandidate => "became candidate",
--- a/crates/control-group/src/fingerprint.rs
+++ b/crates/control-group/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! The fingerprint of a node's state, by which the search in `crates/model-check/` knows states that it has been to.
+//! Fingerprints of a node's state, by which the search in `crates/model-check/` recognizes states that it has already visited.
 
 use crate::node_state::{Departure, OnPersisted};
 use crate::proposal::Proposal;
@@ -7,21 +7,22 @@
 use crate::{ControlGroup, Effect, GroupSettings, Heartbeat, HeartbeatAck, Message, Millis, NodeId, View};
 use std::hash::{Hash, Hasher};
 
-/// Writes a state into a hasher, so that states from which the same follows come out the same.
+/// Hashes a state, so that states with the same future behavior have the same fingerprint.
 ///
-/// Times count from now, and are one where every rule treats them alike. Write numbers count from the last one of the node that
-/// gave them.
+/// Times are hashed relative to now, and times that every rule treats alike hash alike. Write numbers are hashed relative to the
+/// last write number of the node that issued them.
 pub struct Fingerprinter<'a, H> {
-    /// Where the state is written.
+    /// The hasher that the state is written to.
     pub hasher: &'a mut H,
-    /// By the clock of the node whose times are written.
+    /// The current time by the clock of the node whose times are hashed.
     pub now: Millis,
-    /// The last write number of each node.
+    /// The last write number that each node has issued.
     pub last_write_ids: &'a [(NodeId, u64)],
 }
 
 impl<H: Hasher> Fingerprinter<'_, H> {
-    /// A time of which it matters whether it lies back further than `limit`, and how far it is until then.
+    /// Hashes a time for which only two things matter: whether it is more than `limit` milliseconds ago, and how long it takes
+    /// until it is.
     fn time(&mut self, at: Millis, limit: Millis) {
         (at as i64 - self.now as i64).max(-1 - limit as i64).hash(self.hasher);
     }
@@ -31,10 +32,10 @@
         last.wrapping_sub(write_id).hash(self.hasher);
     }
 
-    /// A message on its way. What was sent at another clock's time needs `now` by that clock.
+    /// Hashes a message in flight. For times that another node's clock gave, `now` has to be by that clock.
     pub fn message(&mut self, from: NodeId, to: NodeId, message: &Message) {
         match message {
-            // The acknowledgement that was seen decides what the node tells others outside the group, and nothing here.
+            // `last_acked` only affects what the node tells clients outside the group, so it is left out.
             Message::Heartbeat(Heartbeat { epoch, sent_at, committed, committed_digest, last_acked: _ }) => {
                 (1, epoch, committed, committed_digest).hash(self.hasher);
                 self.time(*sent_at, PEER_SILENCE_LIMIT);
@@ -55,7 +56,7 @@
         }
     }
 
-    /// An effect that has yet to be carried out.
+    /// Hashes an effect that has not been carried out yet.
     pub fn effect(&mut self, from: NodeId, effect: &Effect) {
         match effect {
             Effect::Send { to, message } => {
@@ -96,7 +97,7 @@
     }
 
     fn leadership(&mut self, node_id: NodeId, leadership: &Leadership, voters: &[NodeId]) {
-        // Named one by one, so that a new field can't be forgotten.
+        // All fields are destructured by name, so that a new field cannot be forgotten.
         let Leadership {
             began_at,
             next_heartbeat_at,
@@ -113,7 +114,7 @@
         (2, without_state, is_state_replicated, departing).hash(self.hasher);
         self.time(*next_heartbeat_at, 0);
         self.time(exit_deadline.unwrap_or(0), 0);
-        // Only for those that never acknowledged a heartbeat does it matter how long that is.
+        // The start of the leadership matters only for voters that have never acknowledged a heartbeat.
         if voters.iter().any(|voter| *voter != node_id && !acked.contains_key(voter)) {
             self.time(*began_at, PEER_SILENCE_LIMIT);
         }
@@ -153,9 +154,10 @@
 }
 
 impl ControlGroup {
-    /// Writes whatever the node's future depends on, but for chance: two states with one fingerprint are taken as one.
+    /// Hashes everything that the node's future depends on, except random numbers. Two states with the same fingerprint are
+    /// treated as one state.
     pub fn fingerprint<H: Hasher>(&self, to: &mut Fingerprinter<H>) {
-        // Named one by one, so that a new field can't be forgotten.
+        // All fields are destructured by name, so that a new field cannot be forgotten.
         let ControlGroup {
             settings: GroupSettings { node_id, grace_period_ms, .. },
             view,
@@ -190,12 +192,12 @@
             to.time(*deadline, 0);
             to.time(*next_request_at, 0);
         }
-        // Of an older epoch it is of no use any more.
+        // An unknown primary of an older epoch has no effect any more.
         let unknown_primary = unknown_primary.filter(|unknown| unknown.epoch >= self.epoch());
         (view, durable_epoch, unknown_primary, state, committed, has_state).hash(to.hasher);
         (voted_for, persisted_vote_epoch, learners, connections, may_exit, effects.is_empty())
             .hash(to.hasher);
-        // In their order, for that is how the disk answers.
+        // Pending writes are hashed in order, because the disk completes them in order.
         pending_persists.len().hash(to.hasher);
         pending_persists.values().for_each(|pending| to.on_persisted(*node_id, pending));
         to.time(*heard_at.max(started_at), *grace_period_ms);
@@ -206,22 +208,22 @@
         to.role(self);
     }
 
-    /// The last number that this node gave to a write.
+    /// The last write number that this node issued.
     pub fn last_write_id(&self) -> u64 {
         self.last_write_id
     }
 
-    /// Random waits continue as from this state.
+    /// Sets the state of the random number generator, from which later random waits are drawn.
     pub fn set_random_state(&mut self, random_state: u64) {
         self.random_state = random_state;
     }
 
-    /// Whether this node may answer for the control state at this time.
+    /// Whether this node may answer requests about the control state at this time.
     pub fn can_serve(&self, now: Millis) -> bool {
         self.may_answer(now)
     }
 
-    /// Whether there is a value on the node's disk.
+    /// Whether there is a control state on the node's disk.
     pub fn has_state(&self) -> bool {
         self.has_state
     }
--- a/crates/control-group/src/lib.rs
+++ b/crates/control-group/src/lib.rs
@@ -1,25 +1,28 @@
-//! The control group: which control node decides on the control state, and which nodes store it. A state machine without I/O:
-//! events and the time of a steady clock go in, [`Effect`]s come out.
+//! The control group agrees on which control node is primary and which nodes store the control state. It is a state machine
+//! without I/O: it takes events and readings of a monotonic clock, and returns [`Effect`]s.
 //!
 //! The protocol is primary/backup replication with views that a majority of voters grants, as in PacificA (Lin et al. 2008) and
-//! viewstamped replication, with leases as in Gray and Cheriton 1989. The state is one value, a [`ControlState`]: the
-//! operators' configuration and the stores that are retired, with a serial that rises with each write. A primary writes the
-//! whole value to every replica before it acknowledges a change. A small group of voters keeps only the [`View`]: the epoch, who
-//! is primary, which nodes are replicas, and who votes. A new view is granted by a majority of voters, each with it on disk
-//! first; no log is replicated.
+//! viewstamped replication, and with leases as in Gray and Cheriton 1989. The replicated state is a single value, a
+//! [`ControlState`]: the operators' configuration and the retired stores, with a serial that rises with each write. The primary
+//! writes the whole value to every replica before it acknowledges a change. A small group of voters stores only the [`View`]:
+//! the epoch, the primary, the replicas and the voters. A new view needs grants from a majority of voters, and each voter writes
+//! the view to disk before it grants it. No log is replicated.
 //!
-//! What makes it safe:
-//! - A candidate is a replica by the newest membership that a majority knows, so it has whatever was acknowledged. A membership
-//!   is as new as the epoch in which a primary had it granted, not as the epoch of a later candidate that took it over.
+//! Safety rests on these rules:
+//! - A candidate has to be a replica according to the newest membership that a majority knows, so it has every acknowledged
+//!   write. A membership is as new as the epoch in which a primary had it granted, not as the epoch of a later candidate that
+//!   took it over unchanged.
 //! - A primary acts only on acknowledgements of heartbeats that it sent within the lease period, and a voter that acknowledged
-//!   one grants nothing to others for longer than that: periods on steady clocks, never the time of day.
-//! - A node that has lost its disk has forgotten what it granted. It votes again only after a majority of the others has told it
-//!   their view. As a replica it has no value, and becomes no candidate before the primary has filled it.
+//!   one grants no view to another node for a longer period. Both periods are measured on monotonic clocks, never by the time of
+//!   day.
+//! - A node that has lost its disk no longer knows which views it granted. It votes again only after a majority of the other
+//!   voters has sent it their views. It also has no control state, and does not become a candidate before the primary has sent
+//!   it the value.
 //!
-//! The modules, from the ground up: `clock`, `view`, `control_state`, `retirement`, `state_change`, `message`, `record`,
-//! `effect` and `settings` are the vocabulary; `proposal`, `replicated_write`, `role` and `node_state` are what a node keeps;
-//! `control_group` takes events in; `voter`, `backup`, `candidate`, `primary`, `departure`, `view_recovery` and `persistence`
-//! are what it does with them.
+//! The modules, from the lowest layer up: `clock`, `view`, `control_state`, `retirement`, `state_change`, `message`, `record`,
+//! `effect` and `settings` define the data types; `proposal`, `replicated_write`, `role` and `node_state` hold a node's state;
+//! `control_group` dispatches events; `voter`, `backup`, `candidate`, `primary`, `departure`, `view_recovery` and `persistence`
+//! handle them.
 
 mod backup;
 mod candidate;
--- a/crates/control-group/src/message.rs
+++ b/crates/control-group/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages between control nodes. Their order and fields are the wire format: see `tests/encoding.rs`.
+//! The messages between control nodes. The order of variants and fields is the wire format: see `tests/encoding.rs`.
 
 use crate::{ControlState, Millis, Rank, View};
 use serde::{Deserialize, Serialize};
@@ -6,68 +6,69 @@
 /// A message from one control node to another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// To all voters: a candidate, or a primary that changes the membership, asks them to grant a view.
+    /// Asks a voter to grant a view. Sent to all voters by a candidate, or by a primary that changes the membership.
     Propose {
-        /// Its primary is the sender.
+        /// The proposed view. Its primary is the sender.
         view: View,
-        /// The primary of the epoch before has stepped down and named the sender, so its lease need not run out first.
+        /// Whether the primary of the previous epoch has stepped down and named the sender, so that its lease need not expire
+        /// first.
         by_handover: bool,
     },
-    /// The sender has this view on disk. The epoch alone would not name it: a candidate that lost power may propose another view
-    /// of the same epoch.
+    /// The sender has written this view to disk. The message carries the whole view because the epoch does not identify it: a
+    /// candidate that lost power may propose a different view with the same epoch.
     Granted {
-        /// The view as it was proposed.
+        /// The granted view, as it was proposed.
         view: View,
     },
-    /// The sender did not grant what was proposed, or the receiver acts by an old view.
+    /// The sender did not grant the proposed view, or the receiver is acting under an old view.
     Denied {
         /// The newest view that the sender knows.
         view: View,
     },
-    /// From the primary: write this value to disk.
+    /// The primary asks the receiver to write this control state to disk.
     Store {
-        /// Of the primary's view.
+        /// The epoch of the primary's view.
         epoch: u64,
-        /// Names the write in the answer.
+        /// Identifies the write in the answer.
         write_id: u64,
-        /// The value.
+        /// The control state to write.
         state: ControlState,
     },
-    /// The value is on the sender's disk.
+    /// The control state of a [`Message::Store`] is on the sender's disk.
     Stored {
-        /// As in [`Message::Store`].
+        /// The epoch of the [`Message::Store`] that this answers.
         epoch: u64,
-        /// As in [`Message::Store`].
+        /// The number of the write that this answers.
         write_id: u64,
     },
-    /// From the primary to all voters and learners.
+    /// A heartbeat, sent by the primary to all voters and learners.
     Heartbeat(Heartbeat),
-    /// The answer to a heartbeat.
+    /// A voter's or learner's answer to the primary's heartbeat.
     HeartbeatAck(HeartbeatAck),
     /// The primary has stepped down and names the receiver as the next candidate.
     Handover {
-        /// Of the view by which the sender was primary.
+        /// The epoch of the view in which the sender was primary.
         epoch: u64,
-        /// The sender's process ends; else it steps down for another reason, such as a failing disk.
+        /// Whether the sender's process is shutting down. If false, it stepped down for another reason, such as a failing disk.
         is_shutting_down: bool,
     },
-    /// A voter's process ends, and the group is one larger than it needs to be: it asks to be removed.
+    /// A voter whose process is shutting down asks to be removed, because the group has one voter more than it needs.
     Leave {
-        /// Of the sender's view.
+        /// The epoch of the sender's view.
         epoch: u64,
     },
-    /// Asks for the receiver's view.
+    /// Asks for the view that the receiver knows or proposes.
     ViewRequest,
-    /// The view that the sender knows or has proposed; also sent unasked.
+    /// The view that the sender knows or has proposed. Also sent without a request.
     ViewReply {
-        /// None: the sender has lost its view too.
+        /// The sender's view; `None` if the sender does not know a view either.
         view: Option<View>,
     },
-    /// Asks for the value that is committed at the receiver.
+    /// Asks for the control state that is committed at the receiver.
     StateRequest,
-    /// The value that is committed at the sender.
+    /// The control state that is committed at the sender.
     StateReply {
-        /// The value.
+        /// The committed control state.
         state: ControlState,
     },
 }
@@ -75,27 +76,31 @@
 /// A primary's heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Of the primary's view.
+    /// The epoch of the primary's view.
     pub epoch: u64,
-    /// By the primary's clock. An acknowledgement returns it, and renews the lease from then on.
+    /// When the heartbeat was sent, by the primary's clock. The acknowledgement returns this time, and the renewed lease counts
+    /// from it.
     pub sent_at: Millis,
-    /// The rank of the value that is committed at the primary.
+    /// The rank of the control state that is committed at the primary.
     pub committed: Rank,
-    /// The digest of that value.
+    /// The digest of the control state that is committed at the primary.
     pub committed_digest: u64,
-    /// The `sent_at` of the last heartbeat that the receiver has acknowledged; none if the primary has not got the lease.
+    /// The `sent_at` of the last heartbeat that the receiver has acknowledged; `None` if there is none or the primary does not
+    /// hold the lease.
     pub last_acked: Option<Millis>,
 }
 
-/// The answer to a heartbeat.
+/// A voter's or learner's answer to the primary's heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HeartbeatAck {
-    /// Of the heartbeat.
+    /// The epoch of the acknowledged heartbeat.
     pub epoch: u64,
-    /// Of the heartbeat, by the primary's clock.
+    /// The `sent_at` of the acknowledged heartbeat, by the primary's clock.
     pub sent_at: Millis,
-    /// The sender grants nothing to others for a grace period, so this counts for the primary's lease.
+    /// Whether the sender grants no view to other nodes for a grace period, so that this acknowledgement counts for the
+    /// primary's lease.
     pub is_voting: bool,
-    /// The sender has a value on disk. Without one it may be named as a replica, but has to be filled first.
+    /// Whether the sender has a control state on disk. A node without one may be named as a replica, but the primary has to send
+    /// it the value first.
     pub has_state: bool,
 }
--- a/crates/control-group/src/node_state.rs
+++ b/crates/control-group/src/node_state.rs
@@ -1,49 +1,49 @@
-//! The parts of a node's state that several modules share.
+//! Parts of a node's state that several modules use.
 
 use crate::{ControlState, Millis, NodeId, View};
 use std::collections::BTreeMap;
 
-/// Whether there is a connection to another node.
+/// The state of the connection to another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Connection {
     Open,
     Broken,
 }
 
-/// What a node last heard from, or promised to, a primary or candidate.
+/// The kind of event that last bound a node's vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum LastHeard {
     Heartbeat,
-    /// It granted a view, or has just started.
+    /// The node granted a view, or has just started.
     GrantOrStart,
 }
 
-/// A node that sends heartbeats by a view that this node does not know.
+/// A primary that sends heartbeats under a view that this node does not know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct UnknownPrimary {
     pub epoch: u64,
     pub node: NodeId,
 }
 
-/// What is done when a record is on disk.
+/// The action to take when a record is on disk.
 #[derive(Clone, Debug, Hash)]
 pub(crate) enum OnPersisted {
-    /// Tell the proposer that its view is granted.
+    /// Tell the proposer that this node has granted its view.
     SendGrant { to: NodeId, view: View },
     /// Count this node's own grant of the view that it proposes.
     CountOwnGrant { view: View },
-    /// Act by a view that another has proposed.
+    /// Act under a view that another node has proposed.
     ConfirmView { view: View },
-    /// Tell the primary that its value is stored.
+    /// Tell the primary that its control state is on this node's disk.
     SendStored { to: NodeId, epoch: u64, write_id: u64, state: ControlState },
-    /// Count this node's own replica.
+    /// Count this node as a replica that has stored the primary's write.
     CountOwnReplica { write_id: u64 },
-    /// The record is written for a restart only.
+    /// Take no action: the record is only read after a restart.
     Nothing,
 }
 
 impl OnPersisted {
-    /// The view that is written.
+    /// The view that is being written to disk, if the record is a view.
     pub fn view(&self) -> Option<&View> {
         match self {
             OnPersisted::SendGrant { view, .. }
@@ -54,11 +54,11 @@
     }
 }
 
-/// What a node without a view has been told.
+/// The replies that a node without a view has received to its view requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ViewRecovery {
     pub next_request_at: Millis,
-    /// The last view that each node has replied.
+    /// The last view that each node has sent.
     pub replies: BTreeMap<NodeId, View>,
 }
 
@@ -72,10 +72,10 @@
     }
 }
 
-/// A node that ends, and waits to be removed from the voters.
+/// A shutdown during which this node waits to be removed from the voters.
 #[derive(Clone, Debug)]
 pub(crate) struct Departure {
-    /// It ends then, removed or not.
+    /// The process exits at this time, whether or not the node has been removed.
     pub deadline: Millis,
     pub next_request_at: Millis,
 }
--- a/crates/control-group/src/persistence.rs
+++ b/crates/control-group/src/persistence.rs
@@ -1,4 +1,4 @@
-//! Records that are on their way to the disk, and what follows when the disk has them.
+//! Records that are being written to disk, and the actions that follow once they are durable.
 
 use crate::node_state::OnPersisted;
 use crate::{ControlGroup, Effect, Message, Millis, Record, View};
@@ -11,14 +11,15 @@
         self.effects.push(Effect::Persist { ticket, record });
     }
 
-    /// Writes a view, unless that is under way. Called again when the view is asked for again: the disk may have refused it.
+    /// Writes a view to disk, unless that write is under way. It is called again when the view is requested again, because the
+    /// disk may have refused the first write.
     pub(crate) fn persist_view(&mut self, view: View, then: OnPersisted) {
         if !self.pending_persists.values().any(|pending| pending.view() == Some(&view)) {
             self.persist(Record::View(view), then);
         }
     }
 
-    /// The disk has a record, or could not take it (`is_durable` is false).
+    /// Handles the result of writing a record: it is on disk, or `is_durable` is false and the disk could not write it.
     pub fn persisted(&mut self, now: Millis, ticket: u64, is_durable: bool) {
         let Some(then) = self.pending_persists.remove(&ticket) else { return };
         if is_durable {
@@ -31,7 +32,7 @@
     fn record_is_durable(&mut self, now: Millis, then: OnPersisted) {
         match then {
             OnPersisted::SendGrant { to, view } => {
-                // One that was overtaken in the meantime is not granted any more.
+                // A view that was superseded while it was being written is no longer granted.
                 if self.view_is_durable(&view) {
                     self.send(to, Message::Granted { view });
                 }
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Notes that a view is on disk, if it is still the newest. Returns whether it is.
+    /// Records that a view is on disk, if it is still the newest one. Returns whether it is.
     fn view_is_durable(&mut self, view: &View) -> bool {
         let is_newest = self.view.as_ref() == Some(view);
         if is_newest {
--- a/crates/control-group/src/planted.rs
+++ b/crates/control-group/src/planted.rs
@@ -1,59 +1,59 @@
-//! Faults for the search in `crates/model-check/` to find.
+//! Deliberate protocol faults that the search in `crates/model-check/` has to find.
 //!
-//! Only the search's own build of these sources has the feature `planted`. Without it no fault can be set, and the compiler
-//! removes the branches.
+//! Only the build of these sources for the search enables the feature `planted`. In other builds no fault can be set, and the
+//! compiler removes the branches.
 
 #[cfg(not(feature = "planted"))]
 use crate::ControlGroup;
 
-/// A fault that undoes one rule of the protocol. The name is the one to give to the search on its command line.
+/// A fault that disables one rule of the protocol. The variant's name is also its name on the command line of the search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Planted {
-    /// The lease outlasts the grace period, after which others are voted for.
+    /// The lease outlasts the grace period, after which voters may vote for other candidates.
     LongLease,
-    /// The lease counts from when an acknowledgement arrived, not from when its heartbeat was sent.
+    /// The lease is counted from the arrival of an acknowledgement instead of from the sending of its heartbeat.
     LeaseByArrival,
-    /// The lease is as long as the grace period, but for 20 ms: clocks that drift make it outlast that.
+    /// The lease is only 20 ms shorter than the grace period, so that drifting clocks make it outlast the grace period.
     ThinMargin,
-    /// A write is acknowledged when the first replica has it.
+    /// A write is acknowledged as soon as the first replica has stored it.
     EarlyAnswer,
-    /// Another body of the present version is accepted.
+    /// A configuration with the current version and a different body is accepted.
     EqualTaken,
-    /// A value that is reported as committed is taken for that, whatever was committed before.
+    /// A control state that is reported as committed replaces the committed one, even if it is older.
     CommitGoesBack,
-    /// A value with the right rank is taken for the committed one, whatever its digest.
+    /// A control state with the rank of the committed one is taken for it without a comparison of digests.
     DigestUnheeded,
-    /// A candidate becomes primary with its own vote alone.
+    /// A candidate becomes primary with only its own vote.
     OwnVoteEnough,
-    /// A voter grants a second view of one epoch.
+    /// A voter grants a second view of the same epoch.
     GrantedTwice,
-    /// A grant is sent before it is on disk.
+    /// A grant is sent before the view is on disk.
     GrantUnsynced,
-    /// A node that has lost its disk takes itself for one of a new group.
+    /// A node that has lost its disk acts as a node of a new group.
     BlankVotes,
-    /// A replica that has lost its value becomes a candidate.
+    /// A replica that has lost its control state becomes a candidate.
     UnfilledCandidate,
-    /// A membership is taken for as new as the epoch that goes with it.
+    /// A membership is considered as new as the epoch of the view that contains it.
     MembershipEpochIgnored,
-    /// A write that a replica may have is answered as not committed.
+    /// A write that a replica may have stored is answered as not committed.
     BegunForgotten,
-    /// No node adopts a view that it is told.
+    /// Nodes do not adopt views that other nodes send them.
     NeverAdopts,
-    /// One voter takes the place of another in one change: majorities of before and after need not meet.
+    /// One voter replaces another in a single change, so that majorities before and after the change need not intersect.
     SwapAtOnce,
-    /// A voter is taken for lost after 3 s of silence, and not sooner.
+    /// A voter is considered lost only after 3 s of silence.
     GoneStays,
-    /// A replica is named in place of another before it is filled.
+    /// A node is named as a replica in place of another before it has the control state.
     UnfilledNamed,
-    /// A change of voters is begun whoever is present, and never reverted.
+    /// A change of voters is begun even if the voters needed to grant it are absent, and is never reverted.
     BlindChange,
-    /// Any node that acknowledges a heartbeat counts for the lease, also one that is no voter.
+    /// Every node that acknowledges a heartbeat counts for the lease, even one that is not a voter.
     LearnersCount,
 }
 
 #[cfg(feature = "planted")]
 impl Planted {
-    /// All faults.
+    /// All faults that the search can be started with.
     pub const ALL: [Planted; 20] = [
         Planted::OwnVoteEnough,
         Planted::LongLease,
--- a/crates/control-group/src/primary/handover.rs
+++ b/crates/control-group/src/primary/handover.rs
@@ -1,14 +1,14 @@
-//! Handing leadership over to another replica, and the orderly end of a process.
+//! Handover of leadership to another replica, and graceful shutdown.
 
 use crate::role::Role;
 use crate::{ControlGroup, Message, Millis, NodeId, View};
 
-/// How long a node that is told to end waits at most for its leadership or its vote to be taken from it.
+/// The longest time in milliseconds that a shutdown waits for the handover of leadership or the removal of this voter.
 const SHUTDOWN_TIMEOUT: Millis = 500;
 
 impl ControlGroup {
-    /// The process is to end: leadership goes to a replica that is alive. [`ReadyToExit`](crate::Effect::ReadyToExit) follows
-    /// after half a second at the latest.
+    /// Begins a graceful shutdown: leadership is handed over to a live replica. [`ReadyToExit`](crate::Effect::ReadyToExit)
+    /// follows after half a second at the latest.
     pub fn shut_down(&mut self, now: Millis) {
         let deadline = now + SHUTDOWN_TIMEOUT;
         if let Role::Primary(leadership) = &mut self.role {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Whether the process is to end, and nothing is under way any more or the time for it is over.
+    /// Whether a shutdown was requested, and either no work is under way any more or the deadline has passed.
     pub(super) fn should_hand_over(&self, now: Millis, view: &View) -> bool {
         let Role::Primary(leadership) = &self.role else { return false };
         let Some(deadline) = leadership.exit_deadline else { return false };
@@ -34,7 +34,7 @@
         is_idle || now >= deadline
     }
 
-    /// Steps down, names a successor if there is one, and lets the process end.
+    /// Steps down, names a successor if there is one, and lets the process exit.
     pub(super) fn hand_over_and_exit(&mut self, now: Millis) {
         let (successor, epoch) = (self.successor(now), self.epoch());
         self.step_down(now);
@@ -44,7 +44,7 @@
         self.exit();
     }
 
-    /// Steps down and names a successor; stays primary if there is none.
+    /// Steps down and names a successor. Without a possible successor the node stays primary.
     pub(super) fn hand_over_if_possible(&mut self, now: Millis) {
         let Some(successor) = self.successor(now) else { return };
         let epoch = self.epoch();
@@ -52,7 +52,7 @@
         self.send(successor, Message::Handover { epoch, is_shutting_down: false });
     }
 
-    /// A replica that is alive. It has whatever was acknowledged, committed or not.
+    /// A live replica to hand over to. It has every acknowledged write, committed or not.
     fn successor(&self, now: Millis) -> Option<NodeId> {
         let Role::Primary(leadership) = &self.role else { return None };
         let is_able = |node: &NodeId| {
@@ -64,7 +64,7 @@
         self.view.as_ref()?.replicas.iter().copied().find(is_able)
     }
 
-    /// A voter's process ends.
+    /// Handles a voter's request to be removed because its process is shutting down.
     pub(crate) fn leave_requested(&mut self, now: Millis, from: NodeId, epoch: u64) {
         let own_epoch = self.epoch();
         let Role::Primary(leadership) = &mut self.role else { return };
--- a/crates/control-group/src/primary/mod.rs
+++ b/crates/control-group/src/primary/mod.rs
@@ -1,5 +1,4 @@
-//! The primary's part: what it does when its leadership begins, at each event, and when it ends. The modules below have one
-//! concern each.
+//! Primary: its actions when leadership begins, at each event, and when leadership ends. Each submodule covers one concern.
 
 mod handover;
 mod heartbeats;
@@ -23,11 +22,11 @@
         self.role_changed(self.epoch(), RoleChange::BecamePrimary);
     }
 
-    /// The node is a backup from here on. Who waits for an answer gets one.
+    /// Makes this node a backup, and answers all callers whose requests are pending.
     pub(crate) fn step_down(&mut self, now: Millis) {
         self.schedule_candidacy(now);
         let Role::Primary(leadership) = std::mem::replace(&mut self.role, Role::Backup) else { return };
-        // Where it was to end, and another leads before it handed its role over, it leaves as a backup does.
+        // If this primary was shutting down and another node took over before the handover, it leaves as a backup does.
         self.departure = leadership.exit_deadline.map(|deadline| Departure::new(now, deadline));
         let under_way = leadership.write.and_then(|write| write.request);
         self.effects.extend(under_way.and_then(|request| request.answer(Verdict::Uncertain)));
@@ -37,10 +36,10 @@
         self.role_changed(self.epoch(), RoleChange::SteppedDown);
     }
 
-    /// Does what a primary has to do now. Each step looks at the state that the one before has left.
+    /// Carries out the primary's due work. Each step uses the state that the previous step left.
     pub(crate) fn lead(&mut self, now: Millis) {
         if self.may_answer(now) && self.committed.as_ref() != Some(&self.state) {
-            // Also what was stored by all replicas while the lease had lapsed.
+            // This also commits a control state that all replicas stored while the lease had expired.
             self.commit(self.state.clone());
         }
         let Some(view) = self.view.clone() else { return };
--- a/crates/control-group/src/primary/replica_changes.rs
+++ b/crates/control-group/src/primary/replica_changes.rs
@@ -1,20 +1,21 @@
-//! Changes of the replicas: one that is lost is replaced by a voter, which is filled before it is named.
+//! Changes of the replicas: a lost replica is replaced by a voter, which receives the control state before it is named as a
+//! replica.
 
 use crate::replicated_write::{QueuedRequest, ReplicaReplacement, ReplicatedWrite, WriteProgress};
 use crate::role::{Leadership, Role, PEER_SILENCE_LIMIT};
 use crate::{ControlGroup, Millis, NodeId, Planted, View};
 
-/// Whether the write under way leaves room for a change of replicas.
-enum UnderWay {
-    /// It goes on, or there is nobody to change to.
+/// Whether the write under way permits a change of replicas.
+enum PendingWriteAction {
+    /// The write continues, or there is no voter that could replace the lost replica.
     Continue,
-    /// It can only end with other replicas.
+    /// The write can only complete with other replicas.
     Abandon,
     Nothing,
 }
 
 impl ControlGroup {
-    /// Fills and names another voter, if there are too few replicas or one does not answer; else looks after the voters.
+    /// Adds another voter as a replica, if there are too few replicas or one does not answer; otherwise checks the voters.
     pub(super) fn maintain_replicas(&mut self, now: Millis, view: &View) {
         if !self.holds_lease(now) {
             return;
@@ -31,10 +32,10 @@
         }
         let lost = self.lost_replicas(now, leadership, view);
         let spare = self.spare_replica(now, leadership, view);
-        match self.write_under_way(now, leadership, &lost, spare) {
-            UnderWay::Continue => return,
-            UnderWay::Abandon => self.abandon_write(now),
-            UnderWay::Nothing => {}
+        match self.pending_write_action(now, leadership, &lost, spare) {
+            PendingWriteAction::Continue => return,
+            PendingWriteAction::Abandon => self.abandon_write(now),
+            PendingWriteAction::Nothing => {}
         }
         let is_replica_missing = view.replicas.len() - lost.len() < self.wanted_replicas(view);
         match spare.filter(|_| is_replica_missing) {
@@ -48,7 +49,7 @@
         (self.settings.tolerated_replica_losses(voters) + 1).min(voters)
     }
 
-    /// Replicas that are lost, or whose disk does not take what they are sent.
+    /// The replicas that are lost, or whose disks do not store the writes sent to them.
     fn lost_replicas(&self, now: Millis, leadership: &Leadership, view: &View) -> Vec<NodeId> {
         let slow_write = leadership.write.as_ref().filter(|write| is_slow(now, write));
         let is_lost = |node: &NodeId| {
@@ -61,7 +62,7 @@
         others.copied().filter(is_lost).collect()
     }
 
-    /// A voter that is no replica and may become one.
+    /// A voter that is not a replica and may become one.
     fn spare_replica(&self, now: Millis, leadership: &Leadership, view: &View) -> Option<NodeId> {
         let is_able = |node: &NodeId| {
             !view.replicas.contains(node)
@@ -72,28 +73,28 @@
         view.voters.iter().copied().find(is_able)
     }
 
-    fn write_under_way(
+    fn pending_write_action(
         &self,
         now: Millis,
         leadership: &Leadership,
         lost: &[NodeId],
         spare: Option<NodeId>,
-    ) -> UnderWay {
-        let Some(write) = &leadership.write else { return UnderWay::Nothing };
+    ) -> PendingWriteAction {
+        let Some(write) = &leadership.write else { return PendingWriteAction::Nothing };
         if let Some(ReplicaReplacement { joining, .. }) = &write.replacement {
             let is_joining_lost =
                 is_slow(now, write) || self.is_disconnected(joining) || !leadership.is_alive(now, joining);
-            return if is_joining_lost { UnderWay::Abandon } else { UnderWay::Continue };
+            return if is_joining_lost { PendingWriteAction::Abandon } else { PendingWriteAction::Continue };
         }
         let waits_for_lost_only = !lost.is_empty() && write.missing.iter().all(|node| lost.contains(node));
         if waits_for_lost_only && spare.is_some() {
-            UnderWay::Abandon
+            PendingWriteAction::Abandon
         } else {
-            UnderWay::Continue
+            PendingWriteAction::Continue
         }
     }
 
-    /// A write that waits for a lost replica is done again with the replicas that come after it.
+    /// Abandons a write that waits for a lost replica. It is repeated with the replicas that follow.
     fn abandon_write(&mut self, now: Millis) {
         let Role::Primary(leadership) = &mut self.role else { return };
         let Some(write) = leadership.write.take() else { return };
@@ -104,11 +105,11 @@
             let progress = WriteProgress::Begun;
             leadership.queue.push_front(QueuedRequest { request, queued_at: now, progress });
         }
-        // The replicas that are left are made alike again: what was answered late may be on all of them.
+        // The remaining replicas have to be synchronized again, because a late write may have reached all of them.
         leadership.is_state_replicated = false;
     }
 
-    /// Fills the node that joins; it is named when it has the value.
+    /// Sends the control state to the joining node, which is named as a replica once it has stored it.
     fn replace_replicas(&mut self, now: Millis, replacement: ReplicaReplacement) {
         if self.planted(Planted::UnfilledNamed) {
             return self.name_replica(now, &replacement);
@@ -116,10 +117,10 @@
         self.fill(now, replacement);
     }
 
-    /// Proposes the view without the replicas that were lost, and with one that has been filled.
+    /// Proposes a view without the lost replicas, and with one that has stored the control state.
     ///
-    /// No more replicas than are wanted: each write waits for all, and whether one that seemed lost is back does not matter any
-    /// more.
+    /// The number of replicas is kept to the wanted one, because each write waits for all of them. A replica that only seemed
+    /// lost is removed even if it is back.
     pub(super) fn name_replica(&mut self, now: Millis, replacement: &ReplicaReplacement) {
         let Some(mut membership) = self.view.clone() else { return };
         membership.replicas.retain(|node| !replacement.lost.contains(node));
--- a/crates/control-group/src/primary/view_change.rs
+++ b/crates/control-group/src/primary/view_change.rs
@@ -1,4 +1,4 @@
-//! How a primary has another membership granted: the same view with other replicas or voters, under the next epoch.
+//! Membership changes by a primary: the same view with other replicas or voters, under the next epoch.
 
 use crate::node_state::OnPersisted;
 use crate::proposal::Proposal;
@@ -20,7 +20,7 @@
         self.propose(&next, &previous_voters, false);
     }
 
-    /// A proposal, or its answer, may have been lost: it is sent again while it is not granted.
+    /// Repeats the proposed membership change until it is granted, because a proposal or its answer may have been lost.
     pub(super) fn repeat_membership_proposal(&mut self, now: Millis) {
         let interval = self.settings.heartbeat_interval_ms;
         let Role::Primary(leadership) = &mut self.role else { return };
@@ -37,7 +37,7 @@
         self.propose(&view, &previous_voters, false);
     }
 
-    /// A voter has a view on its disk that this node proposed.
+    /// Handles a grant: a voter has written a view to disk that this node proposed.
     pub(crate) fn granted(&mut self, now: Millis, from: NodeId, view: View) {
         match &mut self.role {
             Role::Candidate(proposal) if proposal.view == view => {
@@ -60,7 +60,7 @@
         }
         let previous_voters = std::mem::take(&mut change.previous.voters);
         leadership.membership_change = None;
-        // A voter that was removed counts anew, should it come again.
+        // Acknowledgements of a removed voter are discarded, so that it counts as new if it joins again.
         leadership.acked.retain(|node, _| view.voters.contains(node) || !previous_voters.contains(node));
         leadership.next_heartbeat_at = now;
         self.durable_epoch = self.durable_epoch.max(view.epoch);
@@ -71,7 +71,7 @@
         self.lead(now);
     }
 
-    /// A removed voter gets no heartbeats, and may wait to be removed.
+    /// Sends the new view to removed voters, which get no more heartbeats and may be waiting for their removal.
     fn notify_removed_voters(&mut self, previous_voters: &[NodeId], view: &View) {
         for voter in previous_voters.iter().filter(|voter| !view.voters.contains(voter)) {
             self.send(*voter, Message::ViewReply { view: Some(view.clone()) });
--- a/crates/control-group/src/primary/voter_changes.rs
+++ b/crates/control-group/src/primary/voter_changes.rs
@@ -1,18 +1,19 @@
-//! Changes of the voters: a node that is lost is removed, and one that comes is added, one change at a time.
+//! Changes of the voters: lost voters are removed and new nodes are added, one change at a time.
 
 use crate::proposal::Proposal;
 use crate::role::{Leadership, Role, PEER_ABSENCE_LIMIT, PEER_SILENCE_LIMIT};
 use crate::view::is_majority;
 use crate::{ControlGroup, Millis, NodeId, Planted, View};
 
-/// By the fault `GoneStays` a voter is taken for lost after so long, and not sooner.
+/// The silence in milliseconds after which a voter is considered lost under the fault `GoneStays`.
 const FAULTY_SILENCE_LIMIT: Millis = 3_000;
 
 impl ControlGroup {
-    /// Removes or adds one voter, if that is called for.
+    /// Removes or adds one voter, if that is needed.
     ///
-    /// One at a time, so that any majority of before and any of after have a node in common: a voter that has granted a change
-    /// which was never granted by enough still needs a majority of the voters that it knows, and so may the others.
+    /// Only one voter is changed at a time, so that every majority before the change and every majority after it have a node in
+    /// common. A voter that has granted a change that never gained enough grants still needs a majority of the voters that it
+    /// knows, and so may the other voters.
     pub(super) fn maintain_voters(&mut self, now: Millis, view: &View) {
         let has_committed = self.committed.as_ref().is_some_and(|committed| committed.serial > 0);
         let Role::Primary(leadership) = &self.role else { return };
@@ -23,7 +24,8 @@
         if leadership.exit_deadline.is_some() && !self.is_half_replaced(now, leadership, view) {
             return;
         }
-        // A change that is proposed and never granted holds up everything: it is not begun without both majorities in sight.
+        // A proposed change that is never granted blocks all other changes, so it is begun only if majorities of the old and the
+        // new voters are present.
         if self.is_majority_present(now, leadership, &voters)
             && self.is_majority_present(now, leadership, &view.voters)
         {
@@ -40,16 +42,17 @@
         is_majority(voters, voters.iter().filter(is_present))
     }
 
-    /// The voters by the next change; none if the voters are as they should be.
+    /// The voters after the next change; `None` if no change is needed.
     ///
-    /// A lost voter is replaced in two changes, one right after the other. It is removed first: so the loss of the node that
-    /// comes, as it comes, holds nothing up. While none comes it stays, for it may only be restarting; but from an even number
-    /// of voters, which tolerates no more losses than one voter less, it is removed at once.
+    /// A lost voter is replaced in two consecutive changes. It is removed first, so that the loss of the joining node during its
+    /// arrival blocks nothing. Until another node joins, the lost voter is kept, because it may only be restarting. From an even
+    /// number of voters, which tolerates no more losses than one voter fewer, it is removed at once.
     fn next_voters(&self, now: Millis, leadership: &Leadership, view: &View) -> Option<Vec<NodeId>> {
         let voters = &view.voters;
         let others = || voters.iter().filter(|voter| **voter != self.settings.node_id);
         let joining = self.joining_voter(now, leadership, view);
-        // A replica is removed only when another was filled in its place; where there is none yet, that comes first.
+        // A replica is removed from the voters only after another node has replaced it as a replica; if none has, that change
+        // comes first.
         let lost = others()
             .find(|voter| !view.replicas.contains(voter) && self.is_lost(now, leadership, view, voter));
         if let Some(lost) = lost.filter(|_| joining.is_some() || voters.len().is_multiple_of(2)) {
@@ -60,8 +63,8 @@
             };
             return Some(next.into_iter().filter(|voter| voter != lost).collect());
         }
-        // A voter that has just fallen silent may be lost: until that is known none joins, or the group would tolerate less
-        // than before.
+        // A voter that has just fallen silent may be lost. Until that is known no node joins, or the group would tolerate fewer
+        // losses than before.
         let is_any_in_doubt = others().any(|voter| {
             !self.is_present(now, leadership, voter) && !self.is_lost(now, leadership, view, voter)
         });
@@ -79,17 +82,17 @@
         self.learners.iter().copied().find(may_join)
     }
 
-    /// Whether a lost voter was removed, and the node that comes in its place is yet to join: the end of this primary now would
-    /// be the second loss.
+    /// Whether a lost voter was removed and the node that replaces it has not joined yet. The loss of this primary at this
+    /// moment would be the second loss.
     pub(super) fn is_half_replaced(&self, now: Millis, leadership: &Leadership, view: &View) -> bool {
         let adds_voter = |next: Vec<NodeId>| next.len() > view.voters.len();
         view.voters.len().is_multiple_of(2) && self.next_voters(now, leadership, view).is_some_and(adds_voter)
     }
 
-    /// Proposes the present voters again, if others were proposed and those who would have to grant them are lost.
+    /// Proposes the current voters again, if other voters were proposed and the nodes that would have to grant them are lost.
     ///
-    /// A node that has granted the other voters needs a majority of them, and that has a node in common with the majority that
-    /// grants this.
+    /// This is safe: a node that has granted the other voters needs a majority of them, and that majority has a node in common
+    /// with the one that grants this proposal.
     pub(super) fn revert_stuck_voter_change(&mut self, now: Millis, view: &View) {
         let Role::Primary(leadership) = &self.role else { return };
         let is_stuck = |change: &Proposal| {
@@ -108,7 +111,7 @@
             && !self.is_disconnected(node)
     }
 
-    /// Whether the node leaves for good, has been silent for long, or its connection broke and it was not back soon.
+    /// Whether the node is leaving for good, has exceeded the silence limit, or did not return soon after its connection broke.
     fn is_lost(&self, now: Millis, leadership: &Leadership, view: &View, node: &NodeId) -> bool {
         if self.planted(Planted::GoneStays) {
             let last = leadership.acked.get(node).unwrap_or(&leadership.began_at);
@@ -118,13 +121,14 @@
         Self::is_leaving_for_good(leadership, view, node) || leadership.is_silent(now, node, limit)
     }
 
-    /// Whether the node's process ends and the group does not need it. In an odd group an end is taken for a restart.
+    /// Whether the node's process is shutting down and the group does not need it. In an odd group a shutdown is treated as a
+    /// restart.
     pub(super) fn is_leaving_for_good(leadership: &Leadership, view: &View, node: &NodeId) -> bool {
         view.voters.len().is_multiple_of(2) && leadership.departing.contains(node)
     }
 }
 
-/// In the order of addresses.
+/// The voters including the joining one, sorted by address.
 fn with_voter(voters: &[NodeId], joining: NodeId) -> Vec<NodeId> {
     let mut next: Vec<NodeId> = voters.iter().copied().chain([joining]).collect();
     next.sort();
--- a/crates/control-group/src/primary/writes.rs
+++ b/crates/control-group/src/primary/writes.rs
@@ -1,4 +1,5 @@
-//! Requests to change the control state, and the writes that bring each to all replicas: one at a time, the others wait.
+//! Requests to change the control state, and the writes that replicate the changes. One write is under way at a time; other
+//! requests are queued.
 
 use crate::node_state::OnPersisted;
 use crate::replicated_write::{
@@ -13,28 +14,28 @@
 };
 use std::collections::BTreeSet;
 
-/// The most requests that wait.
+/// The maximum number of queued requests.
 const MAX_QUEUED_REQUESTS: usize = 32;
 
 impl ControlGroup {
-    /// Replaces the operators' configuration. The answer is an [`Effect::Answer`] with this ticket.
+    /// Requests a replacement of the operators' configuration. The answer is an [`Effect::Answer`] with this ticket.
     pub fn replace_configuration(&mut self, now: Millis, ticket: u64, version: u64, body: Vec<u8>) {
         let change = StateChange::Configuration { version, body };
         self.accept_request(now, ChangeRequest { ticket: Some(ticket), change });
     }
 
-    /// Orders a store to be retired. The answer is an [`Effect::Answer`] with this ticket.
+    /// Requests the retirement of a store. The answer is an [`Effect::Answer`] with this ticket.
     ///
-    /// The caller has checked the order against [`readable_state`](ControlGroup::readable_state) and
-    /// [`pending_retirements`](ControlGroup::pending_retirements).
+    /// The caller has to check the request against [`readable_state`](ControlGroup::readable_state) and
+    /// [`pending_retirements`](ControlGroup::pending_retirements) first.
     pub fn retire_store(&mut self, now: Millis, ticket: u64, node: u32, name: String) {
         let change = StateChange::Retire { node, name };
         self.accept_request(now, ChangeRequest { ticket: Some(ticket), change });
     }
 
-    /// Records that a retirement has come further.
+    /// Records that a retirement has reached a later stage.
     ///
-    /// Only the primary does, and nobody waits for an answer: call it again until the value says so.
+    /// Only the primary does this, and no answer is given: call it again until the control state has the new stage.
     pub fn advance_retirement(&mut self, now: Millis, node: u32, stage: RetirementStage) {
         let request = ChangeRequest { ticket: None, change: StateChange::Advance { node, stage } };
         if !self.may_answer(now) || self.requests().any(|pending| *pending == request) {
@@ -56,7 +57,7 @@
         self.lead(now);
     }
 
-    /// The request under way, and those that wait.
+    /// The requests that are being written or are queued.
     fn requests(&self) -> impl Iterator<Item = &ChangeRequest> {
         let leadership = match &self.role {
             Role::Primary(leadership) => Some(leadership),
@@ -67,7 +68,7 @@
         under_way.into_iter().chain(queue.map(|queued| &queued.request))
     }
 
-    /// Stores whose retirement is on its way to the replicas, or waits for its turn.
+    /// The stores whose retirement is being written to the replicas or is queued.
     pub fn pending_retirements(&self) -> impl Iterator<Item = u32> + '_ {
         self.requests().filter_map(|request| match request.change {
             StateChange::Retire { node, .. } => Some(node),
@@ -88,7 +89,7 @@
         self.effects.push(effect);
     }
 
-    /// Answers those who have waited for too long. The write under way goes on.
+    /// Answers the requests that have timed out. The write under way continues.
     pub(super) fn expire_requests(&mut self, now: Millis) {
         let Role::Primary(leadership) = &mut self.role else { return };
         if let Some(write) = leadership.write.as_mut().filter(|write| now > write.began_at + WRITE_TIMEOUT) {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Answers a request that is not carried out any more.
+    /// Answers a request that is no longer carried out.
     pub(super) fn abandon(&mut self, queued: QueuedRequest) {
         let is_begun = queued.progress == WriteProgress::Begun && !self.planted(Planted::BegunForgotten);
         let verdict = if is_begun { Verdict::Uncertain } else { Verdict::NotCommitted };
@@ -131,8 +132,8 @@
         let has_lost_state =
             |node: &NodeId| leadership.without_state.contains(node) && leadership.acked.contains_key(node);
         if !leadership.is_state_replicated || view.replicas.iter().any(has_lost_state) {
-            // The own value may be on no other replica, or a replica may have an abandoned one, or have lost its disk: all are
-            // made alike first.
+            // The primary's control state may be on no other replica, or a replica may have the value of an abandoned write or
+            // have lost its disk. All replicas are synchronized first.
             return self.write(now, self.state.clone(), None, &view.replicas, None);
         }
         if has_enough_replicas && leadership.exit_deadline.is_none() {
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Answers the requests that change nothing, and begins a write for the first that does.
+    /// Answers queued requests that change nothing, and begins a write for the first one that changes the control state.
     fn begin_queued_write(&mut self, now: Millis, view: &View) {
         let equal_version =
             if self.planted(Planted::EqualTaken) { EqualVersion::Accepted } else { EqualVersion::Ignored };
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Sends the present value to a node that is to become a replica.
+    /// Sends the current control state to a node that is about to become a replica.
     pub(super) fn fill(&mut self, now: Millis, replacement: ReplicaReplacement) {
         self.write(now, self.state.clone(), None, &[replacement.joining], Some(replacement));
     }
@@ -192,7 +193,7 @@
         }
     }
 
-    /// A message, or its answer, may have been lost: the value is sent again to those who have not stored it.
+    /// Sends the control state again to the nodes that have not stored it, because a message or its answer may have been lost.
     pub(super) fn repeat_write(&mut self, now: Millis, view: &View) {
         let interval = self.settings.heartbeat_interval_ms;
         let Role::Primary(leadership) = &mut self.role else { return };
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Whether this node's own disk has not taken a write for long.
+    /// Whether this node's own disk has left a write incomplete for longer than the silence limit.
     pub(super) fn is_own_disk_stuck(&self, now: Millis) -> bool {
         let Role::Primary(leadership) = &self.role else { return false };
         leadership.write.as_ref().is_some_and(|write| {
@@ -214,7 +215,8 @@
         })
     }
 
-    /// The own disk refuses a record, or hangs: another node is to lead. Whether the replicas have what was written is not known.
+    /// Hands leadership over if possible, because this node's disk refused a record or hangs. Whether the replicas have stored
+    /// the write under way is unknown.
     pub(crate) fn own_disk_failed(&mut self, now: Millis) {
         let Role::Primary(leadership) = &mut self.role else { return };
         let under_way = leadership.write.take().and_then(|write| write.request);
@@ -223,7 +225,7 @@
         self.hand_over_if_possible(now);
     }
 
-    /// A node has the value of this write on its disk.
+    /// Handles the confirmation that a node has stored the control state of a write.
     pub(crate) fn stored(&mut self, now: Millis, from: NodeId, epoch: u64, write_id: u64) {
         if epoch != self.epoch() {
             return;
@@ -245,7 +247,7 @@
         self.lead(now);
     }
 
-    /// All who were to store the value have it.
+    /// Completes a write that all its receivers have stored.
     fn finish_write(&mut self, now: Millis, write: ReplicatedWrite) {
         if let Some(replacement) = write.replacement {
             return self.name_replica(now, &replacement);
@@ -258,7 +260,7 @@
         let Role::Primary(leadership) = &mut self.role else { return };
         leadership.is_state_replicated = true;
         if has_enough_replicas && holds_lease {
-            // The others hear of it with the next heartbeat: it is sent now, for the data plane waits for it.
+            // The next heartbeat tells the other nodes of the commit. It is sent at once because the data plane waits for it.
             leadership.next_heartbeat_at = now;
         }
     }
--- a/crates/control-group/src/primary_contact.rs
+++ b/crates/control-group/src/primary_contact.rs
@@ -1,25 +1,25 @@
-//! How recently a backup was in contact with a primary that held the lease: the mirror of that lease.
+//! How recently a backup was in contact with a primary that held the lease.
 //!
-//! That a heartbeat arrives says little: it may have waited while the process was frozen or in the network, and a primary that
-//! is partitioned with a minority goes on sending. So a primary that holds the lease says in each heartbeat which
-//! acknowledgement of this node it has seen. The heartbeat was sent after that acknowledgement, and when that was this node
-//! knows by its own clock.
+//! The arrival of a heartbeat is not enough: it may have been delayed in the network or while the process was frozen, and a
+//! primary that is partitioned with a minority keeps sending heartbeats. So a primary that holds the lease names in each
+//! heartbeat the last acknowledgement that it has received from the receiver. The heartbeat was sent after that acknowledgement,
+//! and the backup knows by its own clock when it sent the acknowledgement.
 
 use crate::Millis;
 use std::collections::VecDeque;
 
-/// How many acknowledgements are remembered until a heartbeat names one: about three seconds of them.
+/// The maximum number of acknowledgements kept until a heartbeat confirms them: about three seconds' worth.
 const MAX_REMEMBERED_ACKS: usize = 16;
 
 #[derive(Clone, Copy, Debug)]
 struct SentAck {
-    /// When the heartbeat was sent, by the primary's clock.
+    /// When the acknowledged heartbeat was sent, by the primary's clock.
     heartbeat_sent_at: Millis,
-    /// When it was acknowledged, by this node's clock.
+    /// When the heartbeat was acknowledged, by this node's clock.
     acked_at: Millis,
 }
 
-/// The acknowledgements that a primary has yet to confirm, and the last time of contact that it did confirm.
+/// The acknowledgements that no primary has confirmed yet, and the last contact that one has confirmed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PrimaryContact {
     unconfirmed: VecDeque<SentAck>,
@@ -27,7 +27,7 @@
 }
 
 impl PrimaryContact {
-    /// This node acknowledges a heartbeat.
+    /// Records that this node acknowledges a heartbeat.
     pub fn ack_sent(&mut self, heartbeat_sent_at: Millis, now: Millis) {
         if self.unconfirmed.len() >= MAX_REMEMBERED_ACKS {
             self.unconfirmed.pop_front();
@@ -35,7 +35,7 @@
         self.unconfirmed.push_back(SentAck { heartbeat_sent_at, acked_at: now });
     }
 
-    /// A primary that holds the lease has seen the acknowledgement of the heartbeat that it sent at this time.
+    /// Records that a primary that holds the lease has received the acknowledgement of the heartbeat sent at this time.
     pub fn ack_confirmed(&mut self, heartbeat_sent_at: Millis) {
         let is_due = |ack: &SentAck| ack.heartbeat_sent_at <= heartbeat_sent_at;
         while let Some(ack) = self.unconfirmed.front().copied().filter(is_due) {
@@ -46,12 +46,12 @@
         }
     }
 
-    /// Another primary counts by another clock.
+    /// Discards the unconfirmed acknowledgements, because the times of another primary are by another clock.
     pub fn primary_changed(&mut self) {
         self.unconfirmed.clear();
     }
 
-    /// The last acknowledgement that a primary confirmed, if that was less than this span ago.
+    /// The time of the last acknowledgement that a primary confirmed, if it was sent less than `span` ago.
     pub fn within(&self, now: Millis, span: Millis) -> Option<Millis> {
         self.confirmed_at.filter(|at| now < at + span)
     }
--- a/crates/control-group/src/proposal.rs
+++ b/crates/control-group/src/proposal.rs
@@ -1,21 +1,21 @@
-//! A view that is proposed to the voters, and who has granted it.
+//! A view that is proposed to the voters, and the nodes that have granted it.
 
 use crate::view::is_majority;
 use crate::{Millis, NodeId, View};
 use std::collections::BTreeSet;
 
-/// A view that a candidate, or a primary that changes the membership, has proposed.
+/// A view proposed by a candidate, or by a primary that changes the membership.
 #[derive(Clone, Debug)]
 pub(crate) struct Proposal {
     pub view: View,
-    /// The view that it takes the place of: a majority of its voters has to grant the new one too.
+    /// The view that the proposed view replaces. A majority of its voters has to grant the proposed view too.
     pub previous: View,
-    /// Nodes that have it on their disk.
+    /// The nodes that have the proposed view on disk.
     pub grants: BTreeSet<NodeId>,
-    /// Nodes that have given their vote in this epoch to another.
+    /// The nodes that have voted for another view of this epoch.
     pub refusals: BTreeSet<NodeId>,
     pub proposed_at: Millis,
-    /// The primary before has stepped down and named this node.
+    /// Whether the previous primary has stepped down and named this node.
     pub by_handover: bool,
 }
 
@@ -31,18 +31,18 @@
         }
     }
 
-    /// Whether those who have not refused it are no majority.
+    /// Whether the proposal can no longer succeed, because the voters that have not refused it are no majority.
     pub fn is_lost(&self) -> bool {
         let open = self.view.voters.iter().filter(|voter| !self.refusals.contains(voter));
         !is_majority(&self.view.voters, open)
     }
 
-    /// Whether a majority of the present voters and one of the proposed voters has granted it.
+    /// Whether a majority of the previous voters and a majority of the proposed voters have granted the view.
     pub fn is_granted(&self) -> bool {
         self.has_majorities(None)
     }
 
-    /// The same, if `node` granted it too.
+    /// Whether the view would be granted if `node` granted it too.
     pub fn would_be_granted_with(&self, node: NodeId) -> bool {
         self.has_majorities(Some(node))
     }
--- a/crates/control-group/src/record.rs
+++ b/crates/control-group/src/record.rs
@@ -1,4 +1,5 @@
-//! The records on disk, and what they come to. Their order and fields are the disk format: see `tests/encoding.rs`.
+//! The records on disk, and the state that results from reading them. The order of variants and fields is the disk format: see
+//! `tests/encoding.rs`.
 
 use crate::{ControlState, NodeId, View};
 use serde::{Deserialize, Serialize};
@@ -8,32 +9,32 @@
 pub enum Record {
     /// A view that this node has granted, adopted or proposed.
     View(View),
-    /// Read, never written: the value as builds before 0.2 wrote it. To be removed one release later.
+    /// The control state as builds before 0.2 wrote it. It is read but never written; to be removed one release later.
     LegacyConfiguration(LegacyConfiguration),
-    /// Whose heartbeats this node acknowledges.
+    /// The primary whose heartbeats this node acknowledges.
     ///
-    /// Written once in an epoch, and nothing waits for it: without it a process that has just started waits until whatever
-    /// its earlier incarnation may have acknowledged has run out.
+    /// Written once per epoch, and nothing waits for the write. Without this record, a process that has just started waits until
+    /// any lease that its earlier incarnation may have acknowledged has expired.
     Vote(Vote),
-    /// The replicated value.
+    /// The replicated control state.
     ControlState(ControlState),
 }
 
-/// To which primary a node has given its vote.
+/// A node's vote for a primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Vote {
-    /// Of the primary's view.
+    /// The epoch of the primary's view.
     pub epoch: u64,
-    /// Nobody else gets the vote in this epoch.
+    /// The primary that has the vote. No other node gets it in this epoch.
     pub primary: NodeId,
 }
 
-/// A configuration without a serial and without retirements, from an older build's disk.
+/// A configuration without a serial or retirements, as an older build stored it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LegacyConfiguration {
-    /// The operators' own number; it is taken for the serial too.
+    /// The version that the operators gave the configuration. It is also used as the serial.
     pub version: u64,
-    /// The configuration.
+    /// The configuration, as the operators sent it.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
@@ -44,19 +45,19 @@
     }
 }
 
-/// What a node's disk holds: all its records, folded.
+/// The state on a node's disk: the result of applying all its records.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PersistedState {
-    /// The view of the highest epoch. None: the disk is new, or was lost.
+    /// The view with the highest epoch. `None` if the disk is new or was lost.
     pub view: Option<View>,
-    /// The value that was written last.
+    /// The control state that was written last.
     pub state: Option<ControlState>,
-    /// The vote that was given last.
+    /// The vote that was written last.
     pub vote: Option<Vote>,
 }
 
 impl PersistedState {
-    /// Folds one more record, in the order of the log.
+    /// Applies one more record. Records have to be applied in the order of the log.
     pub fn apply(&mut self, record: Record) {
         match record {
             Record::View(view) => {
@@ -64,14 +65,15 @@
                     self.view = Some(view);
                 }
             }
-            // The last one stored, not the highest: a write that was abandoned is overwritten by the value that counts.
+            // The last control state in the log counts, not the highest: the current value overwrites that of an abandoned
+            // write.
             Record::ControlState(state) => self.state = Some(state),
             Record::LegacyConfiguration(old) => self.state = Some(old.into()),
             Record::Vote(vote) => self.vote = Some(vote),
         }
     }
 
-    /// The fewest records that come to the same, for a snapshot.
+    /// The smallest set of records that yields the same state, for a snapshot.
     pub fn records(&self) -> impl Iterator<Item = Record> + '_ {
         let view = self.view.iter().cloned().map(Record::View);
         let state = self.state.iter().cloned().map(Record::ControlState);
--- a/crates/control-group/src/replicated_write.rs
+++ b/crates/control-group/src/replicated_write.rs
@@ -1,17 +1,17 @@
-//! A write of the control state to all replicas, and the requests that wait for their turn.
+//! Writes of the control state to all replicas, and the queue of requests.
 
 use crate::{ControlState, Effect, Millis, NodeId, StateChange, Verdict};
 use std::collections::BTreeSet;
 
-/// How long a request waits for its turn.
+/// How long a request may wait in the queue, in milliseconds.
 pub(crate) const QUEUE_TIMEOUT: Millis = 1500;
-/// How long after its turn came a request is answered at the latest.
+/// The longest time from the start of a request's write to its answer, in milliseconds.
 pub(crate) const WRITE_TIMEOUT: Millis = 2500;
 
-/// A change that was asked for.
+/// A requested change of the control state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ChangeRequest {
-    /// Who waits for the answer. None: the primary makes the change by itself, or the answer was given.
+    /// The ticket of the waiting caller. `None` if the primary makes the change itself, or the caller has been answered.
     pub ticket: Option<u64>,
     pub change: StateChange,
 }
@@ -22,37 +22,38 @@
     }
 }
 
-/// A write under way.
+/// A write of the control state that has not been stored by all its receivers yet.
 #[derive(Clone, Debug)]
 pub(crate) struct ReplicatedWrite {
     pub write_id: u64,
     pub state: ControlState,
-    /// None where the present value is stored again, or a node is filled.
+    /// The request that caused the write. `None` if the write repeats the current control state or sends it to a joining
+    /// replica.
     pub request: Option<ChangeRequest>,
-    /// They have not said yet that they have stored it.
+    /// The nodes that have not confirmed yet that they have stored the control state.
     pub missing: BTreeSet<NodeId>,
     pub began_at: Millis,
     pub sent_at: Millis,
-    /// What to do when the node that is filled has it.
+    /// The replacement to propose once the joining replica has stored the control state.
     pub replacement: Option<ReplicaReplacement>,
 }
 
-/// A node becomes a replica in the place of others.
+/// The replacement of lost replicas by another node.
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct ReplicaReplacement {
     pub joining: NodeId,
     pub lost: Vec<NodeId>,
 }
 
-/// Whether a replica may have stored the change of a request.
+/// Whether a replica may have stored a request's change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum WriteProgress {
     NotBegun,
-    /// It cannot be answered any more that the change was not made.
+    /// A replica may have stored the change, so it can no longer be answered as not committed.
     Begun,
 }
 
-/// A request that waits for its turn.
+/// A request in the queue.
 #[derive(Clone, Debug)]
 pub(crate) struct QueuedRequest {
     pub request: ChangeRequest,
--- a/crates/control-group/src/retirement.rs
+++ b/crates/control-group/src/retirement.rs
@@ -2,24 +2,24 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The most retirements that are remembered. Beyond that the oldest complete one is forgotten.
+/// The maximum number of retirements that the control state keeps. Beyond it, the oldest complete one is removed.
 pub const MAX_RETIREMENTS: usize = 64;
 
 /// An accepted order to retire a store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Retirement {
-    /// The store, by the hash of its name.
+    /// Identifies the store by the hash of its name.
     pub node: u32,
     /// The store's name.
     pub name: String,
-    /// How far it has come.
+    /// The stage that the retirement has reached.
     pub stage: RetirementStage,
 }
 
-/// How far a retirement has come. It never goes back.
+/// The stage of a retirement. It never goes back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RetirementStage {
-    /// Accepted; whether the store has received it is not known.
+    /// The order is accepted; the store may not have received it yet.
     Ordered,
     /// The store has the order on its disk and is draining.
     Draining,
--- a/crates/control-group/src/role.rs
+++ b/crates/control-group/src/role.rs
@@ -1,67 +1,68 @@
-//! The role of a node by the newest view that it knows, and what a primary keeps while it leads.
+//! The role of a node under the newest view that it knows, and the state of a primary during its leadership.
 
 use crate::proposal::Proposal;
 use crate::replicated_write::{QueuedRequest, ReplicatedWrite};
 use crate::{GroupSettings, Millis, NodeId, View};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A node that was heard, and has been silent for so long, is taken for lost: as a replica or voter it is replaced.
+/// How long in milliseconds a replica or voter may be silent, after it has acknowledged a heartbeat, before it is considered
+/// lost and is replaced.
 pub(crate) const PEER_SILENCE_LIMIT: Millis = 1000;
-/// The same for one that was not heard at all since leadership began, mostly the primary before, and for one whose connection
-/// broke.
+/// The silence limit in milliseconds for a node that has not acknowledged any heartbeat since the leadership began (usually the
+/// previous primary), and for one whose connection broke.
 pub(crate) const PEER_ABSENCE_LIMIT: Millis = 400;
 
-/// What this node is by the newest view that it knows.
+/// The role of this node under the newest view that it knows.
 #[derive(Clone, Debug)]
 pub(crate) enum Role {
-    /// It acknowledges heartbeats, and stores what the primary sends if it is a replica.
+    /// The node acknowledges heartbeats and, if it is a replica, stores the control states that the primary sends.
     Backup,
-    /// It asks the voters to grant a view by which it is primary.
+    /// The node asks the voters to grant a view in which it is the primary.
     Candidate(Proposal),
-    /// A majority has granted its view.
+    /// A majority has granted the node's view.
     Primary(Box<Leadership>),
 }
 
-/// What a primary keeps for as long as it leads.
+/// The state that a primary keeps during its leadership.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Leadership {
-    /// When the view was granted.
+    /// When the primary's view was granted.
     pub began_at: Millis,
     pub next_heartbeat_at: Millis,
-    /// When the last heartbeat was sent that each node has acknowledged.
+    /// For each node, when the last heartbeat that it has acknowledged was sent.
     pub acked: BTreeMap<NodeId, Millis>,
-    /// Nodes that have said that their disk holds no value.
+    /// The nodes that have reported that there is no control state on their disk.
     pub without_state: BTreeSet<NodeId>,
-    /// The write under way: one at a time.
+    /// The write under way; there is at most one at a time.
     pub write: Option<ReplicatedWrite>,
-    /// Requests that wait for the write under way.
+    /// The requests that wait for the write under way.
     pub queue: VecDeque<QueuedRequest>,
-    /// Another membership that is asked for.
+    /// The proposed change of replicas or voters, if there is one.
     pub membership_change: Option<Proposal>,
-    /// When it was last sent.
+    /// When the membership change was last sent to the voters.
     pub membership_proposed_at: Millis,
-    /// All replicas of this epoch hold the primary's own value.
+    /// Whether all replicas of this epoch hold the primary's own control state.
     pub is_state_replicated: bool,
-    /// The process ends, at the latest then.
+    /// The latest time at which the process exits; set when a shutdown was requested.
     pub exit_deadline: Option<Millis>,
-    /// Nodes whose processes end.
+    /// The nodes whose processes are shutting down.
     pub departing: BTreeSet<NodeId>,
 }
 
 impl Leadership {
-    /// The membership that is asked for.
+    /// The view of the membership change that is proposed, if there is one.
     pub fn proposed_view(&self) -> Option<&View> {
         self.membership_change.as_ref().map(|change| &change.view)
     }
 
-    /// Whether this node asks for the view, or did so before it asked for the previous voters again.
+    /// Whether this node is proposing the view, or proposed it before it proposed the previous voters again.
     pub fn has_proposed(&self, view: &View) -> bool {
         self.proposed_view().is_some_and(|proposed| {
             proposed == view || (proposed.primary == view.primary && proposed.epoch > view.epoch)
         })
     }
 
-    /// Whether the node has acknowledged nothing for longer than `limit`.
+    /// Whether the node has acknowledged no heartbeat for longer than `limit`.
     pub fn is_silent(&self, now: Millis, node: &NodeId, limit: Millis) -> bool {
         match self.acked.get(node) {
             Some(at) => now > at + limit,
@@ -69,12 +70,12 @@
         }
     }
 
-    /// Whether the node has acknowledged a heartbeat, and not long ago.
+    /// Whether the node has acknowledged a heartbeat within the silence limit.
     pub fn is_alive(&self, now: Millis, node: &NodeId) -> bool {
         self.acked.contains_key(node) && !self.is_silent(now, node, PEER_SILENCE_LIMIT)
     }
 
-    /// When the primary has something to do next.
+    /// When the primary next has work to do.
     pub fn next_tick(&self, now: Millis, settings: &GroupSettings) -> Millis {
         let is_busy = self.write.is_some()
             || !self.queue.is_empty()
--- a/crates/control-group/src/state_change.rs
+++ b/crates/control-group/src/state_change.rs
@@ -1,49 +1,49 @@
-//! Changes of the control state, and what each makes of the present value.
+//! Changes of the control state, and their application to the current one.
 
 use crate::{ControlState, Retirement, RetirementStage, MAX_RETIREMENTS};
 
 /// A change of the control state, as the primary accepts it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum StateChange {
-    /// Replaces the operators' configuration.
+    /// Replaces the operators' configuration with a newer version.
     Configuration {
-        /// Has to be above the present one.
+        /// The version of the new configuration; it has to be above the current one.
         version: u64,
         /// The new configuration.
         body: Vec<u8>,
     },
     /// Orders a store to be retired.
     Retire {
-        /// The store, by the hash of its name.
+        /// Identifies the store by the hash of its name.
         node: u32,
         /// The store's name.
         name: String,
     },
-    /// Records that a retirement has come further.
+    /// Records that a retirement has reached a later stage.
     Advance {
-        /// The store, by the hash of its name.
+        /// Identifies the store by the hash of its name.
         node: u32,
-        /// How far it has come.
+        /// The stage that the retirement has reached.
         stage: RetirementStage,
     },
 }
 
-/// What a change makes of the present value.
+/// The result of applying a change to the current control state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ChangeOutcome {
-    /// The value has it already, or something newer.
+    /// The control state already contains the change or a newer one.
     Unchanged,
-    /// [`MAX_RETIREMENTS`] are under way, and none of them is complete.
+    /// The list is full: [`MAX_RETIREMENTS`] retirements are under way, and none of them is complete.
     NoCapacity,
-    /// The next value, with the next serial.
+    /// The next control state, with the next serial.
     Changed(ControlState),
 }
 
-/// What becomes of a configuration whose version is the present one.
+/// How a configuration with the current version is treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EqualVersion {
     Ignored,
-    /// A fault for the model checker to find.
+    /// The configuration is accepted: a fault for the model checker to find.
     Accepted,
 }
 
@@ -58,7 +58,7 @@
                 if present.retirement(*node).is_some() {
                     return ChangeOutcome::Unchanged;
                 }
-                if !make_room(&mut next.retirements) {
+                if !ensure_capacity(&mut next.retirements) {
                     return ChangeOutcome::NoCapacity;
                 }
                 let stage = RetirementStage::Ordered;
@@ -93,8 +93,8 @@
     true
 }
 
-/// Forgets the oldest complete retirement if the list is full. False: there is none.
-fn make_room(retirements: &mut Vec<Retirement>) -> bool {
+/// Removes the oldest complete retirement if the list is full. Returns false if there is none to remove.
+fn ensure_capacity(retirements: &mut Vec<Retirement>) -> bool {
     if retirements.len() < MAX_RETIREMENTS {
         return true;
     }
--- a/crates/control-group/src/view.rs
+++ b/crates/control-group/src/view.rs
@@ -1,25 +1,25 @@
-//! The view: who is primary, which nodes are replicas, and who votes.
+//! The view: the primary, the replicas and the voters.
 
 use serde::{Deserialize, Serialize};
 
-/// A control node, named by its control address.
+/// A control node, identified by its control address.
 pub type NodeId = std::net::SocketAddrV4;
 
-/// What a majority of voters agrees on; the only thing that is voted for.
+/// The state that a majority of voters agrees on; nothing else is voted on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct View {
-    /// Rises with each view that is proposed. A voter grants an epoch to one candidate at most.
+    /// The number of the view; it rises with each view that is proposed. A voter grants an epoch to at most one candidate.
     pub epoch: u64,
-    /// The only node that writes while this view is the newest.
+    /// The only node that writes the control state while this view is the newest.
     pub primary: NodeId,
-    /// The nodes that store the control state. A write is acknowledged when all of them have it on disk.
+    /// The nodes that store the control state. A write is acknowledged once all of them have it on disk.
     pub replicas: Vec<NodeId>,
-    /// The nodes whose majority grants views and renews the lease.
+    /// The nodes of which a majority grants views and renews the lease.
     pub voters: Vec<NodeId>,
     /// The epoch in which a primary chose these replicas and voters.
     ///
-    /// A candidate takes them over unchanged. Before it acts it has them granted again under its own epoch, so that a node
-    /// that knows only an older membership is not voted for any more.
+    /// A candidate takes the replicas and voters over unchanged. Before it acts as primary it has them granted again under its
+    /// own epoch, so that a node that knows only an older membership no longer gets votes.
     pub membership_epoch: u64,
 }
 
--- a/crates/control-group/src/view_recovery.rs
+++ b/crates/control-group/src/view_recovery.rs
@@ -1,15 +1,15 @@
-//! How a node that has lost its disk, or is new, learns the view from the others.
+//! Recovery of the view by a node that is new or has lost its disk.
 
 use crate::role::Role;
 use crate::view::is_majority;
 use crate::{ControlGroup, Message, Millis, NodeId, View};
 use std::collections::BTreeSet;
 
-/// How often the others are asked for their view.
+/// How often the other nodes are asked for their views, in milliseconds.
 const VIEW_REQUEST_INTERVAL: Millis = 200;
 
 impl ControlGroup {
-    /// Asks all nodes that are known for their view, if that is due.
+    /// Asks all known nodes for their views, if a request is due.
     pub(crate) fn request_views(&mut self, now: Millis) {
         if now < self.view_recovery.next_request_at {
             return;
@@ -24,7 +24,8 @@
         }
     }
 
-    /// Replies with the view that this node proposes, if it does: the one that asks may have granted it and lost its disk.
+    /// Sends this node's view, or the view that it is proposing: the requester may have granted the proposal before it lost its
+    /// disk.
     pub(crate) fn send_view(&mut self, to: NodeId) {
         let proposed = match &self.role {
             Role::Primary(leadership) => leadership.proposed_view(),
@@ -47,7 +48,8 @@
         }
     }
 
-    /// Two have proposed a view of the same epoch, and the sender's was granted: this node's own cannot be any more.
+    /// Whether the sender's view of this node's epoch was granted. Two nodes proposed a view of the same epoch, so this node's
+    /// own can no longer be granted.
     fn has_lost_epoch_to(&self, from: NodeId, view: &View) -> bool {
         let is_leading = self.unknown_primary.is_some_and(|unknown| {
             unknown.epoch == view.epoch && unknown.node == from && view.primary == from
@@ -55,10 +57,11 @@
         is_leading && view.epoch == self.epoch() && self.view.as_ref() != Some(view)
     }
 
-    /// Takes the highest view over when a majority of its voters has replied.
+    /// Adopts the view with the highest epoch once a majority of its voters has replied.
     ///
-    /// What this node has granted and forgotten one of them knows, or it was never granted by enough. As a replica it has no
-    /// value: it votes, but becomes no candidate before the primary has filled it.
+    /// A grant that this node made and no longer knows is either known to one of these voters, or the view was not granted by a
+    /// majority. As a replica this node has no control state: it votes, but does not become a candidate before the primary has
+    /// sent it the value.
     fn recover_view(&mut self, now: Millis) {
         let recovery = &self.view_recovery;
         let Some(highest) = recovery.highest_epoch().cloned() else { return };
--- a/crates/control-group/src/voter.rs
+++ b/crates/control-group/src/voter.rs
@@ -1,17 +1,18 @@
-//! A voter's part: which proposed views it grants, and which views of others it takes over.
+//! Voter: decides which proposed views to grant, and which views of other nodes to adopt.
 
 use crate::node_state::{LastHeard, OnPersisted};
 use crate::role::Role;
 use crate::{ControlGroup, Message, Millis, NodeId, Planted, View};
 
 impl ControlGroup {
-    /// Until then the vote may be bound: to the primary that was heard last, or to one that an earlier incarnation of this
-    /// process acknowledged.
+    /// When this node's vote is free. Before that it may belong to the primary that was last heard from, or to one that an
+    /// earlier incarnation of this process acknowledged.
     pub(crate) fn vote_free_at(&self) -> Millis {
         self.heard_at.max(self.started_at) + self.settings.grace_period_ms
     }
 
-    /// Whether this node keeps its vote in this epoch for itself: for a while others may grant its own view.
+    /// Whether this node reserves its vote in this epoch for itself. For one grace period other voters may still grant its own
+    /// view.
     fn is_candidate_for(&self, now: Millis, epoch: u64) -> bool {
         let Role::Candidate(proposal) = &self.role else { return false };
         epoch <= proposal.view.epoch
@@ -28,7 +29,7 @@
         self.adopt(now, view);
     }
 
-    /// A candidate wants to be primary, or the primary wants another membership.
+    /// Handles the proposal of a view by a candidate, or by a primary that changes the membership.
     pub(crate) fn proposed(&mut self, now: Millis, from: NodeId, view: View, by_handover: bool) {
         if from != view.primary {
             return;
@@ -54,7 +55,7 @@
         self.grant(from, view);
     }
 
-    /// Whether no promise to another primary keeps this node from granting the view.
+    /// Whether no commitment to another primary prevents this node from granting the view.
     fn is_vote_free_for(
         &self,
         now: Millis,
@@ -63,25 +64,28 @@
         own: &View,
         by_handover: bool,
     ) -> bool {
-        // Only the direct successor of the primary that ended: that node may have become primary again in a later epoch.
+        // A handover is valid only for the epoch right after that of the primary that stepped down, because that node may have
+        // become primary again in a later epoch.
         if by_handover && view.epoch == own.epoch + 1 {
             return true;
         }
-        // A view may be known by hearsay while the vote is with another primary. Before the first epoch nobody led.
+        // This node may have learned of a view from others while its vote belongs to another primary. Before the first epoch
+        // there was no primary.
         let has_vote = self.voted_for == Some(from) || view.epoch == 1;
         (has_vote || now >= self.vote_free_at()) && !self.holds_lease(now)
     }
 
-    /// Whether the candidate is a replica by a membership that is as new as the own one.
+    /// Whether the candidate is a replica under a membership at least as new as this node's own.
     ///
-    /// By the epoch alone, a candidate that missed a change of replicas and was candidate twice would seem the newer.
+    /// A comparison of epochs alone would be wrong: a candidate that missed a change of replicas and then was candidate twice
+    /// would seem newer.
     fn is_eligible(&self, candidate: NodeId, view: &View, own: &View) -> bool {
         let is_membership_current =
             view.membership_epoch >= own.membership_epoch || self.planted(Planted::MembershipEpochIgnored);
         is_membership_current && view.replicas.contains(&candidate)
     }
 
-    /// Grants a view. The grant is sent only when the view is on disk.
+    /// Grants a view. The grant is sent only once the view is on disk.
     fn grant(&mut self, to: NodeId, view: View) {
         if self.durable_epoch >= view.epoch {
             return self.send(to, Message::Granted { view });
@@ -92,7 +96,7 @@
         self.persist_view(view.clone(), OnPersisted::SendGrant { to, view });
     }
 
-    /// Takes a view over in memory. Nothing is acknowledged by it before it is on disk.
+    /// Replaces the view in memory. Nothing is acknowledged under it until it is on disk.
     fn replace_view(&mut self, now: Millis, view: View) {
         self.step_down(now);
         self.departed_primary = None;
@@ -103,10 +107,10 @@
         self.view = Some(view);
     }
 
-    /// Learns of a view that a majority has granted, or may grant.
+    /// Adopts a view that a majority has granted or may grant.
     ///
-    /// A higher epoch counts, and a newer membership, each by itself: a node that knows a newer membership is not voted for by
-    /// one that does not know it, and the other way round, so both have to learn it.
+    /// A higher epoch and a newer membership are each adopted independently of the other. A node that knows a newer membership
+    /// gets no votes from a node that does not know it, and the reverse, so both have to learn it.
     pub(crate) fn adopt(&mut self, now: Millis, view: View) {
         let Some(own) = self.view.clone() else { return };
         if self.planted(Planted::NeverAdopts) {
@@ -118,7 +122,8 @@
             return;
         }
         if let Role::Primary(leadership) = &self.role {
-            // The own epoch was granted by a majority: no newer membership of an epoch that is not later can have been.
+            // A majority granted this primary's epoch, so no newer membership can have been granted in an epoch that is not
+            // later.
             if !has_higher_epoch || leadership.has_proposed(&view) {
                 return;
             }
@@ -137,7 +142,8 @@
     /// Follows a view that may or may not have been granted.
     pub(crate) fn follow_proposed(&mut self, now: Millis, view: View) {
         self.replace_view(now, view.clone());
-        // If it was granted, its primary is heard soon: a whole grace period more would be too long a wait if it was not.
+        // If the view was granted, its primary sends a heartbeat soon. If it was not, waiting a full grace period more would be
+        // too long.
         let random_wait = self.random_below(self.settings.grace_period_ms / 3);
         let wait = self.settings.heartbeat_interval_ms * 2 + random_wait;
         self.candidacy_at = (now + wait).max(self.vote_free_at());
--- a/crates/control-group/tests/encoding.rs
+++ b/crates/control-group/tests/encoding.rs
@@ -1,5 +1,5 @@
-//! The bytes of what goes between control nodes and onto their disks: they stay as they are, so that processes of two builds
-//! understand each other and a disk that an older build wrote is read.
+//! Byte-exact tests of the wire and disk formats of the control group. The formats must not change, so that processes of two
+//! builds understand each other and a disk written by an older build can be read.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -13,7 +13,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Encodes to exactly these bytes, and these are read as the same value.
+/// Asserts that a value encodes to exactly these bytes, and that they decode to the same value.
 #[track_caller]
 fn assert_bytes<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, expected: &str) {
     let bytes = postcard::to_stdvec(value).expect("encodes");
--- a/crates/control-group/tests/faults.rs
+++ b/crates/control-group/tests/faults.rs
@@ -1,11 +1,12 @@
-//! Faults, each in turn and at random: what was acknowledged survives, one node answers at a time, and soon again.
+//! Fault injection, systematic and random: acknowledged writes survive, at most one node answers at a time, and the group soon
+//! answers again.
 
 mod simulation;
 
 use simulation::*;
 use stileroute_control_group::{Message, Verdict};
 
-/// First start, first configuration, three changes, a read.
+/// Runs the first start, the first configuration, three changes and a read.
 fn scenario(simulation: &mut Simulation) {
     for version in 1..=4 {
         let call = simulation.replace(version as usize % 3, version);
@@ -14,14 +15,14 @@
     simulation.read(0, 3000);
 }
 
-fn settled(seeds: usize, tolerated_losses: usize, seed: u64) -> Simulation {
+fn settled_simulation(seeds: usize, tolerated_losses: usize, seed: u64) -> Simulation {
     let mut simulation = Simulation::new(seeds, tolerated_losses, seed);
     scenario(&mut simulation);
     simulation.run(1000);
     simulation
 }
 
-/// A fault strikes the node that carries out the effect k, for each k.
+/// Injects a fault into the node that carries out effect k, for each `every`-th k from 1 on.
 fn fault_at_each_effect_recovers(seeds: usize, tolerated_losses: usize, fault: Fault, every: usize) {
     let mut without_fault = Simulation::new(seeds, tolerated_losses, 7);
     scenario(&mut without_fault);
@@ -46,7 +47,7 @@
 
 #[test]
 fn an_idle_group_sends_heartbeats_only() {
-    let mut simulation = settled(3, 1, 3);
+    let mut simulation = settled_simulation(3, 1, 3);
     let (epoch, effects) = (simulation.view().epoch, simulation.effects);
     simulation.sent.clear();
     simulation.run(10_000);
@@ -62,7 +63,7 @@
 fn a_backup_takes_over_when_the_primary_is_killed_or_loses_power() {
     for seed in 0..20 {
         for fault in [Kill, PowerLoss, DiskLoss] {
-            let mut simulation = settled(3, 1, seed);
+            let mut simulation = settled_simulation(3, 1, seed);
             let primary = simulation.primary();
             simulation.inject(primary, fault, None);
             let call = simulation.replace((primary + 1) % 3, 9);
@@ -76,7 +77,7 @@
 #[test]
 fn a_graceful_shutdown_of_the_primary_under_load_delays_no_write_for_long() {
     for seed in 0..20 {
-        let mut simulation = settled(3, 1, seed);
+        let mut simulation = settled_simulation(3, 1, seed);
         let primary = simulation.primary();
         let calls: Vec<usize> = (5..15).map(|v| simulation.replace(v as usize % 3, v)).collect();
         simulation.shut_down(primary);
@@ -94,11 +95,11 @@
 #[test]
 fn the_minority_of_a_partition_accepts_no_write() {
     for seed in 0..20 {
-        let mut simulation = settled(5, 2, seed);
-        let (primary, with) = (simulation.primary(), simulation.replica());
-        for i in (0..5).filter(|i| *i != primary && *i != with) {
+        let mut simulation = settled_simulation(5, 2, seed);
+        let (primary, replica) = (simulation.primary(), simulation.replica());
+        for i in (0..5).filter(|i| *i != primary && *i != replica) {
             simulation.partition(primary, i);
-            simulation.partition(with, i);
+            simulation.partition(replica, i);
         }
         let call = simulation.replace(primary, 9);
         simulation.run(3000);
@@ -109,21 +110,24 @@
     }
 }
 
-/// For twenty seconds no node of the minority says that it is in contact, not even one that still gets heartbeats of the old
-/// primary. Seen failing with the heartbeat itself as the sign of contact.
+/// During a partition of twenty seconds no node of the minority reports that it is in contact, not even one that still gets
+/// heartbeats from the old primary. Guards against taking the arrival of a heartbeat as proof of contact.
 #[test]
 fn the_minority_of_a_long_partition_is_not_in_contact() {
     for seed in 0..20 {
-        let mut simulation = settled(5, 2, seed);
-        let small = [simulation.primary(), simulation.replica()];
-        for i in (0..5).filter(|i| !small.contains(i)) {
-            small.iter().for_each(|s| simulation.partition(*s, i));
+        let mut simulation = settled_simulation(5, 2, seed);
+        let minority = [simulation.primary(), simulation.replica()];
+        for i in (0..5).filter(|i| !minority.contains(i)) {
+            minority.iter().for_each(|s| simulation.partition(*s, i));
         }
         simulation.run(2500);
         for _ in 0..175 {
             simulation.run(100);
-            assert!(small.iter().all(|i| !simulation.is_in_contact(*i)), "of {small:?} one is in contact");
-            assert!((0..5).filter(|i| !small.contains(i)).all(|i| simulation.is_in_contact(i)));
+            assert!(
+                minority.iter().all(|i| !simulation.is_in_contact(*i)),
+                "a node of the minority {minority:?} is in contact"
+            );
+            assert!((0..5).filter(|i| !minority.contains(i)).all(|i| simulation.is_in_contact(i)));
         }
         simulation.heal();
         simulation.run(1500);
@@ -134,7 +138,7 @@
 
 #[test]
 fn a_partition_between_primary_and_replica_does_not_move_the_leadership() {
-    let mut simulation = settled(3, 1, 5);
+    let mut simulation = settled_simulation(3, 1, 5);
     let view = simulation.view();
     simulation.partition(simulation.primary(), simulation.replica());
     simulation.run(3000);
@@ -147,7 +151,7 @@
 #[test]
 fn a_frozen_primary_that_continues_serves_no_stale_read() {
     for (seed, span) in (0..30).map(|seed| (seed, 300 + seed * 100)) {
-        let mut simulation = settled(3, 1, seed);
+        let mut simulation = settled_simulation(3, 1, seed);
         let primary = simulation.primary();
         simulation.inject(primary, Freeze, Some(span));
         let call = simulation.replace((primary + 1) % 3, 9);
@@ -160,7 +164,7 @@
 #[test]
 fn of_two_concurrent_writes_of_one_version_one_is_accepted() {
     for seed in 0..20 {
-        let mut simulation = settled(3, 1, seed);
+        let mut simulation = settled_simulation(3, 1, seed);
         let (a, b) =
             (simulation.call(0, Some(5), b"one".to_vec()), simulation.call(1, Some(5), b"other".to_vec()));
         let verdicts = [simulation.wait(a, 500), simulation.wait(b, 500)];
@@ -175,7 +179,7 @@
 #[test]
 fn a_node_that_lost_its_disk_learns_the_view_before_it_votes_and_is_filled_again() {
     for seed in 0..10 {
-        let mut simulation = settled(3, 1, seed);
+        let mut simulation = settled_simulation(3, 1, seed);
         let (primary, replica) = (simulation.primary(), simulation.replica());
         let is_awaiting_view = |simulation: &Simulation| {
             simulation.nodes[replica].group.as_ref().is_some_and(|p| p.is_awaiting_view())
@@ -183,11 +187,11 @@
         simulation.partition(replica, primary);
         simulation.inject(replica, DiskLoss, Some(10));
         simulation.run(2000);
-        assert!(is_awaiting_view(&simulation), "one of the others is no majority");
+        assert!(is_awaiting_view(&simulation), "one other voter is no majority");
         simulation.heal();
         simulation.run(1500);
         assert!(!is_awaiting_view(&simulation));
-        // It and the primary are enough now.
+        // The recovered replica and the primary are a majority without the third node.
         simulation.inject(3 - primary - replica, PowerLoss, None);
         simulation.run(2500);
         assert_eq!(simulation.replica(), replica);
@@ -200,11 +204,11 @@
     for seed in 0..40 {
         let mut simulation = Simulation::new(3, 1, seed);
         scenario(&mut simulation);
-        let wiped = (seed % 4) as usize;
+        let node_without_disk = (seed % 4) as usize;
         for i in 0..3 {
             simulation.inject(
                 i,
-                if i == wiped { DiskLoss } else { PowerLoss },
+                if i == node_without_disk { DiskLoss } else { PowerLoss },
                 Some(500 + seed * 13 * i as u64),
             );
         }
@@ -214,8 +218,8 @@
     }
 }
 
-/// The vote that an earlier incarnation gave to the primary is on disk: nobody waits for a lease that only it could hold. Seen failing
-/// (800 ms and more) without `Record::Vote`.
+/// The vote that an earlier incarnation gave to the primary is on disk, so no node waits for a lease that only this primary
+/// could hold. Without `Record::Vote` the primary leads only after 800 ms and more.
 #[test]
 fn after_a_loss_of_power_of_all_nodes_the_same_primary_leads_at_once() {
     for seed in 0..20 {
@@ -234,7 +238,7 @@
 #[test]
 fn three_seeds_grow_to_five_voters_and_tolerate_two_losses() {
     for seed in 0..10 {
-        let mut simulation = settled(3, 2, seed);
+        let mut simulation = settled_simulation(3, 2, seed);
         simulation.add_node();
         simulation.add_node();
         simulation.run(3000);
@@ -247,7 +251,8 @@
     }
 }
 
-/// One node, or one failure domain with two voters of five: with `tolerated_losses` + 1 replicas both could be in that domain.
+/// Loses one failure domain with two of five voters. With only `tolerated_losses` + 1 replicas, both replicas could be in that
+/// domain.
 #[test]
 fn the_loss_of_a_failure_domain_loses_no_configuration() {
     for seed in 0..30 {
@@ -269,7 +274,7 @@
 #[test]
 fn replacing_a_lost_node_leaves_three_voters() {
     for seed in 0..9 {
-        let mut simulation = settled(3, 1, seed);
+        let mut simulation = settled_simulation(3, 1, seed);
         for round in 0..2 {
             let lost = (0..3 + round).filter(|i| simulation.is_up(*i)).nth(seed as usize % 3).unwrap_or(0);
             simulation.inject(lost, DiskLoss, None);
@@ -282,12 +287,12 @@
     }
 }
 
-/// Once a lost node is replaced and the new one is filled (4.2 s), the next may be lost. Seen failing with the silent node kept
-/// as a voter for ten seconds: two of four are no majority.
+/// Another node may be lost once a lost node is replaced and the new node has the control state (4.2 s). Guards against keeping
+/// the silent node as a voter for ten seconds: then two of four voters remain, which is no majority.
 #[test]
 fn after_a_replacement_another_node_may_be_lost() {
     for seed in 0..12 {
-        let mut simulation = settled(3, 1, seed);
+        let mut simulation = settled_simulation(3, 1, seed);
         simulation.inject(seed as usize % 3, DiskLoss, None);
         simulation.run(500);
         simulation.add_node();
@@ -302,7 +307,7 @@
 #[test]
 fn a_node_with_a_full_disk_is_not_both_primary_and_replica_for_long() {
     for (seed, full) in (0..12).map(|seed| (seed, seed as usize % 3)) {
-        let mut simulation = settled(3, 1, seed);
+        let mut simulation = settled_simulation(3, 1, seed);
         simulation.nodes[full].is_disk_full = true;
         let call = simulation.replace(full, 9);
         simulation.wait(call, 3000);
@@ -326,8 +331,8 @@
         for version in 1..=8 {
             let node = simulation.random_below(seeds as u64) as usize;
             simulation.replace(node, version);
-            let pause = 20 + simulation.random_below(700);
-            simulation.run(pause);
+            let delay = 20 + simulation.random_below(700);
+            simulation.run(delay);
             if simulation.random_below(5) == 0 {
                 simulation.heal();
             }
@@ -338,7 +343,7 @@
                 simulation.partition(node, (node + 1) % seeds);
             } else if what < 4 && down < tolerated_losses && simulation.is_up(node) {
                 simulation.inject(node, [Kill, PowerLoss, DiskLoss, Freeze][what], Some(back));
-                // A disk counts as lost until it is filled.
+                // A node that lost its disk counts as lost until it has the control state again.
                 if what == 2 {
                     simulation.heal();
                     simulation.run(back + 2500);
--- a/crates/control-group/tests/protocol_rules.rs
+++ b/crates/control-group/tests/protocol_rules.rs
@@ -1,4 +1,4 @@
-//! Single rules of the protocol that random schedules seldom touch, on one node at a time.
+//! Tests of single protocol rules that random schedules seldom exercise, on one node at a time.
 
 use stileroute_control_group::{
     ControlGroup, ControlState, Effect, GroupSettings, Heartbeat, HeartbeatAck, Message, NodeId,
@@ -24,7 +24,7 @@
     let voters = (1..=3).map(voter).collect();
     View { epoch, primary: voter(primary), replicas: replicas.map(voter).to_vec(), voters, membership_epoch }
 }
-/// Node `me`, started at 0 with this view and a state on its disk.
+/// Starts node `me` at time 0 with this view and a control state on its disk.
 fn started_node(me: u8, view: View) -> ControlGroup {
     let persisted = PersistedState {
         view: Some(view),
@@ -40,19 +40,19 @@
     };
     effects.iter().filter_map(message).collect()
 }
-/// Delivers a message, carries out what is asked of the disk, and returns what was sent back.
+/// Delivers a message, completes the node's disk writes, and returns the messages sent back to the sender.
 fn deliver(node: &mut ControlGroup, now: u64, from: u8, message: Message) -> Vec<Message> {
     node.handle_message(now, voter(from), message);
     sent(&sync_disk(node, now), from)
 }
 fn propose(node: &mut ControlGroup, now: u64, view: &View, by_handover: bool) -> Vec<Message> {
-    let wanted = Message::Propose { view: view.clone(), by_handover };
-    deliver(node, now, view.primary.ip().octets()[3], wanted)
+    let proposed_view = Message::Propose { view: view.clone(), by_handover };
+    deliver(node, now, view.primary.ip().octets()[3], proposed_view)
 }
 fn ack(epoch: u64, sent_at: u64) -> Message {
     Message::HeartbeatAck(HeartbeatAck { epoch, sent_at, is_voting: true, has_state: true })
 }
-/// Carries out what the node asks of its disk, and returns all its effects.
+/// Completes the node's disk writes and returns all its effects.
 fn sync_disk(node: &mut ControlGroup, now: u64) -> Vec<Effect> {
     let mut all = node.take_effects();
     let mut done = 0;
@@ -71,7 +71,7 @@
         _ => None,
     })
 }
-/// Node 1, primary by the first view, with 2 as the other replica and a first write on both, at the time 100.
+/// Returns node 1, the primary of the first view, with node 2 as the other replica and a first write on both, at time 100.
 fn settled_primary() -> ControlGroup {
     let settings = GroupSettings::new(voter(1), (1..=3).map(voter).collect(), true, 1, 1);
     let mut node = ControlGroup::new(settings, PersistedState::default(), 0);
@@ -88,16 +88,16 @@
 #[test]
 fn a_grant_is_on_disk_before_it_is_sent() {
     let mut node = started_node(3, view(4, 1, [1, 2], 4));
-    let wanted = view(5, 2, [1, 2], 4);
-    let ask = Message::Propose { view: wanted.clone(), by_handover: true };
+    let proposed_view = view(5, 2, [1, 2], 4);
+    let request = Message::Propose { view: proposed_view.clone(), by_handover: true };
     for (now, ticket) in [(10, 1), (20, 2)] {
-        node.handle_message(now, voter(2), ask.clone());
-        node.handle_message(now + 1, voter(2), ask.clone());
+        node.handle_message(now, voter(2), request.clone());
+        node.handle_message(now + 1, voter(2), request.clone());
         assert!(sent(&node.take_effects(), 2).is_empty());
-        // The first time the disk refuses it.
+        // The disk refuses the first write of the view and accepts the second.
         node.persisted(now + 2, ticket, ticket == 2);
     }
-    assert_eq!(sent(&node.take_effects(), 2), [Message::Granted { view: wanted }]);
+    assert_eq!(sent(&node.take_effects(), 2), [Message::Granted { view: proposed_view }]);
 }
 
 #[test]
@@ -107,24 +107,24 @@
     assert_eq!(propose(&mut node, 850, &view(5, 2, [1, 2], 4), false), denied);
     assert_eq!(propose(&mut node, 850, &view(6, 2, [1, 2], 4), true), denied);
     assert_eq!(propose(&mut node, 950, &view(9, 2, [1, 2], 2), false), denied);
-    let wanted = view(5, 2, [1, 2], 4);
-    assert_eq!(propose(&mut node, 950, &wanted, false), [Message::Granted { view: wanted }]);
+    let proposed_view = view(5, 2, [1, 2], 4);
+    assert_eq!(propose(&mut node, 950, &proposed_view, false), [Message::Granted { view: proposed_view }]);
 }
 
 #[test]
-fn hearing_of_a_view_does_not_free_a_vote() {
+fn learning_of_a_view_does_not_free_a_vote() {
     let mut node = started_node(3, view(4, 1, [1, 2], 4));
     assert_eq!(deliver(&mut node, 2000, 1, HEARTBEAT).len(), 1);
-    let heard_of = view(5, 2, [1, 2], 4);
-    deliver(&mut node, 2010, 1, Message::ViewReply { view: Some(heard_of.clone()) });
-    let denied = [Message::Denied { view: heard_of.clone() }];
-    assert_eq!(propose(&mut node, 2100, &heard_of, false), denied);
+    let learned_view = view(5, 2, [1, 2], 4);
+    deliver(&mut node, 2010, 1, Message::ViewReply { view: Some(learned_view.clone()) });
+    let denied = [Message::Denied { view: learned_view.clone() }];
+    assert_eq!(propose(&mut node, 2100, &learned_view, false), denied);
     assert_eq!(propose(&mut node, 2100, &view(6, 2, [1, 2], 4), false), denied);
-    assert_eq!(propose(&mut node, 2950, &heard_of, false), [Message::Granted { view: heard_of }]);
+    assert_eq!(propose(&mut node, 2950, &learned_view, false), [Message::Granted { view: learned_view }]);
 }
 
 #[test]
-fn epoch_and_membership_are_adopted_each_by_itself() {
+fn epoch_and_membership_are_adopted_independently() {
     let mut node = started_node(2, view(4, 1, [1, 2], 2));
     deliver(&mut node, 2000, 3, Message::Denied { view: view(4, 3, [2, 3], 4) });
     assert_eq!(node.view(), Some(&view(4, 1, [2, 3], 4)));
@@ -137,7 +137,7 @@
     let mut node = started_node(2, view(4, 1, [1, 2], 4));
     node.tick(1500);
     assert!(!sent(&node.take_effects(), 3).is_empty());
-    // Another that stands for the same epoch does not take the own vote away.
+    // Another candidate for the same epoch does not get the vote that this node has given itself.
     let other = view(5, 1, [1, 2], 4);
     deliver(&mut node, 1505, 3, Message::Denied { view: other.clone() });
     assert_eq!(propose(&mut node, 1505, &other, false), [Message::Denied { view: view(4, 1, [1, 2], 4) }]);
@@ -147,17 +147,17 @@
 }
 
 #[test]
-fn a_voter_without_the_value_sends_its_view_to_the_replicas_and_is_idle_once_it_may_exit() {
-    let mine = view(4, 1, [1, 2], 4);
-    let mut node = started_node(3, mine.clone());
+fn a_voter_that_is_no_replica_sends_its_view_to_the_replicas_and_is_idle_once_it_may_exit() {
+    let own_view = view(4, 1, [1, 2], 4);
+    let mut node = started_node(3, own_view.clone());
     node.tick(1500);
-    assert_eq!(sent(&node.take_effects(), 2), [Message::ViewReply { view: Some(mine) }]);
+    assert_eq!(sent(&node.take_effects(), 2), [Message::ViewReply { view: Some(own_view) }]);
     node.shut_down(1600);
     assert!(node.take_effects() == [Effect::ReadyToExit] && node.next_tick(5000) > 5500);
 }
 
 #[test]
-fn a_proposed_view_is_sent_to_who_asks_and_a_write_begun_is_uncertain() {
+fn a_view_request_gets_the_proposed_view_and_a_begun_write_is_answered_as_uncertain() {
     let mut node = settled_primary();
     node.replace_configuration(100, 7, 1, b"new".to_vec());
     sync_disk(&mut node, 105);
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_replica_that_lost_its_disk_is_filled_again_and_a_lost_joining_node_is_not_waited_for() {
+fn a_replica_that_lost_its_disk_gets_the_state_again_and_a_lost_joining_node_is_abandoned() {
     let mut node = settled_primary();
     node.handle_message(
         110,
@@ -190,21 +190,24 @@
     assert!(last_stored_write(&sync_disk(&mut node, 140), 2).is_some());
 }
 
-/// Seen failing with the arrival of a heartbeat as the sign of contact.
+/// Guards against taking the arrival of a heartbeat as proof of contact with a primary that holds the lease.
 #[test]
-fn heartbeats_without_the_lease_or_that_were_delayed_are_no_contact() {
+fn heartbeats_that_are_delayed_or_without_a_lease_are_no_contact() {
     let mut node = started_node(3, view(4, 1, [1, 2], 4));
     deliver(&mut node, 1000, 1, heartbeat(50, None));
-    assert!(!node.is_in_contact(1001), "nothing says that the primary holds the lease");
+    assert!(!node.is_in_contact(1001), "no heartbeat shows that the primary holds the lease");
     deliver(&mut node, 1200, 1, heartbeat(250, Some(50)));
-    assert!(node.is_in_contact(2799) && !node.is_in_contact(2801), "sent after the ack at 1000");
+    assert!(
+        node.is_in_contact(2799) && !node.is_in_contact(2801),
+        "the heartbeat was sent after the acknowledgement at 1000"
+    );
     assert_eq!(node.last_contact(1300), Some(1000));
-    // The primary is cut off with this node, and goes on without its lease.
+    // The primary is partitioned together with this node, and continues without its lease.
     (1..10).for_each(|i| {
         deliver(&mut node, 1200 + i * 200, 1, heartbeat(250 + i * 200, None));
     });
     assert!(!node.is_in_contact(3001));
-    // Frozen until here: what had come meanwhile is of then.
+    // The node was frozen until now, so the delayed heartbeats confirm only old acknowledgements.
     (1..10).for_each(|i| {
         deliver(&mut node, 9000, 1, heartbeat(2050 + i * 200, Some(1850)));
     });
@@ -213,9 +216,9 @@
     assert!(node.is_in_contact(9200));
 }
 
-/// As docs/replace.md says of a group that has lost most of its disks: its serials begin anew, its versions do not.
+/// As docs/replace.md describes, a group that has lost most of its disks restarts its serials but not its versions.
 #[test]
-fn a_group_that_is_started_anew_is_followed_by_its_higher_version_and_not_by_a_lower_one() {
+fn a_restarted_group_is_followed_only_with_a_higher_version() {
     let mut node = started_node(3, view(4, 1, [1, 2], 4));
     let state =
         |version, serial| ControlState { version, serial, body: b"any".to_vec(), ..ControlState::default() };
@@ -246,8 +249,8 @@
     assert_eq!(committed_after(&mut node, state(9, 2)), Some((9, 2)));
 }
 
-/// Of the voters 1, 2 and 3 the last is silent, and 4 has come: 1 and 2 are asked to go on without 3. Seen failing without
-/// `revert_stuck_voter_change`: it proposed them for ever.
+/// Voter 3 of the voters 1, 2 and 3 is silent and node 4 has joined, so the primary asks 1 and 2 to continue without 3. Without
+/// `revert_stuck_voter_change` it would repeat that proposal for ever.
 #[test]
 fn a_change_of_voters_that_is_not_granted_is_reverted() {
     let mut node = settled_primary();
@@ -268,14 +271,14 @@
     node.tick(3010);
     let three = (1..=3).map(voter).collect();
     assert_eq!(proposed(&sync_disk(&mut node, 3010), 3), Some((3, three)));
-    // 2 had granted the other, and tells of it: that is this node's own, and older.
+    // Node 2 had granted the reverted view and reports it. That view is an older one of this node's own proposals.
     let older = View { voters: two, ..view(2, 1, [1, 2], 2) };
     node.handle_message(3020, voter(2), Message::ViewReply { view: Some(older) });
     node.handle_message(3030, voter(3), Message::Granted { view: view(3, 1, [1, 2], 3) });
     assert_eq!(node.view(), Some(&view(3, 1, [1, 2], 3)));
 }
 
-/// With 2 and 3 silent nothing is proposed: those who would have to grant it are not there. Seen failing without that rule.
+/// With nodes 2 and 3 silent no change of voters is proposed, because the voters that would have to grant it are absent.
 #[test]
 fn no_change_of_voters_is_proposed_without_a_majority_present() {
     let mut node = settled_primary();
--- a/crates/control-group/tests/retirements.rs
+++ b/crates/control-group/tests/retirements.rs
@@ -1,4 +1,5 @@
-//! Retirements in the replicated value: an accepted one is never forgotten, is there once, and never goes back.
+//! Retirements in the replicated control state: an accepted one is never lost, is stored once, and never goes back to an earlier
+//! stage.
 
 mod simulation;
 
@@ -6,14 +7,14 @@
 use simulation::*;
 use stileroute_control_group::*;
 
-/// A configuration, eight orders at once at all nodes, and each once more at the next node.
+/// Submits a configuration, eight retirement orders concurrently at all nodes, and each order once more at the next node.
 fn retire_eight_stores(simulation: &mut Simulation) {
     let first = simulation.replace(0, 1);
     simulation.wait(first, 6000);
-    let once: Vec<usize> = (0..8).map(|i| simulation.retire(i % 3, i as u32)).collect();
+    let first_orders: Vec<usize> = (0..8).map(|i| simulation.retire(i % 3, i as u32)).collect();
     let change = simulation.replace(1, 2);
-    let again: Vec<usize> = (0..8).map(|i| simulation.retire((i + 1) % 3, i as u32)).collect();
-    for call in once.into_iter().chain(again).chain([change]) {
+    let repeated_orders: Vec<usize> = (0..8).map(|i| simulation.retire((i + 1) % 3, i as u32)).collect();
+    for call in first_orders.into_iter().chain(repeated_orders).chain([change]) {
         simulation.wait(call, 9000);
     }
     simulation.advance(3, RetirementStage::Draining);
@@ -21,18 +22,18 @@
     simulation.advance(3, RetirementStage::Complete);
 }
 
-fn assert_all_remember(simulation: &Simulation, nodes: usize) {
+fn assert_all_retirements_known(simulation: &Simulation, nodes: usize) {
     for i in 0..nodes {
         let mut known: Vec<u32> = simulation.retired(i).into_iter().map(|(node, _)| node).collect();
         known.sort_unstable();
         if known != (0..8).collect::<Vec<u32>>() {
-            simulation.fail(&format!("node {i} knows of {known:?}"));
+            simulation.fail(&format!("node {i} has committed the retirements {known:?}"));
         }
     }
 }
 
 #[test]
-fn a_fault_at_each_effect_of_eight_orders_forgets_and_doubles_none() {
+fn a_fault_at_each_effect_of_eight_orders_loses_and_duplicates_none() {
     for (fault, every) in [(Kill, 2), (PowerLoss, 2), (DiskLoss, 3), (Freeze, 3)] {
         let mut without_fault = Simulation::new(3, 1, 7);
         retire_eight_stores(&mut without_fault);
@@ -43,7 +44,7 @@
             retire_eight_stores(&mut simulation);
             simulation.run(if fault == Freeze { 1500 } else { 300 });
             simulation.assert_recovers();
-            assert_all_remember(&simulation, 3);
+            assert_all_retirements_known(&simulation, 3);
         }
     }
 }
@@ -77,7 +78,7 @@
     simulation.advance(9, RetirementStage::Complete);
     simulation.run(500);
     assert_eq!(simulation.nodes[0].committed.serial, serial);
-    // Noticed at each turn of the loop until it is written.
+    // The caller repeats the request in each iteration of its loop until the stage is written.
     (0..5).for_each(|_| simulation.advance(4, RetirementStage::Draining));
     simulation.run(500);
     assert_eq!(simulation.nodes[0].committed.serial, serial + 1);
@@ -88,13 +89,13 @@
 }
 
 #[test]
-fn beyond_the_limit_the_oldest_complete_retirement_is_forgotten_and_none_under_way() {
+fn beyond_the_limit_the_oldest_complete_retirement_is_removed_and_none_under_way() {
     let mut simulation = Simulation::new(3, 1, 5);
     for node in 0..MAX_RETIREMENTS as u32 {
         let call = simulation.retire(0, node);
         simulation.wait(call, 6000);
     }
-    // All are under way: one more is not taken, and none makes room.
+    // All retirements are under way, so one more is rejected and none is removed to make room for it.
     let more = simulation.retire(0, 900);
     simulation.run(1000);
     assert_eq!((simulation.calls[more].done, simulation.retired(0).len()), (None, MAX_RETIREMENTS));
@@ -115,7 +116,7 @@
     persisted.apply(old);
     let read = ControlState { serial: 7, version: 7, body: b"seven".to_vec(), retirements: Vec::new() };
     assert_matches!(&persisted.state, Some(state) if *state == read);
-    // What is written from here on is in the new form.
+    // Records written from here on have the current format.
     assert_eq!(persisted.records().collect::<Vec<_>>(), [Record::ControlState(read)]);
 }
 
--- a/crates/control-group/tests/simulation/mod.rs
+++ b/crates/control-group/tests/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! A simulation of a group: clocks that differ, connections that keep their order, disks that keep what was synced, machines
-//! that end, freeze and come back, and clients. All of it by a seed; what must never happen is checked at every answer, and
-//! every few milliseconds by asking all nodes.
+//! A simulation of a control group: clocks that differ, connections that keep the order of messages, disks that keep what was
+//! synced, machines that fail, freeze and come back, and clients. The seed determines the whole run. The invariants are checked
+//! at every answer, and every few milliseconds by a query of all nodes.
 
 mod client;
 mod network;
@@ -12,12 +12,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use stileroute_control_group::*;
 
-/// How often all nodes are asked.
+/// How often all nodes are queried, in milliseconds.
 const CHECK_INTERVAL: Millis = 10;
-/// How long a node that an armed fault has frozen or ended stays away.
+/// How long a node stays frozen or down after an armed fault, in milliseconds.
 const FREEZE_SPAN: Millis = 1500;
 const RESTART_AFTER: Millis = 300;
-/// How much of the trace a failure prints.
+/// The number of trace lines that a failure prints.
 const TRACE_LINES: usize = 80;
 
 enum Event {
@@ -32,8 +32,8 @@
         is_up: bool,
     },
     Start,
-    Thaw,
-    /// The next attempt of a call, unless this one was answered.
+    Unfreeze,
+    /// The next attempt of a call, unless the current attempt was answered.
     Attempt {
         call: usize,
         attempt: u64,
@@ -41,7 +41,7 @@
     },
 }
 
-/// The node, the incarnation that it is for, and what happens.
+/// The node, the incarnation of its process that the event is for, and the event.
 type ScheduledEvent = (usize, u64, Event);
 
 #[derive(Default)]
@@ -50,14 +50,14 @@
     pub now: Millis,
     pub nodes: Vec<Node>,
     pub calls: Vec<Call>,
-    /// Effects carried out so far.
+    /// The number of effects carried out so far.
     pub effects: usize,
-    /// A fault, and the effect at which it strikes whoever carries it out.
+    /// The number of an effect, and the fault to inject into the node that carries it out.
     pub armed_fault: Option<(usize, Fault)>,
-    /// Messages sent.
+    /// All messages sent, including lost ones.
     pub sent: Vec<Message>,
     pub trace: Vec<String>,
-    /// The longest that a disk and a message take.
+    /// The maximum delay of a disk write and of a message, in milliseconds.
     pub disk_delay: Millis,
     pub message_delay: Millis,
     seeds: usize,
@@ -67,28 +67,29 @@
     random_state: u64,
     connections: BTreeMap<(usize, usize), u64>,
     partitions: BTreeSet<(usize, usize)>,
-    /// When the last message arrives each way, and the last record is on each disk.
+    /// When the last message arrives in each direction of a connection, and (for a node paired with itself) when its last disk
+    /// write completes.
     last_arrival: BTreeMap<(usize, usize), Millis>,
     next_check_at: Millis,
-    /// Stores whose retirement was acknowledged: no value that is committed later is without them.
+    /// The stores whose retirement was acknowledged. Every control state that is committed later contains them.
     acknowledged_retirements: BTreeSet<u32>,
-    /// What was answered, by version.
+    /// The configurations that were answered, by version.
     bodies: BTreeMap<u64, Vec<u8>>,
     /// The highest version that was answered.
     acknowledged: u64,
 }
 
-/// The address of a node.
+/// The address of the node with this index.
 pub fn voter(i: usize) -> NodeId {
     NodeId::new([10, 0, 0, i as u8 + 1].into(), 9000)
 }
 
-/// The node with this address.
+/// The index of the node with this address.
 fn index(voter: NodeId) -> usize {
     usize::from(voter.ip().octets()[3]) - 1
 }
 
-// Each file of tests uses its part of it.
+// Each test binary uses only some of these methods.
 #[allow(dead_code)]
 impl Simulation {
     pub fn new(seeds: usize, tolerated_losses: usize, seed: u64) -> Simulation {
@@ -105,7 +106,7 @@
         simulation
     }
 
-    /// Whole failure domains may be lost: any two of five.
+    /// A group that tolerates the loss of a whole failure domain: any two of five nodes.
     pub fn with_failure_domains(seeds: usize, tolerated_losses: usize, seed: u64) -> Simulation {
         let empty = Simulation::new(0, tolerated_losses, seed);
         let mut simulation = Simulation { seeds, survives_domain_loss: true, ..empty };
@@ -120,15 +121,15 @@
         self.random_state % limit.max(1)
     }
 
-    /// For the incarnation that the node has now.
+    /// Schedules an event for the current incarnation of a node.
     fn schedule(&mut self, after: Millis, node: usize, event: Event) {
         self.last_event_id += 1;
         let incarnation = self.nodes[node].incarnation;
         self.queue.insert((self.now + after, self.last_event_id), (node, incarnation, event));
     }
 
-    fn note(&mut self, what: String) {
-        self.trace.push(format!("{:6} {what}", self.now));
+    fn log(&mut self, line: String) {
+        self.trace.push(format!("{:6} {line}", self.now));
     }
 
     #[track_caller]
@@ -137,18 +138,18 @@
         panic!("{why} at {}\n{}", self.now, self.trace[from..].join("\n"));
     }
 
-    /// A store has come further, as the primary sees.
+    /// Reports to all nodes that a retirement has reached a stage; the primary records it.
     pub fn advance(&mut self, node: u32, stage: RetirementStage) {
         (0..self.nodes.len())
-            .for_each(|i| self.with(i, |group, now| group.advance_retirement(now, node, stage)));
+            .for_each(|i| self.call_node(i, |group, now| group.advance_retirement(now, node, stage)));
     }
 
-    /// Stores that are retired by what node `i` has committed, in their order.
+    /// The retirements that node `i` has committed, in order.
     pub fn retired(&self, i: usize) -> Vec<(u32, RetirementStage)> {
         self.nodes[i].committed.retirements.iter().map(|r| (r.node, r.stage)).collect()
     }
 
-    /// Asks all nodes at one moment: no more than one may answer, with nothing older than was answered before.
+    /// Queries all nodes at one moment. At most one may answer, with nothing older than an earlier answer.
     fn check_answers(&mut self) {
         self.next_check_at = self.now + CHECK_INTERVAL;
         let mut answers = Vec::new();
@@ -165,28 +166,28 @@
             self.observe(&state, self.acknowledged);
         }
         if !answers.is_empty() {
-            self.fail("two answer as primary");
+            self.fail("two nodes answered as primary");
         }
     }
 
-    /// A primary has all retirements that were acknowledged.
+    /// Checks that a primary's control state has all acknowledged retirements.
     fn check_retirements(&self, i: usize) {
         let node = &self.nodes[i];
         let Some(group) = node.group.as_ref().filter(|_| !node.is_frozen) else { return };
         let state = group.readable_state(self.now + node.clock_offset);
-        // Of a full list the oldest complete one may go.
+        // The oldest complete retirement may be removed from a full list, so a full list is not checked.
         let Some(state) = state.filter(|state| state.retirements.len() < MAX_RETIREMENTS) else { return };
         if self.acknowledged_retirements.iter().any(|node| state.retirement(*node).is_none()) {
-            self.fail("an acknowledged order to retire a store is forgotten");
+            self.fail("an acknowledged retirement of a store is lost");
         }
     }
 
-    /// Does this with a node that runs, and carries out what comes of it.
-    fn with(&mut self, i: usize, what: impl FnOnce(&mut ControlGroup, Millis)) {
+    /// Calls a function on a node that is running, and carries out the resulting effects.
+    fn call_node(&mut self, i: usize, function: impl FnOnce(&mut ControlGroup, Millis)) {
         let node = &mut self.nodes[i];
         let now = self.now + node.clock_offset;
         if let Some(group) = node.group.as_mut().filter(|_| !node.is_frozen) {
-            what(group, now);
+            function(group, now);
         }
         self.carry_out(i);
     }
@@ -210,10 +211,10 @@
         }
     }
 
-    /// After a random while, but not before what went that way before.
-    fn delay_in_order(&mut self, way: (usize, usize), limit: Millis) -> Millis {
+    /// A random delay of at most `limit` milliseconds, but not shorter than that of anything sent earlier on the same path.
+    fn delay_in_order(&mut self, path: (usize, usize), limit: Millis) -> Millis {
         let at = self.now + 1 + self.random_below(limit);
-        let last = self.last_arrival.entry(way).or_default();
+        let last = self.last_arrival.entry(path).or_default();
         *last = at.max(*last);
         *last - self.now
     }
@@ -236,18 +237,18 @@
             Effect::Answer { ticket, verdict } => self.answered(ticket, verdict, None),
             Effect::ReadAnswer { ticket, state } => self.answered(ticket, Verdict::Unchanged, state),
             Effect::Committed { serial } => self.committed(i, serial),
-            Effect::RoleChanged { epoch, change } => self.note(format!("{i} {} by {epoch}", change.as_str())),
+            Effect::RoleChanged { epoch, change } => self.log(format!("{i} {} by {epoch}", change.as_str())),
             Effect::ReadyToExit => self.nodes[i].is_ready_to_exit = true,
         }
     }
 
-    /// What is committed at a node never goes back.
+    /// Checks that the committed control state of a node never goes back to an older one.
     fn committed(&mut self, i: usize, serial: u64) {
         let group = self.nodes[i].group.as_ref();
         let state = group.and_then(|group| group.committed()).cloned().unwrap_or_default();
         let before = std::mem::replace(&mut self.nodes[i].committed, state.clone());
         if serial != state.serial || serial <= before.serial || state.version < before.version {
-            self.fail(&format!("{i} goes back to {} from {}", state.serial, before.serial));
+            self.fail(&format!("node {i} committed serial {} after serial {}", state.serial, before.serial));
         }
         self.observe(&state, 0);
     }
@@ -257,7 +258,7 @@
         while self.step(until) {}
     }
 
-    /// One event more, not past that time. False: there is none.
+    /// Processes one more event that is due by `until`. Returns false if there is none.
     fn step(&mut self, until: Millis) -> bool {
         let due = self.nodes.iter().filter(|node| node.runs()).map(|node| node.due).min();
         let due = due.unwrap_or(Millis::MAX);
@@ -274,16 +275,17 @@
         } else if self.next_check_at <= at {
             self.check_answers();
         } else if let Some(i) = self.nodes.iter().position(|node| node.runs() && node.due <= at) {
-            self.with(i, |group, now| group.tick(now));
+            self.call_node(i, |group, now| group.tick(now));
         }
         true
     }
 
-    /// Nothing troubles it from here on: a write is answered within 3 s, is read back, and is committed everywhere.
+    /// Asserts that the group recovers without further faults: a write is answered within 3 s, is read back, and is committed on
+    /// all nodes.
     #[track_caller]
     pub fn assert_recovers(&mut self) {
-        let asked = self.calls.iter().filter_map(|call| call.version).max().unwrap_or(0);
-        let version = self.acknowledged.max(asked) + 1;
+        let max_submitted = self.calls.iter().filter_map(|call| call.version).max().unwrap_or(0);
+        let version = self.acknowledged.max(max_submitted) + 1;
         let at = self.random_below(self.nodes.len() as u64) as usize;
         (self.disk_delay, self.message_delay) = (2, 4);
         let write = self.replace(at, version);
@@ -293,7 +295,7 @@
         let is_behind = |node: &Node| node.group.is_some() && node.committed.version != version;
         let behind = self.nodes.iter().position(is_behind);
         if behind.is_some() || self.acknowledged != version {
-            self.fail(&format!("{behind:?} has not the last committed"));
+            self.fail(&format!("node {behind:?} has not committed the last version"));
         }
     }
 
@@ -304,7 +306,7 @@
         self.nodes.iter().position(leads).unwrap_or_else(|| self.fail("there is no primary"))
     }
 
-    /// The primary's view.
+    /// The view of the node that holds the lease.
     pub fn view(&self) -> View {
         let group = self.nodes[self.primary()].group.as_ref();
         group.and_then(|group| group.view()).cloned().unwrap_or_else(|| self.fail("no view"))
@@ -314,7 +316,7 @@
         self.view().voters.into_iter().map(index).collect()
     }
 
-    /// A replica beside the primary.
+    /// A replica other than the primary.
     pub fn replica(&self) -> usize {
         let others = self.view().replicas.into_iter().map(index);
         others.filter(|i| *i != self.primary()).min().unwrap_or_else(|| self.fail("no replica"))
--- a/crates/control-group/tests/simulation/network.rs
+++ b/crates/control-group/tests/simulation/network.rs
@@ -1,17 +1,17 @@
-//! The simulated connections: they keep the order of messages, break, and can be partitioned.
+//! The simulated connections: they keep the order of messages, can break, and can be partitioned.
 
 use super::{voter, Event, Simulation};
 use stileroute_control_group::Millis;
 
-/// How soon both ends notice that a connection is open.
+/// How soon both nodes notice that a connection is open, in milliseconds.
 const CONNECT_NOTICED_AFTER: Millis = 2;
 
-/// The key of what two nodes share.
+/// The key of a pair of nodes, the same in either order.
 fn pair(a: usize, b: usize) -> (usize, usize) {
     (a.min(b), a.max(b))
 }
 
-// Each file of tests uses its part of it.
+// Each test binary uses only some of these methods.
 #[allow(dead_code)]
 impl Simulation {
     pub(super) fn connect(&mut self, a: usize, b: usize) {
@@ -34,12 +34,12 @@
         self.schedule(noticed_after, b, Event::Link { peer: a, is_up });
     }
 
-    /// A node notices that a connection opened or broke, unless the opposite has happened since.
+    /// Reports to a node that a connection opened or broke, unless the opposite has happened since.
     pub(super) fn link_event(&mut self, i: usize, peer: usize, is_up: bool) {
         if is_up != self.connections.contains_key(&pair(i, peer)) {
             return;
         }
-        self.with(i, |group, now| {
+        self.call_node(i, |group, now| {
             if is_up {
                 group.peer_connected(now, voter(peer));
                 group.add_learner(voter(peer));
@@ -49,25 +49,25 @@
         });
     }
 
-    /// The connection of two nodes, by the id that it had when a message was sent.
+    /// The id of the open connection between two nodes, if there is one. A new connection gets a new id.
     pub(super) fn connection(&self, a: usize, b: usize) -> Option<u64> {
         self.connections.get(&pair(a, b)).copied()
     }
 
-    /// Whether it is still the same connection.
+    /// Whether the connection with this id is still open between the two nodes.
     pub(super) fn is_connection(&self, a: usize, b: usize, connection: u64) -> bool {
         self.connection(a, b) == Some(connection)
     }
 
-    /// Two nodes hear each other no more. It takes a while until they notice.
+    /// Partitions two nodes from each other. They notice it after a delay.
     pub fn partition(&mut self, a: usize, b: usize) {
-        self.note(format!("partition {a} {b}"));
+        self.log(format!("partition {a} {b}"));
         self.partitions.insert(pair(a, b));
         let noticed_after = 100 + self.random_below(2000);
         self.disconnect(a, b, noticed_after);
     }
 
-    /// All partitions end.
+    /// Ends all partitions.
     pub fn heal(&mut self) {
         std::mem::take(&mut self.partitions).into_iter().for_each(|(a, b)| self.connect(a, b));
     }
--- a/crates/control-group/tests/simulation/node.rs
+++ b/crates/control-group/tests/simulation/node.rs
@@ -1,41 +1,41 @@
-//! A simulated machine: its clock, its disk and its process, and the faults that strike it.
+//! A simulated machine: its clock, disk and process, and the faults injected into it.
 
 use super::{voter, Event, ScheduledEvent, Simulation};
 use std::collections::VecDeque;
 use stileroute_control_group::*;
 
-/// What may happen to a machine.
+/// A fault of a machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// The process is killed; what it has written survives.
+    /// The process is killed; its written data survives.
     Kill,
-    /// The machine loses power: what is not synced is lost in part.
+    /// The machine loses power; data that is not synced is lost in part.
     PowerLoss,
     /// The machine and its disk are lost.
     DiskLoss,
-    /// The process is stopped for a while, and continues.
+    /// The process is stopped for a while and then continues.
     Freeze,
 }
 pub use Fault::*;
 
 #[derive(Default)]
 pub struct Node {
-    /// The process, if it runs.
+    /// The state machine of the process; `None` while the process is down.
     pub group: Option<ControlGroup>,
-    /// How often the process has been started.
+    /// The number of times the process has been started.
     pub(super) incarnation: u64,
-    /// What the node's clock shows at the start of the simulation.
+    /// The reading of the node's clock at the start of the simulation.
     pub(super) clock_offset: Millis,
     disk: PersistedState,
     pub(super) unsynced: VecDeque<(u64, Record)>,
-    /// The disk refuses records.
+    /// Whether the disk refuses records.
     pub is_disk_full: bool,
     pub(super) is_frozen: bool,
-    /// Events that arrived while the node was frozen.
+    /// The events that arrived while the node was frozen.
     deferred: Vec<ScheduledEvent>,
     pub(super) outbox: VecDeque<Effect>,
     pub(super) due: Millis,
-    /// The value that was committed here last.
+    /// The control state that the node committed last.
     pub committed: ControlState,
     pub is_ready_to_exit: bool,
 }
@@ -46,10 +46,10 @@
     }
 }
 
-// Each file of tests uses its part of it.
+// Each test binary uses only some of these methods.
 #[allow(dead_code)]
 impl Simulation {
-    /// Another control node, empty, and no seed after the first ones.
+    /// Adds a control node with an empty disk. After the initial nodes it is not a seed.
     pub fn add_node(&mut self) {
         let clock_offset = 1_000 + self.random_below(1_000_000);
         self.nodes.push(Node { clock_offset, ..Node::default() });
@@ -66,20 +66,20 @@
         let settings = GroupSettings { survives_domain_loss: self.survives_domain_loss, ..settings };
         node.group = Some(ControlGroup::new(settings, node.disk.clone(), self.now + node.clock_offset));
         node.incarnation += 1;
-        self.note(format!("{i} starts"));
+        self.log(format!("{i} starts"));
         (0..self.nodes.len()).for_each(|peer| self.connect(i, peer));
         self.carry_out(i);
     }
 
-    /// A fault strikes; what it ends is back after so long.
+    /// Injects a fault into a node. After `back_after` milliseconds, if given, the node continues or starts again.
     pub fn inject(&mut self, i: usize, fault: Fault, back_after: Option<Millis>) {
-        self.note(format!("{fault:?} {i}"));
+        self.log(format!("{fault:?} {i}"));
         if !self.is_up(i) && (fault == Freeze || !self.nodes[i].is_frozen) {
             return;
         }
         if fault == Freeze {
             self.nodes[i].is_frozen = true;
-            return self.schedule(back_after.unwrap_or(1500), i, Event::Thaw);
+            return self.schedule(back_after.unwrap_or(1500), i, Event::Unfreeze);
         }
         self.last_arrival.retain(|(from, _), _| *from != i);
         let disk = self.disk_after(i, fault);
@@ -92,25 +92,25 @@
         }
     }
 
-    /// What was being written is there in part, in its order; some losses of power take all of it.
+    /// The disk contents after a fault. A prefix of the unsynced records survives; some power losses lose all of them.
     fn disk_after(&mut self, i: usize, fault: Fault) -> PersistedState {
         let unsynced = self.nodes[i].unsynced.len() as u64;
-        let survives =
+        let surviving_records =
             self.random_below(unsynced + 1) * u64::from(fault == Kill || self.random_below(2) == 0);
         let node = &mut self.nodes[i];
         let mut disk = std::mem::take(&mut node.disk);
         let unsynced = std::mem::take(&mut node.unsynced);
-        unsynced.into_iter().take(survives as usize).for_each(|(_, record)| disk.apply(record));
+        unsynced.into_iter().take(surviving_records as usize).for_each(|(_, record)| disk.apply(record));
         if fault == DiskLoss {
             disk = PersistedState::default();
         }
         disk
     }
 
-    /// Tells a node's process to end.
+    /// Begins a graceful shutdown of a node's process.
     pub fn shut_down(&mut self, i: usize) {
-        self.note(format!("{i} is told to end"));
-        self.with(i, |group, now| group.shut_down(now));
+        self.log(format!("{i} shuts down"));
+        self.call_node(i, |group, now| group.shut_down(now));
     }
 
     pub(super) fn handle_event(&mut self, (i, incarnation, event): ScheduledEvent) {
@@ -119,10 +119,10 @@
             Event::Attempt { call, attempt, at } => return self.attempt(call, attempt, at),
             _ if incarnation != node.incarnation => {}
             Event::Start if node.group.is_none() => return self.start(i),
-            Event::Thaw if node.is_frozen => {
+            Event::Unfreeze if node.is_frozen => {
                 node.is_frozen = false;
                 let deferred = std::mem::take(&mut node.deferred);
-                self.note(format!("{i} thaws"));
+                self.log(format!("{i} continues"));
                 self.carry_out(i);
                 return deferred.into_iter().for_each(|event| self.handle_event(event));
             }
@@ -134,18 +134,18 @@
                 if is_durable {
                     node.disk.apply(record);
                 }
-                self.with(i, |group, now| group.persisted(now, ticket, is_durable));
+                self.call_node(i, |group, now| group.persisted(now, ticket, is_durable));
             }
             Event::Link { peer, is_up } => self.link_event(i, peer, is_up),
             _ => {}
         }
-        self.with(i, |group, now| group.tick(now));
+        self.call_node(i, |group, now| group.tick(now));
     }
 
-    /// A message arrives, unless the connection has broken since it was sent.
+    /// Delivers a message, unless the connection has broken since it was sent.
     fn message_event(&mut self, i: usize, from: usize, connection: u64, message: Message) {
         if self.is_connection(from, i, connection) {
-            self.with(i, |group, now| group.handle_message(now, voter(from), message));
+            self.call_node(i, |group, now| group.handle_message(now, voter(from), message));
         }
     }
 }
