--- a/crates/control-group/src/backup.rs
+++ b/crates/control-group/src/backup.rs
@@ -73,7 +73,7 @@
     /// the newer one.
     fn is_from_primary(&mut self, from: NodeId, epoch: u64, view: &View) -> bool {
         if epoch < view.epoch {
-            // If the sender is itself the primary of the later view, it proposed that view and will learn from the grants that
+            // The primary of the later view is not sent that view: it proposed the view itself, and learns from the grants that
             // it is in force.
             if from != view.primary {
                 self.send(from, Message::Denied { view: view.clone() });
--- a/crates/control-group/src/clock.rs
+++ b/crates/control-group/src/clock.rs
@@ -16,7 +16,7 @@
 /// How long a voter grants no view to another candidate after it acknowledged a heartbeat, by the voter's clock, in
 /// milliseconds.
 ///
-/// This is the grace period of PacificA.
+/// This is the grace period of PacificA (Lin et al. 2008).
 pub const GRACE_PERIOD: Millis = 900;
 
 /// Whether a lease measured by the slowest clock expires before a grace period measured by the fastest clock.
