--- a/crates/queue/src/service_queue.rs
+++ b/crates/queue/src/service_queue.rs
@@ -14,7 +14,7 @@
 use selection::InFlightAttempt;
 use std::collections::{BTreeSet, HashMap};
 use stileroute_dispatch::policy::Dispatcher;
-use stileroute_dispatch::types::{Category, Effect, Gauge, DispatchSettings, InstanceSettings, Time, SECOND};
+use stileroute_dispatch::types::{Category, DispatchSettings, Effect, Gauge, InstanceSettings, Time, SECOND};
 
 /// Longest time for which an executor that has just started is treated as warming up.
 const WARM_UP_TICKS: Time = 5 * SECOND;
--- a/crates/queue/src/service_queue/selection.rs
+++ b/crates/queue/src/service_queue/selection.rs
@@ -3,7 +3,7 @@
 use super::{ExecutorState, ServiceQueue};
 use crate::message::{Key, Millis};
 use crate::retry_budget::STUCK_RETRY_LIMIT_MS;
-use stileroute_dispatch::types::{OpRequest, Limits, Op, Outcome as DispatchOutcome, Step, Time, SECOND};
+use stileroute_dispatch::types::{Limits, Op, OpRequest, Outcome as DispatchOutcome, Step, Time, SECOND};
 
 /// Longest pause of a service whose fixed endpoint fails, and the pause while no executor serves.
 const UNAVAILABLE_PAUSE_MS: Millis = 400;
@@ -278,7 +278,10 @@
 fn is_answer(outcome: &DispatchOutcome) -> bool {
     matches!(
         outcome,
-        DispatchOutcome::Acked | DispatchOutcome::Rejected | DispatchOutcome::Full | DispatchOutcome::NeverStarted
+        DispatchOutcome::Acked
+            | DispatchOutcome::Rejected
+            | DispatchOutcome::Full
+            | DispatchOutcome::NeverStarted
     )
 }
 
