--- a/crates/model-check/wal/tests/planted.rs
+++ b/crates/model-check/wal/tests/planted.rs
@@ -1,4 +1,4 @@
-//! Each planted fault is found by the search that finds none in what is in service.
+//! The power-loss search must detect each planted fault, and must not find a fault in the unmodified write-ahead log.
 
 extern crate stileroute_wal_planted as stileroute_wal;
 
@@ -8,27 +8,27 @@
 use power::{search, Failure, Scenario};
 use stileroute_wal::{Options, PlantedFault, Step};
 
-fn faults(planted: PlantedFault, failure: Failure) -> Option<String> {
+fn find_fault(planted: PlantedFault, failure: Failure) -> Option<String> {
     let options = |options| Options { planted_fault: Some(planted), ..options };
     search(&Scenario { failure, options: &options }).fault
 }
 
 #[test]
-fn each_planted_fault_is_found() {
+fn each_planted_fault_is_detected() {
     for planted in PlantedFault::ALL {
         let failure = match planted {
-            // Only a folder that could not be synced leaves a segment whose name may be lost.
-            PlantedFault::NamelessCovered => Some((Step::SyncFolderAfterSegment, 1)),
+            // A segment's name can be lost only if a sync of the folder fails, so this failure is injected.
+            PlantedFault::UnsyncedSegmentCovered => Some((Step::SyncFolderAfterSegment, 1)),
             _ => None,
         };
-        let fault = faults(planted, failure);
+        let fault = find_fault(planted, failure);
         println!("{planted:?}: {fault:?}");
-        assert!(fault.is_some(), "{planted:?} was not found");
+        assert!(fault.is_some(), "the planted fault {planted:?} was not detected");
     }
 }
 
 #[test]
-fn without_a_fault_these_sources_pass_too() {
-    let found = search(&Scenario { failure: None, options: &|options| options });
-    assert_eq!(found.fault, None, "{} points, {} outcomes", found.points, found.outcomes);
+fn no_fault_is_found_without_a_planted_fault() {
+    let result = search(&Scenario { failure: None, options: &|options| options });
+    assert_eq!(result.fault, None, "{} points, {} outcomes", result.points, result.outcomes);
 }
--- a/crates/wal/src/background.rs
+++ b/crates/wal/src/background.rs
@@ -1,30 +1,31 @@
-//! How a checkpoint's thread gives way to the others: it pauses now and then, and ends early when it is cancelled.
+//! Throttling and cancellation of the checkpoint thread, which shares the processor with the log's writer thread.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
 
-/// Bytes of records that are worked on between pauses: the program's loop and the writer share one processor with this.
+/// Bytes of records that the checkpoint thread processes between two pauses. It pauses because the program's main loop
+/// and the log's writer thread share one processor with it.
 pub const BYTES_BETWEEN_PAUSES: usize = 256 << 10;
 const PAUSE: Duration = Duration::from_millis(2);
 
-/// Leaves the processor to others for a moment.
+/// Sleeps for a few milliseconds so that other threads can run on the same processor.
 pub fn pause() {
     thread::sleep(PAUSE);
 }
 
-/// Tells a thread to give up its work.
+/// A flag, shared between threads, that asks the checkpoint thread to abandon its work.
 #[derive(Clone, Default)]
 pub struct Cancellation(Arc<AtomicBool>);
 
 impl Cancellation {
-    /// From here on the thread does no more than it has to.
+    /// Asks the checkpoint thread to stop. It then does only the work that is needed to clean up.
     pub fn cancel(&self) {
         self.0.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the work is to be given up.
+    /// Whether the checkpoint thread has been asked to abandon its work.
     pub fn is_cancelled(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
--- a/crates/wal/src/checkpoint.rs
+++ b/crates/wal/src/checkpoint.rs
@@ -1,7 +1,8 @@
-//! A checkpoint: folds the snapshot and the closed segments into a new snapshot, and removes what it covers.
+//! A checkpoint: merges the previous snapshot and the closed segments into a new snapshot, and then removes the files
+//! that the new snapshot covers.
 //!
-//! The order is that of crash-safe replacement on POSIX: write under another name, sync the file, rename it, sync the folder,
-//! and only then remove what it replaces.
+//! The steps follow the order of crash-safe file replacement on POSIX: write the file under a temporary name, sync the
+//! file, rename it, sync the folder, and only then remove the files that it replaces.
 
 use std::path::PathBuf;
 
@@ -17,33 +18,35 @@
 use crate::snapshot::{SnapshotPlan, SnapshotWriter};
 use crate::state_machine::StateMachine;
 
-/// What a checkpoint's thread is to do: fold the snapshot `from` and the segments from there on into the snapshot `to`.
+/// The work of a checkpoint thread: merge the snapshot numbered `from` and the segments from `from` up to but not
+/// including `to` into the snapshot numbered `to`.
 pub struct CheckpointTask {
-    /// The folder that the log is in.
+    /// The folder that holds the log's files.
     pub folder: PathBuf,
-    /// Those of the log.
+    /// The options that the log was opened with.
     pub options: Options,
-    /// The identity that the folder's files carry.
+    /// The folder identity that is stored in the header of every file of the folder.
     pub identity: FolderIdentity,
-    /// The snapshot to begin with, and the first segment that it does not cover; 1 if there is no snapshot.
+    /// Number of the previous snapshot, which is also the number of the first segment that it does not cover; 1 if
+    /// there is no snapshot.
     pub from: u64,
-    /// The snapshot to be written, and the first segment that it will not cover.
+    /// Number of the snapshot to write, which is also the number of the first segment that it will not cover.
     pub to: u64,
-    /// Bytes that the snapshot may take.
+    /// Maximum size of the new snapshot, in bytes.
     pub max_bytes: u64,
-    /// Tells the thread to give up.
+    /// Set by the log's writer thread to make the checkpoint thread abandon its work.
     pub cancellation: Cancellation,
 }
 
-/// How a checkpoint that did not fail has ended.
+/// The result of a checkpoint that ended without an error.
 #[derive(Debug, PartialEq, Eq)]
 pub enum CheckpointOutcome {
-    /// The snapshot has its name.
+    /// The snapshot was written and renamed to its final name.
     Completed {
-        /// Length of the snapshot.
+        /// Length of the snapshot file, in bytes.
         snapshot_bytes: u64,
     },
-    /// It was cancelled, and no file of it is left.
+    /// The checkpoint was cancelled, and its temporary file was removed.
     Cancelled,
 }
 
@@ -53,7 +56,8 @@
     }
 }
 
-/// Runs a checkpoint on a state machine of its own.
+/// Runs a checkpoint on a separate state machine that is built from the files, so the program's own state machine is
+/// not used.
 pub fn run<M: StateMachine>(task: &CheckpointTask) -> Result<CheckpointOutcome, CheckpointError> {
     task.options.before(Step::ReadForCheckpoint, &task.folder)?;
     let state = read_state::<M>(task)?;
@@ -67,22 +71,25 @@
         Err(error) => Err(error),
     };
     if !matches!(published, Ok(CheckpointOutcome::Completed { .. })) {
-        // If this fails, the next opening removes it.
+        // A failure to remove the temporary snapshot file is ignored, because the next opening of the folder removes
+        // the file.
         let _ = disk::remove(&task.folder, &unfinished, &task.options);
         return published;
     }
-    // Until the folder is synced a loss of power may bring the old names back, so what the snapshot replaces stays.
-    if !task.options.has_planted(PlantedFault::DroppedEarly) {
+    // Until the folder is synced, a loss of power may bring the old file names back. The files that the snapshot
+    // replaces are therefore removed only after the sync.
+    if !task.options.has_planted(PlantedFault::CoveredFilesRemovedEarly) {
         task.options.before(Step::SyncFolderAfterSnapshot, &task.folder)?;
         disk::sync_folder(&task.folder, &task.options)?;
     }
     if let Err(error) = remove_covered(task) {
-        tracing::warn!(%error, "what a snapshot covers is still there");
+        tracing::warn!(%error, "could not remove files that the new snapshot covers; a later checkpoint or opening removes them");
     }
     published
 }
 
-/// Applies all records of the snapshot and of the segments that the new one covers; none after it was cancelled.
+/// Applies all records of the previous snapshot and of the segments that the new snapshot covers to an empty state
+/// machine. Records that are read after a cancellation are skipped.
 fn read_state<M: StateMachine>(task: &CheckpointTask) -> Result<M, CheckpointError> {
     let mut state = M::default();
     let mut bytes_since_pause = 0;
@@ -108,7 +115,8 @@
     Ok(state)
 }
 
-/// Writes and syncs the snapshot under its unfinished name, and frees the state. Its length in bytes.
+/// Writes and syncs the snapshot under its temporary name, drops the state machine, and returns the length of the
+/// snapshot in bytes.
 fn write_snapshot<M: StateMachine>(
     task: &CheckpointTask,
     unfinished: &str,
--- a/crates/wal/src/disk.rs
+++ b/crates/wal/src/disk.rs
@@ -1,9 +1,9 @@
-//! The operations that change a folder or a file in it. A test may observe each of them once it is done, and derive from
-//! them all that a loss of power may leave.
+//! All operations that change the log's folder or a file in it. A test can observe each operation after it completes,
+//! and derive every state of the folder that a loss of power may leave.
 //!
-//! POSIX: `fsync` of a file makes its bytes durable but not its name; the name is durable once the folder that holds it is
-//! synced. After a failed `fsync` Linux may mark pages clean that never reached the disk (Rebello et al., "Can Applications
-//! Recover from fsync Failures?", USENIX ATC 2020).
+//! Under POSIX, `fsync` of a file makes its bytes durable but not its name; the name is durable once the folder that
+//! contains the file has been synced. After a failed `fsync`, Linux may mark pages as clean that never reached the
+//! disk (Rebello et al., "Can Applications Recover from fsync Failures?", USENIX ATC 2020).
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -22,25 +22,27 @@
     }
 }
 
-/// Creates the folder if it is missing. Whoever created it, its name is durable once this returns.
+/// Creates the log's folder if it is missing. The folder's name is durable once this returns, whichever process
+/// created the folder.
 pub fn create_folder(folder: &Path, options: &Options) -> Result<(), FileError> {
-    let opening = FileError::on("opening the folder", folder);
+    let open_error = FileError::on("opening the folder", folder);
     let is_missing = |path: &&Path| !path.as_os_str().is_empty() && !path.exists();
     let missing: Vec<&Path> = folder.ancestors().take_while(is_missing).collect();
     if !missing.is_empty() {
         options.wait_while_stalled(DiskAccess::Write);
-        fs::create_dir_all(folder).map_err(opening)?;
+        fs::create_dir_all(folder).map_err(open_error)?;
         options.observed(|| Operation::FolderCreated);
     }
     for created in missing.into_iter().skip(1).rev() {
-        sync(&parent_of(created), options).map_err(opening)?;
+        sync(&parent_of(created), options).map_err(open_error)?;
     }
-    sync(&parent_of(folder), options).map_err(opening)?;
+    sync(&parent_of(folder), options).map_err(open_error)?;
     options.observed(|| Operation::ParentSynced);
     Ok(())
 }
 
-/// Creates the folder if it is missing, and does not sync its name: a fault for the search to find.
+/// Creates the log's folder if it is missing, without syncing its parent: a planted fault that the power-loss tests
+/// have to detect.
 pub fn create_folder_unsynced(folder: &Path) -> Result<(), FileError> {
     fs::create_dir_all(folder).map_err(FileError::on("opening the folder", folder))
 }
@@ -57,23 +59,24 @@
     File::open(folder)?.sync_all()
 }
 
-/// Names that were created, renamed or removed outlive a loss of power from here on.
+/// Syncs the folder: all creations, renames and removals of files in it that were made before the call survive a loss
+/// of power.
 pub fn sync_folder(folder: &Path, options: &Options) -> Result<(), FileError> {
     sync(folder, options).map_err(FileError::on("syncing the folder", folder))?;
     options.observed(|| Operation::FolderSynced);
     Ok(())
 }
 
-/// Renames a file of the folder, over another if there is one.
+/// Renames a file of the folder, and replaces the file that has the new name if there is one.
 pub fn rename(folder: &Path, from: &str, to: &str, options: &Options) -> Result<(), FileError> {
-    let unnamed = folder.join(from);
+    let source_path = folder.join(from);
     options.wait_while_stalled(DiskAccess::Write);
-    fs::rename(&unnamed, folder.join(to)).map_err(FileError::on("renaming", &unnamed))?;
+    fs::rename(&source_path, folder.join(to)).map_err(FileError::on("renaming", &source_path))?;
     options.observed(|| Operation::Renamed { from: from.to_string(), to: to.to_string() });
     Ok(())
 }
 
-/// Removes a file of the folder. A name that is gone already is no error.
+/// Removes a file of the folder. A file that does not exist is not an error.
 pub fn remove(folder: &Path, name: &str, options: &Options) -> Result<(), FileError> {
     let path = folder.join(name);
     options.wait_while_stalled(DiskAccess::Write);
@@ -88,26 +91,26 @@
     }
 }
 
-/// An open file of the folder.
+/// An open file of the log's folder.
 pub struct DiskFile {
-    /// Shared with syncs that run on another thread.
+    /// The file handle, shared with syncs that run on another thread.
     file: Arc<File>,
     path: PathBuf,
 }
 
 impl DiskFile {
-    /// An empty file, whatever was there under its name.
+    /// Creates an empty file for reading and writing, and truncates an existing file of that name.
     pub fn create(folder: &Path, name: &str, options: &Options) -> Result<DiskFile, FileError> {
         let path = folder.join(name);
-        let mut creating = OpenOptions::new();
-        creating.read(true).write(true).create(true).truncate(true);
+        let mut create_options = OpenOptions::new();
+        create_options.read(true).write(true).create(true).truncate(true);
         options.wait_while_stalled(DiskAccess::Write);
-        let file = creating.open(&path).map_err(FileError::on("creating", &path))?;
+        let file = create_options.open(&path).map_err(FileError::on("creating", &path))?;
         options.observed(|| Operation::FileCreated { name: name.to_string() });
         Ok(DiskFile { file: Arc::new(file), path })
     }
 
-    /// Opens a file that is there, to read and write it.
+    /// Opens an existing file for reading and writing.
     pub fn open(folder: &Path, name: &str) -> Result<DiskFile, FileError> {
         let path = folder.join(name);
         let opened = OpenOptions::new().read(true).write(true).open(&path);
@@ -115,12 +118,12 @@
         Ok(DiskFile { file: Arc::new(file), path })
     }
 
-    /// Where it is.
+    /// Path of the open file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// The same file after it was renamed.
+    /// Updates the stored path after the file was renamed within its folder.
     pub fn renamed(mut self, name: &str) -> DiskFile {
         self.path.set_file_name(name);
         self
@@ -130,7 +133,7 @@
         self.path.file_name().unwrap_or_default().to_string_lossy().into_owned()
     }
 
-    /// Writes at the current offset.
+    /// Writes the bytes at the file's current offset.
     pub fn write(&mut self, bytes: &[u8], options: &Options) -> Result<(), FileError> {
         let offset = match options.operation_observer {
             Some(_) => self.file.as_ref().stream_position().map_err(FileError::on("writing", &self.path))?,
@@ -142,7 +145,7 @@
         written.map_err(FileError::on("writing", &self.path))
     }
 
-    /// Sets the length, and makes that the current offset.
+    /// Sets the file's length in bytes, and moves the current offset to the new end of the file.
     pub fn truncate(&mut self, length: u64, options: &Options) -> Result<(), FileError> {
         options.wait_while_stalled(DiskAccess::Write);
         self.file.set_len(length).map_err(FileError::on("truncating", &self.path))?;
@@ -150,53 +153,54 @@
         self.seek(length)
     }
 
-    /// Sets the current offset.
+    /// Moves the file's current offset, in bytes from its start.
     pub fn seek(&mut self, offset: u64) -> Result<(), FileError> {
-        let sought = self.file.as_ref().seek(SeekFrom::Start(offset));
-        sought.map(drop).map_err(FileError::on("seeking in", &self.path))
+        let seek_result = self.file.as_ref().seek(SeekFrom::Start(offset));
+        seek_result.map(drop).map_err(FileError::on("seeking in", &self.path))
     }
 
-    /// Fills the buffer from the current offset on.
+    /// Reads from the file's current offset until the buffer is full.
     pub fn read_exact(&mut self, buffer: &mut [u8]) -> Result<(), FileError> {
         self.file.as_ref().read_exact(buffer).map_err(FileError::on("reading", &self.path))
     }
 
-    /// What a thread needs that syncs the file while this one writes to it.
+    /// Returns a handle with which another thread can sync the file while this one writes to it.
     pub fn syncer(&self) -> FileSyncer {
         FileSyncer { file: Arc::clone(&self.file), path: self.path.clone() }
     }
 
-    /// Makes the bytes durable, and of the metadata only what reading them needs (`fdatasync`).
+    /// Makes the file's bytes durable, and only as much of its metadata as is needed to read them (`fdatasync`).
     pub fn sync_data(&self, options: &Options) -> Result<(), FileError> {
         self.syncer().sync_data(options)
     }
 
-    /// Makes the bytes and all metadata durable (`fsync`).
+    /// Makes the file's bytes and all of its metadata durable (`fsync`).
     pub fn sync_all(&self, options: &Options) -> Result<(), FileError> {
         self.syncer().sync_all(options)
     }
 }
 
-/// Syncs an open file of the folder, while another thread may write to it.
+/// A handle that syncs an open file of the log's folder while another thread may write to the file.
 ///
-/// What was written before a sync began is durable once it has ended; what was written meanwhile may or may not be.
+/// Bytes that were written before a sync started are durable once it has completed; bytes that were written during the
+/// sync may or may not be durable.
 pub struct FileSyncer {
     file: Arc<File>,
     path: PathBuf,
 }
 
 impl FileSyncer {
-    /// Where the file is.
+    /// Path of the file that is synced.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Makes the bytes durable, and of the metadata only what reading them needs (`fdatasync`).
+    /// Makes the file's bytes durable, and only as much of its metadata as is needed to read them (`fdatasync`).
     pub fn sync_data(&self, options: &Options) -> Result<(), FileError> {
         self.sync(File::sync_data, options)
     }
 
-    /// Makes the bytes and all metadata durable (`fsync`).
+    /// Makes the file's bytes and all of its metadata durable (`fsync`).
     pub fn sync_all(&self, options: &Options) -> Result<(), FileError> {
         self.sync(File::sync_all, options)
     }
--- a/crates/wal/src/error.rs
+++ b/crates/wal/src/error.rs
@@ -1,20 +1,22 @@
-//! Why an operation on a folder failed: a type for each operation, and the causes that they share.
+//! Errors of the write-ahead log: one type for each operation, and the causes that several operations share.
 
 use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The system refused an operation on a file or a folder.
+/// The operating system failed an operation on a file or a folder.
 ///
-/// The text holds the cause too, because a log line shows the text of an error alone.
+/// The error text includes the text of its source, because log lines print only the error's own text and not its
+/// sources.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("disk: {action} {}: {source}", .path.display())]
 pub struct FileError {
-    /// What was tried, such as "syncing".
+    /// The attempted operation as a participle, such as "syncing".
     pub action: &'static str,
-    /// The file or folder that it was tried on.
+    /// The file or folder that the operation was attempted on.
     pub path: PathBuf,
-    /// What the system said. Shared, for one failure answers all appends of a group.
+    /// The error that the operating system returned. It is shared, because a single failure is returned to all appends
+    /// of a group.
     pub source: Arc<io::Error>,
 }
 
@@ -23,7 +25,7 @@
         FileError { action, path: path.to_path_buf(), source: Arc::new(source) }
     }
 
-    /// For `map_err`: the path is copied only where something failed.
+    /// Returns a closure for `map_err` that builds the error, so that the path is copied only if the operation failed.
     pub(crate) fn on<'a>(
         action: &'static str,
         path: &'a Path,
@@ -31,42 +33,44 @@
         move |source| FileError::new(action, path, source)
     }
 
-    /// Whether the disk or the quota is used up.
+    /// Whether the operation failed because the disk is full or the disk quota is exhausted.
     pub fn is_disk_full(&self) -> bool {
         matches!(self.source.kind(), io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded)
     }
 }
 
-/// Why a folder can't be read: what [`verify`](fn@crate::verify) returns, and what ends an opening or a checkpoint that reads.
+/// The reasons why a log's folder can't be read: returned by [`verify`](fn@crate::verify), and also by an opening or a
+/// checkpoint that fails while it reads files.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The system refused to list the folder or to read a file.
+    /// The operating system failed to list the folder or to read a file.
     #[error(transparent)]
     File(#[from] FileError),
-    /// A file is missing, or bytes in it changed after they had been synced.
+    /// A file is missing, or its bytes have changed since they were synced.
     #[error("disk: {file} is damaged: {reason}")]
     Corrupted {
-        /// Name of the file within the folder.
+        /// Name of the affected file within the log's folder.
         file: String,
-        /// What is wrong, and at which byte.
+        /// Description of the damage, with the byte offset at which it was found.
         reason: String,
     },
-    /// A file is of another program, version or schema, or FORMAT is missing beside files of a log.
+    /// A file was written by another program, or in another version or schema, or the file FORMAT is missing from a
+    /// folder that contains files of a log.
     #[error("disk: {file} is not of this format: {found}")]
     UnknownFormat {
-        /// Name of the file; for FORMAT its path.
+        /// Name of the affected file within the log's folder; for the file FORMAT, its whole path.
         file: String,
-        /// What stands in its place.
+        /// The format that was found instead of the expected one.
         found: String,
     },
-    /// A file carries the identity of another folder: it was copied here from elsewhere.
+    /// A file has the identity of another folder in its header, because it was copied into this folder from there.
     #[error("disk: {file}: folder: it was written in {found}, and this is {expected}")]
     WrongFolder {
-        /// Name of the file within the folder.
+        /// Name of the affected file within the log's folder.
         file: String,
-        /// Identity of the folder that it was written in.
+        /// Identity of the folder that the file was written in.
         found: String,
-        /// Identity of this folder.
+        /// Identity of the folder that is being read.
         expected: String,
     },
 }
@@ -77,49 +81,49 @@
     }
 }
 
-/// Why [`Wal::open`](crate::Wal::open) refused a folder.
+/// The reasons why [`Wal::open`](crate::Wal::open) failed.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// What is in the folder can't be read, or must not be used.
+    /// The folder's contents can't be read, or belong to another log or format and must not be used.
     #[error(transparent)]
     Read(#[from] ReadError),
-    /// The system refused to create, sync, truncate or remove something.
+    /// The operating system failed to create, sync, truncate or remove a file or folder.
     #[error(transparent)]
     File(#[from] FileError),
-    /// The system refused a thread for the writer.
+    /// The operating system failed to start the writer thread.
     #[error("disk: starting the writer: {0}")]
     SpawnWriter(#[source] io::Error),
 }
 
-/// Why an append was refused or failed. Its records are not in the log.
+/// The reasons why an append was rejected or failed. The records of a failed append are not in the log.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum AppendError {
-    /// The disk, the quota or [`Options::capacity_bytes`](crate::Options::capacity_bytes) is used up. Appends without sync,
-    /// and a checkpoint that they lead to, may free some.
+    /// The disk is full, or the disk quota or [`Options::capacity_bytes`](crate::Options::capacity_bytes) is
+    /// exhausted. Further appends without sync, and a checkpoint that they trigger, may free space.
     #[error("disk: no room left")]
     DiskFull,
-    /// A record is longer than [`MAX_RECORD_BYTES`](crate::MAX_RECORD_BYTES).
+    /// A record of the append is longer than [`MAX_RECORD_BYTES`](crate::MAX_RECORD_BYTES).
     #[error("disk: {bytes} bytes are too many for one record or append")]
     RecordTooLarge {
-        /// Length of the longest record.
+        /// Length of the longest record of the append, in bytes.
         bytes: usize,
     },
-    /// All records together are longer than [`MAX_APPEND_BYTES`](crate::MAX_APPEND_BYTES).
+    /// The records of the append together are longer than [`MAX_APPEND_BYTES`](crate::MAX_APPEND_BYTES).
     #[error("disk: {bytes} bytes are too many for one record or append")]
     AppendTooLarge {
-        /// Length of the entry that they would make.
+        /// Length of the log entry that the records would form, in bytes.
         bytes: usize,
     },
-    /// The segment could not be written.
+    /// The entry could not be written to the segment.
     #[error(transparent)]
     Write(FileError),
-    /// The segment was written and could not be synced, so the entry was taken back.
+    /// The entry was written to the segment but could not be synced, so it was removed from the segment again.
     #[error(transparent)]
     Sync(FileError),
 }
 
 impl AppendError {
-    /// Tells a full disk from other failures of a write.
+    /// Converts an error of a write, and distinguishes a full disk from other failures.
     pub(crate) fn from_write(error: FileError) -> AppendError {
         if error.is_disk_full() {
             AppendError::DiskFull
@@ -128,7 +132,7 @@
         }
     }
 
-    /// Tells a full disk from other failures of a sync.
+    /// Converts an error of a sync, and distinguishes a full disk from other failures.
     pub(crate) fn from_sync(error: FileError) -> AppendError {
         if error.is_disk_full() {
             AppendError::DiskFull
@@ -138,25 +142,26 @@
     }
 }
 
-/// Why a checkpoint failed. The log goes on without it, and another is tried later.
+/// The reasons why a checkpoint failed. The log continues without the checkpoint, and another one is attempted later.
 #[derive(Debug, thiserror::Error)]
 pub enum CheckpointError {
-    /// The snapshot does not fit beside what it replaces, or the disk is full.
+    /// The new snapshot does not fit on the disk or within the capacity beside the files that it replaces, or the disk
+    /// is full.
     #[error("disk: no room left")]
     DiskFull,
-    /// The state machine gave a record longer than [`MAX_RECORD_BYTES`](crate::MAX_RECORD_BYTES).
+    /// The state machine's snapshot contained a record longer than [`MAX_RECORD_BYTES`](crate::MAX_RECORD_BYTES).
     #[error("disk: {bytes} bytes are too many for one record or append")]
     RecordTooLarge {
-        /// Length of the record.
+        /// Length of the rejected record, in bytes.
         bytes: usize,
     },
-    /// What the snapshot was to be made of can't be read.
+    /// The previous snapshot or a segment, from which the new snapshot is built, can't be read.
     #[error(transparent)]
     Read(#[from] ReadError),
-    /// The system refused to create, write, sync, rename or remove something.
+    /// The operating system failed to create, write, sync, rename or remove a file.
     #[error(transparent)]
     File(FileError),
-    /// The system refused a thread for the checkpoint.
+    /// The operating system failed to start the checkpoint thread.
     #[error("disk: starting a checkpoint: {0}")]
     SpawnThread(#[source] io::Error),
 }
--- a/crates/wal/src/file_names.rs
+++ b/crates/wal/src/file_names.rs
@@ -1,4 +1,4 @@
-//! The names of the files in a folder, and which of them count.
+//! The names of the files in a log's folder, and the selection of the files that are part of the current log.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -8,28 +8,28 @@
 use crate::error::FileError;
 use crate::frame::{FileId, FileKind};
 
-/// The file that says what the folder is.
+/// Name of the file that records the format of the folder and its identity.
 pub const FORMAT: &str = "FORMAT";
-/// Ends the name of a file that is not complete yet.
+/// Suffix of the temporary name of a file that is not completely written yet.
 pub const UNFINISHED_SUFFIX: &str = ".tmp";
 
 const LOG_PREFIX: &str = "log-";
 const SNAPSHOT_PREFIX: &str = "snapshot-";
-/// The number of a folder's first segment. A snapshot has the number of the first segment that it does not cover, so there is no
-/// snapshot of this number.
+/// The number of a folder's first segment. A snapshot has the number of the first segment that it does not cover, so
+/// no snapshot has this number.
 const FIRST_SEGMENT: u64 = 1;
 
-/// The name of a segment.
+/// Returns the file name of the segment with the given number.
 pub fn log_name(number: u64) -> String {
     numbered(LOG_PREFIX, number)
 }
 
-/// The name of a snapshot.
+/// Returns the file name of the snapshot with the given number.
 pub fn snapshot_name(number: u64) -> String {
     numbered(SNAPSHOT_PREFIX, number)
 }
 
-/// The name of a segment or a snapshot.
+/// Returns the file name of a segment or a snapshot.
 pub fn file_name(id: FileId) -> String {
     match id.kind {
         FileKind::Log => log_name(id.number),
@@ -37,7 +37,7 @@
     }
 }
 
-/// The name under which a file is written before it gets its own.
+/// Returns the temporary name under which a file is written before it is renamed to its final name.
 pub fn unfinished_name(name: &str) -> String {
     format!("{name}{UNFINISHED_SUFFIX}")
 }
@@ -46,34 +46,35 @@
     format!("{prefix}{number:010}")
 }
 
-/// The number in a name of that prefix. None if it is written in another way than here.
+/// Parses the number from a file name with the given prefix. Returns `None` unless the number is padded exactly as
+/// `numbered` writes it.
 fn number_of(name: &str, prefix: &str) -> Option<u64> {
     let number = name.strip_prefix(prefix)?.parse().ok()?;
     (numbered(prefix, number) == name).then_some(number)
 }
 
-/// The files of a folder, by what their names say that they are.
+/// The files of a log's folder, classified by their names.
 #[derive(Default)]
 pub struct FileNames {
-    /// The numbers of the segments.
+    /// Numbers of the segment files in the folder.
     pub logs: BTreeSet<u64>,
-    /// The numbers of the snapshots.
+    /// Numbers of the snapshot files in the folder.
     pub snapshots: BTreeSet<u64>,
-    /// Names that end in `.tmp`.
+    /// Names of unfinished files, which end in `.tmp`.
     pub unfinished: Vec<String>,
-    /// Names that no log writes.
+    /// Names of files that the write-ahead log never creates.
     pub unrecognized: Vec<String>,
-    /// Whether there is a FORMAT.
+    /// Whether the folder contains the file FORMAT.
     pub has_format: bool,
 }
 
 impl FileNames {
-    /// Lists the folder, and opens no file.
+    /// Lists the folder without opening any of its files.
     pub fn read(folder: &Path) -> Result<FileNames, FileError> {
-        let listing = FileError::on("listing the folder", folder);
+        let list_error = FileError::on("listing the folder", folder);
         let mut names = FileNames::default();
-        for entry in fs::read_dir(folder).map_err(listing)? {
-            let name = entry.map_err(listing)?.file_name();
+        for entry in fs::read_dir(folder).map_err(list_error)? {
+            let name = entry.map_err(list_error)?.file_name();
             names.add(name.to_string_lossy().into_owned());
         }
         Ok(names)
@@ -93,19 +94,20 @@
         }
     }
 
-    /// The first segment that the newest snapshot does not cover.
+    /// Returns the number of the first segment that the newest snapshot does not cover.
     pub fn base(&self) -> u64 {
         self.snapshots.last().copied().unwrap_or(FIRST_SEGMENT)
     }
 
-    /// The segments to be read. Each must be there; the range is empty before the first was created.
+    /// Returns the numbers of the segments that have to be read, all of which must exist. The range is empty until the
+    /// first segment has been created.
     pub fn live_segments(&self) -> RangeInclusive<u64> {
         let last_log = self.logs.last().copied().filter(|last| *last >= self.base());
         let last = last_log.or(self.snapshots.last().copied()).unwrap_or(0);
         self.base()..=last
     }
 
-    /// The first of the live segments that is not there.
+    /// Returns the first live segment whose file is missing from the folder.
     pub fn missing_segment(&self) -> Option<u64> {
         self.live_segments().find(|number| !self.logs.contains(number))
     }
--- a/crates/wal/src/folder.rs
+++ b/crates/wal/src/folder.rs
@@ -1,4 +1,5 @@
-//! Opens a folder: creates or checks it, reads its files, and repairs what a kill or a loss of power left.
+//! Opens a log's folder: creates or checks it, reads its files, and repairs the state that a killed process or a loss
+//! of power left behind.
 
 use std::path::{Path, PathBuf};
 
@@ -12,29 +13,31 @@
 use crate::scan::{scan, FileEnd};
 use crate::segment::Segment;
 
-/// Why a file is corrupted that is not there.
+/// Reason given in the error for a segment that should exist but is missing from the folder.
 pub const MISSING: &str = "the file is missing";
 
-/// An opened folder.
+/// A log's folder after it was opened and recovered.
 pub struct Folder {
-    /// Where it is.
+    /// Path of the log's folder.
     pub path: PathBuf,
-    /// What it was opened with.
+    /// Options that the log was opened with.
     pub options: Options,
-    /// The identity that its files carry.
+    /// Identity that is stored in the header of every file of the folder.
     pub identity: FolderIdentity,
-    /// The first segment that the snapshot does not cover; there is no snapshot at 1.
+    /// Number of the first segment that the snapshot does not cover; 1 if there is no snapshot.
     pub base: u64,
-    /// Bytes of the snapshot; 0 if there is none.
+    /// Size of the snapshot in bytes; 0 if there is no snapshot.
     pub snapshot_bytes: u64,
-    /// Bytes of the segments between the snapshot and the one that is written to.
+    /// Total size, in bytes, of the closed segments: those after the snapshot and before the segment that is written
+    /// to.
     pub closed_bytes: u64,
-    /// The segment that is written to.
+    /// The last segment, to which new entries are appended.
     pub log: Segment,
 }
 
 impl Folder {
-    /// Hands out all records in order, and returns the folder with all of them synced.
+    /// Passes all records of the folder to `on_record` in order, and returns the folder with all of its records
+    /// synced.
     pub fn open(
         path: &Path,
         options: Options,
@@ -52,9 +55,9 @@
         }
         let identity = read_identity(path, &options)?;
 
-        // A process that was killed may have renamed without a sync. First these names are made durable, then others are made
-        // that take them for given, and what they replace is removed.
-        if !names.has_format || !options.has_planted(PlantedFault::NamesTrusted) {
+        // A process that was killed may have renamed files without syncing the folder. The folder is therefore synced
+        // before files are created that depend on these names, and before the files that they replace are removed.
+        if !names.has_format || !options.has_planted(PlantedFault::UnsyncedNamesTrusted) {
             disk::sync_folder(path, &options)?;
         }
         if let Some(missing) = names.missing_segment() {
@@ -67,19 +70,20 @@
         let (snapshot_bytes, closed_bytes) = read_closed_files(path, &names, identity, on_record)?;
         let log = open_last_segment(path, &names, identity, &options, on_record)?;
         if let Err(error) = remove_covered(path, base, &options) {
-            tracing::warn!(%error, "what a snapshot covers is still there");
+            tracing::warn!(%error, "could not remove files that the snapshot covers; a later checkpoint or opening removes them");
         }
         let path = path.to_path_buf();
         Ok(Folder { path, options, identity, base, snapshot_bytes, closed_bytes, log })
     }
 
-    /// Bytes of the files that count.
+    /// Total size, in bytes, of the snapshot and the segments that are part of the current log.
     pub fn used_bytes(&self) -> u64 {
         self.snapshot_bytes + self.closed_bytes + self.log.end.bytes
     }
 }
 
-/// A folder without FORMAT is new, unless there are other files in it than a FORMAT that was not finished.
+/// Rejects a folder that lacks the file FORMAT but contains other files. A folder without FORMAT counts as new only if
+/// it is empty or contains just an unfinished FORMAT.
 fn refuse_without_format(path: &Path, names: &FileNames) -> Result<(), ReadError> {
     let logs = names.logs.iter().map(|&number| log_name(number));
     let snapshots = names.snapshots.iter().map(|&number| snapshot_name(number));
@@ -88,25 +92,26 @@
     match logs.chain(snapshots).chain(unfinished).chain(unrecognized).next() {
         Some(name) => Err(ReadError::UnknownFormat {
             file: path.join(FORMAT).display().to_string(),
-            found: format!("no such file, but {name}"),
+            found: format!("the file is missing, but the folder contains {name}"),
         }),
         None => Ok(()),
     }
 }
 
-/// The folder's identity, if it keeps what the options say.
+/// Returns the folder's identity, or an error if the schema in FORMAT differs from the one in the options.
 fn read_identity(path: &Path, options: &Options) -> Result<FolderIdentity, ReadError> {
     let format = format_file::read(path)?;
     if format.schema != options.schema {
         return Err(ReadError::UnknownFormat {
             file: path.join(FORMAT).display().to_string(),
-            found: format!("it keeps {:?}, not {:?}", format.schema, options.schema),
+            found: format!("the schema is {:?}, not {:?}", format.schema, options.schema),
         });
     }
     Ok(format.identity)
 }
 
-/// Reads the snapshot and all segments but the last: the bytes of the snapshot, and those of the segments.
+/// Reads the snapshot and all segments except the last one. Returns the size in bytes of the snapshot, and the total
+/// size in bytes of these segments.
 fn read_closed_files(
     path: &Path,
     names: &FileNames,
@@ -128,7 +133,8 @@
     Ok((snapshot_bytes, closed_bytes))
 }
 
-/// Reads the last segment and cuts off a torn end; creates it if there is none, or if not even its header is complete.
+/// Reads the last segment and truncates a torn end. Creates the segment if it does not exist, or if its file header is
+/// incomplete.
 fn open_last_segment(
     path: &Path,
     names: &FileNames,
@@ -151,20 +157,20 @@
             valid_bytes = scanned.valid_bytes,
             file_bytes = scanned.file_bytes,
             reason,
-            "torn end"
+            "segment ends with an incomplete or damaged entry that was never synced; truncating it"
         ),
         FileEnd::Complete => {}
     }
     if scanned.valid_bytes < FILE_HEADER_BYTES {
         return Ok(Segment::create(path, number, identity, options)?);
     }
-    if options.has_planted(PlantedFault::TornTaken) {
+    if options.has_planted(PlantedFault::TornEndAccepted) {
         scanned.valid_bytes = scanned.file_bytes;
     }
     Ok(Segment::reopen(path, number, &scanned, options)?)
 }
 
-/// Reads a file that must be complete; how many bytes it has.
+/// Reads a file that must not end in a torn entry, and returns its length in bytes.
 pub fn read_complete(path: &Path, id: FileId, on_record: &mut dyn FnMut(&[u8])) -> Result<u64, ReadError> {
     let name = file_name(id);
     let scanned = scan(&path.join(&name), id, on_record)?;
@@ -174,7 +180,8 @@
     }
 }
 
-/// Removes what the snapshot `base` covers. The names may come back at a loss of power, and are removed again.
+/// Removes the segments and older snapshots that the snapshot `base` covers. The removals are not synced: after a loss
+/// of power the files may reappear, and are then removed again.
 pub fn remove_covered(path: &Path, base: u64, options: &Options) -> Result<(), FileError> {
     let names = FileNames::read(path)?;
     for &number in names.logs.range(..base) {
--- a/crates/wal/src/format_file.rs
+++ b/crates/wal/src/format_file.rs
@@ -1,6 +1,8 @@
-//! The file FORMAT: one line that names the format, its version, the schema of the records and the folder's identity.
+//! The file FORMAT: a single line with the name of the format, its version, the schema of the records and the folder's
+//! identity.
 //!
-//! Folders that were created before there were identities have no fourth word.
+//! Folders that were created before folder identities were introduced have a line of three words, without the
+//! identity.
 
 use std::fs;
 use std::path::Path;
@@ -11,30 +13,31 @@
 use crate::frame::FolderIdentity;
 use crate::options::Options;
 
-/// The name under which FORMAT is written before it gets its own.
+/// Temporary name under which the file FORMAT is written before it is renamed.
 pub const FORMAT_UNFINISHED: &str = "FORMAT.tmp";
-/// The first word of the line. It is older than the name of this package, and stays, so that folders of earlier builds open.
+/// The first word of the line in FORMAT. It predates the name of this package, and is kept so that folders written by
+/// earlier builds can still be opened.
 const PROGRAM: &str = "stileroute-logbook";
-/// [`FORMAT_VERSION`](crate::frame::FORMAT_VERSION) as a word.
+/// [`FORMAT_VERSION`](crate::frame::FORMAT_VERSION) as it is written in the file FORMAT.
 const VERSION_WORD: &str = "1";
-/// Characters of a FORMAT that can't be read which the error shows.
-const SHOWN_CHARACTERS: usize = 80;
+/// Maximum number of characters of an invalid FORMAT file that are included in the error.
+const MAX_SHOWN_CHARACTERS: usize = 80;
 
-/// What FORMAT says.
+/// The contents of the file FORMAT.
 pub struct FolderFormat {
-    /// What the records are.
+    /// Schema of the log's records.
     pub schema: String,
-    /// What the folder's files carry; zero if the line has no fourth word.
+    /// Identity in the headers of the folder's files; zero if the line in FORMAT has no fourth word.
     pub identity: FolderIdentity,
 }
 
-/// Reads FORMAT, whatever its schema.
+/// Reads the file FORMAT without checking its schema.
 pub fn read(folder: &Path) -> Result<FolderFormat, ReadError> {
     let path = folder.join(FORMAT);
     let bytes = fs::read(&path).map_err(FileError::on("reading", &path))?;
     let text = String::from_utf8_lossy(&bytes);
     parse(&text).ok_or_else(|| {
-        let found = format!("{:?}", text.chars().take(SHOWN_CHARACTERS).collect::<String>());
+        let found = format!("{:?}", text.chars().take(MAX_SHOWN_CHARACTERS).collect::<String>());
         ReadError::UnknownFormat { file: path.display().to_string(), found }
     })
 }
@@ -49,10 +52,11 @@
     Some(FolderFormat { schema: schema.to_string(), identity: FolderIdentity(identity) })
 }
 
-/// Written beside and renamed: under its own name it is complete.
+/// Creates the file FORMAT with a new identity. It is written under a temporary name and then renamed, so a file named
+/// FORMAT is always complete.
 pub fn write(folder: &Path, options: &Options) -> Result<(), FileError> {
     let mut file = DiskFile::create(folder, FORMAT_UNFINISHED, options)?;
-    let text = format!("{PROGRAM} {VERSION_WORD} {} {}\n", options.schema, FolderIdentity::draw());
+    let text = format!("{PROGRAM} {VERSION_WORD} {} {}\n", options.schema, FolderIdentity::generate());
     file.write(text.as_bytes(), options)?;
     file.sync_all(options)?;
     disk::rename(folder, FORMAT_UNFINISHED, FORMAT, options)
--- a/crates/wal/src/frame.rs
+++ b/crates/wal/src/frame.rs
@@ -1,56 +1,59 @@
-//! The bytes of segments and snapshots.
+//! The byte format of segments and snapshots.
 //!
-//! A file begins with a header of 20 bytes: `slbook`, `l` for a log segment or `s` for a snapshot, the version, the file's number
-//! (4 bytes), the identity of its folder (4), and the checksum of these (4).
+//! A file begins with a header of 20 bytes: `slbook` (6 bytes), `l` for a log segment or `s` for a snapshot (1), the
+//! format version (1), the file's number (4), the identity of its folder (4), and the checksum of the preceding fields
+//! (4).
 //!
-//! Entries follow. An entry's header has 24 bytes: length of its payload (4), the entry's number in the file from 0 (4), up to
-//! which offset the file was synced when it was written (8), checksum of the payload (4), checksum of the header (4). The payload
-//! is records, each after its length (4). A snapshot ends with an entry without payload that has the count of the snapshot's
-//! records in place of the synced offset.
+//! Entries follow the file header. An entry's header has 24 bytes: the length of its payload (4), the entry's number
+//! in the file, counted from 0 (4), the offset up to which the file had been synced when the entry was written (8),
+//! the checksum of the payload (4), and the checksum of the header (4). The payload is a sequence of records, each
+//! preceded by its length (4). A snapshot ends with an entry without payload, which has the number of records in the
+//! snapshot in place of the synced offset.
 //!
-//! Numbers are little-endian, checksums CRC-32. Checksums of header and payload apart are common in logs (LevelDB's
-//! `log_format.md`); here a header that is intact tells how far the file had been synced even if its payload is torn.
+//! Numbers are little-endian, and checksums are CRC-32. Separate checksums of header and payload are common in logs
+//! (LevelDB's `log_format.md`). Here, an intact header tells how far the file had been synced even if the entry's
+//! payload is torn.
 
 use std::collections::hash_map::RandomState;
 use std::fmt;
 use std::hash::{BuildHasher, Hasher};
 
-/// Longest record, in bytes: the largest configuration (`charter::read::LONGEST`, 8 MiB), which is kept in one, and what goes
-/// with it.
+/// Maximum length of a record, in bytes: the largest configuration (`charter::read::LONGEST`, 8 MiB), which is stored
+/// in a single record, and 64 KiB for the fields stored with it.
 pub const MAX_RECORD_BYTES: usize = (8 << 20) + (64 << 10);
-/// Longest entry, in bytes: the records of one append with four bytes for each.
+/// Maximum length of an entry, in bytes: the records of one append with a length of four bytes before each record.
 pub const MAX_APPEND_BYTES: usize = 9 << 20;
 
-/// The version in each file's header, and in FORMAT.
+/// Version of the format, stored in each file's header and in the file FORMAT.
 pub const FORMAT_VERSION: u8 = 1;
-/// Length of the header that a file begins with.
+/// Length of the file header, in bytes.
 pub const FILE_HEADER_BYTES: u64 = 20;
-/// Length of the header that an entry begins with.
+/// Length of an entry's header, in bytes.
 pub const ENTRY_HEADER_BYTES: usize = 24;
 
-/// What each file begins with.
+/// Magic bytes at the start of each segment and snapshot.
 const MAGIC: &[u8; 6] = b"slbook";
-/// Of the length before each record.
+/// Size, in bytes, of the length field before each record.
 const RECORD_LENGTH_BYTES: usize = 4;
 
-/// What a file is.
+/// The kind of a file, as stored in its header.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum FileKind {
-    /// A segment of the log.
+    /// A segment of the log, which contains appended records.
     Log = b'l' as isize,
-    /// The state of everything before a segment.
+    /// A snapshot, which contains the state built from all segments before the one with the snapshot's number.
     Snapshot = b's' as isize,
 }
 
-/// Drawn when a folder is created. Its files carry it, so that one of another folder is not taken for its own. Zero in folders
-/// that were created before there were identities.
+/// A random number that is generated when a folder is created, and stored in each of its files so that a file copied
+/// from another folder is detected. It is zero in folders that were created before identities were introduced.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct FolderIdentity(pub u32);
 
 impl FolderIdentity {
-    /// A random one, never zero.
-    pub fn draw() -> FolderIdentity {
-        // The standard library seeds this from the system's random numbers.
+    /// Generates a random identity, which is never zero.
+    pub fn generate() -> FolderIdentity {
+        // `RandomState` is seeded by the standard library from the operating system's random numbers.
         FolderIdentity((RandomState::new().build_hasher().finish() as u32).max(1))
     }
 }
@@ -61,21 +64,21 @@
     }
 }
 
-/// What a file's header has to say.
+/// The fields that identify a file in its header.
 #[derive(Clone, Copy)]
 pub struct FileId {
-    /// Segment or snapshot.
+    /// Whether the file is a segment or a snapshot.
     pub kind: FileKind,
-    /// The number in its name.
+    /// The number in the file's name.
     pub number: u64,
-    /// The folder that it was written in.
+    /// Identity of the folder that the file was written in.
     pub folder: FolderIdentity,
 }
 
-/// The bytes that a file begins with.
+/// The encoded header at the start of a file.
 pub type FileHeader = [u8; FILE_HEADER_BYTES as usize];
 
-/// The header of such a file.
+/// Encodes the header of the file with the given kind, number and folder identity.
 pub fn encode_file_header(id: FileId) -> FileHeader {
     let FileId { kind, number, folder } = id;
     let mut header = [0; FILE_HEADER_BYTES as usize];
@@ -89,46 +92,46 @@
     header
 }
 
-/// Whether the checksum is right, whatever the header says.
+/// Whether the checksum of a file header is correct. The header's other fields are not checked.
 pub fn is_file_header_intact(header: &FileHeader) -> bool {
     crc32fast::hash(&header[..16]) == u32_at(header, 16)
 }
 
-/// Whether the header is of this format and version, and of a file of that kind.
+/// Whether a file header has the magic bytes and the version of this format, and the given file kind.
 pub fn is_file_of_kind(header: &FileHeader, kind: FileKind) -> bool {
     header[..6] == *MAGIC && header[7] == FORMAT_VERSION && header[6] == kind as u8
 }
 
-/// The number that a header names.
+/// Returns the file number in a file header.
 pub fn file_number(header: &FileHeader) -> u32 {
     u32_at(header, 8)
 }
 
-/// The folder that a header names.
+/// Returns the folder identity in a file header.
 pub fn file_folder(header: &FileHeader) -> FolderIdentity {
     FolderIdentity(u32_at(header, 12))
 }
 
-/// Bytes of an entry of these records.
+/// Returns the length in bytes of an entry that contains the given records.
 pub fn entry_bytes(records: &[Vec<u8>]) -> usize {
     ENTRY_HEADER_BYTES + records.iter().map(|record| RECORD_LENGTH_BYTES + record.len()).sum::<usize>()
 }
 
-/// Leaves room for an entry's header at the end of `out`. Once the records have been put, `finish_entry` takes the offset that
-/// this returns.
+/// Reserves space for an entry's header at the end of `out`, and returns the header's offset in `out`. The caller
+/// passes this offset to `finish_entry` after adding the records.
 pub fn begin_entry(out: &mut Vec<u8>) -> usize {
     let start = out.len();
     out.resize(start + ENTRY_HEADER_BYTES, 0);
     start
 }
 
-/// Puts a record, after its length, at the end of an entry's payload.
+/// Appends a record, preceded by its length, to an entry's payload at the end of `out`.
 pub fn put_record(record: &[u8], out: &mut Vec<u8>) {
     out.extend_from_slice(&(record.len() as u32).to_le_bytes());
     out.extend_from_slice(record);
 }
 
-/// Fills in the header of the entry that begins at `start` and ends with `out`.
+/// Fills in the header of the entry that begins at offset `start` of `out` and extends to the end of `out`.
 pub fn finish_entry(out: &mut [u8], start: usize, number: u32, synced: u64) {
     let (header, payload) = out[start..].split_at_mut(ENTRY_HEADER_BYTES);
     header[..4].copy_from_slice(&(payload.len() as u32).to_le_bytes());
@@ -139,22 +142,23 @@
     header[20..].copy_from_slice(&checksum.to_le_bytes());
 }
 
-/// The header of an entry whose checksum was right.
+/// The decoded header of an entry whose header checksum was correct.
 #[derive(Clone, Copy)]
 pub struct EntryHeader {
-    /// Length of the records, with the length of each.
+    /// Length of the payload in bytes: all records, each with its length field.
     pub payload_bytes: usize,
-    /// The entry's number in its file.
+    /// Number of the entry in its file, counted from 0.
     pub number: u32,
-    /// Up to which offset the file was synced when the entry was written; in the last entry of a snapshot the count of its
-    /// records.
+    /// Offset, in bytes, up to which the file had been synced when the entry was written. In the last entry of a
+    /// snapshot: the number of records in the snapshot.
     pub synced: u64,
     /// CRC-32 of the payload.
     pub payload_checksum: u32,
 }
 
 impl EntryHeader {
-    /// None if the bytes are too few, the checksum is wrong, or the payload would be too long.
+    /// Decodes an entry header. Returns `None` if there are too few bytes, the checksum is wrong, or the payload would
+    /// exceed the maximum length of an entry.
     pub fn decode(bytes: &[u8]) -> Option<EntryHeader> {
         if bytes.len() < ENTRY_HEADER_BYTES || crc32fast::hash(&bytes[..20]) != u32_at(bytes, 20) {
             return None;
@@ -169,19 +173,21 @@
     }
 }
 
-/// The number in what may be an entry's header, before any checksum was looked at; 0 if the bytes are too few.
+/// Returns the entry number from bytes that may be an entry's header, without checking a checksum; 0 if there are too
+/// few bytes.
 pub fn entry_number(bytes: &[u8]) -> u32 {
     u32_at(bytes, 4)
 }
 
-/// The complete entry that `bytes` begin with: its header and its payload.
+/// Decodes the header and the payload of the entry at the start of `bytes`. Returns `None` unless the entry is
+/// complete and its checksums are correct.
 pub fn decode_entry(bytes: &[u8]) -> Option<(EntryHeader, &[u8])> {
     let header = EntryHeader::decode(bytes)?;
     let payload = bytes.get(ENTRY_HEADER_BYTES..ENTRY_HEADER_BYTES + header.payload_bytes)?;
     (crc32fast::hash(payload) == header.payload_checksum).then_some((header, payload))
 }
 
-/// Whether `bytes` are complete entries and nothing else.
+/// Whether `bytes` consist of complete entries only.
 pub fn are_complete_entries(mut bytes: &[u8]) -> bool {
     while !bytes.is_empty() {
         let Some((_, payload)) = decode_entry(bytes) else { return false };
@@ -190,13 +196,14 @@
     true
 }
 
-/// The first record of a payload, and what follows it. None if the lengths do not fit.
+/// Splits a payload into its first record and the remaining bytes. Returns `None` if the record's length exceeds the
+/// payload.
 pub fn split_record(payload: &[u8]) -> Option<(&[u8], &[u8])> {
     let record = payload.get(RECORD_LENGTH_BYTES..)?.get(..u32_at(payload, 0) as usize)?;
     Some((record, &payload[RECORD_LENGTH_BYTES + record.len()..]))
 }
 
-/// Zero beyond the end.
+/// Reads a little-endian number at the given offset; returns zero if it extends past the end of the bytes.
 fn u32_at(bytes: &[u8], offset: usize) -> u32 {
     let four = bytes.get(offset..offset + 4).and_then(|four| four.try_into().ok());
     four.map_or(0, u32::from_le_bytes)
--- a/crates/wal/src/instrumentation.rs
+++ b/crates/wal/src/instrumentation.rs
@@ -1,48 +1,49 @@
-//! Where tests look in: the steps that they may delay or fail, and the operations that they may observe.
+//! Instrumentation for tests: steps that a test can delay or fail, and disk operations that it can observe.
 
 use std::io;
 use std::sync::Arc;
 
-/// Is called before each step; it may wait, or return the error that the step is to fail with.
+/// A function that is called before each step. It may block to delay the step, or return the error that the step fails
+/// with.
 #[doc(hidden)]
 pub type StepHook = Arc<dyn Fn(Step) -> io::Result<()> + Send + Sync>;
 
-/// Is called with each operation on the folder once it is done.
+/// A function that is called with each operation on the folder after the operation has completed.
 #[doc(hidden)]
 pub type OperationObserver = Arc<dyn Fn(Operation) + Send + Sync>;
 
-/// What the writer or a checkpoint is about to do.
+/// A step that the writer thread or a checkpoint is about to take.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Writes a group of entries. A failure here leaves half of the bytes in the file.
+    /// Writes a group of entries to the segment. If the hook fails this step, half of the bytes are left in the file.
     WriteEntries,
-    /// Syncs the segment that is written to.
+    /// Syncs the segment that entries are appended to.
     SyncSegment,
-    /// Creates a segment under its unfinished name.
+    /// Creates a segment under its temporary name.
     CreateSegment,
-    /// Gives a segment its name.
+    /// Renames a segment to its final name.
     RenameSegment,
-    /// Syncs the folder, so that a segment keeps its name.
+    /// Syncs the folder to make a segment's final name durable.
     SyncFolderAfterSegment,
     /// Reads the snapshot and the segments that a checkpoint replaces.
     ReadForCheckpoint,
-    /// Writes a part of a snapshot.
+    /// Writes a part of a snapshot under its temporary name.
     WriteSnapshot,
-    /// Syncs a snapshot that is written in full.
+    /// Syncs a snapshot after all of it was written.
     SyncSnapshot,
-    /// Gives a snapshot its name.
+    /// Renames a snapshot to its final name.
     RenameSnapshot,
-    /// Syncs the folder, so that a snapshot keeps its name.
+    /// Syncs the folder to make a snapshot's final name durable.
     SyncFolderAfterSnapshot,
-    /// Removes the files that a snapshot covers.
+    /// Removes the segments and older snapshots that a snapshot covers.
     RemoveCovered,
-    /// A checkpoint has succeeded or failed, and the writer knows.
+    /// A checkpoint has succeeded or failed, and the writer thread has processed its result.
     CheckpointEnded,
 }
 
 impl Step {
-    /// For the text of an error that a test has injected.
+    /// Returns the action for the text of an error that a test has injected into this step.
     pub(crate) fn action(self) -> &'static str {
         match self {
             Step::WriteEntries => "writing",
@@ -59,66 +60,67 @@
     }
 }
 
-/// How an operation changes the disk.
+/// The kind of disk access of an operation, which decides which scheduled stalls of the disk delay it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiskAccess {
-    /// Bytes, lengths or names change.
+    /// The operation changes the bytes, length or name of a file.
     Write,
-    /// What was changed is made durable.
+    /// The operation makes earlier changes durable.
     Sync,
 }
 
-/// What was done. Files are known by the name that they had at that moment.
+/// An operation on the disk that has completed. Files are identified by the names that they had when the operation was
+/// observed.
 #[doc(hidden)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// The folder was created.
+    /// The log's folder was created.
     FolderCreated,
-    /// The folder that holds the folder was synced.
+    /// The parent of the log's folder was synced.
     ParentSynced,
-    /// A file was created, or emptied if it was there.
+    /// A file was created, or truncated to zero bytes if it existed.
     FileCreated {
-        /// The file.
+        /// Name of the file that the operation was applied to.
         name: String,
     },
-    /// Bytes were written, or a part of them if the write failed.
+    /// Bytes were written to a file, or only some of them if the write failed.
     Written {
-        /// The file.
+        /// Name of the file that the operation was applied to.
         name: String,
-        /// Offset of the first byte.
+        /// Offset of the first written byte in the file.
         offset: u64,
-        /// What was to be written.
+        /// The bytes that were passed to the write.
         bytes: Vec<u8>,
     },
-    /// A file was made shorter or longer.
+    /// A file was truncated or extended to a given length.
     LengthSet {
-        /// The file.
+        /// Name of the file that the operation was applied to.
         name: String,
-        /// Its length in bytes.
+        /// New length of the file, in bytes.
         length: u64,
     },
-    /// A sync of a file is about to begin.
+    /// A sync of a file is about to start.
     SyncBegun {
-        /// The file.
+        /// Name of the file that the operation was applied to.
         name: String,
     },
-    /// A file was synced: what was written before that sync began is durable.
+    /// A sync of a file has completed: bytes that were written before the sync started are durable.
     FileSynced {
-        /// The file.
+        /// Name of the file that the operation was applied to.
         name: String,
     },
-    /// A file was renamed.
+    /// A file of the folder was renamed.
     Renamed {
-        /// Its name before.
+        /// Name of the file before it was renamed.
         from: String,
-        /// Its name from then on.
+        /// Name of the file after it was renamed.
         to: String,
     },
-    /// A file was removed, or was not there.
+    /// A file was removed, or did not exist when its removal was requested.
     Removed {
-        /// The file.
+        /// Name of the file that the operation was applied to.
         name: String,
     },
-    /// The folder was synced.
+    /// The log's folder was synced.
     FolderSynced,
 }
--- a/crates/wal/src/options.rs
+++ b/crates/wal/src/options.rs
@@ -1,4 +1,4 @@
-//! What a log is opened with.
+//! The options that a log is opened with.
 
 use std::path::Path;
 use std::time::Duration;
@@ -10,38 +10,42 @@
 const DEFAULT_CHECKPOINT_AFTER_BYTES: u64 = 32 << 20;
 const DEFAULT_MAX_SYNC_DELAY: Duration = Duration::from_millis(200);
 
-/// What a log is opened with.
+/// The options that a log is opened with.
 #[derive(Clone)]
 pub struct Options {
-    /// What the records are, as one word without blanks. It stands in FORMAT, and a folder of another schema is refused.
+    /// Schema of the records, as a single word without blanks. It is stored in the file FORMAT, and a folder with a
+    /// different schema is rejected.
     pub schema: &'static str,
-    /// Bytes in a segment after which a checkpoint begins; an eighth of `capacity_bytes` if that is less.
+    /// Size of a segment, in bytes, at which a checkpoint starts. If an eighth of `capacity_bytes` is less than this,
+    /// the checkpoint starts at that size instead.
     pub checkpoint_after_bytes: u64,
-    /// Bytes of disk that the folder may take in all; 0 if unknown.
+    /// Total disk space, in bytes, that the log's folder may use; 0 if there is no known limit.
     ///
-    /// A checkpoint needs the old and the new files at once, so appends with sync are refused as
-    /// [`AppendError::DiskFull`](crate::AppendError::DiskFull) beyond 7/16 of it. Those without sync may go up to half: they
-    /// are what frees space, and must not be refused first.
+    /// Because a checkpoint needs space for the old and the new files at the same time, appends with sync are rejected
+    /// with [`AppendError::DiskFull`](crate::AppendError::DiskFull) when the files would exceed 7/16 of the capacity.
+    /// Appends without sync are accepted up to half of the capacity: they are the ones that free space, so they must
+    /// not be rejected first.
     pub capacity_bytes: u64,
-    /// Longest time until a record that was appended without sync is synced.
+    /// Maximum delay before a record that was appended without sync is synced.
     pub max_sync_delay: Duration,
-    /// For tests: is called before each step.
+    /// For tests: a hook that is called before each step.
     #[doc(hidden)]
     pub step_hook: Option<StepHook>,
-    /// For tests: is called after each operation on the folder.
+    /// For tests: an observer that is called after each operation on the folder.
     #[doc(hidden)]
     pub operation_observer: Option<OperationObserver>,
-    /// For tests of real processes: the file with the stalls of the disk.
+    /// For tests that run real processes: path of the file with the schedule of disk stalls.
     #[doc(hidden)]
     #[cfg(feature = "stalled-disk")]
     pub stall_schedule: Option<std::path::PathBuf>,
-    /// A fault for the tests in `crates/model-check/wal/` to find.
+    /// A deliberately planted fault that the tests in `crates/model-check/wal/` have to detect.
     #[cfg(feature = "planted")]
     pub planted_fault: Option<PlantedFault>,
 }
 
 impl Options {
-    /// Segments of 32 MiB, a sync after at most 200 ms, and no limit on the disk that is used.
+    /// Default options for the given schema: segments of 32 MiB, a sync after at most 200 ms, and no limit on disk
+    /// space.
     pub fn new(schema: &'static str) -> Options {
         Options {
             schema,
@@ -57,13 +61,13 @@
         }
     }
 
-    /// Lets a test delay or fail a step on that file or folder.
+    /// Calls the test's hook, if there is one, which may delay or fail a step on the given file or folder.
     pub(crate) fn before(&self, step: Step, path: &Path) -> Result<(), FileError> {
         let Some(hook) = &self.step_hook else { return Ok(()) };
         hook(step).map_err(FileError::on(step.action(), path))
     }
 
-    /// Lets a test stall the disk before an operation that changes it.
+    /// Waits until the disk stall that a test scheduled has ended, before an operation that changes the disk.
     #[cfg(feature = "stalled-disk")]
     pub(crate) fn wait_while_stalled(&self, access: DiskAccess) {
         if let Some(schedule) = &self.stall_schedule {
--- a/crates/wal/src/planted.rs
+++ b/crates/wal/src/planted.rs
@@ -1,45 +1,47 @@
-//! Faults for the tests of `crates/model-check/wal/` to find. Without the feature `planted`, which only that package's own build
-//! of these sources has, no fault can be set, and nothing of this is left in the program.
+//! Deliberately planted faults that the tests of `crates/model-check/wal/` have to detect. Faults can only be set with
+//! the feature `planted`, which is enabled only in that package's own build of these sources. Without the feature this
+//! module leaves no code in the program.
 
-/// A fault that a test must detect. Each breaks one rule.
+/// A planted fault that the power-loss tests must detect. Each fault breaks one durability rule of the log.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlantedFault {
-    /// The folder's own name is not synced in the folder that holds it.
+    /// When the log's folder is created, its parent folder is not synced.
     ParentUnsynced,
-    /// Names that a killed process left unsynced are built on at the next opening.
-    NamesTrusted,
+    /// At the next opening, the folder is not synced before files are created that depend on names that a killed
+    /// process left unsynced.
+    UnsyncedNamesTrusted,
     /// The folder is not synced after a segment was renamed.
     SegmentNameUnsynced,
-    /// A checkpoint covers everything before a segment whose name may still be lost.
-    NamelessCovered,
-    /// A snapshot gets its name before it is synced.
+    /// A checkpoint covers all files before a segment whose name is not durable yet.
+    UnsyncedSegmentCovered,
+    /// A snapshot is renamed to its final name before it is synced.
     SnapshotUnsynced,
-    /// What a snapshot replaces is removed before the snapshot's name is synced.
-    DroppedEarly,
-    /// An append is answered before its sync.
-    EarlyAnswer,
-    /// A sync covers what was written while it ran.
+    /// The files that a snapshot replaces are removed before the folder is synced to make the snapshot's name durable.
+    CoveredFilesRemovedEarly,
+    /// An append with sync is acknowledged before its sync has completed.
+    AcknowledgedBeforeSync,
+    /// Entries that were written while a sync was running are treated as covered by that sync.
     LaterWritesCovered,
-    /// A torn end counts as valid: what comes next is written behind it.
-    TornTaken,
-    /// A segment that is written to again keeps what lies behind its torn end.
-    NotCut,
+    /// A torn end of a segment is treated as valid, and new entries are written after it.
+    TornEndAccepted,
+    /// A segment that is reopened is not truncated, so the bytes of its torn end stay in the file.
+    TornEndNotTruncated,
 }
 
 #[cfg(feature = "planted")]
 impl PlantedFault {
-    /// Each of them, for the search.
+    /// All planted faults, for the power-loss tests to iterate over.
     pub const ALL: [PlantedFault; 10] = [
         PlantedFault::ParentUnsynced,
-        PlantedFault::NamesTrusted,
+        PlantedFault::UnsyncedNamesTrusted,
         PlantedFault::SegmentNameUnsynced,
-        PlantedFault::NamelessCovered,
+        PlantedFault::UnsyncedSegmentCovered,
         PlantedFault::SnapshotUnsynced,
-        PlantedFault::DroppedEarly,
-        PlantedFault::EarlyAnswer,
+        PlantedFault::CoveredFilesRemovedEarly,
+        PlantedFault::AcknowledgedBeforeSync,
         PlantedFault::LaterWritesCovered,
-        PlantedFault::TornTaken,
-        PlantedFault::NotCut,
+        PlantedFault::TornEndAccepted,
+        PlantedFault::TornEndNotTruncated,
     ];
 }
--- a/crates/wal/src/scan.rs
+++ b/crates/wal/src/scan.rs
@@ -1,4 +1,4 @@
-//! Reads a segment or a snapshot up to its end or the first bad byte, and tells a torn end from damage.
+//! Reads a segment or a snapshot up to its end or the first invalid byte, and distinguishes a torn end from damage.
 
 use std::fs::File;
 use std::io::{self, BufReader, ErrorKind, Read, Seek, SeekFrom};
@@ -9,32 +9,34 @@
 
 const READ_BUFFER_BYTES: usize = 128 << 10;
 
-/// What stands behind the valid part of a file.
+/// The state of the bytes after the valid part of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FileEnd {
-    /// Nothing: all of it is valid.
+    /// The file is valid up to its end.
     Complete,
-    /// Bytes that were never synced, as far as the file tells: what a loss of power leaves.
+    /// The file ends in bytes that were never synced, as far as its entries tell. A loss of power leaves such bytes.
+    /// Holds the description of the first invalid byte.
     Torn(String),
-    /// Bytes that changed after they had been synced.
+    /// The file contains bytes that have changed since they were synced. Holds the description of the damage.
     Corrupted(String),
 }
 
-/// What a file holds.
+/// The result of scanning a segment or a snapshot.
 pub struct Scan {
-    /// Bytes that are valid, from the first on; 0 if the file's header is not.
+    /// Length of the valid part from the start of the file, in bytes; 0 if the file header is invalid.
     pub valid_bytes: u64,
-    /// Length of the file.
+    /// Length of the whole file, in bytes.
     pub file_bytes: u64,
-    /// Entries that are valid.
+    /// Number of valid entries in the file.
     pub entries: u32,
-    /// Records in these.
+    /// Number of records in the valid entries.
     pub records: u64,
-    /// What stands behind them.
+    /// State of the bytes after the valid entries.
     pub end: FileEnd,
 }
 
-/// Reads a file, and hands out the records of complete entries in order, up to its end or the first bad byte.
+/// Reads a file up to its end or the first invalid byte, and passes the records of complete entries to `on_record` in
+/// order.
 pub fn scan(path: &Path, id: FileId, on_record: &mut dyn FnMut(&[u8])) -> Result<Scan, ReadError> {
     let mut scanner = Scanner::open(path, id)?;
     if scanner.read_file_header()? {
@@ -43,21 +45,21 @@
     Ok(scanner.scan)
 }
 
-/// A file that is being read.
+/// A reader of a segment or a snapshot, with the result of the scan so far.
 struct Scanner {
     path: PathBuf,
     id: FileId,
     file: BufReader<File>,
-    /// The entry that is being read, header and payload.
+    /// Header and payload of the entry that is being read.
     entry: Vec<u8>,
     scan: Scan,
 }
 
 impl Scanner {
     fn open(path: &Path, id: FileId) -> Result<Scanner, ReadError> {
-        let reading = FileError::on("reading", path);
-        let file = File::open(path).map_err(reading)?;
-        let file_bytes = file.metadata().map_err(reading)?.len();
+        let read_error = FileError::on("reading", path);
+        let file = File::open(path).map_err(read_error)?;
+        let file_bytes = file.metadata().map_err(read_error)?.len();
         Ok(Scanner {
             path: path.to_path_buf(),
             id,
@@ -71,12 +73,12 @@
         self.path.file_name().map_or_else(String::new, |name| name.to_string_lossy().into_owned())
     }
 
-    /// Whether entries may be read behind it; if not, the scan has its end.
+    /// Reads and checks the file header. Returns true if entries can be read after it; otherwise the scan has ended.
     fn read_file_header(&mut self) -> Result<bool, ReadError> {
         let mut header = [0; FILE_HEADER_BYTES as usize];
         let filled = fill(&mut self.file, &mut header).map_err(FileError::on("reading", &self.path))?;
         if filled < header.len() || !frame::is_file_header_intact(&header) {
-            self.end_at_bad_bytes("its head is not whole")?;
+            self.end_at_bad_bytes("the file header is incomplete or damaged")?;
             return Ok(false);
         }
         if !frame::is_file_of_kind(&header, self.id.kind) {
@@ -93,7 +95,7 @@
         }
         let number = frame::file_number(&header);
         if u64::from(number) != self.id.number {
-            self.scan.end = FileEnd::Corrupted(format!("says it is number {number}"));
+            self.scan.end = FileEnd::Corrupted(format!("the file header has the number {number}"));
             return Ok(false);
         }
         self.scan.valid_bytes = FILE_HEADER_BYTES;
@@ -103,7 +105,7 @@
     fn read_entries(&mut self, on_record: &mut dyn FnMut(&[u8])) -> Result<(), ReadError> {
         while self.scan.valid_bytes < self.scan.file_bytes {
             let Some(header) = self.read_entry()? else {
-                let reason = format!("no whole entry at byte {}", self.scan.valid_bytes);
+                let reason = format!("no complete entry at byte {}", self.scan.valid_bytes);
                 self.end_at_bad_bytes(&reason)?;
                 return Ok(());
             };
@@ -116,8 +118,11 @@
                 }
                 break;
             }
-            if !self.hand_out_records(on_record) {
-                let reason = format!("lengths of records at byte {} do not fit", self.scan.valid_bytes);
+            if !self.emit_records(on_record) {
+                let reason = format!(
+                    "the record lengths of the entry at byte {} do not match the length of its payload",
+                    self.scan.valid_bytes
+                );
                 self.scan.end = FileEnd::Corrupted(reason);
                 return Ok(());
             }
@@ -125,17 +130,17 @@
             self.scan.entries = self.scan.entries.wrapping_add(1);
         }
         if self.id.kind == FileKind::Snapshot {
-            let reason = "the snapshot's end is not there, or its count is another";
+            let reason = "the snapshot has no final entry, or the record count in it is wrong";
             self.scan.end = FileEnd::Corrupted(reason.into());
         }
         Ok(())
     }
 
-    /// Reads the next entry into `self.entry`. None if there is no complete one of the expected number.
+    /// Reads the next entry into `self.entry`. Returns `None` if there is no complete entry with the expected number.
     fn read_entry(&mut self) -> Result<Option<EntryHeader>, FileError> {
-        let reading = FileError::on("reading", &self.path);
+        let read_error = FileError::on("reading", &self.path);
         self.entry.resize(ENTRY_HEADER_BYTES, 0);
-        let filled = fill(&mut self.file, &mut self.entry).map_err(reading)?;
+        let filled = fill(&mut self.file, &mut self.entry).map_err(read_error)?;
         let header = EntryHeader::decode(&self.entry[..filled]);
         let Some(header) = header.filter(|header| header.number == self.scan.entries) else {
             return Ok(None);
@@ -146,14 +151,15 @@
         }
         self.entry.resize(entry_bytes, 0);
         let payload = &mut self.entry[ENTRY_HEADER_BYTES..];
-        let filled = fill(&mut self.file, payload).map_err(reading)?;
+        let filled = fill(&mut self.file, payload).map_err(read_error)?;
         let is_complete =
             filled == header.payload_bytes && crc32fast::hash(payload) == header.payload_checksum;
         Ok(is_complete.then_some(header))
     }
 
-    /// Whether the lengths of all records fit; those before the first that does not have been handed out.
-    fn hand_out_records(&mut self, on_record: &mut dyn FnMut(&[u8])) -> bool {
+    /// Passes the records of the current entry to `on_record`. Returns false at the first record whose length exceeds
+    /// the payload; the records before it have already been passed on.
+    fn emit_records(&mut self, on_record: &mut dyn FnMut(&[u8])) -> bool {
         let mut payload = &self.entry[ENTRY_HEADER_BYTES..];
         while !payload.is_empty() {
             let Some((record, rest)) = frame::split_record(payload) else { return false };
@@ -164,17 +170,18 @@
         true
     }
 
-    /// The valid part ends here. It is damage if an entry behind says that the file had been synced beyond this offset: unsynced
-    /// writes reach the disk in any order, so that an entry alone says nothing about the bytes before it.
+    /// Ends the scan at invalid bytes. They count as damage if a later entry says that the file had been synced beyond
+    /// this offset, and otherwise as a torn end. An intact later entry alone proves nothing about the bytes before it,
+    /// because unsynced writes reach the disk in any order.
     fn end_at_bad_bytes(&mut self, reason: &str) -> Result<(), FileError> {
-        let reading = FileError::on("reading", &self.path);
+        let read_error = FileError::on("reading", &self.path);
         let file = self.file.get_mut();
         let mut rest = Vec::new();
-        file.seek(SeekFrom::Start(self.scan.valid_bytes)).map_err(reading)?;
-        file.read_to_end(&mut rest).map_err(reading)?;
+        file.seek(SeekFrom::Start(self.scan.valid_bytes)).map_err(read_error)?;
+        file.read_to_end(&mut rest).map_err(read_error)?;
         self.scan.end = match find_entry_synced_beyond(&rest, &self.scan) {
             Some(offset) => {
-                FileEnd::Corrupted(format!("{reason}, but it was synced before the entry at byte {offset}"))
+                FileEnd::Corrupted(format!("{reason}, but synced according to the entry at byte {offset}"))
             }
             None => FileEnd::Torn(reason.into()),
         };
@@ -182,12 +189,13 @@
     }
 }
 
-/// Offset in the file of an entry in `rest`, the bytes behind the valid part, that says the file was synced beyond that part.
+/// Searches `rest`, the bytes after the valid part of the file, for an entry which says that the file had been synced
+/// beyond the valid part. Returns the offset of that entry in the file.
 fn find_entry_synced_beyond(rest: &[u8], scan: &Scan) -> Option<u64> {
-    let most_entries = (rest.len() / ENTRY_HEADER_BYTES) as u32;
+    let max_entries = (rest.len() / ENTRY_HEADER_BYTES) as u32;
     for offset in 0..rest.len().saturating_sub(ENTRY_HEADER_BYTES - 1) {
-        // The number first: it spares nearly all the checksums.
-        if frame::entry_number(&rest[offset..]).wrapping_sub(scan.entries) > most_entries {
+        // The entry number is checked first, because this avoids computing nearly all of the checksums.
+        if frame::entry_number(&rest[offset..]).wrapping_sub(scan.entries) > max_entries {
             continue;
         }
         let entry = frame::decode_entry(&rest[offset..]);
@@ -198,7 +206,7 @@
     None
 }
 
-/// Reads until the buffer is full or the file ends; how many bytes that were.
+/// Reads until the buffer is full or the file ends, and returns the number of bytes read.
 fn fill(file: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut filled = 0;
     while filled < buffer.len() {
--- a/crates/wal/src/segment.rs
+++ b/crates/wal/src/segment.rs
@@ -1,4 +1,4 @@
-//! The segment that is written to.
+//! The last segment of the log, to which entries are appended.
 
 use std::io;
 use std::path::Path;
@@ -12,55 +12,57 @@
 use crate::planted::PlantedFault;
 use crate::scan::Scan;
 
-/// A place in a segment: an offset in bytes, and the count of entries before it.
+/// A position in a segment: a byte offset, and the number of entries before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
-    /// Offset from the beginning of the file.
+    /// Offset from the beginning of the segment, in bytes.
     pub bytes: u64,
-    /// Entries before it.
+    /// Number of entries in the segment before this position.
     pub entries: u32,
 }
 
-/// Whether the folder was synced since the segment got its name.
+/// Whether the folder has been synced since the segment was renamed to its final name.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum NameState {
-    /// The name is durable.
+    /// The segment's name is durable.
     Synced,
-    /// A loss of power may take the name back.
+    /// The segment's name may be lost at a loss of power.
     Unsynced,
 }
 
-/// How the last sync ended.
+/// Whether the last sync of the segment succeeded.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum LastSync {
     Succeeded,
-    /// The system may count as written what it could not write, and the next sync would succeed without it: what lies behind
-    /// the synced part is read back and written again before.
+    /// The last sync failed. The operating system may have marked pages as clean that it could not write, so that the
+    /// next sync would succeed without them. Before that sync, the bytes after the synced part are therefore read back
+    /// and written again.
     Failed,
 }
 
-/// What a segment holds at some moment, and what it holds no more: it outlives a loss of power once it is synced.
+/// The contents of a segment at some moment, described by its length and the number of truncations before it. They
+/// survive a loss of power once the segment is synced to this point.
 #[derive(Clone, Copy, Default)]
 pub struct SyncPoint {
-    /// Where the segment ended.
+    /// Length of the segment at that moment, in bytes.
     bytes: u64,
-    /// How often it had been made shorter.
+    /// Number of truncations of the segment up to that moment.
     truncations: u64,
 }
 
-/// A sync of a segment, which any thread may run while the segment is written to.
+/// A sync of a segment, which any thread may run while another one writes to the segment.
 pub struct SegmentSync {
     file: FileSyncer,
-    /// Up to where the segment was written when the sync began.
+    /// End of the segment when the sync started; the sync makes everything before it durable.
     covered: Position,
-    /// How often the segment had been made shorter then.
+    /// Number of truncations of the segment when the sync started.
     truncations: u64,
-    /// It has to cover one of these.
+    /// Whether the sync also has to make a truncation durable, which needs `fsync` instead of `fdatasync`.
     covers_truncation: bool,
 }
 
 impl SegmentSync {
-    /// Syncs; returns once it has ended.
+    /// Runs the sync and returns once it has ended.
     pub fn run(&self, options: &Options) -> Result<(), FileError> {
         options.before(Step::SyncSegment, self.file.path())?;
         if self.covers_truncation {
@@ -71,27 +73,30 @@
     }
 }
 
-/// The segment that is written to.
+/// The last segment of the log, to which entries are appended.
 pub struct Segment {
     file: DiskFile,
-    /// The number in its name.
+    /// Number of the segment, which is part of its file name.
     pub number: u64,
-    /// Where the next entry goes.
+    /// Position at which the next entry is written.
     pub end: Position,
-    /// Up to where it is synced.
+    /// Position up to which the segment is synced.
     pub synced: Position,
-    /// Bytes of a failed write may lie behind `end`, and the file's offset may be elsewhere.
+    /// Whether bytes of a failed write may remain in the file after `end`. The file's offset may then differ from
+    /// `end`.
     has_excess_bytes: bool,
-    /// How often it was made shorter since it was opened.
+    /// Number of truncations since the segment was opened.
     truncations: u64,
-    /// How many of these are synced; what was cut off by a later one could come back.
+    /// Number of truncations that are durable. Bytes that a later truncation removed may reappear after a loss of
+    /// power.
     synced_truncations: u64,
     last_sync: LastSync,
     name: NameState,
 }
 
 impl Segment {
-    /// Written beside and renamed: a segment that has its name has a header, and the one before it is closed.
+    /// Creates a segment. Its header is written under a temporary name before the file is renamed. A segment with its
+    /// final name therefore has a complete header, and the segment before it is closed.
     pub fn create(
         folder: &Path,
         number: u64,
@@ -110,7 +115,8 @@
 
         let start = Position { bytes: FILE_HEADER_BYTES, entries: 0 };
         let mut segment = Segment::at(file.renamed(&name), number, start);
-        // It can be written to in any case; the next sync of it tries the folder again.
+        // The new segment can be written to even if its name is not durable yet; the next sync of the segment syncs
+        // the folder again.
         if Segment::sync_new_name(folder, options).is_err() {
             segment.name = NameState::Unsynced;
         }
@@ -125,11 +131,11 @@
         disk::sync_folder(folder, options)
     }
 
-    /// Goes on with one that was scanned. Synced even if nothing was cut off: what a killed process left may not have been, and
-    /// counts from now on.
+    /// Opens a scanned segment for appending, and truncates its torn end. It is synced even if nothing was truncated,
+    /// because a killed process may have left entries unsynced that count as durable from now on.
     pub fn reopen(folder: &Path, number: u64, scan: &Scan, options: &Options) -> Result<Segment, FileError> {
         let mut file = DiskFile::open(folder, &log_name(number))?;
-        if scan.file_bytes > scan.valid_bytes && !options.has_planted(PlantedFault::NotCut) {
+        if scan.file_bytes > scan.valid_bytes && !options.has_planted(PlantedFault::TornEndNotTruncated) {
             file.truncate(scan.valid_bytes, options)?;
         }
         file.seek(scan.valid_bytes)?;
@@ -137,7 +143,7 @@
         Ok(Segment::at(file, number, Position { bytes: scan.valid_bytes, entries: scan.entries }))
     }
 
-    /// Synced up to its end, with nothing behind it.
+    /// Returns a segment that is synced up to `end` and has no bytes after it.
     fn at(file: DiskFile, number: u64, end: Position) -> Segment {
         Segment {
             file,
@@ -152,7 +158,8 @@
         }
     }
 
-    /// Appends these bytes, which are so many entries, or nothing.
+    /// Appends `bytes`, which consist of the given number of entries. If the write fails, none of them stay in the
+    /// segment.
     pub fn write(&mut self, bytes: &[u8], entries: u32, options: &Options) -> Result<(), FileError> {
         self.remove_excess(options)?;
         let written = match options.before(Step::WriteEntries, self.file.path()) {
@@ -161,7 +168,7 @@
         };
         if written.is_err() {
             self.has_excess_bytes = true;
-            // If this fails too, the next write or sync does it first.
+            // A failure to truncate is ignored, because the next write or sync truncates the segment first.
             let _ = self.remove_excess(options);
             return written;
         }
@@ -170,15 +177,15 @@
         Ok(())
     }
 
-    /// Takes back what was written behind `end`.
+    /// Removes everything that was written after the position `end`.
     pub fn truncate_to(&mut self, end: Position, options: &Options) {
         self.end = end;
         self.has_excess_bytes = true;
-        // If this fails, the next write or sync does it first.
+        // A failure to truncate is ignored, because the next write or sync truncates the segment first.
         let _ = self.remove_excess(options);
     }
 
-    /// Cuts off what a failed write may have left.
+    /// Truncates the bytes that a failed write may have left after the end of the segment.
     fn remove_excess(&mut self, options: &Options) -> Result<(), FileError> {
         if self.has_excess_bytes {
             self.truncations += 1;
@@ -188,7 +195,7 @@
         Ok(())
     }
 
-    /// From here on a loss of power can't take the segment's name back.
+    /// Makes the segment's name durable by syncing the folder, unless it already is.
     pub fn sync_name(&mut self, folder: &Path, options: &Options) -> Result<(), FileError> {
         if self.name == NameState::Unsynced {
             disk::sync_folder(folder, options)?;
@@ -197,7 +204,8 @@
         Ok(())
     }
 
-    /// What has to be synced to make all entries durable; `None` where nothing has to. Until that sync has ended no other may begin.
+    /// Prepares a sync that makes all entries durable; returns `None` if they already are. No other sync may start
+    /// until the returned one has ended.
     pub fn begin_sync(&mut self, folder: &Path, options: &Options) -> Result<Option<SegmentSync>, FileError> {
         self.sync_name(folder, options)?;
         self.remove_excess(options)?;
@@ -215,7 +223,7 @@
         }))
     }
 
-    /// Takes in how a sync has ended that was begun here.
+    /// Updates the segment's state with the result of a sync that `begin_sync` returned.
     pub fn end_sync(&mut self, sync: &SegmentSync, has_succeeded: bool, options: &Options) {
         if !has_succeeded {
             self.last_sync = LastSync::Failed;
@@ -227,18 +235,18 @@
         self.synced = if trusts_later_writes { self.end } else { sync.covered };
     }
 
-    /// What it holds now.
+    /// Returns the sync point of the segment's current contents.
     pub fn sync_point(&self) -> SyncPoint {
         SyncPoint { bytes: self.end.bytes, truncations: self.truncations }
     }
 
-    /// Whether what it held then outlives a loss of power.
+    /// Whether the contents of the segment at the given sync point survive a loss of power.
     pub fn is_synced_to(&self, point: SyncPoint) -> bool {
         point.bytes <= self.synced.bytes && point.truncations <= self.synced_truncations
     }
 
-    /// Reads back the unsynced entries and writes them again. If they do not read as complete entries they are given up, and that is
-    /// an error.
+    /// Reads back the unsynced entries and writes them again. If they do not read back as complete entries, they are
+    /// removed and an error is returned.
     fn rewrite_unsynced(&mut self, options: &Options) -> Result<(), FileError> {
         let mut bytes = vec![0; (self.end.bytes - self.synced.bytes) as usize];
         self.has_excess_bytes = true;
@@ -247,11 +255,13 @@
         if !frame::are_complete_entries(&bytes) {
             tracing::error!(
                 bytes = bytes.len(),
-                "unsynced records are lost: a sync failed, and they read back otherwise"
+                "unsynced records are lost: a sync failed, and reading them back did not give complete entries"
             );
             self.end = self.synced;
             self.remove_excess(options)?;
-            let reason = io::Error::other("a sync failed, and what was not synced reads back otherwise");
+            let reason = io::Error::other(
+                "a sync failed, and the unsynced bytes do not read back as complete entries",
+            );
             return Err(FileError::new("reading back", self.file.path(), reason));
         }
         self.file.seek(self.synced.bytes)?;
--- a/crates/wal/src/snapshot.rs
+++ b/crates/wal/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Writes a snapshot under its unfinished name, entry by entry.
+//! Writes a snapshot under its temporary name, one entry at a time.
 
 use std::path::Path;
 
@@ -10,41 +10,42 @@
 use crate::options::Options;
 use crate::planted::PlantedFault;
 
-/// Bytes of a snapshot between syncs: one large sync at its end would hold up those of the segment.
+/// Bytes of a snapshot that are written between two syncs. A single large sync at the end of the snapshot would delay
+/// the syncs of the segment.
 const BYTES_BETWEEN_SYNCS: u64 = 4 << 20;
 
-/// Where a snapshot is written, and how large it may get.
+/// The destination, identity and maximum size of a snapshot.
 pub struct SnapshotPlan<'a> {
-    /// The folder that it is written in.
+    /// The folder that the snapshot is written in.
     pub folder: &'a Path,
-    /// Its unfinished name.
+    /// Temporary file name of the snapshot.
     pub name: &'a str,
-    /// What its header has to say.
+    /// The identifying fields of the snapshot's file header.
     pub id: FileId,
-    /// Bytes that it may take.
+    /// Maximum size of the snapshot, in bytes.
     pub max_bytes: u64,
-    /// Those of the log.
+    /// The options that the log was opened with.
     pub options: &'a Options,
-    /// Once this is set, no more records are taken.
+    /// Once the checkpoint is cancelled, further records are ignored.
     pub cancellation: &'a Cancellation,
 }
 
-/// A snapshot that is being written.
+/// A writer of a snapshot.
 pub struct SnapshotWriter<'a> {
     plan: SnapshotPlan<'a>,
     file: DiskFile,
-    /// The entry that is being filled.
+    /// Buffer with the entry that is being built.
     entry: Vec<u8>,
     entries: u32,
     records: u64,
     written_bytes: u64,
     unsynced_bytes: u64,
-    /// The first failure: what comes after it is ignored, and `finish` returns it.
+    /// The first failure. Records after it are ignored, and `finish` returns it.
     failure: Option<CheckpointError>,
 }
 
 impl<'a> SnapshotWriter<'a> {
-    /// Creates the file and writes its header.
+    /// Creates the snapshot file and writes its header.
     pub fn create(plan: SnapshotPlan<'a>) -> Result<SnapshotWriter<'a>, CheckpointError> {
         let file = DiskFile::create(plan.folder, plan.name, plan.options)?;
         let header = frame::encode_file_header(plan.id).to_vec();
@@ -63,7 +64,7 @@
         Ok(writer)
     }
 
-    /// Adds a record. A failure is returned by `finish`.
+    /// Adds a record to the snapshot. A failure is returned later, by `finish`.
     pub fn put(&mut self, record: &[u8]) {
         if self.failure.is_some() || self.plan.cancellation.is_cancelled() {
             return;
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Writes the rest and the end, and syncs. The length of the snapshot in bytes.
+    /// Writes the last records and the final entry, and syncs the file. Returns the length of the snapshot in bytes.
     pub fn finish(mut self) -> Result<u64, CheckpointError> {
         if let Some(failure) = self.failure.take() {
             return Err(failure);
@@ -88,7 +89,7 @@
         if self.entry.len() > ENTRY_HEADER_BYTES {
             self.write_entry()?;
         }
-        // The end: an entry without records, with their count.
+        // The final entry of a snapshot has no records and stores the number of records in the snapshot.
         frame::finish_entry(&mut self.entry, 0, self.entries, self.records);
         self.flush()?;
         let options = self.plan.options;
@@ -103,7 +104,7 @@
         frame::begin_entry(&mut self.entry);
     }
 
-    /// Writes the entry that is being filled, and begins the next.
+    /// Writes the entry in the buffer, and begins the next one.
     fn write_entry(&mut self) -> Result<(), CheckpointError> {
         frame::finish_entry(&mut self.entry, 0, self.entries, 0);
         self.entries = self.entries.wrapping_add(1);
@@ -112,7 +113,8 @@
         Ok(())
     }
 
-    /// Writes the buffer, within the bytes that the snapshot may take, and syncs now and then.
+    /// Writes the buffer, unless the snapshot would exceed its maximum size, and syncs the file after every
+    /// `BYTES_BETWEEN_SYNCS` bytes.
     fn flush(&mut self) -> Result<(), CheckpointError> {
         let bytes = self.entry.len() as u64;
         if self.written_bytes + bytes > self.plan.max_bytes {
--- a/crates/wal/src/stall_schedule.rs
+++ b/crates/wal/src/stall_schedule.rs
@@ -1,8 +1,10 @@
-//! Stalls of the disk that a test of real processes schedules. Without the feature `stalled-disk` nothing of this is compiled.
+//! Disk stalls that are scheduled by tests which run real processes. Without the feature `stalled-disk`, nothing of
+//! this module is compiled.
 //!
-//! The test writes a file with one stall a line, `FROM TO KIND`: two times of `CLOCK_MONOTONIC` in milliseconds, and `writes`
-//! (all that changes the disk, syncs among it) or `syncs` (these alone). An operation that is about to begin within a stall
-//! waits for its end. Reads never wait. A process that is killed meanwhile has not begun the operation.
+//! The test writes a file with one stall per line, `FROM TO KIND`: two times of `CLOCK_MONOTONIC` in milliseconds, and
+//! either `writes` (all operations that change the disk, including syncs) or `syncs` (only syncs). An operation that
+//! would start during a stall waits until the stall ends. Reads never wait. If the process is killed during the wait,
+//! the operation has not started.
 
 use std::fs;
 use std::path::Path;
@@ -13,11 +15,11 @@
 
 use crate::instrumentation::DiskAccess;
 
-/// One line of the file.
+/// One stall, which is one line of the schedule file.
 struct Stall {
     from: Duration,
     to: Duration,
-    syncs_alone: bool,
+    syncs_only: bool,
 }
 
 impl Stall {
@@ -25,29 +27,30 @@
         let mut words = line.split(' ');
         let mut time = || Some(Duration::from_millis(words.next()?.parse().ok()?));
         let (from, to) = (time()?, time()?);
-        let syncs_alone = match words.next()? {
+        let syncs_only = match words.next()? {
             "writes" => false,
             "syncs" => true,
             _ => return None,
         };
-        Some(Stall { from, to, syncs_alone })
+        Some(Stall { from, to, syncs_only })
     }
 
-    fn holds(&self, access: DiskAccess, now: Duration) -> bool {
-        let is_meant = access == DiskAccess::Sync || !self.syncs_alone;
-        is_meant && self.from <= now && now < self.to
+    fn delays(&self, access: DiskAccess, now: Duration) -> bool {
+        let affects_access = access == DiskAccess::Sync || !self.syncs_only;
+        affects_access && self.from <= now && now < self.to
     }
 }
 
-/// Waits until no stall of the file holds such an operation.
+/// Waits until no stall in the schedule file delays an operation of the given kind.
 ///
 /// # Panics
 ///
-/// Where the file can't be read or has another line: a test must not pass without the stalls that it asked for.
+/// If the schedule file can't be read or has a line that can't be parsed, because a test must not pass without the
+/// stalls that it requested.
 pub fn wait(schedule: &Path, access: DiskAccess) {
     loop {
         let now = monotonic_now();
-        let ends = read(schedule).into_iter().filter(|stall| stall.holds(access, now)).map(|stall| stall.to);
+        let ends = read(schedule).into_iter().filter(|stall| stall.delays(access, now)).map(|stall| stall.to);
         match ends.max() {
             Some(end) => thread::sleep(end - now),
             None => return,
--- a/crates/wal/src/statistics.rs
+++ b/crates/wal/src/statistics.rs
@@ -1,23 +1,23 @@
-//! What a log has done since it was opened.
+//! Counters of a log's operations since it was opened.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counted since the opening.
+/// The values of a log's counters since it was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Statistics {
-    /// Records that were appended.
+    /// Number of appended records.
     pub records: u64,
-    /// Bytes of the entries that were appended, with their headers.
+    /// Total size, in bytes, of the appended entries, including their headers.
     pub bytes: u64,
-    /// Syncs of segments.
+    /// Number of syncs of segments.
     pub syncs: u64,
-    /// Writes, syncs and checkpoints that failed; refused appends are not counted.
+    /// Number of failed writes, syncs and checkpoints; rejected appends are not counted.
     pub failures: u64,
-    /// Checkpoints that ended with a snapshot.
+    /// Number of checkpoints that completed with a snapshot.
     pub checkpoints: u64,
 }
 
-/// The counters behind [`Statistics`], shared with the writer's thread.
+/// The atomic counters behind [`Statistics`], shared with the log's writer thread.
 #[derive(Default)]
 pub struct Counters {
     pub records: AtomicU64,
@@ -28,7 +28,7 @@
 }
 
 impl Counters {
-    /// The counts at this moment, each by itself.
+    /// Reads the current values. Each counter is read separately, so the values may not be consistent with each other.
     pub fn read(&self) -> Statistics {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         Statistics {
@@ -41,7 +41,6 @@
     }
 }
 
-/// Counts up.
 pub fn add(counter: &AtomicU64, count: u64) {
     counter.fetch_add(count, Ordering::Relaxed);
 }
--- a/crates/wal/src/verify.rs
+++ b/crates/wal/src/verify.rs
@@ -1,4 +1,4 @@
-//! What a folder holds, read without a change to it.
+//! Verifies the contents of a log's folder without changing it.
 
 use std::fmt;
 use std::path::Path;
@@ -10,36 +10,37 @@
 use crate::frame::{FileId, FileKind};
 use crate::scan::{scan, FileEnd};
 
-/// What is wrong with a file, if anything.
+/// The condition of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FileState {
-    /// All of it is valid.
+    /// The whole file is valid.
     Complete,
-    /// It ends with bytes that were never synced: an opening would cut them off.
+    /// The file ends with bytes that were never synced, which an opening would truncate.
     TornTail {
-        /// The first of these bytes.
+        /// Offset of the first invalid byte in the file.
         offset: u64,
-        /// What is wrong there.
+        /// Description of the first invalid byte.
         reason: String,
     },
-    /// It is missing, or bytes changed after they had been synced: an opening would refuse the folder. What is wrong, and where.
+    /// The file is missing, or its bytes have changed since they were synced, so an opening would reject the folder.
+    /// Holds the description and the offset of the damage.
     Corrupted(String),
-    /// A snapshot covers it, or it was never finished: an opening would remove it.
+    /// The file is covered by a snapshot or was never finished, and an opening would remove it.
     Obsolete,
-    /// It is none of a log's files.
+    /// The file is not one of the log's files.
     Unrecognized,
 }
 
-/// What there is in one file.
+/// The result of verifying a single file.
 #[derive(Clone, Debug)]
 pub struct FileReport {
-    /// Its name within the folder.
+    /// Name of the file within the folder.
     pub name: String,
-    /// Records that are valid; 0 in a file that does not count.
+    /// Number of valid records in the file; 0 for a file that is not part of the current log.
     pub records: u64,
-    /// Length in bytes; 0 of a file that does not count.
+    /// Length of the file in bytes; 0 for a file that is not part of the current log.
     pub bytes: u64,
-    /// What is wrong with it, if anything.
+    /// Condition of the file.
     pub state: FileState,
 }
 
@@ -49,23 +50,24 @@
     }
 }
 
-/// What there is in a folder.
+/// The result of verifying a log's folder.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// What the records are, as FORMAT says.
+    /// Schema of the records, as stored in the file FORMAT.
     pub schema: String,
-    /// Eight hexadecimal digits, drawn when the folder was created; its files carry them.
+    /// Identity of the folder as eight hexadecimal digits. It is generated randomly when the folder is created, and
+    /// stored in each of its files.
     pub identity: String,
-    /// The files that count, in the order in which they are read, and then the others.
+    /// The files of the current log in the order in which they are read, followed by all other files.
     pub files: Vec<FileReport>,
-    /// Records in the files that count.
+    /// Number of valid records in the files of the current log.
     pub records: u64,
-    /// Valid bytes in the files that count.
+    /// Number of valid bytes in the files of the current log.
     pub bytes: u64,
 }
 
 impl Report {
-    /// Whether an opening would succeed.
+    /// Whether opening the folder would succeed.
     pub fn opens(&self) -> bool {
         !self.files.iter().any(|file| matches!(file.state, FileState::Corrupted(_)))
     }
@@ -89,11 +91,13 @@
     }
 }
 
-/// Reads a folder that no process has open. Hands out the records that an opening would apply, in order, up to the first damage.
+/// Reads a folder that no process has open. Passes the records that an opening would apply to `on_record`, in order,
+/// up to the first damage.
 ///
 /// # Errors
 ///
-/// A file can't be read, or is of another format or folder. Damage is no error: the report has it.
+/// Returns an error if a file can't be read, or belongs to another format or folder. Damage is not an error: it is
+/// described in the report.
 pub fn verify(folder: &Path, on_record: &mut dyn FnMut(&[u8])) -> Result<Report, ReadError> {
     let names = FileNames::read(folder)?;
     let format = format_file::read(folder)?;
@@ -116,11 +120,11 @@
         let may_be_torn = kind == FileKind::Log && number == *names.live_segments().end();
         verify_file(folder, id, may_be_torn, &mut report, on_record)?;
     }
-    report.files.extend(files_that_do_not_count(names));
+    report.files.extend(files_outside_current_log(names));
     Ok(report)
 }
 
-/// Reads one file, and adds what is found to the report. Records go on until a file is damaged.
+/// Reads one file and adds its result to the report. Records are passed to `on_record` until a file is damaged.
 fn verify_file(
     folder: &Path,
     id: FileId,
@@ -146,8 +150,9 @@
     Ok(())
 }
 
-/// What a snapshot covers, what was never finished, and what is none of a log's files.
-fn files_that_do_not_count(names: FileNames) -> Vec<FileReport> {
+/// Returns reports of the files outside the current log: files that a snapshot covers, unfinished files, and files
+/// that no log writes.
+fn files_outside_current_log(names: FileNames) -> Vec<FileReport> {
     let base = names.base();
     let snapshots = names.snapshots.range(..base).map(|&number| snapshot_name(number));
     let logs = names.logs.range(..base).map(|&number| log_name(number));
--- a/crates/wal/src/wal.rs
+++ b/crates/wal/src/wal.rs
@@ -1,4 +1,4 @@
-//! The handle of an open log.
+//! The handle of an open write-ahead log.
 
 use std::path::Path;
 use std::sync::mpsc::{channel, Sender};
@@ -13,10 +13,11 @@
 use crate::statistics::{Counters, Statistics};
 use crate::writer::{Append, Command, Writer};
 
-/// An open log. **Nothing keeps two processes out of one folder**: that is the caller's to see to.
+/// An open write-ahead log. **Nothing prevents two processes from opening the same folder**: the caller has to ensure
+/// that only one does.
 ///
-/// Dropping it without [`close`](Wal::close) writes what is queued and leaves the sync to the system, as when the process is
-/// killed.
+/// Dropping the handle without calling [`close`](Wal::close) writes the queued records but leaves syncing them to the
+/// operating system, as when the process is killed.
 pub struct Wal {
     queue: Sender<Command>,
     counters: Arc<Counters>,
@@ -24,15 +25,16 @@
 }
 
 impl Wal {
-    /// Opens a folder, or creates it. Cuts off a torn end, finishes or undoes a checkpoint, and returns the state that all
-    /// records there build; they are synced by then.
+    /// Opens or creates a log's folder. Truncates a torn end, completes or undoes an interrupted checkpoint, and
+    /// returns the state that is built from all records in the folder. These records are synced when this returns.
     ///
-    /// `on_result(ticket, result)` is called on the writer's thread once for each append, in their order.
+    /// `on_result(ticket, result)` is called on the writer thread once for each append, in the order of the appends.
     ///
     /// # Errors
     ///
-    /// The folder is damaged, of another format, schema or identity, or the system refused something. It is left as it was, but
-    /// for unfinished files and a torn end.
+    /// Returns an error if the folder is damaged, has another format, schema or identity, or the operating system
+    /// failed an operation. The folder is then left unchanged, except that unfinished files and a torn end may have
+    /// been removed.
     pub fn open<M: StateMachine>(
         folder: &Path,
         options: Options,
@@ -50,34 +52,37 @@
         Ok((Wal { queue, counters, writer: Some(writer) }, state))
     }
 
-    /// Queues records that go into one entry: after any crash all of them are there or none.
+    /// Queues records that are written as a single entry: after any crash either all of them are present or none.
     ///
-    /// With `sync` the result comes after the sync. Without it comes after the write: then the records outlive the process, but
-    /// not yet the machine; a sync of them begins within [`Options::max_sync_delay`]. Records are written at once in any case, also
-    /// while a sync runs. No records with `sync` wait for all that was appended before. After an `Err` the records are not there, but may come back if the power fails before the next sync.
+    /// With `sync`, the result is reported after the records are synced. Without it, the result is reported after the
+    /// write: the records then survive the end of the process, but not yet a loss of power. A sync of them starts
+    /// within [`Options::max_sync_delay`]. Records are always written immediately, even while a sync is running. An
+    /// append with `sync` and no records waits until all earlier appends are synced. After an `Err`, the records are
+    /// not in the log, but may reappear if the power fails before the next sync.
     pub fn append(&self, ticket: u64, records: Vec<Vec<u8>>, sync: bool) {
         if self.queue.send(Command::Append(Append { ticket, records, sync })).is_err() {
-            tracing::error!(ticket, "the writer's thread has ended");
+            tracing::error!(ticket, "append dropped: the writer thread has ended");
         }
     }
 
-    /// Writes what is queued, syncs, and waits for the writer. A checkpoint under way is given up; the next one makes up for it.
-    /// Not to be called from `on_result`.
+    /// Writes the queued records, syncs them, and waits for the writer thread to end. A running checkpoint is
+    /// cancelled; its work is done by the next checkpoint. Must not be called from `on_result`, which runs on the
+    /// writer thread.
     pub fn close(mut self) {
         self.end(true);
     }
 
-    /// What was done since the opening.
+    /// Returns the counters of the log's operations since it was opened.
     pub fn statistics(&self) -> Statistics {
         self.counters.read()
     }
 
     fn end(&mut self, sync: bool) {
         let Some(writer) = self.writer.take() else { return };
-        // Fails only if the writer has ended already.
+        // Sending the stop command fails only if the writer thread has already ended.
         let _ = self.queue.send(Command::Stop { sync });
         if writer.join().is_err() {
-            tracing::error!("the writer's thread panicked");
+            tracing::error!("the writer thread panicked");
         }
     }
 }
--- a/crates/wal/src/writer.rs
+++ b/crates/wal/src/writer.rs
@@ -1,7 +1,8 @@
-//! The writer's thread: takes appends in groups, keeps the time of syncs and checkpoints, and ends in order.
+//! The writer thread of the log: writes appends in groups, starts syncs and checkpoints when they are due, and shuts
+//! down in order.
 //!
-//! Groups that are written while a sync runs share the next one: group commit (DeWitt et al., "Implementation Techniques for Main
-//! Memory Database Systems", SIGMOD 1984).
+//! Groups that are written while a sync is running share the next sync: group commit (DeWitt et al., "Implementation
+//! Techniques for Main Memory Database Systems", SIGMOD 1984).
 
 mod checkpoints;
 mod group;
@@ -18,62 +19,64 @@
 use crate::frame;
 use crate::statistics::Counters;
 use checkpoints::RunningCheckpoint;
-use syncs::{EndedSync, SyncThread, UnansweredAppend};
+use syncs::{EndedSync, PendingAppend, SyncThread};
 
-/// Bytes after which a group takes no more appends.
-const GROUP_BYTES: usize = 1 << 20;
-/// At least so long until a sync is tried again after one that failed.
+/// Size in bytes at which a group of appends is closed and written.
+const GROUP_CLOSE_BYTES: usize = 1 << 20;
+/// Minimum delay before a failed sync of the segment is retried.
 const MIN_SYNC_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What is sent to the writer's thread.
+/// A command that is sent to the writer thread.
 pub enum Command {
-    /// Write these records.
+    /// Write the records of an append.
     Append(Append),
-    /// A sync has ended.
+    /// A sync of the segment has ended.
     SyncEnded(EndedSync),
-    /// The checkpoint's thread has ended.
+    /// The checkpoint thread has ended.
     CheckpointEnded(Result<CheckpointOutcome, CheckpointError>),
-    /// Write what was queued before, and end.
+    /// Write the appends that were queued before this command, and end the writer thread.
     Stop {
-        /// Sync it too.
+        /// Whether to sync the written records before the thread ends.
         sync: bool,
     },
 }
 
-/// Records that go into one entry.
+/// An append: records that are written as a single entry.
 pub struct Append {
-    /// Given back with the result.
+    /// The caller's identifier of the append, returned with its result.
     pub ticket: u64,
     pub records: Vec<Vec<u8>>,
-    /// Answer after a sync.
+    /// Whether to report the result only after the records are synced.
     pub sync: bool,
 }
 
-/// Runs a checkpoint, for a state machine that the writer does not know.
+/// A function that runs a checkpoint. It hides the type of the state machine from the writer.
 pub type RunCheckpoint = fn(&CheckpointTask) -> Result<CheckpointOutcome, CheckpointError>;
 
-/// The state of the writer's thread.
+/// The state of the writer thread.
 pub struct Writer<D> {
     folder: Folder,
     run_checkpoint: RunCheckpoint,
     on_result: D,
     commands: Receiver<Command>,
-    /// Arrived while an append waited for capacity; they come before what is in `commands`.
+    /// Commands that were received while the writer waited for capacity or for a sync. They are processed before those
+    /// in `commands`.
     backlog: VecDeque<Command>,
-    /// Written or refused, and not answered yet, in order: the end of the log.
-    unanswered: VecDeque<UnansweredAppend>,
+    /// Appends at the end of the log, in order, that were written or rejected and whose results have not been reported
+    /// yet.
+    pending: VecDeque<PendingAppend>,
     syncs: SyncThread,
-    /// For the checkpoint's thread.
+    /// Sender of commands to this writer, cloned for the checkpoint thread.
     queue: Sender<Command>,
     counters: Arc<Counters>,
     checkpoint: Option<RunningCheckpoint>,
-    /// An append was refused because the folder may not grow, and no checkpoint was considered since.
+    /// Whether an append was rejected for lack of capacity since the writer last checked if a checkpoint is due.
     is_out_of_capacity: bool,
-    /// After a checkpoint that failed: no other before.
+    /// Earliest time of the next checkpoint, set after a checkpoint has failed.
     next_checkpoint_at: Option<Instant>,
-    /// When unsynced records have to be synced.
+    /// Time by which the unsynced records have to be synced.
     sync_deadline: Option<Instant>,
-    /// The entries of a group.
+    /// Buffer for the encoded entries of a group.
     buffer: Vec<u8>,
 }
 
@@ -93,7 +96,7 @@
             on_result,
             commands,
             backlog: VecDeque::new(),
-            unanswered: VecDeque::new(),
+            pending: VecDeque::new(),
             syncs,
             queue,
             counters,
@@ -105,11 +108,11 @@
         })
     }
 
-    /// Until it is told to stop.
+    /// Runs the writer until it receives a stop command.
     pub fn run(mut self) {
         let mut group = Vec::new();
         loop {
-            let next = self.gather(&mut group);
+            let next = self.collect_group(&mut group);
             self.wait_for_capacity(&group);
             if !group.is_empty() {
                 self.is_out_of_capacity |= self.write_group(&mut group);
@@ -117,7 +120,8 @@
             match next {
                 Some(Command::SyncEnded(ended)) => {
                     self.sync_ended(ended);
-                    // Before the next sync begins: under load one runs all the time.
+                    // A checkpoint that is due is started before the next sync, because a checkpoint can't start
+                    // during a sync, and under load syncs follow one another without a gap.
                     self.begin_checkpoint_if_due();
                 }
                 Some(Command::CheckpointEnded(result)) => self.checkpoint_ended(result),
@@ -129,23 +133,24 @@
         }
     }
 
-    /// Waits for a command, and takes the appends that are queued into a group. The first command that is another one.
-    fn gather(&mut self, group: &mut Vec<Append>) -> Option<Command> {
+    /// Waits for a command and collects the queued appends into a group. Returns the first command that is not an
+    /// append, if one was received.
+    fn collect_group(&mut self, group: &mut Vec<Append>) -> Option<Command> {
         let mut next = self.wait();
         let mut group_bytes = 0;
         while let Some(Command::Append(append)) = next {
             group_bytes += frame::entry_bytes(&append.records);
             group.push(append);
-            next = if group_bytes < GROUP_BYTES { self.next_without_waiting() } else { None };
+            next = if group_bytes < GROUP_CLOSE_BYTES { self.try_next() } else { None };
         }
         next
     }
 
-    fn next_without_waiting(&mut self) -> Option<Command> {
+    fn try_next(&mut self) -> Option<Command> {
         self.backlog.pop_front().or_else(|| self.commands.try_recv().ok())
     }
 
-    /// None when a sync or a checkpoint is due first.
+    /// Waits for the next command. Returns `None` if a sync or a checkpoint becomes due first.
     fn wait(&mut self) -> Option<Command> {
         if let Some(command) = self.backlog.pop_front() {
             return Some(command);
@@ -158,7 +163,8 @@
         }
     }
 
-    /// When something is to be begun that waits for the time alone. While a sync runs, for its end before anything else.
+    /// Returns the next time at which a sync or a checkpoint has to start. Returns `None` while a sync is running,
+    /// because nothing else starts before it has ended.
     fn next_deadline(&self) -> Option<Instant> {
         if self.syncs.is_running() {
             return None;
@@ -171,8 +177,9 @@
 
     fn end(mut self, sync: bool) {
         self.wait_for_running_sync();
-        if sync || !self.unanswered.is_empty() {
-            // A failure is logged, counted and answered; the process ends all the same.
+        if sync || !self.pending.is_empty() {
+            // A failure of the final sync has already been logged, counted and reported to the appends; the thread
+            // ends regardless.
             let _ = self.sync_and_wait();
         }
         if let Some(checkpoint) = self.checkpoint.take() {
--- a/crates/wal/src/writer/checkpoints.rs
+++ b/crates/wal/src/writer/checkpoints.rs
@@ -1,4 +1,4 @@
-//! When a checkpoint begins, what the writer does for it, and what it does once it has ended.
+//! Decides when a checkpoint starts, prepares it on the writer thread, and processes its result.
 
 use std::path::PathBuf;
 use std::thread::{Builder, JoinHandle};
@@ -16,35 +16,36 @@
 use crate::segment::Segment;
 use crate::statistics::add;
 
-/// Until a checkpoint is tried again after one that failed.
-const RETRY_DELAY: Duration = Duration::from_secs(10);
-/// A segment is closed before it is due if an append was refused and the segment has this part of the capacity: fewer records
-/// hardly free anything.
-const WORTHWHILE_PART_OF_CAPACITY: u64 = 1024;
+/// Delay before a failed checkpoint is retried.
+const CHECKPOINT_RETRY_DELAY: Duration = Duration::from_secs(10);
+/// After an append was rejected for lack of capacity, a segment is closed before it reaches its limit if it holds more
+/// than 1/1024 of the capacity: a checkpoint of fewer records hardly frees any space.
+const EARLY_CLOSE_CAPACITY_DIVISOR: u64 = 1024;
 
-/// A checkpoint under way.
+/// A checkpoint that is running on its own thread.
 pub(super) struct RunningCheckpoint {
     thread: JoinHandle<()>,
     cancellation: Cancellation,
-    /// Number of its snapshot.
+    /// Number of the snapshot that the checkpoint writes.
     to: u64,
-    /// Bytes of the segments that it replaces.
+    /// Total size, in bytes, of the segments that the checkpoint replaces.
     closed_bytes: u64,
 }
 
 impl RunningCheckpoint {
     pub(super) fn cancel_and_wait(self) {
         self.cancellation.cancel();
-        // A panic there has been reported by its thread.
+        // A panic of the joined thread has already been reported by that thread.
         let _ = self.thread.join();
     }
 }
 
 impl<D: Fn(u64, Result<(), AppendError>)> Writer<D> {
-    /// Appends that fill a segment each may come faster than checkpoints clear them away: they wait for those that are under
-    /// way or can be begun, where smaller ones are refused. Each checkpoint leaves less to clear, so this ends.
+    /// Waits until a group with an append as large as a whole segment fits into the capacity. Such appends may arrive
+    /// faster than checkpoints free space, so they wait for the checkpoints that are running or can be started, where
+    /// smaller appends are rejected. The wait ends, because each checkpoint leaves less space to free.
     pub(super) fn wait_for_capacity(&mut self, group: &[Append]) {
-        while self.is_large_and_does_not_fit(group) {
+        while self.has_large_append_over_capacity(group) {
             self.is_out_of_capacity = true;
             self.begin_checkpoint_if_due();
             self.begin_sync_if_due();
@@ -66,7 +67,7 @@
         }
     }
 
-    fn is_large_and_does_not_fit(&self, group: &[Append]) -> bool {
+    fn has_large_append_over_capacity(&self, group: &[Append]) -> bool {
         let sizes = || group.iter().map(|append| frame::entry_bytes(&append.records) as u64);
         let fills_a_segment =
             |size: u64| size >= self.checkpoint_after_bytes() && size <= MAX_APPEND_BYTES as u64;
@@ -76,7 +77,7 @@
             && self.folder.used_bytes() + sizes().sum::<u64>() > max_used_bytes(options, true)
     }
 
-    /// Bytes in a segment after which a checkpoint begins.
+    /// Returns the size of a segment, in bytes, at which a checkpoint starts.
     fn checkpoint_after_bytes(&self) -> u64 {
         let options = &self.folder.options;
         match options.capacity_bytes {
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Closes the segment if it is long enough, and begins a checkpoint if there are closed segments. One is under way at most, and
-    /// none begins while a sync runs.
+    /// Closes the segment if it is due, and starts a checkpoint if there are closed segments. At most one checkpoint
+    /// runs at a time, and none is started during a sync.
     pub(super) fn begin_checkpoint_if_due(&mut self) {
         if self.syncs.is_running() {
             return;
@@ -109,15 +110,15 @@
         }
     }
 
-    /// Whether the segment that is written to is to be closed.
+    /// Whether the current segment is due to be closed.
     fn is_segment_due(&self, is_out_of_capacity: bool) -> bool {
         let segment_bytes = self.folder.log.end.bytes;
         let is_long = segment_bytes >= self.checkpoint_after_bytes().max(FILE_HEADER_BYTES + 1);
-        let worthwhile_bytes = self.folder.options.capacity_bytes / WORTHWHILE_PART_OF_CAPACITY;
-        is_long || is_out_of_capacity && segment_bytes > FILE_HEADER_BYTES + worthwhile_bytes
+        let early_close_bytes = self.folder.options.capacity_bytes / EARLY_CLOSE_CAPACITY_DIVISOR;
+        is_long || is_out_of_capacity && segment_bytes > FILE_HEADER_BYTES + early_close_bytes
     }
 
-    /// Closes the segment, all of it synced, and begins the next.
+    /// Syncs and closes the current segment, and creates the next one.
     fn begin_segment(&mut self) -> Result<(), CheckpointError> {
         self.sync_and_wait()?;
         let Folder { path, options, identity, log, closed_bytes, .. } = &mut self.folder;
@@ -127,18 +128,19 @@
         Ok(())
     }
 
-    /// Starts the thread of a checkpoint of all closed segments.
+    /// Starts a thread that runs a checkpoint of all closed segments.
     fn begin_checkpoint(&mut self) -> Result<(), CheckpointError> {
         let Folder { path, options, log, .. } = &mut self.folder;
-        // A snapshot that is kept while the name of the segment after it is lost would look like damage.
-        if !options.has_planted(PlantedFault::NamelessCovered) {
+        // The segment's name is made durable before the checkpoint starts. If a loss of power kept the snapshot but
+        // lost the name of the segment after it, the folder would look damaged.
+        if !options.has_planted(PlantedFault::UnsyncedSegmentCovered) {
             log.sync_name(path, options)?;
         }
         let task = self.checkpoint_task();
         let (to, cancellation) = (task.to, task.cancellation.clone());
         let (queue, run_checkpoint) = (self.queue.clone(), self.run_checkpoint);
         let spawned = Builder::new().name("wal-fold".into()).spawn(move || {
-            // The writer waits for this thread before it ends.
+            // Sending can't fail, because the writer waits for the checkpoint thread before it ends.
             let _ = queue.send(Command::CheckpointEnded(run_checkpoint(&task)));
         });
         let thread = spawned.map_err(CheckpointError::SpawnThread)?;
@@ -164,10 +166,10 @@
         }
     }
 
-    /// Takes in what a checkpoint has done.
+    /// Processes the result of a checkpoint.
     pub(super) fn checkpoint_ended(&mut self, result: Result<CheckpointOutcome, CheckpointError>) {
         let Some(checkpoint) = self.checkpoint.take() else { return };
-        // A panic there has been reported by its thread.
+        // A panic of the joined thread has already been reported by that thread.
         let _ = checkpoint.thread.join();
         match result {
             Ok(CheckpointOutcome::Cancelled) => return,
@@ -179,18 +181,18 @@
             }
             Err(error) => return self.checkpoint_failed(&error),
         }
-        self.tell_test_of_end();
+        self.notify_test_of_end();
     }
 
     fn checkpoint_failed(&mut self, error: &CheckpointError) {
-        tracing::warn!(%error, "a checkpoint failed");
+        tracing::warn!(%error, "checkpoint failed; it will be retried after a delay");
         add(&self.counters.failures, 1);
-        self.next_checkpoint_at = Some(Instant::now() + RETRY_DELAY);
-        self.tell_test_of_end();
+        self.next_checkpoint_at = Some(Instant::now() + CHECKPOINT_RETRY_DELAY);
+        self.notify_test_of_end();
     }
 
-    fn tell_test_of_end(&self) {
-        // There is nothing left that could fail.
+    fn notify_test_of_end(&self) {
+        // The hook's result is ignored, because no operation is left that could fail.
         let _ = self.folder.options.before(Step::CheckpointEnded, &self.folder.path);
     }
 }
--- a/crates/wal/src/writer/group.rs
+++ b/crates/wal/src/writer/group.rs
@@ -1,9 +1,9 @@
-//! Writes a group of appends: which of it is refused, and the entries of the rest.
+//! Writes a group of appends: decides which of them are rejected, and encodes the entries of the others.
 
 use std::time::Instant;
 
-use super::syncs::UnansweredAppend;
-use super::{Append, Writer, GROUP_BYTES};
+use super::syncs::PendingAppend;
+use super::{Append, Writer, GROUP_CLOSE_BYTES};
 use crate::error::AppendError;
 use crate::folder::Folder;
 use crate::frame::{self, MAX_APPEND_BYTES, MAX_RECORD_BYTES};
@@ -11,23 +11,25 @@
 use crate::segment::Position;
 use crate::statistics::add;
 
-/// A group whose entries are in the writer's buffer.
+/// A group of appends whose encoded entries are in the writer's buffer.
 #[derive(Default)]
 struct EncodedGroup {
-    /// By append, why it is not among the entries.
-    refusals: Vec<Option<AppendError>>,
-    /// By append, where its entry begins. A failed sync cuts the segment off there: what comes before may have been answered.
+    /// For each append, the error with which it is rejected, or `None` if its entry is in the buffer.
+    rejections: Vec<Option<AppendError>>,
+    /// For each append, the start of its entry. A failed sync truncates the segment at the start of the first append
+    /// without a reported result, because earlier entries may already have been acknowledged.
     starts: Vec<Position>,
     entries: u32,
     records: u64,
-    /// One was refused because the folder may not grow.
+    /// Whether an append of the group was rejected for lack of capacity.
     is_out_of_capacity: bool,
 }
 
 impl<D: Fn(u64, Result<(), AppendError>)> Writer<D> {
-    /// Writes a group at once, or nothing of it, and answers what waits for no sync.
+    /// Writes the entries of a group, either all or none, and reports the results of the appends that do not wait for
+    /// a sync.
     ///
-    /// Returns whether an append was refused because the folder may not grow.
+    /// Returns whether an append of the group was rejected for lack of capacity.
     pub(super) fn write_group(&mut self, group: &mut Vec<Append>) -> bool {
         let start = self.folder.log.end;
         let encoded = self.encode(group, start);
@@ -36,33 +38,33 @@
             add(&self.counters.records, encoded.records);
             add(&self.counters.bytes, self.buffer.len() as u64);
         }
-        if self.buffer.capacity() > 2 * GROUP_BYTES {
+        if self.buffer.capacity() > 2 * GROUP_CLOSE_BYTES {
             self.buffer = Vec::new();
         }
-        let appends = group.drain(..).zip(encoded.refusals).zip(encoded.starts);
-        for ((append, refusal), start_of_entry) in appends {
-            let start = if result.is_ok() { start_of_entry } else { start };
-            let result = refusal.map_or_else(|| result.clone(), Err);
-            let needs = self.needed_sync(append.sync && result.is_ok());
-            self.unanswered.push_back(UnansweredAppend { ticket: append.ticket, result, start, needs });
+        let appends = group.drain(..).zip(encoded.rejections).zip(encoded.starts);
+        for ((append, rejection), entry_start) in appends {
+            let start = if result.is_ok() { entry_start } else { start };
+            let result = rejection.map_or_else(|| result.clone(), Err);
+            let required_sync = self.required_sync(append.sync && result.is_ok());
+            self.pending.push_back(PendingAppend { ticket: append.ticket, result, start, required_sync });
         }
-        self.answer_appends();
+        self.report_results();
         encoded.is_out_of_capacity
     }
 
-    /// Puts the entries of a group, which are to go to `start`, into the buffer.
+    /// Encodes the entries of a group, which will be written at the position `start`, into the buffer.
     fn encode(&mut self, group: &[Append], start: Position) -> EncodedGroup {
         let used_bytes = self.folder.used_bytes();
         let Folder { options, log, .. } = &self.folder;
         self.buffer.clear();
         let mut encoded =
-            EncodedGroup { refusals: Vec::with_capacity(group.len()), ..EncodedGroup::default() };
+            EncodedGroup { rejections: Vec::with_capacity(group.len()), ..EncodedGroup::default() };
         for append in group {
             let bytes = start.bytes + self.buffer.len() as u64;
             let entries = start.entries.wrapping_add(encoded.entries);
             encoded.starts.push(Position { bytes, entries });
-            let refusal = refusal(append, used_bytes + self.buffer.len() as u64, options);
-            match &refusal {
+            let rejection = rejection(append, used_bytes + self.buffer.len() as u64, options);
+            match &rejection {
                 Some(error) => encoded.is_out_of_capacity |= matches!(error, AppendError::DiskFull),
                 None => {
                     if !append.records.is_empty() {
@@ -73,7 +75,7 @@
                     }
                 }
             }
-            encoded.refusals.push(refusal);
+            encoded.rejections.push(rejection);
         }
         encoded
     }
@@ -99,8 +101,8 @@
     frame::finish_entry(out, start, number, synced);
 }
 
-/// Why these records can't be appended where the folder uses that much.
-fn refusal(append: &Append, used_bytes: u64, options: &Options) -> Option<AppendError> {
+/// Returns the error with which an append is rejected, if any, when the folder uses `used_bytes`.
+fn rejection(append: &Append, used_bytes: u64, options: &Options) -> Option<AppendError> {
     let entry_bytes = frame::entry_bytes(&append.records);
     let longest = append.records.iter().map(Vec::len).max().unwrap_or(0);
     if longest > MAX_RECORD_BYTES {
@@ -114,7 +116,8 @@
     (is_limited && is_too_much).then_some(AppendError::DiskFull)
 }
 
-/// Bytes of the folder beyond which an append is refused. What frees space comes without sync, and must not be refused first.
+/// Returns the total size of the folder's files, in bytes, beyond which an append is rejected. The limit is higher for
+/// appends without sync, because they are the ones that free space and must not be rejected first.
 pub(super) fn max_used_bytes(options: &Options, sync: bool) -> u64 {
     if sync {
         options.capacity_bytes / 16 * 7
--- a/crates/wal/src/writer/syncs.rs
+++ b/crates/wal/src/writer/syncs.rs
@@ -1,8 +1,8 @@
-//! Syncs of the segment: a thread of their own runs them, so that the writer goes on writing meanwhile, and appends are answered in
-//! their order once a sync has ended that covers them.
+//! Syncs of the segment. A separate thread runs them, so that the writer can continue writing during a sync. The
+//! results of appends are reported in order, once a sync that covers them has ended.
 //!
-//! A record that was written outlives the process, even if the sync that is to cover it never ends. So a sync that stalls must not
-//! hold back writes.
+//! A record that was written survives the end of the process even if the sync that should cover it never ends. A
+//! stalled sync must therefore not delay writes.
 
 use std::sync::mpsc::{channel, Sender};
 use std::thread::{Builder, JoinHandle};
@@ -16,7 +16,7 @@
 use crate::segment::{Position, SegmentSync, SyncPoint};
 use crate::statistics::add;
 
-/// A sync that has ended, and how.
+/// A sync that has ended, with its result.
 pub struct EndedSync {
     sync: SegmentSync,
     result: Result<(), FileError>,
@@ -29,22 +29,22 @@
     }
 }
 
-/// The thread that runs syncs. It ends when this is dropped.
+/// The thread that runs syncs. It ends when this handle is dropped.
 pub(super) struct SyncThread {
     syncs: Option<Sender<SegmentSync>>,
     thread: Option<JoinHandle<()>>,
-    /// A sync was handed over and has not ended.
+    /// Whether a sync was passed to the thread and its end has not been processed yet.
     is_running: bool,
 }
 
 impl SyncThread {
-    /// Starts the thread, which tells the writer of each sync that has ended.
+    /// Starts the sync thread, which notifies the writer of each sync that has ended.
     pub fn start(options: &Options, writer: &Sender<Command>) -> Result<SyncThread, OpenError> {
         let (syncs, begun) = channel::<SegmentSync>();
         let (options, writer) = (options.clone(), writer.clone());
         let run = move || {
             for sync in begun {
-                // Fails only where the writer has ended.
+                // Sending fails only if the writer has already ended.
                 let _ = writer.send(Command::SyncEnded(EndedSync::run(sync, &options)));
             }
         };
@@ -52,7 +52,7 @@
         Ok(SyncThread { syncs: Some(syncs), thread: Some(thread), is_running: false })
     }
 
-    /// Whether a sync has not ended yet.
+    /// Whether a sync is running.
     pub fn is_running(&self) -> bool {
         self.is_running
     }
@@ -67,46 +67,46 @@
     fn drop(&mut self) {
         self.syncs = None;
         if let Some(thread) = self.thread.take() {
-            // A panic there has been reported by its thread.
+            // A panic of the joined thread has already been reported by that thread.
             let _ = thread.join();
         }
     }
 }
 
-/// An append that has been written or refused, and is answered once all before it are.
-pub(super) struct UnansweredAppend {
+/// An append that has been written or rejected. Its result is reported after those of all earlier appends.
+pub(super) struct PendingAppend {
     pub ticket: u64,
-    /// How it is answered, unless a sync fails before.
+    /// Result that is reported for the append, unless a sync fails before.
     pub result: Result<(), AppendError>,
-    /// Where the segment ended before the group of this append was written.
+    /// Position in the segment at which the entry of this append starts, or would start.
     pub start: Position,
-    /// What has to be synced before the answer.
-    pub needs: SyncPoint,
+    /// Sync point that has to be durable before the result is reported.
+    pub required_sync: SyncPoint,
 }
 
 impl<D: Fn(u64, Result<(), AppendError>)> Writer<D> {
-    /// Answers, in their order, all appends that wait for nothing any more.
-    pub(super) fn answer_appends(&mut self) {
+    /// Reports, in order, the results of all appends that no longer wait for a sync.
+    pub(super) fn report_results(&mut self) {
         let log = &self.folder.log;
-        while self.unanswered.front().is_some_and(|append| log.is_synced_to(append.needs)) {
-            let Some(append) = self.unanswered.pop_front() else { return };
+        while self.pending.front().is_some_and(|append| log.is_synced_to(append.required_sync)) {
+            let Some(append) = self.pending.pop_front() else { return };
             (self.on_result)(append.ticket, append.result);
         }
     }
 
-    /// Begins a sync if an append waits for one, or if unsynced records are due, unless one is running.
+    /// Starts a sync if an append waits for one or unsynced records are due, unless a sync is already running.
     pub(super) fn begin_sync_if_due(&mut self) {
         let is_due = self.sync_deadline.is_some_and(|deadline| deadline <= Instant::now());
-        if self.syncs.is_running() || !is_due && self.unanswered.is_empty() {
+        if self.syncs.is_running() || !is_due && self.pending.is_empty() {
             return;
         }
-        // A failure has been logged and counted, and the sync is due again.
+        // A failure to start the sync has already been logged and counted, and the sync is retried later.
         if let Ok(Some(sync)) = self.begin_sync() {
             self.syncs.run(sync);
         }
     }
 
-    /// Syncs all that was written and answers all appends. Nothing is written until this returns.
+    /// Syncs all written entries and reports the results of all appends. Nothing is written until this returns.
     pub(super) fn sync_and_wait(&mut self) -> Result<(), FileError> {
         self.wait_for_running_sync();
         let Some(sync) = self.begin_sync()? else { return Ok(()) };
@@ -116,7 +116,8 @@
         result
     }
 
-    /// Waits for the sync that is running, if one is, and keeps what else arrives.
+    /// Waits for the end of the running sync, if there is one, and stores other commands that arrive meanwhile in the
+    /// backlog.
     pub(super) fn wait_for_running_sync(&mut self) {
         while self.syncs.is_running() {
             match self.commands.recv() {
@@ -127,7 +128,7 @@
         }
     }
 
-    /// The sync that is to be run now; `None` where nothing has to be synced.
+    /// Returns the sync to run now, or `None` if everything is already synced.
     fn begin_sync(&mut self) -> Result<Option<SegmentSync>, FileError> {
         let Folder { path, options, log, .. } = &mut self.folder;
         let sync = match log.begin_sync(path, options) {
@@ -139,12 +140,12 @@
         };
         self.sync_deadline = None;
         if sync.is_none() {
-            self.answer_appends();
+            self.report_results();
         }
         Ok(sync)
     }
 
-    /// Takes in how a sync has ended, and answers the appends that waited for it.
+    /// Processes the end of a sync, and reports the results of the appends that waited for it.
     pub(super) fn sync_ended(&mut self, ended: EndedSync) {
         self.syncs.is_running = false;
         let Folder { options, log, .. } = &mut self.folder;
@@ -152,33 +153,33 @@
         match ended.result {
             Ok(()) => {
                 add(&self.counters.syncs, 1);
-                self.answer_appends();
+                self.report_results();
             }
             Err(error) => self.sync_failed(&error),
         }
     }
 
-    /// Takes back all that was not answered, also what was written while the sync ran, and answers it with the error. A sync is due
-    /// again later.
+    /// Removes all entries whose results have not been reported, including those written during the sync, and reports
+    /// the error for them. Another sync becomes due later.
     fn sync_failed(&mut self, error: &FileError) {
-        tracing::warn!(%error, "a sync failed");
+        tracing::warn!(%error, "sync failed; entries that were not acknowledged are removed");
         add(&self.counters.failures, 1);
         let Folder { options, log, .. } = &mut self.folder;
         let delay = options.max_sync_delay.max(MIN_SYNC_RETRY_DELAY);
         self.sync_deadline = Some(Instant::now() + delay);
-        let start = self.unanswered.front().map(|append| append.start);
+        let start = self.pending.front().map(|append| append.start);
         if let Some(start) = start.filter(|start| log.end.bytes > start.bytes) {
             log.truncate_to(start, options);
         }
-        for append in self.unanswered.drain(..) {
+        for append in self.pending.drain(..) {
             let result = append.result.and(Err(AppendError::from_sync(error.clone())));
             (self.on_result)(append.ticket, result);
         }
     }
 
-    /// What has to be synced before an append is answered that was written just now.
-    pub(super) fn needed_sync(&self, is_sync_wanted: bool) -> SyncPoint {
-        if is_sync_wanted && !self.folder.options.has_planted(PlantedFault::EarlyAnswer) {
+    /// Returns the sync point that must be durable before the result of the append that was just written is reported.
+    pub(super) fn required_sync(&self, is_sync_wanted: bool) -> SyncPoint {
+        if is_sync_wanted && !self.folder.options.has_planted(PlantedFault::AcknowledgedBeforeSync) {
             self.folder.log.sync_point()
         } else {
             SyncPoint::default()
--- a/crates/wal/tests/appends.rs
+++ b/crates/wal/tests/appends.rs
@@ -1,4 +1,5 @@
-//! Results of appends: their order, their syncs, and what is refused or fails.
+//! Tests of the results of appends: their order, the syncs that they wait for, and the appends that are rejected or
+//! fail.
 
 mod support;
 
@@ -15,26 +16,26 @@
 #[test]
 fn results_come_in_order_and_queued_appends_share_one_sync() {
     let folder = TemporaryFolder::new();
-    let gate = Arc::new(Mutex::new(()));
-    let (sender, write_entered) = channel();
-    let (gate_of_hook, sender) = (gate.clone(), Mutex::new(sender));
+    let write_gate = Arc::new(Mutex::new(()));
+    let (sender, write_started) = channel();
+    let (hook_gate, sender) = (write_gate.clone(), Mutex::new(sender));
     let (mut log, _) = TestLog::open(
         &folder.0,
         hooked(move |step| {
             if step == Step::WriteEntries {
                 sender.lock().unwrap().send(()).unwrap();
-                drop(gate_of_hook.lock().unwrap());
+                drop(hook_gate.lock().unwrap());
             }
             Ok(())
         }),
     );
-    let blocked = gate.lock().unwrap();
+    let write_block = write_gate.lock().unwrap();
     log.queue(&["a=1"], true);
-    write_entered.recv().unwrap();
+    write_started.recv().unwrap();
     (0..20).for_each(|n| log.queue(&[&format!("n{n}=1")], n % 2 == 0));
     log.queue(&[&format!("big={}", "x".repeat(MAX_RECORD_BYTES - 3))], true);
     log.queue(&[], true);
-    drop(blocked);
+    drop(write_block);
     for ticket in 1..=23 {
         let (answered, result) = log.next_result();
         assert_eq!(answered, ticket);
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn unsynced_records_are_synced_within_the_maximal_delay() {
+fn unsynced_records_are_synced_within_the_maximum_delay() {
     let folder = TemporaryFolder::new();
     let (hook, synced) = signal_at(Step::SyncSegment);
     let (mut log, _) =
@@ -58,10 +59,10 @@
     for (step, code) in [(Step::WriteEntries, 28), (Step::WriteEntries, 5), (Step::SyncSegment, 5)] {
         let folder = TemporaryFolder::new();
         let failing = Arc::new(AtomicU64::new(0));
-        let failing_in_hook = failing.clone();
+        let hook_failing = failing.clone();
         let (mut log, _) = TestLog::open(
             &folder.0,
-            hooked(move |current| match failing_in_hook.load(Ordering::Relaxed) {
+            hooked(move |current| match hook_failing.load(Ordering::Relaxed) {
                 1 if current == step => Err(io::Error::from_raw_os_error(code)),
                 _ => Ok(()),
             }),
@@ -85,15 +86,16 @@
     }
 }
 
-/// Guards against an append that is answered as synced though it was given up with what the system had lost before it.
+/// Guards against acknowledging an append whose records were lost: after a failed sync, unsynced bytes that read back
+/// differently are removed, and an append whose entry is among them must not be reported as synced.
 #[test]
-fn records_that_read_back_otherwise_after_a_failed_sync_are_not_answered_as_there() {
+fn records_that_read_back_differently_after_a_failed_sync_are_not_acknowledged() {
     let folder = TemporaryFolder::new();
     let is_failing = Arc::new(AtomicBool::new(false));
-    let is_failing_in_hook = is_failing.clone();
+    let hook_is_failing = is_failing.clone();
     let (mut log, _) = TestLog::open(
         &folder.0,
-        hooked(move |step| match is_failing_in_hook.load(Ordering::Relaxed) && step == Step::SyncSegment {
+        hooked(move |step| match hook_is_failing.load(Ordering::Relaxed) && step == Step::SyncSegment {
             true => Err(io::Error::from_raw_os_error(5)),
             false => Ok(()),
         }),
@@ -102,17 +104,18 @@
     is_failing.store(true, Ordering::Relaxed);
     assert_matches!(log.append(&["a=1"], true), Err(AppendError::Sync(_)));
     is_failing.store(false, Ordering::Relaxed);
-    // What the system could not write reads back as something else.
+    // Simulates a disk write that the operating system lost: all bytes after the 20-byte file header read back as
+    // zeros.
     folder.edit(LOG, |bytes| bytes.iter_mut().skip(20).for_each(|byte| *byte = 0));
-    let is_there = log.append(&["b=2"], true).is_ok();
-    assert_eq!(folder.copy().recover().unwrap().0.contains_key("b"), is_there);
+    let is_acknowledged = log.append(&["b=2"], true).is_ok();
+    assert_eq!(folder.copy().recover().unwrap().0.contains_key("b"), is_acknowledged);
     log.append(&["c=3"], true).unwrap();
     drop(log);
     assert!(folder.recover().unwrap().0.contains_key("c"));
 }
 
 #[test]
-fn a_full_disk_refuses_appends_until_a_checkpoint_frees_space() {
+fn a_full_disk_rejects_appends_until_a_checkpoint_frees_space() {
     let folder = TemporaryFolder::new();
     let capacity_bytes = 200_000;
     let (hook, checkpointed) = signal_at(Step::CheckpointEnded);
@@ -136,7 +139,8 @@
     for removal in &removals {
         log.append(&[removal], false).unwrap();
     }
-    // A refused append asks for a checkpoint, unless one is under way; any that ends may be the one.
+    // A rejected append triggers a checkpoint unless one is already running. Either of them may be the one that frees
+    // enough space, so the loop waits for each that ends.
     while log.append(&["after=1"], true).is_err() {
         checkpointed.recv_timeout(TIMEOUT).unwrap();
     }
@@ -145,7 +149,7 @@
 }
 
 #[test]
-fn a_record_of_the_maximal_length_survives_a_checkpoint_and_one_byte_more_is_refused() {
+fn a_record_of_the_maximum_length_survives_a_checkpoint_and_one_byte_more_is_rejected() {
     let folder = TemporaryFolder::new();
     let (mut log, _) = TestLog::open(&folder.0, options());
     let largest = format!("a={}", "x".repeat(MAX_RECORD_BYTES - 2));
@@ -180,7 +184,8 @@
     for key in ["1", "2"] {
         log.append(&[&large(key)], true).unwrap();
     }
-    // The first is in a closed segment, whose checkpoint may not run yet; the second is in the one that is written to; there is no space for the third.
+    // The first record is in a closed segment whose checkpoint is blocked, and the second one is in the current
+    // segment. The capacity has no space for the third.
     log.queue(&[&large("3")], true);
     log.queue(&["after=1"], true);
     drop(release);
@@ -191,17 +196,17 @@
     assert_eq!(folder.recover().unwrap(), keys(&[&large("3"), "after=1"]));
 }
 
-/// Behind a stalled write two appends form a group. The one without sync is answered once it is written; a failed sync of the other takes
-/// back that one alone.
+/// Two appends that are queued behind a stalled write form one group. The append without sync is acknowledged after
+/// the write, and a failed sync of the other append may remove only that other append.
 #[test]
-fn a_failed_sync_keeps_what_was_answered_of_the_same_group() {
+fn a_failed_sync_keeps_acknowledged_appends_of_the_same_group() {
     let folder = TemporaryFolder::new();
-    let (release, held) = channel::<()>();
-    let held = Mutex::new(held);
+    let (release, may_continue) = channel::<()>();
+    let may_continue = Mutex::new(may_continue);
     let is_stalled = AtomicBool::new(true);
     let hook = move |step| match step {
         Step::WriteEntries if is_stalled.swap(false, Ordering::SeqCst) => {
-            let _ = held.lock().unwrap().recv();
+            let _ = may_continue.lock().unwrap().recv();
             Ok(())
         }
         Step::SyncSegment => Err(io::Error::from_raw_os_error(5)),
--- a/crates/wal/tests/disk_format.rs
+++ b/crates/wal/tests/disk_format.rs
@@ -1,4 +1,5 @@
-//! The disk format: a folder that an earlier build wrote opens with all its records, and the same appends give the same bytes.
+//! Tests of the disk format: a folder that was written by an earlier build opens with all of its records, and the same
+//! appends produce the same bytes.
 
 mod support;
 
@@ -11,7 +12,8 @@
 const FORMAT: &str = "FORMAT";
 const SNAPSHOT: &str = "snapshot-0000000002";
 const LOG: &str = "log-0000000002";
-/// A small segment limit, so that the first appends end in a snapshot.
+/// Size limit of the first segment, in bytes. It is small so that the first appends trigger a checkpoint that writes a
+/// snapshot.
 const FIRST_SEGMENT_BYTES: u64 = 150;
 
 fn fixture() -> PathBuf {
@@ -22,35 +24,37 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Appends one after the other, so that each entry's offset does not depend on timing.
+/// Appends one after another and waits for each result, so that the synced offset stored in each entry does not depend
+/// on timing.
 fn append_all(log: &mut TestLog, appends: &[(&[&str], bool)]) {
     for (records, sync) in appends {
         log.append(records, *sync).unwrap();
     }
 }
 
-/// Writes what the fixture holds. Of a new folder FORMAT alone is not the same each time: its identity is drawn.
+/// Writes the contents of the fixture. The file FORMAT is written in advance, because it is the only file that would
+/// differ between new folders: it contains a randomly generated identity.
 fn write_fixture(folder: &Path) {
     fs::write(folder.join(FORMAT), "stileroute-logbook 1 keys 0badf00d\n").unwrap();
 
     let (hook, checkpoint_ended) = signal_at(Step::CheckpointEnded);
     let small_segment = Options { checkpoint_after_bytes: FIRST_SEGMENT_BYTES, ..hooked(hook) };
     let (mut log, _) = TestLog::open(folder, small_segment);
-    let first: [(&[&str], bool); 4] = [
+    let first_appends: [(&[&str], bool); 4] = [
         (&["a=1", "b=2"], true),
         (&["gone=1"], false),
         (&["gone="], true),
         (&["long=0123456789abcdefghijklmnopqrstuvwxyz"], true),
     ];
-    append_all(&mut log, &first);
+    append_all(&mut log, &first_appends);
     checkpoint_ended.recv_timeout(TIMEOUT).unwrap();
     drop(log);
 
     let (mut log, _) = TestLog::open(folder, options());
-    let second: [(&[&str], bool); 4] =
+    let second_appends: [(&[&str], bool); 4] =
         [(&["c=3"], true), (&["d=4", "a=5"], false), (&["b="], false), (&["e=6"], false)];
-    append_all(&mut log, &second);
-    // Dropped, not closed: the last three stay unsynced.
+    append_all(&mut log, &second_appends);
+    // The log is dropped rather than closed, so that the last three appends stay unsynced.
     drop(log);
 }
 
@@ -111,10 +115,11 @@
         identity.len() == 8 && u32::from_str_radix(identity, 16).is_ok_and(|number| number > 0),
         "{format:?}"
     );
-    // The segment's first 20 bytes: its mark, `l`, version 1, number 1, the identity, and the checksum of these.
+    // The first 20 bytes of a segment are its file header: the magic bytes, `l`, version 1, number 1, the folder
+    // identity, and the checksum of these fields.
     let log = fs::read(folder.0.join("log-0000000001")).unwrap();
-    let mut head = b"slbookl\x01\x01\0\0\0".to_vec();
-    head.extend_from_slice(&u32::from_str_radix(identity, 16).unwrap().to_le_bytes());
-    head.extend_from_slice(&crc32fast::hash(&head).to_le_bytes());
-    assert_eq!(hex(&log), hex(&head));
+    let mut expected_header = b"slbookl\x01\x01\0\0\0".to_vec();
+    expected_header.extend_from_slice(&u32::from_str_radix(identity, 16).unwrap().to_le_bytes());
+    expected_header.extend_from_slice(&crc32fast::hash(&expected_header).to_le_bytes());
+    assert_eq!(hex(&log), hex(&expected_header));
 }
--- a/crates/wal/tests/power/disk.rs
+++ b/crates/wal/tests/power/disk.rs
@@ -1,4 +1,5 @@
-//! A disk that remembers which operations a loss of power may take back, each by itself.
+//! A simulated disk that records which operations are not durable yet. A loss of power may undo each of them
+//! independently.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -6,7 +7,7 @@
 
 use stileroute_wal::Operation;
 
-/// The names of a folder and the bytes behind each.
+/// The files of a folder: a map from each file name to the file's bytes.
 pub type Files = BTreeMap<String, Vec<u8>>;
 
 #[derive(Clone, Debug)]
@@ -15,31 +16,32 @@
     Length(usize),
 }
 
-/// What becomes of an unsynced change.
+/// The result of an unsynced change after a loss of power.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
+enum WriteOutcome {
     Kept,
     Lost,
-    /// The first half is there, and the file ends behind it, unless it was longer.
+    /// Only the first half of the write's bytes is present, and the file ends after it, unless it was longer before.
     Truncated,
-    /// The first half is there, and zeros in place of the second.
+    /// The first half of the write's bytes is present, and zeros are in place of the second half.
     Zeroed,
 }
 
-const FATES: [Fate; 4] = [Fate::Kept, Fate::Lost, Fate::Truncated, Fate::Zeroed];
+const OUTCOMES: [WriteOutcome; 4] =
+    [WriteOutcome::Kept, WriteOutcome::Lost, WriteOutcome::Truncated, WriteOutcome::Zeroed];
 
 impl Change {
-    fn apply(&self, fate: Fate, to: &mut Vec<u8>) {
+    fn apply(&self, outcome: WriteOutcome, to: &mut Vec<u8>) {
         match self {
-            Change::Length(len) if fate != Fate::Lost => to.resize(*len, 0),
+            Change::Length(len) if outcome != WriteOutcome::Lost => to.resize(*len, 0),
             Change::Length(_) => {}
             Change::Write { at, bytes } => {
                 let half = bytes.len() / 2;
-                let bytes = match fate {
-                    Fate::Kept => bytes.clone(),
-                    Fate::Lost => return,
-                    Fate::Truncated => bytes[..half].to_vec(),
-                    Fate::Zeroed => [&bytes[..half], &vec![0; bytes.len() - half]].concat(),
+                let bytes = match outcome {
+                    WriteOutcome::Kept => bytes.clone(),
+                    WriteOutcome::Lost => return,
+                    WriteOutcome::Truncated => bytes[..half].to_vec(),
+                    WriteOutcome::Zeroed => [&bytes[..half], &vec![0; bytes.len() - half]].concat(),
                 };
                 let end = at + bytes.len();
                 to.resize(to.len().max(end), 0);
@@ -53,25 +55,29 @@
 struct Content {
     synced: Vec<u8>,
     changes: Vec<Change>,
-    /// How many of the changes a sync that is running covers: those that were made before it began.
+    /// Number of changes that the running sync covers, which are those made before it started.
     covered: usize,
 }
 
 impl Content {
-    fn after(&self, fates: impl Iterator<Item = Fate>) -> Vec<u8> {
+    fn after(&self, write_outcomes: impl Iterator<Item = WriteOutcome>) -> Vec<u8> {
         let mut bytes = self.synced.clone();
-        self.changes.iter().zip(fates).for_each(|(change, fate)| change.apply(fate, &mut bytes));
+        self.changes
+            .iter()
+            .zip(write_outcomes)
+            .for_each(|(change, outcome)| change.apply(outcome, &mut bytes));
         bytes
     }
 
     fn visible(&self) -> Vec<u8> {
-        self.after(std::iter::repeat(Fate::Kept))
+        self.after(std::iter::repeat(WriteOutcome::Kept))
     }
 
-    /// What was changed before the sync began is durable; what was changed meanwhile may still be lost.
+    /// Marks the changes made before the running sync started as durable. Changes made during the sync may still be
+    /// lost.
     fn sync_covered(&mut self) {
         for change in self.changes.drain(..std::mem::take(&mut self.covered)) {
-            change.apply(Fate::Kept, &mut self.synced);
+            change.apply(WriteOutcome::Kept, &mut self.synced);
         }
     }
 }
@@ -79,19 +85,20 @@
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     contents: Vec<Content>,
-    /// As running processes see them.
+    /// File names as running processes see them, each with an index into `contents`.
     names: BTreeMap<String, usize>,
-    /// As the last sync of the folder left it, and what was done to names since: a rename is two of these, one for each name.
+    /// File names that were durable after the last sync of the folder. Changes to names since then are in
+    /// `unsynced_names`; a rename is two entries there, one for each name.
     durable_names: BTreeMap<String, usize>,
     unsynced_names: Vec<(String, Option<usize>)>,
-    /// The folder's own name is durable.
+    /// Whether the name of the folder itself is durable.
     is_folder_durable: bool,
 }
 
-// Each file of tests uses its part of it.
+// Each test binary uses only some of these methods.
 #[allow(dead_code)]
 impl Disk {
-    /// One that holds these, all of them durable.
+    /// Creates a disk that contains the given files, all of them durable.
     pub fn with_durable_files(files: &Files) -> Disk {
         let contents =
             files.values().map(|bytes| Content { synced: bytes.clone(), ..Content::default() }).collect();
@@ -154,7 +161,7 @@
         self.unsynced_names.push((name.to_string(), content));
     }
 
-    /// What the next process finds when this one is killed.
+    /// Returns the files that the next process finds after this process is killed.
     pub fn visible_files(&self) -> Files {
         self.names.iter().map(|(name, content)| (name.clone(), self.contents[*content].visible())).collect()
     }
@@ -163,7 +170,7 @@
         self.visible_files().values().map(|bytes| bytes.len() as u64).sum()
     }
 
-    /// Everything that a loss of power may leave.
+    /// Returns every state of the folder that a loss of power may leave.
     pub fn outcomes(&self) -> Vec<Files> {
         let mut all = Vec::new();
         if !self.is_folder_durable {
@@ -178,12 +185,13 @@
                     None => drop(names.remove(name)),
                 }
             }
-            for fates in self.fates(&names) {
-                let mut rest = fates.into_iter();
+            for write_outcomes in self.write_outcomes(&names) {
+                let mut rest = write_outcomes.into_iter();
                 let files = names.iter().map(|(name, content)| {
                     let content = &self.contents[*content];
-                    let fates: Vec<Fate> = rest.by_ref().take(content.changes.len()).collect();
-                    (name.clone(), content.after(fates.into_iter()))
+                    let write_outcomes: Vec<WriteOutcome> =
+                        rest.by_ref().take(content.changes.len()).collect();
+                    (name.clone(), content.after(write_outcomes.into_iter()))
                 });
                 all.push(files.collect());
             }
@@ -191,7 +199,8 @@
         all
     }
 
-    /// One of the things that a loss of power may leave, chosen by `draw`, which gives a number below its argument.
+    /// Returns one of the states that a loss of power may leave, chosen by the random function `draw`, which returns a
+    /// number below its argument.
     pub fn random_outcome(&self, draw: &mut dyn FnMut(u64) -> u64) -> Files {
         if !self.is_folder_durable && draw(2) == 0 {
             return Files::new();
@@ -204,29 +213,32 @@
                 None => drop(names.remove(name)),
             }
         }
-        let mut left = |content: &usize| {
+        let mut surviving = |content: &usize| {
             let content = &self.contents[*content];
-            let fates: Vec<Fate> = content.changes.iter().map(|_| FATES[draw(4) as usize]).collect();
-            content.after(fates.into_iter())
+            let write_outcomes: Vec<WriteOutcome> =
+                content.changes.iter().map(|_| OUTCOMES[draw(4) as usize]).collect();
+            content.after(write_outcomes.into_iter())
         };
-        names.iter().map(|(name, content)| (name.clone(), left(content))).collect()
+        names.iter().map(|(name, content)| (name.clone(), surviving(content))).collect()
     }
 
-    /// Of a few changes every combination; of more, all alike, and each one by itself.
-    fn fates(&self, names: &BTreeMap<String, usize>) -> Vec<Vec<Fate>> {
+    /// Returns combinations of results for the unsynced changes: all combinations for up to two changes. For more
+    /// changes: all kept, all lost, and each change individually with each result while the others are kept.
+    fn write_outcomes(&self, names: &BTreeMap<String, usize>) -> Vec<Vec<WriteOutcome>> {
         let changes: usize = names.values().map(|content| self.contents[*content].changes.len()).sum();
         if changes <= 2 {
-            let combinations = FATES.len().pow(changes as u32);
-            let fate = |number: usize, at: usize| FATES[number / FATES.len().pow(at as u32) % FATES.len()];
+            let combinations = OUTCOMES.len().pow(changes as u32);
+            let outcome =
+                |number: usize, at: usize| OUTCOMES[number / OUTCOMES.len().pow(at as u32) % OUTCOMES.len()];
             return (0..combinations)
-                .map(|number| (0..changes).map(|at| fate(number, at)).collect())
+                .map(|number| (0..changes).map(|at| outcome(number, at)).collect())
                 .collect();
         }
-        let mut all = vec![vec![Fate::Kept; changes], vec![Fate::Lost; changes]];
-        for (at, fate) in (0..changes).flat_map(|at| FATES.map(|fate| (at, fate))) {
-            let mut fates = vec![Fate::Kept; changes];
-            fates[at] = fate;
-            all.push(fates);
+        let mut all = vec![vec![WriteOutcome::Kept; changes], vec![WriteOutcome::Lost; changes]];
+        for (at, outcome) in (0..changes).flat_map(|at| OUTCOMES.map(|outcome| (at, outcome))) {
+            let mut write_outcomes = vec![WriteOutcome::Kept; changes];
+            write_outcomes[at] = outcome;
+            all.push(write_outcomes);
         }
         all
     }
--- a/crates/wal/tests/power/mod.rs
+++ b/crates/wal/tests/power/mod.rs
@@ -1,8 +1,8 @@
-//! Goes through every point at which a process may be killed or power lost, through all that a loss of power may leave there,
-//! and, for each kill, through the same again in the run of the process that follows.
+//! Tests every point at which a process may be killed or power may be lost, with every state that a loss of power may
+//! leave at that point. For each kill, the same is repeated for the run of the process that follows.
 //!
-//! The idea is that of ALICE and CrashMonkey (Pillai et al., OSDI 2014; Mohan et al., OSDI 2018): operations are recorded, and each
-//! state that the disk may be in after a crash is built from them.
+//! The method is that of ALICE and CrashMonkey (Pillai et al., OSDI 2014; Mohan et al., OSDI 2018): operations are
+//! recorded, and every state that the disk may have after a crash is constructed from them.
 
 mod disk;
 
@@ -17,16 +17,17 @@
 use disk::{Disk, Files};
 use stileroute_wal::{verify, AppendError, OpenError, Operation, Options, StateMachine, Step, Wal};
 
-/// Records are numbers from 1 up; the state is the last of them, and whether one was missing or of another content.
+/// A state machine whose records are numbers that count up from 1. The state is the last number, and whether a record
+/// was missing or had unexpected contents.
 #[derive(Default, Debug, Clone, PartialEq, Eq)]
-struct Count {
+struct Counter {
     last: u64,
     is_broken: bool,
 }
 
 const SNAPSHOT: u8 = b'=';
 
-impl StateMachine for Count {
+impl StateMachine for Counter {
     fn apply(&mut self, record: &[u8]) {
         let (snapshot, digits) = match record {
             [SNAPSHOT, digits @ ..] => (true, digits),
@@ -42,61 +43,63 @@
     }
 }
 
-/// A failure of the disk: at which step, and at which time that it is reached, counted from 1 without the opening's.
+/// An injected disk failure: the step that fails, and which occurrence of the step fails, counted from 1 and excluding
+/// those during the opening.
 pub type Failure = Option<(Step, u32)>;
 
-/// What is recorded and then searched.
+/// The scenario of a search: its run is recorded, and then every crash in it is tested.
 pub struct Scenario<'a> {
     pub failure: Failure,
-    /// Adds to the options: a planted fault, or nothing.
+    /// Modifies the log's options, for instance to set a planted fault.
     pub options: &'a dyn Fn(Options) -> Options,
 }
 
 pub struct SearchResult {
-    /// The first state of a disk that was not recovered from as it should, if any.
+    /// Description of the first disk state from which recovery gave a wrong result, if any.
     pub fault: Option<String>,
-    /// Operations, requests and answers, after each of which a crash was tried.
+    /// Number of operations, requests and acknowledgements, after each of which a crash was tested.
     pub points: usize,
-    /// Different states of a disk that were tried.
+    /// Number of different disk states that were tested.
     pub outcomes: usize,
 }
 
 #[derive(Clone, Debug)]
 enum Event {
     Done(Operation),
-    /// The append of this record was requested.
+    /// The append of the record with this number was requested.
     Requested(u64),
-    /// It was acknowledged, after its sync.
+    /// The append of the record with this number was acknowledged after its sync.
     Acknowledged(u64),
 }
 
 type Trace = Arc<Mutex<Vec<Event>>>;
 
-/// What the hook tells the thread that appends.
+/// A signal from the step hook to the thread that appends.
 enum HookSignal {
-    /// A checkpoint's thread has reached a step, and waits.
+    /// The checkpoint thread has reached a step and waits there.
     Reached(Step),
     CheckpointEnded,
 }
 
 const APPENDS: u64 = 10;
-/// Bytes of some five appends.
+/// Size limit of a segment in bytes, which is about five appends.
 const SEGMENT_BYTES: u64 = 200;
-/// Of the appends those in whose place two are made, one of them while the other is synced.
-const TWO_AT_ONCE: [u64; 3] = [2, 6, 7];
-/// Steps of a checkpoint at which more is appended while its thread waits.
+/// Numbers of the appends that are replaced by two appends, the second of which is written while the first one is
+/// being synced.
+const CONCURRENT_APPENDS: [u64; 3] = [2, 6, 7];
+/// Steps of a checkpoint at which another record is appended while the checkpoint thread waits.
 const STEPS_WITH_APPENDS: [Step; 2] = [Step::SyncFolderAfterSnapshot, Step::RemoveCovered];
 
-/// What the log's threads tell the thread that appends.
+/// A signal from the log's threads to the thread that appends.
 enum WriterSignal {
-    Answered(u64, Result<(), AppendError>),
-    /// A sync of a segment has begun, and waits.
+    ResultReported(u64, Result<(), AppendError>),
+    /// A sync of a segment is about to start and is paused until the test lets it continue.
     SyncBegun,
-    /// A segment was written while that sync waits.
+    /// Bytes were written to a segment while the sync was paused.
     Written,
 }
 
-/// Holds a sync between its beginning and its end while more is written.
+/// Pauses a sync between its start and its end, while more records are written.
 #[derive(Clone)]
 struct SyncPause {
     is_wanted: Arc<AtomicBool>,
@@ -105,7 +108,7 @@
 }
 
 impl SyncPause {
-    /// Called after each operation, on the thread that has done it.
+    /// Observes each operation after it completes, on the thread that performed it.
     fn observe(&self, operation: &Operation) {
         if !self.is_wanted.load(Ordering::Relaxed) {
             return;
@@ -129,13 +132,13 @@
     wal: Wal,
     signals: Receiver<WriterSignal>,
     trace: Trace,
-    /// The last record that is there.
+    /// Number of the last record in the log.
     last: u64,
     ticket: u64,
 }
 
 impl Writer {
-    fn open(dir: &Path, options: Options, trace: &Trace) -> Result<(Writer, Count), OpenError> {
+    fn open(dir: &Path, options: Options, trace: &Trace) -> Result<(Writer, Counter), OpenError> {
         Writer::open_with(dir, options, trace, channel())
     }
 
@@ -144,19 +147,19 @@
         options: Options,
         trace: &Trace,
         (sender, signals): (Sender<WriterSignal>, Receiver<WriterSignal>),
-    ) -> Result<(Writer, Count), OpenError> {
+    ) -> Result<(Writer, Counter), OpenError> {
         let done = move |ticket, result| {
-            let _ = sender.send(WriterSignal::Answered(ticket, result));
+            let _ = sender.send(WriterSignal::ResultReported(ticket, result));
         };
-        let (wal, count) = Wal::open::<Count>(dir, options, done)?;
+        let (wal, count) = Wal::open::<Counter>(dir, options, done)?;
         Ok((Writer { wal, signals, trace: trace.clone(), last: count.last, ticket: 0 }, count))
     }
 
     fn append(&mut self, records: Vec<Vec<u8>>, sync: bool) -> bool {
         self.queue(records, sync);
-        let (ticket, is_there) = self.next_answer();
+        let (ticket, is_acknowledged) = self.next_result();
         assert_eq!(ticket, self.ticket);
-        is_there
+        is_acknowledged
     }
 
     fn queue(&mut self, records: Vec<Vec<u8>>, sync: bool) {
@@ -168,24 +171,24 @@
         self.signals.recv_timeout(Duration::from_secs(20)).unwrap()
     }
 
-    fn next_answer(&self) -> (u64, bool) {
+    fn next_result(&self) -> (u64, bool) {
         loop {
-            if let WriterSignal::Answered(ticket, result) = self.next_signal() {
+            if let WriterSignal::ResultReported(ticket, result) = self.next_signal() {
                 return (ticket, result.is_ok());
             }
         }
     }
 
-    /// The next two records with sync, the second of which is written while the first is synced.
-    fn next_two(&mut self, pause: &SyncPause, let_end: &Sender<()>) {
+    /// Appends the next two records with sync. The second one is written while the first one is being synced.
+    fn append_two(&mut self, pause: &SyncPause, allow_sync_end: &Sender<()>) {
         let first = self.last + 1;
         pause.is_wanted.store(true, Ordering::Relaxed);
         self.request(first);
-        // Where the sync can't even begin the first is answered at once.
+        // If starting the sync fails, the result of the first append is reported immediately.
         let has_begun = loop {
             match self.next_signal() {
                 WriterSignal::SyncBegun => break true,
-                WriterSignal::Answered(..) => break false,
+                WriterSignal::ResultReported(..) => break false,
                 WriterSignal::Written => {}
             }
         };
@@ -195,8 +198,8 @@
         }
         pause.is_wanted.store(false, Ordering::Relaxed);
         if has_begun {
-            let_end.send(()).unwrap();
-            (first..=first + 1).for_each(|number| self.take_answer(number));
+            allow_sync_end.send(()).unwrap();
+            (first..=first + 1).for_each(|number| self.receive_result(number));
         }
     }
 
@@ -205,16 +208,16 @@
         self.queue(vec![format!("{number:08}").into_bytes()], true);
     }
 
-    fn take_answer(&mut self, number: u64) {
-        let (_, is_there) = self.next_answer();
-        if is_there {
-            assert_eq!(number, self.last + 1, "one is there without the one before it");
+    fn receive_result(&mut self, number: u64) {
+        let (_, is_acknowledged) = self.next_result();
+        if is_acknowledged {
+            assert_eq!(number, self.last + 1, "a record was acknowledged although the one before it was not");
             self.last = number;
             self.trace.lock().unwrap().push(Event::Acknowledged(number));
         }
     }
 
-    /// The next record; one that was refused is tried again by the next call.
+    /// Appends the next record. A record that was rejected is appended again by the next call.
     fn next(&mut self, sync: bool) {
         let number = self.last + 1;
         self.trace.lock().unwrap().push(Event::Requested(number));
@@ -226,7 +229,7 @@
         }
     }
 
-    /// The writer has done all that follows from what it answered.
+    /// Waits until the writer has processed everything that follows from the results it has reported.
     fn wait_until_idle(&mut self) {
         self.append(Vec::new(), false);
     }
@@ -243,23 +246,24 @@
     })
 }
 
-/// Records a log from its first opening on, with some new segments and checkpoints, and appends all along.
+/// Records the run of a log from its first opening on, with several new segments and checkpoints, and with appends
+/// throughout.
 fn record_run(dir: &Path, scenario: &Scenario) -> Vec<Event> {
     let trace = Trace::default();
     let (sender, signals) = channel();
-    let (let_continue, may_continue) = channel::<()>();
+    let (allow_continue, may_continue) = channel::<()>();
     let (sender, may_continue): (Mutex<Sender<HookSignal>>, _) =
         (Mutex::new(sender), Mutex::new(may_continue));
     let has_new_segment = Arc::new(AtomicBool::new(false));
-    let (has_new_segment_of_hook, is_open, passed) =
+    let (hook_has_new_segment, is_open, occurrences) =
         (has_new_segment.clone(), Arc::new(AtomicBool::new(false)), AtomicU32::new(0));
-    let (is_open_of_hook, failure) = (is_open.clone(), scenario.failure);
+    let (hook_is_open, failure) = (is_open.clone(), scenario.failure);
     let hook = move |step| -> io::Result<()> {
-        if !is_open_of_hook.load(Ordering::Relaxed) {
+        if !hook_is_open.load(Ordering::Relaxed) {
             return Ok(());
         }
         match step {
-            Step::CreateSegment => has_new_segment_of_hook.store(true, Ordering::Relaxed),
+            Step::CreateSegment => hook_has_new_segment.store(true, Ordering::Relaxed),
             Step::CheckpointEnded => sender.lock().unwrap().send(HookSignal::CheckpointEnded).unwrap(),
             Step::WriteEntries | Step::SyncSegment | Step::RenameSegment | Step::SyncFolderAfterSegment => {}
             _ => {
@@ -268,23 +272,25 @@
             }
         }
         match failure {
-            Some((at, time)) if at == step && passed.fetch_add(1, Ordering::Relaxed) + 1 == time => {
+            Some((at, occurrence))
+                if at == step && occurrences.fetch_add(1, Ordering::Relaxed) + 1 == occurrence =>
+            {
                 Err(io::Error::other("broken"))
             }
             _ => Ok(()),
         }
     };
     let (signal_sender, writer_signals) = channel();
-    let (let_sync_end, may_end) = channel();
+    let (allow_sync_end, may_end) = channel();
     let pause = SyncPause {
         is_wanted: Arc::default(),
         signals: Arc::new(Mutex::new(signal_sender.clone())),
         may_end: Arc::new(Mutex::new(may_end)),
     };
-    let (pause_of_observer, trace_of_observer) = (pause.clone(), trace.clone());
+    let (observer_pause, observer_trace) = (pause.clone(), trace.clone());
     let observer = move |operation: Operation| {
-        trace_of_observer.lock().unwrap().push(Event::Done(operation.clone()));
-        pause_of_observer.observe(&operation);
+        observer_trace.lock().unwrap().push(Event::Done(operation.clone()));
+        observer_pause.observe(&operation);
     };
     let options = Options {
         step_hook: Some(Arc::new(hook)),
@@ -294,8 +300,8 @@
     let (mut writer, _) = Writer::open_with(dir, options, &trace, (signal_sender, writer_signals)).unwrap();
     is_open.store(true, Ordering::Relaxed);
     for number in 1..=APPENDS {
-        if TWO_AT_ONCE.contains(&number) {
-            writer.next_two(&pause, &let_sync_end);
+        if CONCURRENT_APPENDS.contains(&number) {
+            writer.append_two(&pause, &allow_sync_end);
         } else {
             writer.next(number % 3 != 0);
         }
@@ -305,7 +311,7 @@
                 if STEPS_WITH_APPENDS.contains(&step) {
                     writer.next(true);
                 }
-                let_continue.send(()).unwrap();
+                allow_continue.send(()).unwrap();
             }
             writer.wait_until_idle();
         }
@@ -315,18 +321,19 @@
     trace.clone()
 }
 
-/// What the disk may hold at some moment, and which records must and may be there after a crash.
+/// The state of the simulated disk at some moment, and the records that must and may be present after a crash at that
+/// moment.
 #[derive(Clone, Default)]
 struct CrashPoint {
     disk: Disk,
-    /// The last record that must be there.
+    /// Number of the last record that must be present after a crash.
     min_last: u64,
-    /// The last record that may be there.
+    /// Number of the last record that may be present after a crash.
     max_last: u64,
 }
 
 impl CrashPoint {
-    fn pass(&mut self, event: &Event) {
+    fn apply(&mut self, event: &Event) {
         match event {
             Event::Done(operation) => self.disk.apply(operation),
             Event::Requested(number) => self.max_last = self.max_last.max(*number),
@@ -338,20 +345,21 @@
 struct Search<'a> {
     scenario: &'a Scenario<'a>,
     folder: PathBuf,
-    /// What was tried before.
+    /// Disk states, with the expected records, that were already tested.
     seen: HashSet<(Files, u64, u64)>,
 }
 
 impl Search<'_> {
-    /// Checks each state that a loss of power may leave: it opens with all that was acknowledged, and takes one more record.
-    fn lose_power(&mut self, point: &CrashPoint) -> Result<(), String> {
+    /// Checks every disk state that a loss of power may leave: it must open with all acknowledged records, and accept
+    /// one more record.
+    fn check_power_loss(&mut self, point: &CrashPoint) -> Result<(), String> {
         for files in point.disk.outcomes() {
             if self.seen.insert((files.clone(), point.min_last, point.max_last)) {
                 disk::write(&self.folder, &files);
                 self.check(point).map_err(|fault| {
                     let names: Vec<(&String, usize)> =
                         files.iter().map(|(name, bytes)| (name, bytes.len())).collect();
-                    format!("{fault}; power left {names:?}")
+                    format!("{fault}; files and lengths after the loss of power: {names:?}")
                 })?;
             }
         }
@@ -366,36 +374,37 @@
             ..base_options(&trace, self.scenario)
         };
         let opened = Writer::open(&self.folder, options, &trace);
-        let (mut writer, count) = opened.map_err(|error| format!("refused: {error}"))?;
+        let (mut writer, count) = opened.map_err(|error| format!("opening failed: {error}"))?;
         let CrashPoint { min_last, max_last, .. } = point;
         if count.is_broken || count.last < *min_last || count.last > *max_last {
-            return Err(format!("records {min_last} to {max_last} were wanted, and there are {count:?}"));
+            return Err(format!("expected the last record to be {min_last} to {max_last}, found {count:?}"));
         }
         writer.next(true);
         drop(writer);
-        let expected = Count { last: count.last + 1, is_broken: false };
-        let mut found = Count::default();
+        let expected = Counter { last: count.last + 1, is_broken: false };
+        let mut found = Counter::default();
         let report =
             verify(&self.folder, &mut |record| found.apply(record)).map_err(|error| error.to_string())?;
         if !report.opens() {
-            return Err(format!("after one more record {report}"));
+            return Err(format!("after appending one more record: {report}"));
         }
         if found != expected {
-            return Err(format!("after one more record {expected:?} was wanted, and there is {found:?}"));
+            return Err(format!("after appending one more record: expected {expected:?}, found {found:?}"));
         }
         Ok(())
     }
 
-    /// Killed at this point and started again, with the disk's unsynced operations still to be lost.
-    fn kill(&mut self, point: &CrashPoint) -> Result<(), String> {
+    /// Kills the process at this point and starts it again. Unsynced operations from before the kill may still be lost
+    /// if the power then fails.
+    fn check_kill(&mut self, point: &CrashPoint) -> Result<(), String> {
         disk::write(&self.folder, &point.disk.visible_files());
         let trace = Trace::default();
         let options = Options { checkpoint_after_bytes: 1 << 20, ..base_options(&trace, self.scenario) };
         let opened = Writer::open(&self.folder, options, &trace);
-        let (mut writer, count) = opened.map_err(|error| format!("refused after a kill: {error}"))?;
+        let (mut writer, count) = opened.map_err(|error| format!("opening failed after a kill: {error}"))?;
         if count.is_broken || count.last < point.min_last || count.last > point.max_last {
             return Err(format!(
-                "{} to {} were wanted after a kill: {count:?}",
+                "after a kill: expected the last record to be {} to {}, found {count:?}",
                 point.min_last, point.max_last
             ));
         }
@@ -404,22 +413,23 @@
         let (mut point, mut synced) = (point.clone(), false);
         let events = trace.lock().unwrap().clone();
         for event in &events {
-            // What was refused before may come back with the power, but not once the opening has synced without it.
+            // A record whose append failed before the kill may reappear after a loss of power, but not once the
+            // opening has synced the segment without it.
             if !synced && matches!(event, Event::Done(Operation::FileSynced { .. })) {
                 (point.max_last, synced) = (count.last, true);
             }
-            point.pass(event);
-            self.lose_power(&point)?;
+            point.apply(event);
+            self.check_power_loss(&point)?;
         }
         Ok(())
     }
 }
 
-/// Records a run, and then tries every kill and every loss of power in it.
+/// Records a run, and then tests every kill and every loss of power in it.
 pub fn search(scenario: &Scenario) -> SearchResult {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let name = format!("wal-power-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
-    // Syncs are real, and there are many thousands of them: in memory, where there is such a folder.
+    // The search makes many thousands of real syncs, so it uses a folder in memory (`/dev/shm`) if there is one.
     let memory = Path::new("/dev/shm");
     let parent = if memory.is_dir() { memory.to_path_buf() } else { std::env::temp_dir() };
     let folder = parent.join(name);
@@ -428,8 +438,8 @@
     let mut point = CrashPoint::default();
     let mut fault = None;
     for event in &trace {
-        point.pass(event);
-        let searched = search.lose_power(&point).and_then(|()| search.kill(&point));
+        point.apply(event);
+        let searched = search.check_power_loss(&point).and_then(|()| search.check_kill(&point));
         if let Err(error) = searched {
             fault = Some(format!("{error}; after {event:?}"));
             break;
--- a/crates/wal/tests/power_loss.rs
+++ b/crates/wal/tests/power_loss.rs
@@ -1,4 +1,5 @@
-//! After a loss of power at any point, whichever of the unsynced operations it keeps, the folder opens with what was answered.
+//! After a loss of power at any point, whichever unsynced operations survive it, the folder must open with all
+//! acknowledged records.
 
 mod power;
 
@@ -6,7 +7,7 @@
 use stileroute_wal::Step;
 
 #[test]
-fn whatever_a_loss_of_power_keeps_the_folder_opens_with_what_was_answered() {
+fn after_any_loss_of_power_the_folder_opens_with_all_acknowledged_records() {
     let failures = [
         None,
         Some((Step::SyncFolderAfterSegment, 1)),
@@ -16,14 +17,14 @@
         Some((Step::RemoveCovered, 1)),
     ];
     for failure in failures {
-        let found = search(&Scenario { failure, options: &|options| options });
-        assert_eq!(found.fault, None, "with {failure:?}");
-        println!("{failure:?}: {} points, {} outcomes", found.points, found.outcomes);
+        let result = search(&Scenario { failure, options: &|options| options });
+        assert_eq!(result.fault, None, "with {failure:?}");
+        println!("{failure:?}: {} points, {} outcomes", result.points, result.outcomes);
         assert!(
-            found.points > 60 && found.outcomes > 400,
+            result.points > 60 && result.outcomes > 400,
             "{} points, {} outcomes",
-            found.points,
-            found.outcomes
+            result.points,
+            result.outcomes
         );
     }
 }
--- a/crates/wal/tests/recovery.rs
+++ b/crates/wal/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! What an opening finds after a kill, a torn write, damage, and a change of folders.
+//! Tests of opening a folder after a kill, a torn write, damage, and an exchange of files between folders.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use stileroute_wal::{verify, FileState, OpenError, Options, ReadError, StateMachine, Wal};
 use support::{keys, options, through_a_checkpoint, Keys, TemporaryFolder, TestLog, LOG};
 
-/// Two folders of one schema, of the same history, each with a snapshot and a segment.
+/// Creates two folders with the same schema and the same history, each with a snapshot and a segment.
 fn two_folders() -> (TemporaryFolder, TemporaryFolder) {
     let (one, other) = (TemporaryFolder::new(), TemporaryFolder::new());
     for folder in [&one, &other] {
@@ -24,7 +24,8 @@
     assert_eq!(state, Keys::default());
     log.append(&["a=1", "b=2"], true).unwrap();
     log.append(&["a=3"], false).unwrap();
-    // As after a kill: what was answered is in the file while the process still runs.
+    // A copy of the folder made while the process runs has the same state as after a kill: all appends with a reported
+    // result are in the file.
     assert_eq!(folder.copy().recover().unwrap(), keys(&["a=3", "b=2"]));
     drop(log);
     let (mut log, state) = TestLog::open(&folder.0, options());
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn a_torn_end_is_cut_off_at_every_byte_and_with_garbage_behind_it() {
+fn a_torn_end_is_truncated_at_every_byte_and_with_garbage_after_it() {
     let folder = TemporaryFolder::new();
     let (mut log, _) = TestLog::open(&folder.0, options());
     log.append(&["a=1"], true).unwrap();
@@ -53,16 +54,16 @@
                 bytes.extend(garbage);
             });
             let (mut log, state) = TestLog::open(&torn.0, options());
-            assert_eq!(state, keys(&["a=1", "b=2"]), "cut off at {length}");
+            assert_eq!(state, keys(&["a=1", "b=2"]), "truncated at {length}");
             log.append(&["e=5"], true).unwrap();
             drop(log);
-            assert_eq!(torn.recover().unwrap(), keys(&["a=1", "b=2", "e=5"]), "cut off at {length}");
+            assert_eq!(torn.recover().unwrap(), keys(&["a=1", "b=2", "e=5"]), "truncated at {length}");
         }
     }
 }
 
 #[test]
-fn a_gap_is_damage_in_the_synced_part_and_a_torn_end_behind_it() {
+fn a_gap_is_damage_in_the_synced_part_and_a_torn_end_after_it() {
     let folder = TemporaryFolder::new();
     let (mut log, _) = TestLog::open(&folder.0, options());
     let mut ends = vec![folder.files()[LOG].len()];
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn another_format_or_schema_is_refused_by_file_name_and_left_unchanged() {
+fn another_format_or_schema_is_rejected_by_file_name_and_left_unchanged() {
     let folder = TemporaryFolder::new();
     TestLog::open(&folder.0, options()).0.append(&["a=1"], true).unwrap();
     let other = Wal::open::<Keys>(&folder.0, Options::new("queue"), |_, _| {}).err().unwrap();
@@ -109,7 +110,7 @@
         assert_matches!(copy.recover(), Err(OpenError::Read(ReadError::UnknownFormat { file, .. })) if file.ends_with("FORMAT"));
         assert_eq!(copy.files(), before);
     }
-    // Killed before the folder had a format: new.
+    // A process that was killed before FORMAT was complete leaves only `FORMAT.tmp`, and the folder counts as new.
     let folder = TemporaryFolder::new();
     fs::create_dir_all(&folder.0).unwrap();
     fs::write(folder.0.join("FORMAT.tmp"), "stiler").unwrap();
@@ -152,11 +153,11 @@
 }
 
 #[test]
-fn a_file_of_another_folder_is_refused_by_name_and_so_is_another_folders_format() {
+fn a_file_of_another_folder_is_rejected_by_name_and_so_is_another_folders_format() {
     let (one, other) = two_folders();
-    let others = other.files();
+    let other_files = other.files();
     for name in one.files().into_keys() {
-        let Some(bytes) = others.get(&name) else { continue };
+        let Some(bytes) = other_files.get(&name) else { continue };
         let copy = one.copy();
         fs::write(copy.0.join(&name), bytes).unwrap();
         let before = copy.files();
--- a/crates/wal/tests/scheduled_stalls.rs
+++ b/crates/wal/tests/scheduled_stalls.rs
@@ -1,4 +1,5 @@
-//! A log whose disk stalls as a file says: appends wait for the end of the stall, or their syncs alone.
+//! Tests of a log whose disk stalls according to a schedule file: either all writes wait for the end of the stall, or
+//! only syncs.
 #![cfg(feature = "stalled-disk")]
 
 mod support;
@@ -11,9 +12,10 @@
 use stileroute_wal::Options;
 use support::{options, TemporaryFolder, TestLog};
 
-const STALL: Duration = Duration::from_secs(3);
-/// An append on a disk that does not stall takes less, and one that waits for a stall more.
-const NO_STALL: Duration = Duration::from_millis(1500);
+const STALL_DURATION: Duration = Duration::from_secs(3);
+/// Threshold between an append without a stall, which takes less time, and one that waits for a stall, which takes
+/// longer.
+const STALL_THRESHOLD: Duration = Duration::from_millis(1500);
 
 struct ScheduledLog {
     log: TestLog,
@@ -34,14 +36,14 @@
 
     fn stall(&self, kind: &str) {
         let now = Duration::from(clock_gettime(ClockId::CLOCK_MONOTONIC).unwrap()).as_millis();
-        fs::write(&self.schedule, format!("{now} {} {kind}\n", now + STALL.as_millis())).unwrap();
+        fs::write(&self.schedule, format!("{now} {} {kind}\n", now + STALL_DURATION.as_millis())).unwrap();
     }
 
-    /// How long an append takes, from the call to its result.
+    /// Appends a record, and returns the time from the call to its result.
     fn append(&mut self, record: &str, sync: bool) -> Duration {
-        let begun = Instant::now();
+        let started = Instant::now();
         self.log.append(&[record], sync).unwrap();
-        begun.elapsed()
+        started.elapsed()
     }
 }
 
@@ -49,14 +51,14 @@
 fn an_append_waits_for_the_end_of_a_stall_of_writes() {
     let mut log = ScheduledLog::open();
     log.stall("writes");
-    assert!(log.append("a=1", false) > NO_STALL);
-    assert!(log.append("b=1", false) < NO_STALL, "the stall is over");
+    assert!(log.append("a=1", false) > STALL_THRESHOLD);
+    assert!(log.append("b=1", false) < STALL_THRESHOLD, "the stall is over");
 }
 
 #[test]
-fn where_syncs_alone_stall_an_append_waits_only_if_it_is_synced() {
+fn when_only_syncs_stall_an_append_waits_only_if_it_is_synced() {
     let mut log = ScheduledLog::open();
     log.stall("syncs");
-    assert!(log.append("a=1", false) < NO_STALL);
-    assert!(log.append("b=1", true) > NO_STALL);
+    assert!(log.append("a=1", false) < STALL_THRESHOLD);
+    assert!(log.append("b=1", true) > STALL_THRESHOLD);
 }
