--- a/crates/wal/tests/support/mod.rs
+++ b/crates/wal/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A state machine of keys, folders that are removed, and a log that waits for its results.
+//! Test support: a state machine of keys and values, temporary folders, and a log whose results the test can wait for.
 
-// Each file of tests uses a part of it.
+// Each test binary uses only some of these items.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -15,10 +15,10 @@
 use stileroute_wal::{AppendError, OpenError, Options, StateMachine, Step, Wal};
 
 pub const TIMEOUT: Duration = Duration::from_secs(20);
-/// The first segment of a folder.
+/// File name of the first segment of a folder.
 pub const LOG: &str = "log-0000000001";
 
-/// All steps of a checkpoint, with those of the segment that it begins.
+/// All steps of a checkpoint, including those of the segment that is created for it.
 pub const CHECKPOINT_STEPS: [Step; 9] = [
     Step::CreateSegment,
     Step::RenameSegment,
@@ -31,7 +31,8 @@
     Step::RemoveCovered,
 ];
 
-/// Of records KEY=VALUE the last of each key; KEY= alone removes it.
+/// A state machine for records of the form KEY=VALUE. It stores the last value of each key; a record KEY= removes the
+/// key.
 #[derive(Default, Debug, PartialEq, Clone)]
 pub struct Keys(pub BTreeMap<String, String>);
 
@@ -50,18 +51,18 @@
     }
 }
 
-/// What these records amount to.
+/// Returns the state that the given records build.
 pub fn keys(records: &[&str]) -> Keys {
     let mut keys = Keys::default();
     records.iter().for_each(|record| keys.apply(record.as_bytes()));
     keys
 }
 
-/// A path that nobody else has; what is there is removed when this is dropped.
+/// A unique temporary path. The folder at this path is removed when the value is dropped.
 pub struct TemporaryFolder(pub PathBuf);
 
 impl TemporaryFolder {
-    /// Nothing is there yet.
+    /// Returns a new path without creating a folder there.
     pub fn new() -> TemporaryFolder {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let name = format!("wal-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -91,7 +92,7 @@
         fs::write(self.0.join(name), bytes).unwrap();
     }
 
-    /// The state that an opening finds. It is closed again when this returns.
+    /// Opens the log, closes it again, and returns the recovered state.
     pub fn recover(&self) -> Result<Keys, OpenError> {
         Wal::open(&self.0, options(), |_, _| {}).map(|(_, state)| state)
     }
@@ -103,7 +104,8 @@
     }
 }
 
-/// The names of a folder and the bytes behind each; a file that is removed meanwhile is none of them.
+/// Returns the files of a folder, as a map from each file name to the file's bytes. Files that are removed during the
+/// listing are left out.
 pub fn files(folder: &Path) -> BTreeMap<String, Vec<u8>> {
     let entries = fs::read_dir(folder).unwrap().map(Result::unwrap);
     entries
@@ -111,7 +113,7 @@
         .collect()
 }
 
-/// No sync but those that are asked for.
+/// Options with which records are synced only on request, because the maximum sync delay is one hour (3600 s).
 pub fn options() -> Options {
     Options { max_sync_delay: Duration::from_secs(3600), ..Options::new("keys") }
 }
@@ -120,12 +122,12 @@
     Options { step_hook: Some(Arc::new(hook)), ..options() }
 }
 
-/// A hook that says each time that a step was reached.
-pub fn signal_at(wanted: Step) -> (impl Fn(Step) -> io::Result<()> + Send + Sync, Receiver<()>) {
+/// Returns a hook, and a receiver that gets a signal each time the given step is reached.
+pub fn signal_at(expected_step: Step) -> (impl Fn(Step) -> io::Result<()> + Send + Sync, Receiver<()>) {
     let (sender, signals) = channel();
     let sender = Mutex::new(sender);
     let hook = move |step| {
-        if step == wanted {
+        if step == expected_step {
             let _ = sender.lock().unwrap().send(());
         }
         Ok(())
@@ -133,7 +135,7 @@
     (hook, signals)
 }
 
-/// An open log, and the results of its appends.
+/// An open log, with the results of its appends.
 pub struct TestLog {
     pub wal: Wal,
     pub results: Receiver<(u64, Result<(), AppendError>)>,
@@ -148,7 +150,7 @@
         (TestLog { wal, results, last_ticket: 0 }, state)
     }
 
-    /// Appends without waiting for the result.
+    /// Queues an append without waiting for its result.
     pub fn queue(&mut self, records: &[&str], sync: bool) {
         self.last_ticket += 1;
         let records = records.iter().map(|record| record.as_bytes().to_vec()).collect();
@@ -159,12 +161,12 @@
         self.results.recv_timeout(TIMEOUT).unwrap()
     }
 
-    /// Whether a result has come; it is gone then.
+    /// Whether the result of an append has arrived. If so, this consumes it.
     pub fn has_result(&self) -> bool {
         self.results.try_recv().is_ok()
     }
 
-    /// Appends, and waits for the result.
+    /// Appends records and waits for the result.
     pub fn append(&mut self, records: &[&str], sync: bool) -> Result<(), AppendError> {
         self.queue(records, sync);
         let (ticket, result) = self.next_result();
@@ -173,7 +175,9 @@
     }
 }
 
-/// Appends, all in one segment until its limit is reached, then more while the checkpoint runs. The log, and the state of all.
+/// Makes 100 appends. The first segment reaches its size limit of 2000 bytes before append 50, more appends are made
+/// while the checkpoint runs, and after append 50 the function waits until the checkpoint has ended. Returns the log,
+/// and the state that all records build.
 pub fn through_a_checkpoint(
     folder: &TemporaryFolder,
     hook: impl Fn(Step) -> io::Result<()> + Send + Sync + 'static,
