--- a/crates/wal/src/background.rs
+++ b/crates/wal/src/background.rs
@@ -8,11 +8,11 @@
 /// Bytes of records that the checkpoint thread processes between two pauses. It pauses because the program's main loop
 /// and the log's writer thread share one processor with it.
 pub const BYTES_BETWEEN_PAUSES: usize = 256 << 10;
-const PAUSE: Duration = Duration::from_millis(2);
+const PAUSE_DURATION: Duration = Duration::from_millis(2);
 
 /// Sleeps for a few milliseconds so that other threads can run on the same processor.
 pub fn pause() {
-    thread::sleep(PAUSE);
+    thread::sleep(PAUSE_DURATION);
 }
 
 /// A flag, shared between threads, that asks the checkpoint thread to abandon its work.
--- a/crates/wal/src/checkpoint.rs
+++ b/crates/wal/src/checkpoint.rs
@@ -64,17 +64,17 @@
 
     let name = snapshot_name(task.to);
     let unfinished = unfinished_name(&name);
-    let published = match write_snapshot(task, &unfinished, state) {
+    let outcome = match write_snapshot(task, &unfinished, state) {
         _ if task.cancellation.is_cancelled() => Ok(CheckpointOutcome::Cancelled),
         Ok(snapshot_bytes) => rename_snapshot(task, &unfinished, &name)
             .map(|()| CheckpointOutcome::Completed { snapshot_bytes }),
         Err(error) => Err(error),
     };
-    if !matches!(published, Ok(CheckpointOutcome::Completed { .. })) {
+    if !matches!(outcome, Ok(CheckpointOutcome::Completed { .. })) {
         // A failure to remove the temporary snapshot file is ignored, because the next opening of the folder removes
         // the file.
         let _ = disk::remove(&task.folder, &unfinished, &task.options);
-        return published;
+        return outcome;
     }
     // Until the folder is synced, a loss of power may bring the old file names back. The files that the snapshot
     // replaces are therefore removed only after the sync.
@@ -85,7 +85,7 @@
     if let Err(error) = remove_covered(task) {
         tracing::warn!(%error, "could not remove files that the new snapshot covers; a later checkpoint or opening removes them");
     }
-    published
+    outcome
 }
 
 /// Applies all records of the previous snapshot and of the segments that the new snapshot covers to an empty state
@@ -106,11 +106,11 @@
     };
     if task.from > 1 {
         let snapshot = task.file_id(FileKind::Snapshot, task.from);
-        folder::read_complete(&task.folder, snapshot, &mut apply)?;
+        folder::read_complete_file(&task.folder, snapshot, &mut apply)?;
     }
     for number in task.from..task.to {
         let segment = task.file_id(FileKind::Log, number);
-        folder::read_complete(&task.folder, segment, &mut apply)?;
+        folder::read_complete_file(&task.folder, segment, &mut apply)?;
     }
     Ok(state)
 }
--- a/crates/wal/src/disk.rs
+++ b/crates/wal/src/disk.rs
@@ -15,7 +15,7 @@
 use crate::options::Options;
 
 impl Options {
-    fn observed(&self, operation: impl FnOnce() -> Operation) {
+    fn notify_observer(&self, operation: impl FnOnce() -> Operation) {
         if let Some(observer) = &self.operation_observer {
             observer(operation());
         }
@@ -31,13 +31,13 @@
     if !missing.is_empty() {
         options.wait_while_stalled(DiskAccess::Write);
         fs::create_dir_all(folder).map_err(open_error)?;
-        options.observed(|| Operation::FolderCreated);
+        options.notify_observer(|| Operation::FolderCreated);
     }
     for created in missing.into_iter().skip(1).rev() {
         sync(&parent_of(created), options).map_err(open_error)?;
     }
     sync(&parent_of(folder), options).map_err(open_error)?;
-    options.observed(|| Operation::ParentSynced);
+    options.notify_observer(|| Operation::ParentSynced);
     Ok(())
 }
 
@@ -63,7 +63,7 @@
 /// of power.
 pub fn sync_folder(folder: &Path, options: &Options) -> Result<(), FileError> {
     sync(folder, options).map_err(FileError::on("syncing the folder", folder))?;
-    options.observed(|| Operation::FolderSynced);
+    options.notify_observer(|| Operation::FolderSynced);
     Ok(())
 }
 
@@ -72,7 +72,7 @@
     let source_path = folder.join(from);
     options.wait_while_stalled(DiskAccess::Write);
     fs::rename(&source_path, folder.join(to)).map_err(FileError::on("renaming", &source_path))?;
-    options.observed(|| Operation::Renamed { from: from.to_string(), to: to.to_string() });
+    options.notify_observer(|| Operation::Renamed { from: from.to_string(), to: to.to_string() });
     Ok(())
 }
 
@@ -85,7 +85,7 @@
             Err(FileError::new("removing", &path, error))
         }
         _ => {
-            options.observed(|| Operation::Removed { name: name.to_string() });
+            options.notify_observer(|| Operation::Removed { name: name.to_string() });
             Ok(())
         }
     }
@@ -106,7 +106,7 @@
         create_options.read(true).write(true).create(true).truncate(true);
         options.wait_while_stalled(DiskAccess::Write);
         let file = create_options.open(&path).map_err(FileError::on("creating", &path))?;
-        options.observed(|| Operation::FileCreated { name: name.to_string() });
+        options.notify_observer(|| Operation::FileCreated { name: name.to_string() });
         Ok(DiskFile { file: Arc::new(file), path })
     }
 
@@ -141,7 +141,7 @@
         };
         options.wait_while_stalled(DiskAccess::Write);
         let written = self.file.as_ref().write_all(bytes);
-        options.observed(|| Operation::Written { name: self.name(), offset, bytes: bytes.to_vec() });
+        options.notify_observer(|| Operation::Written { name: self.name(), offset, bytes: bytes.to_vec() });
         written.map_err(FileError::on("writing", &self.path))
     }
 
@@ -149,7 +149,7 @@
     pub fn truncate(&mut self, length: u64, options: &Options) -> Result<(), FileError> {
         options.wait_while_stalled(DiskAccess::Write);
         self.file.set_len(length).map_err(FileError::on("truncating", &self.path))?;
-        options.observed(|| Operation::LengthSet { name: self.name(), length });
+        options.notify_observer(|| Operation::LengthSet { name: self.name(), length });
         self.seek(length)
     }
 
@@ -207,10 +207,10 @@
 
     fn sync(&self, sync: fn(&File) -> io::Result<()>, options: &Options) -> Result<(), FileError> {
         let name = || self.path.file_name().unwrap_or_default().to_string_lossy().into_owned();
-        options.observed(|| Operation::SyncBegun { name: name() });
+        options.notify_observer(|| Operation::SyncBegun { name: name() });
         options.wait_while_stalled(DiskAccess::Sync);
         sync(&self.file).map_err(FileError::on("syncing", &self.path))?;
-        options.observed(|| Operation::FileSynced { name: name() });
+        options.notify_observer(|| Operation::FileSynced { name: name() });
         Ok(())
     }
 }
--- a/crates/wal/src/file_names.rs
+++ b/crates/wal/src/file_names.rs
@@ -9,7 +9,7 @@
 use crate::frame::{FileId, FileKind};
 
 /// Name of the file that records the format of the folder and its identity.
-pub const FORMAT: &str = "FORMAT";
+pub const FORMAT_FILE_NAME: &str = "FORMAT";
 /// Suffix of the temporary name of a file that is not completely written yet.
 pub const UNFINISHED_SUFFIX: &str = ".tmp";
 
@@ -21,12 +21,12 @@
 
 /// Returns the file name of the segment with the given number.
 pub fn log_name(number: u64) -> String {
-    numbered(LOG_PREFIX, number)
+    numbered_name(LOG_PREFIX, number)
 }
 
 /// Returns the file name of the snapshot with the given number.
 pub fn snapshot_name(number: u64) -> String {
-    numbered(SNAPSHOT_PREFIX, number)
+    numbered_name(SNAPSHOT_PREFIX, number)
 }
 
 /// Returns the file name of a segment or a snapshot.
@@ -42,15 +42,15 @@
     format!("{name}{UNFINISHED_SUFFIX}")
 }
 
-fn numbered(prefix: &str, number: u64) -> String {
+fn numbered_name(prefix: &str, number: u64) -> String {
     format!("{prefix}{number:010}")
 }
 
 /// Parses the number from a file name with the given prefix. Returns `None` unless the number is padded exactly as
 /// `numbered` writes it.
-fn number_of(name: &str, prefix: &str) -> Option<u64> {
+fn parse_number(name: &str, prefix: &str) -> Option<u64> {
     let number = name.strip_prefix(prefix)?.parse().ok()?;
-    (numbered(prefix, number) == name).then_some(number)
+    (numbered_name(prefix, number) == name).then_some(number)
 }
 
 /// The files of a log's folder, classified by their names.
@@ -81,11 +81,11 @@
     }
 
     fn add(&mut self, name: String) {
-        if name == FORMAT {
+        if name == FORMAT_FILE_NAME {
             self.has_format = true;
-        } else if let Some(number) = number_of(&name, LOG_PREFIX) {
+        } else if let Some(number) = parse_number(&name, LOG_PREFIX) {
             self.logs.insert(number);
-        } else if let Some(number) = number_of(&name, SNAPSHOT_PREFIX) {
+        } else if let Some(number) = parse_number(&name, SNAPSHOT_PREFIX) {
             self.snapshots.insert(number);
         } else if name.ends_with(UNFINISHED_SUFFIX) {
             self.unfinished.push(name);
--- a/crates/wal/src/folder.rs
+++ b/crates/wal/src/folder.rs
@@ -5,8 +5,8 @@
 
 use crate::disk;
 use crate::error::{FileError, OpenError, ReadError};
-use crate::file_names::{file_name, log_name, snapshot_name, FileNames, FORMAT};
-use crate::format_file::{self, FORMAT_UNFINISHED};
+use crate::file_names::{file_name, log_name, snapshot_name, FileNames, FORMAT_FILE_NAME};
+use crate::format_file::{self, UNFINISHED_FORMAT_FILE_NAME};
 use crate::frame::{FileId, FileKind, FolderIdentity, FILE_HEADER_BYTES};
 use crate::options::Options;
 use crate::planted::PlantedFault;
@@ -14,7 +14,7 @@
 use crate::segment::Segment;
 
 /// Reason given in the error for a segment that should exist but is missing from the folder.
-pub const MISSING: &str = "the file is missing";
+pub const MISSING_FILE_REASON: &str = "the file is missing";
 
 /// A log's folder after it was opened and recovered.
 pub struct Folder {
@@ -50,7 +50,7 @@
         }
         let names = FileNames::read(path)?;
         if !names.has_format {
-            refuse_without_format(path, &names)?;
+            reject_without_format(path, &names)?;
             format_file::write(path, &options)?;
         }
         let identity = read_identity(path, &options)?;
@@ -61,7 +61,7 @@
             disk::sync_folder(path, &options)?;
         }
         if let Some(missing) = names.missing_segment() {
-            return Err(ReadError::corrupted(&log_name(missing), MISSING).into());
+            return Err(ReadError::corrupted(&log_name(missing), MISSING_FILE_REASON).into());
         }
         for name in &names.unfinished {
             disk::remove(path, name, &options)?;
@@ -84,14 +84,14 @@
 
 /// Rejects a folder that lacks the file FORMAT but contains other files. A folder without FORMAT counts as new only if
 /// it is empty or contains just an unfinished FORMAT.
-fn refuse_without_format(path: &Path, names: &FileNames) -> Result<(), ReadError> {
+fn reject_without_format(path: &Path, names: &FileNames) -> Result<(), ReadError> {
     let logs = names.logs.iter().map(|&number| log_name(number));
     let snapshots = names.snapshots.iter().map(|&number| snapshot_name(number));
-    let unfinished = names.unfinished.iter().filter(|name| *name != FORMAT_UNFINISHED).cloned();
+    let unfinished = names.unfinished.iter().filter(|name| *name != UNFINISHED_FORMAT_FILE_NAME).cloned();
     let unrecognized = names.unrecognized.iter().cloned();
     match logs.chain(snapshots).chain(unfinished).chain(unrecognized).next() {
         Some(name) => Err(ReadError::UnknownFormat {
-            file: path.join(FORMAT).display().to_string(),
+            file: path.join(FORMAT_FILE_NAME).display().to_string(),
             found: format!("the file is missing, but the folder contains {name}"),
         }),
         None => Ok(()),
@@ -103,7 +103,7 @@
     let format = format_file::read(path)?;
     if format.schema != options.schema {
         return Err(ReadError::UnknownFormat {
-            file: path.join(FORMAT).display().to_string(),
+            file: path.join(FORMAT_FILE_NAME).display().to_string(),
             found: format!("the schema is {:?}, not {:?}", format.schema, options.schema),
         });
     }
@@ -122,13 +122,13 @@
     let mut snapshot_bytes = 0;
     if names.snapshots.contains(&base) {
         let id = FileId { kind: FileKind::Snapshot, number: base, folder: identity };
-        snapshot_bytes = read_complete(path, id, on_record)?;
+        snapshot_bytes = read_complete_file(path, id, on_record)?;
     }
     let mut closed_bytes = 0;
     let live = names.live_segments();
     for number in base..*live.end() {
         let id = FileId { kind: FileKind::Log, number, folder: identity };
-        closed_bytes += read_complete(path, id, on_record)?;
+        closed_bytes += read_complete_file(path, id, on_record)?;
     }
     Ok((snapshot_bytes, closed_bytes))
 }
@@ -171,7 +171,11 @@
 }
 
 /// Reads a file that must not end in a torn entry, and returns its length in bytes.
-pub fn read_complete(path: &Path, id: FileId, on_record: &mut dyn FnMut(&[u8])) -> Result<u64, ReadError> {
+pub fn read_complete_file(
+    path: &Path,
+    id: FileId,
+    on_record: &mut dyn FnMut(&[u8]),
+) -> Result<u64, ReadError> {
     let name = file_name(id);
     let scanned = scan(&path.join(&name), id, on_record)?;
     match scanned.end {
--- a/crates/wal/src/frame.rs
+++ b/crates/wal/src/frame.rs
@@ -108,7 +108,7 @@
 }
 
 /// Returns the folder identity in a file header.
-pub fn file_folder(header: &FileHeader) -> FolderIdentity {
+pub fn file_folder_identity(header: &FileHeader) -> FolderIdentity {
     FolderIdentity(u32_at(header, 12))
 }
 
--- a/crates/wal/src/scan.rs
+++ b/crates/wal/src/scan.rs
@@ -76,7 +76,8 @@
     /// Reads and checks the file header. Returns true if entries can be read after it; otherwise the scan has ended.
     fn read_file_header(&mut self) -> Result<bool, ReadError> {
         let mut header = [0; FILE_HEADER_BYTES as usize];
-        let filled = fill(&mut self.file, &mut header).map_err(FileError::on("reading", &self.path))?;
+        let filled =
+            read_until_full(&mut self.file, &mut header).map_err(FileError::on("reading", &self.path))?;
         if filled < header.len() || !frame::is_file_header_intact(&header) {
             self.end_at_bad_bytes("the file header is incomplete or damaged")?;
             return Ok(false);
@@ -85,7 +86,7 @@
             let found = format!("begins with {:?}", String::from_utf8_lossy(&header[..8]));
             return Err(ReadError::UnknownFormat { file: self.name(), found });
         }
-        let found = frame::file_folder(&header);
+        let found = frame::file_folder_identity(&header);
         if found != self.id.folder {
             return Err(ReadError::WrongFolder {
                 file: self.name(),
@@ -140,7 +141,7 @@
     fn read_entry(&mut self) -> Result<Option<EntryHeader>, FileError> {
         let read_error = FileError::on("reading", &self.path);
         self.entry.resize(ENTRY_HEADER_BYTES, 0);
-        let filled = fill(&mut self.file, &mut self.entry).map_err(read_error)?;
+        let filled = read_until_full(&mut self.file, &mut self.entry).map_err(read_error)?;
         let header = EntryHeader::decode(&self.entry[..filled]);
         let Some(header) = header.filter(|header| header.number == self.scan.entries) else {
             return Ok(None);
@@ -151,7 +152,7 @@
         }
         self.entry.resize(entry_bytes, 0);
         let payload = &mut self.entry[ENTRY_HEADER_BYTES..];
-        let filled = fill(&mut self.file, payload).map_err(read_error)?;
+        let filled = read_until_full(&mut self.file, payload).map_err(read_error)?;
         let is_complete =
             filled == header.payload_bytes && crc32fast::hash(payload) == header.payload_checksum;
         Ok(is_complete.then_some(header))
@@ -207,7 +208,7 @@
 }
 
 /// Reads until the buffer is full or the file ends, and returns the number of bytes read.
-fn fill(file: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
+fn read_until_full(file: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut filled = 0;
     while filled < buffer.len() {
         match file.read(&mut buffer[filled..]) {
--- a/crates/wal/src/segment.rs
+++ b/crates/wal/src/segment.rs
@@ -114,7 +114,7 @@
         disk::rename(folder, &unfinished, &name, options)?;
 
         let start = Position { bytes: FILE_HEADER_BYTES, entries: 0 };
-        let mut segment = Segment::at(file.renamed(&name), number, start);
+        let mut segment = Segment::synced_to(file.renamed(&name), number, start);
         // The new segment can be written to even if its name is not durable yet; the next sync of the segment syncs
         // the folder again.
         if Segment::sync_new_name(folder, options).is_err() {
@@ -140,11 +140,11 @@
         }
         file.seek(scan.valid_bytes)?;
         file.sync_all(options)?;
-        Ok(Segment::at(file, number, Position { bytes: scan.valid_bytes, entries: scan.entries }))
+        Ok(Segment::synced_to(file, number, Position { bytes: scan.valid_bytes, entries: scan.entries }))
     }
 
     /// Returns a segment that is synced up to `end` and has no bytes after it.
-    fn at(file: DiskFile, number: u64, end: Position) -> Segment {
+    fn synced_to(file: DiskFile, number: u64, end: Position) -> Segment {
         Segment {
             file,
             number,
--- a/crates/wal/src/stall_schedule.rs
+++ b/crates/wal/src/stall_schedule.rs
@@ -50,8 +50,9 @@
 pub fn wait(schedule: &Path, access: DiskAccess) {
     loop {
         let now = monotonic_now();
-        let ends = read(schedule).into_iter().filter(|stall| stall.delays(access, now)).map(|stall| stall.to);
-        match ends.max() {
+        let end_times =
+            read(schedule).into_iter().filter(|stall| stall.delays(access, now)).map(|stall| stall.to);
+        match end_times.max() {
             Some(end) => thread::sleep(end - now),
             None => return,
         }
--- a/crates/wal/src/verify.rs
+++ b/crates/wal/src/verify.rs
@@ -5,7 +5,7 @@
 
 use crate::error::ReadError;
 use crate::file_names::{file_name, log_name, snapshot_name, FileNames};
-use crate::folder::MISSING;
+use crate::folder::MISSING_FILE_REASON;
 use crate::format_file;
 use crate::frame::{FileId, FileKind};
 use crate::scan::{scan, FileEnd};
@@ -113,7 +113,7 @@
     for (kind, number) in snapshot.into_iter().chain(segments) {
         let id = FileId { kind, number, folder: format.identity };
         if kind == FileKind::Log && !names.logs.contains(&number) {
-            let state = FileState::Corrupted(MISSING.into());
+            let state = FileState::Corrupted(MISSING_FILE_REASON.into());
             report.files.push(FileReport::not_read(file_name(id), state));
             continue;
         }
--- a/crates/wal/src/wal.rs
+++ b/crates/wal/src/wal.rs
@@ -69,7 +69,7 @@
     /// cancelled; its work is done by the next checkpoint. Must not be called from `on_result`, which runs on the
     /// writer thread.
     pub fn close(mut self) {
-        self.end(true);
+        self.shut_down(true);
     }
 
     /// Returns the counters of the log's operations since it was opened.
@@ -77,7 +77,7 @@
         self.counters.read()
     }
 
-    fn end(&mut self, sync: bool) {
+    fn shut_down(&mut self, sync: bool) {
         let Some(writer) = self.writer.take() else { return };
         // Sending the stop command fails only if the writer thread has already ended.
         let _ = self.queue.send(Command::Stop { sync });
@@ -89,6 +89,6 @@
 
 impl Drop for Wal {
     fn drop(&mut self) {
-        self.end(false);
+        self.shut_down(false);
     }
 }
--- a/crates/wal/src/writer.rs
+++ b/crates/wal/src/writer.rs
@@ -125,7 +125,7 @@
                     self.begin_checkpoint_if_due();
                 }
                 Some(Command::CheckpointEnded(result)) => self.checkpoint_ended(result),
-                Some(Command::Stop { sync }) => return self.end(sync),
+                Some(Command::Stop { sync }) => return self.shut_down(sync),
                 Some(Command::Append(_)) | None => {}
             }
             self.begin_sync_if_due();
@@ -136,7 +136,7 @@
     /// Waits for a command and collects the queued appends into a group. Returns the first command that is not an
     /// append, if one was received.
     fn collect_group(&mut self, group: &mut Vec<Append>) -> Option<Command> {
-        let mut next = self.wait();
+        let mut next = self.wait_for_command();
         let mut group_bytes = 0;
         while let Some(Command::Append(append)) = next {
             group_bytes += frame::entry_bytes(&append.records);
@@ -151,7 +151,7 @@
     }
 
     /// Waits for the next command. Returns `None` if a sync or a checkpoint becomes due first.
-    fn wait(&mut self) -> Option<Command> {
+    fn wait_for_command(&mut self) -> Option<Command> {
         if let Some(command) = self.backlog.pop_front() {
             return Some(command);
         }
@@ -175,7 +175,7 @@
         [self.sync_deadline, checkpoint_at].into_iter().flatten().min()
     }
 
-    fn end(mut self, sync: bool) {
+    fn shut_down(mut self, sync: bool) {
         self.wait_for_running_sync();
         if sync || !self.pending.is_empty() {
             // A failure of the final sync has already been logged, counted and reported to the appends; the thread
--- a/crates/wal/src/writer/syncs.rs
+++ b/crates/wal/src/writer/syncs.rs
@@ -40,10 +40,10 @@
 impl SyncThread {
     /// Starts the sync thread, which notifies the writer of each sync that has ended.
     pub fn start(options: &Options, writer: &Sender<Command>) -> Result<SyncThread, OpenError> {
-        let (syncs, begun) = channel::<SegmentSync>();
+        let (syncs, queued_syncs) = channel::<SegmentSync>();
         let (options, writer) = (options.clone(), writer.clone());
         let run = move || {
-            for sync in begun {
+            for sync in queued_syncs {
                 // Sending fails only if the writer has already ended.
                 let _ = writer.send(Command::SyncEnded(EndedSync::run(sync, &options)));
             }
--- a/crates/wal/tests/appends.rs
+++ b/crates/wal/tests/appends.rs
@@ -11,7 +11,7 @@
 
 use assert_matches::assert_matches;
 use stileroute_wal::{AppendError, Options, StateMachine, Statistics, Step, MAX_RECORD_BYTES};
-use support::{hooked, keys, options, signal_at, TemporaryFolder, TestLog, LOG, TIMEOUT};
+use support::{hook_options, keys, options, signal_at, TemporaryFolder, TestLog, LOG, TIMEOUT};
 
 #[test]
 fn results_come_in_order_and_queued_appends_share_one_sync() {
@@ -21,7 +21,7 @@
     let (hook_gate, sender) = (write_gate.clone(), Mutex::new(sender));
     let (mut log, _) = TestLog::open(
         &folder.0,
-        hooked(move |step| {
+        hook_options(move |step| {
             if step == Step::WriteEntries {
                 sender.lock().unwrap().send(()).unwrap();
                 drop(hook_gate.lock().unwrap());
@@ -49,7 +49,7 @@
     let folder = TemporaryFolder::new();
     let (hook, synced) = signal_at(Step::SyncSegment);
     let (mut log, _) =
-        TestLog::open(&folder.0, Options { max_sync_delay: Duration::from_millis(5), ..hooked(hook) });
+        TestLog::open(&folder.0, Options { max_sync_delay: Duration::from_millis(5), ..hook_options(hook) });
     log.append(&["a=1"], false).unwrap();
     synced.recv_timeout(TIMEOUT).unwrap();
 }
@@ -62,7 +62,7 @@
         let hook_failing = failing.clone();
         let (mut log, _) = TestLog::open(
             &folder.0,
-            hooked(move |current| match hook_failing.load(Ordering::Relaxed) {
+            hook_options(move |current| match hook_failing.load(Ordering::Relaxed) {
                 1 if current == step => Err(io::Error::from_raw_os_error(code)),
                 _ => Ok(()),
             }),
@@ -92,10 +92,10 @@
 fn records_that_read_back_differently_after_a_failed_sync_are_not_acknowledged() {
     let folder = TemporaryFolder::new();
     let is_failing = Arc::new(AtomicBool::new(false));
-    let hook_is_failing = is_failing.clone();
+    let hook_failing = is_failing.clone();
     let (mut log, _) = TestLog::open(
         &folder.0,
-        hooked(move |step| match hook_is_failing.load(Ordering::Relaxed) && step == Step::SyncSegment {
+        hook_options(move |step| match hook_failing.load(Ordering::Relaxed) && step == Step::SyncSegment {
             true => Err(io::Error::from_raw_os_error(5)),
             false => Ok(()),
         }),
@@ -119,7 +119,7 @@
     let folder = TemporaryFolder::new();
     let capacity_bytes = 200_000;
     let (hook, checkpointed) = signal_at(Step::CheckpointEnded);
-    let (mut log, mut all) = TestLog::open(&folder.0, Options { capacity_bytes, ..hooked(hook) });
+    let (mut log, mut all) = TestLog::open(&folder.0, Options { capacity_bytes, ..hook_options(hook) });
     let mut is_full = false;
     for n in 0..1000 {
         let record = format!("key{n}={}", "x".repeat(1000));
@@ -157,7 +157,8 @@
     assert_matches!(log.append(&[&format!("{largest}x")], true), Err(AppendError::RecordTooLarge { bytes }) if bytes == MAX_RECORD_BYTES + 1);
     drop(log);
     let (hook, checkpointed) = signal_at(Step::CheckpointEnded);
-    let (mut log, _) = TestLog::open(&folder.0, Options { checkpoint_after_bytes: 4 << 20, ..hooked(hook) });
+    let (mut log, _) =
+        TestLog::open(&folder.0, Options { checkpoint_after_bytes: 4 << 20, ..hook_options(hook) });
     log.append(&["b=1"], true).unwrap();
     checkpointed.recv_timeout(TIMEOUT).unwrap();
     drop(log);
@@ -178,7 +179,7 @@
     };
     let (mut log, _) = TestLog::open(
         &folder.0,
-        Options { capacity_bytes: 8000, checkpoint_after_bytes: 1000, ..hooked(hook) },
+        Options { capacity_bytes: 8000, checkpoint_after_bytes: 1000, ..hook_options(hook) },
     );
     let large = |key: &str| format!("key={key}{}", "x".repeat(1300));
     for key in ["1", "2"] {
@@ -212,7 +213,7 @@
         Step::SyncSegment => Err(io::Error::from_raw_os_error(5)),
         _ => Ok(()),
     };
-    let (mut log, _) = TestLog::open(&folder.0, hooked(hook));
+    let (mut log, _) = TestLog::open(&folder.0, hook_options(hook));
     log.queue(&["first=1"], false);
     log.queue(&["end=1"], false);
     log.queue(&["put=2"], true);
--- a/crates/wal/tests/checkpoints.rs
+++ b/crates/wal/tests/checkpoints.rs
@@ -8,13 +8,13 @@
 use std::sync::{Arc, Mutex};
 
 use stileroute_wal::{verify, StateMachine};
-use support::{through_a_checkpoint, Keys, TemporaryFolder, CHECKPOINT_STEPS, LOG};
+use support::{append_through_checkpoint, Keys, TemporaryFolder, CHECKPOINT_STEPS, LOG};
 
 #[test]
 fn a_checkpoint_killed_at_any_step_leaves_exactly_the_current_state() {
     let (folder, copies) = (TemporaryFolder::new(), Arc::new(Mutex::new(Vec::new())));
     let (path, hook_copies) = (folder.0.clone(), copies.clone());
-    let (log, all) = through_a_checkpoint(&folder, move |step| {
+    let (log, all) = append_through_checkpoint(&folder, move |step| {
         if CHECKPOINT_STEPS.contains(&step) {
             hook_copies.lock().unwrap().push((step, TemporaryFolder::copy_of(&path)));
         }
@@ -61,7 +61,7 @@
     for failing_step in CHECKPOINT_STEPS {
         let folder = TemporaryFolder::new();
         let step_count = AtomicU64::new(0);
-        let (log, all) = through_a_checkpoint(&folder, move |step| match step {
+        let (log, all) = append_through_checkpoint(&folder, move |step| match step {
             // The first occurrence of a step does not fail, because the opening of the log also creates a segment.
             _ if step == failing_step && step_count.fetch_add(1, Ordering::Relaxed) > 0 => {
                 Err(io::Error::other("broken"))
--- a/crates/wal/tests/disk_format.rs
+++ b/crates/wal/tests/disk_format.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 
 use stileroute_wal::{verify, Options, Step, Wal};
-use support::{files, hooked, options, signal_at, Keys, TemporaryFolder, TestLog, TIMEOUT};
+use support::{files, hook_options, options, signal_at, Keys, TemporaryFolder, TestLog, TIMEOUT};
 
 const FORMAT: &str = "FORMAT";
 const SNAPSHOT: &str = "snapshot-0000000002";
@@ -38,7 +38,7 @@
     fs::write(folder.join(FORMAT), "stileroute-logbook 1 keys 0badf00d\n").unwrap();
 
     let (hook, checkpoint_ended) = signal_at(Step::CheckpointEnded);
-    let small_segment = Options { checkpoint_after_bytes: FIRST_SEGMENT_BYTES, ..hooked(hook) };
+    let small_segment = Options { checkpoint_after_bytes: FIRST_SEGMENT_BYTES, ..hook_options(hook) };
     let (mut log, _) = TestLog::open(folder, small_segment);
     let first_appends: [(&[&str], bool); 4] = [
         (&["a=1", "b=2"], true),
--- a/crates/wal/tests/power/mod.rs
+++ b/crates/wal/tests/power/mod.rs
@@ -148,10 +148,10 @@
         trace: &Trace,
         (sender, signals): (Sender<WriterSignal>, Receiver<WriterSignal>),
     ) -> Result<(Writer, Counter), OpenError> {
-        let done = move |ticket, result| {
+        let on_result = move |ticket, result| {
             let _ = sender.send(WriterSignal::ResultReported(ticket, result));
         };
-        let (wal, count) = Wal::open::<Counter>(dir, options, done)?;
+        let (wal, count) = Wal::open::<Counter>(dir, options, on_result)?;
         Ok((Writer { wal, signals, trace: trace.clone(), last: count.last, ticket: 0 }, count))
     }
 
@@ -346,7 +346,7 @@
     scenario: &'a Scenario<'a>,
     folder: PathBuf,
     /// Disk states, with the expected records, that were already tested.
-    seen: HashSet<(Files, u64, u64)>,
+    tested_states: HashSet<(Files, u64, u64)>,
 }
 
 impl Search<'_> {
@@ -354,7 +354,7 @@
     /// one more record.
     fn check_power_loss(&mut self, point: &CrashPoint) -> Result<(), String> {
         for files in point.disk.outcomes() {
-            if self.seen.insert((files.clone(), point.min_last, point.max_last)) {
+            if self.tested_states.insert((files.clone(), point.min_last, point.max_last)) {
                 disk::write(&self.folder, &files);
                 self.check(point).map_err(|fault| {
                     let names: Vec<(&String, usize)> =
@@ -434,17 +434,17 @@
     let parent = if memory.is_dir() { memory.to_path_buf() } else { std::env::temp_dir() };
     let folder = parent.join(name);
     let trace = record_run(&folder, scenario);
-    let mut search = Search { scenario, folder: folder.clone(), seen: HashSet::new() };
+    let mut search = Search { scenario, folder: folder.clone(), tested_states: HashSet::new() };
     let mut point = CrashPoint::default();
     let mut fault = None;
     for event in &trace {
         point.apply(event);
-        let searched = search.check_power_loss(&point).and_then(|()| search.check_kill(&point));
-        if let Err(error) = searched {
+        let search_result = search.check_power_loss(&point).and_then(|()| search.check_kill(&point));
+        if let Err(error) = search_result {
             fault = Some(format!("{error}; after {event:?}"));
             break;
         }
     }
     let _ = std::fs::remove_dir_all(&folder);
-    SearchResult { fault, points: trace.len(), outcomes: search.seen.len() }
+    SearchResult { fault, points: trace.len(), outcomes: search.tested_states.len() }
 }
--- a/crates/wal/tests/recovery.rs
+++ b/crates/wal/tests/recovery.rs
@@ -6,13 +6,13 @@
 
 use assert_matches::assert_matches;
 use stileroute_wal::{verify, FileState, OpenError, Options, ReadError, StateMachine, Wal};
-use support::{keys, options, through_a_checkpoint, Keys, TemporaryFolder, TestLog, LOG};
+use support::{append_through_checkpoint, keys, options, Keys, TemporaryFolder, TestLog, LOG};
 
 /// Creates two folders with the same schema and the same history, each with a snapshot and a segment.
 fn two_folders() -> (TemporaryFolder, TemporaryFolder) {
     let (one, other) = (TemporaryFolder::new(), TemporaryFolder::new());
     for folder in [&one, &other] {
-        drop(through_a_checkpoint(folder, |_| Ok(())));
+        drop(append_through_checkpoint(folder, |_| Ok(())));
     }
     (one, other)
 }
@@ -124,7 +124,7 @@
 #[test]
 fn a_missing_or_damaged_file_is_reported_and_verify_changes_nothing() {
     let folder = TemporaryFolder::new();
-    let (log, all) = through_a_checkpoint(&folder, |_| Ok(()));
+    let (log, all) = append_through_checkpoint(&folder, |_| Ok(()));
     drop(log);
     let before = folder.files();
     let mut read = Keys::default();
--- a/crates/wal/tests/stalled_syncs.rs
+++ b/crates/wal/tests/stalled_syncs.rs
@@ -9,7 +9,7 @@
 
 use assert_matches::assert_matches;
 use stileroute_wal::{AppendError, Operation, Options, Step};
-use support::{hooked, keys, signal_at, TemporaryFolder, TestLog, TIMEOUT};
+use support::{hook_options, keys, signal_at, TemporaryFolder, TestLog, TIMEOUT};
 
 /// A log whose syncs end only when the test allows it, with the result that the test chooses.
 struct StalledLog {
@@ -45,7 +45,7 @@
                 let _ = writes.lock().unwrap().send(bytes);
             }
         };
-        let options = options(Options { operation_observer: Some(Arc::new(observer)), ..hooked(hook) });
+        let options = options(Options { operation_observer: Some(Arc::new(observer)), ..hook_options(hook) });
         let (log, _) = TestLog::open(&folder.0, options);
         StalledLog { sync_result_sender, log, folder, sync_started, checkpoint_ended, written }
     }
--- a/crates/wal/tests/support/mod.rs
+++ b/crates/wal/tests/support/mod.rs
@@ -118,7 +118,7 @@
     Options { max_sync_delay: Duration::from_secs(3600), ..Options::new("keys") }
 }
 
-pub fn hooked(hook: impl Fn(Step) -> io::Result<()> + Send + Sync + 'static) -> Options {
+pub fn hook_options(hook: impl Fn(Step) -> io::Result<()> + Send + Sync + 'static) -> Options {
     Options { step_hook: Some(Arc::new(hook)), ..options() }
 }
 
@@ -178,13 +178,13 @@
 /// Makes 100 appends. The first segment reaches its size limit of 2000 bytes before append 50, more appends are made
 /// while the checkpoint runs, and after append 50 the function waits until the checkpoint has ended. Returns the log,
 /// and the state that all records build.
-pub fn through_a_checkpoint(
+pub fn append_through_checkpoint(
     folder: &TemporaryFolder,
     hook: impl Fn(Step) -> io::Result<()> + Send + Sync + 'static,
 ) -> (TestLog, Keys) {
     let (signal, checkpoint_ended) = signal_at(Step::CheckpointEnded);
     let hook = move |step| signal(step).and_then(|()| hook(step));
-    let options = Options { checkpoint_after_bytes: 2000, ..hooked(hook) };
+    let options = Options { checkpoint_after_bytes: 2000, ..hook_options(hook) };
     let (mut log, mut state) = TestLog::open(&folder.0, options);
     for n in 0..100 {
         let records = [format!("key{}={n}", n % 10), format!("gone={n}"), "gone=".into()];
