--- a/crates/node/src/dispatch_loop/mod.rs
+++ b/crates/node/src/dispatch_loop/mod.rs
@@ -375,7 +375,7 @@
         let retry_after_ms = retry_after as f64 / 10.0;
         log_info!(op { op = id, code = "no-place", took_ms, come_back_ms = retry_after_ms } "op {ticket} nacked: no place");
         let until = self.clock.instant(now + SECOND);
-        reply.send(OpOutcome::Nacked { why: "nacked: no concurrency slot free", retry_after }, until);
+        reply.send(OpOutcome::Nacked { why: "nacked: no place in hand", retry_after }, until);
     }
 
     /// Starts the queued ops that now hold a concurrency slot, and rejects those whose queueing time is over.
--- a/crates/node/src/net/admin.rs
+++ b/crates/node/src/net/admin.rs
@@ -195,8 +195,8 @@
     fn answer(&self, request: &AdminRequest) -> (u16, String) {
         let text = |status, text: &str| (status, format!("{text}\n"));
         match request {
-            AdminRequest::Ready if self.context.clients.is_ready() => text(200, "accepts clients"),
-            AdminRequest::Ready => text(503, "accepts no clients"),
+            AdminRequest::Ready if self.context.clients.is_ready() => text(200, "takes clients"),
+            AdminRequest::Ready => text(503, "takes no clients"),
             AdminRequest::Metrics => {
                 let members =
                     self.context.members.as_ref().map_or(String::new(), |members| members.metrics());
@@ -204,12 +204,12 @@
             }
             AdminRequest::Members => match &self.context.members {
                 Some(members) => (200, members.members()),
-                None => text(404, "no members: the operators' file has no section 'members'"),
+                None => text(404, "no members: the operators' file has no such section"),
             },
             AdminRequest::SetDisabled { name, disabled } => {
                 match self.context.set_disabled(name, *disabled, Instant::now() + COMMAND_TIMEOUT) {
-                    Ok(()) if *disabled => text(200, &format!("{name} is disabled")),
-                    Ok(()) => text(200, &format!("{name} is enabled")),
+                    Ok(()) if *disabled => text(200, &format!("{name} is out")),
+                    Ok(()) => text(200, &format!("{name} is in use")),
                     Err((status, reason)) => text(status, &reason),
                 }
             }
@@ -254,15 +254,12 @@
             return Err((404, format!("no executor '{name}' was ever listed here")));
         }
         if self.clients.shared && !self.disabled_executors.is_shared() {
-            return Err((
-                503,
-                "no usable folder in TMPDIR: a successor process would not learn of the change".to_string(),
-            ));
+            return Err((503, "no folder in TMPDIR: a successor would not know".to_string()));
         }
         let state = self
             .disabled_executors
             .change(name, disabled)
-            .map_err(|error| (503, format!("set of disabled executors not stored: {error}")))?;
+            .map_err(|error| (503, format!("not kept: {error}")))?;
         if !self.apply(&state, deadline) {
             return Err(timed_out());
         }
--- a/crates/node/src/net/clients.rs
+++ b/crates/node/src/net/clients.rs
@@ -338,7 +338,7 @@
         if self.client_slots.count_busy() > self.budget().requests {
             return Err(Reply {
                 retry_after: self.request_rules.retry_after,
-                ..local_reply(503, "too many requests in flight")
+                ..local_reply(503, "too many requests in hand")
             });
         }
         let writer = match writer {
