--- a/crates/server/src/edge.rs
+++ b/crates/server/src/edge.rs
@@ -1,4 +1,5 @@
-//! The edge: accepts messages from clients once a store has them, and asks stores what became of a message.
+//! The edge role: accepts messages from clients after a store has accepted them, and looks up the state of messages
+//! in the stores.
 
 mod authentication;
 mod lookups;
@@ -21,84 +22,88 @@
 use stileroute_config::Config;
 use stileroute_queue::Node;
 
-/// Path at which the readiness listener says whether the edge is ready.
+/// Path on the readiness listener that reports whether the edge is ready for client requests.
 const READINESS_PATH: &str = "/v1/readiness";
-/// Where clients ask for the state of a message; its id follows.
+/// Path prefix for looking up the state of a message; the message id follows it.
 const MESSAGE_STATE_PATH: &str = "/v1/message/";
-/// Where clients ask for the body of a message; its id follows.
+/// Path prefix for fetching the body of a message; the message id follows it.
 const MESSAGE_BODY_PATH: &str = "/v1/message-body/";
-/// A store that has been sent a request, and has been heard since, is given up for it after so long, in ms.
+/// Time in ms after which the edge stops waiting for a store's reply to a request, if the store has sent something
+/// else since the request.
 const STORE_REPLY_TIMEOUT_MS: Millis = 400;
-/// One of which nothing at all has been heard since is given up sooner, in ms.
+/// Time in ms after which the edge stops waiting for a store that has sent nothing at all since the request.
 const STORE_SILENCE_LIMIT_MS: Millis = 200;
-/// After the order to shut down, new connections are accepted for so long, in ms; the process runs at least until then.
+/// Time in ms after a shutdown request during which the edge still accepts new connections; the process runs at least
+/// that long.
 const LISTEN_AFTER_SHUTDOWN_MS: Millis = 2300;
-/// Of the grace period, what ending the process itself may take, in ms.
+/// Part of the shutdown grace period, in ms, that is reserved for ending the process itself.
 const SHUTDOWN_RESERVE_MS: Millis = 1000;
 
-/// Counts for the metrics.
+/// Event counters of an edge, exported as metrics.
 #[derive(Default)]
 struct EdgeCounts {
     accepted: u64,
     without_route: u64,
-    /// Submissions with keys that may have been taken away, answered 503: the control nodes were not heard for too long.
+    /// Submissions answered 503 because the control nodes were out of contact for too long, so the tenant keys known
+    /// here may have been revoked.
     without_contact: u64,
-    /// Submissions that the tenant's quota did not allow, answered 429; or 503, where that could not be known.
+    /// Submissions over the tenant's quota, answered 429, or 503 if the quota state could not be determined.
     over_quota: u64,
-    /// Submissions and lookups without a key, answered 401.
+    /// Submissions and lookups without a tenant key, answered 401.
     without_key: u64,
-    /// Submissions and lookups with a key of no tenant, answered 401.
+    /// Submissions and lookups with a key that belongs to no tenant, answered 401.
     with_unknown_key: u64,
     rejected: u64,
-    /// Submissions whose client could not be told whether the message is kept.
+    /// Submissions whose client could not be told whether a store kept the message.
     outcome_unknown: u64,
-    /// Times that a submission was sent to a further store.
+    /// Number of times that a submission was sent to another store after the first.
     resubmitted: u64,
     lookups: u64,
-    /// Submissions that carried a tenant's key.
+    /// Submissions that carried a tenant key.
     with_key: u64,
     /// Submissions that carried an idempotency key.
     with_idempotency_key: u64,
-    /// Lookups answered 404: all stores were asked, and none knows the message.
+    /// Lookups answered 404: every store was asked, and none knows the message.
     unknown_lookups: u64,
     /// Lookups answered 503: a store that may know the message could not be asked.
     inconclusive_lookups: u64,
 }
 
-/// A frame that says which of several copies of a message is kept. Stores that connect later get it as well.
+/// A frame that tells stores which of several copies of a resubmitted message is kept. It is also sent to stores that
+/// connect later.
 struct SupersededNotice {
     since: Millis,
     frame: Frame,
 }
 
-/// An edge.
+/// An edge process: the shared runtime and the client requests in flight.
 pub struct Edge {
     runtime: NodeRuntime,
-    /// The listener for clients.
+    /// The listener for client connections.
     front_listener: usize,
     readiness_listener: usize,
     submissions: HashMap<u64, PendingSubmission>,
     lookups: HashMap<u64, PendingLookup>,
-    /// When which request is looked at again; old entries of a request are passed over.
+    /// Deadlines by request id, earliest first; an outdated deadline of a request has no effect.
     timeouts: BTreeSet<(Millis, u64)>,
-    /// Stores that did not answer, and when that was.
+    /// Stores that did not answer in time, and when each was found unresponsive.
     unresponsive_since: HashMap<Node, Millis>,
     draining_stores: HashSet<Node>,
     superseded_notices: VecDeque<SupersededNotice>,
     last_request_id: u64,
-    /// Counts up, so that stores that are equally near take turns.
+    /// Counter for rotating among stores in equally near zones.
     round_robin: usize,
     counts: EdgeCounts,
-    /// The next lookup that finds nothing is logged no sooner.
+    /// Earliest time at which the next lookup of an unknown message is logged.
     next_unknown_log_at: Millis,
 }
 
 impl Edge {
-    /// Opens the addresses for clients and for the question whether the edge is ready.
+    /// Opens the listeners for clients and for readiness checks.
     ///
     /// # Errors
     ///
-    /// Where a setting is missing or an address is taken.
+    /// Fails if a setting is missing or an address is in use.
     pub fn new(mut runtime: NodeRuntime) -> Result<Edge, StartError> {
         let missing = |key| StartError::MissingSetting { key, role: "this role" };
         let front = runtime.boot.front_address.ok_or(missing("bind_addresses.front"))?;
@@ -122,7 +127,7 @@
         })
     }
 
-    /// Runs until the process is told to end and is done.
+    /// Runs the event loop until a shutdown was requested and is complete.
     pub fn run(mut self) {
         loop {
             let until = self.timeouts.first().map_or(Millis::MAX, |(at, _)| *at);
@@ -140,8 +145,8 @@
         }
     }
 
-    /// After a while no connections are accepted any more, and every answer closes its own; the process ends when all requests
-    /// have been answered, or there is no more time.
+    /// Whether the process may exit. Once the edge stops listening, it waits until all requests have been answered or
+    /// the grace period is over; during shutdown each answer closes its connection.
     fn is_shutdown_complete(&mut self) -> bool {
         let Some(since) = self.runtime.draining_since else { return false };
         if self.runtime.net.now() < since + LISTEN_AFTER_SHUTDOWN_MS {
@@ -155,7 +160,7 @@
         is_idle || self.runtime.is_grace_period_over(SHUTDOWN_RESERVE_MS)
     }
 
-    /// Whether clients may be sent here.
+    /// Whether clients may send requests to this edge.
     fn is_ready(&self) -> bool {
         self.runtime.draining_since.is_none()
             && self.runtime.config.is_some()
@@ -167,7 +172,8 @@
                 .any(|store| !self.draining_stores.contains(&store.node))
     }
 
-    /// Whether requests on routes that need a key may be accepted: none of the keys that are known here was taken away too long ago.
+    /// Whether requests on routes that need a key may be accepted, that is, whether any revocation that this edge has
+    /// not received is still recent enough for the configured bound.
     fn accepts_keys(&self) -> bool {
         let has_tenants = self.runtime.config.as_ref().is_some_and(|config| config.tenants.is_some());
         let contact_at = self.runtime.group_contact_at();
@@ -217,7 +223,7 @@
         self.look_up_after_loss(store);
     }
 
-    /// Applies the limits of a new configuration to the requests of clients.
+    /// Applies the request limits of a new configuration to client connections.
     fn apply_limits(&mut self, config: &Config) {
         let limits = RequestLimits {
             max_head_bytes: config.limits.max_header_bytes,
@@ -247,7 +253,7 @@
     fn answer_readiness(&mut self, connection: ConnectionId, request: &Request) {
         let is_known = request.target.split('?').next() == Some(READINESS_PATH);
         let is_ready = self.is_ready();
-        // Logged where it has changed, whatever was asked for.
+        // A change of readiness is logged on every request to this listener, whatever its path.
         self.runtime.set_ready(is_ready);
         let status = match (is_known, is_ready) {
             (false, _) => 404,
@@ -257,30 +263,30 @@
         self.runtime.net.respond(connection, Response::empty(status));
     }
 
-    /// Answers a client; while the edge shuts down the connection is closed after it.
+    /// Answers a client. During shutdown the connection is closed after the answer.
     fn answer(&mut self, connection: ConnectionId, response: Response) {
         let close_connection = response.close_connection || self.runtime.draining_since.is_some();
         self.runtime.net.respond(connection, Response { close_connection, ..response });
     }
 
-    /// A request whose sender is not known: nothing of it is kept.
+    /// Answers 401 to a request whose sender could not be authenticated; nothing of the request is stored.
     fn answer_unauthorized(&mut self, connection: ConnectionId, error: AuthenticationError) {
         match error {
             AuthenticationError::MissingKey => self.counts.without_key += 1,
             AuthenticationError::UnknownKey => self.counts.with_unknown_key += 1,
         }
-        // RFC 9110, 15.5.2: the answer names the scheme.
+        // RFC 9110, section 15.5.2: a 401 answer must name the authentication scheme.
         let headers = vec![("WWW-Authenticate", "Bearer".to_string())];
         self.answer(connection, Response { status: 401, headers, ..Response::default() });
     }
 
-    /// A new id, under which a store answers.
+    /// Returns a new request id; a store's reply carries the id of its request.
     fn next_request_id(&mut self) -> u64 {
         self.last_request_id += 1;
         self.last_request_id
     }
 
-    /// Deals with requests whose store has not answered in time.
+    /// Handles requests whose store has not answered before its time-out.
     fn handle_timeouts(&mut self) {
         let now = self.runtime.net.now();
         while let Some((at, request_id)) = self.timeouts.first().copied() {
--- a/crates/server/src/edge/authentication.rs
+++ b/crates/server/src/edge/authentication.rs
@@ -1,26 +1,27 @@
-//! Who sends a request: the tenant whose key it carries in `Authorization`, as `Bearer KEY` (RFC 6750, 2.1).
+//! Authentication of a request by the tenant key in its `Authorization` header, as `Bearer KEY` (RFC 6750, section
+//! 2.1).
 
 use stileroute_config::{Tenant, TenantTable};
 
-/// The scheme of a tenant's key, compared without case (RFC 9110, 11.1).
-const SCHEME: &str = "Bearer";
+/// Authentication scheme of tenant keys, compared without regard to case (RFC 9110, section 11.1).
+const AUTHENTICATION_SCHEME: &str = "Bearer";
 
-/// Why a request's sender is not known. Neither says anything of the key.
+/// Why a request could not be authenticated. The error texts reveal nothing about the key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AuthenticationError {
-    /// It carries no key.
+    /// The request carries no key.
     #[error("no key")]
     MissingKey,
-    /// It carries one that no tenant has.
+    /// The request carries a key that belongs to no tenant.
     #[error("unknown key")]
     UnknownKey,
 }
 
-/// The tenant that sends a request, by its `Authorization` header.
+/// Returns the tenant that sent a request, by the request's `Authorization` header.
 ///
 /// # Errors
 ///
-/// Where it has no key, or one of no tenant.
+/// Fails if the request has no key, or a key that belongs to no tenant.
 pub fn authenticate<'config>(
     tenants: &'config TenantTable,
     authorization: Option<&str>,
@@ -32,7 +33,7 @@
 fn bearer_key(authorization: &str) -> Option<&str> {
     let (scheme, key) = authorization.trim().split_once(' ')?;
     let key = key.trim();
-    (scheme.eq_ignore_ascii_case(SCHEME) && !key.is_empty()).then_some(key)
+    (scheme.eq_ignore_ascii_case(AUTHENTICATION_SCHEME) && !key.is_empty()).then_some(key)
 }
 
 #[cfg(test)]
--- a/crates/server/src/edge/lookups.rs
+++ b/crates/server/src/edge/lookups.rs
@@ -1,21 +1,22 @@
-//! What became of a message: one store after another is asked until one knows it.
+//! Message lookups: the edge asks one store after another until one knows the message.
 
 use super::authentication::{authenticate, AuthenticationError};
-use super::pending::{Access, AfterReply, Asker, PendingLookup};
+use super::pending::{Access, AfterReply, PendingLookup, Requester};
 use super::{Edge, STORE_REPLY_TIMEOUT_MS};
 use crate::net::{ConnectionId, Millis, Request, Response};
 use crate::protocol::{Frame, KnownMessage, MessageStatus, NodeRole};
 use stileroute_queue::{Key, KeyLocation, Node};
 
-/// For all stores together, in ms: a client waits two seconds.
+/// Time limit in ms for asking all stores together about a message; clients wait two seconds for the answer.
 const LOOKUP_TIMEOUT_MS: Millis = 1800;
-/// Lookups that find nothing are logged no more often, in ms: clients may ask for what never was.
-const UNKNOWN_LOG_INTERVAL_MS: Millis = 1000;
-/// A client whose question could not be answered may come back after so long.
+/// Shortest interval in ms between log lines about unknown messages, since clients may ask for any number of ids that
+/// never existed.
+const UNKNOWN_MESSAGE_LOG_INTERVAL_MS: Millis = 1000;
+/// Value of `Retry-After`, in seconds, for a lookup that could not be answered.
 const RETRY_AFTER_S: u64 = 1;
 
 impl Edge {
-    /// A client asks for the state of a message, or for its body.
+    /// Starts looking up the state or the body of a message for a client.
     pub(super) fn start_lookup(
         &mut self,
         connection: ConnectionId,
@@ -25,8 +26,8 @@
     ) {
         self.counts.lookups += 1;
         let now = self.runtime.net.now();
-        let asker = match self.asker(request.authorization.as_deref()) {
-            Ok(asker) => asker,
+        let requester = match self.authenticate_requester(request.authorization.as_deref()) {
+            Ok(requester) => requester,
             Err(error) => return self.answer_unauthorized(connection, error),
         };
         let Some(KeyLocation { key, stores: likely_stores }) = Key::parse(message_id) else {
@@ -39,16 +40,16 @@
             connected.iter().filter(|store| !remaining_stores.contains(store)).copied().collect();
         remaining_stores.extend(others);
         remaining_stores.dedup();
-        // The next one is taken from the end.
+        // Stores are popped from the end of the list, so the first to be asked has to be last.
         remaining_stores.reverse();
         let members = self.runtime.session.members.iter();
         let mut stores = members.filter(|member| member.role == NodeRole::Store);
-        // The store that accepted the message may be so new that it is no member here yet.
+        // The store that accepted the message may have joined so recently that the membership known here lacks it.
         let is_store_missing =
             !connected.contains(&key.origin) || stores.any(|store| !connected.contains(&store.node));
         let lookup = PendingLookup {
             connection,
-            asker,
+            requester,
             key,
             include_body,
             remaining_stores,
@@ -64,27 +65,29 @@
         self.ask_next_store(request_id);
     }
 
-    /// Who asks, by the request's `Authorization`. Without a key it depends on the message whether there is an answer.
-    fn asker(&self, authorization: Option<&str>) -> Result<Asker, AuthenticationError> {
+    /// Identifies the sender of a lookup by its `Authorization` header. Whether a lookup without a key is answered
+    /// depends on the message.
+    fn authenticate_requester(&self, authorization: Option<&str>) -> Result<Requester, AuthenticationError> {
         let tenants = self.runtime.config.as_ref().and_then(|config| config.tenants.as_ref());
-        let Some(tenants) = tenants else { return Ok(Asker::Anyone) };
+        let Some(tenants) = tenants else { return Ok(Requester::Anyone) };
         match authenticate(tenants, authorization) {
-            Ok(tenant) => Ok(Asker::Tenant(tenant.name.to_string())),
-            Err(AuthenticationError::MissingKey) => Ok(Asker::WithoutKey),
+            Ok(tenant) => Ok(Requester::Tenant(tenant.name.to_string())),
+            Err(AuthenticationError::MissingKey) => Ok(Requester::WithoutKey),
             Err(error) => Err(error),
         }
     }
 
-    /// A store has answered, or nothing better will come.
+    /// Answers a lookup with what a store knows, because the store has answered or no better answer can come.
     fn answer_known(&mut self, lookup: &PendingLookup, known: KnownMessage) {
-        match lookup.asker.access_to(known.tenant.as_deref()) {
+        match lookup.requester.access_to(known.tenant.as_deref()) {
             Access::Granted => self.answer(lookup.connection, response_to(known, lookup.include_body)),
             Access::OtherTenant => self.answer(lookup.connection, Response::empty(404)),
             Access::KeyNeeded => self.answer_unauthorized(lookup.connection, AuthenticationError::MissingKey),
         }
     }
 
-    /// The store that was asked is gone or silent: it may know the message.
+    /// The store that was asked is disconnected or silent, so the lookup is inconclusive: this store may know the
+    /// message.
     fn store_gave_no_answer(&mut self, request_id: u64) {
         if let Some(lookup) = self.lookups.get_mut(&request_id) {
             lookup.is_inconclusive = true;
@@ -106,15 +109,15 @@
         }
     }
 
-    /// No store is left to be asked, or there is no more time.
+    /// Answers a lookup when no store is left to be asked or its time limit is over.
     fn finish_lookup(&mut self, request_id: u64) {
         let Some(lookup) = self.lookups.remove(&request_id) else { return };
         let is_late = self.runtime.net.now() >= lookup.deadline;
         if let Some(known) = lookup.known_as_pending.clone() {
             return self.answer_known(&lookup, known);
         }
-        // A store that knows nothing of a message says so. One that could not be asked may know it: with a 404, an accepted message would
-        // be taken for lost.
+        // A store that does not know a message says so, but a store that could not be asked may know it. A 404 would
+        // make the client take an accepted message for lost.
         if lookup.is_inconclusive || is_late {
             self.counts.inconclusive_lookups += 1;
             return self.answer(lookup.connection, Response::retry_after(503, RETRY_AFTER_S));
@@ -123,15 +126,15 @@
         self.answer(lookup.connection, Response::empty(404));
     }
 
-    /// Every store was asked, and none knows the message. Those that were asked stand in the log: a store that should have known it
-    /// is among them, or none ever did.
+    /// Logs a lookup for which every store was asked and none knows the message. The line names the stores asked,
+    /// because either one of them should have known the message, or no store ever did.
     fn log_unknown(&mut self, lookup: &PendingLookup) {
         self.counts.unknown_lookups += 1;
         let now = self.runtime.net.now();
         if now < self.next_unknown_log_at {
             return;
         }
-        self.next_unknown_log_at = now + UNKNOWN_LOG_INTERVAL_MS;
+        self.next_unknown_log_at = now + UNKNOWN_MESSAGE_LOG_INTERVAL_MS;
         let asked: Vec<String> =
             lookup.stores_without_it.iter().map(|store| self.runtime.node_name(*store)).collect();
         let origin = self.runtime.node_name(lookup.key.origin);
@@ -145,7 +148,7 @@
         );
     }
 
-    /// A store says what it knows of a message.
+    /// Handles a store's reply to a lookup.
     pub(super) fn lookup_answered(&mut self, store: Node, request_id: u64, result: Option<KnownMessage>) {
         let Some(lookup) = self.lookups.get_mut(&request_id) else { return };
         match lookup.replied(store, result) {
@@ -159,18 +162,19 @@
         }
     }
 
-    /// A store is gone: what it was asked last, the next one is asked.
+    /// Moves on to the next store for each lookup that waits for a store whose connection was lost.
     pub(super) fn look_up_after_loss(&mut self, lost: Node) {
         let affected = self.lookups.iter().filter(|(_, lookup)| lookup.asked_store == lost);
         let request_ids: Vec<u64> = affected.map(|(request_id, _)| *request_id).collect();
         request_ids.into_iter().for_each(|request_id| self.store_gave_no_answer(request_id));
     }
 
-    /// A time-out of a lookup is over: perhaps the one of the store that is asked now.
+    /// Handles a time-out of a lookup; it may belong to the store that is being asked now, or to an earlier one.
     pub(super) fn lookup_timeout(&mut self, request_id: u64) {
         let now = self.runtime.net.now();
         let Some(lookup) = self.lookups.get(&request_id) else { return };
-        // Otherwise it is the time-out of a store that was asked before: the one that is asked now has its own.
+        // If neither limit has passed, the time-out belongs to a store asked earlier; the store being asked now has
+        // its own.
         if now >= lookup.sent_at + STORE_REPLY_TIMEOUT_MS || now >= lookup.deadline {
             self.store_gave_no_answer(request_id);
         }
--- a/crates/server/src/edge/pending.rs
+++ b/crates/server/src/edge/pending.rs
@@ -1,39 +1,39 @@
-//! Requests of clients for which an edge asks stores, one after another, and what the stores' answers lead to. No I/O.
-//!
-//! An answer belongs to its request by the request id. It may come when another store has been asked meanwhile: what it says
-//! counts, but only the store that was asked last is waited for.
+//! Client requests for which an edge asks one store after another, and what follows from each store's reply. This
+//! module does no I/O.
+//! A reply belongs to the request whose id it carries. A reply that arrives after another store has been asked still
+//! counts, but the edge waits only for the store asked last.
 
 use crate::net::{ConnectionId, Millis};
 use crate::protocol::{KnownMessage, MessageStatus};
 use stileroute_queue::{Key, Message, Node, PutError};
 
-/// A message that is offered to stores until one has accepted it.
+/// A message that is offered to one store after another until one accepts it.
 pub struct PendingSubmission {
-    /// The client's connection.
+    /// The connection of the client that submitted the message.
     pub connection: ConnectionId,
-    /// The message.
+    /// The submitted message.
     pub message: Message,
-    /// The stores that it was sent to, in that order.
+    /// The stores that the message was sent to, in that order.
     pub tried_stores: Vec<Node>,
-    /// When it was sent to the last of them.
+    /// When the message was sent to the last store in `tried_stores`.
     pub sent_at: Millis,
-    /// When the client gives up.
+    /// When the client stops waiting for an answer.
     pub deadline: Millis,
-    /// A store that did not say that it rejects it may have it.
+    /// Whether a store that did not reject the message may have kept it.
     pub may_be_kept: bool,
 }
 
-/// What a store's rejection leads to.
+/// The next step after a store has rejected a message.
 #[derive(Debug, PartialEq)]
 pub enum AfterRejection {
-    /// Another store gets the message.
+    /// The message is offered to another store.
     TryNextStore,
-    /// Another has got it already, and is waited for.
+    /// The message has already been offered to another store, whose reply is awaited.
     KeepWaiting,
 }
 
 impl PendingSubmission {
-    /// A store has not accepted the message.
+    /// Records that a store rejected the message, and returns the next step.
     pub fn rejected(&mut self, store: Node, error: PutError) -> AfterRejection {
         self.may_be_kept |= error == PutError::Uncertain;
         if self.tried_stores.last() == Some(&store) {
@@ -44,83 +44,84 @@
     }
 }
 
-/// Who asks what became of a message.
+/// The sender of a lookup.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Asker {
-    /// The configuration names no tenants: anybody may ask.
+pub enum Requester {
+    /// The configuration names no tenants, so anyone may look up any message.
     Anyone,
-    /// The question came without a key: it is about a message of a public route, or is not answered.
+    /// The lookup carries no key, so it is answered only for a message of a public route.
     WithoutKey,
-    /// A tenant, which may ask for its own messages, and for those of nobody.
+    /// A tenant, which may look up its own messages and those that belong to no tenant.
     Tenant(String),
 }
 
-/// Whether a question may be answered.
+/// Whether a lookup may be answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Access {
-    /// It may.
+    /// The lookup may be answered.
     Granted,
-    /// It is about a message of another tenant, of which the asker is not to know that it exists.
+    /// The message belongs to another tenant, so the sender of the lookup must not learn that it exists.
     OtherTenant,
-    /// It needs a key.
+    /// The lookup needs a tenant key.
     KeyNeeded,
 }
 
-impl Asker {
-    /// Whether this asker may be told of a message of this tenant.
+impl Requester {
+    /// Decides whether this sender may look up a message of the given tenant.
     pub fn access_to(&self, tenant: Option<&str>) -> Access {
         match (self, tenant) {
-            (Asker::Anyone, _) | (_, None) => Access::Granted,
-            (Asker::Tenant(own), Some(tenant)) if own == tenant => Access::Granted,
-            (Asker::Tenant(_), Some(_)) => Access::OtherTenant,
-            (Asker::WithoutKey, Some(_)) => Access::KeyNeeded,
+            (Requester::Anyone, _) | (_, None) => Access::Granted,
+            (Requester::Tenant(own), Some(tenant)) if own == tenant => Access::Granted,
+            (Requester::Tenant(_), Some(_)) => Access::OtherTenant,
+            (Requester::WithoutKey, Some(_)) => Access::KeyNeeded,
         }
     }
 }
 
-/// A client's question what became of a message.
+/// A lookup that a client waits for.
 pub struct PendingLookup {
-    /// The client's connection.
+    /// The connection of the client that sent the lookup.
     pub connection: ConnectionId,
-    /// Who asks.
-    pub asker: Asker,
-    /// The message.
+    /// The sender of the lookup.
+    pub requester: Requester,
+    /// The key of the message to look up.
     pub key: Key,
-    /// Whether its body is asked for, and not its state.
+    /// Whether the client asks for the body of the message instead of its state.
     pub include_body: bool,
-    /// The stores that have not been asked, the next one last.
+    /// The stores that have not been asked yet; the next store to ask is last.
     pub remaining_stores: Vec<Node>,
     /// The store that was asked last.
     pub asked_store: Node,
-    /// When it was asked.
+    /// When the store in `asked_store` was asked.
     pub sent_at: Millis,
-    /// When the client is answered at the latest.
+    /// When the client has to be answered at the latest.
     pub deadline: Millis,
-    /// The stores that have said that they know nothing of it.
+    /// The stores that have replied that they do not know the message.
     pub stores_without_it: Vec<Node>,
-    /// What a store said that has the message as one without an end: any other answer is better.
+    /// The reply of a store that knows the message as pending. Any other reply is preferred to it.
     pub known_as_pending: Option<KnownMessage>,
-    /// A store that may know the message could not be asked, or has not answered.
+    /// Whether a store that may know the message could not be asked or has not replied.
     pub is_inconclusive: bool,
 }
 
-/// What a store's answer leads to.
+/// The next step after a store's reply to a lookup.
 #[derive(Debug, PartialEq)]
 pub enum AfterReply {
-    /// This goes to the client.
+    /// The client is answered with what the store knows.
     Answer(KnownMessage),
-    /// Another store is asked.
+    /// The lookup goes to another store.
     AskNextStore,
-    /// Another has been asked already, and is waited for.
+    /// Another store has already been asked, and its reply is awaited.
     KeepWaiting,
 }
 
 impl PendingLookup {
-    /// A store says what it knows of the message.
+    /// Records a store's reply to the lookup, and returns the next step.
     pub fn replied(&mut self, store: Node, result: Option<KnownMessage>) -> AfterReply {
         let next = if self.asked_store == store { AfterReply::AskNextStore } else { AfterReply::KeepWaiting };
         match result {
-            // Only the store that accepted the message is believed that it has not ended: others may not have heard of the end.
+            // Only the store that accepted a message is a reliable source for its pending state: other stores may not
+            // have been notified of its end.
             Some(known @ KnownMessage { status: MessageStatus::Pending, .. }) if store != self.key.origin => {
                 self.known_as_pending = Some(known);
                 next
--- a/crates/server/src/edge/pending/tests.rs
+++ b/crates/server/src/edge/pending/tests.rs
@@ -26,7 +26,7 @@
 fn lookup_at(asked_store: Node) -> PendingLookup {
     PendingLookup {
         connection: 0,
-        asker: Asker::Anyone,
+        requester: Requester::Anyone,
         key: Key { origin: ORIGIN, number: 1 },
         include_body: false,
         remaining_stores: Vec::new(),
@@ -43,7 +43,7 @@
 fn a_late_reply_that_a_message_is_pending_does_not_hide_its_end() {
     let asks = lookup_at;
     let waits = || Some(KnownMessage { status: MessageStatus::Pending, body: None, tenant: None });
-    // The first was given up, and the second, asked since, knows the end.
+    // The edge stopped waiting for the first store; the second, asked after it, knows that the message has ended.
     let mut lookup = asks(SECOND);
     assert_eq!(lookup.replied(FIRST, waits()), AfterReply::KeepWaiting);
     assert_eq!(lookup.known_as_pending, waits());
@@ -53,7 +53,8 @@
         lookup.replied(SECOND, end),
         AfterReply::Answer(KnownMessage { status: MessageStatus::Failed, body: None, tenant: None })
     );
-    // The one that is asked leads on to the next, and the owner is believed at once.
+    // A pending reply of the store that was asked leads to the next store; a pending reply of the message's owner is
+    // final.
     assert_eq!(asks(FIRST).replied(FIRST, waits()), AfterReply::AskNextStore);
     assert_eq!(asks(FIRST).replied(FIRST, None), AfterReply::AskNextStore);
     assert_matches!(asks(SECOND).replied(ORIGIN, waits()), AfterReply::Answer(_));
@@ -77,12 +78,12 @@
 
 #[test]
 fn a_tenant_is_told_of_its_own_messages_and_of_nobody_s() {
-    let tenant = Asker::Tenant("ferry".into());
+    let tenant = Requester::Tenant("ferry".into());
     assert_eq!(tenant.access_to(Some("ferry")), Access::Granted);
     assert_eq!(tenant.access_to(Some("lugger")), Access::OtherTenant);
-    assert_eq!(Asker::WithoutKey.access_to(Some("ferry")), Access::KeyNeeded);
-    assert_eq!(Asker::Anyone.access_to(Some("ferry")), Access::Granted);
-    for asker in [tenant, Asker::WithoutKey, Asker::Anyone] {
-        assert_eq!(asker.access_to(None), Access::Granted, "{asker:?}");
+    assert_eq!(Requester::WithoutKey.access_to(Some("ferry")), Access::KeyNeeded);
+    assert_eq!(Requester::Anyone.access_to(Some("ferry")), Access::Granted);
+    for requester in [tenant, Requester::WithoutKey, Requester::Anyone] {
+        assert_eq!(requester.access_to(None), Access::Granted, "{requester:?}");
     }
 }
--- a/crates/server/src/edge/report.rs
+++ b/crates/server/src/edge/report.rs
@@ -1,4 +1,4 @@
-//! What an edge tells operators: its report and its metrics.
+//! The report and the metrics of an edge, for operators.
 
 use super::Edge;
 use crate::inspection::Inspect;
--- a/crates/server/src/edge/revocation.rs
+++ b/crates/server/src/edge/revocation.rs
@@ -1,15 +1,17 @@
-//! Keys that are taken away. An edge that is cut off from the control nodes doesn't hear of it, so it accepts requests with keys only
-//! while it can know that no key was taken away longer ago than the deployment allows.
+//! Revocation of tenant keys. An edge that is partitioned from the control nodes does not receive revocations, so it
+//! accepts requests with keys only while any revocation that it may have missed is more recent than the deployment's
+//! bound.
 
 use crate::net::Millis;
 use stileroute_config::TimeBounds;
 
-/// Part of the time within which a key's end is in force that is left to the control nodes: between the acknowledgement of a
-/// configuration and its arrival at the one that this edge asks, which counts as in contact meanwhile.
+/// Part of the revocation bound, in ms, that is reserved for the control nodes: the time from the acknowledgement of
+/// a configuration until it reaches the control node that this edge polls, which counts as in contact during that
+/// time.
 const CONTROL_GROUP_DELAY_MS: Millis = 1000;
 
-/// Whether requests with keys may be accepted. `contact_at` is when the control nodes that this edge has heard last knew that they were
-/// not cut off themselves; `None` if it has heard none that was.
+/// Whether requests with keys may be accepted. `contact_at` is the latest time at which a control node that this edge
+/// polled knew that it was not partitioned from its peers; `None` if there has been no such control node.
 pub fn are_keys_current(bounds: &TimeBounds, contact_at: Option<Millis>, now: Millis) -> bool {
     if !bounds.revokes_everywhere {
         return true;
--- a/crates/server/src/edge/submissions.rs
+++ b/crates/server/src/edge/submissions.rs
@@ -1,4 +1,5 @@
-//! Accepting messages: each is offered to one store after another until one has it, and only then its client is told so.
+//! Submission of messages: the edge offers each message to one store after another, and acknowledges it to the client
+//! only after a store has accepted it.
 
 use super::authentication::{authenticate, AuthenticationError};
 use super::pending::{AfterRejection, PendingSubmission};
@@ -12,27 +13,30 @@
     preferred_store, preferred_store_of_shard, IdempotencyDigest, Key, Message, Node, PutError,
 };
 
-/// A store that did not answer gets messages only after the others for so long, in ms, and none before it is heard again.
+/// Time in ms during which a store that did not answer is tried only after the other stores; while it stays silent it
+/// gets no messages at all.
 const UNRESPONSIVE_PENALTY_MS: Millis = 1500;
-/// A store that comes back within so long, in ms, learns which messages other stores keep in its place.
+/// Lifetime in ms of a superseded notice: a store that reconnects within this time learns which messages other stores
+/// keep in its place.
 const SUPERSEDED_NOTICE_LIFETIME_MS: Millis = 120_000;
-/// Messages that wait for a store at most; and notices that are kept at most.
+/// Most messages that may wait for a store at once, and most superseded notices that are kept.
 const MAX_PENDING_SUBMISSIONS: usize = 4000;
 /// Longest request id, in bytes.
 const MAX_REQUEST_ID_BYTES: usize = 256;
 /// Longest idempotency key, in bytes.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 1024;
-/// Stores that are asked for a message with an idempotency key at most: each claims the shard of the key for itself.
+/// Most stores that are tried for one message with an idempotency key, since each store tried claims the shard of the
+/// key for itself.
 const MAX_STORES_FOR_KEY: usize = 3;
-/// How long a client waits that does not say so, in ms.
+/// Time in ms that a client is assumed to wait if its request does not state a time-out.
 const DEFAULT_CLIENT_TIMEOUT_MS: Millis = 4000;
-/// What a client may say of that is limited to this, in ms.
-const CLIENT_TIMEOUTS_MS: (Millis, Millis) = (50, 10_000);
-/// A client whose message was not accepted may come back after so long.
+/// Lower and upper limit in ms for the time-out that a client may state.
+const CLIENT_TIMEOUT_RANGE_MS: (Millis, Millis) = (50, 10_000);
+/// Value of `Retry-After`, in seconds, for a message that was not accepted.
 const RETRY_AFTER_S: u64 = 1;
 
 impl Edge {
-    /// A request of a client that is to become a message.
+    /// Checks a client's request and submits it as a message.
     pub(super) fn accept(&mut self, connection: ConnectionId, request: Request) {
         self.counts.with_key += u64::from(request.authorization.is_some());
         self.counts.with_idempotency_key += u64::from(request.idempotency_key.is_some());
@@ -61,7 +65,7 @@
             return self.answer(connection, Response::retry_after(503, RETRY_AFTER_S));
         }
         let now = self.runtime.net.now();
-        let (shortest, longest) = CLIENT_TIMEOUTS_MS;
+        let (shortest, longest) = CLIENT_TIMEOUT_RANGE_MS;
         let timeout_ms = request.time_left_ms.unwrap_or(DEFAULT_CLIENT_TIMEOUT_MS).clamp(shortest, longest);
         let submission = PendingSubmission {
             connection,
@@ -75,7 +79,7 @@
         self.submit(request_id, submission);
     }
 
-    /// Offers a message to the next store. Where there is none left, the client is answered.
+    /// Offers a message to the next store, or answers the client if no store is left.
     fn submit(&mut self, request_id: u64, mut submission: PendingSubmission) {
         let now = self.runtime.net.now();
         match self.choose_store(&submission.tried_stores, &submission.message) {
@@ -91,7 +95,7 @@
                 self.timeouts.insert((timeout_at, request_id));
                 self.submissions.insert(request_id, submission);
             }
-            // No store has it: with a 503 the client may rely on that, and come back.
+            // No store has kept the message. A 503 assures the client of that, so that it may safely retry.
             None if !submission.may_be_kept => {
                 self.counts.rejected += 1;
                 self.answer(submission.connection, Response::retry_after(503, RETRY_AFTER_S));
@@ -104,9 +108,10 @@
         }
     }
 
-    /// The next store for a message: of the own zone before the region before others, those that answer before those that did
-    /// not. Stores that are alike take turns; messages of one ordering key, and those of one shard of idempotency keys, go to the same
-    /// store while it is there.
+    /// Chooses the next store for a message. Stores in the edge's own zone come before those in its region, and those
+    /// before others; responsive stores come before unresponsive ones. Equal stores are used in rotation, but
+    /// messages with the same ordering key, and those with idempotency keys of the same shard, go to the same store
+    /// while it is connected.
     fn choose_store(&mut self, tried: &[Node], message: &Message) -> Option<Node> {
         let shard = message.idempotency_digest().map(IdempotencyDigest::shard);
         if shard.is_some() && tried.len() >= MAX_STORES_FOR_KEY {
@@ -140,7 +145,8 @@
         Some(stores[self.round_robin % alike].2)
     }
 
-    /// Whether nothing has been heard of a store since it did not answer: what is sent there now would only be in doubt later.
+    /// Whether a store has been silent since it failed to answer. The outcome of a message sent to such a store would
+    /// only become unknown.
     fn is_silent(&self, store: Node) -> bool {
         let last_heard_at = self.runtime.links.last_heard_at(store);
         self.unresponsive_since
@@ -148,8 +154,9 @@
             .is_some_and(|since| last_heard_at.is_none_or(|heard_at| heard_at <= *since))
     }
 
-    /// Tells all stores which of several copies of a message is kept, or that none is. Of one with an idempotency key there is one at
-    /// most, and that one may have been accepted: it is left to the stores.
+    /// Notifies all stores which of several copies of a resubmitted message is kept, or that none is. A message with
+    /// an idempotency key has at most one copy, which may have been accepted, so the edge sends no notice for it and
+    /// leaves it to the stores.
     fn announce_kept(&mut self, submission: &PendingSubmission, kept: Option<Key>) {
         if submission.message.idempotency_key.is_some() {
             return;
@@ -169,7 +176,7 @@
         }
     }
 
-    /// A store has accepted a message or not.
+    /// Handles a store's reply to a submission.
     pub(super) fn submission_answered(
         &mut self,
         store: Node,
@@ -178,7 +185,7 @@
     ) {
         match result {
             Ok(message_id) => self.submission_accepted(request_id, message_id),
-            // Another store would say the same.
+            // The quota is the same at every store, so no other store is tried.
             Err(PutError::QuotaExceeded) => self.answer_over_quota(request_id, 429),
             Err(PutError::QuotaUnknown) => self.answer_over_quota(request_id, 503),
             Err(error) => {
@@ -190,7 +197,8 @@
         }
     }
 
-    /// The tenant's quota doesn't allow a message now. If an earlier store may have accepted it nothing is promised.
+    /// Answers that the tenant's quota does not allow a message now. If an earlier store may have accepted the
+    /// message, the answer leaves the outcome open.
     fn answer_over_quota(&mut self, request_id: u64, status: u16) {
         let Some(submission) = self.submissions.remove(&request_id) else { return };
         if submission.may_be_kept {
@@ -217,7 +225,7 @@
         }
     }
 
-    /// A store is gone: what was sent to it last goes to the next one.
+    /// Offers the messages last sent to a store whose connection was lost to the next store.
     pub(super) fn resubmit_after_loss(&mut self, lost: Node) {
         let submissions = self.submissions.iter();
         let affected = submissions.filter(|(_, submission)| submission.tried_stores.last() == Some(&lost));
@@ -230,7 +238,8 @@
         }
     }
 
-    /// A store may have been given too little time yet, for it has been heard since; else the next store gets the message.
+    /// Handles a time-out of a submission: a store that has been heard since the message was sent may get more time;
+    /// otherwise the next store is tried.
     pub(super) fn submission_timeout(&mut self, request_id: u64) {
         let now = self.runtime.net.now();
         let Some(submission) = self.submissions.get(&request_id) else { return };
@@ -245,7 +254,8 @@
         }
         let Some(mut submission) = self.submissions.remove(&request_id) else { return };
         if let Some(store) = store {
-            // Silent since the message was sent: then anything heard since counts.
+            // A silent store is marked from the time at which the message was sent, so that anything it sends later
+            // counts as a sign of life.
             self.unresponsive_since.insert(store, if is_heard { now } else { sent_at });
         }
         submission.may_be_kept = true;
@@ -258,7 +268,7 @@
     }
 }
 
-/// Whether a request has what a message needs.
+/// Whether a request has everything that a message needs.
 fn is_valid(request: &Request) -> bool {
     let id_length = request.request_id.len();
     let has_valid_url = request.callback_url.as_deref().is_none_or(|url| parse_callback_url(url).is_some());
@@ -267,7 +277,7 @@
     (1..=MAX_REQUEST_ID_BYTES).contains(&id_length) && has_valid_key && has_valid_url
 }
 
-/// The tenant that sends a request on a route; none where the configuration names no tenants, or on a public route.
+/// Authenticates a request on a route. Returns no tenant if the configuration names none or the route is public.
 fn authenticate_on<'config>(
     route: &Route,
     config: &'config Config,
