--- a/crates/server/src/calls.rs
+++ b/crates/server/src/calls.rs
@@ -1,47 +1,48 @@
-//! The HTTP calls of executors and operators to a control node: what each one accepts, and the answers it can have.
+//! The HTTP calls of executors and operators to a control node: the requests that each call accepts, and its possible
+//! answers.
 //!
-//! A call is a type that implements [`Call`]; its answers are an enum that converts into a [`Response`]. The exact texts,
-//! statuses and accepted bodies are pinned by the unit tests.
+//! A call is a type that implements [`Call`]; its answers are an enum that converts into a [`Response`]. The unit
+//! tests pin the exact texts, statuses and accepted bodies.
 
 use crate::net::{Request, Response};
 use jzon::JsonValue;
 use std::fmt::Display;
 use std::net::SocketAddrV4;
 
-/// Longest JSON body of a call; only a configuration may be longer.
+/// Longest JSON body of a call, in bytes; only a configuration may be longer.
 const MAX_JSON_BODY_BYTES: usize = 64 << 10;
-/// Longest identifier of an executor.
+/// Longest identifier of an executor, in bytes.
 const MAX_EXECUTOR_ID_BYTES: usize = 128;
-/// Most requests that an executor may say it works on at once.
+/// Highest number of concurrent requests that an executor may declare as its capacity.
 const MAX_EXECUTOR_CAPACITY: u64 = 100_000;
-/// Numbers in a body have to be below this, so that they are exact as `f64`.
-const NUMBER_LIMIT: f64 = 1e15;
+/// Numbers in a JSON body have to be below this limit, so that they are exact as `f64`.
+const JSON_NUMBER_LIMIT: f64 = 1e15;
 
-/// Why the body of a call is rejected. Its text is the answer's `error`, and begins with the key that is at fault.
+/// Why the body of a call is rejected. The error text becomes the answer's `error`, and begins with the faulty key.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidCall {
-    /// The body is longer than any JSON body of a call may be.
+    /// The body is longer than the limit for JSON bodies of calls.
     #[error("body: over 64 KiB")]
     TooLong,
-    /// The body is no text.
+    /// The body is not UTF-8 text.
     #[error("body: not UTF-8")]
     NotUtf8,
-    /// The body is no JSON.
+    /// The body is not valid JSON.
     #[error("body: {0}")]
     NotJson(#[from] jzon::Error),
-    /// The body is JSON, but no object.
+    /// The body is valid JSON but not an object.
     #[error("body: no object")]
     NotAnObject,
-    /// A key that must hold a string is missing or holds something else.
+    /// A key that must hold a string is missing or holds another type.
     #[error("{key}: no text")]
     NotText {
-        /// The key.
+        /// The faulty key.
         key: &'static str,
     },
-    /// A key holds something other than a number that is not negative and below 10^15.
+    /// A key holds something other than a non-negative number below 10^15.
     #[error("{key}: no number")]
     NotNumber {
-        /// The key.
+        /// The faulty key.
         key: &'static str,
     },
     /// The executor's identifier is too long.
@@ -50,48 +51,49 @@
     /// The executor's address is not of the form `10.0.0.4:8080`.
     #[error("address: {0:?} is no IPv4 address and port")]
     InvalidAddress(String),
-    /// The executor's state has no meaning.
+    /// The executor's state is not one of the known states.
     #[error("state: {0:?} is neither serving nor draining")]
     UnknownState(String),
-    /// The body is no valid configuration; the text has one line for each fault.
+    /// The body is not a valid configuration; the error text has one line for each fault.
     #[error("{0}")]
     InvalidConfig(stileroute_config::ConfigError),
 }
 
-/// A call that can be parsed from a request.
+/// A call that can be parsed from an HTTP request.
 pub trait Call: Sized {
-    /// What the call can be answered with.
+    /// The possible answers to the call.
     type Reply: Into<Response>;
     /// The HTTP method.
     const METHOD: &'static str;
     /// The path, with `*` for the one segment that names an executor or a store.
     const PATH: &'static str;
-    /// Longest body; a longer one is answered with 413.
+    /// Longest body of the call, in bytes; a longer body is answered with 413.
     const MAX_BODY_BYTES: usize = usize::MAX;
-    /// Parses the call. `name` is the path's segment at the `*`, or empty if the path has none.
+    /// Parses the call. `name` is the segment of the path at the `*`, or empty if the path has no `*`.
     ///
     /// # Errors
     ///
-    /// The first fault of the body.
+    /// Returns the first fault of the body.
     fn parse(name: &str, body: &[u8]) -> Result<Self, InvalidCall>;
 }
 
-/// Who decides a call.
+/// A component that executes calls of one type.
 pub trait CallHandler<C: Call> {
-    /// Decides the call. `None`: the answer follows later, and is then given under `call_id`.
+    /// Executes the call. Returns `None` if the answer follows later; it is then given under `call_id`.
     fn handle_call(&mut self, call_id: u64, call: C) -> Option<C::Reply>;
 }
 
-/// What [`dispatch`] made of a request.
+/// The result of [`dispatch`] for a request that is a call.
 #[derive(Debug)]
 pub enum Dispatched {
-    /// The answer is known.
+    /// The call has been answered.
     Answered(Response),
-    /// The handler has the call, and answers later.
+    /// The handler has accepted the call and will answer it later.
     Pending,
 }
 
-/// Hands the request to the handler if it is a call of the type `C`. `None`: it is another call, or none.
+/// Passes the request to the handler if it is a call of type `C`. Returns `None` if the request is another call or no
+/// call at all.
 pub fn dispatch<C: Call, H: CallHandler<C>>(
     handler: &mut H,
     call_id: u64,
@@ -115,8 +117,8 @@
     })
 }
 
-/// Compares a request's target, without its query, with a pattern. Gives the segment at the `*`, or an empty text if the
-/// pattern has none; `None` if they do not match.
+/// Compares a request's target, without its query, with a path pattern. Returns the segment at the `*`, or an empty
+/// text if the pattern has no `*`; `None` if the target does not match.
 fn match_path<'a>(pattern: &str, target: &'a str) -> Option<&'a str> {
     let path = target.split('?').next().unwrap_or_default();
     let Some((before, after)) = pattern.split_once('*') else {
@@ -126,12 +128,12 @@
     (!name.is_empty() && !name.contains('/')).then_some(name)
 }
 
-/// An answer whose body is `{"error": ...}`.
+/// Builds an answer whose body is `{"error": ...}`.
 pub fn error_response(status: u16, error: impl Display) -> Response {
     Response::json(status, jzon::object! { "error" => error.to_string() }.dump())
 }
 
-/// A 503 for what may succeed a second later.
+/// Builds a 503 answer for a call that may succeed if it is repeated a second later.
 fn unavailable(error: &str) -> Response {
     Response { headers: vec![("Retry-After", "1".to_string())], ..error_response(503, error) }
 }
@@ -153,17 +155,17 @@
     object[key].as_str().map(str::to_string).ok_or(InvalidCall::NotText { key })
 }
 
-/// The number at a key, rounded down; 0 if the key is missing.
+/// Reads the number at a key, rounded down; 0 if the key is missing.
 fn number_at(object: &JsonValue, key: &'static str) -> Result<u64, InvalidCall> {
     let value = &object[key];
     if value.is_null() {
         return Ok(0);
     }
-    let number = value.as_f64().filter(|number| *number >= 0.0 && *number < NUMBER_LIMIT);
+    let number = value.as_f64().filter(|number| *number >= 0.0 && *number < JSON_NUMBER_LIMIT);
     number.map(|number| number as u64).ok_or(InvalidCall::NotNumber { key })
 }
 
-/// The answer to a call that has nothing to say but that it was accepted: 200 with an empty object.
+/// The answer to a call that only has to be acknowledged: 200 with an empty object.
 pub struct Acknowledged;
 impl From<Acknowledged> for Response {
     fn from(_: Acknowledged) -> Response {
@@ -174,32 +176,34 @@
 /// An executor's heartbeat.
 #[derive(Debug)]
 pub struct HeartbeatCall {
-    /// Unique to one start of the executor.
+    /// Identifier that is unique to one start of the executor.
     pub id: String,
-    /// The service that it executes requests of.
+    /// The backend service whose requests the executor processes.
     pub backend: String,
-    /// Where it takes requests.
+    /// The address at which the executor accepts requests.
     pub address: SocketAddrV4,
-    /// The failure domain that it runs in; empty if it did not say.
+    /// The executor's failure domain; empty if the heartbeat does not state it.
     pub zone: String,
-    /// Requests that it works on at once: from 1 to 100,000.
+    /// Number of requests that the executor processes concurrently: from 1 to 100,000.
     pub capacity: u32,
-    /// It finishes what it has and takes nothing new.
+    /// Whether the executor is draining: it finishes its requests in flight and accepts no new ones.
     pub is_draining: bool,
-    /// For so long it is still warming up (`cold_left_ms` in the body).
+    /// Remaining warm-up time of the executor in ms (`cold_left_ms` in the body).
     pub warmup_left_ms: u64,
-    /// Rises with each heartbeat of this executor (`call_count` in the body).
+    /// Sequence number that rises with each heartbeat of this executor (`call_count` in the body).
     pub sequence: u64,
 }
 
-/// The answer to a heartbeat.
+/// The answer to an executor's heartbeat.
 pub enum HeartbeatReply {
-    /// It is recorded, and the other control nodes learn of it.
+    /// The heartbeat is recorded, and the other control nodes will receive it.
     Recorded {
-        /// A control node in the executor's own zone, as address and port, if it should send its heartbeats there.
+        /// Address and port of a control node in the executor's own zone, if the executor should send its heartbeats
+        /// there.
         heartbeat_url: Option<String>,
     },
-    /// This control node can't tell the others: the executor is to send its heartbeat to another one as well.
+    /// This control node is partitioned from its peers, so the executor has to send its heartbeat to another one as
+    /// well.
     Partitioned,
 }
 impl From<HeartbeatReply> for Response {
@@ -220,7 +224,8 @@
     const PATH: &'static str = "/v1/servers/*/heartbeat";
     fn parse(name: &str, body: &[u8]) -> Result<HeartbeatCall, InvalidCall> {
         let object = parse_object(body)?;
-        // In this order: a body with several faults is answered with the same one as ever.
+        // The order of these checks is fixed, so that a body with several faults gets the same error as in earlier
+        // releases.
         let address = text_at(&object, "address")?;
         let state = text_at(&object, "state")?;
         if name.len() > MAX_EXECUTOR_ID_BYTES {
@@ -247,18 +252,18 @@
     }
 }
 
-/// An executor says that it shuts down.
+/// An executor's notice that it shuts down.
 #[derive(Debug)]
 pub struct LeaveCall {
-    /// The executor.
+    /// Identifier of the executor that shuts down.
     pub id: String,
 }
 
 /// The answer to [`LeaveCall`].
 pub enum LeaveReply {
-    /// It is recorded, and the other control nodes learn of it.
+    /// The shutdown is recorded, and the other control nodes will receive it.
     Recorded,
-    /// This control node can't tell the others: the executor is to call another one.
+    /// This control node is partitioned from its peers, so the executor has to call another one.
     Partitioned,
 }
 impl From<LeaveReply> for Response {
@@ -279,48 +284,50 @@
     }
 }
 
-/// Longest configuration in bytes: some 16,000 routes. It is copied in one piece to all control nodes and to each edge and
-/// store, so this is well below the longest record on disk and the longest frame between processes.
+/// Longest configuration in bytes, enough for some 16,000 routes. A configuration is sent in one piece to all control
+/// nodes and to each edge and store, so this limit is well below the longest record on disk and the longest frame
+/// between processes.
 pub const LARGEST_CONFIGURATION: usize = 4 << 20;
 
-/// Operators put another configuration in force.
+/// An operator's call that puts another configuration in force.
 #[derive(Debug)]
 pub struct ReplaceConfig {
-    /// The configuration, as it was sent; it is valid.
+    /// The valid configuration, byte for byte as it was sent.
     pub body: Vec<u8>,
-    /// The revision that it names.
+    /// The revision that the configuration states.
     pub version: u64,
 }
 
-/// The configuration in force at the time when a change is acknowledged.
+/// The configuration that is in force when a change is acknowledged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ActiveConfig {
-    /// The revision that it names.
+    /// The revision that the configuration states.
     pub revision: u64,
-    /// The [`content_digest`] of the whole body, as it was sent.
+    /// The [`content_digest`] of the whole configuration, as it was sent.
     pub digest: String,
-    /// It is the one that was sent, byte for byte: another one may be in force under the same revision.
+    /// Whether the configuration in force is byte for byte the one that was sent; another one may be in force under
+    /// the same revision.
     pub is_requested_one: bool,
 }
 impl ActiveConfig {
-    /// Describes the configuration `body`.
+    /// Describes the configuration with the given `body`.
     pub fn new(revision: u64, body: &[u8], is_requested_one: bool) -> ActiveConfig {
         ActiveConfig { revision, digest: content_digest(body), is_requested_one }
     }
 }
 
-/// Identifies a configuration's content, for operators to compare: BLAKE3, in hexadecimal.
+/// Returns the BLAKE3 hash of a configuration in hexadecimal, by which operators can compare configurations.
 pub fn content_digest(body: &[u8]) -> String {
     blake3::hash(body).to_hex().to_string()
 }
 
 /// The answer to [`ReplaceConfig`].
 pub enum ReplaceOutcome {
-    /// The call is decided: this configuration is in force.
+    /// The call is decided, and this configuration is in force.
     Active(ActiveConfig),
-    /// The new configuration may be in force or come in force; to send it again is harmless.
+    /// The new configuration may be in force or may still come into force; sending it again is harmless.
     Uncertain,
-    /// No primary can decide it now; nothing has changed.
+    /// No primary is available to decide the call, and nothing has changed.
     Unavailable,
 }
 impl From<ReplaceOutcome> for Response {
@@ -352,17 +359,17 @@
     }
 }
 
-/// Operators read the configuration in force.
+/// An operator's call that reads the configuration in force.
 #[derive(Debug)]
 pub struct ReadConfig;
 
 /// The answer to [`ReadConfig`].
 pub enum ReadConfigReply {
-    /// The configuration in force, as it was sent.
+    /// The configuration in force, byte for byte as it was sent.
     Active(Vec<u8>),
-    /// There is no configuration yet.
+    /// No configuration has been set yet.
     Missing,
-    /// No primary can answer now.
+    /// No primary is available to answer the call.
     Unavailable,
 }
 impl From<ReadConfigReply> for Response {
@@ -385,28 +392,29 @@
     }
 }
 
-/// Operators order the retirement of a store.
+/// An operator's call that orders the retirement of a store.
 #[derive(Debug)]
 pub struct BeginRetirement {
-    /// The store's name.
+    /// Name of the store to retire.
     pub node: String,
 }
 
-/// Warns an operator who has taken the last spare store away.
-const NO_SPARE_STORE: &str = "no spare store is left: the loss of another stops intake";
+/// Warning in the answer to an operator whose order leaves no spare store.
+const NO_SPARE_STORE_WARNING: &str = "no spare store is left: the loss of another stops intake";
 
 /// The answer to [`BeginRetirement`].
 pub enum BeginRetirementReply {
-    /// No store of this name is a member.
+    /// No store of this name is in the membership.
     UnknownStore,
-    /// The stores that stay could not bear the losses that the settings name.
+    /// The remaining stores could not tolerate the losses that the settings name.
     TooFewStores,
-    /// The store has the order on its disk.
+    /// The store has recorded the order on its disk.
     Accepted {
-        /// How many further stores may be lost while messages are still accepted.
+        /// Number of further stores that may be lost while messages are still accepted.
         spare_stores: usize,
     },
-    /// No primary can decide it now, or the store has not confirmed it; to send it again is harmless.
+    /// No primary is available to decide the call, or the store has not confirmed the order; sending the order again
+    /// is harmless.
     Unavailable,
 }
 impl From<BeginRetirementReply> for Response {
@@ -417,7 +425,7 @@
             BeginRetirementReply::Accepted { spare_stores } => {
                 let mut body = jzon::object! { "spare_stores" => spare_stores };
                 if spare_stores == 0 {
-                    body["warning"] = NO_SPARE_STORE.into();
+                    body["warning"] = NO_SPARE_STORE_WARNING.into();
                 }
                 Response::json(200, body.dump())
             }
@@ -434,22 +442,22 @@
     }
 }
 
-/// Operators ask how far the retirement of a store has come.
+/// An operator's call that reads the progress of a store's retirement.
 pub struct ReadRetirement {
-    /// The store's name.
+    /// Name of the retiring store.
     pub node: String,
 }
 
 /// The answer to [`ReadRetirement`].
 #[derive(Debug)]
 pub enum RetirementProgress {
-    /// There is no such store, or no order to retire it.
+    /// No such store exists, or there is no order to retire it.
     UnknownStore,
-    /// The store is handing its messages to others.
+    /// The store is transferring its messages to other stores.
     Draining,
-    /// The store holds nothing any more and may be switched off.
+    /// The store holds no messages any more and may be switched off.
     Complete,
-    /// No primary can answer now.
+    /// No primary is available to answer the call.
     Unavailable,
 }
 impl From<RetirementProgress> for Response {
--- a/crates/server/src/calls/tests.rs
+++ b/crates/server/src/calls/tests.rs
@@ -4,7 +4,7 @@
 const HEARTBEAT: &str = r#"{"backend":"crane","address":"10.0.0.9:8080","zone":"z","revision":"v1","capacity":4,
     "state":"draining","cold_left_ms":70.5,"call_count":9,"more":[]}"#;
 
-/// Records what it was asked; answers heartbeats, and nothing else at once.
+/// Records the calls that it receives. It answers heartbeats at once and leaves every other call pending.
 #[derive(Default)]
 struct TestHandler(Vec<String>);
 impl CallHandler<HeartbeatCall> for TestHandler {
@@ -56,7 +56,7 @@
     assert_matches!(HeartbeatCall::parse(&"i".repeat(129), HEARTBEAT.as_bytes()), Err(e) if e.to_string().starts_with("id: "));
     assert_matches!(HeartbeatCall::parse("i", &[b' '; 65 << 10]), Err(e) if e.to_string().starts_with("body: over"));
     assert_matches!(HeartbeatCall::parse("i", b"\xff"), Err(e) if e.to_string() == "body: not UTF-8");
-    // A capacity that is left out or nought is one slot.
+    // A capacity that is missing or 0 counts as one slot.
     let none = HEARTBEAT.replace("\"capacity\":4,", "");
     assert_matches!(HeartbeatCall::parse("i", none.as_bytes()), Ok(HeartbeatCall { capacity: 1, .. }));
 }
@@ -115,7 +115,8 @@
     }
 }
 
-/// An answer as it goes out: status, headers of its own, whether it is marked as JSON, whether it ends the connection, body.
+/// Formats an answer as it is sent: status, additional headers, whether it is JSON, whether it closes the connection,
+/// and body.
 fn written(response: impl Into<Response>) -> String {
     let Response { status, headers, is_json, body, close_connection } = response.into();
     let headers: Vec<String> = headers.iter().map(|(name, value)| format!("{name}: {value}")).collect();
@@ -195,7 +196,8 @@
     }
 }
 
-/// What is said at once to a request whose call is not read.
+/// Returns the immediate answer to a request, or "taken" if the handler accepted the call; `None` if the request is
+/// another call.
 fn refused<C: Call>(method: &str, target: &str, body: &[u8]) -> Option<String>
 where
     AnyCall: CallHandler<C>,
@@ -207,7 +209,7 @@
     })
 }
 
-/// Takes any call and settles none.
+/// A handler that accepts every call and leaves it pending.
 struct AnyCall;
 impl<C: Call> CallHandler<C> for AnyCall {
     fn handle_call(&mut self, _: u64, _: C) -> Option<C::Reply> {
@@ -246,7 +248,7 @@
     let long = format!("/v1/servers/{}/heartbeat", "i".repeat(129));
     let pinned = r#"400 [] true false {"error":"id: over 128 letters"}"#;
     assert_eq!(refused::<HeartbeatCall>("POST", &long, HEARTBEAT.as_bytes()).as_deref(), Some(pinned));
-    // The body is looked at before the name.
+    // The body is checked before the executor's identifier.
     let pinned = r#"400 [] true false {"error":"body: no object"}"#;
     assert_eq!(refused::<HeartbeatCall>("POST", &long, b"7").as_deref(), Some(pinned));
 }
@@ -279,7 +281,7 @@
         None,
         "another method is no call"
     );
-    // Nothing of these is read but the path, whatever the body.
+    // These calls use nothing but the path, so any body is accepted.
     assert_eq!(refused::<LeaveCall>("POST", "/v1/servers/i/leave", b"\xff").as_deref(), Some("taken"));
     assert_eq!(refused::<BeginRetirement>("POST", "/v1/retire/s-1/begin", b"\xff").as_deref(), Some("taken"));
     assert_eq!(refused::<ReadRetirement>("GET", "/v1/retire/s-1/read?x=y", b"").as_deref(), Some("taken"));
--- a/crates/server/src/control_node.rs
+++ b/crates/server/src/control_node.rs
@@ -1,5 +1,5 @@
-//! The control node: its loop, and what links, disk and control group report to it. The calls of executors and operators are
-//! in [`calls`], the retirement of stores in [`retirement`].
+//! The control node: its event loop, and the handling of events from links, disk and control group. The calls of
+//! executors and operators are in [`calls`], the retirement of stores in [`retirement`].
 
 mod calls;
 mod disk_records;
@@ -26,45 +26,49 @@
 use stileroute_registry::Registry;
 use stileroute_wal::Options;
 
-/// Name of the log and of its folder.
-const LOG_SCHEMA: &str = "watch";
-/// After so many bytes the log is replaced by a snapshot: the state is small.
-const CHECKPOINT_AFTER_BYTES: u64 = 4 << 20;
-/// Longest body of a call that is read at all; each kind of call has a lower limit of its own.
+/// Name of the control node's log and of the log's folder.
+const CONTROL_LOG_SCHEMA: &str = "watch";
+/// Log size in bytes after which the log is replaced by a snapshot; this is cheap because the state is small.
+const LOG_CHECKPOINT_THRESHOLD_BYTES: u64 = 4 << 20;
+/// Longest body of a call, in bytes, that is read at all; each kind of call has a lower limit of its own.
 const MAX_BODY_BYTES: usize = 8 << 20;
-/// A node that shuts down still takes new connections for so long.
+/// Time in ms after a shutdown request during which a control node still accepts new connections.
 const LISTEN_AFTER_SHUTDOWN_MS: Millis = 300;
-/// Between the end of this node's part in the group and the end of the process, so that its last frames go out.
-const LINGER_AFTER_HANDOVER_MS: Millis = 400;
-/// Of the grace period, what ending the process itself may take.
+/// Time in ms between the end of this node's membership in the control group and the end of the process, so that its
+/// last frames are sent.
+const EXIT_DELAY_AFTER_HANDOVER_MS: Millis = 400;
+/// Part of the shutdown grace period, in ms, that is reserved for ending the process itself.
 const SHUTDOWN_RESERVE_MS: Millis = 1500;
 
-/// A control node.
+/// A control node process.
 pub struct ControlNode {
     runtime: NodeRuntime,
-    /// The listener for calls.
+    /// The listener for calls of executors and operators.
     listener: usize,
     plane: ControlPlane,
     disk: Disk,
     calls: PendingCalls,
     notices: RetirementNotices,
     spare_store_watch: SpareStoreWatch,
-    /// Whether this node has given up its part in the group, for its machine is being retired.
+    /// Whether this node has left the control group because its machine is being retired.
     has_left_group: bool,
-    /// When the group said that this node is free to go.
+    /// When the control group reported that this node may exit.
     ready_to_exit_at: Option<Millis>,
 }
 
 impl ControlNode {
-    /// Reads the disk and opens the address for calls.
+    /// Reads the records on disk and opens the listener for calls.
     ///
     /// # Errors
     ///
-    /// Where a setting is missing, the log can't be opened, or the address is taken.
+    /// Fails if a setting is missing, the log can't be opened, or the address is in use.
     pub fn new(mut runtime: NodeRuntime) -> Result<ControlNode, StartError> {
         let missing = StartError::MissingSetting { key: "bind_addresses.control", role: "this role" };
         let address = runtime.boot.control_address.ok_or(missing)?;
-        let options = Options { checkpoint_after_bytes: CHECKPOINT_AFTER_BYTES, ..Options::new(LOG_SCHEMA) };
+        let options = Options {
+            checkpoint_after_bytes: LOG_CHECKPOINT_THRESHOLD_BYTES,
+            ..Options::new(CONTROL_LOG_SCHEMA)
+        };
         let (disk, records) = Disk::open::<DiskRecords>(&runtime, "a control node", options)?;
         let boot = &runtime.boot;
         let settings = GroupSettings {
@@ -94,7 +98,8 @@
             listener,
             plane,
             disk,
-            // Random: an answer to an earlier incarnation of this process finds no call.
+            // The first call id is random, so that an answer to an earlier incarnation of this process matches no
+            // call.
             calls: PendingCalls::new(random_seed()),
             notices: RetirementNotices::default(),
             spare_store_watch: SpareStoreWatch::default(),
@@ -103,7 +108,7 @@
         })
     }
 
-    /// Runs until the process is told to end and is done.
+    /// Runs the event loop until a shutdown was requested and is complete.
     pub fn run(mut self) {
         loop {
             let until = self.plane.next_deadline(self.runtime.net.now());
@@ -131,13 +136,14 @@
         }
     }
 
-    /// Another node has taken over, and all calls have been answered; or there is no more time.
+    /// Whether the process may exit: another node has taken over and all calls have been answered, or the grace
+    /// period is over.
     fn is_shutdown_complete(&mut self, now: Millis) -> bool {
         let Some(since) = self.runtime.draining_since else { return false };
         if now > since + LISTEN_AFTER_SHUTDOWN_MS {
             self.runtime.net.stop_listening(self.listener);
         }
-        let has_handed_over = self.ready_to_exit_at.is_some_and(|at| now > at + LINGER_AFTER_HANDOVER_MS);
+        let has_handed_over = self.ready_to_exit_at.is_some_and(|at| now > at + EXIT_DELAY_AFTER_HANDOVER_MS);
         let is_idle = self.runtime.net.requests_in_flight() == 0 && self.calls.is_empty();
         (has_handed_over && is_idle) || self.runtime.is_grace_period_over(SHUTDOWN_RESERVE_MS)
     }
@@ -158,7 +164,8 @@
             ) => self.forwarded_call_answered(from, request_id, status, body),
             LinkEvent::Down(node, NodeRole::Control) => {
                 self.plane.link_event(&self.runtime.links, now, link_event);
-                // It may have carried out what was forwarded to it.
+                // The lost control node may have carried out the calls that were forwarded to it, so their outcome is
+                // unknown.
                 for (call_id, kind) in self.calls.control_node_lost(node) {
                     self.answer_call(call_id, kind.outcome_unknown());
                 }
@@ -179,13 +186,13 @@
         let now = self.runtime.net.now();
         while let Some((ticket, result)) = self.disk.next_result() {
             if let Err(error) = &result {
-                tracing::error!(%error, "disk refuses");
+                tracing::error!(%error, "write to the control log on disk failed");
             }
             self.plane.group.persisted(now, ticket, result.is_ok());
         }
     }
 
-    /// Carries out what the control group asks for, until it asks for nothing more.
+    /// Applies the effects of the control group until there are none left.
     fn apply_group_effects(&mut self) {
         loop {
             let effects = self.plane.group.take_effects();
@@ -199,7 +206,7 @@
     fn apply_group_effect(&mut self, effect: Effect) {
         let NodeRuntime { links, net, .. } = &mut self.runtime;
         match self.plane.send(links, net, effect) {
-            // It was a frame to another control node, and is sent.
+            // A message to another control node has already been sent.
             None | Some(Effect::Send { .. }) => {}
             Some(Effect::Persist { ticket, record }) => {
                 self.disk.append(ticket, vec![disk_records::encode(&record)], true);
@@ -214,7 +221,7 @@
         }
     }
 
-    /// The replicated state changed: perhaps the configuration, perhaps which stores are retired.
+    /// Applies a change of the replicated state: the configuration or the set of retired stores may have changed.
     fn state_committed(&mut self) {
         let Some(state) = self.plane.group.committed() else { return };
         let known = self.runtime.config.as_ref().map_or(0, |config| config.revision);
--- a/crates/server/src/control_node/calls.rs
+++ b/crates/server/src/control_node/calls.rs
@@ -1,5 +1,5 @@
-//! The calls of executors and operators: those that this node can answer, it answers at once; those that only the primary can
-//! decide go to the control group, or on to the node that is primary.
+//! The calls of executors and operators. A control node answers at once the calls that it can decide itself; calls
+//! that only the primary can decide go to the control group, or are forwarded to the control node that is primary.
 
 use super::pending_calls::Origin;
 use super::ControlNode;
@@ -14,7 +14,7 @@
 use stileroute_queue::Node;
 
 impl ControlNode {
-    /// A request from outside.
+    /// Handles an HTTP request of an executor or an operator.
     pub(super) fn handle_request(&mut self, connection: ConnectionId, request: &Request) {
         let call_id = self.calls.insert(self.runtime.net.now(), Origin::Client(connection));
         let dispatched = calls::dispatch::<HeartbeatCall, _>(self, call_id, request)
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A call that another control node forwarded. `None`: the answer follows later.
+    /// Handles a call that another control node forwarded. Returns `None` if the answer follows later.
     pub(super) fn handle_forwarded(&mut self, call_id: u64, call: ForwardedCall) -> Option<Response> {
         match call {
             ForwardedCall::ReplaceConfig { body, .. } => match ReplaceConfig::parse("", &body) {
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Another control node answered a call. It counts only from the node that was asked, and only once.
+    /// Handles another control node's answer to a forwarded call. Only the first answer of the node that the call was
+    /// forwarded to counts.
     pub(super) fn forwarded_call_answered(&mut self, from: Node, call_id: u64, status: u16, body: Vec<u8>) {
         if !self.calls.is_forwarded_to(call_id, from) {
             return;
@@ -57,7 +58,7 @@
         self.answer_call(call_id, response);
     }
 
-    /// Answers a call where it came from, if it has no answer yet.
+    /// Sends the answer to the origin of a call, if the call has no answer yet.
     pub(super) fn answer_call(&mut self, call_id: u64, response: Response) {
         match self.calls.remove(call_id) {
             Some(Origin::Client(connection)) => {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Sends a call on to the primary, if that is known and connected.
+    /// Forwards a call to the primary, if the primary is known and connected.
     pub(super) fn forward(&mut self, call_id: u64, primary: Option<SocketAddrV4>) {
         let primary = primary.and_then(|address| self.runtime.links.node_at_control_address(address));
         let call = primary.and_then(|node| self.calls.forward(call_id, node));
@@ -85,14 +86,14 @@
         }
     }
 
-    /// Gives up calls whose answer the primary owes for too long.
+    /// Gives up forwarded calls whose answer from the primary is overdue.
     pub(super) fn answer_overdue_calls(&mut self, now: Millis) {
         for (call_id, kind) in self.calls.overdue(now) {
             self.answer_call(call_id, kind.outcome_unknown());
         }
     }
 
-    /// The control group decided an order.
+    /// Handles the control group's verdict on an order.
     pub(super) fn order_decided(&mut self, call_id: u64, verdict: Verdict) {
         let Some(kind) = self.calls.kind(call_id) else { return };
         match verdict {
@@ -110,7 +111,8 @@
         }
     }
 
-    /// The configuration in force as a change is acknowledged: the one that was sent, or the one that made it no change.
+    /// The configuration in force when a change is acknowledged: the one that was sent or, if the change had no
+    /// effect, the one that was already in force.
     fn replacement_outcome(&self, call_id: u64, verdict: Verdict) -> Option<ReplaceOutcome> {
         let (version, body) = self.calls.submitted_configuration(call_id)?;
         if verdict == Verdict::Accepted {
@@ -120,14 +122,14 @@
         Some(ReplaceOutcome::Active(ActiveConfig::new(state.version, &state.body, body == state.body)))
     }
 
-    /// The control group read the configuration for a call.
+    /// Answers a call with the configuration that the control group has read for it.
     pub(super) fn configuration_read(&mut self, call_id: u64, state: Option<ControlState>) {
         let reply = state.map_or(ReadConfigReply::Missing, |state| ReadConfigReply::Active(state.body));
         self.answer_call(call_id, reply.into());
     }
 
-    /// A control node in an executor's zone, if this one is in another: then heartbeats need not cross zones. An address and a
-    /// port alone, for executors do not follow a URL.
+    /// Returns a control node in the executor's zone if this node is in another zone, so that heartbeats need not
+    /// cross zones. It is an address and a port only, because executors do not follow a URL.
     fn heartbeat_url(&self, zone: &str) -> Option<String> {
         if self.runtime.boot.zone == zone {
             return None;
@@ -153,8 +155,9 @@
             age_ms: 0,
         };
         self.plane.registry.record_heartbeat(now, heartbeat);
-        // Partitioned from the other control nodes it could not tell them: the executor is to call another one as well. A node
-        // that has just started takes what is no promise.
+        // A control node that is partitioned from its peers can't pass the heartbeat on, so the executor has to call
+        // another one as well. A node that has just started still accepts a heartbeat unless it announces draining,
+        // because its answer to a draining executor is a promise.
         let is_promise = call.is_draining;
         let is_recorded =
             self.plane.group.is_in_contact(now) || (!is_promise && !self.plane.registry.is_ready());
@@ -170,7 +173,7 @@
     fn handle_call(&mut self, _: u64, call: LeaveCall) -> Option<LeaveReply> {
         let now = self.runtime.net.now();
         self.plane.registry.deregister_executor(now, &call.id);
-        // From the answer on nothing may be sent to the executor, whoever would send it.
+        // Once this call is acknowledged, no process may send the executor any more requests.
         let is_recorded = self.plane.group.is_in_contact(now);
         Some(if is_recorded { LeaveReply::Recorded } else { LeaveReply::Partitioned })
     }
--- a/crates/server/src/control_node/disk_records.rs
+++ b/crates/server/src/control_node/disk_records.rs
@@ -1,15 +1,16 @@
-//! The control node's records on disk.
+//! The records of a control node's log on disk.
 
 use stileroute_control_group::{PersistedState, Record};
 use stileroute_wal::StateMachine;
 
-/// A record as the log takes it.
+/// Encodes a record for the log.
 pub fn encode(record: &Record) -> Vec<u8> {
-    // Encoding into memory has no way to fail; a record without bytes would be reported when it is read.
+    // Encoding into memory can't fail; if it did, the empty record would be reported as undecodable when the log is
+    // read.
     postcard::to_stdvec(record).unwrap_or_default()
 }
 
-/// What all records of the log amount to.
+/// The state that results from replaying all records of the log.
 #[derive(Default)]
 pub struct DiskRecords(pub PersistedState);
 
--- a/crates/server/src/control_node/disk_records/tests.rs
+++ b/crates/server/src/control_node/disk_records/tests.rs
@@ -3,7 +3,8 @@
 use stileroute_control_group::{ControlState, Retirement, RetirementStage, MAX_RETIREMENTS};
 use stileroute_wal::MAX_RECORD_BYTES;
 
-/// The largest there is, with as many retirements as are remembered, of the longest names that are read.
+/// The largest possible state: a configuration of the maximum size, and as many retirements as are stored, with the
+/// longest accepted names.
 fn largest() -> ControlState {
     let name = |i: usize| format!("{i:0>255}");
     let retirement = |i| Retirement { node: i as u32, name: name(i), stage: RetirementStage::Complete };
@@ -18,7 +19,7 @@
     let mut records = DiskRecords::default();
     records.apply(&record);
     assert_eq!(records.0.state, Some(largest()));
-    // A checkpoint holds the same.
+    // A checkpoint restores the same state as the record.
     let mut restored = DiskRecords::default();
     records.snapshot(&mut |record| restored.apply(record));
     assert_eq!(restored.0, records.0);
--- a/crates/server/src/control_node/pending_calls/tests.rs
+++ b/crates/server/src/control_node/pending_calls/tests.rs
@@ -6,7 +6,7 @@
     ForwardedCall::BeginRetirement { node: name.to_string() }
 }
 
-/// A call of a client that was forwarded to the control node 2.
+/// A table with one client call, which was forwarded to control node 2.
 fn forwarded() -> (PendingCalls, u64) {
     let mut calls = PendingCalls::new(100);
     let call_id = calls.insert(0, CLIENT);
@@ -22,7 +22,7 @@
     assert!(!calls.is_forwarded_to(call_id, 3), "it was not asked");
     assert!(!calls.is_forwarded_to(call_id + 1, 2), "no such call");
     assert_eq!(calls.remove(call_id), Some(CLIENT));
-    // It comes again, late: its id is nobody else's by now.
+    // The answer arrives again, late: its call id must not match any later call.
     let next = calls.insert(1, Origin::Client(10));
     assert!(!calls.is_forwarded_to(call_id, 2) && !calls.is_forwarded_to(next, 2));
     assert_eq!((calls.remove(call_id), calls.remove(next)), (None, Some(Origin::Client(10))));
--- a/crates/server/src/control_node/report.rs
+++ b/crates/server/src/control_node/report.rs
@@ -1,4 +1,4 @@
-//! What a control node tells operators: its report and its metrics.
+//! The report and the metrics of a control node, for operators.
 
 use super::spare_stores::StoresInService;
 use super::ControlNode;
@@ -13,27 +13,28 @@
 use stileroute_queue::Node as NodeId;
 
 impl ControlNode {
-    /// Version of the configuration in force here; 0 where there is none.
+    /// Version of the configuration in force on this node; 0 if there is none.
     fn config_version(&self) -> u64 {
         self.plane.group.committed().map_or(0, |state| state.version)
     }
 
-    /// All nodes that this one knows, by name.
+    /// All nodes that this control node knows, by name.
     fn members_as_json(&self) -> JsonValue {
         let registry = &self.plane.registry;
         let control_nodes = registry.members().iter().filter(|member| member.role == NodeRole::Control);
         let of_peers = registry.peer_session_members();
         let own = registry.sessions().filter(|session| session.is_connected);
         let own = own.map(|session| &session.member);
-        // Own sessions last: what others said of a node may be from before it came here.
+        // This node's own sessions come last, so that they overwrite reports of other control nodes, which may be
+        // older than the session.
         let members = control_nodes.chain(of_peers).chain(own);
-        // Two roles on one machine share its name.
+        // Two roles on one machine share its name, so entries are keyed by name and process.
         let by_process = members.map(|member| ((member.name.clone(), member.node), member_as_json(member)));
         let by_process: BTreeMap<(String, NodeId), JsonValue> = by_process.collect();
         by_process.into_values().collect::<Vec<_>>().into()
     }
 
-    /// The control group as this node sees it.
+    /// The state of the control group as this node sees it.
     fn group_as_json(&self) -> JsonValue {
         let (group, now) = (&self.plane.group, self.runtime.net.now());
         let view = group.view();
--- a/crates/server/src/control_node/retirement.rs
+++ b/crates/server/src/control_node/retirement.rs
@@ -1,5 +1,5 @@
-//! Retirements: which orders are accepted, which stores are notified, and how far each one is. The replicated state remembers
-//! them; this node remembers only whom it has notified.
+//! Retirement of stores: which orders are accepted, which stores are notified, and how far each retirement has
+//! progressed. The replicated state holds the retirements; this node alone keeps only which stores it has notified.
 
 use super::ControlNode;
 use crate::calls::{BeginRetirement, BeginRetirementReply, CallHandler, ReadRetirement, RetirementProgress};
@@ -12,31 +12,31 @@
 use stileroute_queue::Node;
 use stileroute_registry::Registry;
 
-/// An order that its store has not confirmed by then is answered with 503, in ms: an operator turns to another control node
-/// after a second without an answer.
-const CONFIRMATION_TIMEOUT_MS: Millis = 900;
-/// A store that has not said that it retires is notified again after so long, in ms.
-const NOTICE_INTERVAL_MS: Millis = 500;
+/// Time in ms after which an order that its store has not confirmed is answered with 503. It is below one second,
+/// because an operator without an answer for a second turns to another control node.
+const STORE_CONFIRMATION_TIMEOUT_MS: Millis = 900;
+/// Interval in ms at which a store is notified again until it reports that it is retiring.
+const RETIREMENT_NOTICE_INTERVAL_MS: Millis = 500;
 
-/// What the primary decides on an order to retire a store.
+/// The primary's decision on an order to retire a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderDecision {
-    /// The order is proposed to the control group.
+    /// The order is valid and is proposed to the control group.
     Propose,
-    /// It was committed before: only the store's confirmation is awaited.
+    /// The order was committed earlier, and only the store's confirmation is awaited.
     AlreadyCommitted,
-    /// There is no such store.
+    /// No store of this name exists.
     UnknownStore,
-    /// Too few stores would remain to bear the losses that the settings name.
+    /// Too few stores would remain to tolerate the losses that the settings name.
     TooFewRemaining,
-    /// It can't be decided yet.
+    /// The order can't be decided yet.
     NotNow,
 }
 
-/// Decides on an order to retire the store of this name.
+/// Decides on an order to retire the store with the given name.
 ///
-/// `pending` are the stores whose orders are being committed; `suffices` says whether stores in these zones bear the losses that
-/// the settings name.
+/// `pending` are the stores whose orders are being committed; `suffices` tells whether stores in the given zones can
+/// tolerate the losses that the settings name.
 pub fn decide(
     name: &str,
     state: &ControlState,
@@ -48,7 +48,7 @@
     if state.retirement(node).is_some() {
         return OrderDecision::AlreadyCommitted;
     }
-    // A node that does not know all members yet must not reject an order for good.
+    // A control node that does not know all members yet must not reject an order permanently.
     let reject = |decision| if registry.is_ready() { decision } else { OrderDecision::NotNow };
     let Some(store) = registry.store_named(name) else { return reject(OrderDecision::UnknownStore) };
     if store.retirement != RetirementState::NotRetiring {
@@ -59,19 +59,20 @@
         let remaining = registry.stores_remaining_without(retires);
         suffices(&remaining.map(|member| member.zone.as_str()).collect::<Vec<_>>())
     };
-    // Every message lies on so many stores: with just as many left, none could be accepted while one of them is away.
+    // Every message is replicated to a fixed number of stores. If only that many stores remained, no message could be
+    // accepted while one of them is down.
     if !suffices_without(&is_committed) {
         return reject(OrderDecision::TooFewRemaining);
     }
-    // Orders that are being committed may yet fail.
+    // Orders that are being committed may still fail, so they only postpone the decision.
     if !suffices_without(&|other| is_committed(other) || pending.contains(&other)) {
         return OrderDecision::NotNow;
     }
     OrderDecision::Propose
 }
 
-/// How far a retirement is, by the replicated state and by what the store itself says. It is complete only when both say so: a
-/// new machine of the same name, which is told to retire as well, may hold messages.
+/// The progress of a retirement, by the replicated state and the store's own report. The retirement is complete only
+/// when both say so, because a new machine of the same name, which is notified to retire as well, may hold messages.
 pub fn progress(
     name: &str,
     committed: Option<&ControlState>,
@@ -85,7 +86,7 @@
     })
 }
 
-/// The stage that a store's own word stands for.
+/// The retirement stage that corresponds to a store's own report.
 fn reported_stage(reported: RetirementState) -> Option<RetirementStage> {
     match reported {
         RetirementState::NotRetiring => None,
@@ -94,25 +95,27 @@
     }
 }
 
-/// Whether the loss of a machine would leave the control group with less than it is meant to tolerate: one of an even number of
-/// voters runs on it. The group removes that voter by the next change; an odd number has a voter to spare.
+/// Whether losing a machine would leave the control group with a lower fault tolerance than intended: this is so if
+/// one of an even number of voters runs on the machine. The group removes that voter by its next change; with an odd
+/// number of voters it can spare one.
 fn is_voter_needed(voters: &[SocketAddrV4], machine: Ipv4Addr) -> bool {
     voters.len().is_multiple_of(2) && voters.iter().any(|voter| *voter.ip() == machine)
 }
 
-/// Whether the voters that stay without a machine still have a majority after so many losses.
+/// Whether the voters that remain without a machine would still have a majority after `tolerated_losses` further
+/// losses.
 fn are_voters_sufficient(voters: &[SocketAddrV4], machine: Ipv4Addr, tolerated_losses: usize) -> bool {
     let remaining = voters.iter().filter(|voter| *voter.ip() != machine).count();
     remaining == voters.len() || remaining > 2 * tolerated_losses
 }
 
-/// When each store was last notified of its retirement.
+/// The time at which each store was last notified of its retirement.
 #[derive(Default)]
 pub struct RetirementNotices(BTreeMap<Node, Millis>);
 
 impl RetirementNotices {
-    /// Stores to notify now: they have sessions here, are to retire, have not said that they do, and were not notified just
-    /// before.
+    /// Stores that have to be notified now: those with a session on this node that are to retire, have not reported
+    /// that they are retiring, and were not notified within the last notice interval.
     pub fn due(&mut self, now: Millis, committed: &ControlState, registry: &Registry) -> Vec<Node> {
         self.0.retain(|node, _| committed.retirement(*node).is_some());
         let is_unaware = |node: &Node| {
@@ -124,14 +127,14 @@
         };
         let nodes = committed.retirements.iter().map(|retirement| retirement.node);
         let mut due: Vec<Node> = nodes.filter(is_unaware).collect();
-        due.retain(|node| self.0.get(node).is_none_or(|at| now >= at + NOTICE_INTERVAL_MS));
+        due.retain(|node| self.0.get(node).is_none_or(|at| now >= at + RETIREMENT_NOTICE_INTERVAL_MS));
         self.0.extend(due.iter().map(|node| (*node, now)));
         due
     }
 }
 
 impl ControlNode {
-    /// Notifies stores, records how far they are, and answers orders that they have confirmed.
+    /// Notifies stores of their retirement, records their progress, and answers the orders that they have confirmed.
     pub(super) fn advance_retirements(&mut self, now: Millis) {
         self.leave_group_with_machine(now);
         self.notify_stores(now);
@@ -139,8 +142,8 @@
         self.answer_orders(now);
     }
 
-    /// A store on this machine is being retired, and the machine is taken away when it is empty: this control node's part in the
-    /// group ends before that.
+    /// Ends this control node's membership in the group if the store on this machine is being retired. The machine is
+    /// removed when the store is empty, and the control node has to leave the group before that.
     fn leave_group_with_machine(&mut self, now: Millis) {
         let own_store = store_id(&self.runtime.boot.node_name);
         let is_retired =
@@ -159,7 +162,7 @@
         }
     }
 
-    /// At the primary: what stores say goes into the replicated state.
+    /// On the primary, records the progress that stores report in the replicated state.
     fn record_stages(&mut self, now: Millis) {
         let Some(state) = self.plane.group.readable_state(now) else { return };
         let voters = self.plane.group.view().map_or(&[][..], |view| &view.voters);
@@ -181,13 +184,13 @@
         self.apply_group_effects();
     }
 
-    /// Orders are acknowledged when the store has them on its disk.
+    /// Answers retirement orders: an order is acknowledged when its store has recorded it on disk.
     fn answer_orders(&mut self, now: Millis) {
         for order in self.calls.unconfirmed_orders() {
             if self.is_confirmed(&order.store) {
                 let reply = self.accepted_order();
                 self.answer_call(order.call_id, reply.into());
-            } else if now > order.since + CONFIRMATION_TIMEOUT_MS {
+            } else if now > order.since + STORE_CONFIRMATION_TIMEOUT_MS {
                 self.answer_call(order.call_id, BeginRetirementReply::Unavailable.into());
             }
         }
@@ -198,7 +201,7 @@
         BeginRetirementReply::Accepted { spare_stores: self.stores_in_service().spare }
     }
 
-    /// Whether the store has said that it has the order, now or before.
+    /// Whether the store has confirmed the order, by its present report or an earlier one.
     fn is_confirmed(&self, name: &str) -> bool {
         let committed = self.plane.group.committed().and_then(|state| state.retirement(store_id(name)));
         let store = self.plane.registry.store_named(name);
@@ -206,7 +209,7 @@
         committed.is_some_and(|retirement| is_retiring || retirement.stage != RetirementStage::Ordered)
     }
 
-    /// `None` where this node is not the primary.
+    /// Decides on an order to retire a store. Returns `None` if this node is not the primary.
     fn decide_order(&self, now: Millis, name: &str) -> Option<OrderDecision> {
         let state = self.plane.group.readable_state(now)?;
         let pending: Vec<Node> = self.plane.group.pending_retirements().collect();
@@ -218,7 +221,8 @@
         Some(OrderDecision::TooFewRemaining)
     }
 
-    /// Where a control node runs on the store's machine, it is taken away too: the others have to be enough.
+    /// Whether the control group can do without the store's machine: a control node on that machine is removed with
+    /// it, so the remaining ones have to be enough.
     fn may_lose_machine_of(&self, name: &str) -> bool {
         let Some((store, view)) = self.plane.registry.store_named(name).zip(self.plane.group.view()) else {
             return true;
@@ -267,7 +271,7 @@
             return Some(progress);
         }
         self.calls.set_content(call_id, ForwardedCall::ReadRetirement { node: name.clone() });
-        // Only the primary can say that there is no such order.
+        // Only the primary can tell that no such order exists.
         if self.plane.group.readable_state(now).is_none() {
             self.forward(call_id, self.plane.group.primary());
             return None;
--- a/crates/server/src/control_node/retirement/tests.rs
+++ b/crates/server/src/control_node/retirement/tests.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// Knows these stores; `is_ready` if it has been up for long enough.
+/// A registry with the given stores; with `is_ready` it has been running long enough to know all members.
 fn registry(stores: &[(&str, RetirementState)], is_ready: bool) -> Registry {
     let mut registry = Registry::new(
         Member { role: NodeRole::Control, ..store("core-1", RetirementState::NotRetiring) },
@@ -44,7 +44,7 @@
     ControlState { serial: 9, retirements: retirements.iter().map(one).collect(), ..ControlState::default() }
 }
 
-/// Two have to stay.
+/// The decision on an order when two stores have to remain.
 fn decision(name: &str, state: &ControlState, pending: &[&str], registry: &Registry) -> OrderDecision {
     let pending: Vec<u32> = pending.iter().map(|name| store_id(name)).collect();
     decide(name, state, &pending, registry, |zones| zones.len() >= 2)
@@ -62,17 +62,18 @@
     let registry = registry(&FOUR, true);
     let none = state(&[]);
     assert_eq!(decision("s-1", &none, &[], &registry), OrderDecision::Propose);
-    // The first is being written: two would stay, and then one.
+    // With the order for s-1 still being committed, retiring s-2 leaves two stores, which suffice; retiring s-3 as
+    // well would leave only one.
     assert_eq!(decision("s-2", &none, &["s-1"], &registry), OrderDecision::Propose);
     assert_eq!(
         decision("s-3", &none, &["s-1", "s-2"], &registry),
         OrderDecision::NotNow,
         "they may come to nothing"
     );
-    // They are agreed on, and no store has said so yet.
+    // Both orders are committed, but neither store has reported that it is retiring.
     let committed = state(&[("s-1", RetirementStage::Ordered), ("s-2", RetirementStage::Ordered)]);
     assert_eq!(decision("s-3", &committed, &[], &registry), OrderDecision::TooFewRemaining);
-    // One that was said to be empty is gone by now, and one that never was a member counts for none.
+    // A store reported as empty that has since disconnected, and one that never was a member, do not count.
     assert_eq!(
         decision("s-1", &state(&[("s-9", RetirementStage::Complete)]), &[], &registry),
         OrderDecision::Propose
@@ -104,11 +105,12 @@
     let of = |state, registry: &Registry| progress("s-1", Some(state), registry);
     assert_matches!(of(&complete, &gone), Some(RetirementProgress::Complete));
     assert_matches!(of(&complete, &says(RetirementState::Complete)), Some(RetirementProgress::Complete));
-    // It is restarting: nobody has said that it is empty.
+    // The store is restarting, so nobody has reported that it is empty.
     assert_matches!(of(&draining, &gone), Some(RetirementProgress::Draining));
-    // It has said so to one node, and the value does not: whoever restarts would have forgotten it.
+    // The store reported completion to one node but the replicated state lacks it, so a restarted control node would
+    // have lost that report.
     assert_matches!(of(&draining, &says(RetirementState::Complete)), Some(RetirementProgress::Draining));
-    // A new machine of the name.
+    // A new machine has the store's name.
     assert_matches!(of(&complete, &says(RetirementState::NotRetiring)), Some(RetirementProgress::Draining));
     assert_matches!(of(&state(&[]), &says(RetirementState::Complete)), None);
     assert_matches!(progress("s-1", None, &gone), None);
@@ -124,7 +126,7 @@
     let mut here = registry(&FOUR, true);
     let mut notices = RetirementNotices::default();
     let (first, second) = (store_id("s-1"), store_id("s-2"));
-    // The second has lost its disk, or is another machine of its name.
+    // The second store has lost its disk, or a new machine has its name.
     assert_eq!(notices.due(3000, &committed, &here), [first, second]);
     assert!(notices.due(3499, &committed, &here).is_empty());
     assert_eq!(notices.due(3500, &committed, &here), [first, second]);
--- a/crates/server/src/control_node/spare_stores.rs
+++ b/crates/server/src/control_node/spare_stores.rs
@@ -1,22 +1,22 @@
-//! How many stores may be lost before messages are no longer accepted for want of stores for their replicas: for the answer to
-//! an order that takes a store away, the report, the metrics and the log.
+//! The number of stores that may be lost before messages are rejected because too few stores are left for their
+//! replicas. It is used in the answer to a retirement order, the report, the metrics and the log.
 
 use super::ControlNode;
 use crate::net::Millis;
 
-/// How often a change is looked for, in ms.
-const CHECK_INTERVAL_MS: Millis = 1000;
+/// Interval in ms at which the number of spare stores is checked for a change.
+const SPARE_STORE_CHECK_INTERVAL_MS: Millis = 1000;
 
-/// The stores that are there and neither retired nor about to be.
+/// Stores that are members and neither retired nor ordered to retire.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoresInService {
-    /// Their number.
+    /// Number of stores in service.
     pub count: usize,
-    /// How many of them may be lost while messages are still accepted.
+    /// Number of stores in service that may be lost while messages are still accepted.
     pub spare: usize,
 }
 
-/// What was logged last, and when it is looked at again.
+/// The last logged number of spare stores, and when to check it again.
 #[derive(Default)]
 pub struct SpareStoreWatch {
     logged: Option<StoresInService>,
@@ -24,7 +24,8 @@
 }
 
 impl SpareStoreWatch {
-    /// Notes what holds now. Returns whether it is to be logged: only where spare stores have run out, or are back.
+    /// Records the present state. Returns whether to log it, which is only if spare stores have run out or are
+    /// available again.
     fn observe(&mut self, stores: StoresInService) -> bool {
         let has_spare = |stores: &StoresInService| stores.spare > 0;
         let before = self.logged.replace(stores).as_ref().map(has_spare);
@@ -33,7 +34,7 @@
 }
 
 impl ControlNode {
-    /// The stores in service, as the sessions of all control nodes and the orders in force say.
+    /// The stores in service, according to the sessions of all control nodes and the retirement orders in force.
     pub(super) fn stores_in_service(&self) -> StoresInService {
         let committed = self.plane.group.committed();
         let is_ordered = |node| committed.is_some_and(|state| state.retirement(node).is_some());
@@ -42,12 +43,12 @@
         StoresInService { count: zones.len(), spare: self.runtime.boot.spare_stores(zones.iter().copied()) }
     }
 
-    /// Logs where the last spare store is gone, or one is there again.
+    /// Logs when the last spare store is lost and when one is available again.
     pub(super) fn watch_spare_stores(&mut self, now: Millis) {
         if now < self.spare_store_watch.next_check_at || !self.plane.registry.is_ready() {
             return;
         }
-        self.spare_store_watch.next_check_at = now + CHECK_INTERVAL_MS;
+        self.spare_store_watch.next_check_at = now + SPARE_STORE_CHECK_INTERVAL_MS;
         let stores = self.stores_in_service();
         if !self.spare_store_watch.observe(stores) {
             return;
--- a/crates/server/src/control_plane.rs
+++ b/crates/server/src/control_plane.rs
@@ -1,5 +1,5 @@
-//! Joins the control group and the registry of one control node with its links: what peers send goes into the two state
-//! machines, and what these want sent goes out.
+//! Connects the control group and the registry of one control node with its links: frames from peers go into these
+//! two state machines, and their outgoing messages are sent to the peers.
 
 use crate::links::{LinkEvent, Links};
 use crate::net::{Millis, Net};
@@ -9,31 +9,32 @@
 use stileroute_queue::Node;
 use stileroute_registry::{CommittedConfig, GroupContact, Registry, RegistryEffect};
 
-/// How often the registry learns when the other control nodes were last heard, in ms.
+/// Interval in ms at which the registry is updated with the time each other control node was last heard.
 const PEER_CONTACT_INTERVAL: Millis = 200;
 
-/// The state machines of one control node.
+/// The two state machines of one control node.
 pub struct ControlPlane {
-    /// The replicated configuration and retirements, and who decides on them.
+    /// The control group: the replicated configuration and retirements, and the election of the primary that decides
+    /// on them.
     pub group: ControlGroup,
-    /// Which nodes and executors there are.
+    /// The registry of nodes and executors.
     pub registry: Registry,
     seeds: Vec<SocketAddrV4>,
     next_contact_check: Millis,
 }
 
 impl ControlPlane {
-    /// `seeds` are the control addresses that the settings name.
+    /// Creates the control plane. `seeds` are the control addresses in the settings.
     pub fn new(group: ControlGroup, registry: Registry, seeds: Vec<SocketAddrV4>) -> ControlPlane {
         ControlPlane { group, registry, seeds, next_contact_check: 0 }
     }
 
-    /// When one of the two has something to do at the latest, if nothing happens before.
+    /// The latest time at which one of the two state machines has to run, if no event comes first.
     pub fn next_deadline(&self, now: Millis) -> Millis {
         self.group.next_tick(now).min(self.registry.next_deadline())
     }
 
-    /// Takes in what happened on a link. Frames that are for neither of the two are left alone.
+    /// Passes a link event on to the control group and the registry. Frames that are for neither are ignored.
     pub fn link_event(&mut self, links: &Links, now: Millis, link_event: LinkEvent) {
         match link_event {
             LinkEvent::Up(peer) if peer.role == NodeRole::Control => {
@@ -67,7 +68,8 @@
                 }
             }
             Frame::Sessions(members) => self.registry.record_peer_sessions(now, from, members),
-            // Says that the sender takes this node's word: a control node of an earlier version makes nothing of an empty list.
+            // An empty list of heartbeats tells that the sender relies on this node's account of the executors that
+            // it holds (`HeldExecutors`); a control node of an earlier version ignores an empty list.
             Frame::Heartbeats(heartbeats) if heartbeats.is_empty() => {
                 self.registry.peer_is_holder_aware(now, from);
             }
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Edges and stores poll for updates, and say in what state they are.
+    /// Handles the poll of an edge or a store, which also reports the node's state.
     fn frame_from_member(&mut self, links: &Links, now: Millis, from: Node, frame: Frame) {
         let Frame::UpdateRequest { incarnation, version, config_version, retirement } = frame else { return };
         if let Some(peer) = links.peer(from) {
@@ -86,7 +88,8 @@
         }
     }
 
-    /// Sends what an effect of the control group has for another control node; any other effect comes back.
+    /// Sends a control group effect that is a message for another control node. Returns any other effect to the
+    /// caller.
     pub fn send(&self, links: &mut Links, net: &mut Net, effect: Effect) -> Option<Effect> {
         let Effect::Send { to, message } = effect else { return Some(effect) };
         if let Some(node) = links.node_at_control_address(to) {
@@ -95,7 +98,8 @@
         None
     }
 
-    /// Says with which control nodes connections are to be opened from here: of two, the one with the lower address opens it.
+    /// Sets the control nodes to which this node opens connections. Of two control nodes, the one with the lower
+    /// address opens the connection.
     pub fn set_dial_targets(&self, links: &mut Links, now: Millis) {
         let own_ip = links.local().ip;
         let mut peers: Vec<Ipv4Addr> = self.seeds.iter().map(|seed| *seed.ip()).collect();
@@ -104,14 +108,15 @@
         peers.extend(members.map(|member| member.ip));
         let is_seed = self.seeds.iter().any(|seed| *seed.ip() == own_ip);
         let is_connected = |ip: &Ipv4Addr| links.peers(NodeRole::Control).any(|peer| peer.ip == *ip);
-        // The others do not know a node that is no seed: it opens all connections itself.
+        // The other control nodes do not know the address of a node that is not a seed, so that node opens all
+        // connections itself.
         let dials = |ip: &Ipv4Addr| *ip > own_ip || (!is_seed && *ip != own_ip && !is_connected(ip));
         let targets: Vec<SocketAddrV4> =
             peers.into_iter().filter(dials).map(|ip| links.listen_address(ip, NodeRole::Control)).collect();
         links.set_dial_targets(now, targets);
     }
 
-    /// Lets the registry do what is due, and sends what it has for other nodes.
+    /// Runs the registry's due work, and sends its outgoing frames to other nodes.
     pub fn publish(&mut self, links: &mut Links, net: &mut Net, now: Millis) {
         let contact = GroupContact::since(self.group.last_contact(now), now);
         if now >= self.next_contact_check {
@@ -144,7 +149,7 @@
     }
 }
 
-/// What a peer says of itself, as a member that has the given version of the configuration.
+/// Builds the membership entry of a peer that has the given version of the configuration.
 pub fn member_of(peer: &PeerInfo, config_version: u64) -> Member {
     Member {
         node: peer.node,
--- a/crates/server/src/node.rs
+++ b/crates/server/src/node.rs
@@ -1,5 +1,5 @@
-//! What every role has: its settings, the event loop, the connections with peers, the session with a control node, and the
-//! signals by which operators steer the process.
+//! The runtime that every role has: the node's settings, the event loop, the connections with peers, the session with
+//! a control node, and the signals by which operators control the process.
 
 mod process_signals;
 mod session;
@@ -20,33 +20,36 @@
 use stileroute_config::{Config, NodeSettings};
 use stileroute_queue::Node;
 
-/// How often [`NodeRuntime::take_topology_change`] is true without a change, for what depends on time alone.
+/// Interval at which [`NodeRuntime::take_topology_change`] returns true even without a change, for conditions that
+/// depend on time alone.
 const TOPOLOGY_CHECK_INTERVAL: Millis = 250;
-/// Longest wait in one poll. A signal interrupts the wait; one that came just before it is noticed at the latest then.
+/// Longest wait in one poll. A signal interrupts the wait; a signal that arrives just before the wait starts is
+/// noticed after this time at the latest.
 const MAX_POLL_WAIT: Millis = 250;
-/// File descriptors that are not for connections: files, listeners and the poll.
+/// File descriptors that are reserved for uses other than connections: files, listeners and the poll.
 const RESERVED_FILE_DESCRIPTORS: u64 = 260;
-/// Fewest and most connections that the event loop has room for.
+/// Lower and upper limit for the number of connections that the event loop has capacity for.
 const CONNECTION_LIMIT_RANGE: (u64, u64) = (64, 60_000);
 
-/// The time of day, in milliseconds since 1970.
+/// The wall-clock time in milliseconds since 1970.
 pub fn wall_clock_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
-/// A random number, so that no other start of any process has the same.
+/// Returns a random number that differs between starts of any process.
 pub fn random_seed() -> u64 {
     let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
     hasher.write_u64(wall_clock_ms());
     hasher.finish()
 }
 
-/// A store's identifier: a hash of its name. Messages and disks name it.
+/// A store's identifier, a hash of its name. Messages and records on disk refer to the store by it.
 pub fn store_id(name: &str) -> Node {
     (stileroute_dispatch::types::name_hash(name) >> 32) as Node
 }
 
-/// The identifier of a process: of two roles on one machine, which share its name, each has its own.
+/// A process's identifier. Two roles on one machine share the node name, so the role is part of the identifier of
+/// every role but the store.
 pub fn process_id(name: &str, role: NodeRole) -> Node {
     match role {
         NodeRole::Store => store_id(name),
@@ -57,64 +60,64 @@
 /// Why a process can't start.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 pub enum NodeStartError {
-    /// The system gives no poll.
+    /// The operating system does not provide a poll.
     #[error("event loop: {0}")]
     EventLoop(#[source] std::io::Error),
-    /// A signal can't be caught.
+    /// A signal handler can't be installed.
     #[error("signal: {0}")]
     Signal(#[source] std::io::Error),
-    /// The address for other processes of the system can't be bound.
+    /// The listen address for other processes of the system can't be bound.
     #[error("internal address {address}: {source}")]
     InternalAddress {
-        /// The address.
+        /// The address that can't be bound.
         address: SocketAddrV4,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// What [`NodeRuntime::poll`] returns.
+/// The result of [`NodeRuntime::poll`].
 pub struct Polled {
-    /// What happened to connections with peers, and the frames that they sent.
+    /// Changes of connections with peers, and the frames received from them.
     pub link_events: Vec<LinkEvent>,
-    /// What else happened in the event loop.
+    /// All other events of the event loop.
     pub events: Vec<Event>,
 }
 
-/// What every role has.
+/// The parts of a process that are common to all roles.
 pub struct NodeRuntime {
-    /// The settings of this machine.
+    /// The settings of this node.
     pub boot: NodeSettings,
     /// The event loop.
     pub net: Net,
     /// The connections with peers.
     pub links: Links,
-    /// Interrupts the event loop's poll, for other threads.
+    /// Wakes the event loop's poll from other threads.
     pub waker: Arc<mio::Waker>,
     /// The session with a control node.
     pub session: Session,
-    /// The operators' configuration, once there is one.
+    /// The operators' configuration, once one has been received.
     pub config: Option<Arc<Config>>,
-    /// What operators ask; the role answers at the end of its turn.
+    /// Inquiries of operators that the role answers at the end of the current turn of its event loop.
     pub inquiries: Vec<Inquiry>,
     /// The listener for metrics, if there is one.
     pub metrics_listener: Option<ListenerId>,
-    /// Since when the process shuts down.
+    /// When the graceful shutdown began; `None` if no shutdown was requested.
     pub draining_since: Option<Millis>,
     has_topology_changed: bool,
     next_topology_check_at: Millis,
-    /// What an edge's readiness check last said.
+    /// The last result of an edge's readiness check.
     was_ready: bool,
     settings_path: PathBuf,
     signals: ProcessSignals,
 }
 
 impl NodeRuntime {
-    /// Opens the listeners that all roles have, and catches signals.
+    /// Opens the listeners that all roles have, and installs the signal handlers.
     ///
     /// # Errors
     ///
-    /// An address can't be bound, or the system gives no poll or no signal handler.
+    /// Fails if an address can't be bound, or the operating system provides no poll or no signal handler.
     pub fn start(
         boot: NodeSettings,
         settings_path: &Path,
@@ -148,7 +151,7 @@
         })
     }
 
-    /// Waits until something happens or `until` has come, and serves what all roles have in common.
+    /// Waits for an event or until the time `until`, and handles the events that are common to all roles.
     pub fn poll(&mut self, until: Millis) -> Polled {
         let until = until.min(self.links.next_deadline()).min(self.next_session_deadline());
         let until = until.min(self.net.now() + MAX_POLL_WAIT);
@@ -166,9 +169,9 @@
         Polled { link_events, events }
     }
 
-    /// Whether the set of peers that this node should be connected with may have changed since the last call: a peer came or
-    /// went, or a control node sent an update. It is also true once in a while without a change. To work that set out in every
-    /// turn of the loop took a fifth of an edge's processor time.
+    /// Whether the set of peers that this node should be connected with may have changed since the last call: a peer
+    /// connected or disconnected, or a control node sent an update. It also returns true at regular intervals without
+    /// a change. Computing that set in every turn of the event loop took a fifth of an edge's processor time.
     pub fn take_topology_change(&mut self) -> bool {
         let now = self.net.now();
         let is_check_due = now >= self.next_topology_check_at;
@@ -179,7 +182,7 @@
         has_changed
     }
 
-    /// Whether a signal has asked the process to shut down since the last call; true once.
+    /// Whether a signal has requested a shutdown since the last call; returns true only once.
     pub fn take_shutdown_request(&mut self) -> bool {
         if self.draining_since.is_some() || !self.signals.is_shutdown_requested() {
             return false;
@@ -189,7 +192,7 @@
         true
     }
 
-    /// Logs a change of what the readiness check says, and returns it.
+    /// Logs a change of the readiness check's result, and returns the result.
     pub fn set_ready(&mut self, is_ready: bool) -> bool {
         if self.was_ready != is_ready {
             tracing::info!(ready = is_ready, "readiness");
@@ -198,7 +201,8 @@
         is_ready
     }
 
-    /// Reads the settings file again and applies what can change while a process runs; nothing of it if anything is at fault.
+    /// Reads the settings file again and applies the settings that can change while a process runs. If the file has
+    /// any fault, none of it is applied.
     fn reload_settings(&mut self) {
         match settings::read(&self.settings_path, self.links.local().role) {
             Ok(boot) if boot.ip == self.boot.ip && boot.node_name == self.boot.node_name => {
@@ -207,7 +211,7 @@
                 self.boot.fault_tolerance = boot.fault_tolerance;
                 tracing::info!("settings reloaded");
             }
-            Ok(_) => tracing::warn!("settings name another node: not reloaded"),
+            Ok(_) => tracing::warn!("settings not reloaded: other node name or IP address"),
             Err(faults) => {
                 for fault in &faults.faults {
                     tracing::warn!("{fault}");
@@ -230,19 +234,19 @@
     }
 }
 
-/// Opens the listener for metrics, if there is an address for one. Where it can't be had the process runs without it: figures
-/// are not worth a node.
+/// Opens the listener for metrics if the settings name an address. If that fails the process runs without metrics,
+/// since a node without metrics is better than no node.
 fn listen_for_metrics(net: &mut Net, boot: &NodeSettings) -> Option<ListenerId> {
     let address = boot.metrics_address?;
     if let Some(key) = boot.key_of_address(address) {
-        tracing::error!(%address, "no listener for metrics: it is {key} too");
+        tracing::error!(%address, "no listener for metrics: the address is also that of {key}");
         return None;
     }
     let limits = RequestLimits { max_body_bytes: 0, ..RequestLimits::default() };
     match net.listen_http(address, limits) {
         Ok(listener) => Some(listener),
         Err(error) => {
-            tracing::error!(%address, %error, "no listener for metrics");
+            tracing::error!(%address, %error, "listener for metrics could not be opened; running without metrics");
             None
         }
     }
--- a/crates/server/src/node/process_signals.rs
+++ b/crates/server/src/node/process_signals.rs
@@ -1,16 +1,17 @@
-//! The Unix signals by which operators steer a process: SIGTERM and SIGINT shut it down, SIGHUP reloads its settings.
+//! The Unix signals by which operators control a process: SIGTERM and SIGINT shut it down, SIGHUP reloads its
+//! settings.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Flags that the signal handlers set.
+/// Flags set by the signal handlers.
 pub(super) struct ProcessSignals {
     shutdown: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
 }
 
 impl ProcessSignals {
-    /// Installs the handlers.
+    /// Installs the signal handlers.
     pub fn register() -> std::io::Result<ProcessSignals> {
         let shutdown = Arc::new(AtomicBool::new(false));
         let reload = Arc::new(AtomicBool::new(false));
@@ -21,12 +22,12 @@
         Ok(ProcessSignals { shutdown, reload })
     }
 
-    /// Whether the process is to shut down; once true, it stays so.
+    /// Whether a shutdown was requested; once true, it stays true.
     pub fn is_shutdown_requested(&self) -> bool {
         self.shutdown.load(Ordering::Relaxed)
     }
 
-    /// Whether the settings are to be reloaded; true once for each request.
+    /// Whether a reload of the settings was requested; returns true once for each request.
     pub fn take_reload_request(&self) -> bool {
         self.reload.swap(false, Ordering::Relaxed)
     }
--- a/crates/server/src/node/session.rs
+++ b/crates/server/src/node/session.rs
@@ -1,7 +1,8 @@
-//! The session of an edge or a store with one control node: which one it is, what it was asked, and what it last told.
+//! The session of an edge or a store with one control node: which node it is, the outstanding poll, and the last
+//! update received.
 //!
-//! A node polls its control node, which answers as soon as there is something new, and otherwise after a while. If an answer is
-//! late, or the connection is lost, another control node is chosen.
+//! A node polls its control node, which answers as soon as there is an update, and otherwise after a time-out. If an
+//! answer is late or the connection is lost, the node chooses another control node.
 
 use super::NodeRuntime;
 use crate::net::Millis;
@@ -12,28 +13,29 @@
 use stileroute_queue::{ControlContact, Node};
 use stileroute_registry::SESSION_GRACE;
 
-/// A control node that has not answered a poll for so long is given up.
+/// Time without an answer to a poll after which the control node is given up.
 const CONTROL_REPLY_TIMEOUT: Millis = 2000;
-/// How long after the last answer the session still counts as fresh.
+/// Time after the last answer for which the session still counts as fresh.
 const SESSION_FRESHNESS: Millis = 2500;
-/// How long a control node that is partitioned from the others is chosen only if there is no other.
+/// Time for which a control node that is partitioned from its peers is chosen only if there is no other.
 const PARTITIONED_BACKOFF: Millis = 1500;
-/// A control node that is cut off together with this node goes on answering for a while. The others list this node as gone no sooner
-/// than [`SESSION_GRACE`] after they last heard that control node, and other stores take over no sooner than 2 s after they have missed
-/// the connection to this one, which may break in the instant of the cut.
+/// Time since the last known contact of the control group after which the group may be lost to this node. A control
+/// node that is partitioned together with this node still answers for a while. The other control nodes list this node
+/// as gone no sooner than [`SESSION_GRACE`] after they last heard that control node, and other stores take over no
+/// sooner than 2 s after their connection to this store broke, which may happen at the instant of the partition.
 const GROUP_CONTACT_GRACE: Millis = 1900;
-/// How soon a control node is looked for while there is none.
+/// Interval at which a node without a control node tries to choose one.
 const CHOICE_RETRY_INTERVAL: Millis = 100;
 
-/// A control node, connected or not.
+/// A control node that this node knows, connected or not.
 struct KnownControlNode {
-    /// Where it takes calls.
+    /// The address at which the control node accepts calls.
     address: SocketAddrV4,
-    /// Empty for a seed of which nothing else is known.
+    /// The control node's zone; empty for a seed of which only the address is known.
     zone: String,
 }
 
-/// A control node that said that it is partitioned from the others.
+/// A control node that reported that it is partitioned from its peers.
 struct AvoidedNode {
     node: Node,
     until: Millis,
@@ -47,29 +49,29 @@
     pub established_at: Millis,
     /// When a control node last answered; 0 if none has.
     pub last_update_at: Millis,
-    /// When the control nodes that answered last knew that they were not cut off from the others.
+    /// The latest time at which a control node that answered knew that it was not partitioned from its peers.
     last_group_contact_at: Millis,
-    /// The members that a control node last told of.
+    /// The membership in the last update of a control node.
     pub members: Vec<Member>,
-    /// How many sessions ended because the control node did not answer or was not connected any more.
+    /// Number of sessions that ended because the control node did not answer or disconnected.
     pub losses: u64,
     known_control_nodes: Vec<KnownControlNode>,
     avoided: Vec<AvoidedNode>,
     /// The control node that answered last, until its session is lost.
     established_with: Option<Node>,
-    /// When the poll was sent that has no answer yet.
+    /// When the poll that still has no answer was sent.
     polled_at: Option<Millis>,
-    /// The incarnation and the version of the last update, repeated in each poll.
+    /// The incarnation of the last update, which each poll repeats together with its version.
     incarnation: u64,
     version: u64,
-    /// How far this node's own retirement has come, told with each poll.
+    /// The progress of this node's own retirement, reported with each poll.
     retirement: RetirementState,
-    /// Whether the session was fresh when that was last logged.
+    /// Whether the session was fresh when its freshness was last logged.
     was_fresh: bool,
 }
 
 impl Session {
-    /// No session yet: only the seeds are known.
+    /// Creates the state without a session; only the seeds are known.
     pub(super) fn new(seeds: &[SocketAddrV4]) -> Session {
         let mut session = Session {
             control_node: None,
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Until when a control node is avoided; 0 if it is not.
+    /// The time until which a control node is avoided; 0 if it is not.
     fn avoided_until(&self, node: Node) -> Millis {
         self.avoided.iter().find(|avoided| avoided.node == node).map_or(0, |avoided| avoided.until)
     }
@@ -121,7 +123,7 @@
 }
 
 impl NodeRuntime {
-    /// When [`NodeRuntime::maintain_session`] has something to do.
+    /// The next time at which [`NodeRuntime::maintain_session`] has to be called.
     pub(super) fn next_session_deadline(&self) -> Millis {
         match self.session.polled_at {
             Some(polled_at) => polled_at + CONTROL_REPLY_TIMEOUT,
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Keeps up a session with one control node, in this node's own zone if there is one.
+    /// Maintains a session with one control node, preferably one in this node's own zone.
     pub fn maintain_session(&mut self) {
         let now = self.net.now();
         let is_late = self.session.polled_at.is_some_and(|at| now > at + CONTROL_REPLY_TIMEOUT);
@@ -149,12 +151,13 @@
         self.session.polled_at = None;
         self.session.losses += 1;
         if self.session.established_with.take().is_some() {
-            tracing::warn!("the control node does not answer");
+            tracing::warn!("control node did not answer in time or disconnected; choosing another");
         }
     }
 
-    /// Of the connected control nodes one that is not avoided, the nearest. Among equals the identifier decides, rotated by
-    /// this node's own so that the nodes of a zone spread over its control nodes.
+    /// Chooses the nearest of the connected control nodes that are not avoided; if all are avoided, the one that is
+    /// avoided for the shortest time. Ties are broken by the control node's identifier, rotated by this node's own
+    /// identifier so that the nodes of a zone spread over its control nodes.
     fn preferred_control_node(&self) -> Option<Node> {
         let rotation = self.links.local().node & 31;
         let candidates = self.links.peers(NodeRole::Control).map(|peer| {
@@ -176,8 +179,8 @@
         }
     }
 
-    /// The addresses of the control nodes to be connected with: those in this node's own zone while one of them is usable,
-    /// otherwise all.
+    /// The addresses of the control nodes to connect with: those in this node's own zone while at least one of them
+    /// is usable, otherwise all.
     pub fn control_dial_targets(&self) -> Vec<SocketAddrV4> {
         let is_usable = |address| {
             let node = self.links.node_at_control_address(address);
@@ -190,7 +193,7 @@
         chosen.map(|control| self.links.listen_address(*control.address.ip(), NodeRole::Control)).collect()
     }
 
-    /// Tells the control node, at once if it is a change, how far this node's retirement has come.
+    /// Reports the progress of this node's retirement to the control node, at once if it has changed.
     pub fn report_retirement(&mut self, retirement: RetirementState) {
         if std::mem::replace(&mut self.session.retirement, retirement) != retirement {
             tracing::info!(retiring = %retirement, "retirement");
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Asks the control node for whatever is newer than what this node has.
+    /// Polls the control node for any update that is newer than the last one received.
     fn poll_control_node(&mut self) {
         let Some(control_node) = self.session.control_node else { return };
         let request = Frame::UpdateRequest {
@@ -212,14 +215,16 @@
         }
     }
 
-    /// Applies a control node's answer and polls it again. Returns the configuration if there is a newer one.
+    /// Applies a control node's answer and polls it again. Returns the configuration if it is newer than the one in
+    /// force.
     pub fn apply_update(&mut self, from: Node, update: &MembershipUpdate) -> Option<Arc<Config>> {
         if self.session.control_node != Some(from) {
             return None;
         }
         let now = self.net.now();
         if update.is_partitioned {
-            // It may be the only one that can be reached: then it is chosen again, but this does not count as an answer.
+            // If this is the only control node in reach it will be chosen again, but the answer of a partitioned node
+            // does not refresh the session.
             self.session.avoided.push(AvoidedNode { node: from, until: now + PARTITIONED_BACKOFF });
             self.session.control_node = None;
             self.session.polled_at = None;
@@ -244,7 +249,8 @@
         new_config
     }
 
-    /// Puts a configuration in force if it is newer than the present one: a process never goes back to an older one.
+    /// Puts a configuration in force if it is newer than the present one. A process never goes back to an older
+    /// configuration.
     fn apply_config(&mut self, body: &[u8]) -> Option<Arc<Config>> {
         let config = match Config::parse(body) {
             Ok(config) => config,
@@ -262,31 +268,33 @@
         Some(config)
     }
 
-    /// What is known of the control nodes, as a store's queue asks for it.
+    /// The state of contact with the control nodes, as a store's queue needs it.
     pub fn control_contact(&self) -> ControlContact {
         let now = self.net.now();
         ControlContact {
             is_reachable: self.has_fresh_session(),
-            // Counted from the last update: the session was alive then, and other nodes count it for so long after its end.
+            // Measured from the last update, when the session was certainly alive: other nodes count a session as
+            // alive for `SESSION_GRACE` after it ended.
             session_may_have_lapsed: now >= self.session.last_update_at + SESSION_GRACE,
             group_may_be_lost: now >= self.session.last_group_contact_at + GROUP_CONTACT_GRACE,
         }
     }
 
-    /// When the control nodes that answered last knew that they were not cut off from the others; `None` if none has known it.
+    /// The latest time at which a control node that answered knew that it was not partitioned from its peers; `None`
+    /// if there has been none.
     pub fn group_contact_at(&self) -> Option<Millis> {
         Some(self.session.last_group_contact_at).filter(|at| *at > 0)
     }
 
-    /// Whether a control node has answered lately.
+    /// Whether a control node has answered recently enough for the session to count as fresh.
     pub fn has_fresh_session(&self) -> bool {
         let last_update_at = self.session.last_update_at;
         last_update_at > 0 && self.net.now() < last_update_at + SESSION_FRESHNESS
     }
 }
 
-/// A configuration has come into force. What it asks for and this program does not know of is not carried out: that is said, for
-/// the configuration was acknowledged.
+/// Logs a configuration that has come into force. Because the configuration was acknowledged, any keys that this
+/// program does not know or does not carry out are logged as warnings.
 pub fn log_configuration(config: &Config) {
     match &config.tenants {
         None => tracing::info!(version = config.revision, "configuration in force"),
