--- a/crates/server/src/calls.rs
+++ b/crates/server/src/calls.rs
@@ -307,12 +307,12 @@
     pub digest: String,
     /// Whether the configuration in force is byte for byte the one that was sent; another one may be in force under
     /// the same revision.
-    pub is_requested_one: bool,
+    pub is_submitted_config: bool,
 }
 impl ActiveConfig {
     /// Describes the configuration with the given `body`.
-    pub fn new(revision: u64, body: &[u8], is_requested_one: bool) -> ActiveConfig {
-        ActiveConfig { revision, digest: content_digest(body), is_requested_one }
+    pub fn new(revision: u64, body: &[u8], is_submitted_config: bool) -> ActiveConfig {
+        ActiveConfig { revision, digest: content_digest(body), is_submitted_config }
     }
 }
 
@@ -333,11 +333,11 @@
 impl From<ReplaceOutcome> for Response {
     fn from(outcome: ReplaceOutcome) -> Response {
         match outcome {
-            ReplaceOutcome::Active(ActiveConfig { revision, digest, is_requested_one }) => {
+            ReplaceOutcome::Active(ActiveConfig { revision, digest, is_submitted_config }) => {
                 let body = jzon::object! {
                     "revision" => revision,
                     "digest" => digest,
-                    "applied" => is_requested_one,
+                    "applied" => is_submitted_config,
                 };
                 Response::json(200, body.dump())
             }
--- a/crates/server/src/calls/tests.rs
+++ b/crates/server/src/calls/tests.rs
@@ -68,8 +68,8 @@
     assert_matches!(ReadConfig::parse("", b""), Ok(ReadConfig));
     let body = br#"{"revision":7,"routes":[],"backends":[]}"#;
     assert_matches!(ReplaceConfig::parse("", body), Ok(ReplaceConfig { version: 7, body: kept }) if kept == body);
-    let twice = br#"{"routes":7,"backends":[]}"#;
-    assert_matches!(ReplaceConfig::parse("", twice).err(), Some(e) if e.to_string().lines().count() == 2, "each fault is told");
+    let two_faults = br#"{"routes":7,"backends":[]}"#;
+    assert_matches!(ReplaceConfig::parse("", two_faults).err(), Some(e) if e.to_string().lines().count() == 2, "the error has one line for each fault");
 }
 
 #[test]
@@ -100,9 +100,9 @@
         let answer = dispatch::<HeartbeatCall, _>(&mut handler, 5, &request(method, target, HEARTBEAT));
         assert_matches!(answer, None, "{method} {target}");
     }
-    let cut_off = HeartbeatReply::Partitioned;
+    let partitioned = HeartbeatReply::Partitioned;
     let answers: [(Response, u16); 7] = [
-        (cut_off.into(), 503),
+        (partitioned.into(), 503),
         (ReplaceOutcome::Active(ActiveConfig::new(7, b"seven", true)).into(), 200),
         (ReplaceOutcome::Uncertain.into(), 504),
         (ReplaceOutcome::Unavailable.into(), 503),
@@ -117,7 +117,7 @@
 
 /// Formats an answer as it is sent: status, additional headers, whether it is JSON, whether it closes the connection,
 /// and body.
-fn written(response: impl Into<Response>) -> String {
+fn format_answer(response: impl Into<Response>) -> String {
     let Response { status, headers, is_json, body, close_connection } = response.into();
     let headers: Vec<String> = headers.iter().map(|(name, value)| format!("{name}: {value}")).collect();
     format!("{status} {headers:?} {is_json} {close_connection} {}", String::from_utf8(body).unwrap())
@@ -127,69 +127,75 @@
 fn every_answer_has_the_status_and_the_text_of_earlier_releases() {
     let recorded = |url: Option<&str>| HeartbeatReply::Recorded { heartbeat_url: url.map(str::to_string) };
     let rows = [
-        (written(Acknowledged), r#"200 [] true false {}"#),
-        (written(recorded(None)), r#"200 [] true false {}"#),
-        (written(recorded(Some("10.0.0.1:1"))), r#"200 [] true false {"beat_url":"10.0.0.1:1"}"#),
+        (format_answer(Acknowledged), r#"200 [] true false {}"#),
+        (format_answer(recorded(None)), r#"200 [] true false {}"#),
+        (format_answer(recorded(Some("10.0.0.1:1"))), r#"200 [] true false {"beat_url":"10.0.0.1:1"}"#),
         (
-            written(HeartbeatReply::Partitioned),
+            format_answer(HeartbeatReply::Partitioned),
             r#"503 [] true false {"error":"cut off from the other control nodes"}"#,
         ),
         (
-            written(ReplaceOutcome::Active(ActiveConfig::new(7, b"seven", true))),
+            format_answer(ReplaceOutcome::Active(ActiveConfig::new(7, b"seven", true))),
             r#"200 [] true false {"revision":7,"digest":"35be53c2695dda5b7930ee5d191760eaa2e7f0e8b5fdb7174c4b9d36874f06ee","applied":true}"#,
         ),
         (
-            written(ReplaceOutcome::Active(ActiveConfig {
+            format_answer(ReplaceOutcome::Active(ActiveConfig {
                 revision: 0,
                 digest: "d".to_string(),
-                is_requested_one: false,
+                is_submitted_config: false,
             })),
             r#"200 [] true false {"revision":0,"digest":"d","applied":false}"#,
         ),
         (
-            written(ReplaceOutcome::Uncertain),
+            format_answer(ReplaceOutcome::Uncertain),
             r#"504 [] true false {"error":"it may be in force or come in force: send it again"}"#,
         ),
         (
-            written(ReplaceOutcome::Unavailable),
+            format_answer(ReplaceOutcome::Unavailable),
             r#"503 ["Retry-After: 1"] true false {"error":"no primary can settle it now"}"#,
         ),
-        (written(ReadConfigReply::Active(b"{\"a\": 1}\n".to_vec())), "200 [] true false {\"a\": 1}\n"),
-        (written(ReadConfigReply::Missing), r#"404 [] true false {"error":"no configuration has come yet"}"#),
+        (format_answer(ReadConfigReply::Active(b"{\"a\": 1}\n".to_vec())), "200 [] true false {\"a\": 1}\n"),
         (
-            written(ReadConfigReply::Unavailable),
+            format_answer(ReadConfigReply::Missing),
+            r#"404 [] true false {"error":"no configuration has come yet"}"#,
+        ),
+        (
+            format_answer(ReadConfigReply::Unavailable),
             r#"503 ["Retry-After: 1"] true false {"error":"no primary can answer now"}"#,
         ),
-        (written(BeginRetirementReply::UnknownStore), r#"404 [] true false {"error":"no such machine"}"#),
         (
-            written(BeginRetirementReply::TooFewStores),
+            format_answer(BeginRetirementReply::UnknownStore),
+            r#"404 [] true false {"error":"no such machine"}"#,
+        ),
+        (
+            format_answer(BeginRetirementReply::TooFewStores),
             r#"409 [] true false {"error":"too few would be left"}"#,
         ),
         (
-            written(BeginRetirementReply::Accepted { spare_stores: 2 }),
+            format_answer(BeginRetirementReply::Accepted { spare_stores: 2 }),
             r#"200 [] true false {"spare_stores":2}"#,
         ),
         (
-            written(BeginRetirementReply::Accepted { spare_stores: 0 }),
+            format_answer(BeginRetirementReply::Accepted { spare_stores: 0 }),
             r#"200 [] true false {"spare_stores":0,"warning":"no spare store is left: the loss of another stops intake"}"#,
         ),
         (
-            written(BeginRetirementReply::Unavailable),
+            format_answer(BeginRetirementReply::Unavailable),
             r#"503 ["Retry-After: 1"] true false {"error":"it has not confirmed"}"#,
         ),
         (
-            written(RetirementProgress::UnknownStore),
+            format_answer(RetirementProgress::UnknownStore),
             r#"404 [] true false {"error":"no such machine, or it is not to be emptied"}"#,
         ),
-        (written(RetirementProgress::Draining), r#"200 [] true false {"state":"rolling"}"#),
-        (written(RetirementProgress::Complete), r#"200 [] true false {"state":"complete"}"#),
+        (format_answer(RetirementProgress::Draining), r#"200 [] true false {"state":"rolling"}"#),
+        (format_answer(RetirementProgress::Complete), r#"200 [] true false {"state":"complete"}"#),
         (
-            written(RetirementProgress::Unavailable),
+            format_answer(RetirementProgress::Unavailable),
             r#"503 ["Retry-After: 1"] true false {"error":"no primary can answer now"}"#,
         ),
-        (written(error_response(418, "a \"b\"\n")), r#"418 [] true false {"error":"a \"b\"\n"}"#),
-        (written(Response::empty(204)), r#"204 [] false false "#),
-        (written(Response::retry_after(503, 2)), r#"503 ["Retry-After: 2"] false false "#),
+        (format_answer(error_response(418, "a \"b\"\n")), r#"418 [] true false {"error":"a \"b\"\n"}"#),
+        (format_answer(Response::empty(204)), r#"204 [] false false "#),
+        (format_answer(Response::retry_after(503, 2)), r#"503 ["Retry-After: 2"] false false "#),
     ];
     for (seen, pinned) in rows {
         assert_eq!(seen, pinned);
@@ -198,13 +204,13 @@
 
 /// Returns the immediate answer to a request, or "taken" if the handler accepted the call; `None` if the request is
 /// another call.
-fn refused<C: Call>(method: &str, target: &str, body: &[u8]) -> Option<String>
+fn immediate_answer<C: Call>(method: &str, target: &str, body: &[u8]) -> Option<String>
 where
     AnyCall: CallHandler<C>,
 {
     let request = Request { body: body.to_vec(), ..request(method, target, "") };
     dispatch::<C, _>(&mut AnyCall, 1, &request).map(|dispatched| match dispatched {
-        Dispatched::Answered(response) => written(response),
+        Dispatched::Answered(response) => format_answer(response),
         Dispatched::Pending => "taken".to_string(),
     })
 }
@@ -218,7 +224,7 @@
 }
 
 #[test]
-fn every_refusal_of_a_body_has_the_text_of_earlier_releases() {
+fn every_rejection_of_a_body_has_the_text_of_earlier_releases() {
     let with = |of: &str, with: &str| HEARTBEAT.replacen(of, with, 1).into_bytes();
     let rows: [(Vec<u8>, &str); 15] = [
         (HEARTBEAT.into(), "taken"),
@@ -238,7 +244,7 @@
         (vec![b' '; (64 << 10) + 1], "body: over 64 KiB"),
     ];
     for (body, reason) in rows {
-        let seen = refused::<HeartbeatCall>("POST", "/v1/servers/i/heartbeat", &body);
+        let seen = immediate_answer::<HeartbeatCall>("POST", "/v1/servers/i/heartbeat", &body);
         let pinned = match reason {
             "taken" => reason.to_string(),
             reason => format!(r#"400 [] true false {{"error":"{reason}"}}"#),
@@ -247,10 +253,13 @@
     }
     let long = format!("/v1/servers/{}/heartbeat", "i".repeat(129));
     let pinned = r#"400 [] true false {"error":"id: over 128 letters"}"#;
-    assert_eq!(refused::<HeartbeatCall>("POST", &long, HEARTBEAT.as_bytes()).as_deref(), Some(pinned));
+    assert_eq!(
+        immediate_answer::<HeartbeatCall>("POST", &long, HEARTBEAT.as_bytes()).as_deref(),
+        Some(pinned)
+    );
     // The body is checked before the executor's identifier.
     let pinned = r#"400 [] true false {"error":"body: no object"}"#;
-    assert_eq!(refused::<HeartbeatCall>("POST", &long, b"7").as_deref(), Some(pinned));
+    assert_eq!(immediate_answer::<HeartbeatCall>("POST", &long, b"7").as_deref(), Some(pinned));
 }
 
 #[test]
@@ -267,8 +276,8 @@
 }
 
 #[test]
-fn a_configuration_is_refused_by_its_size_before_its_faults() {
-    let replace = |body: &[u8]| refused::<ReplaceConfig>("POST", "/v1/settings/replace", body);
+fn a_configuration_is_rejected_by_its_size_before_its_faults() {
+    let replace = |body: &[u8]| immediate_answer::<ReplaceConfig>("POST", "/v1/settings/replace", body);
     let taken = br#"{"revision":7,"routes":[],"backends":[]}"#;
     assert_eq!(replace(taken).as_deref(), Some("taken"));
     let long = vec![b' '; LARGEST_CONFIGURATION + 1];
@@ -277,13 +286,22 @@
     let pinned = r#"400 [] true false {"error":"configuration: revision: missing\nconfiguration: routes: must be a list, is 7.0"}"#;
     assert_eq!(replace(br#"{"routes":7,"backends":[]}"#).as_deref(), Some(pinned));
     assert_eq!(
-        refused::<ReplaceConfig>("GET", "/v1/settings/replace", taken),
+        immediate_answer::<ReplaceConfig>("GET", "/v1/settings/replace", taken),
         None,
-        "another method is no call"
+        "a request with another method is not this call"
     );
     // These calls use nothing but the path, so any body is accepted.
-    assert_eq!(refused::<LeaveCall>("POST", "/v1/servers/i/leave", b"\xff").as_deref(), Some("taken"));
-    assert_eq!(refused::<BeginRetirement>("POST", "/v1/retire/s-1/begin", b"\xff").as_deref(), Some("taken"));
-    assert_eq!(refused::<ReadRetirement>("GET", "/v1/retire/s-1/read?x=y", b"").as_deref(), Some("taken"));
-    assert_eq!(refused::<ReadConfig>("GET", "/v1/settings/read", b"[").as_deref(), Some("taken"));
+    assert_eq!(
+        immediate_answer::<LeaveCall>("POST", "/v1/servers/i/leave", b"\xff").as_deref(),
+        Some("taken")
+    );
+    assert_eq!(
+        immediate_answer::<BeginRetirement>("POST", "/v1/retire/s-1/begin", b"\xff").as_deref(),
+        Some("taken")
+    );
+    assert_eq!(
+        immediate_answer::<ReadRetirement>("GET", "/v1/retire/s-1/read?x=y", b"").as_deref(),
+        Some("taken")
+    );
+    assert_eq!(immediate_answer::<ReadConfig>("GET", "/v1/settings/read", b"[").as_deref(), Some("taken"));
 }
--- a/crates/server/src/control_node.rs
+++ b/crates/server/src/control_node.rs
@@ -19,7 +19,7 @@
 use disk_records::DiskRecords;
 use pending_calls::{Origin, PendingCalls};
 use retirement::RetirementNotices;
-use spare_stores::SpareStoreWatch;
+use spare_stores::SpareStoreMonitor;
 use std::sync::Arc;
 use stileroute_config::Config;
 use stileroute_control_group::{ControlGroup, Effect, GroupSettings};
@@ -49,7 +49,7 @@
     disk: Disk,
     calls: PendingCalls,
     notices: RetirementNotices,
-    spare_store_watch: SpareStoreWatch,
+    spare_store_monitor: SpareStoreMonitor,
     /// Whether this node has left the control group because its machine is being retired.
     has_left_group: bool,
     /// When the control group reported that this node may exit.
@@ -102,7 +102,7 @@
             // call.
             calls: PendingCalls::new(random_seed()),
             notices: RetirementNotices::default(),
-            spare_store_watch: SpareStoreWatch::default(),
+            spare_store_monitor: SpareStoreMonitor::default(),
             has_left_group: false,
             ready_to_exit_at: None,
         })
@@ -124,7 +124,7 @@
             }
             self.plane.publish(&mut self.runtime.links, &mut self.runtime.net, now);
             self.advance_retirements(now);
-            self.watch_spare_stores(now);
+            self.check_spare_stores(now);
             self.answer_overdue_calls(now);
             if self.runtime.take_shutdown_request() {
                 self.plane.group.shut_down(now);
--- a/crates/server/src/control_node/pending_calls/tests.rs
+++ b/crates/server/src/control_node/pending_calls/tests.rs
@@ -16,10 +16,10 @@
 }
 
 #[test]
-fn only_the_node_that_was_asked_answers_a_call_and_only_once() {
+fn only_the_node_that_a_call_was_forwarded_to_answers_it_and_only_once() {
     let (mut calls, call_id) = forwarded();
     assert!(calls.is_forwarded_to(call_id, 2));
-    assert!(!calls.is_forwarded_to(call_id, 3), "it was not asked");
+    assert!(!calls.is_forwarded_to(call_id, 3), "the call was not forwarded to this node");
     assert!(!calls.is_forwarded_to(call_id + 1, 2), "no such call");
     assert_eq!(calls.remove(call_id), Some(CLIENT));
     // The answer arrives again, late: its call id must not match any later call.
@@ -40,14 +40,14 @@
 fn a_call_is_forwarded_once() {
     let (mut calls, call_id) = forwarded();
     assert_eq!(calls.forward(call_id, 3), None);
-    let from_core = calls.insert(0, Origin::ControlNode { node: 5, request_id: 1 });
-    calls.set_content(from_core, ForwardedCall::ReadConfig);
-    assert_eq!(calls.forward(from_core, 3), None, "it was forwarded already");
-    assert_eq!(calls.kind(from_core), Some(ForwardedCallKind::ReadConfig));
+    let from_control_node = calls.insert(0, Origin::ControlNode { node: 5, request_id: 1 });
+    calls.set_content(from_control_node, ForwardedCall::ReadConfig);
+    assert_eq!(calls.forward(from_control_node, 3), None, "another node has already forwarded the call");
+    assert_eq!(calls.kind(from_control_node), Some(ForwardedCallKind::ReadConfig));
 }
 
 #[test]
-fn calls_forwarded_to_a_lost_node_are_given_back_and_those_it_forwarded_are_forgotten() {
+fn calls_forwarded_to_a_lost_node_are_returned_and_those_it_forwarded_are_dropped() {
     let (mut calls, call_id) = forwarded();
     let elsewhere = calls.insert(0, CLIENT);
     calls.set_content(elsewhere, ForwardedCall::ReadConfig);
@@ -59,7 +59,7 @@
     assert_eq!(calls.remove(from_lost), None);
     assert!(calls.unconfirmed_orders().is_empty());
     calls.remove(call_id);
-    assert_eq!(calls.len(), 1, "the one that another settles");
+    assert_eq!(calls.len(), 1, "the call forwarded to another node");
 }
 
 #[test]
--- a/crates/server/src/control_node/retirement/tests.rs
+++ b/crates/server/src/control_node/retirement/tests.rs
@@ -50,7 +50,7 @@
     decide(name, state, &pending, registry, |zones| zones.len() >= 2)
 }
 
-const FOUR: [(&str, RetirementState); 4] = [
+const FOUR_STORES: [(&str, RetirementState); 4] = [
     ("s-1", RetirementState::NotRetiring),
     ("s-2", RetirementState::NotRetiring),
     ("s-3", RetirementState::NotRetiring),
@@ -59,7 +59,7 @@
 
 #[test]
 fn simultaneous_retirement_orders_never_leave_too_few_stores() {
-    let registry = registry(&FOUR, true);
+    let registry = registry(&FOUR_STORES, true);
     let none = state(&[]);
     assert_eq!(decision("s-1", &none, &[], &registry), OrderDecision::Propose);
     // With the order for s-1 still being committed, retiring s-2 leaves two stores, which suffice; retiring s-3 as
@@ -68,7 +68,7 @@
     assert_eq!(
         decision("s-3", &none, &["s-1", "s-2"], &registry),
         OrderDecision::NotNow,
-        "they may come to nothing"
+        "the pending orders may still fail"
     );
     // Both orders are committed, but neither store has reported that it is retiring.
     let committed = state(&[("s-1", RetirementStage::Ordered), ("s-2", RetirementStage::Ordered)]);
@@ -83,36 +83,45 @@
 
 #[test]
 fn a_repeated_order_is_never_rejected_even_when_the_store_is_gone() {
-    let left = registry(&FOUR[1..3], true);
+    let left = registry(&FOUR_STORES[1..3], true);
     for stage in [RetirementStage::Ordered, RetirementStage::Draining, RetirementStage::Complete] {
         assert_eq!(decision("s-1", &state(&[("s-1", stage)]), &[], &left), OrderDecision::AlreadyCommitted);
     }
 }
 
 #[test]
-fn a_control_node_that_is_not_ready_rejects_no_order_for_good() {
-    let young = registry(&FOUR[..2], false);
-    assert_eq!(decision("s-9", &state(&[]), &[], &young), OrderDecision::NotNow);
-    assert_eq!(decision("s-1", &state(&[]), &[], &young), OrderDecision::NotNow);
+fn a_control_node_that_is_not_ready_rejects_no_order_permanently() {
+    let not_ready = registry(&FOUR_STORES[..2], false);
+    assert_eq!(decision("s-9", &state(&[]), &[], &not_ready), OrderDecision::NotNow);
+    assert_eq!(decision("s-1", &state(&[]), &[], &not_ready), OrderDecision::NotNow);
 }
 
 #[test]
 fn a_retirement_is_complete_when_state_and_store_both_say_so() {
     let complete = state(&[("s-1", RetirementStage::Complete)]);
     let draining = state(&[("s-1", RetirementStage::Draining)]);
-    let says = |retiring| registry(&[("s-1", retiring)], true);
+    let registry_reporting = |retiring| registry(&[("s-1", retiring)], true);
     let gone = registry(&[], true);
-    let of = |state, registry: &Registry| progress("s-1", Some(state), registry);
-    assert_matches!(of(&complete, &gone), Some(RetirementProgress::Complete));
-    assert_matches!(of(&complete, &says(RetirementState::Complete)), Some(RetirementProgress::Complete));
+    let progress_of = |state, registry: &Registry| progress("s-1", Some(state), registry);
+    assert_matches!(progress_of(&complete, &gone), Some(RetirementProgress::Complete));
+    assert_matches!(
+        progress_of(&complete, &registry_reporting(RetirementState::Complete)),
+        Some(RetirementProgress::Complete)
+    );
     // The store is restarting, so nobody has reported that it is empty.
-    assert_matches!(of(&draining, &gone), Some(RetirementProgress::Draining));
+    assert_matches!(progress_of(&draining, &gone), Some(RetirementProgress::Draining));
     // The store reported completion to one node but the replicated state lacks it, so a restarted control node would
     // have lost that report.
-    assert_matches!(of(&draining, &says(RetirementState::Complete)), Some(RetirementProgress::Draining));
+    assert_matches!(
+        progress_of(&draining, &registry_reporting(RetirementState::Complete)),
+        Some(RetirementProgress::Draining)
+    );
     // A new machine has the store's name.
-    assert_matches!(of(&complete, &says(RetirementState::NotRetiring)), Some(RetirementProgress::Draining));
-    assert_matches!(of(&state(&[]), &says(RetirementState::Complete)), None);
+    assert_matches!(
+        progress_of(&complete, &registry_reporting(RetirementState::NotRetiring)),
+        Some(RetirementProgress::Draining)
+    );
+    assert_matches!(progress_of(&state(&[]), &registry_reporting(RetirementState::Complete)), None);
     assert_matches!(progress("s-1", None, &gone), None);
 }
 
@@ -123,7 +132,7 @@
         ("s-2", RetirementStage::Draining),
         ("s-9", RetirementStage::Ordered),
     ]);
-    let mut here = registry(&FOUR, true);
+    let mut here = registry(&FOUR_STORES, true);
     let mut notices = RetirementNotices::default();
     let (first, second) = (store_id("s-1"), store_id("s-2"));
     // The second store has lost its disk, or a new machine has its name.
@@ -138,20 +147,20 @@
 }
 
 #[test]
-fn a_machine_with_one_of_an_even_number_of_voters_is_not_let_go() {
+fn a_machine_with_one_of_an_even_number_of_voters_is_not_released() {
     let voter = |host: u8| SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, host), 9000);
     let machine = Ipv4Addr::new(10, 0, 0, 4);
     assert!(is_voter_needed(&[1, 2, 3, 4].map(voter), machine));
-    assert!(!is_voter_needed(&[1, 2, 3].map(voter), machine), "it has been removed");
-    assert!(!is_voter_needed(&[1, 2, 3, 4, 5].map(voter), machine), "four of five are left");
+    assert!(!is_voter_needed(&[1, 2, 3].map(voter), machine), "the voter on this machine has been removed");
+    assert!(!is_voter_needed(&[1, 2, 3, 4, 5].map(voter), machine), "four of five voters remain");
 }
 
 #[test]
-fn a_store_is_not_emptied_where_its_machine_takes_too_many_voters_with_it() {
+fn a_store_is_not_retired_if_its_machine_takes_too_many_voters_with_it() {
     let voter = |host: u8| SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, host), 9000);
-    let (shared, apart) = (Ipv4Addr::new(10, 0, 0, 3), Ipv4Addr::new(10, 0, 0, 9));
+    let (shared, separate) = (Ipv4Addr::new(10, 0, 0, 3), Ipv4Addr::new(10, 0, 0, 9));
     assert!(!are_voters_sufficient(&[1, 2, 3].map(voter), shared, 1));
-    assert!(are_voters_sufficient(&[1, 2, 3].map(voter), apart, 1));
+    assert!(are_voters_sufficient(&[1, 2, 3].map(voter), separate, 1));
     assert!(are_voters_sufficient(&[1, 2, 3, 4].map(voter), shared, 1));
     assert!(!are_voters_sufficient(&[1, 2, 3, 4, 5].map(voter), shared, 2));
 }
--- a/crates/server/src/control_node/spare_stores.rs
+++ b/crates/server/src/control_node/spare_stores.rs
@@ -18,12 +18,12 @@
 
 /// The last logged number of spare stores, and when to check it again.
 #[derive(Default)]
-pub struct SpareStoreWatch {
+pub struct SpareStoreMonitor {
     logged: Option<StoresInService>,
     next_check_at: Millis,
 }
 
-impl SpareStoreWatch {
+impl SpareStoreMonitor {
     /// Records the present state. Returns whether to log it, which is only if spare stores have run out or are
     /// available again.
     fn observe(&mut self, stores: StoresInService) -> bool {
@@ -44,13 +44,13 @@
     }
 
     /// Logs when the last spare store is lost and when one is available again.
-    pub(super) fn watch_spare_stores(&mut self, now: Millis) {
-        if now < self.spare_store_watch.next_check_at || !self.plane.registry.is_ready() {
+    pub(super) fn check_spare_stores(&mut self, now: Millis) {
+        if now < self.spare_store_monitor.next_check_at || !self.plane.registry.is_ready() {
             return;
         }
-        self.spare_store_watch.next_check_at = now + SPARE_STORE_CHECK_INTERVAL_MS;
+        self.spare_store_monitor.next_check_at = now + SPARE_STORE_CHECK_INTERVAL_MS;
         let stores = self.stores_in_service();
-        if !self.spare_store_watch.observe(stores) {
+        if !self.spare_store_monitor.observe(stores) {
             return;
         }
         let StoresInService { count, spare } = stores;
--- a/crates/server/src/edge.rs
+++ b/crates/server/src/edge.rs
@@ -72,7 +72,7 @@
 /// A frame that tells stores which of several copies of a resubmitted message is kept. It is also sent to stores that
 /// connect later.
 struct SupersededNotice {
-    since: Millis,
+    created_at: Millis,
     frame: Frame,
 }
 
@@ -253,7 +253,7 @@
     fn answer_readiness(&mut self, connection: ConnectionId, request: &Request) {
         let is_known = request.target.split('?').next() == Some(READINESS_PATH);
         let is_ready = self.is_ready();
-        // A change of readiness is logged on every request to this listener, whatever its path.
+        // A change of readiness is logged on any request to the readiness listener, whatever its path.
         self.runtime.set_ready(is_ready);
         let status = match (is_known, is_ready) {
             (false, _) => 404,
--- a/crates/server/src/edge/authentication/tests.rs
+++ b/crates/server/src/edge/authentication/tests.rs
@@ -11,14 +11,14 @@
 }
 
 #[test]
-fn each_key_is_its_tenant_s() {
+fn each_key_authenticates_its_tenant() {
     assert_eq!(tenant(Some("Bearer one")).as_deref(), Ok("ferry"));
     assert_eq!(tenant(Some("bearer  two ")).as_deref(), Ok("ferry"));
     assert_eq!(tenant(Some("BEARER three")).as_deref(), Ok("lugger"));
 }
 
 #[test]
-fn other_keys_and_other_forms_are_nobody_s() {
+fn unknown_keys_and_malformed_headers_authenticate_no_tenant() {
     for unknown in ["Bearer four", "Bearer on", "Bearer onee", "Bearer ONE", "Bearer one two", "Bearer ferry"]
     {
         assert_eq!(tenant(Some(unknown)), Err(AuthenticationError::UnknownKey), "{unknown}");
--- a/crates/server/src/edge/lookups.rs
+++ b/crates/server/src/edge/lookups.rs
@@ -88,7 +88,7 @@
 
     /// The store that was asked is disconnected or silent, so the lookup is inconclusive: this store may know the
     /// message.
-    fn store_gave_no_answer(&mut self, request_id: u64) {
+    fn handle_missing_reply(&mut self, request_id: u64) {
         if let Some(lookup) = self.lookups.get_mut(&request_id) {
             lookup.is_inconclusive = true;
         }
@@ -151,7 +151,7 @@
     /// Handles a store's reply to a lookup.
     pub(super) fn lookup_answered(&mut self, store: Node, request_id: u64, result: Option<KnownMessage>) {
         let Some(lookup) = self.lookups.get_mut(&request_id) else { return };
-        match lookup.replied(store, result) {
+        match lookup.record_reply(store, result) {
             AfterReply::Answer(known) => {
                 if let Some(lookup) = self.lookups.remove(&request_id) {
                     self.answer_known(&lookup, known);
@@ -166,7 +166,7 @@
     pub(super) fn look_up_after_loss(&mut self, lost: Node) {
         let affected = self.lookups.iter().filter(|(_, lookup)| lookup.asked_store == lost);
         let request_ids: Vec<u64> = affected.map(|(request_id, _)| *request_id).collect();
-        request_ids.into_iter().for_each(|request_id| self.store_gave_no_answer(request_id));
+        request_ids.into_iter().for_each(|request_id| self.handle_missing_reply(request_id));
     }
 
     /// Handles a time-out of a lookup; it may belong to the store that is being asked now, or to an earlier one.
@@ -176,7 +176,7 @@
         // If neither limit has passed, the time-out belongs to a store asked earlier; the store being asked now has
         // its own.
         if now >= lookup.sent_at + STORE_REPLY_TIMEOUT_MS || now >= lookup.deadline {
-            self.store_gave_no_answer(request_id);
+            self.handle_missing_reply(request_id);
         }
     }
 }
--- a/crates/server/src/edge/pending.rs
+++ b/crates/server/src/edge/pending.rs
@@ -34,7 +34,7 @@
 
 impl PendingSubmission {
     /// Records that a store rejected the message, and returns the next step.
-    pub fn rejected(&mut self, store: Node, error: PutError) -> AfterRejection {
+    pub fn record_rejection(&mut self, store: Node, error: PutError) -> AfterRejection {
         self.may_be_kept |= error == PutError::Uncertain;
         if self.tried_stores.last() == Some(&store) {
             AfterRejection::TryNextStore
@@ -117,7 +117,7 @@
 
 impl PendingLookup {
     /// Records a store's reply to the lookup, and returns the next step.
-    pub fn replied(&mut self, store: Node, result: Option<KnownMessage>) -> AfterReply {
+    pub fn record_reply(&mut self, store: Node, result: Option<KnownMessage>) -> AfterReply {
         let next = if self.asked_store == store { AfterReply::AskNextStore } else { AfterReply::KeepWaiting };
         match result {
             // Only the store that accepted a message is a reliable source for its pending state: other stores may not
--- a/crates/server/src/edge/revocation/tests.rs
+++ b/crates/server/src/edge/revocation/tests.rs
@@ -9,19 +9,25 @@
 }
 
 #[test]
-fn keys_are_current_while_the_contact_is_young_enough() {
-    let everywhere = bounds(r#"{"revoke_everywhere":true,"revoke_ms":5000}"#);
-    assert!(are_keys_current(&everywhere, Some(10_000), 10_000));
-    assert!(are_keys_current(&everywhere, Some(10_000), 14_000));
-    assert!(!are_keys_current(&everywhere, Some(10_000), 14_001));
-    assert!(!are_keys_current(&everywhere, None, 10), "nobody has said that the configuration is the newest");
-    let short = bounds(r#"{"revoke_everywhere":true,"revoke_ms":500}"#);
-    assert!(!are_keys_current(&short, Some(10_000), 10_001), "less than the control nodes need");
+fn keys_are_current_while_the_last_contact_is_recent_enough() {
+    let bounds_everywhere = bounds(r#"{"revoke_everywhere":true,"revoke_ms":5000}"#);
+    assert!(are_keys_current(&bounds_everywhere, Some(10_000), 10_000));
+    assert!(are_keys_current(&bounds_everywhere, Some(10_000), 14_000));
+    assert!(!are_keys_current(&bounds_everywhere, Some(10_000), 14_001));
+    assert!(
+        !are_keys_current(&bounds_everywhere, None, 10),
+        "no control node has been in contact with its peers"
+    );
+    let short_bounds = bounds(r#"{"revoke_everywhere":true,"revoke_ms":500}"#);
+    assert!(
+        !are_keys_current(&short_bounds, Some(10_000), 10_001),
+        "the bound is below the delay reserved for the control nodes"
+    );
 }
 
 #[test]
-fn where_machines_that_are_cut_off_may_lag_contact_does_not_matter() {
-    let in_touch_alone = bounds(r#"{"revoke_everywhere":false,"revoke_ms":5000}"#);
-    assert!(are_keys_current(&in_touch_alone, Some(0), 100_000));
-    assert!(are_keys_current(&in_touch_alone, None, 100_000));
+fn contact_is_irrelevant_where_partitioned_machines_may_lag() {
+    let bounds_in_contact_only = bounds(r#"{"revoke_everywhere":false,"revoke_ms":5000}"#);
+    assert!(are_keys_current(&bounds_in_contact_only, Some(0), 100_000));
+    assert!(are_keys_current(&bounds_in_contact_only, None, 100_000));
 }
--- a/crates/server/src/edge/submissions.rs
+++ b/crates/server/src/edge/submissions.rs
@@ -103,13 +103,13 @@
             None => {
                 self.counts.outcome_unknown += 1;
                 self.answer(submission.connection, Response::empty(502));
-                self.announce_kept(&submission, None);
+                self.notify_superseded(&submission, None);
             }
         }
     }
 
-    /// Chooses the next store for a message. Stores in the edge's own zone come before those in its region, and those
-    /// before others; responsive stores come before unresponsive ones. Equal stores are used in rotation, but
+    /// Chooses the next store for a message. Responsive stores come before unresponsive ones; among them, stores in the
+    /// edge's own zone come before those in its region, and those before others. Equal stores are used in rotation, but
     /// messages with the same ordering key, and those with idempotency keys of the same shard, go to the same store
     /// while it is connected.
     fn choose_store(&mut self, tried: &[Node], message: &Message) -> Option<Node> {
@@ -157,7 +157,7 @@
     /// Notifies all stores which of several copies of a resubmitted message is kept, or that none is. A message with
     /// an idempotency key has at most one copy, which may have been accepted, so the edge sends no notice for it and
     /// leaves it to the stores.
-    fn announce_kept(&mut self, submission: &PendingSubmission, kept: Option<Key>) {
+    fn notify_superseded(&mut self, submission: &PendingSubmission, kept: Option<Key>) {
         if submission.message.idempotency_key.is_some() {
             return;
         }
@@ -169,9 +169,9 @@
             self.runtime.links.send(&mut self.runtime.net, store, &frame);
         }
         let notices = &mut self.superseded_notices;
-        notices.push_back(SupersededNotice { since: now, frame });
-        let is_over = |notice: &SupersededNotice| now > notice.since + SUPERSEDED_NOTICE_LIFETIME_MS;
-        while notices.front().is_some_and(is_over) || notices.len() > MAX_PENDING_SUBMISSIONS {
+        notices.push_back(SupersededNotice { created_at: now, frame });
+        let is_expired = |notice: &SupersededNotice| now > notice.created_at + SUPERSEDED_NOTICE_LIFETIME_MS;
+        while notices.front().is_some_and(is_expired) || notices.len() > MAX_PENDING_SUBMISSIONS {
             notices.pop_front();
         }
     }
@@ -190,7 +190,7 @@
             Err(PutError::QuotaUnknown) => self.answer_over_quota(request_id, 503),
             Err(error) => {
                 let Some(submission) = self.submissions.get_mut(&request_id) else { return };
-                if submission.rejected(store, error) == AfterRejection::TryNextStore {
+                if submission.record_rejection(store, error) == AfterRejection::TryNextStore {
                     self.resubmit(request_id);
                 }
             }
@@ -213,7 +213,7 @@
         let Some(submission) = self.submissions.remove(&request_id) else { return };
         self.counts.accepted += 1;
         if submission.tried_stores.len() > 1 {
-            self.announce_kept(&submission, Key::parse(&message_id).map(|location| location.key));
+            self.notify_superseded(&submission, Key::parse(&message_id).map(|location| location.key));
         }
         let headers = vec![("X-Queue-Message-Id", message_id)];
         self.answer(submission.connection, Response { status: 202, headers, ..Response::default() });
@@ -264,7 +264,7 @@
         }
         self.counts.outcome_unknown += 1;
         self.answer(submission.connection, Response::empty(504));
-        self.announce_kept(&submission, None);
+        self.notify_superseded(&submission, None);
     }
 }
 
