--- a/crates/server/src/control_node/retirement/tests.rs
+++ b/crates/server/src/control_node/retirement/tests.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// Knows these stores; `is_ready` if it has been up for long enough.
+/// A registry with the given stores; with `is_ready` it has been running long enough to know all members.
 fn registry(stores: &[(&str, RetirementState)], is_ready: bool) -> Registry {
     let mut registry = Registry::new(
         Member { role: NodeRole::Control, ..store("core-1", RetirementState::NotRetiring) },
@@ -44,13 +44,13 @@
     ControlState { serial: 9, retirements: retirements.iter().map(one).collect(), ..ControlState::default() }
 }
 
-/// Two have to stay.
+/// The decision on an order when two stores have to remain.
 fn decision(name: &str, state: &ControlState, pending: &[&str], registry: &Registry) -> OrderDecision {
     let pending: Vec<u32> = pending.iter().map(|name| store_id(name)).collect();
     decide(name, state, &pending, registry, |zones| zones.len() >= 2)
 }
 
-const FOUR: [(&str, RetirementState); 4] = [
+const FOUR_STORES: [(&str, RetirementState); 4] = [
     ("s-1", RetirementState::NotRetiring),
     ("s-2", RetirementState::NotRetiring),
     ("s-3", RetirementState::NotRetiring),
@@ -59,20 +59,21 @@
 
 #[test]
 fn simultaneous_retirement_orders_never_leave_too_few_stores() {
-    let registry = registry(&FOUR, true);
+    let registry = registry(&FOUR_STORES, true);
     let none = state(&[]);
     assert_eq!(decision("s-1", &none, &[], &registry), OrderDecision::Propose);
-    // The first is being written: two would stay, and then one.
+    // With the order for s-1 still being committed, retiring s-2 leaves two stores, which suffice; retiring s-3 as
+    // well would leave only one.
     assert_eq!(decision("s-2", &none, &["s-1"], &registry), OrderDecision::Propose);
     assert_eq!(
         decision("s-3", &none, &["s-1", "s-2"], &registry),
         OrderDecision::NotNow,
-        "they may come to nothing"
+        "the pending orders may still fail"
     );
-    // They are agreed on, and no store has said so yet.
+    // Both orders are committed, but neither store has reported that it is retiring.
     let committed = state(&[("s-1", RetirementStage::Ordered), ("s-2", RetirementStage::Ordered)]);
     assert_eq!(decision("s-3", &committed, &[], &registry), OrderDecision::TooFewRemaining);
-    // One that was said to be empty is gone by now, and one that never was a member counts for none.
+    // A store reported as empty that has since disconnected, and one that never was a member, do not count.
     assert_eq!(
         decision("s-1", &state(&[("s-9", RetirementStage::Complete)]), &[], &registry),
         OrderDecision::Propose
@@ -82,35 +83,45 @@
 
 #[test]
 fn a_repeated_order_is_never_rejected_even_when_the_store_is_gone() {
-    let left = registry(&FOUR[1..3], true);
+    let left = registry(&FOUR_STORES[1..3], true);
     for stage in [RetirementStage::Ordered, RetirementStage::Draining, RetirementStage::Complete] {
         assert_eq!(decision("s-1", &state(&[("s-1", stage)]), &[], &left), OrderDecision::AlreadyCommitted);
     }
 }
 
 #[test]
-fn a_control_node_that_is_not_ready_rejects_no_order_for_good() {
-    let young = registry(&FOUR[..2], false);
-    assert_eq!(decision("s-9", &state(&[]), &[], &young), OrderDecision::NotNow);
-    assert_eq!(decision("s-1", &state(&[]), &[], &young), OrderDecision::NotNow);
+fn a_control_node_that_is_not_ready_rejects_no_order_permanently() {
+    let not_ready = registry(&FOUR_STORES[..2], false);
+    assert_eq!(decision("s-9", &state(&[]), &[], &not_ready), OrderDecision::NotNow);
+    assert_eq!(decision("s-1", &state(&[]), &[], &not_ready), OrderDecision::NotNow);
 }
 
 #[test]
 fn a_retirement_is_complete_when_state_and_store_both_say_so() {
     let complete = state(&[("s-1", RetirementStage::Complete)]);
     let draining = state(&[("s-1", RetirementStage::Draining)]);
-    let says = |retiring| registry(&[("s-1", retiring)], true);
+    let registry_reporting = |retiring| registry(&[("s-1", retiring)], true);
     let gone = registry(&[], true);
-    let of = |state, registry: &Registry| progress("s-1", Some(state), registry);
-    assert_matches!(of(&complete, &gone), Some(RetirementProgress::Complete));
-    assert_matches!(of(&complete, &says(RetirementState::Complete)), Some(RetirementProgress::Complete));
-    // It is restarting: nobody has said that it is empty.
-    assert_matches!(of(&draining, &gone), Some(RetirementProgress::Draining));
-    // It has said so to one node, and the value does not: whoever restarts would have forgotten it.
-    assert_matches!(of(&draining, &says(RetirementState::Complete)), Some(RetirementProgress::Draining));
-    // A new machine of the name.
-    assert_matches!(of(&complete, &says(RetirementState::NotRetiring)), Some(RetirementProgress::Draining));
-    assert_matches!(of(&state(&[]), &says(RetirementState::Complete)), None);
+    let progress_of = |state, registry: &Registry| progress("s-1", Some(state), registry);
+    assert_matches!(progress_of(&complete, &gone), Some(RetirementProgress::Complete));
+    assert_matches!(
+        progress_of(&complete, &registry_reporting(RetirementState::Complete)),
+        Some(RetirementProgress::Complete)
+    );
+    // The store is restarting, so nobody has reported that it is empty.
+    assert_matches!(progress_of(&draining, &gone), Some(RetirementProgress::Draining));
+    // The store reported completion to one node but the replicated state lacks it, so a restarted control node would
+    // have lost that report.
+    assert_matches!(
+        progress_of(&draining, &registry_reporting(RetirementState::Complete)),
+        Some(RetirementProgress::Draining)
+    );
+    // A new machine has the store's name.
+    assert_matches!(
+        progress_of(&complete, &registry_reporting(RetirementState::NotRetiring)),
+        Some(RetirementProgress::Draining)
+    );
+    assert_matches!(progress_of(&state(&[]), &registry_reporting(RetirementState::Complete)), None);
     assert_matches!(progress("s-1", None, &gone), None);
 }
 
@@ -121,10 +132,10 @@
         ("s-2", RetirementStage::Draining),
         ("s-9", RetirementStage::Ordered),
     ]);
-    let mut here = registry(&FOUR, true);
+    let mut here = registry(&FOUR_STORES, true);
     let mut notices = RetirementNotices::default();
     let (first, second) = (store_id("s-1"), store_id("s-2"));
-    // The second has lost its disk, or is another machine of its name.
+    // The second store has lost its disk, or a new machine has its name.
     assert_eq!(notices.due(3000, &committed, &here), [first, second]);
     assert!(notices.due(3499, &committed, &here).is_empty());
     assert_eq!(notices.due(3500, &committed, &here), [first, second]);
@@ -136,20 +147,20 @@
 }
 
 #[test]
-fn a_machine_with_one_of_an_even_number_of_voters_is_not_let_go() {
+fn a_machine_with_one_of_an_even_number_of_voters_is_not_released() {
     let voter = |host: u8| SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, host), 9000);
     let machine = Ipv4Addr::new(10, 0, 0, 4);
     assert!(is_voter_needed(&[1, 2, 3, 4].map(voter), machine));
-    assert!(!is_voter_needed(&[1, 2, 3].map(voter), machine), "it has been removed");
-    assert!(!is_voter_needed(&[1, 2, 3, 4, 5].map(voter), machine), "four of five are left");
+    assert!(!is_voter_needed(&[1, 2, 3].map(voter), machine), "the voter on this machine has been removed");
+    assert!(!is_voter_needed(&[1, 2, 3, 4, 5].map(voter), machine), "four of five voters remain");
 }
 
 #[test]
-fn a_store_is_not_emptied_where_its_machine_takes_too_many_voters_with_it() {
+fn a_store_is_not_retired_if_its_machine_takes_too_many_voters_with_it() {
     let voter = |host: u8| SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, host), 9000);
-    let (shared, apart) = (Ipv4Addr::new(10, 0, 0, 3), Ipv4Addr::new(10, 0, 0, 9));
+    let (shared, separate) = (Ipv4Addr::new(10, 0, 0, 3), Ipv4Addr::new(10, 0, 0, 9));
     assert!(!are_voters_sufficient(&[1, 2, 3].map(voter), shared, 1));
-    assert!(are_voters_sufficient(&[1, 2, 3].map(voter), apart, 1));
+    assert!(are_voters_sufficient(&[1, 2, 3].map(voter), separate, 1));
     assert!(are_voters_sufficient(&[1, 2, 3, 4].map(voter), shared, 1));
     assert!(!are_voters_sufficient(&[1, 2, 3, 4, 5].map(voter), shared, 2));
 }
