--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -1,5 +1,5 @@
-//! The store: keeps messages, delivers them to executors, and calls back. What it decides is in the queue; here it is joined
-//! with its links, its disk and its connections.
+//! The store node: persists messages, delivers them to executors and sends call-backs. The decisions are made in the `stileroute-queue`
+//! crate; this module connects the queue to the links, the disk and the HTTP connections.
 
 mod deliveries;
 mod delivery_statistics;
@@ -33,66 +33,66 @@
 };
 use stileroute_wal::Options;
 
-/// Name of the log and of its folder.
+/// Schema name of the store's write-ahead log, which is also the name of its folder.
 const LOG_SCHEMA: &str = "hold";
-/// Under this ticket the records of the start are appended; the queue's begin with 1.
+/// Ticket of the append that holds the records written at start-up; the tickets of the queue begin with 1.
 const START_TICKET: u64 = 0;
-/// A store that shuts down waits at least so long for messages that are handed over to it, in ms.
+/// Minimum time, in ms, that a draining store waits for messages that other stores hand over to it.
 const MIN_DRAIN_MS: Millis = 150;
-/// Between the order to shut down and the end of the process at least, in ms: its last frames have to go out.
+/// Minimum time, in ms, between the shutdown request and the exit of the process, so that its last frames are sent.
 const MIN_SHUTDOWN_MS: Millis = 300;
-/// Of the grace period, what ending the process itself may take, in ms.
+/// Part of the grace period, in ms, that is reserved for the exit of the process itself.
 const SHUTDOWN_RESERVE_MS: Millis = 1000;
 
-/// A request that has no answer yet.
+/// An HTTP request of this store that has not been answered yet.
 enum InFlight {
-    /// A delivery to an executor.
+    /// A delivery attempt to an executor.
     Attempt {
-        /// The queue's number of the attempt.
+        /// The number by which the queue knows the attempt.
         attempt: u64,
-        /// The request id that the answer has to name.
+        /// The request id that the executor's answer has to repeat.
         request_id: String,
     },
-    /// A call-back about this message.
+    /// A call-back about the message with this key.
     Callback(Key),
 }
 
-/// An edge that waits to hear whether a message is accepted.
+/// The edge that waits for the answer to a submission.
 struct Submitter {
     edge: Node,
-    /// The edge's own id of its request.
+    /// The id that the edge gave to its request.
     request_id: u64,
 }
 
-/// A store.
+/// A store node: its queue with its links, disk and connections.
 pub struct Store {
     runtime: NodeRuntime,
     queue: Queue,
     disk: Disk,
     kept_ends: KeptEnds,
     kept_failures: KeptFailures,
-    /// The last heartbeat of each executor that the control nodes name, by its id.
+    /// The last heartbeat of each executor that the control nodes list, by executor id.
     executors: HashMap<String, Heartbeat>,
     departed_executors: DepartedExecutors,
     in_flight: HashMap<u64, InFlight>,
-    /// By the id under which the queue knows each submission.
+    /// The edges that wait for an answer, by the id under which the queue knows their submission.
     submitters: HashMap<u64, Submitter>,
     last_id: u64,
-    /// Whether the disk failed the last write.
+    /// Whether the last disk write failed.
     is_disk_failing: bool,
-    /// Whether the ends of messages have been sent out for the last time.
+    /// Whether the final flush of message ends to the other stores has been done.
     has_flushed_ends: bool,
     statistics: DeliveryStatistics,
-    /// Lookups of edges for messages of which nothing is known here.
+    /// Number of lookups by edges for messages that this store does not know.
     unknown_lookups: u64,
 }
 
 impl Store {
-    /// Reads the disk, and begins a new incarnation on it.
+    /// Reads the stored state from the disk and starts a new incarnation on it.
     ///
     /// # Errors
     ///
-    /// Where no data folder is set, or the log can't be opened.
+    /// Returns an error if no data folder is configured or the log cannot be opened.
     pub fn new(mut runtime: NodeRuntime) -> Result<Store, StartError> {
         let (disk, mut table) = Disk::open::<StateTable>(&runtime, "a store", Options::new(LOG_SCHEMA))?;
         let data_dir = runtime.boot.data_dir.as_deref().unwrap_or(Path::new("."));
@@ -101,7 +101,7 @@
         let disk_id = table.disk_id.unwrap_or_else(random_seed);
         let first_number = first_number(random_seed());
         let record = Record::IncarnationStarted { disk_id, first_number };
-        // Encoding into memory has no way to fail.
+        // Encoding a record into memory cannot fail.
         let record = postcard::to_stdvec(&record).unwrap_or_default();
         let has_lost_disk = table.disk_id.is_none() && !runtime.boot.is_first_start;
         let terms_missing = has_lost_disk.then_some(Record::ShardTermsMissing(true));
@@ -110,8 +110,8 @@
             std::iter::once(record).chain(terms_missing).chain(unwritten_ends).chain(unwritten_failures);
         disk.append(START_TICKET, records.collect(), true);
         let settings = queue_settings(&runtime, disk_id, first_number, &table, has_lost_disk);
-        tracing::info!(messages = table.messages.len(), disk = disk_id, "disk read");
-        // Both clocks after the disk was read: with the steady one from before, delayed messages would run early.
+        tracing::info!(messages = table.messages.len(), disk = disk_id, "stored state read from disk");
+        // Both clocks are sampled after the disk has been read: with an older monotonic time, delayed messages would run early.
         let (now, wall_clock_ms) = (runtime.net.refresh_now(), wall_clock_ms());
         let queue = Queue::new(settings, table, now, wall_clock_ms);
         Ok(Store {
@@ -132,7 +132,7 @@
         })
     }
 
-    /// Runs until the process is told to end and is done.
+    /// Runs the event loop until the process has been asked to shut down and has drained.
     pub fn run(mut self) {
         loop {
             let Polled { link_events, events } = self.runtime.poll(self.queue.next_deadline());
@@ -140,7 +140,7 @@
             events.into_iter().for_each(|event| self.event(event));
             self.answer_inquiries();
             self.runtime.maintain_session();
-            // Of two stores the one with the lower address opens the connection.
+            // Of each pair of stores, the one with the lower address opens the connection.
             let own_ip = self.runtime.boot.ip;
             self.runtime.update_dial_targets(|store| store.ip > own_ip);
             let now = self.runtime.net.now();
@@ -160,12 +160,12 @@
         }
     }
 
-    /// All messages have been handed over and the last frames are out; or there is no more time.
+    /// Whether all messages have been handed over and the last frames are sent, or the grace period is over.
     fn is_shutdown_complete(&mut self, now: Millis) -> bool {
         let Some(since) = self.runtime.draining_since else { return false };
         let is_drained = self.queue.unfinished_count() == 0 && now > since + MIN_DRAIN_MS;
         if is_drained && !self.has_flushed_ends {
-            // The last ends go out before the process does: whoever took over must not deliver these messages again.
+            // The last message ends are sent before the process exits: a store that took over must not deliver these messages again.
             self.has_flushed_ends = true;
             self.queue.flush_ends();
             self.apply_queue_effects();
@@ -175,7 +175,7 @@
             || self.runtime.is_grace_period_over(SHUTDOWN_RESERVE_MS)
     }
 
-    /// Edges send nothing more to a store that drains.
+    /// Tells all connected edges that this store is draining, so that they send it no more submissions.
     fn notify_edges_of_draining(&mut self) {
         for edge in self.runtime.links.nodes_with_role(NodeRole::Edge) {
             self.runtime.links.send(&mut self.runtime.net, edge, &Frame::Draining);
@@ -204,8 +204,8 @@
             let is_failing = result.is_err();
             if std::mem::replace(&mut self.is_disk_failing, is_failing) != is_failing {
                 match &result {
-                    Err(error) => tracing::error!(%error, "disk refuses"),
-                    Ok(()) => tracing::info!("disk takes again"),
+                    Err(error) => tracing::error!(%error, "disk write failed"),
+                    Ok(()) => tracing::info!("disk writes succeed again"),
                 }
             }
             self.kept_ends.write_completed(now, ticket, result.is_ok());
@@ -214,7 +214,7 @@
         }
     }
 
-    /// A new id, for a submission or a request of this store.
+    /// Returns an unused id for a submission or for an outgoing request of this store.
     fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
--- a/crates/server/src/store/deliveries.rs
+++ b/crates/server/src/store/deliveries.rs
@@ -1,4 +1,5 @@
-//! What the queue asks for, carried out: writes, frames, deliveries to executors and call-backs; and how requests ended.
+//! Carries out the effects that the queue requests (disk writes, frames, deliveries to executors and call-backs) and reports the
+//! results of the HTTP requests to the queue.
 
 use super::executor_http::{attempt_outcome, encode_attempt, parse_server_load};
 use super::{InFlight, Store};
@@ -10,28 +11,29 @@
 use std::net::SocketAddrV4;
 use stileroute_queue::{Effect, KeptFailure, Key};
 
-/// A receiver of call-backs has so long to answer, in ms.
+/// Time, in ms, within which the receiver of a call-back has to answer.
 const CALLBACK_TIMEOUT_MS: Millis = 3000;
-/// Connections to one receiver of call-backs at most.
+/// Maximum number of connections to one receiver of call-backs.
 const MAX_CALLBACK_CONNECTIONS: usize = 6;
-/// What the queue asks for may lead to more; the rest of that is left for the next turn of the loop.
+/// Maximum number of rounds in which effects of the queue, and the effects that follow from them, are applied in one turn of the event
+/// loop; the remaining effects wait for the next turn.
 const MAX_EFFECT_ROUNDS: usize = 8;
 
-/// A delivery that the queue asks for.
+/// A delivery attempt that the queue has requested.
 struct Attempt {
-    /// The queue's number of it.
+    /// The number by which the queue knows the attempt.
     number: u64,
     key: Key,
     executor: SocketAddrV4,
-    /// Which executor is expected at that address.
+    /// The id of the executor that is expected at the address, if one is expected.
     expected_id: Option<String>,
     timeout_ms: Millis,
     max_connections: usize,
 }
 
 impl Store {
-    /// Lets the queue do what is due, and carries out what it asks for. Frames and requests leave with the next poll: by then the ends of
-    /// this turn are kept, in whatever order the effects come.
+    /// Runs the due work of the queue and applies its effects. Frames and requests are sent with the next poll: by then the message ends
+    /// of this turn are in the crash buffer, regardless of the order of the effects.
     pub(super) fn apply_queue_effects(&mut self) {
         for _ in 0..MAX_EFFECT_ROUNDS {
             let (now, now_tenths_ms) = (self.runtime.net.now(), self.runtime.net.now_tenths_ms());
@@ -46,7 +48,8 @@
         }
     }
 
-    /// Appends once more what the log refused and others know: one append for each ticket, for its answer settles all that it has.
+    /// Retries refused appends of ends and failure counts, which other nodes already know. All records of a ticket go into one append,
+    /// because the answer to a ticket is taken as the result for all of its records.
     fn append_refused_again(&mut self, now: Millis) {
         let mut records_by_ticket: BTreeMap<u64, Vec<Vec<u8>>> = BTreeMap::new();
         for (ticket, records) in
@@ -152,7 +155,7 @@
         }
     }
 
-    /// A delivery or a call-back has ended.
+    /// Handles the end of a delivery attempt or of a call-back.
     pub(super) fn call_completed(&mut self, call_id: u64, result: Result<CallReply, CallError>) {
         let now = self.runtime.net.now();
         match self.in_flight.remove(&call_id) {
@@ -166,8 +169,8 @@
                 self.queue.attempt_ended(now, now_tenths_ms, attempt, outcome, load);
             }
             Some(InFlight::Callback(key)) => {
-                let is_taken = result.is_ok_and(|reply| reply.status == 200);
-                self.queue.callback_ended(now, key, is_taken);
+                let is_delivered = result.is_ok_and(|reply| reply.status == 200);
+                self.queue.callback_ended(now, key, is_delivered);
             }
             None => {}
         }
--- a/crates/server/src/store/departed_executors.rs
+++ b/crates/server/src/store/departed_executors.rs
@@ -1,22 +1,22 @@
-//! Executors that have left. A heartbeat that was on its way when its executor left may reach control nodes that were all started
-//! since, and know nothing of it: they would name the executor as one that serves, and the store must not send to it.
+//! Remembers executors that have left. A heartbeat that was in flight when its executor left may reach control nodes that were all
+//! started afterwards and do not know of the departure. They would list the executor as serving, but the store must not send to it.
 
 use crate::net::Millis;
 use crate::protocol::{ExecutorState, Heartbeat};
 use std::collections::HashMap;
 use stileroute_registry::FINAL_SEQUENCE;
 
-/// An executor that has left is remembered for so long, in ms: far longer than a heartbeat takes.
+/// Time, in ms, for which a departed executor is remembered: far longer than a heartbeat is in flight.
 const RETENTION_MS: Millis = 300_000;
-/// Executors that are remembered at the most.
+/// Maximum number of departed executors that are remembered.
 const MAX_EXECUTORS: usize = 20_000;
 
-/// The executors that have left, each with the time at which this store learned of it.
+/// The departed executors by id, each with the time at which this store learned of its departure.
 #[derive(Default)]
 pub struct DepartedExecutors(HashMap<String, Millis>);
 
 impl DepartedExecutors {
-    /// Whether what a control node says of an executor counts. It does not where the executor has left before.
+    /// Whether a heartbeat from a control node is to be applied; it is ignored if the executor has already left.
     pub fn admits(&mut self, now: Millis, heartbeat: &Heartbeat) -> bool {
         if heartbeat.state != ExecutorState::Offline {
             return !self.0.contains_key(&heartbeat.id);
--- a/crates/server/src/store/departed_executors/tests.rs
+++ b/crates/server/src/store/departed_executors/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn an_executor_that_has_left_is_not_admitted_again_whatever_control_nodes_say_later() {
+fn a_departed_executor_is_not_admitted_again_by_later_heartbeats() {
     let mut departed = DepartedExecutors::default();
     assert!(departed.admits(0, &heartbeat("a", ExecutorState::Serving, 4)));
     assert!(departed.admits(10, &heartbeat("a", ExecutorState::Offline, FINAL_SEQUENCE)));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_executor_that_was_silent_is_admitted_when_it_is_heard_again() {
+fn an_executor_that_timed_out_is_admitted_with_its_next_heartbeat() {
     let mut departed = DepartedExecutors::default();
     assert!(departed.admits(10, &heartbeat("a", ExecutorState::Offline, 5)));
     assert!(departed.admits(20, &heartbeat("a", ExecutorState::Serving, 6)));
--- a/crates/server/src/store/executor_http.rs
+++ b/crates/server/src/store/executor_http.rs
@@ -1,16 +1,16 @@
-//! The HTTP between a store and an executor: the request of a delivery, and what an answer says of it.
+//! HTTP between a store and an executor: encodes delivery requests and interprets the answers.
 
 use crate::net::{CallError, CallReply, Millis};
 use std::io::Write;
 use stileroute_queue::{AttemptOutcome, Message};
 
-/// Room for the head of a request, in bytes, so that its buffer rarely grows.
+/// Buffer capacity, in bytes, that is reserved for the head of a request, so that the buffer rarely has to grow.
 const HEAD_CAPACITY: usize = 320;
 
-/// The request that delivers a message. `expected_id` names the executor that is expected at the address.
+/// Encodes the HTTP request that delivers a message. `expected_id` is the id of the executor that is expected at the address.
 pub fn encode_attempt(message: &Message, expected_id: Option<&str>, timeout_ms: Millis) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(message.body.len() + HEAD_CAPACITY);
-    // Writing into memory does not fail.
+    // Writing to a `Vec` cannot fail.
     let _ = write!(bytes, "{} {} HTTP/1.1\r\nHost: {}\r\n", message.method, message.target, message.host);
     let _ = write!(bytes, "X-Request-Id: {}\r\nX-Time-Left-Ms: {timeout_ms}\r\n", message.id);
     if let Some(expected_id) = expected_id {
@@ -27,11 +27,11 @@
     bytes
 }
 
-/// Reads the header `X-Server-Load`, which has the requests that run, those that wait, and the slots. Gives the requests that
-/// the executor has in all, those that wait, and the free slots.
+/// Parses the header `X-Server-Load`, which lists the number of running requests, of waiting requests and of slots. Returns the total
+/// number of requests at the executor, the number of waiting requests and the number of free slots.
 pub fn parse_server_load(text: &str) -> Option<[f64; 3]> {
-    let parse = |part: &str| {
-        let number = part.trim().parse::<f64>().ok()?;
+    let parse = |field: &str| {
+        let number = field.trim().parse::<f64>().ok()?;
         (number.is_finite() && number >= 0.0).then_some(number)
     };
     let mut numbers = text.split(',').map(parse);
@@ -39,7 +39,7 @@
     Some([running + waiting, waiting, (slots - running).max(0.0)])
 }
 
-/// What an answer says of an attempt. One that names another request, or that has no seal, is no success.
+/// Maps the answer to a delivery attempt to its outcome. An answer with another request id, or without a seal, is not a success.
 pub fn attempt_outcome(request_id: &str, result: Result<CallReply, CallError>) -> AttemptOutcome {
     let reply = match result {
         Ok(reply) => reply,
--- a/crates/server/src/store/kept_ends.rs
+++ b/crates/server/src/store/kept_ends.rs
@@ -1,8 +1,8 @@
-//! Ends of messages that the log has been given and has not written yet: kept in a mapped file, so that they outlive the process
-//! whatever the disk does.
+//! Keeps the ends of messages that were appended to the log but are not written yet. They are kept in a memory-mapped file, so that
+//! they survive the process even while the disk stalls.
 //!
-//! An executor has run the message, and other stores know its end. While a write or a sync stalls the log holds the end in memory alone,
-//! here and at the replicas; where all these processes are killed then, the message would run again.
+//! An executor has run such a message, and other stores know its end. While a write or a sync stalls, the log holds the end only in
+//! memory, at this store and at the replicas; if all these processes were killed then, the message would run again.
 
 use super::kept_records::KeptRecords;
 use super::refused_appends::RefusedAppends;
@@ -12,30 +12,30 @@
 use stileroute_crash_buffer::{LeftRecord, Slot};
 use stileroute_queue::StateTable;
 
-/// The file in the data folder, beside the log.
+/// Name of the crash-buffer file for message ends, in the data folder beside the log.
 pub(crate) const FILE_NAME: &str = "hold.ends";
 
-/// An end that the log has not written.
+/// The end of a message that the log has not written yet.
 struct UnwrittenEnd {
     record: Vec<u8>,
-    /// Where it outlives the process; `None` where the buffer did not take it.
+    /// The slot of the record in the crash buffer; `None` if the buffer could not store it.
     slot: Option<Slot>,
 }
 
-/// The ends that the log has not written.
+/// All message ends that the log has not written yet.
 pub(super) struct KeptEnds {
     kept: KeptRecords,
-    /// By the ticket of their append.
+    /// The unwritten ends by the ticket of their append.
     unwritten: HashMap<u64, Vec<UnwrittenEnd>>,
     refused: RefusedAppends,
 }
 
 impl KeptEnds {
-    /// Opens the file, and applies the ends that the process before left there to what the log held. Also gives their records,
-    /// which have to be part of the append of the start.
+    /// Opens the crash-buffer file and applies the ends that the previous process left there to the state that was read from the log.
+    /// Also returns the records of these ends, which have to be part of the first append after the start.
     pub(super) fn open(data_dir: &Path, table: &mut StateTable) -> (KeptEnds, Vec<Vec<u8>>) {
-        let unusable = "ends do not outlive a killed process before the disk has written them";
-        let (mut kept, left) = KeptRecords::open(&data_dir.join(FILE_NAME), unusable);
+        let open_failure = "message ends are lost if the process is killed before the disk has written them";
+        let (mut kept, left) = KeptRecords::open(&data_dir.join(FILE_NAME), open_failure);
         let mut ends = Vec::new();
         for LeftRecord { slot, bytes } in left {
             if table.apply_kept_end(&bytes) {
@@ -45,7 +45,10 @@
             }
         }
         if !ends.is_empty() {
-            tracing::info!(ends = ends.len(), "ends outlived the process that had not written them");
+            tracing::info!(
+                ends = ends.len(),
+                "recovered message ends that the previous process had not written to the log"
+            );
         }
         let records = ends.iter().map(|end| end.record.clone()).collect();
         let mut unwritten = HashMap::new();
@@ -55,7 +58,7 @@
         (KeptEnds { kept, unwritten, refused: RefusedAppends::default() }, records)
     }
 
-    /// Keeps ends that are appended under this ticket.
+    /// Keeps the message ends that are appended under this ticket.
     pub(super) fn keep(&mut self, ticket: u64, records: impl Iterator<Item = Vec<u8>>) {
         let mut ends = Vec::new();
         for record in records {
@@ -67,7 +70,7 @@
         }
     }
 
-    /// The log has answered: what it has written need not be kept here, and what it refused is appended again.
+    /// Handles the log's answer to an append: written ends are removed from the crash buffer, refused ends are appended again later.
     pub(super) fn write_completed(&mut self, now: Millis, ticket: u64, is_written: bool) {
         if !is_written {
             if self.unwritten.contains_key(&ticket) {
@@ -79,7 +82,7 @@
         written.into_iter().for_each(|end| self.kept.remove(end.slot));
     }
 
-    /// Ends that the log refused, and that are to be appended once more now: the records by their ticket.
+    /// Returns the message ends whose refused append is due for a retry, as records by ticket.
     pub(super) fn take_due(&mut self, now: Millis) -> Vec<(u64, Vec<Vec<u8>>)> {
         let due = self.refused.take_due(now);
         let records = |ticket| {
@@ -89,17 +92,17 @@
         due.into_iter().map(records).collect()
     }
 
-    /// How many more attempts may be in flight.
+    /// Number of further delivery attempts that may be in flight with a free slot for their end.
     pub(super) fn capacity(&self) -> usize {
         self.kept.capacity()
     }
 
-    /// Ends that the log has not written.
+    /// Number of message ends that the log has not written yet.
     pub(super) fn unwritten(&self) -> usize {
         self.unwritten.values().map(Vec::len).sum()
     }
 
-    /// Ends so far that the buffer did not take.
+    /// Number of message ends so far that the crash buffer could not store.
     pub(super) fn unkept(&self) -> u64 {
         self.kept.unkept()
     }
--- a/crates/server/src/store/kept_ends/tests.rs
+++ b/crates/server/src/store/kept_ends/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn ends_that_the_log_has_not_written_are_there_after_a_kill() {
+fn unwritten_ends_survive_a_kill() {
     let data_dir = data_dir("ends-kill");
     std::mem::forget(kept(&data_dir, &[1, 2]));
     let mut table = live(&[1, 2, 3]);
@@ -28,7 +28,7 @@
     let ended = |number| table.messages[&key(number)].end.is_some();
     assert_eq!([ended(1), ended(2), ended(3)], [true, true, false]);
     assert_eq!((records.len(), after.unwritten()), (2, 2));
-    // They stay until the append of the start is written: a second kill before that forgets nothing.
+    // The ends stay in the crash buffer until the first append after the start is written: a second kill before that loses none.
     let (_, again) = KeptEnds::open(&data_dir, &mut live(&[1, 2]));
     assert_eq!(again.len(), 2);
     after.write_completed(0, super::super::START_TICKET, true);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn ends_that_the_log_has_written_are_not_kept() {
+fn written_ends_are_removed_from_the_crash_buffer() {
     let data_dir = data_dir("ends-written");
     let mut kept = kept(&data_dir, &[1]);
     let capacity = kept.capacity();
@@ -51,16 +51,16 @@
     assert!(table.messages[&key(1)].end.is_none());
 }
 
-/// A failed sync takes back all that it has not answered, ends among it that others know.
+/// A failed sync discards all appends that it has not answered, including ends of messages that other stores already know.
 #[test]
-fn ends_that_the_log_refused_are_kept_and_appended_again() {
+fn refused_ends_are_kept_and_appended_again() {
     let data_dir = data_dir("ends-refused");
     let mut kept = kept(&data_dir, &[1, 2]);
     kept.write_completed(0, TICKET, false);
     kept.write_completed(0, TICKET + 1, false);
     assert!(kept.take_due(RETRY_INTERVAL_MS - 1).is_empty());
     assert_eq!(kept.take_due(RETRY_INTERVAL_MS), [(TICKET, vec![end(1), end(2)])]);
-    assert!(kept.take_due(10 * RETRY_INTERVAL_MS).is_empty(), "once for each refusal");
+    assert!(kept.take_due(10 * RETRY_INTERVAL_MS).is_empty(), "one retry for each refusal");
     assert_eq!(kept.unwritten(), 2);
     kept.write_completed(RETRY_INTERVAL_MS, TICKET, false);
     assert_eq!(kept.take_due(2 * RETRY_INTERVAL_MS).len(), 1);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn what_the_buffer_does_not_take_is_counted_and_appended_again_all_the_same() {
+fn ends_beyond_the_buffer_capacity_are_counted_and_still_appended_again() {
     let data_dir = data_dir("ends-full");
     let numbers: Vec<u64> = (0..SLOT_COUNT as u64 + 3).collect();
     let mut kept = kept(&data_dir, &numbers);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_used_does_not_keep_the_store_from_starting() {
+fn an_unusable_file_does_not_prevent_the_start() {
     let data_dir = data_dir("ends-unusable");
     std::fs::write(data_dir.join(FILE_NAME), b"something else").unwrap();
     let mut kept = kept(&data_dir, &[1]);
--- a/crates/server/src/store/kept_failures.rs
+++ b/crates/server/src/store/kept_failures.rs
@@ -1,7 +1,7 @@
-//! How many attempts of a message have failed, as long as the log has not written it: kept in a mapped file, like the ends in
-//! [`kept_ends`](super::kept_ends), and in a file of its own, so that ends never lack a place for it.
+//! Keeps the number of failed attempts of each message until the log has written it. The counts are kept in a memory-mapped file, like
+//! the message ends in [`kept_ends`](super::kept_ends), but in a separate one, so that they never take a slot that an end needs.
 //!
-//! A message has one place at the most: a later count makes the one before it needless.
+//! A message uses at most one slot, because a later count supersedes the earlier one.
 
 use super::kept_records::KeptRecords;
 use super::refused_appends::RefusedAppends;
@@ -11,19 +11,19 @@
 use stileroute_crash_buffer::{LeftRecord, Slot};
 use stileroute_queue::{Key, Record, StateTable};
 
-/// The file in the data folder, beside the log.
+/// Name of the crash-buffer file for counts of failed attempts, in the data folder beside the log.
 pub(crate) const FILE_NAME: &str = "hold.failures";
 
-/// A count that the log has not written.
+/// The count of failed attempts of one message that the log has not written yet.
 struct UnwrittenFailure {
-    /// The append that has it.
+    /// Ticket of the append that contains the count.
     ticket: u64,
     record: Vec<u8>,
-    /// Where it outlives the process; `None` where the buffer did not take it.
+    /// The slot of the record in the crash buffer; `None` if the buffer could not store it.
     slot: Option<Slot>,
 }
 
-/// The counts of failed attempts that the log has not written.
+/// All counts of failed attempts that the log has not written yet.
 pub(super) struct KeptFailures {
     kept: KeptRecords,
     unwritten: HashMap<Key, UnwrittenFailure>,
@@ -32,12 +32,12 @@
 }
 
 impl KeptFailures {
-    /// Opens the file, and applies the counts that the process before left there to what the log held. Also gives their records,
-    /// which have to be part of the append of the start.
+    /// Opens the crash-buffer file and applies the counts that the previous process left there to the state that was read from the log.
+    /// Also returns the records of these counts, which have to be part of the first append after the start.
     pub(super) fn open(data_dir: &Path, table: &mut StateTable) -> (KeptFailures, Vec<Vec<u8>>) {
-        let unusable =
-            "failed attempts may be forgotten by a killed process before the disk has written them";
-        let (kept, left) = KeptRecords::open(&data_dir.join(FILE_NAME), unusable);
+        let open_failure =
+            "counts of failed attempts are lost if the process is killed before the disk has written them";
+        let (kept, left) = KeptRecords::open(&data_dir.join(FILE_NAME), open_failure);
         let mut failures = KeptFailures {
             kept,
             unwritten: HashMap::new(),
@@ -47,7 +47,7 @@
         let mut records = Vec::new();
         for LeftRecord { slot, bytes } in left {
             let slot = Some(slot);
-            let key = if table.apply_kept_failure(&bytes) { counted_message(&bytes) } else { None };
+            let key = if table.apply_kept_failure(&bytes) { failed_message_key(&bytes) } else { None };
             match key {
                 Some(key) => {
                     records.push(bytes.clone());
@@ -60,13 +60,14 @@
         (failures, records)
     }
 
-    /// Keeps a count that is appended under this ticket, in place of an earlier one of the same message.
+    /// Keeps a count of failed attempts that is appended under this ticket; it replaces an earlier count of the same message.
     pub(super) fn keep(&mut self, ticket: u64, key: Key, record: Vec<u8>) {
         let slot = self.kept.insert(&record);
         self.replace(key, UnwrittenFailure { ticket, record, slot });
     }
 
-    /// The later count is in its slot before the earlier one leaves its own: a kill between finds both.
+    /// Replaces the count of a message. The new count is already in its slot when the slot of the earlier one is freed: after a kill in
+    /// between, the file contains both counts.
     fn replace(&mut self, key: Key, failure: UnwrittenFailure) {
         self.keys_by_ticket.entry(failure.ticket).or_default().push(key);
         if let Some(earlier) = self.unwritten.insert(key, failure) {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The log has answered: what it has written need not be kept here, and what it refused is appended again.
+    /// Handles the log's answer to an append: written counts are removed from the crash buffer, refused counts are appended again later.
     pub(super) fn write_completed(&mut self, now: Millis, ticket: u64, is_written: bool) {
         if !is_written {
             if self.keys_by_ticket.contains_key(&ticket) {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Counts that the log refused, and that are to be appended once more now: the records by their ticket.
+    /// Returns the counts whose refused append is due for a retry, as records by ticket.
     pub(super) fn take_due(&mut self, now: Millis) -> Vec<(u64, Vec<Vec<u8>>)> {
         let due = self.refused.take_due(now);
         due.into_iter().map(|ticket| (ticket, self.records_of(ticket))).collect()
@@ -102,24 +103,24 @@
         failures.filter(|failure| failure.ticket == ticket).map(|failure| failure.record.clone()).collect()
     }
 
-    /// How many more attempts may be in flight.
+    /// Number of further delivery attempts that may be in flight with a free slot for their failure.
     pub(super) fn capacity(&self) -> usize {
         self.kept.capacity()
     }
 
-    /// Messages with a count that the log has not written.
+    /// Number of messages with a count that the log has not written yet.
     pub(super) fn unwritten(&self) -> usize {
         self.unwritten.len()
     }
 
-    /// Counts so far that the buffer did not take.
+    /// Number of counts so far that the crash buffer could not store.
     pub(super) fn unkept(&self) -> u64 {
         self.kept.unkept()
     }
 }
 
-/// The message of a record that counts failed attempts.
-fn counted_message(record: &[u8]) -> Option<Key> {
+/// The key of the message in a record that counts failed attempts; `None` for records of other kinds.
+fn failed_message_key(record: &[u8]) -> Option<Key> {
     match postcard::from_bytes(record) {
         Ok(Record::AttemptFailed { key, .. }) => Some(key),
         _ => None,
--- a/crates/server/src/store/kept_failures/tests.rs
+++ b/crates/server/src/store/kept_failures/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn counts_that_the_log_has_not_written_are_there_after_a_kill() {
+fn unwritten_counts_survive_a_kill() {
     let data_dir = data_dir("failures-kill");
     let mut before = opened(&data_dir);
     before.keep(TICKET, key(1), count(1, 2));
@@ -31,7 +31,7 @@
     let (mut after, records) = KeptFailures::open(&data_dir, &mut table);
     assert_eq!([1, 2, 3].map(|number| failed_attempts(&table, number)), [2, 1, 0]);
     assert_eq!((records.len(), after.unwritten()), (2, 2));
-    // They stay until the append of the start is written: a second kill before that forgets nothing.
+    // The counts stay in the crash buffer until the first append after the start is written: a second kill before that loses none.
     assert_eq!(KeptFailures::open(&data_dir, &mut live(&[1, 2])).1.len(), 2);
     after.write_completed(0, START_TICKET, true);
     assert_eq!(after.unwritten(), 0);
@@ -39,9 +39,9 @@
     assert!(KeptFailures::open(&data_dir, &mut live(&[1, 2])).1.is_empty());
 }
 
-/// However often a message fails while the disk stalls, it takes one place.
+/// A message uses one slot of the crash buffer, however often it fails while the disk stalls.
 #[test]
-fn a_later_count_takes_the_place_of_the_one_before() {
+fn a_later_count_replaces_the_earlier_one() {
     let data_dir = data_dir("failures-later");
     let mut kept = opened(&data_dir);
     let capacity = kept.capacity();
@@ -49,7 +49,7 @@
         kept.keep(TICKET + u64::from(failed_attempts), key(1), count(1, failed_attempts));
     }
     assert_eq!((kept.unwritten(), kept.capacity()), (1, capacity - 1));
-    // The log writes the earlier ones: the last one is not there yet.
+    // The log has written the first four counts, but not yet the fifth and last one.
     kept.write_completed(0, TICKET + 4, true);
     assert_eq!(kept.unwritten(), 1);
     std::mem::forget(kept);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn counts_that_the_log_refused_are_kept_and_the_last_of_each_message_is_appended_again() {
+fn refused_counts_are_kept_and_the_last_of_each_message_is_appended_again() {
     let data_dir = data_dir("failures-refused");
     let mut kept = opened(&data_dir);
     kept.keep(TICKET, key(1), count(1, 1));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn what_the_buffer_does_not_take_is_counted_and_appended_again_all_the_same() {
+fn counts_beyond_the_buffer_capacity_are_counted_and_still_appended_again() {
     let data_dir = data_dir("failures-full");
     let mut kept = opened(&data_dir);
     for number in 0..SLOT_COUNT as u64 + 3 {
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_used_does_not_keep_the_store_from_starting() {
+fn an_unusable_file_does_not_prevent_the_start() {
     let data_dir = data_dir("failures-unusable");
     std::fs::write(data_dir.join(FILE_NAME), b"something else").unwrap();
     let mut kept = opened(&data_dir);
--- a/crates/server/src/store/kept_records.rs
+++ b/crates/server/src/store/kept_records.rs
@@ -1,54 +1,54 @@
-//! Records that outlive the process before the log has written them, in a mapped file of their own.
+//! A memory-mapped file for records that have to survive the process before the log has written them.
 
 use std::path::Path;
 use stileroute_crash_buffer::{CrashBuffer, LeftRecord, Slot};
 
-/// As many records of a file may be unwritten, which is 2 MiB.
+/// Number of records that one file can hold, which makes it 2 MiB large.
 pub(super) const SLOT_COUNT: usize = 8192;
-/// Of these slots so many are for what other stores send: each of two may send as many as it has attempts in flight.
-const SLOTS_FOR_NOTICES: usize = SLOT_COUNT / 4 * 3;
+/// Number of slots that are reserved for records sent by other stores: each of two stores may send as many as it has attempts in flight.
+const SLOTS_RESERVED_FOR_PEERS: usize = SLOT_COUNT / 4 * 3;
 
-/// The slots of one file, or none where it can't be used: then records are only in the log.
+/// The slots of one crash-buffer file. If the file cannot be used there are none, and records are kept in the log only.
 pub(super) struct KeptRecords {
     buffer: Option<CrashBuffer>,
     unkept: u64,
 }
 
 impl KeptRecords {
-    /// Opens the file, and gives what the process before left there. `unusable` is logged where that fails.
-    pub(super) fn open(path: &Path, unusable: &'static str) -> (KeptRecords, Vec<LeftRecord>) {
+    /// Opens the file and returns the records that the previous process left there. `open_failure` is logged if the file cannot be opened.
+    pub(super) fn open(path: &Path, open_failure: &'static str) -> (KeptRecords, Vec<LeftRecord>) {
         let (buffer, left) = match CrashBuffer::open(path, SLOT_COUNT) {
             Ok((buffer, left)) => (Some(buffer), left),
             Err(error) => {
-                tracing::error!(%error, "{unusable}");
+                tracing::error!(%error, "{open_failure}");
                 (None, Vec::new())
             }
         };
         (KeptRecords { buffer, unkept: 0 }, left)
     }
 
-    /// Keeps a record, and gives its slot; `None` where the file did not take it.
+    /// Stores a record in the file and returns its slot, or `None` if the file could not store it.
     pub(super) fn insert(&mut self, record: &[u8]) -> Option<Slot> {
         let slot = self.buffer.as_mut().and_then(|buffer| buffer.insert(record).ok());
         self.unkept += u64::from(slot.is_none());
         slot
     }
 
-    /// A record, if it was kept, need not be kept any longer.
+    /// Frees the slot of a record, if the record was stored.
     pub(super) fn remove(&mut self, slot: Option<Slot>) {
         if let Some((buffer, slot)) = self.buffer.as_mut().zip(slot) {
             buffer.remove(slot);
         }
     }
 
-    /// How many more attempts may be in flight.
+    /// Number of further delivery attempts that may be in flight: the free slots without those reserved for other stores.
     pub(super) fn capacity(&self) -> usize {
         self.buffer
             .as_ref()
-            .map_or(usize::MAX, |buffer| buffer.free_slots().saturating_sub(SLOTS_FOR_NOTICES))
+            .map_or(usize::MAX, |buffer| buffer.free_slots().saturating_sub(SLOTS_RESERVED_FOR_PEERS))
     }
 
-    /// Records so far that the file did not take.
+    /// Number of records so far that the file could not store.
     pub(super) fn unkept(&self) -> u64 {
         self.unkept
     }
--- a/crates/server/src/store/kept_test_support.rs
+++ b/crates/server/src/store/kept_test_support.rs
@@ -1,9 +1,9 @@
-//! What the tests of kept ends and of kept counts of failed attempts have in common.
+//! Helpers shared by the tests of kept message ends and of kept counts of failed attempts.
 
 use std::path::PathBuf;
 use stileroute_queue::{Key, Record, ReplicatedMessage, StateTable};
 
-/// An empty folder for a test, by a name that no other test has.
+/// Creates an empty data folder for a test; `test` has to be unique among the tests.
 pub(super) fn data_dir(test: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("kept-{}-{test}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
@@ -11,12 +11,12 @@
     folder
 }
 
-/// A message by its number.
+/// The key of the test message with this number.
 pub(super) fn key(number: u64) -> Key {
     Key { origin: 1, number }
 }
 
-/// What the log holds of these messages: all are live, and no attempt is known to have failed.
+/// A state table in which the messages with these numbers have not ended and have no failed attempts.
 pub(super) fn live(numbers: &[u64]) -> StateTable {
     let mut table = StateTable::default();
     for number in numbers {
--- a/crates/server/src/store/link_events.rs
+++ b/crates/server/src/store/link_events.rs
@@ -1,4 +1,4 @@
-//! What links report to a store: frames of edges, other stores and control nodes, and connections that open and break.
+//! Handles the events of a store's links: frames from edges, other stores and control nodes, and connections that open or break.
 
 use super::{Store, Submitter};
 use crate::links::LinkEvent;
@@ -10,11 +10,11 @@
 use std::collections::HashMap;
 use stileroute_queue::{Executor, Key, Message, Node};
 
-/// The number of a zone that the settings do not name, for members: none of those that they do name.
+/// Zone number of member stores whose zone is not in the settings; it differs from the numbers of all configured zones.
 const UNKNOWN_ZONE: usize = usize::MAX >> 1;
 
 impl Store {
-    /// Takes in what happened on a link.
+    /// Handles one event of a link.
     pub(super) fn link_event(&mut self, link_event: LinkEvent) {
         let now = self.runtime.net.now();
         match link_event {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Nobody waits any more for the answers to an edge's submissions.
+    /// Abandons the submissions of an edge whose connection was lost, because their answers can no longer be sent.
     fn edge_lost(&mut self, edge: Node) {
         let submissions = self.submitters.iter().filter(|(_, submitter)| submitter.edge == edge);
         let abandoned: Vec<u64> = submissions.map(|(id, _)| *id).collect();
@@ -74,7 +74,7 @@
         }
     }
 
-    /// What this store knows of a message.
+    /// Looks up the status of a message, and its body if requested; `None` if this store does not know the message.
     fn look_up(&self, key: Key, include_body: bool) -> Option<KnownMessage> {
         let (state, body) = self.queue.lookup(key)?;
         let body = body.filter(|_| include_body).map(<[u8]>::to_vec);
@@ -98,7 +98,7 @@
         }
     }
 
-    /// A control node's update: members, executors, perhaps a new configuration.
+    /// Applies an update from a control node: members, executors and possibly a new configuration.
     fn apply_update(&mut self, from: Node, update: MembershipUpdate) {
         let now = self.runtime.net.now();
         let new_config = self.runtime.apply_update(from, &update);
@@ -131,23 +131,23 @@
         }
     }
 
-    /// All stores that are members, each with the number of its zone.
+    /// All stores in the membership, each with its zone number.
     fn stores_with_zones(&self) -> Vec<(Node, usize)> {
         let members = self.runtime.session.members.iter();
         let stores = members.filter(|member| member.role == NodeRole::Store);
         stores.map(|store| (store.node, self.zone_number(&store.zone).unwrap_or(UNKNOWN_ZONE))).collect()
     }
 
-    /// A zone's place among those that the settings name.
+    /// The index of a zone among the zones in the settings; `None` if the settings do not contain it.
     fn zone_number(&self, zone: &str) -> Option<usize> {
         self.runtime.boot.zone_regions.keys().position(|name| name == zone)
     }
 
-    /// The executors as the queue takes them, by service, in the order of their ids.
+    /// The executors of each service in the queue's format, ordered by executor id.
     fn executors_by_service(&self) -> HashMap<String, Vec<Executor>> {
         let mut services: HashMap<String, Vec<Executor>> = HashMap::new();
         let mut heartbeats: Vec<&Heartbeat> = self.executors.values().collect();
-        heartbeats.sort_unstable_by(|one, other| one.id.cmp(&other.id));
+        heartbeats.sort_unstable_by(|left, right| left.id.cmp(&right.id));
         for heartbeat in heartbeats {
             let executor = Executor {
                 id: heartbeat.id.clone(),
--- a/crates/server/src/store/refused_appends.rs
+++ b/crates/server/src/store/refused_appends.rs
@@ -1,24 +1,24 @@
-//! Appends that the log refused, and that are tried again: what they hold is known outside the store.
+//! Schedules retries of appends that the log refused. Their records are already known outside the store, so they must not be dropped.
 
 use crate::net::Millis;
 
-/// A refused append is tried again after so long.
+/// Time, in ms, from the refusal of an append to its retry.
 pub(super) const RETRY_INTERVAL_MS: Millis = 200;
 
-/// The appends that the log refused.
+/// The refused appends that wait for their retry.
 #[derive(Default)]
 pub(super) struct RefusedAppends {
-    /// When each is tried again, by its ticket.
+    /// The retry time and the ticket of each refused append.
     retry_at: Vec<(Millis, u64)>,
 }
 
 impl RefusedAppends {
-    /// The log has refused an append.
+    /// Schedules the retry of an append that the log has just refused.
     pub(super) fn add(&mut self, now: Millis, ticket: u64) {
         self.retry_at.push((now + RETRY_INTERVAL_MS, ticket));
     }
 
-    /// The appends that are to be tried again now.
+    /// Removes and returns the tickets of the appends that are due for a retry.
     pub(super) fn take_due(&mut self, now: Millis) -> Vec<u64> {
         self.retry_at.extract_if(.., |(at, _)| *at <= now).map(|(_, ticket)| ticket).collect()
     }
--- a/crates/server/src/store/report.rs
+++ b/crates/server/src/store/report.rs
@@ -1,4 +1,4 @@
-//! What a store tells operators: its report, what it knows of one message, and its metrics.
+//! Information of a store for operators: its status report, the trace of a message, and its metrics.
 
 use super::Store;
 use crate::inspection::Inspect;
@@ -59,7 +59,7 @@
         services.map(|service| self.service_as_json(service)).collect::<Vec<_>>().into()
     }
 
-    /// The other stores.
+    /// The connection and membership state of the other stores.
     fn stores_as_json(&self) -> JsonValue {
         let stores = self.queue.peer_views().map(|store| {
             jzon::object! {
@@ -159,7 +159,7 @@
     metrics.gauge("stileroute_oldest_message_seconds", help, &[], seconds(stages.oldest_overdue_ms));
 }
 
-// The samples of one metric have to follow one another: so each metric goes through all services by itself.
+// The samples of one metric have to be contiguous in the output, so there is a separate loop over the services for each metric.
 
 fn write_queue_metrics(metrics: &mut Exposition, services: &[ServiceView]) {
     for service in services {
@@ -253,12 +253,12 @@
     }
 
     fn write_metrics(&self, metrics: &mut Exposition) {
-        // What lies on too few disks comes first: some collectors keep only the beginning of a page.
+        // The replication metrics come first, because some collectors keep only the beginning of the metrics page.
         let help = "1: nothing that this store knows of lies on too few disks, and it has heard of all that the others hold.";
         metrics.gauge("stileroute_fully_replicated", help, &[], u8::from(self.queue.is_fully_replicated()));
         write_stage_metrics(metrics, &self.queue.stage_counts(self.runtime.net.now()));
         self.write_event_metrics(metrics);
-        // A store has no listener for requests but the one for metrics.
+        // The only HTTP listener of a store is the one for metrics.
         self.runtime.write_metrics(metrics, |_| "none");
         self.write_service_metrics(metrics);
         self.statistics.write_metrics(metrics);
--- a/crates/server/src/store/tests.rs
+++ b/crates/server/src/store/tests.rs
@@ -14,20 +14,20 @@
     "max_wait_s":60,"run_target_ms":1000}],"backends":[{"name":"crane"}]}"#;
 const EDGE: Node = 7;
 
-/// A store with a disk of its own, and with no other store to copy to.
-struct StoreAlone {
+/// A single store with its own data folder and without peers for replicas.
+struct SingleStore {
     store: Store,
     dir: PathBuf,
 }
 
-impl Drop for StoreAlone {
+impl Drop for SingleStore {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.dir);
     }
 }
 
-impl StoreAlone {
-    fn new(name: &str) -> StoreAlone {
+impl SingleStore {
+    fn new(name: &str) -> SingleStore {
         let dir = std::env::temp_dir().join(format!("stileroute-store-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
         let text = format!(
@@ -42,10 +42,10 @@
         (boot.ip, boot.internal_ports) = (Ipv4Addr::LOCALHOST, PortRange::default());
         let mut store =
             Store::new(NodeRuntime::start(boot, Path::new(""), NodeRole::Store).unwrap()).unwrap();
-        let (now, fine) = (store.runtime.net.now(), store.runtime.net.now_tenths_ms());
-        store.queue.configure(now, fine, Arc::new(Config::parse(CONFIG).unwrap()));
+        let (now, now_tenths_ms) = (store.runtime.net.now(), store.runtime.net.now_tenths_ms());
+        store.queue.configure(now, now_tenths_ms, Arc::new(Config::parse(CONFIG).unwrap()));
         store.apply_queue_effects();
-        StoreAlone { store, dir }
+        SingleStore { store, dir }
     }
 
     fn submit(&mut self) {
@@ -61,40 +61,41 @@
         self.store.apply_queue_effects();
     }
 
-    /// Whether its edge still waits for an answer.
+    /// Whether the submitting edge still waits for an answer.
     fn has_waiting_edge(&self) -> bool {
         !self.store.submitters.is_empty()
     }
 }
 
-/// The disk's word is read only when the loop is woken by it, so that none is read before.
-fn is_answered_before_the_disk(name: &str) -> bool {
-    let mut lone = StoreAlone::new(name);
-    lone.submit();
-    let before = !lone.has_waiting_edge();
-    let given_up = Instant::now() + Duration::from_secs(20);
-    while lone.has_waiting_edge() && Instant::now() < given_up {
-        lone.store.event(Event::WakeUp);
-        lone.store.apply_queue_effects();
+/// Whether the edge is answered before the disk has confirmed the write. Disk results are read only on `Event::WakeUp`, so that none is
+/// read before that check.
+fn is_answered_before_disk_write(name: &str) -> bool {
+    let mut store = SingleStore::new(name);
+    store.submit();
+    let answered_early = !store.has_waiting_edge();
+    let deadline = Instant::now() + Duration::from_secs(20);
+    while store.has_waiting_edge() && Instant::now() < deadline {
+        store.store.event(Event::WakeUp);
+        store.store.apply_queue_effects();
         std::thread::yield_now();
     }
-    assert!(!lone.has_waiting_edge(), "the disk has it, and its edge waits");
-    before
+    assert!(!store.has_waiting_edge(), "the edge got no answer within 20 s of the submission");
+    answered_early
 }
 
 #[test]
 fn a_submission_is_answered_once_the_disk_has_the_message() {
-    assert!(!is_answered_before_the_disk("kept"));
+    assert!(!is_answered_before_disk_write("kept"));
     let fault = Some(fault_injection::InjectedFault::AnswerBeforeDisk);
     assert!(
-        fault_injection::with_fault(fault, || is_answered_before_the_disk("planted")),
-        "the planted fault is not found"
+        fault_injection::with_fault(fault, || is_answered_before_disk_write("planted")),
+        "the injected fault was not detected"
     );
 }
 
 #[test]
 fn each_outcome_of_a_delivery_is_counted_under_its_label() {
-    let mut lone = StoreAlone::new("outcomes");
+    let mut store = SingleStore::new("outcomes");
     let outcomes = [
         (AttemptOutcome::Completed { seal: String::new() }, "done"),
         (AttemptOutcome::Rejected, "refused"),
@@ -111,9 +112,9 @@
         (AttemptOutcome::NoResponse, "late"),
         (AttemptOutcome::MalformedResponse, "garbled"),
     ];
-    outcomes.iter().for_each(|(outcome, _)| lone.store.statistics.attempt_ended(outcome));
+    outcomes.iter().for_each(|(outcome, _)| store.store.statistics.attempt_ended(outcome));
     let mut metrics = crate::metrics::Exposition::default();
-    lone.store.write_metrics(&mut metrics);
+    store.store.write_metrics(&mut metrics);
     for (outcome, label) in &outcomes {
         let line = format!("stileroute_deliveries_total{{outcome=\"{label}\"}} 1");
         assert!(metrics.text().lines().any(|shown| shown == line), "{outcome:?}: {line}");
