--- a/crates/server/tests/control_log.rs
+++ b/crates/server/tests/control_log.rs
@@ -1,5 +1,5 @@
-//! A control group with its disk logs, through a thousand changes: at each numbered point of the log a process is killed,
-//! power is lost, or a disk. Whoever comes back catches up, nobody leads with old state, disk and memory stay bounded.
+//! Runs a control group with its disk logs through 1000 configuration changes. At each step of the log a process is killed, power is
+//! lost, or a disk is lost. A restarted node has to catch up, no node may lead with stale state, and disk and memory use stay bounded.
 
 #[path = "control_log/group.rs"]
 mod group;
@@ -16,14 +16,15 @@
 use machine::{Fault, CHECKPOINT_AFTER_BYTES};
 use stileroute_wal::Step;
 
-const CHANGES: u64 = 1000;
+const CONFIGURATION_CHANGES: u64 = 1000;
 const BODY_BYTES: usize = 900;
-/// Milliseconds of the group's clock from a start until the node has what was acknowledged before it, and, as a replica, on disk.
+/// Maximum time, in ms of the simulated clock, from the restart of a node until it has all changes that were acknowledged before the
+/// restart; a replica also has to have them on disk.
 const CATCH_UP_LIMIT_MS: u64 = 2000;
-/// Milliseconds a change may take, troubles included.
+/// Maximum time, in ms of the simulated clock, until a configuration change is acknowledged, including injected faults.
 const CHANGE_LIMIT_MS: u64 = 6000;
-/// Bytes of a record beside the configuration, its entry's head included, and of the view and the vote in a snapshot.
-const RECORD_OVERHEAD: u64 = 400;
+/// Bytes of a record in addition to the configuration: the header of its log entry, and the view and the vote in a snapshot.
+const RECORD_OVERHEAD_BYTES: u64 = 400;
 
 const STEPS: [Step; 11] = [
     Step::WriteEntries,
@@ -40,43 +41,51 @@
 ];
 const FAULTS: [Fault; 3] = [Fault::Kill, Fault::PowerLoss, Fault::DiskLoss];
 
-/// The old snapshot and the new, the segment that the new one covers, which takes one record beyond `CHECKPOINT_AFTER_BYTES`, and the
-/// one that is written to: here nothing is appended while a checkpoint runs.
-fn disk_bound() -> u64 {
-    let record = BODY_BYTES as u64 + RECORD_OVERHEAD;
+/// Maximum disk use in bytes: the old and the new snapshot, the segment that the new snapshot covers (it exceeds
+/// `CHECKPOINT_AFTER_BYTES` by up to one record), and the segment that is being written. In this test nothing is appended while a
+/// checkpoint runs.
+fn max_disk_bytes() -> u64 {
+    let record = BODY_BYTES as u64 + RECORD_OVERHEAD_BYTES;
     2 * record + (CHECKPOINT_AFTER_BYTES + record) + record
 }
 
 #[test]
 fn a_group_survives_faults_at_each_step_of_its_disk_log() {
     let mut group = Group::new(11);
-    let mut strikes = BTreeMap::<String, usize>::new();
-    let (mut slowest, mut largest, mut memory_early) = (0, 0, 0);
+    let mut fault_counts = BTreeMap::<String, usize>::new();
+    let (mut slowest_ms, mut peak_disk_bytes, mut early_memory_bytes) = (0, 0, 0);
     let mut planned_faults =
         (0..).map(|number: usize| (STEPS[number % STEPS.len()], FAULTS[number / STEPS.len() % 3]));
-    for version in 1..=CHANGES {
+    for version in 1..=CONFIGURATION_CHANGES {
         if !group.is_armed() {
             let (step, fault) = planned_faults.next().expect("endless");
             group.arm(step, fault, version as usize);
         }
-        group.change(version, vec![b'a' + (version % 26) as u8; BODY_BYTES], CHANGE_LIMIT_MS);
-        for (step, fault) in group.strikes.drain(..) {
-            *strikes.entry(format!("{step:?} {fault:?}")).or_default() += 1;
+        group.change_configuration(version, vec![b'a' + (version % 26) as u8; BODY_BYTES], CHANGE_LIMIT_MS);
+        for (step, fault) in group.injected_faults.drain(..) {
+            *fault_counts.entry(format!("{step:?} {fault:?}")).or_default() += 1;
         }
-        slowest = slowest.max(group.until_all_caught_up(CATCH_UP_LIMIT_MS));
-        largest = largest.max(group.largest_disk());
-        assert!(largest <= disk_bound(), "{largest} bytes at change {version}, of {}", disk_bound());
-        if version == CHANGES / 5 {
-            memory_early = memory::live();
+        slowest_ms = slowest_ms.max(group.run_until_all_caught_up(CATCH_UP_LIMIT_MS));
+        peak_disk_bytes = peak_disk_bytes.max(group.peak_disk_bytes());
+        assert!(
+            peak_disk_bytes <= max_disk_bytes(),
+            "{peak_disk_bytes} bytes at change {version}, limit {}",
+            max_disk_bytes()
+        );
+        if version == CONFIGURATION_CHANGES / 5 {
+            early_memory_bytes = memory::allocated_bytes();
         }
     }
-    let memory_late = memory::live();
+    let late_memory_bytes = memory::allocated_bytes();
     println!(
-        "{} points of 33, {} faults, catch-up {slowest} ms, disk {largest} of {} bytes, memory {memory_early} and {memory_late}",
-        strikes.len(),
-        strikes.values().sum::<usize>(),
-        disk_bound(),
+        "{} of 33 fault points, {} faults, catch-up {slowest_ms} ms, disk {peak_disk_bytes} of {} bytes, memory {early_memory_bytes} and {late_memory_bytes} bytes",
+        fault_counts.len(),
+        fault_counts.values().sum::<usize>(),
+        max_disk_bytes(),
+    );
+    assert_eq!(fault_counts.len(), STEPS.len() * FAULTS.len(), "{fault_counts:?}");
+    assert!(
+        late_memory_bytes < early_memory_bytes + (64 << 10),
+        "allocated memory grew from {early_memory_bytes} to {late_memory_bytes} bytes"
     );
-    assert_eq!(strikes.len(), STEPS.len() * FAULTS.len(), "{strikes:?}");
-    assert!(memory_late < memory_early + (64 << 10), "{memory_early} bytes, later {memory_late}");
 }
--- a/crates/server/tests/control_log/group.rs
+++ b/crates/server/tests/control_log/group.rs
@@ -1,4 +1,4 @@
-//! Three control nodes, their connections and an operator, on one clock that jumps to whatever is due.
+//! Simulates three control nodes, their connections and an operator, on a simulated clock that jumps to the next due event.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -9,9 +9,11 @@
 use crate::machine::{Fault, Machine};
 
 const NODES: usize = 3;
-/// How long a message travels, an operator waits for one node, and a machine is away, in ms.
+/// Delivery time of a message between two nodes, in ms.
 const MESSAGE_DELAY_MS: Millis = 2;
+/// Time, in ms, after which the operator sends a change to the next node.
 const OPERATOR_TIMEOUT_MS: Millis = 500;
+/// Time, in ms, from a fault until the machine starts again.
 const RESTART_DELAY_MS: Millis = 300;
 
 enum Event {
@@ -21,10 +23,10 @@
     Start,
 }
 
-struct Order {
+struct PendingChange {
     version: u64,
     body: Vec<u8>,
-    at: usize,
+    target: usize,
     attempt: u64,
     next_attempt_at: Millis,
     is_done: bool,
@@ -34,16 +36,17 @@
     now: Millis,
     machines: Vec<Machine>,
     queue: BTreeMap<(Millis, u64), (usize, u64, Event)>,
-    next: u64,
+    last_event_number: u64,
     random: u64,
-    order: Option<Order>,
-    /// The highest version that was acknowledged.
+    pending_change: Option<PendingChange>,
+    /// The highest configuration version that was acknowledged.
     acknowledged: u64,
+    /// The planned fault: node, step, kind, and the number of changes since it was planned.
     armed: Option<(usize, Step, Fault, usize)>,
-    /// Where faults struck.
-    pub strikes: Vec<(Step, Fault)>,
-    /// Started, and not yet caught up: since when, and with what.
-    behind: Vec<(usize, Millis, u64)>,
+    /// Step and kind of each fault that was injected.
+    pub injected_faults: Vec<(Step, Fault)>,
+    /// Restarted nodes that have not caught up yet: node, start time in ms, and the version that the node has to reach.
+    catching_up: Vec<(usize, Millis, u64)>,
 }
 
 fn node_id(i: usize) -> NodeId {
@@ -56,55 +59,58 @@
 
 impl Group {
     pub fn new(seed: u64) -> Group {
-        // Many thousands of syncs: in memory, where there is such a folder.
-        let memory = Path::new("/dev/shm");
-        let parent = if memory.is_dir() { memory.to_path_buf() } else { std::env::temp_dir() };
+        // The test does many thousands of syncs, so it uses a RAM-backed folder where one exists.
+        let shared_memory = Path::new("/dev/shm");
+        let parent = if shared_memory.is_dir() { shared_memory.to_path_buf() } else { std::env::temp_dir() };
         let dir = |i| parent.join(format!("control-log-{}-{seed}-{i}", std::process::id()));
         let mut group = Group {
             now: 1000,
             machines: (0..NODES).map(|i| Machine::new(dir(i))).collect(),
             queue: BTreeMap::new(),
-            next: 0,
+            last_event_number: 0,
             random: seed | 1,
-            order: None,
+            pending_change: None,
             acknowledged: 0,
             armed: None,
-            strikes: Vec::new(),
-            behind: Vec::new(),
+            injected_faults: Vec::new(),
+            catching_up: Vec::new(),
         };
         (0..NODES).for_each(|i| group.start(i));
         group
     }
 
-    fn draw_random(&mut self, most: u64) -> u64 {
+    fn draw_random(&mut self, upper_bound: u64) -> u64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
         self.random ^= self.random << 17;
-        self.random % most
+        self.random % upper_bound
     }
 
-    fn at(&mut self, after: Millis, node: usize, what: Event) {
-        self.next += 1;
-        self.queue.insert((self.now + after, self.next), (node, self.machines[node].incarnation, what));
+    fn schedule(&mut self, delay: Millis, node: usize, event: Event) {
+        self.last_event_number += 1;
+        self.queue.insert(
+            (self.now + delay, self.last_event_number),
+            (node, self.machines[node].incarnation, event),
+        );
     }
 
     fn connect(&mut self, a: usize, b: usize, is_up: bool) {
-        self.at(1, a, Event::LinkChanged { peer: b, is_up });
-        self.at(1, b, Event::LinkChanged { peer: a, is_up });
+        self.schedule(1, a, Event::LinkChanged { peer: b, is_up });
+        self.schedule(1, b, Event::LinkChanged { peer: a, is_up });
     }
 
     fn start(&mut self, i: usize) {
-        let first = self.machines[i].incarnation == 0;
-        let terms = GroupSettings::new(
+        let is_first_start = self.machines[i].incarnation == 0;
+        let settings = GroupSettings::new(
             node_id(i),
             (0..NODES).map(node_id).collect(),
-            first,
+            is_first_start,
             1,
             self.draw_random(u64::MAX),
         );
-        self.machines[i].start(terms, self.now);
-        if !first {
-            self.behind.push((i, self.now, self.acknowledged));
+        self.machines[i].start(settings, self.now);
+        if !is_first_start {
+            self.catching_up.push((i, self.now, self.acknowledged));
         }
         for peer in (0..NODES).filter(|peer| *peer != i) {
             if self.machines[peer].group().is_some() {
@@ -120,45 +126,47 @@
         self.armed.is_some()
     }
 
-    /// Plans a fault at one of the replicas, the first time that it comes to the step.
-    pub fn arm(&mut self, step: Step, fault: Fault, which: usize) {
+    /// Plans a fault that is injected when the selected replica next reaches the step.
+    pub fn arm(&mut self, step: Step, fault: Fault, replica_index: usize) {
         let views = self.machines.iter_mut().filter_map(|machine| machine.group()?.view().cloned());
         let view = views.max_by_key(|view| view.epoch).expect("a node runs");
-        let node = index(view.replicas[which % view.replicas.len()]);
+        let node = index(view.replicas[replica_index % view.replicas.len()]);
         self.armed = Some((node, step, fault, 0));
         self.machines[node].arm(Some(step));
     }
 
     fn inject_fault(&mut self, i: usize) {
         let Some((_, step, fault, _)) = self.armed.take() else { return };
-        self.strikes.push((step, fault));
+        self.injected_faults.push((step, fault));
         let mut random = self.draw_random(u64::MAX);
-        self.machines[i].end(fault, &mut |most| {
+        self.machines[i].end(fault, &mut |upper_bound| {
             random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-            (random >> 33) % most
+            (random >> 33) % upper_bound
         });
         for peer in (0..NODES).filter(|peer| *peer != i) {
-            self.at(1, peer, Event::LinkChanged { peer: i, is_up: false });
+            self.schedule(1, peer, Event::LinkChanged { peer: i, is_up: false });
         }
-        self.at(RESTART_DELAY_MS, i, Event::Start);
+        self.schedule(RESTART_DELAY_MS, i, Event::Start);
     }
 
     // ---- The operator ----
 
-    /// Until it is acknowledged.
-    pub fn change(&mut self, version: u64, body: Vec<u8>, most: Millis) {
-        let (at, until) = (self.draw_random(NODES as u64) as usize, self.now + most);
+    /// Changes the configuration, and runs the simulation until the change is acknowledged.
+    pub fn change_configuration(&mut self, version: u64, body: Vec<u8>, limit_ms: Millis) {
+        let (target, until) = (self.draw_random(NODES as u64) as usize, self.now + limit_ms);
         let next_attempt_at = self.now;
-        self.order = Some(Order { version, body, at, attempt: 0, next_attempt_at, is_done: false });
-        while self.order.as_ref().is_some_and(|order| !order.is_done) {
-            assert!(self.now < until, "change {version} was not acknowledged within {most} ms");
+        self.pending_change =
+            Some(PendingChange { version, body, target, attempt: 0, next_attempt_at, is_done: false });
+        while self.pending_change.as_ref().is_some_and(|pending_change| !pending_change.is_done) {
+            assert!(self.now < until, "change {version} was not acknowledged within {limit_ms} ms");
             self.step();
         }
         self.acknowledged = version;
         self.move_fault_if_not_reached();
     }
 
-    /// A node that is no replica any more writes too little to come to the step.
+    /// Moves the planned fault to another replica if its step was not reached for more than 12 changes: a node that is no longer a replica
+    /// writes too little to reach the step.
     fn move_fault_if_not_reached(&mut self) {
         let Some((node, step, fault, changes)) = self.armed else { return };
         self.armed = Some((node, step, fault, changes + 1));
@@ -168,36 +176,44 @@
         }
     }
 
-    fn attempt(&mut self) {
+    fn send_change(&mut self) {
         let now = self.now;
-        let Some(order) = self.order.as_mut().filter(|order| !order.is_done && order.next_attempt_at <= now)
+        let Some(pending_change) = self
+            .pending_change
+            .as_mut()
+            .filter(|pending_change| !pending_change.is_done && pending_change.next_attempt_at <= now)
         else {
             return;
         };
-        order.attempt += 1;
-        order.next_attempt_at = now + OPERATOR_TIMEOUT_MS;
-        let (at, ticket) = (order.at, order.version * 1000 + order.attempt);
-        let (version, body) = (order.version, order.body.clone());
-        order.at = (at + 1) % NODES;
-        match self.machines[at].group() {
+        pending_change.attempt += 1;
+        pending_change.next_attempt_at = now + OPERATOR_TIMEOUT_MS;
+        let (target, ticket) =
+            (pending_change.target, pending_change.version * 1000 + pending_change.attempt);
+        let (version, body) = (pending_change.version, pending_change.body.clone());
+        pending_change.target = (target + 1) % NODES;
+        match self.machines[target].group() {
             Some(group) => group.replace_configuration(now, ticket, version, body),
-            None => self.order.iter_mut().for_each(|order| order.next_attempt_at = now + 30),
+            None => self
+                .pending_change
+                .iter_mut()
+                .for_each(|pending_change| pending_change.next_attempt_at = now + 30),
         }
-        self.apply_effects(at);
+        self.apply_effects(target);
     }
 
-    fn answered(&mut self, ticket: u64, verdict: Verdict) {
+    fn handle_answer(&mut self, ticket: u64, verdict: Verdict) {
         let now = self.now;
-        let Some(order) = &mut self.order else { return };
-        if ticket != order.version * 1000 + order.attempt || order.is_done {
+        let Some(pending_change) = &mut self.pending_change else { return };
+        if ticket != pending_change.version * 1000 + pending_change.attempt || pending_change.is_done {
             return;
         }
         match verdict {
-            Verdict::Accepted | Verdict::Unchanged => order.is_done = true,
+            Verdict::Accepted | Verdict::Unchanged => pending_change.is_done = true,
             Verdict::NotPrimary { primary: Some(primary) } => {
-                (order.at, order.next_attempt_at) = (index(primary), now + MESSAGE_DELAY_MS)
+                (pending_change.target, pending_change.next_attempt_at) =
+                    (index(primary), now + MESSAGE_DELAY_MS)
             }
-            _ => order.next_attempt_at = now + 30,
+            _ => pending_change.next_attempt_at = now + 30,
         }
     }
 
@@ -208,13 +224,13 @@
         loop {
             let Some(group) = self.machines[i].group() else { return };
             let (effects, due) = (group.take_effects(), group.next_tick(now));
-            self.machines[i].due = due;
+            self.machines[i].next_tick_at = due;
             if effects.is_empty() {
                 return;
             }
             for effect in effects {
                 self.apply_effect(i, effect);
-                if self.machines[i].has_struck() {
+                if self.machines[i].has_reached_fault() {
                     return self.inject_fault(i);
                 }
             }
@@ -225,33 +241,33 @@
         match effect {
             Effect::Send { to, message } => {
                 let from = (i, self.machines[i].incarnation);
-                self.at(MESSAGE_DELAY_MS, index(to), Event::Received { from, message });
+                self.schedule(MESSAGE_DELAY_MS, index(to), Event::Received { from, message });
             }
             Effect::Persist { ticket, record } => {
                 self.machines[i].write(&record);
-                self.at(1, i, Event::Persisted { ticket });
+                self.schedule(1, i, Event::Persisted { ticket });
             }
-            Effect::Answer { ticket, verdict } => self.answered(ticket, verdict),
+            Effect::Answer { ticket, verdict } => self.handle_answer(ticket, verdict),
             _ => {}
         }
     }
 
-    fn handle_event(&mut self, (i, incarnation, what): (usize, u64, Event)) {
+    fn handle_event(&mut self, (i, incarnation, event): (usize, u64, Event)) {
         let now = self.now;
         if incarnation != self.machines[i].incarnation {
             return;
         }
-        if matches!(what, Event::Start) {
+        if matches!(event, Event::Start) {
             return self.start(i);
         }
-        if let Event::Received { from: (from, incarnation), .. } = &what {
-            // The connection ended with the process that spoke.
+        if let Event::Received { from: (from, incarnation), .. } = &event {
+            // The message is lost if its sender has been killed or restarted, because the connection ended with that process.
             if self.machines[*from].incarnation != *incarnation || self.machines[*from].group().is_none() {
                 return;
             }
         }
         let Some(group) = self.machines[i].group() else { return };
-        match what {
+        match event {
             Event::Received { from: (from, _), message } => group.handle_message(now, node_id(from), message),
             Event::Persisted { ticket } => group.persisted(now, ticket, true),
             Event::LinkChanged { peer, is_up } => {
@@ -267,82 +283,91 @@
         self.apply_effects(i);
     }
 
-    /// Advances to whatever is due next.
+    /// Advances the clock to the next due event, operator attempt or tick, and runs what is due then.
     fn step(&mut self) {
         let now = self.now;
-        let runs = |machine: &mut Machine| machine.group().is_some().then_some(machine.due);
-        let due = self.machines.iter_mut().filter_map(runs).min().unwrap_or(Millis::MAX);
-        let first = self.queue.keys().next().map_or(Millis::MAX, |(at, _)| *at);
+        let next_tick_at = |machine: &mut Machine| machine.group().is_some().then_some(machine.next_tick_at);
+        let due = self.machines.iter_mut().filter_map(next_tick_at).min().unwrap_or(Millis::MAX);
+        let next_event_at = self.queue.keys().next().map_or(Millis::MAX, |(at, _)| *at);
         let attempt_at = self
-            .order
+            .pending_change
             .as_ref()
-            .filter(|order| !order.is_done)
-            .map_or(Millis::MAX, |order| order.next_attempt_at);
-        self.now = due.min(first).min(attempt_at).max(now);
-        if first <= self.now {
-            let (_, what) = self.queue.pop_first().expect("it is the first");
-            self.handle_event(what);
+            .filter(|pending_change| !pending_change.is_done)
+            .map_or(Millis::MAX, |pending_change| pending_change.next_attempt_at);
+        self.now = due.min(next_event_at).min(attempt_at).max(now);
+        if next_event_at <= self.now {
+            let (_, event) = self.queue.pop_first().expect("the queue is not empty");
+            self.handle_event(event);
         }
-        self.attempt();
+        self.send_change();
         let now = self.now;
         for i in 0..NODES {
-            if self.machines[i].due <= now {
+            if self.machines[i].next_tick_at <= now {
                 if let Some(group) = self.machines[i].group() {
                     group.tick(now);
                 }
                 self.apply_effects(i);
             }
         }
-        self.check();
+        self.check_invariants();
     }
 
-    /// No more than one leads, and with nothing older than what was acknowledged.
-    fn check(&mut self) {
+    /// Checks that at most one node serves reads as the leader, and that its state is not older than the acknowledged version.
+    fn check_invariants(&mut self) {
         let now = self.now;
         let readable =
             |machine: &mut Machine| machine.group()?.readable_state(now).map(|state| state.version);
         let readable_versions: Vec<u64> = self.machines.iter_mut().filter_map(readable).collect();
-        assert!(readable_versions.len() <= 1, "two lead at {now}");
-        let old = readable_versions.iter().find(|version| **version < self.acknowledged);
-        assert_eq!(old, None, "leads with old state at {now}: {} was acknowledged", self.acknowledged);
+        assert!(readable_versions.len() <= 1, "more than one node leads at {now} ms");
+        let stale_version = readable_versions.iter().find(|version| **version < self.acknowledged);
+        assert_eq!(
+            stale_version, None,
+            "a node leads with stale state at {now} ms: version {} was acknowledged",
+            self.acknowledged
+        );
     }
 
     // ---- Catching up ----
 
-    /// Until all run, and those that came back have caught up. The longest that one of them took.
-    pub fn until_all_caught_up(&mut self, most: Millis) -> Millis {
-        let mut slowest = 0;
-        while !self.all_caught_up(&mut slowest) {
-            for (node, since, _) in &self.behind {
-                assert!(self.now <= since + most, "{node} has not caught up {most} ms after its start");
+    /// Runs the simulation until all nodes run and the restarted ones have caught up. Returns the longest catch-up time, in ms.
+    pub fn run_until_all_caught_up(&mut self, limit_ms: Millis) -> Millis {
+        let mut slowest_ms = 0;
+        while !self.all_caught_up(&mut slowest_ms) {
+            for (node, since, _) in &self.catching_up {
+                assert!(
+                    self.now <= since + limit_ms,
+                    "node {node} has not caught up {limit_ms} ms after its start"
+                );
             }
             self.step();
         }
-        slowest
+        slowest_ms
     }
 
-    fn all_caught_up(&mut self, slowest: &mut Millis) -> bool {
-        let mut behind = std::mem::take(&mut self.behind);
-        behind.retain(|(node, since, wanted)| {
-            let caught_up = self.has_caught_up(*node, *wanted);
+    fn all_caught_up(&mut self, slowest_ms: &mut Millis) -> bool {
+        let mut catching_up = std::mem::take(&mut self.catching_up);
+        catching_up.retain(|(node, since, target_version)| {
+            let caught_up = self.has_caught_up(*node, *target_version);
             if caught_up {
-                *slowest = (*slowest).max(self.now - since);
+                *slowest_ms = (*slowest_ms).max(self.now - since);
             }
             !caught_up
         });
-        self.behind = behind;
-        self.behind.is_empty() && self.machines.iter_mut().all(|machine| machine.group().is_some())
+        self.catching_up = catching_up;
+        self.catching_up.is_empty() && self.machines.iter_mut().all(|machine| machine.group().is_some())
     }
 
-    fn has_caught_up(&mut self, node: usize, wanted: u64) -> bool {
+    fn has_caught_up(&mut self, node: usize, target_version: u64) -> bool {
         let version_on_disk = self.machines[node].version_on_disk;
         let Some(group) = self.machines[node].group() else { return true };
         let is_replica = group.view().is_some_and(|view| view.replicas.contains(&node_id(node)));
-        let in_force = group.committed().map_or(0, |state| state.version);
-        !group.is_awaiting_view() && in_force >= wanted && (!is_replica || version_on_disk >= wanted)
+        let committed_version = group.committed().map_or(0, |state| state.version);
+        !group.is_awaiting_view()
+            && committed_version >= target_version
+            && (!is_replica || version_on_disk >= target_version)
     }
 
-    pub fn largest_disk(&self) -> u64 {
-        self.machines.iter().map(Machine::peak).max().unwrap_or(0)
+    pub fn peak_disk_bytes(&self) -> u64 {
+        self.machines.iter().map(Machine::peak_disk_bytes).max().unwrap_or(0)
     }
 }
--- a/crates/server/tests/control_log/memory.rs
+++ b/crates/server/tests/control_log/memory.rs
@@ -1,36 +1,36 @@
-//! Bytes that are allocated and not yet given back.
+//! A global allocator that counts the bytes that are allocated and not yet freed.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-struct Counting;
+struct CountingAllocator;
 
-static LIVE: AtomicUsize = AtomicUsize::new(0);
-static PEAK: AtomicUsize = AtomicUsize::new(0);
+static ALLOCATED_BYTES: AtomicUsize = AtomicUsize::new(0);
+static PEAK_BYTES: AtomicUsize = AtomicUsize::new(0);
 
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        let live = LIVE.fetch_add(layout.size(), Ordering::Relaxed) + layout.size();
-        PEAK.fetch_max(live, Ordering::Relaxed);
+        let allocated = ALLOCATED_BYTES.fetch_add(layout.size(), Ordering::Relaxed) + layout.size();
+        PEAK_BYTES.fetch_max(allocated, Ordering::Relaxed);
         System.alloc(layout)
     }
 
-    unsafe fn dealloc(&self, place: *mut u8, layout: Layout) {
-        LIVE.fetch_sub(layout.size(), Ordering::Relaxed);
-        System.dealloc(place, layout)
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
+        ALLOCATED_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
+        System.dealloc(pointer, layout)
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-pub fn live() -> usize {
-    LIVE.load(Ordering::Relaxed)
+pub fn allocated_bytes() -> usize {
+    ALLOCATED_BYTES.load(Ordering::Relaxed)
 }
 
-/// Most that was live at once since the last call, beyond what was live `before`.
-// Each file of tests uses its part of it.
+/// Returns by how many bytes the peak of allocated memory since the previous call exceeds `before`, and resets the peak.
+// Not every test file that includes this module calls this function.
 #[allow(dead_code)]
 pub fn peak_since(before: usize) -> usize {
-    PEAK.swap(live(), Ordering::Relaxed).saturating_sub(before)
+    PEAK_BYTES.swap(allocated_bytes(), Ordering::Relaxed).saturating_sub(before)
 }
--- a/crates/server/tests/large_configurations.rs
+++ b/crates/server/tests/large_configurations.rs
@@ -1,5 +1,5 @@
-//! Configurations near the largest body: read, and kept by a control node one after another. `LARGE_CHANGES` plays more of
-//! them than CI does.
+//! Tests of configurations close to the maximum size: parsing one, and storing many in succession in a control node's log. The environment
+//! variable `LARGE_CHANGES` sets the number of stored configurations, for longer runs than in CI.
 
 #[path = "control_log/memory.rs"]
 mod memory;
@@ -17,11 +17,11 @@
 };
 use stileroute_wal::{Options, StateMachine, Step, Wal, MAX_RECORD_BYTES};
 
-/// Bytes of the largest configuration.
+/// Maximum size of a configuration, in bytes.
 const MAX_CONFIGURATION_BYTES: usize = 8 << 20;
-/// As many routes with all their keys as go into it.
-const ROUTES: usize = 25_000;
-/// As the control node has it.
+/// Number of routes with all keys that fit into a configuration of maximum size.
+const ROUTE_COUNT: usize = 25_000;
+/// Log size, in bytes, after which a checkpoint is written; the same value as in the control node.
 const CHECKPOINT_AFTER_BYTES: u64 = 4 << 20;
 const DISK_CAPACITY_BYTES: u64 = 128 << 20;
 
@@ -59,7 +59,7 @@
     files.filter_map(|file| Some(file.metadata().ok()?.len())).sum()
 }
 
-fn value(serial: u64, body: &[u8]) -> Record {
+fn control_state_record(serial: u64, body: &[u8]) -> Record {
     Record::ControlState(ControlState {
         serial,
         version: serial,
@@ -68,43 +68,47 @@
     })
 }
 
-/// One process: both tests count its memory.
+/// One test for all three cases, because they measure the allocated memory of the whole process.
 #[test]
-fn the_largest_configuration_is_read_and_kept_many_times_over() {
-    read_within_bounds();
+fn the_largest_configuration_is_parsed_and_stored_many_times() {
+    is_parsed_within_limits();
     fits_a_record();
-    kept_many_times_over();
+    is_stored_many_times();
 }
 
-fn read_within_bounds() {
-    let body = configuration(1, ROUTES);
+fn is_parsed_within_limits() {
+    let body = configuration(1, ROUTE_COUNT);
     assert!(
         body.len() <= MAX_CONFIGURATION_BYTES && body.len() > MAX_CONFIGURATION_BYTES / 8 * 7,
         "{} bytes",
         body.len()
     );
-    let (before, since) = (memory::live(), Instant::now());
+    let (before, since) = (memory::allocated_bytes(), Instant::now());
     memory::peak_since(before);
-    let config = Config::parse(&body).expect("it is valid");
+    let config = Config::parse(&body).expect("the configuration is valid");
     let (took, peak) = (since.elapsed(), memory::peak_since(before));
-    assert_eq!(config.routes.len(), ROUTES);
-    let kept = memory::live() - before;
-    println!("read {} bytes, {ROUTES} routes: {took:?}, {peak} bytes at most, {kept} kept", body.len());
-    // The bound on what the values of a text may take (`MEMORY` in crates/config/src/read.rs), and what is made of them.
+    assert_eq!(config.routes.len(), ROUTE_COUNT);
+    let kept = memory::allocated_bytes() - before;
+    println!(
+        "parsed {} bytes, {ROUTE_COUNT} routes: {took:?}, peak {peak} bytes, {kept} bytes kept",
+        body.len()
+    );
+    // The limit on the memory for the parsed values of a text (`MEMORY` in crates/config/src/read.rs), plus the configuration that is
+    // built from them.
     assert!(peak < (96 << 20) + 4 * body.len(), "{peak} bytes");
     assert!(took < Duration::from_secs(20), "{took:?}");
     drop(config);
 
     let short = format!("{{\"routes\":[{}{{}}]}}", "{\"a\":0,\"b\":0,\"c\":0},".repeat(99_999));
-    let before = memory::live();
+    let before = memory::allocated_bytes();
     memory::peak_since(before);
-    let refused = Config::parse(short.as_bytes()).expect_err("too many values").to_string();
+    let error = Config::parse(short.as_bytes()).expect_err("too many values").to_string();
     let peak = memory::peak_since(before);
-    println!("refused 100000 routes: {refused:?}, {peak} bytes at most");
-    assert!(refused.contains("holds too many values") && peak < 1 << 20, "{refused}: {peak} bytes");
+    println!("rejected 100000 routes: {error:?}, peak {peak} bytes");
+    assert!(error.contains("holds too many values") && peak < 1 << 20, "{error}: {peak} bytes");
 }
 
-/// With as many retirements as are remembered, and names as long as a name may be.
+/// The largest control state fits into a log record: it has the maximum number of retirements, with names of the maximum length.
 fn fits_a_record() {
     let retirement = |node| Retirement { node, name: "n".repeat(255), stage: RetirementStage::Complete };
     let retirements = (0..MAX_RETIREMENTS as u32).map(retirement).collect();
@@ -115,14 +119,17 @@
         retirements,
     };
     let record = postcard::to_stdvec(&Record::ControlState(state)).expect("encodes");
-    println!("the largest value takes {} bytes, a record may have {MAX_RECORD_BYTES}", record.len());
+    println!(
+        "the largest control state takes {} bytes, the record limit is {MAX_RECORD_BYTES}",
+        record.len()
+    );
     assert!(record.len() <= MAX_RECORD_BYTES, "{} bytes", record.len());
 }
 
-fn kept_many_times_over() {
+fn is_stored_many_times() {
     let changes: u64 =
         std::env::var("LARGE_CHANGES").ok().and_then(|number| number.parse().ok()).unwrap_or(12);
-    let body = configuration(1, ROUTES);
+    let body = configuration(1, ROUTE_COUNT);
     let dir = std::env::temp_dir().join(format!("large-configurations-{}", std::process::id()));
     let _ = fs::remove_dir_all(&dir);
     let (peak, snapshots) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
@@ -144,37 +151,42 @@
     };
     let (answer, answers) = channel();
     let done = move |ticket, result| drop(answer.send((ticket, result)));
-    let before = memory::live();
+    let before = memory::allocated_bytes();
     memory::peak_since(before);
     let hooked = Options { step_hook: Some(Arc::new(hook)), ..options() };
     let (log, _) = Wal::open::<ControlRecords>(&dir, hooked, done).expect("opens");
     let since = Instant::now();
     for serial in 1..=changes {
-        log.append(serial, vec![postcard::to_stdvec(&value(serial, &body)).expect("encodes")], true);
-        let (ticket, result) = answers.recv_timeout(Duration::from_secs(60)).expect("an answer");
+        log.append(
+            serial,
+            vec![postcard::to_stdvec(&control_state_record(serial, &body)).expect("encodes")],
+            true,
+        );
+        let (ticket, result) =
+            answers.recv_timeout(Duration::from_secs(60)).expect("the log answers within 60 s");
         assert!(ticket == serial && result.is_ok(), "{ticket}: {result:?}");
         peak.fetch_max(folder_bytes(&dir), Ordering::Relaxed);
     }
     let (took, statistics) = (since.elapsed(), log.statistics());
     log.close();
-    let most = memory::peak_since(before);
+    let peak_memory_bytes = memory::peak_since(before);
     let written = statistics.bytes + snapshots.load(Ordering::Relaxed);
-    let amplified = written as f64 / (changes * body.len() as u64) as f64;
+    let write_amplification = written as f64 / (changes * body.len() as u64) as f64;
     let peak = peak.load(Ordering::Relaxed);
     let since = Instant::now();
     let (_, records) = Wal::open::<ControlRecords>(&dir, options(), |_, _| {}).expect("opens");
     let opened = since.elapsed();
     println!(
-        "{changes} changes of {} bytes in {took:?}: written {amplified:.2} times, {} checkpoints, folder {peak} bytes at most, \
-         memory {most} bytes at most, read at the start in {opened:?}",
+        "{changes} changes of {} bytes in {took:?}: write amplification {write_amplification:.2}, {} checkpoints, peak folder size {peak} bytes, \
+         peak memory {peak_memory_bytes} bytes, read at the start in {opened:?}",
         body.len(),
         statistics.checkpoints,
     );
-    let kept = records.0.state.expect("a value");
+    let kept = records.0.state.expect("the log has a control state");
     assert!(kept.serial == changes && kept.body == body);
     assert!(peak <= DISK_CAPACITY_BYTES, "{peak} bytes");
-    assert!(amplified <= 2.1, "written {amplified} times");
-    // What is appended, in three forms, and what is folded, in four; a buffer that grows is there up to three times.
-    assert!(most < 16 * MAX_CONFIGURATION_BYTES, "{most} bytes of memory");
+    assert!(write_amplification <= 2.1, "write amplification {write_amplification}");
+    // The appended configuration exists in three forms and the folded one in four; a growing buffer may take up to three times its size.
+    assert!(peak_memory_bytes < 16 * MAX_CONFIGURATION_BYTES, "{peak_memory_bytes} bytes of memory");
     let _ = fs::remove_dir_all(&dir);
 }
--- a/crates/server/tests/planned_end.rs
+++ b/crates/server/tests/planned_end.rs
@@ -1,4 +1,5 @@
-//! An edge that is told to end: clients are sent elsewhere, and each request that it reads is answered whole.
+//! Graceful shutdown of an edge: readiness fails at once, so that clients are sent to other edges, and every request that the edge has
+//! read is answered completely.
 
 mod support;
 
@@ -11,13 +12,13 @@
 
 const FIRST_NET: u32 = 126;
 const TIME_LIMIT: Duration = Duration::from_secs(28);
-/// The settings' `grace_s`: the process is killed after it.
+/// Grace period, `grace_s` in the settings, after which the process is killed.
 const GRACE: Duration = Duration::from_secs(6);
-/// Clients still arrive for so long, until the platform has missed two answers to the question for readiness.
-const STILL_ARRIVING: Duration = Duration::from_secs(2);
-/// A store that is silent for so long is given up for a request, and the edge can't say whether the message is kept.
-const STORE_SILENCE_LIMIT: Duration = Duration::from_millis(200);
-const MAX_PLAYS: u32 = 3;
+/// Time for which clients still connect after the shutdown request, until the platform has seen two failed readiness checks.
+const LATE_CLIENTS_PERIOD: Duration = Duration::from_secs(2);
+/// Time after which an edge stops waiting for a store's answer to a request; it then cannot tell whether the message is persisted.
+const STORE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
+const MAX_RUNS: u32 = 3;
 
 const HEAD: &str = "POST /in/1 HTTP/1.1\r\nHost: quay.example\r\nContent-Length: 8\r\n";
 
@@ -27,7 +28,7 @@
     stream
 }
 
-/// All that comes until the edge closes the connection.
+/// Reads everything that the edge sends until it closes the connection.
 fn read_to_end(mut stream: TcpStream) -> String {
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
@@ -38,26 +39,26 @@
     fleet.http("4:18268", "GET", "/v1/readiness", "", "").map(|answer| answer.0)
 }
 
-/// What came of the test played once.
-enum Played {
+/// Result of one run of the scenario.
+enum RunOutcome {
     Passed,
-    /// A request was answered 502 while the machine's disk did not answer for so long: that says nothing of the edge.
+    /// A request was answered 502 while a write to the machine's disk took the given time, so the run says nothing about the edge.
     DiskStalled(Duration),
 }
 
-/// One without a verdict is played again, and fails if it never has one.
+/// A run in which the disk stalled has no verdict and is repeated; the test fails if all `MAX_RUNS` runs are without a verdict.
 #[test]
-fn an_edge_that_ends_says_so_at_once_and_answers_all_that_it_reads() {
-    for _ in 0..MAX_PLAYS {
-        let Played::DiskStalled(longest) = play() else { return };
-        let reason = format!("the disk stalled for {} ms", longest.as_millis());
-        eprintln!("no verdict, played again: {reason}");
+fn an_edge_that_shuts_down_fails_readiness_at_once_and_answers_all_requests_it_has_read() {
+    for _ in 0..MAX_RUNS {
+        let RunOutcome::DiskStalled(longest_write) = run_scenario() else { return };
+        let reason = format!("the disk stalled for {} ms", longest_write.as_millis());
+        eprintln!("no verdict, running again: {reason}");
         no_verdict_log::list_played_again("planned_end", &reason);
     }
-    panic!("no verdict: the disk stalled in all of {MAX_PLAYS} plays");
+    panic!("no verdict: the disk stalled in all {MAX_RUNS} runs");
 }
 
-fn play() -> Played {
+fn run_scenario() -> RunOutcome {
     let mut fleet = Fleet::new("planned-end", FIRST_NET, TIME_LIMIT);
     fleet.start(&[]);
     let gauge = DiskGauge::start(&fleet.dir);
@@ -66,45 +67,45 @@
     let mut idle = connect(&fleet);
 
     fleet.terminate("edge-1");
-    let told_at = Instant::now();
-    fleet.wait_for("the edge says that it is not ready", || (readiness(&fleet)? == 503).then_some(()));
-    assert!(told_at.elapsed() < Duration::from_secs(1), "{:?}", told_at.elapsed());
+    let terminated_at = Instant::now();
+    fleet.wait_for("the edge reports that it is not ready", || (readiness(&fleet)? == 503).then_some(()));
+    assert!(terminated_at.elapsed() < Duration::from_secs(1), "{:?}", terminated_at.elapsed());
 
-    // What was under way, what comes on an open connection, and what comes on new ones.
+    // A request that is partly sent, a request on an open idle connection, and requests on new connections.
     half_sent.write_all(b"half").unwrap();
     write!(idle, "{HEAD}X-Request-Id: m-2\r\n\r\nhalfhalf").unwrap();
     for answer in [read_to_end(half_sent), read_to_end(idle)] {
         if !is_accepted(&answer) {
-            return without_verdict(&answer, gauge);
+            return check_disk_stalled(&answer, gauge);
         }
         assert!(answer.contains("Connection: close"), "{answer}");
     }
     let mut number = 3;
-    while told_at.elapsed() < STILL_ARRIVING {
+    while terminated_at.elapsed() < LATE_CLIENTS_PERIOD {
         let mut late = connect(&fleet);
         write!(late, "{HEAD}X-Request-Id: m-{number}\r\n\r\nhalfhalf").unwrap();
         let answer = read_to_end(late);
         if !is_accepted(&answer) {
-            return without_verdict(&answer, gauge);
+            return check_disk_stalled(&answer, gauge);
         }
         assert_eq!(readiness(&fleet), Some(503));
         number += 1;
     }
     fleet.wait_for_exit("edge-1");
-    assert!(told_at.elapsed() < GRACE, "{:?}", told_at.elapsed());
+    assert!(terminated_at.elapsed() < GRACE, "{:?}", terminated_at.elapsed());
     gauge.stop();
-    Played::Passed
+    RunOutcome::Passed
 }
 
 fn is_accepted(answer: &str) -> bool {
     answer.starts_with("HTTP/1.1 202 ")
 }
 
-/// An answer other than 202 breaks the rule, but for a 502 (no store has said whether it keeps the message) beside a disk that did
-/// not answer.
-fn without_verdict(answer: &str, gauge: DiskGauge) -> Played {
-    let longest = gauge.stop();
-    let is_of_disk = answer.starts_with("HTTP/1.1 502 ") && longest >= STORE_SILENCE_LIMIT;
-    assert!(is_of_disk, "{answer}the longest write of the gauge: {longest:?}");
-    Played::DiskStalled(longest)
+/// Checks that an answer other than 202 is excused by a disk stall: it has to be a 502 (no store has confirmed or rejected the message)
+/// while a write of the gauge took at least `STORE_RESPONSE_TIMEOUT`. Any other answer fails the test.
+fn check_disk_stalled(answer: &str, gauge: DiskGauge) -> RunOutcome {
+    let longest_write = gauge.stop();
+    let is_caused_by_disk = answer.starts_with("HTTP/1.1 502 ") && longest_write >= STORE_RESPONSE_TIMEOUT;
+    assert!(is_caused_by_disk, "{answer}longest write of the disk gauge: {longest_write:?}");
+    RunOutcome::DiskStalled(longest_write)
 }
--- a/crates/server/tests/state.rs
+++ b/crates/server/tests/state.rs
@@ -1,4 +1,4 @@
-//! `stilerouted state verify` on folders of control nodes.
+//! Tests of `stilerouted state verify` on data folders of control nodes.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -20,19 +20,19 @@
 struct Machine(PathBuf);
 
 impl Machine {
-    /// With one configuration on its disk.
+    /// Creates the data folder of a control node whose log contains one configuration.
     fn new(name: &str) -> Machine {
         let machine = Machine(std::env::temp_dir().join(format!("state-{name}-{}", std::process::id())));
         let state =
             ControlState { serial: 1, version: 1, body: CONFIGURATION.to_vec(), ..ControlState::default() };
         let record = postcard::to_stdvec(&Record::ControlState(state)).unwrap();
-        let (log, _) = Wal::open::<NoState>(&machine.watch(), Options::new("watch"), |_, _| {}).unwrap();
+        let (log, _) = Wal::open::<NoState>(&machine.log_dir(), Options::new("watch"), |_, _| {}).unwrap();
         log.append(1, vec![record], true);
         log.close();
         machine
     }
 
-    fn watch(&self) -> PathBuf {
+    fn log_dir(&self) -> PathBuf {
         self.0.join("watch")
     }
 }
@@ -52,12 +52,12 @@
 #[test]
 fn verify_shows_the_identity_and_names_a_file_of_another_machine() {
     let (one, other) = (Machine::new("one"), Machine::new("other"));
-    let format = fs::read_to_string(one.watch().join("FORMAT")).unwrap();
+    let format = fs::read_to_string(one.log_dir().join("FORMAT")).unwrap();
     let identity = format.split_whitespace().last().unwrap().to_string();
     let (code, shown) = verify(&one.0);
     assert!(code == Some(0) && shown.contains(&format!("identity: {identity}")), "{code:?} {shown}");
 
-    fs::copy(other.watch().join("log-0000000001"), one.watch().join("log-0000000001")).unwrap();
+    fs::copy(other.log_dir().join("log-0000000001"), one.log_dir().join("log-0000000001")).unwrap();
     let (code, shown) = verify(&one.0);
     let line = shown.lines().find(|line| line.contains("log-0000000001")).unwrap_or_default();
     assert!(
