--- a/crates/server/tests/stored_data.rs
+++ b/crates/server/tests/stored_data.rs
@@ -1,9 +1,9 @@
-//! Data folders that an earlier build of `stilerouted` wrote: this one reads each record in them, starts on them, and goes on
-//! behind what is there.
+//! Compatibility with data folders that an earlier build of `stilerouted` wrote: this build decodes each record in them, starts on them
+//! and appends new records after the existing ones.
 //!
-//! `fixtures/core-1` and `fixtures/store-1` are the folders of a control node and of a store out of a fleet of nine processes that
-//! took three configurations and eleven messages and was killed; `state-verify.json` is what that build's
-//! `stilerouted state verify --json` said of each.
+//! `fixtures/core-1` and `fixtures/store-1` are the data folders of a control node and of a store from a fleet of nine processes that
+//! accepted three configurations and eleven messages and was then killed. `state-verify.json` in each folder is the output of that
+//! build's `stilerouted state verify --json`.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -17,16 +17,17 @@
 
 const CORE: &str = "core-1";
 const STORE: &str = "store-1";
-/// The folder of records within the data folder of each.
-const CORE_RECORDS: &str = "watch";
-const STORE_RECORDS: &str = "hold";
-const FIRST_LOG: &str = "log-0000000001";
+/// Name of the log folder in the data folder of a control node.
+const CORE_LOG_DIR: &str = "watch";
+/// Name of the log folder in the data folder of a store.
+const STORE_LOG_DIR: &str = "hold";
+const FIRST_SEGMENT: &str = "log-0000000001";
 
 const START_LIMIT: Duration = Duration::from_secs(25);
 
 type Files = BTreeMap<PathBuf, Vec<u8>>;
 
-fn stored(node: &str) -> PathBuf {
+fn fixture(node: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(node)
 }
 
@@ -35,27 +36,27 @@
     entries.map(|entry| (entry.file_name().into(), fs::read(entry.path()).unwrap())).collect()
 }
 
-/// A copy of the stored folders, and what was started on them; all of it ends with the test.
-struct Machines {
+/// A copy of the fixture folders and the processes that were started on it. Dropping it kills the processes and removes the copy.
+struct TestFleet {
     home: PathBuf,
     network: String,
     processes: Vec<Child>,
 }
 
-impl Machines {
-    fn new(test: &str) -> Machines {
+impl TestFleet {
+    fn new(test: &str) -> TestFleet {
         let process = std::process::id();
         let home = std::env::temp_dir().join(format!("stored-data-{test}-{process}"));
         let _ = fs::remove_dir_all(&home);
-        for (node, records) in [(CORE, CORE_RECORDS), (STORE, STORE_RECORDS)] {
+        for (node, records) in [(CORE, CORE_LOG_DIR), (STORE, STORE_LOG_DIR)] {
             let folder = home.join(node).join(records);
             fs::create_dir_all(&folder).unwrap();
-            for (name, bytes) in files(&stored(node).join(records)) {
+            for (name, bytes) in files(&fixture(node).join(records)) {
                 fs::write(folder.join(name), bytes).unwrap();
             }
         }
         let network = format!("127.{}.{}", 32 + process / 250 % 30, 1 + process % 250);
-        Machines { home, network, processes: Vec::new() }
+        TestFleet { home, network, processes: Vec::new() }
     }
 
     fn folder(&self, node: &str) -> PathBuf {
@@ -66,13 +67,13 @@
         format!("{}.{host}:{port}", self.network).parse().unwrap()
     }
 
-    /// Starts a process on the copy of a node's folder, with the control node as the one that is asked first.
+    /// Starts a process on the copy of a node's data folder, with the control node as its seed node.
     fn start(&mut self, node: &str, role: &str, serves: &str, host: u8) {
         let control = self.address(1, 18262);
-        let listens = if role == "core" { format!(r#""control":"{control}""#) } else { String::new() };
+        let bind_addresses = if role == "core" { format!(r#""control":"{control}""#) } else { String::new() };
         let settings = format!(
             r#"{{"node_name":"{node}","role":"any","machine_class":"any","serves":["{serves}"],
-            "ip":"{}.{host}","zone":"z1","region":"r","zones":{{"z1":"r"}},"bind_addresses":{{{listens}}},
+            "ip":"{}.{host}","zone":"z1","region":"r","zones":{{"z1":"r"}},"bind_addresses":{{{bind_addresses}}},
             "internal_ports":[17300,17315],"seed_nodes":["{control}"],"first_start":false,
             "limits":{{"disk_mb":64}},"data_dir":{:?},"beat_interval_ms":200,
             "tolerate":{{"machine_losses":0}},"bounds":{{"grace_s":6}}}}"#,
@@ -87,7 +88,7 @@
         self.processes.push(command.spawn().unwrap());
     }
 
-    /// What the control node says of all nodes, once it knows the store.
+    /// Waits until the control node knows the store, and returns its status report on all nodes.
     fn status(&self) -> JsonValue {
         let deadline = Instant::now() + START_LIMIT;
         let control_node = self.address(1, 17300).to_string();
@@ -115,7 +116,7 @@
     }
 }
 
-impl Drop for Machines {
+impl Drop for TestFleet {
     fn drop(&mut self) {
         self.kill_all();
         let _ = fs::remove_dir_all(&self.home);
@@ -137,14 +138,14 @@
     (output.status.code(), text(&output))
 }
 
-/// The number of records, each of which this build decodes and encodes to the stored bytes.
-fn records_that_encode_alike<R>(folder: &Path) -> u64
+/// Checks that this build decodes each record in the folder and encodes it to the same bytes. Returns the number of records.
+fn check_record_round_trips<R>(folder: &Path) -> u64
 where
     R: serde::Serialize + serde::de::DeserializeOwned,
 {
     let mut count = 0;
     let report = verify(folder, &mut |bytes| {
-        let record: R = postcard::from_bytes(bytes).expect("a record that this build knows");
+        let record: R = postcard::from_bytes(bytes).expect("this build decodes the record");
         assert_eq!(postcard::to_stdvec(&record).unwrap(), bytes, "record {count}");
         count += 1;
     });
@@ -153,29 +154,29 @@
 }
 
 #[test]
-fn state_verify_says_of_stored_folders_what_the_build_that_wrote_them_said() {
-    let machines = Machines::new("verify");
-    for (node, records) in [(CORE, CORE_RECORDS), (STORE, STORE_RECORDS)] {
-        let expected = fs::read_to_string(stored(node).join("state-verify.json")).unwrap();
-        assert_eq!(state_verify(&machines.folder(node)), (Some(0), expected), "{node}");
-        assert_eq!(files(&machines.folder(node).join(records)), files(&stored(node).join(records)), "{node}");
+fn state_verify_prints_the_same_as_the_build_that_wrote_the_folders() {
+    let fleet = TestFleet::new("verify");
+    for (node, records) in [(CORE, CORE_LOG_DIR), (STORE, STORE_LOG_DIR)] {
+        let expected = fs::read_to_string(fixture(node).join("state-verify.json")).unwrap();
+        assert_eq!(state_verify(&fleet.folder(node)), (Some(0), expected), "{node}");
+        assert_eq!(files(&fleet.folder(node).join(records)), files(&fixture(node).join(records)), "{node}");
     }
 }
 
 #[test]
 fn every_stored_record_decodes_and_encodes_to_the_same_bytes() {
     let control =
-        records_that_encode_alike::<stileroute_control_group::Record>(&stored(CORE).join(CORE_RECORDS));
-    let queue = records_that_encode_alike::<stileroute_queue::Record>(&stored(STORE).join(STORE_RECORDS));
+        check_record_round_trips::<stileroute_control_group::Record>(&fixture(CORE).join(CORE_LOG_DIR));
+    let queue = check_record_round_trips::<stileroute_queue::Record>(&fixture(STORE).join(STORE_LOG_DIR));
     assert_eq!((control, queue), (7, 14));
 }
 
 #[test]
-fn a_control_node_and_a_store_start_on_stored_folders_and_append_behind_what_is_there() {
-    let mut machines = Machines::new("start");
-    machines.start(CORE, "core", "control", 1);
-    machines.start(STORE, "store", "storage", 2);
-    let status = machines.status();
+fn a_control_node_and_a_store_start_on_stored_folders_and_append_to_the_logs() {
+    let mut fleet = TestFleet::new("start");
+    fleet.start(CORE, "core", "control", 1);
+    fleet.start(STORE, "store", "storage", 2);
+    let status = fleet.status();
     let control = &status["control"];
     assert_eq!(control["epoch"], 1, "{status:#}");
     assert_eq!(control["primary"], "127.61.1.1:8262", "{status:#}");
@@ -184,19 +185,18 @@
     let store = status["nodes"].members().find(|node| node["node"] == STORE).unwrap();
     assert_eq!(store["disk_trouble"], false, "{status:#}");
 
-    // Its start is a record of its own, and what had waited too long meanwhile may have ended.
-    machines.kill_all();
-    for (node, records) in [(CORE, CORE_RECORDS), (STORE, STORE_RECORDS)] {
-        let (before, after) =
-            (files(&stored(node).join(records)), files(&machines.folder(node).join(records)));
+    // The log of each node may have grown: a start appends a record, and messages that had waited too long may have ended.
+    fleet.kill_all();
+    for (node, records) in [(CORE, CORE_LOG_DIR), (STORE, STORE_LOG_DIR)] {
+        let (before, after) = (files(&fixture(node).join(records)), files(&fleet.folder(node).join(records)));
         assert_eq!(before.keys().collect::<Vec<_>>(), after.keys().collect::<Vec<_>>());
         assert_eq!(before[Path::new("FORMAT")], after[Path::new("FORMAT")]);
-        assert!(after[Path::new(FIRST_LOG)].starts_with(&before[Path::new(FIRST_LOG)]), "{node}");
+        assert!(after[Path::new(FIRST_SEGMENT)].starts_with(&before[Path::new(FIRST_SEGMENT)]), "{node}");
     }
-    let (code, verified) = state_verify(&machines.folder(STORE));
+    let (code, verified) = state_verify(&fleet.folder(STORE));
     let verified = jzon::parse(&verified).unwrap();
     let expected =
-        jzon::parse(&fs::read_to_string(stored(STORE).join("state-verify.json")).unwrap()).unwrap();
+        jzon::parse(&fs::read_to_string(fixture(STORE).join("state-verify.json")).unwrap()).unwrap();
     assert_eq!(code, Some(0), "{verified:#}");
     assert_eq!(verified["hold"]["disk"], expected["hold"]["disk"]);
     assert_eq!(verified["hold"]["records_by_kind"]["born"], 2, "{verified:#}");
--- a/crates/server/tests/support/disk_gauge.rs
+++ b/crates/server/tests/support/disk_gauge.rs
@@ -1,4 +1,4 @@
-//! How long the machine's disk takes to write, measured beside a test of real processes.
+//! Measures how long writes to the machine's disk take while a test of real processes runs.
 
 use std::fs::File;
 use std::io::Write;
@@ -8,17 +8,17 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Between two writes.
-const INTERVAL: Duration = Duration::from_millis(5);
+/// Pause between two writes of the gauge.
+const WRITE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Writes and syncs a file of its own until it is stopped.
+/// A thread that repeatedly writes and syncs a separate file until it is stopped.
 pub struct DiskGauge {
     is_over: Arc<AtomicBool>,
     writer: JoinHandle<Duration>,
 }
 
 impl DiskGauge {
-    /// Begins to write a file in this folder.
+    /// Starts the gauge with a file in this folder.
     pub fn start(folder: &Path) -> DiskGauge {
         let mut file = File::create(folder.join("disk-gauge")).unwrap();
         let is_over = Arc::new(AtomicBool::new(false));
@@ -27,14 +27,14 @@
             let mut longest = Duration::ZERO;
             while !stop.load(Ordering::Relaxed) {
                 longest = longest.max(write_once(&mut file));
-                std::thread::park_timeout(INTERVAL);
+                std::thread::park_timeout(WRITE_INTERVAL);
             }
             longest
         });
         DiskGauge { is_over, writer }
     }
 
-    /// Waits for the write that is under way, and gives how long the longest of all took.
+    /// Stops the gauge after the write in progress, and returns the duration of the longest write.
     pub fn stop(self) -> Duration {
         self.is_over.store(true, Ordering::Relaxed);
         self.writer.join().unwrap()
@@ -42,8 +42,8 @@
 }
 
 fn write_once(file: &mut File) -> Duration {
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     file.write_all(b"written\n").unwrap();
     file.sync_data().unwrap();
-    began_at.elapsed()
+    started_at.elapsed()
 }
--- a/crates/server/tests/support/mod.rs
+++ b/crates/server/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A small system on loopback addresses: one control node, two stores, one edge, and an executor played here.
+//! A small fleet on loopback addresses: one control node, two stores, one edge, and a simulated executor in the test process.
 
-// Each file of tests uses its part of it.
+// Not every test file that includes this module uses all of it.
 #![allow(dead_code)]
 
 pub mod disk_gauge;
@@ -16,7 +16,7 @@
 
 use jzon::JsonValue;
 
-/// One service has an executor, the other has none and a ceiling.
+/// A configuration with two services: `crane` has an executor, `lock` has a rate limit and no executor.
 pub const CONFIGURATION: &str = r#"{"revision":7,"routes":[
  {"name":"quick","hostname":"quay.example","path_prefix":"/in/","route_type":"deferred","timeout_ms":1500,
   "target_ms":80,"priority":1,"backend":"crane","max_tries":4,"max_wait_s":60,"run_target_ms":1000},
@@ -24,7 +24,7 @@
   "target_ms":80,"priority":1,"backend":"lock","max_tries":4,"max_wait_s":600,"run_target_ms":1000}],
  "backends":[{"name":"crane"},{"name":"lock","rate_per_s":5}],"limits":{"header_timeout_ms":1000}}"#;
 
-/// Name, host, what it serves, its role and its internal port.
+/// The nodes of the fleet: name, host number, `serves` setting, role on the command line, and internal port.
 pub const NODES: [(&str, u8, &str, &str, u16); 4] = [
     ("core-1", 1, "control", "core", 17300),
     ("store-1", 2, "storage", "store", 17301),
@@ -32,13 +32,13 @@
     ("edge-1", 4, "edge", "edge", 17302),
 ];
 
-/// Fleets that tests of one file may have at a time.
+/// Maximum number of fleets that the tests of one process may run concurrently.
 const FLEETS_PER_PROCESS: u32 = 4;
-/// Processes that have nets of their own among those with the same second part.
-const PROCESSES_PER_NET: u32 = 60;
+/// Number of test processes with distinct loopback networks that share the second octet of their addresses.
+const PROCESSES_PER_SECOND_OCTET: u32 = 60;
 static FLEET_COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// Status, head and body of an answer.
+/// Status, head and body of an HTTP answer.
 pub type Answer = (u16, String, String);
 
 pub fn program() -> Command {
@@ -47,22 +47,23 @@
     command
 }
 
-/// Standard output and standard error.
+/// Standard output and standard error of a finished process, as text.
 pub fn texts(output: &Output) -> (String, String) {
     (String::from_utf8(output.stdout.clone()).unwrap(), String::from_utf8(output.stderr.clone()).unwrap())
 }
 
-/// The folder, the processes and the executor of one test; all of it ends with the value.
+/// The folder, the processes and the executor of one test. Dropping the value stops the processes and the executor, and removes the
+/// folder.
 pub struct Fleet {
     pub dir: PathBuf,
-    /// The first three parts of its addresses.
+    /// The first three octets of the fleet's addresses.
     pub net: String,
     deadline: Instant,
     children: Vec<(String, Child)>,
     is_over: Arc<AtomicBool>,
-    /// The key `bounds` of all settings files.
+    /// Value of the key `bounds` in all settings files.
     pub bounds: String,
-    /// The heads of the requests that the executor has run, in order.
+    /// The heads of the requests that the executor has run, in the order of their arrival.
     runs: Arc<Mutex<Vec<String>>>,
 }
 
@@ -82,15 +83,16 @@
 }
 
 impl Fleet {
-    /// A folder and no processes. Each file of tests has loopback nets of its own, 60 from `first_net` on, and so have two runs
-    /// at a time, and the tests of one file. `limit` is for the whole test.
+    /// Creates the test's folder without starting processes. Each test file has its own range of 60 loopback networks, which starts with
+    /// `first_net` as the second octet. Concurrent runs of a file, and the tests of one file, use different networks. `limit` is the time
+    /// limit of the whole test.
     pub fn new(name: &str, first_net: u32, limit: Duration) -> Fleet {
         let pid = std::process::id();
         let dir = std::env::temp_dir().join(format!("stilerouted-{name}-{pid}"));
         fs::create_dir_all(&dir).unwrap();
         let index = FLEET_COUNT.fetch_add(1, Ordering::Relaxed) % FLEETS_PER_PROCESS;
-        let third_part = 1 + (pid % PROCESSES_PER_NET) * FLEETS_PER_PROCESS + index;
-        let net = format!("127.{}.{third_part}", first_net + pid / PROCESSES_PER_NET % 60);
+        let third_octet = 1 + (pid % PROCESSES_PER_SECOND_OCTET) * FLEETS_PER_PROCESS + index;
+        let net = format!("127.{}.{third_octet}", first_net + pid / PROCESSES_PER_SECOND_OCTET % 60);
         let deadline = Instant::now() + limit;
         Fleet {
             dir,
@@ -104,12 +106,12 @@
     }
 
     /// Starts all processes, and waits until the configuration is in force, the edge is ready and the stores accept messages.
-    /// `edge_options` stand before the edge's role.
+    /// `edge_options` precede the role on the edge's command line.
     pub fn start(&mut self, edge_options: &[&str]) {
         self.start_with(edge_options, CONFIGURATION);
     }
 
-    /// The same with another configuration.
+    /// Starts the fleet like [`start`](Self::start), but with the given configuration.
     pub fn start_with(&mut self, edge_options: &[&str], configuration: &str) {
         for (name, host, serves, role, _) in NODES {
             let boot = self.write_settings(name, host, serves);
@@ -118,8 +120,8 @@
             let options = if role == "edge" { edge_options } else { &[] };
             self.start_node(name, &boot, &[options, &[role]].concat());
         }
-        self.play_executor();
-        self.wait_for("the configuration is taken", || {
+        self.start_executor();
+        self.wait_for("the configuration is accepted", || {
             let answer = self.http("1:18262", "POST", "/v1/settings/replace", "", configuration);
             answer.filter(|answer| answer.0 == 200)
         });
@@ -129,8 +131,8 @@
         self.wait_for("the stores accept messages", || self.do_stores_accept().then_some(()));
     }
 
-    /// Whether each store would accept a message: an edge is ready as soon as it has one store, which refuses until it has
-    /// another one for the replica.
+    /// Whether every store accepts messages. An edge is already ready with one store, but that store rejects messages until it has another
+    /// store for the replica.
     fn do_stores_accept(&self) -> bool {
         let status = self.json(&["status"]);
         let accepting = status["nodes"].members().filter(|node| node["accepts"] == true);
@@ -143,17 +145,17 @@
         self.runs.lock().unwrap().iter().filter(|head| head.contains(&line)).cloned().collect()
     }
 
-    /// The address of a port of one of its hosts.
+    /// The address of a port on one of the fleet's hosts.
     pub fn at(&self, host: u8, port: u16) -> String {
         format!("{}.{host}:{port}", self.net)
     }
 
-    /// What a process has logged.
+    /// The log output of a process.
     pub fn log(&self, name: &str) -> String {
         fs::read_to_string(self.dir.join(format!("{name}.log"))).unwrap_or_default()
     }
 
-    /// Writes the settings file of a node.
+    /// Writes the settings file of a node, and returns its path.
     pub fn write_settings(&self, name: &str, host: u8, serves: &str) -> PathBuf {
         let (net, bounds) = (&self.net, &self.bounds);
         let bind = match serves {
@@ -180,7 +182,7 @@
         self.children.push((name.to_string(), command.spawn().unwrap()));
     }
 
-    /// What `look` finds, or nothing at the end of the test's time.
+    /// Calls `look` until it returns a value; `None` if the test's time limit is reached first.
     pub fn eventually<T>(&self, mut look: impl FnMut() -> Option<T>) -> Option<T> {
         while Instant::now() < self.deadline {
             if let Some(found) = look() {
@@ -191,12 +193,12 @@
         None
     }
 
-    /// What `look` finds within the test's time.
+    /// Calls `look` until it returns a value; panics if the test's time limit is reached first.
     pub fn wait_for<T>(&self, what: &str, look: impl FnMut() -> Option<T>) -> T {
-        self.eventually(look).unwrap_or_else(|| panic!("in vain: {what}"))
+        self.eventually(look).unwrap_or_else(|| panic!("time limit reached while waiting for: {what}"))
     }
 
-    /// A process of each class, and its internal address.
+    /// The role and the internal address of one process of each role.
     pub fn addresses(&self) -> Vec<(&'static str, String)> {
         let all = NODES.iter().filter(|node| node.0 != "store-2");
         all.map(|(_, host, _, role, port)| (*role, format!("{}.{host}:{port}", self.net))).collect()
@@ -215,22 +217,22 @@
         jzon::parse(&String::from_utf8_lossy(&output.stdout)).unwrap_or(JsonValue::Null)
     }
 
-    /// The answer to a request to one of its hosts, if there is one.
+    /// Sends an HTTP request to one of the fleet's hosts, and returns the answer, if one arrives.
     pub fn http(&self, at: &str, method: &str, path: &str, headers: &str, body: &str) -> Option<Answer> {
         http(&format!("{}.{at}", self.net), method, path, headers, body)
     }
 
-    /// Sends a message until it is accepted; gives its name.
+    /// Submits a message until it is accepted, and returns its message id.
     pub fn accepted_message(&self, path: &str, id: &str) -> String {
         let headers = format!("X-Request-Id: {id}\r\n");
-        let head = self.wait_for("a message is taken", || {
+        let head = self.wait_for("a message is accepted", || {
             self.http("4:18263", "POST", path, &headers, "heavy").filter(|answer| answer.0 == 202)
         });
         let name = head.1.lines().find_map(|line| line.strip_prefix("X-Queue-Message-Id: "));
         name.unwrap().to_string()
     }
 
-    /// Waits until a message has run; its request id is in the seal.
+    /// Waits until a message has run, which is recognized by its request id in the seal.
     pub fn wait_for_delivery(&self, name: &str, id: &str) {
         self.wait_for("the message has run", || {
             let state = self.http("4:18263", "GET", &format!("/v1/message/{name}"), "", "")?;
@@ -238,7 +240,8 @@
         });
     }
 
-    /// The name of a message that has run, the last of some: the stores take them by turns, and each has delivered one.
+    /// Submits four messages one after another, waits until each has run, and returns the id of the last one. The stores accept messages in
+    /// turn, so that each store has then delivered one.
     pub fn delivered_message(&self) -> String {
         let deliver = |number: u8| {
             let id = format!("m-{number}");
@@ -250,19 +253,20 @@
         deliver(4)
     }
 
-    /// The name of a message whose service has no executor.
+    /// Submits a message to the service without an executor, and returns its message id.
     pub fn waiting_message(&self) -> String {
         self.accepted_message("/stuck/1", "m-9")
     }
 
-    /// Writes a file into the test's folder, and gives its path.
+    /// Writes a file into the test's folder, and returns its path.
     pub fn write_file(&self, name: &str, text: &str) -> String {
         let path = self.dir.join(name);
         fs::write(&path, text).unwrap();
         path.to_str().unwrap().to_string()
     }
 
-    /// Files with the configuration that is in force, another one under its number, and one under a lower number.
+    /// Writes three files and returns their paths: the configuration in force, a different one with the same revision, and one with a lower
+    /// revision.
     pub fn configurations(&self) -> (String, String, String) {
         let other = CONFIGURATION.replacen("\"max_wait_s\":60,", "\"max_wait_s\":61,", 1);
         let lower = CONFIGURATION.replacen("\"revision\":7", "\"revision\":6", 1);
@@ -273,7 +277,7 @@
         )
     }
 
-    /// Ends a process in order.
+    /// Stops a process gracefully with SIGTERM, and waits until it has exited.
     pub fn end(&mut self, name: &str) {
         self.terminate(name);
         self.wait_for_exit(name);
@@ -286,16 +290,16 @@
         assert!(signalled.success());
     }
 
-    /// Waits until a process has ended, without an error.
+    /// Waits until a process has exited, and checks that it exited without an error.
     pub fn wait_for_exit(&mut self, name: &str) {
         let index = self.children.iter().position(|(child, _)| child == name).unwrap();
         let (_, mut child) = self.children.swap_remove(index);
-        let status = self.wait_for("the process ends", || child.try_wait().unwrap());
+        let status = self.wait_for("the process exits", || child.try_wait().unwrap());
         assert!(status.success(), "{name}: {status}: {}", self.log(name));
     }
 
-    /// Serves the service `crane`, and sends its heartbeats.
-    fn play_executor(&self) {
+    /// Starts the simulated executor of the service `crane`, and sends its heartbeats to the control node.
+    fn start_executor(&self) {
         let at = format!("{}.9:18080", self.net);
         let listener = TcpListener::bind(&at).unwrap();
         let runs = Arc::clone(&self.runs);
@@ -336,12 +340,12 @@
     Some((head.split(' ').nth(1)?.parse().ok()?, head.to_string(), body.to_string()))
 }
 
-/// Answers each request on a connection with success.
+/// Answers each HTTP request on a connection with status 200.
 fn serve(mut stream: TcpStream, runs: &Mutex<Vec<String>>) {
-    let (mut bytes, mut some) = (Vec::new(), [0; 4096]);
+    let (mut bytes, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
-        match stream.read(&mut some) {
-            Ok(read) if read > 0 => bytes.extend_from_slice(&some[..read]),
+        match stream.read(&mut chunk) {
+            Ok(read) if read > 0 => bytes.extend_from_slice(&chunk[..read]),
             _ => return,
         }
         let text = String::from_utf8_lossy(&bytes).to_string();
--- a/crates/server/tests/tenants.rs
+++ b/crates/server/tests/tenants.rs
@@ -1,11 +1,11 @@
-//! Messages of tenants, on real processes.
+//! Tests of tenants and their API keys, on real processes.
 //!
-//! A configuration that names tenants, their keys and routes that only tenants may use was acknowledged and brought to every edge, and
-//! nothing acted on it: an executor ran messages with a key that no configuration had, it was never told whose message it ran, and each
-//! further try with an idempotency key became one more message. Each edge said so itself, once there was a line for it:
-//! `the configuration has keys that nothing here reads version=4 keys="backends[].protocol backends[].tls customers routes[].public"`,
-//! and in one play of the recorded day two messages of one key, 1.95 s apart, were both answered 202 and both run, 0.047 s and 1.992 s
-//! from its start, without any fault of a machine between them.
+//! The tests guard against a fault in which a configuration with tenants, keys and tenant-only routes was acknowledged and distributed to
+//! every edge, but not enforced: an executor ran messages with a key that was in no configuration, it was not told the tenant of a message,
+//! and each retry with an idempotency key became another message. Each edge logged it:
+//! `the configuration has keys that nothing here reads version=4 keys="backends[].protocol backends[].tls customers routes[].public"`.
+//! In one replay of the recorded day, two messages with the same key, submitted 1.95 s apart, were both answered 202 and both ran, 0.047 s
+//! and 1.992 s after the start of the day, without a machine fault between them.
 
 mod support;
 
@@ -14,9 +14,9 @@
 
 const FIRST_NET: u32 = 186;
 const TIME_LIMIT: Duration = Duration::from_secs(28);
-/// Where the edge tells its metrics.
-const FIGURES_PORT: u16 = 18299;
-/// Request ids and idempotency keys are made from it.
+/// Port on which the edge serves its metrics.
+const METRICS_PORT: u16 = 18299;
+/// Seed that is part of the request ids and idempotency keys.
 const SEED: u64 = 74;
 
 const CONFIGURATION: &str = r#"{"revision":7,"routes":[
@@ -34,10 +34,10 @@
     fleet
 }
 
-/// The first holder of a tenant's tokens begins some 1.5 s after the start, and with none.
+/// Waits until each tenant's quota grants tokens: the first token holder of a tenant starts some 1.5 s after the fleet, with no tokens.
 fn wait_for_quotas(fleet: &Fleet) {
     for tenant in ["ferry", "lugger"] {
-        fleet.wait_for("the tenant's quota is handed out", || {
+        fleet.wait_for("the tenant's quota grants tokens", || {
             let id = format!("first-of-{tenant}");
             let headers = format!("Authorization: Bearer key-of-{tenant}\r\nX-Idempotency-Key: {id}\r\n");
             (submit(fleet, &id, &headers).0 == 202).then_some(())
@@ -52,10 +52,10 @@
 
 fn message_name(answer: &Answer) -> &str {
     let name = answer.1.lines().find_map(|line| line.strip_prefix("X-Queue-Message-Id: "));
-    name.unwrap_or_else(|| panic!("no name: {answer:?}"))
+    name.unwrap_or_else(|| panic!("no message id in the answer: {answer:?}"))
 }
 
-/// Waits until a message has run, and gives the head of the request that the executor was handed.
+/// Waits until a message has run, and returns the head of the request that the executor received.
 fn run_of(fleet: &Fleet, id: &str) -> String {
     fleet.wait_for("the message runs", || fleet.runs_of(id).into_iter().next())
 }
@@ -87,7 +87,7 @@
         let answer = submit(&fleet, &id, &format!("{headers}X-Idempotency-Key: i-{number}\r\n"));
         assert_eq!(answer.0, 401, "{headers:?}: {answer:?}");
     }
-    // What is accepted after them has run: they would have, too.
+    // Messages that are accepted after the rejected requests have run; the rejected ones would have run by then, too.
     for number in 10..14 {
         let id = format!("r-{SEED}-{number}");
         let headers = format!("Authorization: Bearer key-of-lugger\r\nX-Idempotency-Key: i-{number}\r\n");
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_further_try_with_an_idempotency_key_is_the_first_message() {
+fn a_retry_with_an_idempotency_key_is_answered_with_the_first_message() {
     let fleet = start("one-run");
     let key = format!("X-Idempotency-Key: i-{SEED}\r\n");
     let ferry = format!("Authorization: Bearer key-of-ferry\r\n{key}");
@@ -109,12 +109,12 @@
     let first = submit(&fleet, &first_id, &ferry);
     assert_eq!(first.0, 202, "{first:?}");
     run_of(&fleet, &first_id);
-    // Stores take messages by turns: so many tries reach each of them.
+    // The edge sends messages to the stores in turn, so these six retries reach each store.
     for number in 2..8 {
         let again = submit(&fleet, &format!("r-{SEED}-{number}"), &ferry);
-        assert_eq!((again.0, message_name(&again)), (202, message_name(&first)), "try {number}");
+        assert_eq!((again.0, message_name(&again)), (202, message_name(&first)), "retry {number}");
     }
-    // The same key of another tenant is another message.
+    // The same idempotency key from another tenant identifies another message.
     let other_id = format!("r-{SEED}-9");
     let other = submit(&fleet, &other_id, &format!("Authorization: Bearer key-of-lugger\r\n{key}"));
     assert_eq!(other.0, 202);
@@ -122,31 +122,31 @@
     run_of(&fleet, &other_id);
     for number in 2..8 {
         let runs = fleet.runs_of(&format!("r-{SEED}-{number}"));
-        assert!(runs.is_empty(), "try {number} ran too: {runs:?}");
+        assert!(runs.is_empty(), "retry {number} ran too: {runs:?}");
     }
 }
 
 #[test]
-fn an_edge_without_control_nodes_accepts_no_key_that_may_have_been_taken_away() {
+fn an_edge_without_control_nodes_accepts_no_key_that_may_have_been_revoked() {
     println!("seed {SEED}");
     let mut fleet = Fleet::new("taken-away", FIRST_NET, TIME_LIMIT);
     fleet.bounds = r#"{"grace_s":6,"revoke_everywhere":true,"revoke_ms":4000}"#.to_string();
     let public = r#"{"name":"open","hostname":"quay.example","path_prefix":"/open/","route_type":"deferred",
         "timeout_ms":1500,"target_ms":80,"backend":"crane","public":true}],"backends""#;
     let configuration = CONFIGURATION.replacen("],\n \"backends\"", &format!(",{public}"), 1);
-    let figures = fleet.at(4, FIGURES_PORT);
-    fleet.start_with(&["--figures", &figures], &configuration);
+    let metrics_address = fleet.at(4, METRICS_PORT);
+    fleet.start_with(&["--figures", &metrics_address], &configuration);
     wait_for_quotas(&fleet);
     let headers = |n: u64| format!("Authorization: Bearer key-of-ferry\r\nX-Idempotency-Key: i-{n}\r\n");
     fleet.wait_for("the edge accepts the key", || {
         (submit(&fleet, &format!("r-{SEED}-1"), &headers(1)).0 == 202).then_some(())
     });
     fleet.end("core-1");
-    // Stores whose disk does not answer refuse too: the edge counts what it refuses itself.
-    let rejected = fleet.wait_for("the edge accepts no key any more", || {
+    // Stores whose disk does not respond also reject messages, so the test waits for the edge's own count of rejections.
+    let rejected = fleet.wait_for("the edge rejects keys", || {
         let answer = submit(&fleet, &format!("r-{SEED}-2"), &headers(2));
         assert!([202, 502, 503, 504].contains(&answer.0), "{answer:?}");
-        (refused_without_contact(&fleet) > 0).then_some(answer)
+        (rejected_without_contact(&fleet) > 0).then_some(answer)
     });
     assert_eq!(rejected.0, 503, "{rejected:?}");
     assert!(rejected.1.contains("Retry-After: "), "{rejected:?}");
@@ -157,16 +157,16 @@
     });
 }
 
-/// How many messages the edge has refused because the control nodes were not heard for too long.
-fn refused_without_contact(fleet: &Fleet) -> u64 {
-    let figures =
-        fleet.http(&format!("4:{FIGURES_PORT}"), "GET", "/metrics", "", "").expect("the edge has metrics");
+/// Number of messages that the edge has rejected because it had no contact with the control nodes for too long.
+fn rejected_without_contact(fleet: &Fleet) -> u64 {
+    let page =
+        fleet.http(&format!("4:{METRICS_PORT}"), "GET", "/metrics", "", "").expect("the edge serves metrics");
     let name = "stileroute_messages_total{result=\"no_contact\"} ";
-    let count = figures.2.lines().find_map(|line| line.strip_prefix(name)).expect("the metric is there");
-    count.parse().expect("a number")
+    let count = page.2.lines().find_map(|line| line.strip_prefix(name)).expect("the metric is exported");
+    count.parse().expect("the metric value is a number")
 }
 
-/// The status of the answer to a message without a key.
+/// Submits a message without an API key on the public route, and returns the HTTP status of the answer.
 fn submit_on_public_route(fleet: &Fleet) -> Option<u16> {
     let id = format!("X-Request-Id: r-{SEED}-3\r\n");
     fleet.http("4:18263", "POST", "/open/1", &id, "heavy").map(|answer| answer.0)
