--- a/crates/server/src/store.rs
+++ b/crates/server/src/store.rs
@@ -136,8 +136,8 @@
     pub fn run(mut self) {
         loop {
             let Polled { link_events, events } = self.runtime.poll(self.queue.next_deadline());
-            link_events.into_iter().for_each(|link_event| self.link_event(link_event));
-            events.into_iter().for_each(|event| self.event(event));
+            link_events.into_iter().for_each(|link_event| self.handle_link_event(link_event));
+            events.into_iter().for_each(|event| self.handle_event(event));
             self.answer_inquiries();
             self.runtime.maintain_session();
             // Of each pair of stores, the one with the lower address opens the connection.
@@ -190,10 +190,10 @@
         }
     }
 
-    fn event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::WakeUp => self.take_disk_results(),
-            Event::CallCompleted { call_id, result } => self.call_completed(call_id, result),
+            Event::CallCompleted { call_id, result } => self.handle_call_completed(call_id, result),
             _ => {}
         }
     }
--- a/crates/server/src/store/deliveries.rs
+++ b/crates/server/src/store/deliveries.rs
@@ -99,7 +99,7 @@
 
     fn start_attempt(&mut self, attempt: Attempt) {
         let now = self.runtime.net.now();
-        self.statistics.attempt_started(self.queue.first_attempt_delay_ms(now, attempt.key));
+        self.statistics.record_attempt_start(self.queue.first_attempt_delay_ms(now, attempt.key));
         let Some(message) = self.queue.message(attempt.key) else { return };
         let bytes = encode_attempt(message, attempt.expected_id.as_deref(), attempt.timeout_ms);
         let request_id = message.id.clone();
@@ -121,7 +121,7 @@
             }
             Err(error) => {
                 let outcome = attempt_outcome(&request_id, Err(error));
-                self.statistics.attempt_ended(&outcome);
+                self.statistics.record_outcome(&outcome);
                 let now_tenths_ms = self.runtime.net.now_tenths_ms();
                 self.queue.attempt_ended(now, now_tenths_ms, attempt.number, outcome, None);
             }
@@ -156,15 +156,15 @@
     }
 
     /// Handles the end of a delivery attempt or of a call-back.
-    pub(super) fn call_completed(&mut self, call_id: u64, result: Result<CallReply, CallError>) {
+    pub(super) fn handle_call_completed(&mut self, call_id: u64, result: Result<CallReply, CallError>) {
         let now = self.runtime.net.now();
         match self.in_flight.remove(&call_id) {
             Some(InFlight::Attempt { attempt, request_id }) => {
                 let reply = result.as_ref().ok();
                 let load = reply.and_then(|reply| parse_server_load(reply.server_load.as_deref()?));
-                self.statistics.attempt_failed(result.as_ref().err());
+                self.statistics.record_call_error(result.as_ref().err());
                 let outcome = attempt_outcome(&request_id, result);
-                self.statistics.attempt_ended(&outcome);
+                self.statistics.record_outcome(&outcome);
                 let now_tenths_ms = self.runtime.net.now_tenths_ms();
                 self.queue.attempt_ended(now, now_tenths_ms, attempt, outcome, load);
             }
--- a/crates/server/src/store/delivery_statistics.rs
+++ b/crates/server/src/store/delivery_statistics.rs
@@ -17,17 +17,17 @@
 
 impl DeliveryStatistics {
     /// Records the start of an attempt. For the first attempt of a message, `first_attempt_delay_ms` is the time since it was due.
-    pub fn attempt_started(&mut self, first_attempt_delay_ms: Option<u64>) {
+    pub fn record_attempt_start(&mut self, first_attempt_delay_ms: Option<u64>) {
         first_attempt_delay_ms.into_iter().for_each(|ms| self.first_attempt_delay.record(ms));
     }
 
     /// Counts an ended attempt that got no answer but may have run at the executor. `error` is `None` if an answer arrived.
-    pub fn attempt_failed(&mut self, error: Option<&CallError>) {
+    pub fn record_call_error(&mut self, error: Option<&CallError>) {
         self.unknown_outcomes += u64::from(error.is_some_and(|error| error.may_have_run()));
     }
 
     /// Counts an ended attempt by its outcome.
-    pub fn attempt_ended(&mut self, outcome: &AttemptOutcome) {
+    pub fn record_outcome(&mut self, outcome: &AttemptOutcome) {
         *self.outcomes.entry(outcome_label(outcome)).or_default() += 1;
     }
 
--- a/crates/server/src/store/kept_ends.rs
+++ b/crates/server/src/store/kept_ends.rs
@@ -98,13 +98,13 @@
     }
 
     /// Number of message ends that the log has not written yet.
-    pub(super) fn unwritten(&self) -> usize {
+    pub(super) fn unwritten_count(&self) -> usize {
         self.unwritten.values().map(Vec::len).sum()
     }
 
     /// Number of message ends so far that the crash buffer could not store.
-    pub(super) fn unkept(&self) -> u64 {
-        self.kept.unkept()
+    pub(super) fn unbuffered_count(&self) -> u64 {
+        self.kept.unbuffered_count()
     }
 }
 
--- a/crates/server/src/store/kept_failures.rs
+++ b/crates/server/src/store/kept_failures.rs
@@ -109,13 +109,13 @@
     }
 
     /// Number of messages with a count that the log has not written yet.
-    pub(super) fn unwritten(&self) -> usize {
+    pub(super) fn unwritten_count(&self) -> usize {
         self.unwritten.len()
     }
 
     /// Number of counts so far that the crash buffer could not store.
-    pub(super) fn unkept(&self) -> u64 {
-        self.kept.unkept()
+    pub(super) fn unbuffered_count(&self) -> u64 {
+        self.kept.unbuffered_count()
     }
 }
 
--- a/crates/server/src/store/kept_failures/tests.rs
+++ b/crates/server/src/store/kept_failures/tests.rs
@@ -1,5 +1,5 @@
 use super::super::kept_records::SLOT_COUNT;
-use super::super::kept_test_support::{data_dir, key, live};
+use super::super::kept_test_support::{data_dir, key, table_with_live_messages};
 use super::super::refused_appends::RETRY_INTERVAL_MS;
 use super::super::START_TICKET;
 use super::*;
@@ -14,7 +14,7 @@
     table.messages[&key(number)].replica.as_ref().unwrap().attempts
 }
 
-fn opened(data_dir: &Path) -> KeptFailures {
+fn open_empty(data_dir: &Path) -> KeptFailures {
     let (kept, left) = KeptFailures::open(data_dir, &mut StateTable::default());
     assert!(left.is_empty());
     kept
@@ -23,37 +23,37 @@
 #[test]
 fn unwritten_counts_survive_a_kill() {
     let data_dir = data_dir("failures-kill");
-    let mut before = opened(&data_dir);
+    let mut before = open_empty(&data_dir);
     before.keep(TICKET, key(1), count(1, 2));
     before.keep(TICKET, key(2), count(2, 1));
     std::mem::forget(before);
-    let mut table = live(&[1, 2, 3]);
-    let (mut after, records) = KeptFailures::open(&data_dir, &mut table);
+    let mut table = table_with_live_messages(&[1, 2, 3]);
+    let (mut reopened, records) = KeptFailures::open(&data_dir, &mut table);
     assert_eq!([1, 2, 3].map(|number| failed_attempts(&table, number)), [2, 1, 0]);
-    assert_eq!((records.len(), after.unwritten()), (2, 2));
+    assert_eq!((records.len(), reopened.unwritten_count()), (2, 2));
     // The counts stay in the crash buffer until the first append after the start is written: a second kill before that loses none.
-    assert_eq!(KeptFailures::open(&data_dir, &mut live(&[1, 2])).1.len(), 2);
-    after.write_completed(0, START_TICKET, true);
-    assert_eq!(after.unwritten(), 0);
-    drop(after);
-    assert!(KeptFailures::open(&data_dir, &mut live(&[1, 2])).1.is_empty());
+    assert_eq!(KeptFailures::open(&data_dir, &mut table_with_live_messages(&[1, 2])).1.len(), 2);
+    reopened.write_completed(0, START_TICKET, true);
+    assert_eq!(reopened.unwritten_count(), 0);
+    drop(reopened);
+    assert!(KeptFailures::open(&data_dir, &mut table_with_live_messages(&[1, 2])).1.is_empty());
 }
 
 /// A message uses one slot of the crash buffer, however often it fails while the disk stalls.
 #[test]
 fn a_later_count_replaces_the_earlier_one() {
     let data_dir = data_dir("failures-later");
-    let mut kept = opened(&data_dir);
+    let mut kept = open_empty(&data_dir);
     let capacity = kept.capacity();
     for failed_attempts in 1..=5 {
         kept.keep(TICKET + u64::from(failed_attempts), key(1), count(1, failed_attempts));
     }
-    assert_eq!((kept.unwritten(), kept.capacity()), (1, capacity - 1));
+    assert_eq!((kept.unwritten_count(), kept.capacity()), (1, capacity - 1));
     // The log has written the first four counts, but not yet the fifth and last one.
     kept.write_completed(0, TICKET + 4, true);
-    assert_eq!(kept.unwritten(), 1);
+    assert_eq!(kept.unwritten_count(), 1);
     std::mem::forget(kept);
-    let mut table = live(&[1]);
+    let mut table = table_with_live_messages(&[1]);
     KeptFailures::open(&data_dir, &mut table);
     assert_eq!(failed_attempts(&table, 1), 5);
 }
@@ -61,7 +61,7 @@
 #[test]
 fn refused_counts_are_kept_and_the_last_of_each_message_is_appended_again() {
     let data_dir = data_dir("failures-refused");
-    let mut kept = opened(&data_dir);
+    let mut kept = open_empty(&data_dir);
     kept.keep(TICKET, key(1), count(1, 1));
     kept.keep(TICKET, key(2), count(2, 1));
     kept.write_completed(0, TICKET, false);
@@ -69,19 +69,19 @@
     assert!(kept.take_due(RETRY_INTERVAL_MS - 1).is_empty());
     assert_eq!(kept.take_due(RETRY_INTERVAL_MS), [(TICKET, vec![count(2, 1)])]);
     kept.write_completed(RETRY_INTERVAL_MS, TICKET, true);
-    assert_eq!(kept.unwritten(), 1);
+    assert_eq!(kept.unwritten_count(), 1);
     kept.write_completed(RETRY_INTERVAL_MS, TICKET + 1, true);
-    assert_eq!(kept.unwritten(), 0);
+    assert_eq!(kept.unwritten_count(), 0);
 }
 
 #[test]
 fn counts_beyond_the_buffer_capacity_are_counted_and_still_appended_again() {
     let data_dir = data_dir("failures-full");
-    let mut kept = opened(&data_dir);
+    let mut kept = open_empty(&data_dir);
     for number in 0..SLOT_COUNT as u64 + 3 {
         kept.keep(TICKET, key(number), count(number, 1));
     }
-    assert_eq!((kept.unkept(), kept.capacity()), (3, 0));
+    assert_eq!((kept.unbuffered_count(), kept.capacity()), (3, 0));
     kept.write_completed(0, TICKET, false);
     assert_eq!(kept.take_due(RETRY_INTERVAL_MS)[0].1.len(), SLOT_COUNT + 3);
 }
@@ -90,9 +90,9 @@
 fn an_unusable_file_does_not_prevent_the_start() {
     let data_dir = data_dir("failures-unusable");
     std::fs::write(data_dir.join(FILE_NAME), b"something else").unwrap();
-    let mut kept = opened(&data_dir);
+    let mut kept = open_empty(&data_dir);
     kept.keep(TICKET, key(1), count(1, 1));
-    assert_eq!((kept.unkept(), kept.unwritten(), kept.capacity()), (1, 1, usize::MAX));
+    assert_eq!((kept.unbuffered_count(), kept.unwritten_count(), kept.capacity()), (1, 1, usize::MAX));
     kept.write_completed(0, TICKET, true);
-    assert_eq!(kept.unwritten(), 0);
+    assert_eq!(kept.unwritten_count(), 0);
 }
--- a/crates/server/src/store/kept_records.rs
+++ b/crates/server/src/store/kept_records.rs
@@ -11,7 +11,7 @@
 /// The slots of one crash-buffer file. If the file cannot be used there are none, and records are kept in the log only.
 pub(super) struct KeptRecords {
     buffer: Option<CrashBuffer>,
-    unkept: u64,
+    unbuffered_count: u64,
 }
 
 impl KeptRecords {
@@ -24,13 +24,13 @@
                 (None, Vec::new())
             }
         };
-        (KeptRecords { buffer, unkept: 0 }, left)
+        (KeptRecords { buffer, unbuffered_count: 0 }, left)
     }
 
     /// Stores a record in the file and returns its slot, or `None` if the file could not store it.
     pub(super) fn insert(&mut self, record: &[u8]) -> Option<Slot> {
         let slot = self.buffer.as_mut().and_then(|buffer| buffer.insert(record).ok());
-        self.unkept += u64::from(slot.is_none());
+        self.unbuffered_count += u64::from(slot.is_none());
         slot
     }
 
@@ -49,7 +49,7 @@
     }
 
     /// Number of records so far that the file could not store.
-    pub(super) fn unkept(&self) -> u64 {
-        self.unkept
+    pub(super) fn unbuffered_count(&self) -> u64 {
+        self.unbuffered_count
     }
 }
--- a/crates/server/src/store/kept_test_support.rs
+++ b/crates/server/src/store/kept_test_support.rs
@@ -17,7 +17,7 @@
 }
 
 /// A state table in which the messages with these numbers have not ended and have no failed attempts.
-pub(super) fn live(numbers: &[u64]) -> StateTable {
+pub(super) fn table_with_live_messages(numbers: &[u64]) -> StateTable {
     let mut table = StateTable::default();
     for number in numbers {
         let replica = ReplicatedMessage { key: key(*number), ..ReplicatedMessage::default() };
--- a/crates/server/src/store/link_events.rs
+++ b/crates/server/src/store/link_events.rs
@@ -15,7 +15,7 @@
 
 impl Store {
     /// Handles one event of a link.
-    pub(super) fn link_event(&mut self, link_event: LinkEvent) {
+    pub(super) fn handle_link_event(&mut self, link_event: LinkEvent) {
         let now = self.runtime.net.now();
         match link_event {
             LinkEvent::Up(peer) if peer.role == NodeRole::Store => {
@@ -26,10 +26,10 @@
             }
             LinkEvent::Up(_) => {}
             LinkEvent::Down(node, NodeRole::Store) => self.queue.peer_disconnected(now, node),
-            LinkEvent::Down(node, NodeRole::Edge) => self.edge_lost(node),
+            LinkEvent::Down(node, NodeRole::Edge) => self.handle_edge_disconnected(node),
             LinkEvent::Down(..) => {}
-            LinkEvent::Received(from, NodeRole::Control, frame) => self.control_frame(from, frame),
-            LinkEvent::Received(from, NodeRole::Edge, frame) => self.edge_frame(from, frame),
+            LinkEvent::Received(from, NodeRole::Control, frame) => self.handle_control_frame(from, frame),
+            LinkEvent::Received(from, NodeRole::Edge, frame) => self.handle_edge_frame(from, frame),
             LinkEvent::Received(from, NodeRole::Store, Frame::Queue(message)) => {
                 self.queue.handle_peer_message(now, from, message);
             }
@@ -38,7 +38,7 @@
     }
 
     /// Abandons the submissions of an edge whose connection was lost, because their answers can no longer be sent.
-    fn edge_lost(&mut self, edge: Node) {
+    fn handle_edge_disconnected(&mut self, edge: Node) {
         let submissions = self.submitters.iter().filter(|(_, submitter)| submitter.edge == edge);
         let abandoned: Vec<u64> = submissions.map(|(id, _)| *id).collect();
         for id in abandoned {
@@ -47,9 +47,9 @@
         }
     }
 
-    fn edge_frame(&mut self, edge: Node, frame: Frame) {
+    fn handle_edge_frame(&mut self, edge: Node, frame: Frame) {
         match frame {
-            Frame::Submit { request_id, message } => self.submitted(edge, request_id, message),
+            Frame::Submit { request_id, message } => self.handle_submission(edge, request_id, message),
             Frame::Lookup { request_id, key, include_body } => {
                 let result = self.look_up(key, include_body);
                 self.unknown_lookups += u64::from(result.is_none());
@@ -63,7 +63,7 @@
         }
     }
 
-    fn submitted(&mut self, edge: Node, request_id: u64, message: Message) {
+    fn handle_submission(&mut self, edge: Node, request_id: u64, message: Message) {
         let now = self.runtime.net.now();
         let id = self.next_id();
         self.submitters.insert(id, Submitter { edge, request_id });
@@ -87,7 +87,7 @@
         Some(KnownMessage { status, body, tenant })
     }
 
-    fn control_frame(&mut self, from: Node, frame: Frame) {
+    fn handle_control_frame(&mut self, from: Node, frame: Frame) {
         match frame {
             Frame::Update(update) => self.apply_update(from, update),
             Frame::RetireStore { node } if node == self.runtime.links.local().node => {
--- a/crates/server/src/store/report.rs
+++ b/crates/server/src/store/report.rs
@@ -264,14 +264,14 @@
         self.statistics.write_metrics(metrics);
         disk_metrics(metrics, &self.disk.statistics());
         let help = "Ends that the disk has not written yet; they outlive the process.";
-        metrics.gauge("stileroute_ends_unwritten", help, &[], self.kept_ends.unwritten());
+        metrics.gauge("stileroute_ends_unwritten", help, &[], self.kept_ends.unwritten_count());
         let help = "Ends that the disk had not written yet, and that would not have outlived the process.";
-        metrics.counter("stileroute_ends_unkept_total", help, &[], self.kept_ends.unkept());
+        metrics.counter("stileroute_ends_unkept_total", help, &[], self.kept_ends.unbuffered_count());
         let help =
             "Messages with failed attempts that the disk has not written yet; these outlive the process.";
-        metrics.gauge("stileroute_failures_unwritten", help, &[], self.kept_failures.unwritten());
+        metrics.gauge("stileroute_failures_unwritten", help, &[], self.kept_failures.unwritten_count());
         let help = "Failed attempts that the disk had not written yet, and that would not have outlived the process.";
-        metrics.counter("stileroute_failures_unkept_total", help, &[], self.kept_failures.unkept());
+        metrics.counter("stileroute_failures_unkept_total", help, &[], self.kept_failures.unbuffered_count());
         let help = "1: a message that came now would be accepted; 0: too few stores can take replicas, or it drains.";
         let accepts = u8::from(self.queue.accepts_messages(self.runtime.net.now()));
         metrics.gauge("stileroute_accepts_messages", help, &[], accepts);
--- a/crates/server/src/store/tests.rs
+++ b/crates/server/src/store/tests.rs
@@ -53,7 +53,7 @@
         let (method, target) = ("POST".to_string(), "/in/x".to_string());
         let message =
             Message { id, host, method, target, accepted_at_ms: wall_clock_ms(), ..Message::default() };
-        self.store.link_event(LinkEvent::Received(
+        self.store.handle_link_event(LinkEvent::Received(
             EDGE,
             NodeRole::Edge,
             Frame::Submit { request_id: 5, message },
@@ -75,7 +75,7 @@
     let answered_early = !store.has_waiting_edge();
     let deadline = Instant::now() + Duration::from_secs(20);
     while store.has_waiting_edge() && Instant::now() < deadline {
-        store.store.event(Event::WakeUp);
+        store.store.handle_event(Event::WakeUp);
         store.store.apply_queue_effects();
         std::thread::yield_now();
     }
@@ -112,7 +112,7 @@
         (AttemptOutcome::NoResponse, "late"),
         (AttemptOutcome::MalformedResponse, "garbled"),
     ];
-    outcomes.iter().for_each(|(outcome, _)| store.store.statistics.attempt_ended(outcome));
+    outcomes.iter().for_each(|(outcome, _)| store.store.statistics.record_outcome(outcome));
     let mut metrics = crate::metrics::Exposition::default();
     store.store.write_metrics(&mut metrics);
     for (outcome, label) in &outcomes {
--- a/crates/server/tests/control_log.rs
+++ b/crates/server/tests/control_log.rs
@@ -78,7 +78,8 @@
     }
     let late_memory_bytes = memory::allocated_bytes();
     println!(
-        "{} of 33 fault points, {} faults, catch-up {slowest_ms} ms, disk {peak_disk_bytes} of {} bytes, memory {early_memory_bytes} and {late_memory_bytes} bytes",
+        "{} of 33 fault points, {} faults, catch-up {slowest_ms} ms, disk {peak_disk_bytes} of {} bytes, \
+         memory {early_memory_bytes} and {late_memory_bytes} bytes",
         fault_counts.len(),
         fault_counts.values().sum::<usize>(),
         max_disk_bytes(),
--- a/crates/server/tests/large_configurations.rs
+++ b/crates/server/tests/large_configurations.rs
@@ -133,11 +133,12 @@
     let dir = std::env::temp_dir().join(format!("large-configurations-{}", std::process::id()));
     let _ = fs::remove_dir_all(&dir);
     let (peak, snapshots) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
-    let (hook_peak, hook_snapshots, hooked): (_, _, PathBuf) = (peak.clone(), snapshots.clone(), dir.clone());
+    let (hook_peak, hook_snapshots, hook_dir): (_, _, PathBuf) =
+        (peak.clone(), snapshots.clone(), dir.clone());
     let hook = move |step| {
         if step == Step::RenameSnapshot {
-            hook_peak.fetch_max(folder_bytes(&hooked), Ordering::Relaxed);
-            let files = fs::read_dir(&hooked).into_iter().flatten().flatten();
+            hook_peak.fetch_max(folder_bytes(&hook_dir), Ordering::Relaxed);
+            let files = fs::read_dir(&hook_dir).into_iter().flatten().flatten();
             let unfinished = files.filter(|file| file.file_name().to_string_lossy().ends_with(".tmp"));
             let bytes: u64 = unfinished.filter_map(|file| Some(file.metadata().ok()?.len())).sum();
             hook_snapshots.fetch_add(bytes, Ordering::Relaxed);
@@ -153,8 +154,8 @@
     let done = move |ticket, result| drop(answer.send((ticket, result)));
     let before = memory::allocated_bytes();
     memory::peak_since(before);
-    let hooked = Options { step_hook: Some(Arc::new(hook)), ..options() };
-    let (log, _) = Wal::open::<ControlRecords>(&dir, hooked, done).expect("opens");
+    let hooked_options = Options { step_hook: Some(Arc::new(hook)), ..options() };
+    let (log, _) = Wal::open::<ControlRecords>(&dir, hooked_options, done).expect("opens");
     let since = Instant::now();
     for serial in 1..=changes {
         log.append(
@@ -177,7 +178,8 @@
     let (_, records) = Wal::open::<ControlRecords>(&dir, options(), |_, _| {}).expect("opens");
     let opened = since.elapsed();
     println!(
-        "{changes} changes of {} bytes in {took:?}: write amplification {write_amplification:.2}, {} checkpoints, peak folder size {peak} bytes, \
+        "{changes} changes of {} bytes in {took:?}: write amplification {write_amplification:.2}, {} checkpoints, \
+         peak folder size {peak} bytes, \
          peak memory {peak_memory_bytes} bytes, read at the start in {opened:?}",
         body.len(),
         statistics.checkpoints,
--- a/crates/server/tests/stored_data.rs
+++ b/crates/server/tests/stored_data.rs
@@ -185,7 +185,7 @@
     let store = status["nodes"].members().find(|node| node["node"] == STORE).unwrap();
     assert_eq!(store["disk_trouble"], false, "{status:#}");
 
-    // The log of each node may have grown: a start appends a record, and messages that had waited too long may have ended.
+    // The store's log has grown: its start appends a record, and messages that had waited too long may have ended since.
     fleet.kill_all();
     for (node, records) in [(CORE, CORE_LOG_DIR), (STORE, STORE_LOG_DIR)] {
         let (before, after) = (files(&fixture(node).join(records)), files(&fleet.folder(node).join(records)));
--- a/crates/server/tests/support/mod.rs
+++ b/crates/server/tests/support/mod.rs
@@ -223,20 +223,20 @@
     }
 
     /// Submits a message until it is accepted, and returns its message id.
-    pub fn accepted_message(&self, path: &str, id: &str) -> String {
-        let headers = format!("X-Request-Id: {id}\r\n");
-        let head = self.wait_for("a message is accepted", || {
+    pub fn accepted_message(&self, path: &str, request_id: &str) -> String {
+        let headers = format!("X-Request-Id: {request_id}\r\n");
+        let answer = self.wait_for("a message is accepted", || {
             self.http("4:18263", "POST", path, &headers, "heavy").filter(|answer| answer.0 == 202)
         });
-        let name = head.1.lines().find_map(|line| line.strip_prefix("X-Queue-Message-Id: "));
-        name.unwrap().to_string()
+        let message_id = answer.1.lines().find_map(|line| line.strip_prefix("X-Queue-Message-Id: "));
+        message_id.unwrap().to_string()
     }
 
     /// Waits until a message has run, which is recognized by its request id in the seal.
-    pub fn wait_for_delivery(&self, name: &str, id: &str) {
+    pub fn wait_for_delivery(&self, message_id: &str, request_id: &str) {
         self.wait_for("the message has run", || {
-            let state = self.http("4:18263", "GET", &format!("/v1/message/{name}"), "", "")?;
-            state.2.contains(&format!("s-{id}")).then_some(())
+            let state = self.http("4:18263", "GET", &format!("/v1/message/{message_id}"), "", "")?;
+            state.2.contains(&format!("s-{request_id}")).then_some(())
         });
     }
 
@@ -244,10 +244,10 @@
     /// turn, so that each store has then delivered one.
     pub fn delivered_message(&self) -> String {
         let deliver = |number: u8| {
-            let id = format!("m-{number}");
-            let name = self.accepted_message("/in/1", &id);
-            self.wait_for_delivery(&name, &id);
-            name
+            let request_id = format!("m-{number}");
+            let message_id = self.accepted_message("/in/1", &request_id);
+            self.wait_for_delivery(&message_id, &request_id);
+            message_id
         };
         (1..=3).map(deliver).for_each(drop);
         deliver(4)
--- a/crates/server/tests/tenants.rs
+++ b/crates/server/tests/tenants.rs
@@ -50,9 +50,9 @@
     fleet.http("4:18263", "POST", "/in/1", &headers, "heavy").expect("the edge answers")
 }
 
-fn message_name(answer: &Answer) -> &str {
-    let name = answer.1.lines().find_map(|line| line.strip_prefix("X-Queue-Message-Id: "));
-    name.unwrap_or_else(|| panic!("no message id in the answer: {answer:?}"))
+fn message_id(answer: &Answer) -> &str {
+    let id = answer.1.lines().find_map(|line| line.strip_prefix("X-Queue-Message-Id: "));
+    id.unwrap_or_else(|| panic!("no message id in the answer: {answer:?}"))
 }
 
 /// Waits until a message has run, and returns the head of the request that the executor received.
@@ -112,13 +112,13 @@
     // The edge sends messages to the stores in turn, so these six retries reach each store.
     for number in 2..8 {
         let again = submit(&fleet, &format!("r-{SEED}-{number}"), &ferry);
-        assert_eq!((again.0, message_name(&again)), (202, message_name(&first)), "retry {number}");
+        assert_eq!((again.0, message_id(&again)), (202, message_id(&first)), "retry {number}");
     }
     // The same idempotency key from another tenant identifies another message.
     let other_id = format!("r-{SEED}-9");
     let other = submit(&fleet, &other_id, &format!("Authorization: Bearer key-of-lugger\r\n{key}"));
     assert_eq!(other.0, 202);
-    assert_ne!(message_name(&other), message_name(&first));
+    assert_ne!(message_id(&other), message_id(&first));
     run_of(&fleet, &other_id);
     for number in 2..8 {
         let runs = fleet.runs_of(&format!("r-{SEED}-{number}"));
