--- a/crates/server/src/store/departed_executors.rs
+++ b/crates/server/src/store/departed_executors.rs
@@ -7,9 +7,9 @@
 use stileroute_registry::FINAL_SEQUENCE;
 
 /// Time, in ms, for which a departed executor is remembered: far longer than a heartbeat is in flight.
-const RETENTION_MS: Millis = 300_000;
+const DEPARTURE_RETENTION_MS: Millis = 300_000;
 /// Maximum number of departed executors that are remembered.
-const MAX_EXECUTORS: usize = 20_000;
+const MAX_DEPARTED_EXECUTORS: usize = 20_000;
 
 /// The departed executors by id, each with the time at which this store learned of its departure.
 #[derive(Default)]
@@ -28,10 +28,10 @@
     }
 
     fn remember(&mut self, now: Millis, id: &str) {
-        if self.0.len() >= MAX_EXECUTORS {
-            self.0.retain(|_, since| now < *since + RETENTION_MS);
+        if self.0.len() >= MAX_DEPARTED_EXECUTORS {
+            self.0.retain(|_, since| now < *since + DEPARTURE_RETENTION_MS);
         }
-        if self.0.len() < MAX_EXECUTORS {
+        if self.0.len() < MAX_DEPARTED_EXECUTORS {
             self.0.entry(id.to_string()).or_insert(now);
         }
     }
--- a/crates/server/src/store/executor_http.rs
+++ b/crates/server/src/store/executor_http.rs
@@ -5,11 +5,11 @@
 use stileroute_queue::{AttemptOutcome, Message};
 
 /// Buffer capacity, in bytes, that is reserved for the head of a request, so that the buffer rarely has to grow.
-const HEAD_CAPACITY: usize = 320;
+const REQUEST_HEAD_CAPACITY_BYTES: usize = 320;
 
 /// Encodes the HTTP request that delivers a message. `expected_id` is the id of the executor that is expected at the address.
 pub fn encode_attempt(message: &Message, expected_id: Option<&str>, timeout_ms: Millis) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(message.body.len() + HEAD_CAPACITY);
+    let mut bytes = Vec::with_capacity(message.body.len() + REQUEST_HEAD_CAPACITY_BYTES);
     // Writing to a `Vec` cannot fail.
     let _ = write!(bytes, "{} {} HTTP/1.1\r\nHost: {}\r\n", message.method, message.target, message.host);
     let _ = write!(bytes, "X-Request-Id: {}\r\nX-Time-Left-Ms: {timeout_ms}\r\n", message.id);
--- a/crates/server/src/store/kept_ends/tests.rs
+++ b/crates/server/src/store/kept_ends/tests.rs
@@ -1,6 +1,6 @@
-use super::super::kept_records::SLOT_COUNT;
+use super::super::kept_records::SLOTS_PER_FILE;
 use super::super::kept_test_support::{data_dir, key, table_with_live_messages};
-use super::super::refused_appends::RETRY_INTERVAL_MS;
+use super::super::refused_appends::APPEND_RETRY_DELAY_MS;
 use super::*;
 use stileroute_queue::{End, Record};
 
@@ -58,24 +58,24 @@
     let mut kept = open_with_ends(&data_dir, &[1, 2]);
     kept.write_completed(0, TICKET, false);
     kept.write_completed(0, TICKET + 1, false);
-    assert!(kept.take_due(RETRY_INTERVAL_MS - 1).is_empty());
-    assert_eq!(kept.take_due(RETRY_INTERVAL_MS), [(TICKET, vec![end(1), end(2)])]);
-    assert!(kept.take_due(10 * RETRY_INTERVAL_MS).is_empty(), "one retry for each refusal");
+    assert!(kept.take_due(APPEND_RETRY_DELAY_MS - 1).is_empty());
+    assert_eq!(kept.take_due(APPEND_RETRY_DELAY_MS), [(TICKET, vec![end(1), end(2)])]);
+    assert!(kept.take_due(10 * APPEND_RETRY_DELAY_MS).is_empty(), "one retry for each refusal");
     assert_eq!(kept.unwritten_count(), 2);
-    kept.write_completed(RETRY_INTERVAL_MS, TICKET, false);
-    assert_eq!(kept.take_due(2 * RETRY_INTERVAL_MS).len(), 1);
-    kept.write_completed(2 * RETRY_INTERVAL_MS, TICKET, true);
+    kept.write_completed(APPEND_RETRY_DELAY_MS, TICKET, false);
+    assert_eq!(kept.take_due(2 * APPEND_RETRY_DELAY_MS).len(), 1);
+    kept.write_completed(2 * APPEND_RETRY_DELAY_MS, TICKET, true);
     assert_eq!(kept.unwritten_count(), 0);
 }
 
 #[test]
 fn ends_beyond_the_buffer_capacity_are_counted_and_still_appended_again() {
     let data_dir = data_dir("ends-full");
-    let numbers: Vec<u64> = (0..SLOT_COUNT as u64 + 3).collect();
+    let numbers: Vec<u64> = (0..SLOTS_PER_FILE as u64 + 3).collect();
     let mut kept = open_with_ends(&data_dir, &numbers);
     assert_eq!((kept.unbuffered_count(), kept.capacity()), (3, 0));
     kept.write_completed(0, TICKET, false);
-    assert_eq!(kept.take_due(RETRY_INTERVAL_MS)[0].1.len(), numbers.len());
+    assert_eq!(kept.take_due(APPEND_RETRY_DELAY_MS)[0].1.len(), numbers.len());
 }
 
 #[test]
--- a/crates/server/src/store/kept_failures/tests.rs
+++ b/crates/server/src/store/kept_failures/tests.rs
@@ -1,6 +1,6 @@
-use super::super::kept_records::SLOT_COUNT;
+use super::super::kept_records::SLOTS_PER_FILE;
 use super::super::kept_test_support::{data_dir, key, table_with_live_messages};
-use super::super::refused_appends::RETRY_INTERVAL_MS;
+use super::super::refused_appends::APPEND_RETRY_DELAY_MS;
 use super::super::START_TICKET;
 use super::*;
 
@@ -66,11 +66,11 @@
     kept.keep(TICKET, key(2), count(2, 1));
     kept.write_completed(0, TICKET, false);
     kept.keep(TICKET + 1, key(1), count(1, 2));
-    assert!(kept.take_due(RETRY_INTERVAL_MS - 1).is_empty());
-    assert_eq!(kept.take_due(RETRY_INTERVAL_MS), [(TICKET, vec![count(2, 1)])]);
-    kept.write_completed(RETRY_INTERVAL_MS, TICKET, true);
+    assert!(kept.take_due(APPEND_RETRY_DELAY_MS - 1).is_empty());
+    assert_eq!(kept.take_due(APPEND_RETRY_DELAY_MS), [(TICKET, vec![count(2, 1)])]);
+    kept.write_completed(APPEND_RETRY_DELAY_MS, TICKET, true);
     assert_eq!(kept.unwritten_count(), 1);
-    kept.write_completed(RETRY_INTERVAL_MS, TICKET + 1, true);
+    kept.write_completed(APPEND_RETRY_DELAY_MS, TICKET + 1, true);
     assert_eq!(kept.unwritten_count(), 0);
 }
 
@@ -78,12 +78,12 @@
 fn counts_beyond_the_buffer_capacity_are_counted_and_still_appended_again() {
     let data_dir = data_dir("failures-full");
     let mut kept = open_empty(&data_dir);
-    for number in 0..SLOT_COUNT as u64 + 3 {
+    for number in 0..SLOTS_PER_FILE as u64 + 3 {
         kept.keep(TICKET, key(number), count(number, 1));
     }
     assert_eq!((kept.unbuffered_count(), kept.capacity()), (3, 0));
     kept.write_completed(0, TICKET, false);
-    assert_eq!(kept.take_due(RETRY_INTERVAL_MS)[0].1.len(), SLOT_COUNT + 3);
+    assert_eq!(kept.take_due(APPEND_RETRY_DELAY_MS)[0].1.len(), SLOTS_PER_FILE + 3);
 }
 
 #[test]
--- a/crates/server/src/store/kept_records.rs
+++ b/crates/server/src/store/kept_records.rs
@@ -4,9 +4,9 @@
 use stileroute_crash_buffer::{CrashBuffer, LeftRecord, Slot};
 
 /// Number of records that one file can hold, which makes it 2 MiB large.
-pub(super) const SLOT_COUNT: usize = 8192;
+pub(super) const SLOTS_PER_FILE: usize = 8192;
 /// Number of slots that are reserved for records sent by other stores: each of two stores may send as many as it has attempts in flight.
-const SLOTS_RESERVED_FOR_PEERS: usize = SLOT_COUNT / 4 * 3;
+const SLOTS_RESERVED_FOR_PEERS: usize = SLOTS_PER_FILE / 4 * 3;
 
 /// The slots of one crash-buffer file. If the file cannot be used there are none, and records are kept in the log only.
 pub(super) struct KeptRecords {
@@ -17,7 +17,7 @@
 impl KeptRecords {
     /// Opens the file and returns the records that the previous process left there. `open_failure` is logged if the file cannot be opened.
     pub(super) fn open(path: &Path, open_failure: &'static str) -> (KeptRecords, Vec<LeftRecord>) {
-        let (buffer, left) = match CrashBuffer::open(path, SLOT_COUNT) {
+        let (buffer, left) = match CrashBuffer::open(path, SLOTS_PER_FILE) {
             Ok((buffer, left)) => (Some(buffer), left),
             Err(error) => {
                 tracing::error!(%error, "{open_failure}");
--- a/crates/server/src/store/link_events.rs
+++ b/crates/server/src/store/link_events.rs
@@ -11,7 +11,7 @@
 use stileroute_queue::{Executor, Key, Message, Node};
 
 /// Zone number of member stores whose zone is not in the settings; it differs from the numbers of all configured zones.
-const UNKNOWN_ZONE: usize = usize::MAX >> 1;
+const UNKNOWN_ZONE_NUMBER: usize = usize::MAX >> 1;
 
 impl Store {
     /// Handles one event of a link.
@@ -135,7 +135,9 @@
     fn stores_with_zones(&self) -> Vec<(Node, usize)> {
         let members = self.runtime.session.members.iter();
         let stores = members.filter(|member| member.role == NodeRole::Store);
-        stores.map(|store| (store.node, self.zone_number(&store.zone).unwrap_or(UNKNOWN_ZONE))).collect()
+        stores
+            .map(|store| (store.node, self.zone_number(&store.zone).unwrap_or(UNKNOWN_ZONE_NUMBER)))
+            .collect()
     }
 
     /// The index of a zone among the zones in the settings; `None` if the settings do not contain it.
--- a/crates/server/src/store/refused_appends.rs
+++ b/crates/server/src/store/refused_appends.rs
@@ -3,7 +3,7 @@
 use crate::net::Millis;
 
 /// Time, in ms, from the refusal of an append to its retry.
-pub(super) const RETRY_INTERVAL_MS: Millis = 200;
+pub(super) const APPEND_RETRY_DELAY_MS: Millis = 200;
 
 /// The refused appends that wait for their retry.
 #[derive(Default)]
@@ -15,7 +15,7 @@
 impl RefusedAppends {
     /// Schedules the retry of an append that the log has just refused.
     pub(super) fn add(&mut self, now: Millis, ticket: u64) {
-        self.retry_at.push((now + RETRY_INTERVAL_MS, ticket));
+        self.retry_at.push((now + APPEND_RETRY_DELAY_MS, ticket));
     }
 
     /// Removes and returns the tickets of the appends that are due for a retry.
--- a/crates/server/tests/control_log.rs
+++ b/crates/server/tests/control_log.rs
@@ -17,7 +17,7 @@
 use stileroute_wal::Step;
 
 const CONFIGURATION_CHANGES: u64 = 1000;
-const BODY_BYTES: usize = 900;
+const CONFIGURATION_BYTES: usize = 900;
 /// Maximum time, in ms of the simulated clock, from the restart of a node until it has all changes that were acknowledged before the
 /// restart; a replica also has to have them on disk.
 const CATCH_UP_LIMIT_MS: u64 = 2000;
@@ -45,7 +45,7 @@
 /// `CHECKPOINT_AFTER_BYTES` by up to one record), and the segment that is being written. In this test nothing is appended while a
 /// checkpoint runs.
 fn max_disk_bytes() -> u64 {
-    let record = BODY_BYTES as u64 + RECORD_OVERHEAD_BYTES;
+    let record = CONFIGURATION_BYTES as u64 + RECORD_OVERHEAD_BYTES;
     2 * record + (CHECKPOINT_AFTER_BYTES + record) + record
 }
 
@@ -61,7 +61,11 @@
             let (step, fault) = planned_faults.next().expect("endless");
             group.arm(step, fault, version as usize);
         }
-        group.change_configuration(version, vec![b'a' + (version % 26) as u8; BODY_BYTES], CHANGE_LIMIT_MS);
+        group.change_configuration(
+            version,
+            vec![b'a' + (version % 26) as u8; CONFIGURATION_BYTES],
+            CHANGE_LIMIT_MS,
+        );
         for (step, fault) in group.injected_faults.drain(..) {
             *fault_counts.entry(format!("{step:?} {fault:?}")).or_default() += 1;
         }
--- a/crates/server/tests/control_log/group.rs
+++ b/crates/server/tests/control_log/group.rs
@@ -8,7 +8,7 @@
 
 use crate::machine::{Fault, Machine};
 
-const NODES: usize = 3;
+const NODE_COUNT: usize = 3;
 /// Delivery time of a message between two nodes, in ms.
 const MESSAGE_DELAY_MS: Millis = 2;
 /// Time, in ms, after which the operator sends a change to the next node.
@@ -53,7 +53,7 @@
     NodeId::new([10, 0, 0, i as u8 + 1].into(), 9000)
 }
 
-fn index(node: NodeId) -> usize {
+fn node_index(node: NodeId) -> usize {
     usize::from(node.ip().octets()[3]) - 1
 }
 
@@ -65,7 +65,7 @@
         let dir = |i| parent.join(format!("control-log-{}-{seed}-{i}", std::process::id()));
         let mut group = Group {
             now: 1000,
-            machines: (0..NODES).map(|i| Machine::new(dir(i))).collect(),
+            machines: (0..NODE_COUNT).map(|i| Machine::new(dir(i))).collect(),
             queue: BTreeMap::new(),
             last_event_number: 0,
             random: seed | 1,
@@ -75,7 +75,7 @@
             injected_faults: Vec::new(),
             catching_up: Vec::new(),
         };
-        (0..NODES).for_each(|i| group.start(i));
+        (0..NODE_COUNT).for_each(|i| group.start(i));
         group
     }
 
@@ -103,7 +103,7 @@
         let is_first_start = self.machines[i].incarnation == 0;
         let settings = GroupSettings::new(
             node_id(i),
-            (0..NODES).map(node_id).collect(),
+            (0..NODE_COUNT).map(node_id).collect(),
             is_first_start,
             1,
             self.draw_random(u64::MAX),
@@ -112,7 +112,7 @@
         if !is_first_start {
             self.catching_up.push((i, self.now, self.acknowledged));
         }
-        for peer in (0..NODES).filter(|peer| *peer != i) {
+        for peer in (0..NODE_COUNT).filter(|peer| *peer != i) {
             if self.machines[peer].group().is_some() {
                 self.connect(i, peer, true);
             }
@@ -130,7 +130,7 @@
     pub fn arm(&mut self, step: Step, fault: Fault, replica_index: usize) {
         let views = self.machines.iter_mut().filter_map(|machine| machine.group()?.view().cloned());
         let view = views.max_by_key(|view| view.epoch).expect("a node runs");
-        let node = index(view.replicas[replica_index % view.replicas.len()]);
+        let node = node_index(view.replicas[replica_index % view.replicas.len()]);
         self.armed = Some((node, step, fault, 0));
         self.machines[node].arm(Some(step));
     }
@@ -143,7 +143,7 @@
             random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
             (random >> 33) % upper_bound
         });
-        for peer in (0..NODES).filter(|peer| *peer != i) {
+        for peer in (0..NODE_COUNT).filter(|peer| *peer != i) {
             self.schedule(1, peer, Event::LinkChanged { peer: i, is_up: false });
         }
         self.schedule(RESTART_DELAY_MS, i, Event::Start);
@@ -153,7 +153,7 @@
 
     /// Changes the configuration, and runs the simulation until the change is acknowledged.
     pub fn change_configuration(&mut self, version: u64, body: Vec<u8>, limit_ms: Millis) {
-        let (target, until) = (self.draw_random(NODES as u64) as usize, self.now + limit_ms);
+        let (target, until) = (self.draw_random(NODE_COUNT as u64) as usize, self.now + limit_ms);
         let next_attempt_at = self.now;
         self.pending_change =
             Some(PendingChange { version, body, target, attempt: 0, next_attempt_at, is_done: false });
@@ -190,7 +190,7 @@
         let (target, ticket) =
             (pending_change.target, pending_change.version * 1000 + pending_change.attempt);
         let (version, body) = (pending_change.version, pending_change.body.clone());
-        pending_change.target = (target + 1) % NODES;
+        pending_change.target = (target + 1) % NODE_COUNT;
         match self.machines[target].group() {
             Some(group) => group.replace_configuration(now, ticket, version, body),
             None => self
@@ -211,7 +211,7 @@
             Verdict::Accepted | Verdict::Unchanged => pending_change.is_done = true,
             Verdict::NotPrimary { primary: Some(primary) } => {
                 (pending_change.target, pending_change.next_attempt_at) =
-                    (index(primary), now + MESSAGE_DELAY_MS)
+                    (node_index(primary), now + MESSAGE_DELAY_MS)
             }
             _ => pending_change.next_attempt_at = now + 30,
         }
@@ -241,7 +241,7 @@
         match effect {
             Effect::Send { to, message } => {
                 let from = (i, self.machines[i].incarnation);
-                self.schedule(MESSAGE_DELAY_MS, index(to), Event::Received { from, message });
+                self.schedule(MESSAGE_DELAY_MS, node_index(to), Event::Received { from, message });
             }
             Effect::Persist { ticket, record } => {
                 self.machines[i].write(&record);
@@ -301,7 +301,7 @@
         }
         self.send_change();
         let now = self.now;
-        for i in 0..NODES {
+        for i in 0..NODE_COUNT {
             if self.machines[i].next_tick_at <= now {
                 if let Some(group) = self.machines[i].group() {
                     group.tick(now);
--- a/crates/server/tests/planned_end.rs
+++ b/crates/server/tests/planned_end.rs
@@ -11,9 +11,9 @@
 use support::Fleet;
 
 const FIRST_NET: u32 = 126;
-const TIME_LIMIT: Duration = Duration::from_secs(28);
+const TEST_TIME_LIMIT: Duration = Duration::from_secs(28);
 /// Grace period, `grace_s` in the settings, after which the process is killed.
-const GRACE: Duration = Duration::from_secs(6);
+const GRACE_PERIOD: Duration = Duration::from_secs(6);
 /// Time for which clients still connect after the shutdown request, until the platform has seen two failed readiness checks.
 const LATE_CLIENTS_PERIOD: Duration = Duration::from_secs(2);
 /// Time after which an edge stops waiting for a store's answer to a request; it then cannot tell whether the message is persisted.
@@ -59,7 +59,7 @@
 }
 
 fn run_scenario() -> RunOutcome {
-    let mut fleet = Fleet::new("planned-end", FIRST_NET, TIME_LIMIT);
+    let mut fleet = Fleet::new("planned-end", FIRST_NET, TEST_TIME_LIMIT);
     fleet.start(&[]);
     let gauge = DiskGauge::start(&fleet.dir);
     let mut half_sent = connect(&fleet);
@@ -92,7 +92,7 @@
         number += 1;
     }
     fleet.wait_for_exit("edge-1");
-    assert!(terminated_at.elapsed() < GRACE, "{:?}", terminated_at.elapsed());
+    assert!(terminated_at.elapsed() < GRACE_PERIOD, "{:?}", terminated_at.elapsed());
     gauge.stop();
     RunOutcome::Passed
 }
--- a/crates/server/tests/stored_data.rs
+++ b/crates/server/tests/stored_data.rs
@@ -23,7 +23,7 @@
 const STORE_LOG_DIR: &str = "hold";
 const FIRST_SEGMENT: &str = "log-0000000001";
 
-const START_LIMIT: Duration = Duration::from_secs(25);
+const START_TIMEOUT: Duration = Duration::from_secs(25);
 
 type Files = BTreeMap<PathBuf, Vec<u8>>;
 
@@ -90,7 +90,7 @@
 
     /// Waits until the control node knows the store, and returns its status report on all nodes.
     fn status(&self) -> JsonValue {
-        let deadline = Instant::now() + START_LIMIT;
+        let deadline = Instant::now() + START_TIMEOUT;
         let control_node = self.address(1, 17300).to_string();
         loop {
             let output = program().args(["status", "--json", "--at", &control_node]).output().unwrap();
--- a/crates/server/tests/support/disk_gauge.rs
+++ b/crates/server/tests/support/disk_gauge.rs
@@ -13,7 +13,7 @@
 
 /// A thread that repeatedly writes and syncs a separate file until it is stopped.
 pub struct DiskGauge {
-    is_over: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
     writer: JoinHandle<Duration>,
 }
 
@@ -21,8 +21,8 @@
     /// Starts the gauge with a file in this folder.
     pub fn start(folder: &Path) -> DiskGauge {
         let mut file = File::create(folder.join("disk-gauge")).unwrap();
-        let is_over = Arc::new(AtomicBool::new(false));
-        let stop = Arc::clone(&is_over);
+        let is_stopped = Arc::new(AtomicBool::new(false));
+        let stop = Arc::clone(&is_stopped);
         let writer = std::thread::spawn(move || {
             let mut longest = Duration::ZERO;
             while !stop.load(Ordering::Relaxed) {
@@ -31,12 +31,12 @@
             }
             longest
         });
-        DiskGauge { is_over, writer }
+        DiskGauge { is_stopped, writer }
     }
 
     /// Stops the gauge after the write in progress, and returns the duration of the longest write.
     pub fn stop(self) -> Duration {
-        self.is_over.store(true, Ordering::Relaxed);
+        self.is_stopped.store(true, Ordering::Relaxed);
         self.writer.join().unwrap()
     }
 }
--- a/crates/server/tests/support/mod.rs
+++ b/crates/server/tests/support/mod.rs
@@ -60,7 +60,7 @@
     pub net: String,
     deadline: Instant,
     children: Vec<(String, Child)>,
-    is_over: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
     /// Value of the key `bounds` in all settings files.
     pub bounds: String,
     /// The heads of the requests that the executor has run, in the order of their arrival.
@@ -69,7 +69,7 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.is_over.store(true, Ordering::Relaxed);
+        self.is_stopped.store(true, Ordering::Relaxed);
         if std::thread::panicking() {
             eprintln!("{}", String::from_utf8_lossy(&self.ask(&["status"]).stdout));
             self.children.iter().for_each(|(name, _)| eprintln!("{name}:\n{}", self.log(name)));
@@ -99,7 +99,7 @@
             net,
             deadline,
             children: Vec::new(),
-            is_over: Arc::default(),
+            is_stopped: Arc::default(),
             bounds: r#"{"grace_s":6}"#.to_string(),
             runs: Arc::default(),
         }
@@ -175,17 +175,17 @@
         path
     }
 
-    fn start_node(&mut self, name: &str, boot: &Path, words: &[&str]) {
+    fn start_node(&mut self, name: &str, boot: &Path, arguments: &[&str]) {
         let log = File::create(self.dir.join(format!("{name}.log"))).unwrap();
         let mut command = program();
-        command.arg("--boot").arg(boot).args(words).stdout(Stdio::null()).stderr(log);
+        command.arg("--boot").arg(boot).args(arguments).stdout(Stdio::null()).stderr(log);
         self.children.push((name.to_string(), command.spawn().unwrap()));
     }
 
-    /// Calls `look` until it returns a value; `None` if the test's time limit is reached first.
-    pub fn eventually<T>(&self, mut look: impl FnMut() -> Option<T>) -> Option<T> {
+    /// Calls `poll` until it returns a value; `None` if the test's time limit is reached first.
+    pub fn eventually<T>(&self, mut poll: impl FnMut() -> Option<T>) -> Option<T> {
         while Instant::now() < self.deadline {
-            if let Some(found) = look() {
+            if let Some(found) = poll() {
                 return Some(found);
             }
             std::thread::park_timeout(Duration::from_millis(15));
@@ -193,9 +193,9 @@
         None
     }
 
-    /// Calls `look` until it returns a value; panics if the test's time limit is reached first.
-    pub fn wait_for<T>(&self, what: &str, look: impl FnMut() -> Option<T>) -> T {
-        self.eventually(look).unwrap_or_else(|| panic!("time limit reached while waiting for: {what}"))
+    /// Calls `poll` until it returns a value; panics if the test's time limit is reached first.
+    pub fn wait_for<T>(&self, what: &str, poll: impl FnMut() -> Option<T>) -> T {
+        self.eventually(poll).unwrap_or_else(|| panic!("time limit reached while waiting for: {what}"))
     }
 
     /// The role and the internal address of one process of each role.
@@ -204,16 +204,16 @@
         all.map(|(_, host, _, role, port)| (*role, format!("{}.{host}:{port}", self.net))).collect()
     }
 
-    pub fn ask(&self, words: &[&str]) -> Output {
-        self.ask_at(&format!("{}.1:17300", self.net), words)
+    pub fn ask(&self, arguments: &[&str]) -> Output {
+        self.ask_at(&format!("{}.1:17300", self.net), arguments)
     }
 
-    pub fn ask_at(&self, address: &str, words: &[&str]) -> Output {
-        program().args(words).args(["--at", address]).output().unwrap()
+    pub fn ask_at(&self, address: &str, arguments: &[&str]) -> Output {
+        program().args(arguments).args(["--at", address]).output().unwrap()
     }
 
-    pub fn json(&self, words: &[&str]) -> JsonValue {
-        let output = self.ask(&[words, &["--json"]].concat());
+    pub fn json(&self, arguments: &[&str]) -> JsonValue {
+        let output = self.ask(&[arguments, &["--json"]].concat());
         jzon::parse(&String::from_utf8_lossy(&output.stdout)).unwrap_or(JsonValue::Null)
     }
 
@@ -309,7 +309,7 @@
                 std::thread::spawn(move || serve(stream, &runs));
             }
         });
-        let (control, is_over) = (format!("{}.1:18262", self.net), Arc::clone(&self.is_over));
+        let (control, is_stopped) = (format!("{}.1:18262", self.net), Arc::clone(&self.is_stopped));
         std::thread::spawn(move || {
             for count in 1.. {
                 let body = format!(
@@ -317,7 +317,7 @@
                     "state":"serving","cold_left_ms":0,"call_count":{count}}}"#
                 );
                 let _ = http(&control, "POST", "/v1/servers/i-crane-1/heartbeat", "", &body);
-                if is_over.load(Ordering::Relaxed) {
+                if is_stopped.load(Ordering::Relaxed) {
                     return;
                 }
                 std::thread::park_timeout(Duration::from_millis(150));
--- a/crates/server/tests/tenants.rs
+++ b/crates/server/tests/tenants.rs
@@ -13,7 +13,7 @@
 use support::{Answer, Fleet};
 
 const FIRST_NET: u32 = 186;
-const TIME_LIMIT: Duration = Duration::from_secs(28);
+const TEST_TIME_LIMIT: Duration = Duration::from_secs(28);
 /// Port on which the edge serves its metrics.
 const METRICS_PORT: u16 = 18299;
 /// Seed that is part of the request ids and idempotency keys.
@@ -28,7 +28,7 @@
 
 fn start(name: &str) -> Fleet {
     println!("seed {SEED}");
-    let mut fleet = Fleet::new(name, FIRST_NET, TIME_LIMIT);
+    let mut fleet = Fleet::new(name, FIRST_NET, TEST_TIME_LIMIT);
     fleet.start_with(&[], CONFIGURATION);
     wait_for_quotas(&fleet);
     fleet
@@ -129,7 +129,7 @@
 #[test]
 fn an_edge_without_control_nodes_accepts_no_key_that_may_have_been_revoked() {
     println!("seed {SEED}");
-    let mut fleet = Fleet::new("taken-away", FIRST_NET, TIME_LIMIT);
+    let mut fleet = Fleet::new("taken-away", FIRST_NET, TEST_TIME_LIMIT);
     fleet.bounds = r#"{"grace_s":6,"revoke_everywhere":true,"revoke_ms":4000}"#.to_string();
     let public = r#"{"name":"open","hostname":"quay.example","path_prefix":"/open/","route_type":"deferred",
         "timeout_ms":1500,"target_ms":80,"backend":"crane","public":true}],"backends""#;
