--- a/crates/server/src/cli.rs
+++ b/crates/server/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what each command does, and with which exit status it ends.
+//! The command line: runs each command and determines its exit status.
 
 pub mod args;
 mod check;
@@ -22,15 +22,15 @@
 use gumdrop::Options;
 use output::{print, ExitStatus, OutputFormat};
 
-/// Runs a command that is not a role.
+/// Runs a command other than those that start a role.
 ///
 /// # Errors
 ///
-/// What kept it from running: arguments or files that can't be used, or a system that does not answer.
+/// If the command can't run: its arguments or files are unusable, or the running system does not answer.
 pub fn execute(args: &Args) -> Result<ExitStatus, CommandError> {
     let settings = args.boot.as_deref();
     match &args.command {
-        // A role is started by `main`, not here.
+        // Commands that start a role are handled by `main`.
         None | Some(Command::Edge(_) | Command::Store(_) | Command::Core(_)) => Ok(usage(Args::usage())),
         Some(Command::Check(options)) => Ok(execute_check(options)),
         Some(Command::Status(options)) => status::status(&options.query(settings)),
@@ -62,7 +62,7 @@
     }
 }
 
-/// Shows how the program is used, to someone who left out the command.
+/// Prints the usage of the program for a call without a command.
 fn usage(text: &str) -> ExitStatus {
     eprintln!("{text}");
     ExitStatus::Unusable
--- a/crates/server/src/cli/check.rs
+++ b/crates/server/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `stilerouted check`: all that is wrong with a file, before anything reads it.
+//! `stilerouted check`: reports all faults of a file before any process uses the file.
 
 use super::output::{print, ExitStatus, OutputFormat};
 use crate::calls::LARGEST_CONFIGURATION;
@@ -8,12 +8,12 @@
 use std::path::Path;
 use stileroute_config::{Config, FaultReason, NodeSettings, SettingsFault};
 
-/// Of a key that is not known.
-const NOTHING_READS: &str = "nothing reads this key: what it asks for is not carried out";
-/// Of a key that is known, and whose value asks for what the program has not got.
-const NOT_DONE: &str = "asks for what is not done: it has no effect";
+/// The warning for an unknown key.
+const UNKNOWN_KEY_REASON: &str = "nothing reads this key: what it asks for is not carried out";
+/// The warning for a known key whose value requests a feature that the program does not have.
+const UNSUPPORTED_VALUE_REASON: &str = "asks for what is not done: it has no effect";
 
-/// Checks an operator's configuration.
+/// Checks the configuration file of an operator.
 pub fn check_config(path: &Path, format: OutputFormat) -> ExitStatus {
     let file = path.display().to_string();
     match read_config(path) {
@@ -21,13 +21,16 @@
             let (version, routes, services) = (config.revision, config.routes.len(), config.services.len());
             let summary =
                 format!("{file}: version {version}, {routes} routes, {services} services: can be sent");
-            let unread = config.unread_keys.iter().map(|key| without_effect(&file, key, NOTHING_READS));
-            let unserved = config.unserved_keys().into_iter().map(|key| without_effect(&file, key, NOT_DONE));
+            let unread = config.unread_keys.iter().map(|key| ineffective_key(&file, key, UNKNOWN_KEY_REASON));
+            let unserved = config
+                .unserved_keys()
+                .into_iter()
+                .map(|key| ineffective_key(&file, key, UNSUPPORTED_VALUE_REASON));
             let warnings = unread.chain(unserved).collect();
             print_findings(&summary, &Findings { faults: Vec::new(), warnings }, format)
         }
         Err(faults) => {
-            // Control nodes read configurations that come without a file: here they have one.
+            // `Config::parse` reports faults without a file name, because control nodes receive configurations over the network.
             let faults =
                 faults.into_iter().map(|fault| SettingsFault { file: file.clone(), ..fault }).collect();
             print_findings("", &Findings { faults, warnings: Vec::new() }, format)
@@ -35,8 +38,8 @@
     }
 }
 
-/// A key that is accepted, and whose value changes nothing.
-fn without_effect(file: &str, key: &str, reason: &str) -> SettingsFault {
+/// The warning for a key that is accepted but whose value has no effect.
+fn ineffective_key(file: &str, key: &str, reason: &str) -> SettingsFault {
     SettingsFault {
         file: file.to_string(),
         key: key.to_string(),
@@ -48,7 +51,7 @@
     let fault_of_file = |reason| vec![SettingsFault { file: String::new(), key: String::new(), reason }];
     let body =
         std::fs::read(path).map_err(|error| fault_of_file(FaultReason::Unreadable(error.to_string())))?;
-    // Control nodes reject it with 413 before they read it.
+    // Control nodes reject a longer configuration with 413 before they parse it.
     if body.len() > LARGEST_CONFIGURATION {
         let reason = format!("{} bytes; at most {LARGEST_CONFIGURATION} can be sent", body.len());
         return Err(fault_of_file(FaultReason::FailedCheck(reason)));
@@ -56,7 +59,7 @@
     Config::parse(&body).map_err(|faults| faults.faults)
 }
 
-/// Checks a settings file, for the roles that its `serves` names.
+/// Checks a settings file for the roles that its key `serves` names.
 pub fn check_boot(path: &Path, format: OutputFormat) -> ExitStatus {
     let boot = match NodeSettings::read(path) {
         Ok(boot) => boot,
@@ -65,14 +68,14 @@
         }
     };
     let file = path.display().to_string();
-    let classes: Vec<NodeRole> = boot.serves.iter().filter_map(|name| class_served(name)).collect();
-    let roles: Vec<String> = classes.iter().map(NodeRole::to_string).collect();
-    let summary = format!("{file}: {} can run as {}", boot.node_name, roles.join(", "));
-    print_findings(&summary, &settings::check(&file, &boot, &classes), format)
+    let roles: Vec<NodeRole> = boot.serves.iter().filter_map(|name| role_served(name)).collect();
+    let role_names: Vec<String> = roles.iter().map(NodeRole::to_string).collect();
+    let summary = format!("{file}: {} can run as {}", boot.node_name, role_names.join(", "));
+    print_findings(&summary, &settings::check(&file, &boot, &roles), format)
 }
 
-/// The class of process that a word of the settings key `serves` names.
-fn class_served(name: &str) -> Option<NodeRole> {
+/// The role that a value of the settings key `serves` names.
+fn role_served(name: &str) -> Option<NodeRole> {
     match name {
         "edge" => Some(NodeRole::Edge),
         "storage" => Some(NodeRole::Store),
@@ -81,7 +84,7 @@
     }
 }
 
-/// Prints what was found, and `summary` as text where there are no faults.
+/// Prints faults and warnings. Text output also has the `summary` if there are no faults.
 fn print_findings(summary: &str, findings: &Findings, format: OutputFormat) -> ExitStatus {
     let is_usable = findings.faults.is_empty();
     match format {
--- a/crates/server/src/cli/control_api.rs
+++ b/crates/server/src/cli/control_api.rs
@@ -1,5 +1,5 @@
-//! A client of the calls that control nodes take from operators. A call is sent to one control node after another until one
-//! gives a clear answer; sent twice, none of them does harm.
+//! A client of the operator API of the control nodes. A call is sent to one control node after another until one of them gives a
+//! definite answer. This is safe because all calls are idempotent.
 
 use super::discovery::Fleet;
 use super::error::CommandError;
@@ -10,63 +10,63 @@
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
 use std::time::{Duration, Instant};
 
-/// For connecting to one control node, and for each read and write.
+/// Time-out for connecting to one control node, and for each read and write.
 const IO_TIMEOUT: Duration = Duration::from_millis(3000);
-/// For all calls of one command together.
+/// Time limit for all calls of one command together.
 const TOTAL_TIMEOUT: Duration = Duration::from_secs(15);
-/// Between two rounds of all control nodes.
+/// Pause before all control nodes are called again.
 const ROUND_PAUSE: Duration = Duration::from_millis(300);
-/// Length of the longest answer that is read, in bytes.
+/// Largest accepted length of an answer, in bytes.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
-/// Headers of an answer that are read at most.
+/// Largest accepted number of headers in an answer.
 const MAX_HEADERS: usize = 32;
 
-/// Why a control node gave no answer.
+/// Errors of a call to one control node.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The connection could not be opened, or it broke.
+    /// The connection to the control node could not be opened, or it failed.
     #[error("{address}: {source}")]
     Io {
-        /// The control node that was called.
+        /// The address of the control node that was called.
         address: SocketAddrV4,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The connection ended before the answer did.
+    /// The connection ended before the answer was complete.
     #[error("{address}: no whole answer")]
     Incomplete {
-        /// The control node that was called.
+        /// The address of the control node that was called.
         address: SocketAddrV4,
     },
 }
 
-/// What a control node answered.
+/// The HTTP answer of a control node.
 pub struct Reply {
-    /// The HTTP status.
+    /// The HTTP status code of the answer.
     pub status: u16,
-    /// The body as it came.
+    /// The unparsed body of the answer.
     pub body: Vec<u8>,
 }
 
 impl Reply {
-    /// The body, or null where it is no JSON.
+    /// The body of the answer as JSON, or null if it is not valid JSON.
     pub fn json(&self) -> JsonValue {
         let text = String::from_utf8_lossy(&self.body);
         jzon::parse(&text).unwrap_or(JsonValue::Null)
     }
 
-    /// The status, and the reason where one is given.
+    /// The HTTP status, and the reason if the answer gives one.
     pub fn reason(&self) -> String {
         let reason = self.json()["error"].as_str().map(str::to_string);
         format!("{} {}", self.status, reason.unwrap_or_default())
     }
 
-    /// Whether it decides the call; otherwise another control node is asked.
+    /// Whether the answer is definite; otherwise the next control node is called.
     fn is_clear(&self) -> bool {
         self.status < 500 && ![408, 429].contains(&self.status)
     }
 
-    /// An answer that is complete, or none: a connection may break in the midst of it.
+    /// Parses an answer. Returns `None` if it is incomplete, because the connection may fail before the end of the answer.
     pub fn parse(bytes: &[u8]) -> Option<Reply> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
@@ -78,28 +78,28 @@
     }
 }
 
-/// The control nodes of a running system, called in turn.
+/// The control nodes of a running system, which are called one after another.
 pub struct ControlApi {
     addresses: Vec<SocketAddrV4>,
     deadline: Instant,
 }
 
 impl ControlApi {
-    /// Finds the control nodes that answer. There may be none: then every call is unclear.
+    /// Finds the control nodes that answer. If there is none, every call returns [`OrderError::NoControlNode`].
     ///
     /// # Errors
     ///
-    /// Where the entry point can't be used, or no process answers.
+    /// If the entry point can't be used, or no process answers.
     pub fn find(entry: &EntryPoint<'_>) -> Result<ControlApi, CommandError> {
         let addresses = Fleet::discover(entry)?.control_addresses();
         Ok(ControlApi { addresses, deadline: Instant::now() + TOTAL_TIMEOUT })
     }
 
-    /// The first clear answer.
+    /// Calls the control nodes in turn, and returns the first definite answer.
     ///
     /// # Errors
     ///
-    /// [`OrderError::NoControlNode`] or [`OrderError::NoClearAnswer`]: the call may have been carried out or not.
+    /// [`OrderError::NoControlNode`] or [`OrderError::NoClearAnswer`]: the call may or may not have been executed.
     pub fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<Reply, OrderError> {
         if self.addresses.is_empty() {
             return Err(OrderError::NoControlNode);
@@ -118,11 +118,11 @@
         Err(OrderError::NoClearAnswer { last })
     }
 
-    /// The configuration that is in force, as it was sent.
+    /// Reads the configuration that is in force, byte for byte as the operator sent it.
     ///
     /// # Errors
     ///
-    /// [`OrderError::NothingInForce`] where there is none yet, and those of [`ControlApi::call`].
+    /// [`OrderError::NothingInForce`] if there is no configuration yet, and the errors of [`ControlApi::call`].
     pub fn configuration_in_force(&self) -> Result<Vec<u8>, OrderError> {
         let reply = self.call("GET", "/v1/settings/read", b"")?;
         match reply.status {
@@ -133,7 +133,7 @@
     }
 }
 
-/// One call to one control node, on a connection of its own.
+/// Sends one call to one control node over a separate connection.
 fn call_one(address: SocketAddrV4, method: &str, path: &str, body: &[u8]) -> Result<Reply, CallError> {
     let io_error = |source| CallError::Io { address, source };
     let mut stream = TcpStream::connect_timeout(&SocketAddr::V4(address), IO_TIMEOUT).map_err(io_error)?;
--- a/crates/server/src/cli/discovery.rs
+++ b/crates/server/src/cli/discovery.rs
@@ -1,4 +1,4 @@
-//! Finds all processes of a running system, from one of them or from a settings file.
+//! Discovers all processes of a running system, starting from one process or from a settings file.
 
 use super::error::CommandError;
 use super::internal_client::{ask_for_json, AskError};
@@ -10,22 +10,22 @@
 use std::fmt;
 use std::net::SocketAddrV4;
 
-/// Processes that are asked at the same time, each by a thread.
+/// Number of processes that are asked concurrently, each by a separate thread.
 const PARALLEL_REQUESTS: usize = 32;
-/// Processes that are asked at most.
+/// Largest number of processes that one discovery asks.
 const MAX_PROCESSES: usize = 5000;
 
-/// What a process answered.
+/// The answer of one process to a report request.
 pub struct ProcessReport {
-    /// Its internal address.
+    /// The internal address of the process.
     pub address: SocketAddrV4,
-    /// What it reports of itself: `Common::report` and what its role adds.
+    /// The report of the process about itself: `NodeRuntime::report` and the additions of its role.
     pub report: JsonValue,
 }
 
 /// A process that did not answer.
 pub struct UnreachableProcess {
-    /// Its node name, where another process names it.
+    /// The node name of the process, if the report of another process names it.
     name: Option<String>,
     error: AskError,
 }
@@ -42,22 +42,22 @@
 /// The processes of a running system.
 #[derive(Default)]
 pub struct Fleet {
-    /// What each process reports, by its node name.
+    /// The report of each process, by its node name.
     pub reports: BTreeMap<String, ProcessReport>,
-    /// Those that a report names and that do not answer; where nobody answers, all that were asked.
+    /// Processes that a report names and that do not answer; if no process answers at all, every address that was asked.
     pub unreachable: BTreeMap<SocketAddrV4, UnreachableProcess>,
 }
 
 impl Fleet {
-    /// Asks the processes at the entry point, then all that these name, and so on.
+    /// Asks the processes at the entry point, then all processes that their reports name, until no new ones are named.
     ///
     /// # Errors
     ///
-    /// Where the entry point can't be used, or no process answers.
+    /// If the entry point can't be used, or no process answers.
     pub fn discover(entry: &EntryPoint<'_>) -> Result<Fleet, CommandError> {
-        let mut search = Search::default();
-        search.run(entry.addresses(SettingsScope::MachineAndSeeds)?);
-        let fleet = search.into_fleet();
+        let mut discovery = Discovery::default();
+        discovery.run(entry.addresses(SettingsScope::MachineAndSeeds)?);
+        let fleet = discovery.into_fleet();
         if fleet.reports.is_empty() {
             let reasons = fleet.unreachable.values().map(UnreachableProcess::to_string).collect();
             return Err(CommandError::NoAnswer { reasons });
@@ -65,14 +65,14 @@
         Ok(fleet)
     }
 
-    /// The reports of the processes of one class.
+    /// The reports of all processes with the given role.
     pub fn reports_of(&self, class: NodeRole) -> impl Iterator<Item = &JsonValue> {
         let class = class.to_string();
         let reports = self.reports.values().map(|process| &process.report);
         reports.filter(move |report| report["class"].as_str() == Some(&class))
     }
 
-    /// Of the reports of the control nodes the one that counts: of the leader, or else of the highest epoch.
+    /// The authoritative report among those of the control nodes: the leader's, or without a leader the one with the highest epoch.
     pub fn leading_control_report(&self) -> Option<&JsonValue> {
         let rank = |report: &&JsonValue| {
             (report["duty"]["leads"] == true, report["duty"]["epoch"].as_u64().unwrap_or(0))
@@ -80,7 +80,7 @@
         self.reports_of(NodeRole::Control).max_by_key(rank)
     }
 
-    /// Where the control nodes that answer take the calls of operators, the leader first.
+    /// The operator API addresses of the control nodes that answered, the leader first.
     pub fn control_addresses(&self) -> Vec<SocketAddrV4> {
         let mut reports: Vec<&JsonValue> = self.reports_of(NodeRole::Control).collect();
         reports.sort_by_key(|report| report["duty"]["leads"] != true);
@@ -88,16 +88,16 @@
     }
 }
 
-/// The search as it goes on.
+/// The state of a discovery in progress.
 #[derive(Default)]
-struct Search {
+struct Discovery {
     fleet: Fleet,
     asked: BTreeSet<SocketAddrV4>,
-    /// Node names of the processes that reports name.
+    /// Node names of the processes that reports name, by internal address.
     names: BTreeMap<SocketAddrV4, String>,
 }
 
-impl Search {
+impl Discovery {
     fn run(&mut self, first: Vec<SocketAddrV4>) {
         let first: BTreeSet<SocketAddrV4> = first.into_iter().collect();
         let mut next: Vec<SocketAddrV4> = first.into_iter().collect();
@@ -135,7 +135,7 @@
     }
 
     fn into_fleet(mut self) -> Fleet {
-        // At an address of the settings file there may be no process: only those that somebody names count as unreachable.
+        // An address from the settings file may have no process, so only processes that a report names count as unreachable.
         if !self.fleet.reports.is_empty() {
             self.fleet.unreachable.retain(|address, _| self.names.contains_key(address));
         }
@@ -146,7 +146,7 @@
     }
 }
 
-/// Asks some processes for their reports, all at the same time.
+/// Asks the processes at the given addresses for their reports concurrently.
 fn ask_all(addresses: &[SocketAddrV4]) -> Vec<(SocketAddrV4, Result<JsonValue, AskError>)> {
     std::thread::scope(|scope| {
         let threads: Vec<_> = addresses
@@ -162,7 +162,7 @@
     })
 }
 
-/// Node names and internal addresses of the processes that a report names.
+/// Node names and internal addresses of the processes that the given report names.
 fn named_processes(report: &JsonValue) -> Vec<(String, SocketAddrV4)> {
     let port = |index: usize| report["ports"][index].as_u16().unwrap_or(0);
     let ports = (port(0), port(1));
--- a/crates/server/src/cli/figures.rs
+++ b/crates/server/src/cli/figures.rs
@@ -1,4 +1,4 @@
-//! `stilerouted figures`: the counters of one process.
+//! `stilerouted figures`: shows the metrics of one process.
 
 use super::error::CommandError;
 use super::internal_client::ask;
@@ -7,11 +7,11 @@
 use crate::protocol::Frame;
 use jzon::JsonValue;
 
-/// Shows the counters of the first process at the entry point that answers.
+/// Shows the metrics of the first process at the entry point that answers.
 ///
 /// # Errors
 ///
-/// Where the entry point can't be used, or no process answers.
+/// If the entry point can't be used, or no process answers.
 pub fn figures(query: &Query<'_>) -> Result<ExitStatus, CommandError> {
     let mut reasons = Vec::new();
     for address in query.entry.addresses(SettingsScope::Machine)? {
@@ -29,7 +29,7 @@
     Err(CommandError::NoAnswer { reasons })
 }
 
-/// One member for each sample: its name with its labels, and its value.
+/// Builds a JSON object with one member for each sample: the key is the metric name with its labels.
 fn samples_as_json(text: &str) -> JsonValue {
     let mut object = JsonValue::new_object();
     for line in text.lines().filter(|line| !line.starts_with('#')) {
--- a/crates/server/src/cli/internal_client.rs
+++ b/crates/server/src/cli/internal_client.rs
@@ -1,4 +1,5 @@
-//! A client of the protocol between the system's own processes: asks one process one thing over a connection of its own.
+//! A client of the internal protocol between the processes of the system. It sends one request to one process over a separate
+//! connection.
 
 use crate::node::random_seed;
 use crate::protocol::{Frame, NodeRole, PeerInfo, PROTOCOL_VERSION};
@@ -6,61 +7,61 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpStream};
 use std::time::Duration;
 
-/// For connecting, and for each read and write: a process that runs answers at once.
+/// Time-out for connecting and for each read and write. It can be short because a running process answers immediately.
 const IO_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Length of the largest frame that is read, in bytes.
+/// Largest accepted frame length, in bytes.
 const MAX_FRAME_BYTES: usize = 16 << 20;
-/// What stands in the place of a frame's length where the other side speaks HTTP.
+/// The first 4 bytes of an HTTP answer, found in the place of a frame's length if the peer speaks HTTP.
 const HTTP_START: &[u8; 4] = b"HTTP";
 
-/// Why a process gave no answer.
+/// Errors of a request to one process.
 #[derive(Debug, thiserror::Error)]
 pub enum AskError {
-    /// The connection could not be opened, or it broke.
+    /// The connection to the process could not be opened, or it failed.
     #[error("{address}: {source}")]
     Io {
-        /// The process that was asked.
+        /// The address of the process that was asked.
         address: SocketAddrV4,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The request could not be encoded.
     #[error("{address}: {source}")]
     Encode {
-        /// The process that was to be asked.
+        /// The address of the process that the request was meant for.
         address: SocketAddrV4,
-        /// What the encoder said.
+        /// The error of the encoder.
         source: postcard::Error,
     },
-    /// It closed the connection before it answered.
+    /// The process closed the connection before it answered.
     #[error("{address}: hung up: no stilerouted, or of another protocol")]
     HungUp {
-        /// The process that was asked.
+        /// The address of the process that was asked.
         address: SocketAddrV4,
     },
-    /// It sent what is no frame of this protocol.
+    /// The process sent data that is not a frame of the internal protocol.
     #[error("{address}: speaks another protocol")]
     OtherProtocol {
-        /// The process that was asked.
+        /// The address of the process that was asked.
         address: SocketAddrV4,
     },
-    /// It answered in HTTP: it is an address for clients, executors or operators.
+    /// The process answered in HTTP, so the address is one for clients, executors or operators.
     #[error(
         "{address}: speaks HTTP: --at wants an internal address, of one of the first three of internal_ports"
     )]
     Http {
-        /// The process that was asked.
+        /// The address of the process that was asked.
         address: SocketAddrV4,
     },
-    /// Its answer is no JSON.
+    /// The answer of the process is not valid JSON.
     #[error("{address}: {source}")]
     Json {
-        /// The process that was asked.
+        /// The address of the process that was asked.
         address: SocketAddrV4,
-        /// What the parser said.
+        /// The error of the JSON parser.
         source: jzon::Error,
     },
-    /// The thread that asked it panicked.
+    /// The thread that sent the request panicked.
     #[error("broke off")]
     Panicked,
 }
@@ -69,14 +70,15 @@
 ///
 /// # Errors
 ///
-/// Where it could not be reached, or did not answer in this protocol.
+/// If the process could not be reached, or did not answer in the internal protocol.
 pub fn ask(address: SocketAddrV4, request: &Frame) -> Result<String, AskError> {
     let io_error = |source| AskError::Io { address, source };
     let mut stream = TcpStream::connect_timeout(&SocketAddr::V4(address), IO_TIMEOUT).map_err(io_error)?;
     stream.set_read_timeout(Some(IO_TIMEOUT)).map_err(io_error)?;
     stream.set_write_timeout(Some(IO_TIMEOUT)).map_err(io_error)?;
-    for signal in [&Frame::Hello(visitor_hello()), request] {
-        let frame = postcard::to_stdvec(signal).map_err(|source| AskError::Encode { address, source })?;
+    for request_frame in [&Frame::Hello(command_line_hello()), request] {
+        let frame =
+            postcard::to_stdvec(request_frame).map_err(|source| AskError::Encode { address, source })?;
         stream.write_all(&(frame.len() as u32).to_le_bytes()).map_err(io_error)?;
         stream.write_all(&frame).map_err(io_error)?;
     }
@@ -84,7 +86,7 @@
         let frame = read_frame(&mut stream, address)?;
         match postcard::from_bytes(&frame) {
             Ok(Frame::InspectionReply { text, .. }) => return Ok(text),
-            // Its own hello and keep-alives come in between.
+            // The process also sends its hello and its keep-alives, which are skipped.
             Ok(_) => {}
             Err(_) => return Err(AskError::OtherProtocol { address }),
         }
@@ -95,17 +97,17 @@
 ///
 /// # Errors
 ///
-/// As [`ask`], and where the answer is no JSON.
+/// The errors of [`ask`], and [`AskError::Json`] if the answer is not valid JSON.
 pub fn ask_for_json(address: SocketAddrV4, request: &Frame) -> Result<jzon::JsonValue, AskError> {
     let text = ask(address, request)?;
     jzon::parse(&text).map_err(|source| AskError::Json { address, source })
 }
 
-/// What this program says of itself: it is no node of the system.
-fn visitor_hello() -> PeerInfo {
+/// The hello frame of a command line, which is not a node of the system.
+fn command_line_hello() -> PeerInfo {
     PeerInfo {
         protocol_version: PROTOCOL_VERSION,
-        // Random: a fixed one would end the connection of another who asks at the same time.
+        // The node id is random, because a fixed id would close the connection of another command that runs at the same time.
         node: random_seed() as u32,
         name: "visitor".to_string(),
         role: NodeRole::CommandLine,
@@ -116,7 +118,7 @@
     }
 }
 
-/// A frame is its length, 4 bytes with the least significant first, and its bytes.
+/// Reads one frame: its length as 4 bytes in little-endian order, followed by that many bytes.
 fn read_frame(stream: &mut TcpStream, address: SocketAddrV4) -> Result<Vec<u8>, AskError> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).map_err(|source| match source.kind() {
--- a/crates/server/src/cli/message.rs
+++ b/crates/server/src/cli/message.rs
@@ -1,4 +1,4 @@
-//! `stilerouted message`: what each store knows of one message.
+//! `stilerouted message`: shows what each store knows about one message.
 
 use super::discovery::Fleet;
 use super::error::CommandError;
@@ -10,11 +10,11 @@
 use jzon::JsonValue;
 use stileroute_queue::{Key, KeyLocation};
 
-/// Shows what each store knows of the message; ends with [`ExitStatus::Failure`] where none knows it.
+/// Shows what each store knows about the message; returns [`ExitStatus::Failure`] if no store knows the message.
 ///
 /// # Errors
 ///
-/// Where the id can't be one, the entry point can't be used, or no process answers.
+/// If the message id is invalid, the entry point can't be used, or no process answers.
 pub fn message(id: &str, query: &Query<'_>) -> Result<ExitStatus, CommandError> {
     let KeyLocation { key, .. } =
         Key::parse(id).ok_or_else(|| CommandError::InvalidMessageId(id.to_string()))?;
--- a/crates/server/src/cli/order_error.rs
+++ b/crates/server/src/cli/order_error.rs
@@ -1,52 +1,52 @@
-//! Why an order of an operator has no result.
+//! Errors of operator commands that call the control nodes.
 
 use super::output::ExitStatus;
 
-/// Why an order has no result.
+/// Errors of an operator command that calls the control nodes.
 #[derive(Debug, thiserror::Error)]
 pub enum OrderError {
-    /// Processes answer, but no control node among them.
+    /// Some processes answer, but none of them is a control node.
     #[error("unclear: no control node is known")]
     NoControlNode,
-    /// No control node gave a clear answer in time.
+    /// No control node gave a definite answer in time.
     #[error("unclear, send it again: {last}")]
     NoClearAnswer {
-        /// What the last one said, or why it said nothing.
+        /// The last answer of a control node, or the reason why there was none.
         last: String,
     },
-    /// A control node answered what this command does not expect.
+    /// A control node gave an answer that this command does not expect.
     #[error("unclear: {reason}")]
     Unclear {
-        /// Status and reason of the answer.
+        /// HTTP status and reason of the control node's answer.
         reason: String,
     },
-    /// There is nothing to read yet.
+    /// No configuration is in force yet.
     #[error("no configuration is in force yet")]
     NothingInForce,
-    /// The configuration can't be used as it is.
+    /// The control nodes rejected the configuration.
     #[error("refused: {reason}")]
     ConfigurationRejected {
-        /// Status and reason of the answer.
+        /// HTTP status and reason of the control node's answer.
         reason: String,
     },
-    /// The store may not be retired.
+    /// The control nodes rejected the retirement of the store.
     #[error("refused: {reason}")]
     RetirementRejected {
-        /// Status and reason of the answer.
+        /// HTTP status and reason of the control node's answer.
         reason: String,
     },
-    /// There is no such store, or it is not to be retired.
+    /// There is no store with the given name, or its retirement was not requested.
     #[error("{name}: {reason}")]
     UnknownStore {
-        /// The name that was given.
+        /// The store name that was given.
         name: String,
-        /// Status and reason of the answer.
+        /// HTTP status and reason of the control node's answer.
         reason: String,
     },
 }
 
 impl OrderError {
-    /// The exit status that the command ends with.
+    /// The exit status of the command for this error.
     pub fn exit_status(&self) -> ExitStatus {
         match self {
             OrderError::NoControlNode | OrderError::NoClearAnswer { .. } | OrderError::Unclear { .. } => {
--- a/crates/server/src/cli/orders.rs
+++ b/crates/server/src/cli/orders.rs
@@ -1,5 +1,5 @@
-//! The orders of operators: a configuration is applied, read or compared, a store is retired. What is in force is read back
-//! before a command says that it is.
+//! Operator commands that call the control nodes: they apply, read or compare a configuration, or retire a store. A command
+//! reports a configuration as being in force only after it has read the configuration back.
 
 mod differences;
 
@@ -15,13 +15,13 @@
 use std::path::Path;
 use stileroute_config::Config;
 
-/// How an order ended.
+/// The outcome of an operator command.
 #[derive(Debug)]
 struct Outcome {
     status: ExitStatus,
-    /// For a reader.
+    /// The human-readable result.
     text: String,
-    /// What the JSON has beside the text: an object.
+    /// A JSON object with the members that JSON output has in addition to the text.
     details: JsonValue,
 }
 
@@ -59,7 +59,7 @@
     result.unwrap_or_else(Outcome::from).print(format)
 }
 
-/// A configuration file that can be sent.
+/// A valid configuration file, which can be sent to the control nodes.
 struct ConfigurationFile {
     body: Vec<u8>,
     revision: u64,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// How this file relates to what is in force.
+    /// Compares this file with the configuration that is in force.
     fn compare(&self, in_force: &[u8]) -> Outcome {
         let (own, other) = (self.revision, revision_of(in_force));
         let outcome = if self.body == in_force {
@@ -94,16 +94,16 @@
     }
 }
 
-/// The revision of a configuration; 0 where it can't be read.
+/// The revision of a configuration; 0 if the configuration can't be parsed.
 fn revision_of(body: &[u8]) -> u64 {
     Config::parse(body).map_or(0, |config| config.revision)
 }
 
-/// Sends a configuration, and says whether it is in force.
+/// Sends a configuration to the control nodes, and reports whether it is in force.
 ///
 /// # Errors
 ///
-/// Where the file or the entry point can't be used, or no process answers.
+/// If the file or the entry point can't be used, or no process answers.
 pub fn apply(path: &Path, query: &Query<'_>) -> Result<ExitStatus, CommandError> {
     let file = ConfigurationFile::read(path)?;
     let control = ControlApi::find(&query.entry)?;
@@ -115,15 +115,15 @@
     if reply.status != 200 {
         return Err(OrderError::ConfigurationRejected { reason: reply.reason() });
     }
-    // The answer is of one moment: since then another operator may have sent a newer one.
+    // The configuration is read back, because another operator may have sent a newer one since the answer.
     Ok(file.compare(&control.configuration_in_force()?))
 }
 
-/// Shows the configuration that is in force, as it was sent.
+/// Shows the configuration that is in force, as the operator sent it.
 ///
 /// # Errors
 ///
-/// Where the entry point can't be used, or no process answers.
+/// If the entry point can't be used, or no process answers.
 pub fn read(query: &Query<'_>) -> Result<ExitStatus, CommandError> {
     let control = ControlApi::find(&query.entry)?;
     let body = match control.configuration_in_force() {
@@ -145,32 +145,32 @@
     Ok(ExitStatus::Success)
 }
 
-/// Says whether a file is what is in force, and else what differs.
+/// Reports whether the configuration in a file is in force, and otherwise lists the differences.
 ///
 /// # Errors
 ///
-/// Where the file or the entry point can't be used, or no process answers.
+/// If the file or the entry point can't be used, or no process answers.
 pub fn diff(path: &Path, query: &Query<'_>) -> Result<ExitStatus, CommandError> {
     let file = ConfigurationFile::read(path)?;
     let control = ControlApi::find(&query.entry)?;
-    Ok(print_result(compare_parts(&file, &control), query.format))
+    Ok(print_result(compare_with_in_force(&file, &control), query.format))
 }
 
-fn compare_parts(file: &ConfigurationFile, control: &ControlApi) -> Result<Outcome, OrderError> {
+fn compare_with_in_force(file: &ConfigurationFile, control: &ControlApi) -> Result<Outcome, OrderError> {
     let in_force = control.configuration_in_force()?;
     let mut outcome = file.compare(&in_force);
-    let parts = differences(&in_force, &file.body);
-    for part in &parts {
-        outcome.text += &format!("\n  {part}");
+    let changes = differences(&in_force, &file.body);
+    for change in &changes {
+        outcome.text += &format!("\n  {change}");
     }
-    Ok(outcome.with_detail("differences", parts))
+    Ok(outcome.with_detail("differences", changes))
 }
 
-/// Orders a store to be emptied, or says how far it is.
+/// Starts the retirement of a store, which empties the store, or reports its progress.
 ///
 /// # Errors
 ///
-/// Where the name or the entry point can't be used, or no process answers.
+/// If the store name or the entry point can't be used, or no process answers.
 pub fn retire(name: &str, request: RetireRequest, query: &Query<'_>) -> Result<ExitStatus, CommandError> {
     let is_allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
     if name.is_empty() || !name.chars().all(is_allowed) {
@@ -184,7 +184,7 @@
     Ok(print_result(reply.and_then(|reply| retirement(name, &reply)), query.format))
 }
 
-/// What an answer says of a retirement.
+/// Converts the answer of a control node about a retirement to an outcome.
 fn retirement(name: &str, reply: &Reply) -> Result<Outcome, OrderError> {
     let body = reply.json();
     let state = body["state"].as_str().unwrap_or("ordered").to_string();
--- a/crates/server/src/cli/orders/differences.rs
+++ b/crates/server/src/cli/orders/differences.rs
@@ -1,8 +1,9 @@
-//! What differs between two configurations, in lines for an operator.
+//! Lists the differences between two configurations as human-readable lines.
 
 use jzon::JsonValue;
 
-/// Routes, services and tenants by their names, and the limits; of tenants no key is shown: what a file adds to, lacks of and changes in what is in force.
+/// Lists the routes, services and tenants, by name, that the file adds, lacks or changes compared with the configuration in
+/// force, and whether the limits differ. The API keys of tenants are not shown.
 pub fn differences(in_force: &[u8], file: &[u8]) -> Vec<String> {
     let parse = |bytes: &[u8]| jzon::parse(&String::from_utf8_lossy(bytes)).unwrap_or(JsonValue::Null);
     let (in_force, file) = (parse(in_force), parse(file));
@@ -18,17 +19,17 @@
 
 fn differences_of_list(kind: &str, in_force: &JsonValue, file: &JsonValue) -> Vec<String> {
     let find =
-        |list: &JsonValue, name: &JsonValue| list.members().find(|part| part["name"] == *name).cloned();
+        |list: &JsonValue, name: &JsonValue| list.members().find(|entry| entry["name"] == *name).cloned();
     let mut lines = Vec::new();
-    for part in file.members() {
-        match find(in_force, &part["name"]) {
-            None => lines.push(format!("{kind} {}: only in the file", part["name"])),
-            Some(other) if other != *part => lines.push(format!("{kind} {}: differs", part["name"])),
+    for entry in file.members() {
+        match find(in_force, &entry["name"]) {
+            None => lines.push(format!("{kind} {}: only in the file", entry["name"])),
+            Some(other) if other != *entry => lines.push(format!("{kind} {}: differs", entry["name"])),
             Some(_) => {}
         }
     }
-    for part in in_force.members().filter(|part| find(file, &part["name"]).is_none()) {
-        lines.push(format!("{kind} {}: only in force", part["name"]));
+    for entry in in_force.members().filter(|entry| find(file, &entry["name"]).is_none()) {
+        lines.push(format!("{kind} {}: only in force", entry["name"]));
     }
     lines
 }
--- a/crates/server/src/cli/output.rs
+++ b/crates/server/src/cli/output.rs
@@ -1,19 +1,19 @@
-//! What commands print, and the exit statuses of the program (a table in `docs/server.md`).
+//! The output of commands, and the exit statuses of the program (listed in a table in `docs/server.md`).
 
 use std::io::Write;
 use std::process::ExitCode;
 
-/// How a command prints its result.
+/// The format in which a command prints its result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutputFormat {
-    /// Lines for a reader.
+    /// Human-readable lines.
     Text,
-    /// One JSON value.
+    /// A single JSON value.
     Json,
 }
 
 impl OutputFormat {
-    /// The format that the flag `--json` asks for.
+    /// The output format that the flag `--json` selects.
     pub fn from_json_flag(is_set: bool) -> OutputFormat {
         if is_set {
             OutputFormat::Json
@@ -26,15 +26,15 @@
 /// Exit statuses of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// The command found all well, or the process ended in order.
+    /// The command succeeded and found no fault, or the process shut down gracefully.
     Success = 0,
-    /// A role could not start or go on, nobody answered, or a disk is damaged.
+    /// A role could not start or had to stop, no process answered, or a disk is damaged.
     Failure = 1,
-    /// Settings, arguments or files that can't be used; nothing has been started or changed.
+    /// Settings, arguments or files are unusable; nothing has been started or changed.
     Unusable = 2,
-    /// Another content is in force, an order was rejected, or a retirement is not complete.
+    /// A different configuration is in force, a command was rejected, or the retirement of a store is not complete.
     Differs = 3,
-    /// No control node gave a clear answer in time: the order may have been carried out or not.
+    /// No control node gave a definite answer in time, so that the command may or may not have been executed.
     Unclear = 4,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// Prints to standard output. A reader that has closed its end is no error.
+/// Prints text to standard output. A pipe that its reader has closed is not an error.
 pub fn print(text: &str) {
     let _ = writeln!(std::io::stdout(), "{}", text.trim_end());
 }
--- a/crates/server/src/cli/query.rs
+++ b/crates/server/src/cli/query.rs
@@ -1,4 +1,4 @@
-//! Where a command finds the running system, and how it prints what it finds.
+//! The entry point at which a command finds the running system, and the format of its output.
 
 use super::error::CommandError;
 use super::output::OutputFormat;
@@ -8,47 +8,47 @@
 use std::path::{Path, PathBuf};
 use stileroute_config::NodeSettings;
 
-/// Names the settings file where no option does.
+/// The environment variable that names the settings file if no option does.
 const SETTINGS_VARIABLE: &str = "STILEROUTE_BOOT";
 
-/// The settings file that the environment names.
+/// The settings file that the environment variable `STILEROUTE_BOOT` names.
 pub fn settings_file_of_environment() -> Option<PathBuf> {
     std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from)
 }
 
-/// Where a command begins to look for the running system, and how it prints what it finds.
+/// The entry point at which a command starts to discover the running system, and the format of its output.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a> {
-    /// Where to begin.
+    /// The entry point of the discovery.
     pub entry: EntryPoint<'a>,
-    /// How the result is printed.
+    /// The format in which the result is printed.
     pub format: OutputFormat,
 }
 
-/// Where a search for the running system begins.
+/// The entry point for the discovery of the running system.
 #[derive(Clone, Copy, Debug)]
 pub struct EntryPoint<'a> {
-    /// What `--at` says: the internal address of a process, or a settings file.
+    /// The value of `--at`: the internal address of a process, or the path of a settings file.
     pub at: Option<&'a str>,
     /// The settings file that `--boot` names.
     pub settings: Option<&'a Path>,
 }
 
-/// Which processes a settings file leads to.
+/// Selects the processes whose addresses are taken from a settings file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsScope {
-    /// Those of its own machine.
+    /// The processes of the machine that the settings file describes.
     Machine,
-    /// Those of its own machine, and the seeds.
+    /// The processes of the machine that the settings file describes, and the seed nodes.
     MachineAndSeeds,
 }
 
 impl EntryPoint<'_> {
-    /// Internal addresses at which the search begins; at some of them there may be no process.
+    /// Internal addresses at which the discovery starts; some of them may have no process.
     ///
     /// # Errors
     ///
-    /// Where no settings file is named, or the one that is can't be used.
+    /// If no settings file is named, or the named file can't be used.
     pub fn addresses(&self, scope: SettingsScope) -> Result<Vec<SocketAddrV4>, CommandError> {
         if let Some(address) = self.at.and_then(|at| at.parse().ok()) {
             return Ok(vec![address]);
--- a/crates/server/src/cli/services.rs
+++ b/crates/server/src/cli/services.rs
@@ -1,14 +1,14 @@
-//! Each service over all stores: its queue, the requests in flight, its executors and its rate limit.
+//! Aggregates the state of each service over all stores: queue, requests in flight, executors and rate limit.
 
 use super::discovery::Fleet;
 use crate::protocol::NodeRole;
 use jzon::JsonValue;
 use std::collections::BTreeMap;
 
-/// Counters of retries (the key `repeats`), summed over the stores.
+/// JSON keys of the retry counters (in the object `repeats`) that are summed over the stores.
 const RETRY_COUNTERS: [&str; 5] = ["first", "again", "held_back", "waiting", "most_at_one"];
 
-/// An object with one member for each service.
+/// Builds a JSON object with one member for each service.
 pub fn services(fleet: &Fleet) -> JsonValue {
     let executors = executors_by_id(fleet);
     let mut services: BTreeMap<String, JsonValue> = BTreeMap::new();
@@ -31,7 +31,7 @@
     object
 }
 
-/// What the control nodes know of each executor; of several that know it the first.
+/// The entry of each executor from the reports of the control nodes; if several reports have one, the first is used.
 fn executors_by_id(fleet: &Fleet) -> BTreeMap<String, JsonValue> {
     let mut executors = BTreeMap::new();
     for report in fleet.reports_of(NodeRole::Control) {
@@ -79,7 +79,7 @@
         total["ceiling"] = jzon::object! { "rate_per_s" => rate, "holders" => jzon::array![] };
     }
     if rate_limit["here"] == true {
-        // It was made a list just above, so that this can't fail.
+        // `push` can't fail, because the value was made an array above.
         let _ = total["ceiling"]["holders"].push(store_name);
     }
 }
@@ -101,7 +101,7 @@
     executor["shares"][store_name] = part["share"].clone();
 }
 
-/// Executors that no store lists: of a service that no configuration names, or known only just now.
+/// Adds the executors that no store lists, because no configuration names their service or they have just registered.
 fn add_unlisted_executors(
     services: &mut BTreeMap<String, JsonValue>,
     executors: BTreeMap<String, JsonValue>,
--- a/crates/server/src/cli/status.rs
+++ b/crates/server/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! `stilerouted status`: the nodes, the control group and the services of a running system.
+//! `stilerouted status`: shows the nodes, the control group and the services of a running system.
 
 use super::discovery::{Fleet, ProcessReport, UnreachableProcess};
 use super::error::CommandError;
@@ -8,14 +8,14 @@
 use crate::protocol::NodeRole;
 use jzon::JsonValue;
 
-/// Parts of a report that are shown elsewhere, or only needed to find the other processes.
+/// Keys of a report that are left out, because they are shown elsewhere or only serve to discover other processes.
 const KEYS_LEFT_OUT: [&str; 5] = ["known", "links", "executors", "services", "ports"];
 
-/// Shows the running system.
+/// Shows the state of the running system.
 ///
 /// # Errors
 ///
-/// Where the entry point can't be used, or no process answers.
+/// If the entry point can't be used, or no process answers.
 pub fn status(query: &Query<'_>) -> Result<ExitStatus, CommandError> {
     let fleet = Fleet::discover(&query.entry)?;
     match query.format {
@@ -80,7 +80,7 @@
     text
 }
 
-/// How many stores may be lost while messages are still accepted; nothing where an older process does not say.
+/// Formats how many stores may be lost while messages are still accepted; empty if an older process does not report it.
 fn storage_as_text(storage: &JsonValue) -> String {
     if storage.is_null() {
         return String::new();
@@ -89,7 +89,7 @@
     format!("  stores: {} in service, {} spare{warning}\n", storage["in_service"], storage["spare"])
 }
 
-/// The members of a list with blanks between them.
+/// Joins the members of a JSON array with spaces.
 pub fn joined(values: &JsonValue) -> String {
     values.members().map(JsonValue::to_string).collect::<Vec<_>>().join(" ")
 }
@@ -122,8 +122,8 @@
     text
 }
 
-/// What a store says of copies that are missing; nothing where the loss of another store is tolerated, or an older process does not
-/// say.
+/// Formats the warning of a store about missing replicas; empty if the loss of another store is tolerated, or if an older process
+/// does not report it.
 fn replication_as_text(report: &JsonValue) -> String {
     if report["fully_replicated"] != false {
         return String::new();
@@ -135,7 +135,7 @@
     )
 }
 
-/// With which control node an edge or a store has its session.
+/// Formats the session of an edge or a store with a control node.
 fn session_as_text(report: &JsonValue) -> String {
     if report["class"] == "core" {
         return String::new();
@@ -177,7 +177,7 @@
 }
 
 fn executor_as_text(id: &str, executor: &JsonValue) -> String {
-    // An endpoint that the configuration names has no id.
+    // Endpoints that are listed in the configuration have no executor id.
     let id = if id.is_empty() { "endpoint" } else { id };
     let mut text = format!("    {id}");
     if executor["address"].is_string() {
--- a/crates/server/src/cli/verify.rs
+++ b/crates/server/src/cli/verify.rs
@@ -13,14 +13,14 @@
 use stileroute_queue::{End, Record as MessageRecord, StateTable};
 use stileroute_wal::{FileState, ReadError, Report};
 
-/// Where a store has its log, in its data folder.
+/// Subfolder of the data folder that holds the log of a store.
 const STORE_FOLDER: &str = "hold";
-/// Where a control node has its log, in its data folder.
+/// Subfolder of the data folder that holds the log of a control node.
 const CONTROL_FOLDER: &str = "watch";
-/// Under this kind records are counted that can't be decoded.
-const UNREADABLE_KIND: &str = "unread";
+/// The record kind under which records that can't be decoded are counted.
+const UNDECODABLE_KIND: &str = "unread";
 
-/// How many records there are of each kind.
+/// The number of records of each kind.
 #[derive(Default)]
 struct KindCounts(BTreeMap<&'static str, u64>);
 
@@ -36,8 +36,8 @@
     }
 }
 
-/// Reads a log through, and hands each record that can be decoded to `apply`. Gives what was found in the files, and how many
-/// records there are of each kind.
+/// Reads a complete log, and passes each record that can be decoded to `apply`. Returns the report on the log files, and the
+/// number of records of each kind.
 fn read_records<R: DeserializeOwned>(
     folder: &Path,
     kind_of: fn(&R) -> &'static str,
@@ -49,18 +49,18 @@
             kinds.add(kind_of(&record));
             apply(record);
         }
-        Err(_) => kinds.add(UNREADABLE_KIND),
+        Err(_) => kinds.add(UNDECODABLE_KIND),
     })?;
     Ok((report, kinds))
 }
 
-/// Reads the log of a store, and says what its records amount to.
+/// Reads the log of a store, and summarizes the state that its records give.
 fn verify_store(folder: &Path) -> Result<JsonValue, ReadError> {
     let mut table = StateTable::default();
     let (report, kinds) = read_records(folder, message_record_kind, |record| table.apply_record(record))?;
-    let unwritten_ends = apply_kept(folder, KEPT_ENDS_FILE, |record| table.apply_kept_end(record));
+    let unwritten_ends = apply_crash_buffer(folder, KEPT_ENDS_FILE, |record| table.apply_kept_end(record));
     let unwritten_failures =
-        apply_kept(folder, KEPT_FAILURES_FILE, |record| table.apply_kept_failure(record));
+        apply_crash_buffer(folder, KEPT_FAILURES_FILE, |record| table.apply_kept_failure(record));
     let ends = || table.messages.values().filter_map(|message| message.end.as_ref());
     let live = table.messages.values().filter(|message| message.end.is_none()).count();
     let complete = ends().filter(|stored| matches!(stored.end, End::Complete { .. })).count();
@@ -82,9 +82,13 @@
     Ok(object)
 }
 
-/// Applies the records that the next start would find in a file beside the log: how many the log does not have, or why they can't be
-/// read. `None` where there is no such file.
-fn apply_kept(folder: &Path, file_name: &str, mut apply: impl FnMut(&[u8]) -> bool) -> Option<JsonValue> {
+/// Applies the records of a crash buffer file beside the log, as the next start of the store would do. Returns the number of
+/// records that the log lacks, or the reason why the file can't be read; `None` if there is no such file.
+fn apply_crash_buffer(
+    folder: &Path,
+    file_name: &str,
+    mut apply: impl FnMut(&[u8]) -> bool,
+) -> Option<JsonValue> {
     let file = folder.with_file_name(file_name);
     if !file.exists() {
         return None;
@@ -113,7 +117,7 @@
     }
 }
 
-/// Reads the log of a control node, and says what its records amount to.
+/// Reads the log of a control node, and summarizes the state that its records give.
 fn verify_control_node(folder: &Path) -> Result<JsonValue, ReadError> {
     let mut persisted = PersistedState::default();
     let (report, kinds) = read_records(folder, control_record_kind, |record| persisted.apply(record))?;
@@ -167,7 +171,7 @@
     }
 }
 
-/// A line for each value, then one for each file.
+/// Formats one line for each value of the summary, then one line for each log file.
 fn folder_as_text(name: &str, folder: &JsonValue) -> String {
     let mut text = format!("{name}:");
     for (key, value) in folder.entries().filter(|(key, _)| *key != "files") {
@@ -191,12 +195,12 @@
 }
 
 fn is_sound(folder: &JsonValue) -> bool {
-    let has_unreadable = folder["records_by_kind"][UNREADABLE_KIND].as_u64().unwrap_or(0) > 0;
+    let has_unreadable = folder["records_by_kind"][UNDECODABLE_KIND].as_u64().unwrap_or(0) > 0;
     folder["opens"] == true && !has_unreadable && folder["configuration_reads"] != false
 }
 
-/// Reads a data folder through. [`ExitStatus::Failure`] says that something is damaged, [`ExitStatus::Unusable`] that no role
-/// has its log there.
+/// Reads and checks a complete data folder. Returns [`ExitStatus::Failure`] if a log is damaged, and [`ExitStatus::Unusable`] if
+/// the folder holds no log of any role.
 pub fn verify(data_dir: &Path, format: OutputFormat) -> ExitStatus {
     type Verify = fn(&Path) -> Result<JsonValue, ReadError>;
     let roles: [(&str, Verify); 2] = [(STORE_FOLDER, verify_store), (CONTROL_FOLDER, verify_control_node)];
--- a/crates/server/src/disk_owner.rs
+++ b/crates/server/src/disk_owner.rs
@@ -1,51 +1,52 @@
-//! Whose disk a data folder is. Beside each log lies a file with the name of the node that it belongs to, so that folders that
-//! were swapped between machines are noticed before anything in them is used: a control node would count the other's vote twice,
-//! and a store would deliver what is not its own.
+//! Records which node owns a data folder. An owner file beside each log holds the name of the node that the log belongs to, so
+//! that folders that were swapped between machines are detected before their data is used. With a swapped folder, a control node
+//! would count the other node's vote twice, and a store would deliver messages that it does not own.
 //!
-//! The name is written once, before the log is created, by way of a synced temporary file: a file that is there is complete. A
-//! folder from before this file existed, or one that lost it with the power, is claimed by the node that opens it.
+//! The owner's name is written once, before the log is created, to a temporary file that is synced and then renamed: an owner
+//! file that exists is therefore complete. A data folder without an owner file (it was created before owner files existed, or a
+//! power loss removed the file) is claimed by the node that opens it.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// What follows the log's schema in the file's name.
-const SUFFIX: &str = "owner";
-/// What follows it while the file is being written.
-const UNFINISHED_SUFFIX: &str = "owner.tmp";
+/// Extension of the owner file; the file's stem is the schema of the log.
+const OWNER_EXTENSION: &str = "owner";
+/// Extension of the owner file while it is being written.
+const TEMPORARY_EXTENSION: &str = "owner.tmp";
 
 /// Why a data folder can't be used by this node.
 #[derive(Debug, thiserror::Error)]
 pub enum OwnerError {
-    /// Another node has written the folder.
+    /// The data folder was written by another node.
     #[error(
         "{}: it belongs to {owner:?}, and this is {node:?}: give each machine its own folder back, or start with an empty one",
         file.display()
     )]
     BelongsToOther {
-        /// The file that says so.
+        /// The owner file, which names the other node.
         file: PathBuf,
-        /// The node that has written the folder.
+        /// Name of the node that has written the data folder.
         owner: String,
-        /// This node.
+        /// Name of this node.
         node: String,
     },
-    /// The file can't be read or written.
+    /// The owner file can't be read or written.
     #[error("{}: {source}", file.display())]
     Unusable {
-        /// The file.
+        /// The owner file.
         file: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// The file that names the owner of a log.
+/// Path of the file that names the owner of a log.
 fn owner_file(data_dir: &Path, schema: &str) -> PathBuf {
-    data_dir.join(schema).with_extension(SUFFIX)
+    data_dir.join(schema).with_extension(OWNER_EXTENSION)
 }
 
-/// The node that a log belongs to; `None` where no file names it.
+/// Name of the node that a log belongs to; `None` if there is no owner file.
 pub fn read(data_dir: &Path, schema: &str) -> io::Result<Option<String>> {
     match fs::read_to_string(owner_file(data_dir, schema)) {
         Ok(text) => Ok(Some(text.trim_end().to_string())),
@@ -54,11 +55,11 @@
     }
 }
 
-/// Makes sure that a log belongs to this node. The data folder has to exist.
+/// Checks that a log belongs to this node, and claims it for this node if it has no owner file. The data folder must exist.
 ///
 /// # Errors
 ///
-/// Where it belongs to another node, or the file that says so can't be read or written.
+/// If the log belongs to another node, or its owner file can't be read or written.
 pub fn claim(data_dir: &Path, schema: &str, node: &str) -> Result<(), OwnerError> {
     let file = owner_file(data_dir, schema);
     let unusable = |source| OwnerError::Unusable { file: file.clone(), source };
@@ -70,11 +71,11 @@
 }
 
 fn write(data_dir: &Path, schema: &str, node: &str) -> io::Result<()> {
-    let unfinished = data_dir.join(schema).with_extension(UNFINISHED_SUFFIX);
-    let mut file = File::create(&unfinished)?;
+    let temporary_file = data_dir.join(schema).with_extension(TEMPORARY_EXTENSION);
+    let mut file = File::create(&temporary_file)?;
     writeln!(file, "{node}")?;
     file.sync_all()?;
-    fs::rename(&unfinished, owner_file(data_dir, schema))?;
+    fs::rename(&temporary_file, owner_file(data_dir, schema))?;
     File::open(data_dir)?.sync_all()
 }
 
--- a/crates/server/src/disk_owner/tests.rs
+++ b/crates/server/src/disk_owner/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use assert_matches::assert_matches;
 
-/// A folder of its own for each test.
+/// Creates a separate data folder for each test.
 fn folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("stilerouted-disk-owner-{}-{name}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn swapped_folders_are_refused_by_name_in_one_line() {
+fn swapped_folders_are_rejected_with_one_line_that_names_the_owner() {
     let folder = folder("swapped");
     claim(&folder, "watch", "core-1").unwrap();
     let error = claim(&folder, "watch", "core-2").unwrap_err();
     assert_matches!(&error, OwnerError::BelongsToOther { owner, node, .. } if owner == "core-1" && node == "core-2");
     let text = error.to_string();
     assert!(text.contains("watch.owner") && text.contains("core-1") && !text.contains('\n'), "{text}");
-    // Nothing has changed by it: the machine that it belongs to still opens it.
+    // The rejected claim leaves the folder unchanged: its owner can still open it.
     claim(&folder, "watch", "core-1").unwrap();
     fs::remove_dir_all(folder).unwrap();
 }
--- a/crates/server/src/inquiry.rs
+++ b/crates/server/src/inquiry.rs
@@ -1,34 +1,34 @@
-//! What operators ask a process.
+//! The inquiries that a process receives from operators and metrics collectors.
 
 use crate::net::ConnectionId;
 use stileroute_queue::{Key, Node};
 
-/// What somebody wants to know.
+/// An inquiry about the state of this process.
 pub enum Inquiry {
-    /// A question of a command line, which is answered under `request_id`.
+    /// A question from a command line over the internal protocol.
     FromCommandLine {
-        /// The visitor's node id.
+        /// The node id under which the command line connected.
         from: Node,
-        /// The id that the answer carries.
+        /// The id of the request, which the answer must carry.
         request_id: u64,
-        /// What is asked.
+        /// The question of the command line.
         question: Question,
     },
-    /// A request to the listener for metrics.
+    /// An HTTP request to the metrics listener.
     FromCollector {
-        /// Its connection.
+        /// The connection of the HTTP request.
         connection: ConnectionId,
-        /// Whether it asks for the metrics, and not for anything else.
+        /// Whether the request asks for the metrics; any other request is answered with 404.
         is_for_metrics: bool,
     },
 }
 
-/// What a command line asks.
+/// A question that a command line asks a process.
 pub enum Question {
-    /// All that the process reports of itself.
+    /// The complete report of the process about itself.
     Report,
-    /// What it knows of one message.
+    /// What the process knows about one message.
     Trace(Key),
-    /// Its metrics.
+    /// The metrics of the process.
     Metrics,
 }
--- a/crates/server/src/inspection.rs
+++ b/crates/server/src/inspection.rs
@@ -1,5 +1,5 @@
-//! The questions of operators to one process: from the command line over the internal protocol, and from whoever collects
-//! metrics.
+//! Answers the inquiries that one process receives from operators: from the command line over the internal protocol, and from
+//! metrics collectors over HTTP.
 
 use crate::inquiry::{Inquiry, Question};
 use crate::links::LinkEvent;
@@ -10,10 +10,10 @@
 use jzon::JsonValue;
 use stileroute_queue::Key;
 
-/// Path of the metrics on the listener for them.
+/// HTTP path of the metrics on the metrics listener.
 const METRICS_PATH: &str = "/metrics";
 
-/// The question in a frame of a command line, and the id for the answer.
+/// The question in a frame from a command line, with the request id that the answer must carry.
 fn question_of(frame: &Frame) -> Option<(u64, Question)> {
     match frame {
         Frame::ReportRequest { request_id } => Some((*request_id, Question::Report)),
@@ -24,7 +24,8 @@
 }
 
 impl NodeRuntime {
-    /// Takes the questions of operators out of what happened. A role learns nothing of the command lines that connect.
+    /// Moves the inquiries of operators out of the events into the list of inquiries. Events of links to command lines are
+    /// removed as well, so that a role does not see these links.
     pub fn extract_inquiries(&mut self, link_events: &mut Vec<LinkEvent>, events: &mut Vec<Event>) {
         let inquiries = &mut self.inquiries;
         link_events.retain(|link_event| match link_event {
@@ -53,30 +54,30 @@
     }
 }
 
-/// A role that operators can ask.
+/// A role that answers the inquiries of operators.
 pub trait Inspect {
-    /// What the role shares with the others.
+    /// The part of the node that is common to all roles.
     fn runtime(&mut self) -> &mut NodeRuntime;
 
-    /// All that the process reports of itself.
+    /// The complete report of the process about itself.
     fn report(&self) -> JsonValue;
 
-    /// Writes all metrics.
+    /// Writes all metrics of the process.
     fn write_metrics(&self, metrics: &mut Exposition);
 
-    /// What is known here of a message; null where nothing is.
+    /// What this process knows about a message; null if it does not know the message.
     fn trace(&self, _: Key) -> JsonValue {
         JsonValue::Null
     }
 
-    /// All metrics as text.
+    /// All metrics of the process in the text exposition format.
     fn metrics_text(&self) -> String {
         let mut metrics = Exposition::default();
         self.write_metrics(&mut metrics);
         metrics.text()
     }
 
-    /// Answers what was asked in this turn of the loop.
+    /// Answers the inquiries that were received in this iteration of the event loop.
     fn answer_inquiries(&mut self) {
         for inquiry in std::mem::take(&mut self.runtime().inquiries) {
             match inquiry {
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,5 +1,5 @@
-//! `stilerouted`: the whole ingest and dispatch service in one program; the first word is the role. See docs/system.md for
-//! its design and docs/server.md for running it.
+//! `stilerouted`: the complete ingest and dispatch service in one program, whose first argument is the role of the process. See
+//! docs/system.md for its design and docs/server.md for its operation.
 
 mod callback_url;
 mod calls;
@@ -41,7 +41,7 @@
 fn main() -> ExitCode {
     let args = Args::parse_args_default_or_exit();
     let result = match args.role() {
-        Some(class) => start(&args, class),
+        Some(role) => start(&args, role),
         None => cli::execute(&args),
     };
     let status = result.unwrap_or_else(|error| {
@@ -51,8 +51,8 @@
     ExitCode::from(status)
 }
 
-/// Runs a role until the process is told to end.
-fn start(args: &Args, class: NodeRole) -> Result<ExitStatus, CommandError> {
+/// Runs a role until the process receives the signal to shut down.
+fn start(args: &Args, role: NodeRole) -> Result<ExitStatus, CommandError> {
     let _flush = start_logging(args.log_level()?)?;
     if disk_stalls::are_unsupported() {
         return Err(CommandError::DiskStallsUnsupported);
@@ -61,16 +61,20 @@
     if args.figures.is_some_and(|address| !address.ip().is_loopback()) {
         return Err(CommandError::FiguresNotLoopback);
     }
-    let boot = settings::read(&path, class).map_err(CommandError::Settings)?;
-    let scraped = args.metrics_port.map(|port| SocketAddrV4::new(boot.ip, port));
-    let boot = NodeSettings { metrics_address: args.figures.or(scraped).or(boot.metrics_address), ..boot };
-    match run(boot, &path, class) {
+    let boot = settings::read(&path, role).map_err(CommandError::Settings)?;
+    let metrics_port_address = args.metrics_port.map(|port| SocketAddrV4::new(boot.ip, port));
+    let boot = NodeSettings {
+        metrics_address: args.figures.or(metrics_port_address).or(boot.metrics_address),
+        ..boot
+    };
+    match run(boot, &path, role) {
         Ok(()) => Ok(ExitStatus::Success),
         Err(report) => Err(CommandError::Role { settings: path, report }),
     }
 }
 
-/// Logs to standard error, without colours and without the names of modules. What is given back has to be dropped last.
+/// Starts the logging to standard error, without colours and without module names. The caller must drop the returned guard
+/// last, because dropping it flushes the log.
 fn start_logging(level: tracing::Level) -> Result<FlushOnDrop, CommandError> {
     let (writer, flush) = LogWriter::start(std::io::stderr()).map_err(CommandError::LogThread)?;
     let log = tracing_subscriber::fmt().with_max_level(level).with_ansi(false).with_target(false);
@@ -78,10 +82,10 @@
     Ok(flush)
 }
 
-fn run(boot: NodeSettings, path: &Path, class: NodeRole) -> miette::Result<()> {
-    tracing::info!(node = boot.node_name, role = %class, first = boot.is_first_start, "starts");
-    let runtime = NodeRuntime::start(boot, path, class)?;
-    match class {
+fn run(boot: NodeSettings, path: &Path, role: NodeRole) -> miette::Result<()> {
+    tracing::info!(node = boot.node_name, role = %role, first = boot.is_first_start, "starts");
+    let runtime = NodeRuntime::start(boot, path, role)?;
+    match role {
         NodeRole::Edge => edge::Edge::new(runtime)?.run(),
         NodeRole::Store => store::Store::new(runtime)?.run(),
         NodeRole::Control => control_node::ControlNode::new(runtime)?.run(),
--- a/crates/server/src/report.rs
+++ b/crates/server/src/report.rs
@@ -1,4 +1,4 @@
-//! What every process reports of itself, whatever its role: as JSON for the command line, and as metrics.
+//! The report that a process of any role gives about itself: as JSON for the command line, and as metrics.
 
 use crate::metrics::Exposition;
 use crate::net::Millis;
@@ -8,13 +8,13 @@
 use stileroute_queue::Node;
 use stileroute_wal::Statistics;
 
-/// Milliseconds as the seconds that metrics have.
+/// Converts milliseconds to seconds, the unit of durations in metrics.
 pub fn seconds(ms: Millis) -> f64 {
     ms as f64 / 1000.0
 }
 
 impl NodeRuntime {
-    /// A node's name, or its id in hexadecimal where the name is not known.
+    /// The name of a node, or its id in hexadecimal if the name is not known.
     pub fn node_name(&self, node: Node) -> String {
         let local = self.links.local();
         let members = self.session.members.iter().map(|member| (member.node, &member.name));
@@ -23,7 +23,7 @@
         names.find(|(id, _)| *id == node).map_or_else(|| format!("{node:x}"), |(_, name)| name.clone())
     }
 
-    /// What the processes of all roles report.
+    /// The part of the report that processes of all roles have in common.
     pub fn report(&self) -> JsonValue {
         let local = self.links.local();
         let (first_port, last_port) = self.links.ports();
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Revision of the configuration in force here; 0 where there is none.
+    /// Revision of the configuration that this process uses; 0 if it has none yet.
     fn config_revision(&self) -> u64 {
         self.config.as_ref().map_or(0, |config| config.revision)
     }
@@ -70,7 +70,7 @@
         links.collect::<Vec<_>>().into()
     }
 
-    /// Writes the metrics that all roles have. `listener_name` names the listeners for requests.
+    /// Writes the metrics that all roles have in common. `listener_name` gives the names of the request listeners.
     pub fn write_metrics(&self, metrics: &mut Exposition, listener_name: impl Fn(usize) -> &'static str) {
         let local = self.links.local();
         let class = local.role.to_string();
@@ -104,7 +104,7 @@
         let (now, session) = (self.net.now(), &self.session);
         let is_fresh = self.has_fresh_session();
         let session_age = if is_fresh { now.saturating_sub(session.established_at) } else { 0 };
-        // Where no update came yet, since the process began.
+        // Without any update so far, the age counts from the start of the process.
         let update_age =
             if session.last_update_at == 0 { now } else { now.saturating_sub(session.last_update_at) };
         let help = "1: control nodes answer; 0: nothing is heard.";
@@ -154,7 +154,7 @@
     }
 }
 
-/// A member as reports name it.
+/// A member of the system as it appears in reports.
 pub fn member_as_json(member: &Member) -> JsonValue {
     jzon::object! {
         "node" => member.name.clone(),
@@ -165,7 +165,7 @@
     }
 }
 
-/// Writes what was done on the disk of a role that has one.
+/// Writes the disk metrics, for roles that have a disk.
 pub fn disk_metrics(metrics: &mut Exposition, statistics: &Statistics) {
     let counts = [
         ("records", statistics.records),
--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -1,39 +1,41 @@
-//! Checks of settings that need to know what the program does with them.
+//! Checks of settings that depend on how the program uses them.
 //!
-//! Faults are only what the program cannot work with: a process that does not start is worse than one with an odd value. What
-//! it works with, but perhaps not as one expects, is a warning.
+//! A value is a fault only if the program cannot work with it, because a process that does not start is worse than one that runs
+//! with an unusual value. A value that the program can work with, but whose effect may surprise the operator, is a warning.
 
 use crate::protocol::NodeRole;
 use std::net::SocketAddrV4;
 use std::path::Path;
 use stileroute_config::{ConfigError, FaultReason, NodeSettings, PortRange, SettingsFault};
 
-/// Machines that may be lost at once, at most: for more, each message would go to more stores than any deployment has.
+/// Largest number of simultaneous machine losses that can be configured: to tolerate more losses, each message would need more
+/// stores than any deployment has.
 const MAX_MACHINE_LOSSES: usize = 8;
-/// File descriptors that a process needs at least.
+/// Smallest number of file descriptors that a process can run with.
 const MIN_OPEN_FILES: u64 = 324;
-/// The least disk in which a snapshot and a log fit side by side, in MB.
+/// Smallest disk size, in MB, that can hold a snapshot and a log at the same time.
 const MIN_DISK_MB: u64 = 8;
-/// The largest disk that can be set, in MB: a sixteenth of an exabyte.
+/// Largest disk size, in MB, that can be configured: 2^36 MB, which is a sixteenth of an exabyte.
 const MAX_DISK_MB: u64 = 1 << 36;
 const DAY_MS: u64 = 86_400_000;
-/// What an edge needs to end in order: it still takes new connections for a while, and then finishes its requests.
-const MIN_USUAL_GRACE_MS: u64 = 3500;
-/// Milliseconds between heartbeats that can be set.
+/// Shortest shutdown grace period, in milliseconds, that gives no warning. An edge needs this time for a graceful shutdown:
+/// it still accepts new connections for a while, and then finishes its requests.
+const MIN_RECOMMENDED_GRACE_MS: u64 = 3500;
+/// Range of the heartbeat interval, in milliseconds, that can be configured.
 const HEARTBEAT_INTERVALS_MS: std::ops::RangeInclusive<u64> = 10..=600_000;
-/// The largest factor that the key `bounds.origin_overrun` can set.
+/// Largest factor of the rate limit overrun that the key `bounds.origin_overrun` can set.
 const MAX_RATE_LIMIT_OVERRUN: f64 = 100.0;
 
-/// What a check found.
+/// The faults and warnings that a check found.
 #[derive(Debug, Default)]
 pub struct Findings {
-    /// What the program cannot work with.
+    /// Values that the program cannot work with.
     pub faults: Vec<SettingsFault>,
-    /// What may surprise.
+    /// Values that the program can work with, but whose effect may surprise the operator.
     pub warnings: Vec<SettingsFault>,
 }
 
-/// Collects what is found in one file.
+/// A check of one settings file, which collects faults and warnings.
 struct Check<'a> {
     file: &'a str,
     boot: &'a NodeSettings,
@@ -49,14 +51,14 @@
         }
     }
 
-    /// A fault, unless the condition holds.
+    /// Adds a fault for the key unless the condition holds.
     fn require(&mut self, holds: bool, key: &str, reason: impl Into<String>) {
         if !holds {
             self.findings.faults.push(self.fault(key, reason));
         }
     }
 
-    /// A warning, unless the condition holds.
+    /// Adds a warning for the key unless the condition holds.
     fn expect(&mut self, holds: bool, key: &str, reason: impl Into<String>) {
         if !holds {
             self.findings.warnings.push(self.fault(key, reason));
@@ -71,8 +73,8 @@
         self.require(!boot.seeds.is_empty(), "seed_nodes", "must name one control node at least");
         self.require(!boot.ip.is_unspecified(), "ip", "must be the machine's own address");
         self.check_bind_addresses();
-        let is_usual = HEARTBEAT_INTERVALS_MS.contains(&boot.heartbeat_interval_ms);
-        self.require(is_usual, "beat_interval_ms", "must be from 10 to 600000");
+        let is_in_range = HEARTBEAT_INTERVALS_MS.contains(&boot.heartbeat_interval_ms);
+        self.require(is_in_range, "beat_interval_ms", "must be from 10 to 600000");
         self.check_limits();
     }
 
@@ -89,8 +91,12 @@
             let Some(address) = address else { continue };
             let is_internal = (first..=last).contains(&address.port()) && *address.ip() == boot.ip;
             self.require(!is_internal, key, "must not lie in internal_ports");
-            let same = addresses[..index].iter().find(|(_, other)| *other == Some(*address));
-            self.require(same.is_none(), key, format!("is {} too", same.map_or("", |(key, _)| key)));
+            let duplicate = addresses[..index].iter().find(|(_, other)| *other == Some(*address));
+            self.require(
+                duplicate.is_none(),
+                key,
+                format!("is {} too", duplicate.map_or("", |(key, _)| key)),
+            );
         }
         let is_loopback = boot.metrics_address.is_none_or(|address| address.ip().is_loopback());
         let reason = "must be a loopback address: anyone who reaches it may read it";
@@ -107,8 +113,8 @@
         let reason = format!("must be less than the {zones} there are");
         self.require(boot.fault_tolerance.zones < zones, "tolerate.zones", reason);
         self.require(boot.bounds.shutdown_grace_ms <= DAY_MS, "bounds.grace_s", "must be a day or less");
-        let is_usual = boot.bounds.shutdown_grace_ms >= MIN_USUAL_GRACE_MS;
-        self.expect(is_usual, "bounds.grace_s", "an edge needs 3.5 s to end in order");
+        let is_long_enough = boot.bounds.shutdown_grace_ms >= MIN_RECOMMENDED_GRACE_MS;
+        self.expect(is_long_enough, "bounds.grace_s", "an edge needs 3.5 s to end in order");
     }
 
     fn check_edge(&mut self) {
@@ -142,9 +148,9 @@
         self.check_disk(NodeRole::Control);
     }
 
-    fn check_disk(&mut self, class: NodeRole) {
+    fn check_disk(&mut self, role: NodeRole) {
         let has_folder = self.boot.data_dir.is_some();
-        self.require(has_folder, "data_dir", format!("missing, and a {class} needs it"));
+        self.require(has_folder, "data_dir", format!("missing, and a {role} needs it"));
         let disk_mb = self.boot.resources.disk_mb;
         let is_usable = disk_mb == 0 || (MIN_DISK_MB..=MAX_DISK_MB).contains(&disk_mb);
         let reason = format!("must be 0 (unknown) or from {MIN_DISK_MB} to {MAX_DISK_MB}");
@@ -152,12 +158,12 @@
     }
 }
 
-/// Checks settings for the given roles. `file` is the name that faults and warnings give.
-pub fn check(file: &str, boot: &NodeSettings, classes: &[NodeRole]) -> Findings {
+/// Checks settings for the given roles. `file` is the file name that faults and warnings show.
+pub fn check(file: &str, boot: &NodeSettings, roles: &[NodeRole]) -> Findings {
     let mut check = Check { file, boot, findings: Findings::default() };
     check.check_all_roles();
-    for class in classes {
-        match class {
+    for role in roles {
+        match role {
             NodeRole::Edge => check.check_edge(),
             NodeRole::Store => check.check_store(),
             NodeRole::Control => check.check_control_node(),
@@ -167,14 +173,14 @@
     check.findings
 }
 
-/// Reads the settings of a role that is to run. Warnings are logged.
+/// Reads and checks the settings for the role that this process will run. Warnings are logged.
 ///
 /// # Errors
 ///
-/// All that is wrong with them.
-pub fn read(path: &Path, class: NodeRole) -> Result<NodeSettings, ConfigError> {
+/// If the settings can't be read or have faults; the error lists all faults that were found.
+pub fn read(path: &Path, role: NodeRole) -> Result<NodeSettings, ConfigError> {
     let boot = NodeSettings::read(path)?;
-    let findings = check(&path.display().to_string(), &boot, &[class]);
+    let findings = check(&path.display().to_string(), &boot, &[role]);
     for warning in findings.warnings {
         tracing::warn!("{warning}");
     }
--- a/crates/server/src/start_error.rs
+++ b/crates/server/src/start_error.rs
@@ -1,4 +1,4 @@
-//! Why a role could not be started.
+//! Errors that prevent a role from starting.
 
 use crate::disk_owner::OwnerError;
 use std::path::PathBuf;
@@ -10,36 +10,36 @@
     /// A setting that this role needs is missing.
     #[error("settings: {key}: missing for {role}")]
     MissingSetting {
-        /// The key in the settings file.
+        /// The missing key of the settings file.
         key: &'static str,
-        /// Who needs it.
+        /// The role that needs the setting.
         role: &'static str,
     },
     /// The folder for the log could not be created.
     #[error("{}: {source}", folder.display())]
     DataFolder {
-        /// The folder.
+        /// The folder that could not be created.
         folder: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The data folder belongs to another node, or does not say whose it is.
+    /// The data folder belongs to another node, or its owner file can't be read or written.
     #[error("data_dir: {0}")]
     DataOwner(#[from] OwnerError),
     /// The log could not be opened.
     #[error("{}: {source}", folder.display())]
     Log {
-        /// Its folder.
+        /// The folder of the log.
         folder: PathBuf,
-        /// What is wrong with it.
+        /// Why the log could not be opened.
         source: OpenError,
     },
-    /// An address could not be listened on.
+    /// The process could not listen on an address.
     #[error("{purpose} address: {source}")]
     Listen {
-        /// What the address is for.
+        /// The purpose of the address, for the error message.
         purpose: &'static str,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
