--- a/crates/server/src/cli/control_api.rs
+++ b/crates/server/src/cli/control_api.rs
@@ -15,7 +15,7 @@
 /// Time limit for all calls of one command together.
 const TOTAL_TIMEOUT: Duration = Duration::from_secs(15);
 /// Pause before all control nodes are called again.
-const ROUND_PAUSE: Duration = Duration::from_millis(300);
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 /// Largest accepted length of an answer, in bytes.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
 /// Largest accepted number of headers in an answer.
@@ -62,7 +62,7 @@
     }
 
     /// Whether the answer is definite; otherwise the next control node is called.
-    fn is_clear(&self) -> bool {
+    fn is_definite(&self) -> bool {
         self.status < 500 && ![408, 429].contains(&self.status)
     }
 
@@ -99,42 +99,47 @@
     ///
     /// # Errors
     ///
-    /// [`OrderError::NoControlNode`] or [`OrderError::NoClearAnswer`]: the call may or may not have been executed.
+    /// [`OrderError::NoControlNode`] or [`OrderError::NoDefiniteAnswer`]: the call may or may not have been executed.
     pub fn call(&self, method: &str, path: &str, body: &[u8]) -> Result<Reply, OrderError> {
         if self.addresses.is_empty() {
             return Err(OrderError::NoControlNode);
         }
-        let mut last = String::new();
+        let mut last_answer = String::new();
         while Instant::now() < self.deadline {
             for address in &self.addresses {
-                match call_one(*address, method, path, body) {
-                    Ok(reply) if reply.is_clear() => return Ok(reply),
-                    Ok(reply) => last = format!("{address}: {}", reply.reason()),
-                    Err(error) => last = error.to_string(),
+                match call_control_node(*address, method, path, body) {
+                    Ok(reply) if reply.is_definite() => return Ok(reply),
+                    Ok(reply) => last_answer = format!("{address}: {}", reply.reason()),
+                    Err(error) => last_answer = error.to_string(),
                 }
             }
-            std::thread::park_timeout(ROUND_PAUSE);
+            std::thread::park_timeout(RETRY_PAUSE);
         }
-        Err(OrderError::NoClearAnswer { last })
+        Err(OrderError::NoDefiniteAnswer { last_answer })
     }
 
     /// Reads the configuration that is in force, byte for byte as the operator sent it.
     ///
     /// # Errors
     ///
-    /// [`OrderError::NothingInForce`] if there is no configuration yet, and the errors of [`ControlApi::call`].
+    /// [`OrderError::NoConfigurationInForce`] if there is no configuration yet, and the errors of [`ControlApi::call`].
     pub fn configuration_in_force(&self) -> Result<Vec<u8>, OrderError> {
         let reply = self.call("GET", "/v1/settings/read", b"")?;
         match reply.status {
             200 => Ok(reply.body),
-            404 => Err(OrderError::NothingInForce),
-            _ => Err(OrderError::Unclear { reason: reply.reason() }),
+            404 => Err(OrderError::NoConfigurationInForce),
+            _ => Err(OrderError::UnexpectedAnswer { reason: reply.reason() }),
         }
     }
 }
 
 /// Sends one call to one control node over a separate connection.
-fn call_one(address: SocketAddrV4, method: &str, path: &str, body: &[u8]) -> Result<Reply, CallError> {
+fn call_control_node(
+    address: SocketAddrV4,
+    method: &str,
+    path: &str,
+    body: &[u8],
+) -> Result<Reply, CallError> {
     let io_error = |source| CallError::Io { address, source };
     let mut stream = TcpStream::connect_timeout(&SocketAddr::V4(address), IO_TIMEOUT).map_err(io_error)?;
     stream.set_read_timeout(Some(IO_TIMEOUT)).map_err(io_error)?;
--- a/crates/server/src/cli/discovery.rs
+++ b/crates/server/src/cli/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovers all processes of a running system, starting from one process or from a settings file.
 
 use super::error::CommandError;
-use super::internal_client::{ask_for_json, AskError};
+use super::internal_client::{request_json, RequestError};
 use super::query::{EntryPoint, SettingsScope};
 use crate::links;
 use crate::protocol::{Frame, NodeRole};
@@ -11,7 +11,7 @@
 use std::net::SocketAddrV4;
 
 /// Number of processes that are asked concurrently, each by a separate thread.
-const PARALLEL_REQUESTS: usize = 32;
+const MAX_CONCURRENT_REQUESTS: usize = 32;
 /// Largest number of processes that one discovery asks.
 const MAX_PROCESSES: usize = 5000;
 
@@ -27,7 +27,7 @@
 pub struct UnreachableProcess {
     /// The node name of the process, if the report of another process names it.
     name: Option<String>,
-    error: AskError,
+    error: RequestError,
 }
 
 impl fmt::Display for UnreachableProcess {
@@ -103,7 +103,7 @@
         let mut next: Vec<SocketAddrV4> = first.into_iter().collect();
         while !next.is_empty() && self.asked.len() < MAX_PROCESSES {
             self.asked.extend(next.iter().copied());
-            let answers: Vec<_> = next.chunks(PARALLEL_REQUESTS).flat_map(ask_all).collect();
+            let answers: Vec<_> = next.chunks(MAX_CONCURRENT_REQUESTS).flat_map(request_reports).collect();
             next.clear();
             for (address, answer) in answers {
                 self.add_answer(address, answer, &mut next);
@@ -114,7 +114,7 @@
     fn add_answer(
         &mut self,
         address: SocketAddrV4,
-        answer: Result<JsonValue, AskError>,
+        answer: Result<JsonValue, RequestError>,
         next: &mut Vec<SocketAddrV4>,
     ) {
         let report = match answer {
@@ -147,17 +147,17 @@
 }
 
 /// Asks the processes at the given addresses for their reports concurrently.
-fn ask_all(addresses: &[SocketAddrV4]) -> Vec<(SocketAddrV4, Result<JsonValue, AskError>)> {
+fn request_reports(addresses: &[SocketAddrV4]) -> Vec<(SocketAddrV4, Result<JsonValue, RequestError>)> {
     std::thread::scope(|scope| {
         let threads: Vec<_> = addresses
             .iter()
             .map(|address| {
-                (*address, scope.spawn(|| ask_for_json(*address, &Frame::ReportRequest { request_id: 1 })))
+                (*address, scope.spawn(|| request_json(*address, &Frame::ReportRequest { request_id: 1 })))
             })
             .collect();
         threads
             .into_iter()
-            .map(|(address, thread)| (address, thread.join().unwrap_or(Err(AskError::Panicked))))
+            .map(|(address, thread)| (address, thread.join().unwrap_or(Err(RequestError::Panicked))))
             .collect()
     })
 }
--- a/crates/server/src/cli/figures.rs
+++ b/crates/server/src/cli/figures.rs
@@ -1,7 +1,7 @@
 //! `stilerouted figures`: shows the metrics of one process.
 
 use super::error::CommandError;
-use super::internal_client::ask;
+use super::internal_client::send_request;
 use super::output::{print, ExitStatus, OutputFormat};
 use super::query::{Query, SettingsScope};
 use crate::protocol::Frame;
@@ -15,7 +15,7 @@
 pub fn figures(query: &Query<'_>) -> Result<ExitStatus, CommandError> {
     let mut reasons = Vec::new();
     for address in query.entry.addresses(SettingsScope::Machine)? {
-        match ask(address, &Frame::MetricsRequest { request_id: 1 }) {
+        match send_request(address, &Frame::MetricsRequest { request_id: 1 }) {
             Ok(text) => {
                 match query.format {
                     OutputFormat::Json => print(&samples_as_json(&text).pretty(2)),
--- a/crates/server/src/cli/internal_client.rs
+++ b/crates/server/src/cli/internal_client.rs
@@ -16,7 +16,7 @@
 
 /// Errors of a request to one process.
 #[derive(Debug, thiserror::Error)]
-pub enum AskError {
+pub enum RequestError {
     /// The connection to the process could not be opened, or it failed.
     #[error("{address}: {source}")]
     Io {
@@ -34,8 +34,8 @@
         source: postcard::Error,
     },
     /// The process closed the connection before it answered.
-    #[error("{address}: hung up: no stilerouted, or of another protocol")]
-    HungUp {
+    #[error("{address}: closed the connection before it answered: not a stilerouted, or one with another protocol")]
+    ConnectionClosed {
         /// The address of the process that was asked.
         address: SocketAddrV4,
     },
@@ -62,7 +62,7 @@
         source: jzon::Error,
     },
     /// The thread that sent the request panicked.
-    #[error("broke off")]
+    #[error("the thread that sent the request panicked")]
     Panicked,
 }
 
@@ -71,14 +71,14 @@
 /// # Errors
 ///
 /// If the process could not be reached, or did not answer in the internal protocol.
-pub fn ask(address: SocketAddrV4, request: &Frame) -> Result<String, AskError> {
-    let io_error = |source| AskError::Io { address, source };
+pub fn send_request(address: SocketAddrV4, request: &Frame) -> Result<String, RequestError> {
+    let io_error = |source| RequestError::Io { address, source };
     let mut stream = TcpStream::connect_timeout(&SocketAddr::V4(address), IO_TIMEOUT).map_err(io_error)?;
     stream.set_read_timeout(Some(IO_TIMEOUT)).map_err(io_error)?;
     stream.set_write_timeout(Some(IO_TIMEOUT)).map_err(io_error)?;
     for request_frame in [&Frame::Hello(command_line_hello()), request] {
         let frame =
-            postcard::to_stdvec(request_frame).map_err(|source| AskError::Encode { address, source })?;
+            postcard::to_stdvec(request_frame).map_err(|source| RequestError::Encode { address, source })?;
         stream.write_all(&(frame.len() as u32).to_le_bytes()).map_err(io_error)?;
         stream.write_all(&frame).map_err(io_error)?;
     }
@@ -88,7 +88,7 @@
             Ok(Frame::InspectionReply { text, .. }) => return Ok(text),
             // The process also sends its hello and its keep-alives, which are skipped.
             Ok(_) => {}
-            Err(_) => return Err(AskError::OtherProtocol { address }),
+            Err(_) => return Err(RequestError::OtherProtocol { address }),
         }
     }
 }
@@ -97,10 +97,10 @@
 ///
 /// # Errors
 ///
-/// The errors of [`ask`], and [`AskError::Json`] if the answer is not valid JSON.
-pub fn ask_for_json(address: SocketAddrV4, request: &Frame) -> Result<jzon::JsonValue, AskError> {
-    let text = ask(address, request)?;
-    jzon::parse(&text).map_err(|source| AskError::Json { address, source })
+/// The errors of [`send_request`], and [`RequestError::Json`] if the answer is not valid JSON.
+pub fn request_json(address: SocketAddrV4, request: &Frame) -> Result<jzon::JsonValue, RequestError> {
+    let text = send_request(address, request)?;
+    jzon::parse(&text).map_err(|source| RequestError::Json { address, source })
 }
 
 /// The hello frame of a command line, which is not a node of the system.
@@ -119,20 +119,20 @@
 }
 
 /// Reads one frame: its length as 4 bytes in little-endian order, followed by that many bytes.
-fn read_frame(stream: &mut TcpStream, address: SocketAddrV4) -> Result<Vec<u8>, AskError> {
+fn read_frame(stream: &mut TcpStream, address: SocketAddrV4) -> Result<Vec<u8>, RequestError> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).map_err(|source| match source.kind() {
-        ErrorKind::UnexpectedEof => AskError::HungUp { address },
-        _ => AskError::Io { address, source },
+        ErrorKind::UnexpectedEof => RequestError::ConnectionClosed { address },
+        _ => RequestError::Io { address, source },
     })?;
     if length == *HTTP_START {
-        return Err(AskError::Http { address });
+        return Err(RequestError::Http { address });
     }
     let length = u32::from_le_bytes(length) as usize;
     if length > MAX_FRAME_BYTES {
-        return Err(AskError::OtherProtocol { address });
+        return Err(RequestError::OtherProtocol { address });
     }
     let mut frame = vec![0; length];
-    stream.read_exact(&mut frame).map_err(|source| AskError::Io { address, source })?;
+    stream.read_exact(&mut frame).map_err(|source| RequestError::Io { address, source })?;
     Ok(frame)
 }
--- a/crates/server/src/cli/message.rs
+++ b/crates/server/src/cli/message.rs
@@ -2,10 +2,10 @@
 
 use super::discovery::Fleet;
 use super::error::CommandError;
-use super::internal_client::ask_for_json;
+use super::internal_client::request_json;
 use super::output::{print, ExitStatus, OutputFormat};
 use super::query::Query;
-use super::status::joined;
+use super::status::join_with_spaces;
 use crate::protocol::Frame;
 use jzon::JsonValue;
 use stileroute_queue::{Key, KeyLocation};
@@ -20,24 +20,24 @@
         Key::parse(id).ok_or_else(|| CommandError::InvalidMessageId(id.to_string()))?;
     let fleet = Fleet::discover(&query.entry)?;
     let mut stores = JsonValue::new_object();
-    let mut silent: Vec<String> = fleet.unreachable.values().map(ToString::to_string).collect();
+    let mut unreachable: Vec<String> = fleet.unreachable.values().map(ToString::to_string).collect();
     for (name, process) in &fleet.reports {
         if process.report["class"] != "store" {
             continue;
         }
-        match ask_for_json(process.address, &Frame::TraceRequest { request_id: 1, key }) {
+        match request_json(process.address, &Frame::TraceRequest { request_id: 1, key }) {
             Ok(trace) => stores[&**name] = trace,
-            Err(error) => silent.push(error.to_string()),
+            Err(error) => unreachable.push(error.to_string()),
         }
     }
     let is_known = stores.entries().any(|(_, trace)| !trace.is_null());
     match query.format {
         OutputFormat::Json => {
-            print(&jzon::object! { "message" => id, "stores" => stores, "silent" => silent }.pretty(2));
+            print(&jzon::object! { "message" => id, "stores" => stores, "silent" => unreachable }.pretty(2));
         }
         OutputFormat::Text => {
             stores.entries().for_each(|(store, trace)| print(&format!("{store}: {}", trace_as_text(trace))));
-            silent.iter().for_each(|reason| print(&format!("SILENT {reason}")));
+            unreachable.iter().for_each(|reason| print(&format!("SILENT {reason}")));
         }
     }
     Ok(if is_known { ExitStatus::Success } else { ExitStatus::Failure })
@@ -51,7 +51,7 @@
         "{}, owner {}, copies {}, term {}, tries {}",
         trace["stage"],
         trace["owner"],
-        joined(&trace["copies"]),
+        join_with_spaces(&trace["copies"]),
         trace["term"],
         trace["tries"]
     );
--- a/crates/server/src/cli/order_error.rs
+++ b/crates/server/src/cli/order_error.rs
@@ -9,20 +9,20 @@
     #[error("unclear: no control node is known")]
     NoControlNode,
     /// No control node gave a definite answer in time.
-    #[error("unclear, send it again: {last}")]
-    NoClearAnswer {
+    #[error("unclear, send it again: {last_answer}")]
+    NoDefiniteAnswer {
         /// The last answer of a control node, or the reason why there was none.
-        last: String,
+        last_answer: String,
     },
     /// A control node gave an answer that this command does not expect.
     #[error("unclear: {reason}")]
-    Unclear {
+    UnexpectedAnswer {
         /// HTTP status and reason of the control node's answer.
         reason: String,
     },
     /// No configuration is in force yet.
     #[error("no configuration is in force yet")]
-    NothingInForce,
+    NoConfigurationInForce,
     /// The control nodes rejected the configuration.
     #[error("refused: {reason}")]
     ConfigurationRejected {
@@ -49,10 +49,10 @@
     /// The exit status of the command for this error.
     pub fn exit_status(&self) -> ExitStatus {
         match self {
-            OrderError::NoControlNode | OrderError::NoClearAnswer { .. } | OrderError::Unclear { .. } => {
-                ExitStatus::Unclear
-            }
-            OrderError::NothingInForce | OrderError::RetirementRejected { .. } => ExitStatus::Differs,
+            OrderError::NoControlNode
+            | OrderError::NoDefiniteAnswer { .. }
+            | OrderError::UnexpectedAnswer { .. } => ExitStatus::OutcomeUnknown,
+            OrderError::NoConfigurationInForce | OrderError::RetirementRejected { .. } => ExitStatus::Differs,
             OrderError::ConfigurationRejected { .. } | OrderError::UnknownStore { .. } => {
                 ExitStatus::Unusable
             }
--- a/crates/server/src/cli/output.rs
+++ b/crates/server/src/cli/output.rs
@@ -35,7 +35,7 @@
     /// A different configuration is in force, a command was rejected, or the retirement of a store is not complete.
     Differs = 3,
     /// No control node gave a definite answer in time, so that the command may or may not have been executed.
-    Unclear = 4,
+    OutcomeUnknown = 4,
 }
 
 impl From<ExitStatus> for ExitCode {
--- a/crates/server/src/cli/services.rs
+++ b/crates/server/src/cli/services.rs
@@ -14,13 +14,13 @@
     let mut services: BTreeMap<String, JsonValue> = BTreeMap::new();
     for store in fleet.reports_of(NodeRole::Store) {
         let store_name = store["node"].to_string();
-        for part in store["services"].members() {
-            let total = services.entry(part["service"].to_string()).or_insert_with(empty_service);
-            add_counters(total, part);
-            add_rate_limit(total, part, &store_name);
+        for reported in store["services"].members() {
+            let total = services.entry(reported["service"].to_string()).or_insert_with(empty_service);
+            add_counters(total, reported);
+            add_rate_limit(total, reported, &store_name);
             total["stores"][&*store_name] =
-                jzon::object! { "waiting" => part["waiting"].clone(), "out" => part["out"].clone() };
-            for executor in part["executors"].members() {
+                jzon::object! { "waiting" => reported["waiting"].clone(), "out" => reported["out"].clone() };
+            for executor in reported["executors"].members() {
                 add_executor(&mut total["executors"], executor, &store_name, &executors);
             }
         }
@@ -56,21 +56,21 @@
     }
 }
 
-fn sum(one: &JsonValue, other: &JsonValue) -> JsonValue {
-    (one.as_u64().unwrap_or(0) + other.as_u64().unwrap_or(0)).into()
+fn sum(left: &JsonValue, right: &JsonValue) -> JsonValue {
+    (left.as_u64().unwrap_or(0) + right.as_u64().unwrap_or(0)).into()
 }
 
-fn add_counters(total: &mut JsonValue, part: &JsonValue) {
-    total["waiting"] = sum(&total["waiting"], &part["waiting"]);
-    total["out"] = sum(&total["out"], &part["out"]);
+fn add_counters(total: &mut JsonValue, reported: &JsonValue) {
+    total["waiting"] = sum(&total["waiting"], &reported["waiting"]);
+    total["out"] = sum(&total["out"], &reported["out"]);
     for counter in RETRY_COUNTERS {
-        total["repeats"][counter] = sum(&total["repeats"][counter], &part["repeats"][counter]);
+        total["repeats"][counter] = sum(&total["repeats"][counter], &reported["repeats"][counter]);
     }
-    total["oldest_ms"] = total["oldest_ms"].as_u64().max(part["oldest_ms"].as_u64()).into();
+    total["oldest_ms"] = total["oldest_ms"].as_u64().max(reported["oldest_ms"].as_u64()).into();
 }
 
-fn add_rate_limit(total: &mut JsonValue, part: &JsonValue, store_name: &str) {
-    let rate_limit = &part["ceiling"];
+fn add_rate_limit(total: &mut JsonValue, reported: &JsonValue, store_name: &str) {
+    let rate_limit = &reported["ceiling"];
     if rate_limit.is_null() {
         return;
     }
@@ -86,19 +86,19 @@
 
 fn add_executor(
     executors: &mut JsonValue,
-    part: &JsonValue,
+    reported: &JsonValue,
     store_name: &str,
     executors_by_id: &BTreeMap<String, JsonValue>,
 ) {
-    let id = part["id"].to_string();
+    let id = reported["id"].to_string();
     let executor = &mut executors[&*id];
     if executor.is_null() {
         *executor = executors_by_id.get(&id).cloned().unwrap_or_else(JsonValue::new_object);
         executor["out"] = 0.into();
         executor["shares"] = JsonValue::new_object();
     }
-    executor["out"] = sum(&executor["out"], &part["out"]);
-    executor["shares"][store_name] = part["share"].clone();
+    executor["out"] = sum(&executor["out"], &reported["out"]);
+    executor["shares"][store_name] = reported["share"].clone();
 }
 
 /// Adds the executors that no store lists, because no configuration names their service or they have just registered.
--- a/crates/server/src/cli/status.rs
+++ b/crates/server/src/cli/status.rs
@@ -9,7 +9,7 @@
 use jzon::JsonValue;
 
 /// Keys of a report that are left out, because they are shown elsewhere or only serve to discover other processes.
-const KEYS_LEFT_OUT: [&str; 5] = ["known", "links", "executors", "services", "ports"];
+const OMITTED_KEYS: [&str; 5] = ["known", "links", "executors", "services", "ports"];
 
 /// Shows the state of the running system.
 ///
@@ -26,7 +26,7 @@
 }
 
 fn as_json(fleet: &Fleet) -> JsonValue {
-    let silent: Vec<JsonValue> =
+    let unreachable: Vec<JsonValue> =
         fleet.unreachable.values().map(|process| process.to_string().into()).collect();
     let leading = fleet.leading_control_report();
     let control = leading.map_or(JsonValue::Null, |report| report["duty"].clone());
@@ -36,14 +36,14 @@
         "control" => control,
         "storage" => storage,
         "nodes" => nodes,
-        "silent" => silent,
+        "silent" => unreachable,
         "services" => services(fleet),
     }
 }
 
 fn node_as_json(process: &ProcessReport) -> JsonValue {
     let mut node = process.report.clone();
-    for key in KEYS_LEFT_OUT {
+    for key in OMITTED_KEYS {
         node.remove(key);
     }
     node["internal"] = process.address.to_string().into();
@@ -71,7 +71,7 @@
     let leader = fleet.reports_of(NodeRole::Control).find(|report| report["duty"]["leads"] == true);
     let leader = leader.map_or("nobody leads now".to_string(), |report| format!("{} leads", report["node"]));
     let mut text = format!("control: epoch {}, primary {}, {leader}\n", control["epoch"], control["primary"]);
-    let (replicas, voters) = (joined(&control["copies"]), joined(&control["voters"]));
+    let (replicas, voters) = (join_with_spaces(&control["copies"]), join_with_spaces(&control["voters"]));
     text += &format!("  copies: {replicas}\n  voters: {voters}\n");
     text += &storage_as_text(&report["storage"]);
     for report in fleet.reports_of(NodeRole::Control).filter(|report| report["duty"]["blank"] == true) {
@@ -90,7 +90,7 @@
 }
 
 /// Joins the members of a JSON array with spaces.
-pub fn joined(values: &JsonValue) -> String {
+pub fn join_with_spaces(values: &JsonValue) -> String {
     values.members().map(JsonValue::to_string).collect::<Vec<_>>().join(" ")
 }
 
@@ -156,7 +156,7 @@
         service["waiting"], service["out"], service["oldest_ms"]
     );
     if !service["ceiling"].is_null() {
-        let holders = joined(&service["ceiling"]["holders"]);
+        let holders = join_with_spaces(&service["ceiling"]["holders"]);
         let holders = if holders.is_empty() { "nobody".to_string() } else { holders };
         text += &format!(", at most {}/s, tokens by {holders}", service["ceiling"]["rate_per_s"]);
     }
--- a/crates/server/src/cli/verify.rs
+++ b/crates/server/src/cli/verify.rs
@@ -194,9 +194,9 @@
     }
 }
 
-fn is_sound(folder: &JsonValue) -> bool {
-    let has_unreadable = folder["records_by_kind"][UNDECODABLE_KIND].as_u64().unwrap_or(0) > 0;
-    folder["opens"] == true && !has_unreadable && folder["configuration_reads"] != false
+fn is_intact(folder: &JsonValue) -> bool {
+    let has_undecodable = folder["records_by_kind"][UNDECODABLE_KIND].as_u64().unwrap_or(0) > 0;
+    folder["opens"] == true && !has_undecodable && folder["configuration_reads"] != false
 }
 
 /// Reads and checks a complete data folder. Returns [`ExitStatus::Failure`] if a log is damaged, and [`ExitStatus::Unusable`] if
@@ -227,7 +227,7 @@
             folders.entries().for_each(|(name, folder)| print(&folder_as_text(name, folder)));
         }
     }
-    if folders.entries().all(|(_, folder)| is_sound(folder)) {
+    if folders.entries().all(|(_, folder)| is_intact(folder)) {
         ExitStatus::Success
     } else {
         ExitStatus::Failure
--- a/crates/server/tests/check_config.rs
+++ b/crates/server/tests/check_config.rs
@@ -1,12 +1,12 @@
-//! `stilerouted check config` and the bound of the control nodes.
+//! `stilerouted check config` applies the configuration size limit of the control nodes.
 
 use std::fs;
 use std::process::Command;
 
-/// What control nodes refuse with 413 beyond.
+/// Largest configuration, in bytes, that control nodes accept; they reject a larger one with 413.
 const MAX_CONFIGURATION_BYTES: usize = 4 << 20;
 
-/// A valid configuration of so many bytes; keys that are not known are passed over.
+/// Builds a valid configuration of the given length in bytes; an unknown key, which is ignored, pads it.
 fn configuration(bytes: usize) -> String {
     let (head, tail) = (r#"{"revision":1,"routes":[],"backends":[],"note":""#, r#""}"#);
     format!("{head}{}{tail}", "x".repeat(bytes - head.len() - tail.len()))
--- a/crates/server/tests/commands.rs
+++ b/crates/server/tests/commands.rs
@@ -1,5 +1,5 @@
-//! What docs/replace.md says of machines that are replaced, retired and lost, on three cores, three stores and an edge on
-//! loopback: each command that it shows is tried, in the state that it is shown for.
+//! Tests the procedures of docs/replace.md for replaced, retired and lost machines, with three control nodes, three stores and an
+//! edge on loopback addresses. Each command of that page is run in the system state that the page shows it for.
 
 use assert_matches::assert_matches;
 use std::fs::{self, File};
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 const DOCS: &str = include_str!("../../../docs/replace.md");
-/// The service has no executor, so what is sent stays.
+/// The service of this configuration has no executor, so messages that are sent to it stay in the queue.
 const CONFIG: &str = r#"{"revision":REV,"routes":[{"name":"stuck","hostname":"quay.example","path_prefix":"/",
  "route_type":"deferred","timeout_ms":1500,"target_ms":80,"priority":1,"backend":"lock","max_tries":4,
  "max_wait_s":600,"run_target_ms":1000}],"backends":[{"name":"lock"}],"limits":{}}"#;
@@ -19,8 +19,8 @@
 struct Fleet {
     dir: PathBuf,
     net: String,
-    end: Instant,
-    /// Told when the test fails.
+    deadline: Instant,
+    /// Id of the message whose trace is printed when the test fails.
     message: String,
     children: Vec<(String, Child)>,
 }
@@ -56,28 +56,28 @@
         static FLEETS: AtomicU32 = AtomicU32::new(0);
         let (pid, fleet) = (std::process::id(), FLEETS.fetch_add(1, Ordering::Relaxed));
         let dir = std::env::temp_dir().join(format!("stilerouted-commands-{pid}-{fleet}"));
-        // Each test has a net of its own, and so have two runs at a time.
+        // Each test uses a separate loopback network, also when two test runs are active at the same time.
         let net = format!("127.{}.{}", 192 + 15 * fleet + pid / 250 % 15, 1 + pid % 250);
         Fleet {
             dir,
             net,
-            end: Instant::now() + Duration::from_secs(60),
+            deadline: Instant::now() + Duration::from_secs(60),
             message: String::new(),
             children: Vec::new(),
         }
     }
 
-    fn until<T>(&self, what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+    fn wait_for<T>(&self, what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
         loop {
-            if let Some(found) = look() {
+            if let Some(found) = poll() {
                 return found;
             }
-            assert!(Instant::now() < self.end, "in vain: {what}");
+            assert!(Instant::now() < self.deadline, "timed out waiting for: {what}");
             std::thread::park_timeout(Duration::from_millis(20));
         }
     }
 
-    /// core-1 to core-3 are hosts 1 to 3, storage-1 to storage-3 hosts 11 to 13, edge-1 host 21.
+    /// Starts a node. core-1 to core-3 are hosts 1 to 3, storage-1 to storage-3 hosts 11 to 13, edge-1 host 21 of the network.
     fn start(&mut self, name: &str, first: bool) {
         self.start_with(name, first, &[]);
     }
@@ -121,42 +121,42 @@
         child.wait().unwrap();
     }
 
-    /// The exit code of a process that has ended by itself.
+    /// The exit code of a process that has exited without being killed; `None` while it runs.
     fn exit_code(&mut self, name: &str) -> Option<i32> {
         let (_, child) = self.children.iter_mut().find(|(n, _)| n == name).unwrap();
         child.try_wait().unwrap().and_then(|status| status.code())
     }
 
-    /// Two machines that are off get each other's disk.
-    fn swap_disks(&self, one: &str, other: &str) {
+    /// Swaps the disks of two stopped machines.
+    fn swap_disks(&self, first: &str, second: &str) {
         let data = |name: &str| self.dir.join(name).join("data");
         let aside = self.dir.join("aside");
-        fs::rename(data(one), &aside).unwrap();
-        fs::rename(data(other), data(one)).unwrap();
-        fs::rename(aside, data(other)).unwrap();
+        fs::rename(data(first), &aside).unwrap();
+        fs::rename(data(second), data(first)).unwrap();
+        fs::rename(aside, data(second)).unwrap();
     }
 
     fn log(&self, name: &str) -> String {
         fs::read_to_string(self.dir.join(name).join("log")).unwrap()
     }
 
-    /// Its settings file gets this in the place of that, and it is told so.
-    fn settings(&self, name: &str, that: &str, this: &str) {
+    /// Replaces `from` with `to` in the settings file of a node, and sends SIGHUP to its process.
+    fn change_settings(&self, name: &str, from: &str, to: &str) {
         let boot = self.dir.join(name).join("node.json");
         let text = fs::read_to_string(&boot).unwrap();
-        assert!(text.contains(that));
-        fs::write(&boot, text.replace(that, this)).unwrap();
+        assert!(text.contains(from));
+        fs::write(&boot, text.replace(from, to)).unwrap();
         let (_, child) = self.children.iter().find(|(n, _)| n == name).unwrap();
-        let told = Command::new("kill").args(["-HUP", &child.id().to_string()]).status().unwrap();
-        assert!(told.success());
+        let signalled = Command::new("kill").args(["-HUP", &child.id().to_string()]).status().unwrap();
+        assert!(signalled.success());
     }
 
-    /// The machine gets an empty disk.
+    /// Replaces the disk of a machine with an empty one.
     fn wipe(&self, name: &str) {
         fs::remove_dir_all(self.dir.join(name).join("data")).unwrap();
     }
 
-    /// A command of the docs, after the program's name, with what this fleet has in the place of the examples.
+    /// Runs a `stilerouted` command of the docs, with the example values replaced by those of this fleet.
     fn stilerouted(&self, words: &str, message: &str) -> Output {
         assert!(DOCS.lines().any(|line| line == format!("stilerouted {words}")), "not in the docs: {words}");
         let words = words
@@ -167,7 +167,7 @@
         Command::new(env!("CARGO_BIN_EXE_stilerouted")).args(words.split(' ')).output().unwrap()
     }
 
-    /// Status and body of an answer, if there is one, and the message's name.
+    /// Sends an HTTP request. Returns the status, the body and the message id of the answer, or `None` without an answer.
     fn http(&self, at: &str, method: &str, path: &str, body: &str) -> Option<(u16, String, String)> {
         let address: SocketAddr = format!("{}.{at}", self.net).parse().unwrap();
         let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(1)).ok()?;
@@ -183,13 +183,13 @@
         Some((head.split(' ').nth(1)?.parse().ok()?, body.to_string(), name.to_string()))
     }
 
-    /// A curl line of the docs, at this core.
-    fn curl(&self, core: u8, line: &str, of: &str, with: &str) -> Option<(u16, String, String)> {
+    /// Sends the request of a curl command of the docs to the given control node.
+    fn curl(&self, core: u8, line: &str, example: &str, actual: &str) -> Option<(u16, String, String)> {
         assert!(DOCS.lines().any(|shown| shown == line), "not in the docs: {line}");
         let (words, path) = line.split_once(" http://10.1.0.14:8262").unwrap();
         let body = words.split_once(" -d ").map_or("", |(_, body)| body.trim_matches('\''));
         let method = if body.is_empty() { "GET" } else { "POST" };
-        self.http(&format!("{core}:18262"), method, &path.replace(of, with), body)
+        self.http(&format!("{core}:18262"), method, &path.replace(example, actual), body)
     }
 
     fn configure(&self, revision: u64) -> Option<u16> {
@@ -201,12 +201,12 @@
         self.http("21:18263", "POST", "/crate", "heavy")
     }
 
-    /// The name of a message that has been accepted.
-    fn accepted(&self) -> String {
-        self.until("taken", || self.send().filter(|answer| answer.0 == 202)).2
+    /// Sends messages until one is accepted, and returns its id.
+    fn send_until_accepted(&self) -> String {
+        self.wait_for("taken", || self.send().filter(|answer| answer.0 == 202)).2
     }
 
-    /// Where a message lies: one delivers it, another has its copy.
+    /// The stages of a message at the stores that know it: normally one store delivers it and another holds its replica.
     fn stages(&self, message: &str) -> Vec<String> {
         let out =
             self.stilerouted("message 9c41d07b.655f3c0000002.2b1f8e06 --at 10.1.0.14:7300 --json", message);
@@ -217,7 +217,7 @@
         stages
     }
 
-    fn safe(&self, message: &str) -> Option<()> {
+    fn replicated(&self, message: &str) -> Option<()> {
         (self.stages(message) == ["copy", "waiting"]).then_some(())
     }
 
@@ -226,22 +226,23 @@
     }
 }
 
-const ALL: [&str; 7] = ["core-1", "core-2", "core-3", "storage-1", "storage-2", "storage-3", "edge-1"];
+const ALL_NODES: [&str; 7] = ["core-1", "core-2", "core-3", "storage-1", "storage-2", "storage-3", "edge-1"];
 
-/// All processes, with a configuration in force.
+/// Starts all processes, and waits until a configuration is in force.
 fn configured_fleet() -> Fleet {
     let mut fleet = Fleet::new();
-    ALL.iter().for_each(|name| fleet.start(name, true));
-    fleet.until("the configuration is taken", || fleet.configure(7).filter(|status| *status == 200));
+    ALL_NODES.iter().for_each(|name| fleet.start(name, true));
+    fleet.wait_for("the configuration is taken", || fleet.configure(7).filter(|status| *status == 200));
     fleet
 }
 
-/// Each of the four refuses by the name of the disk's owner and ends; with the disks back nothing is lost.
+/// Guards against nodes that use the data of a swapped disk. Each of the four nodes (two stores and two control nodes) must exit
+/// with an error that names the owner of its disk. Once the disks are back in their own machines, nothing may be lost.
 #[test]
 fn swapped_disks_are_refused_before_anything_in_them_is_used() {
     let mut fleet = configured_fleet();
-    fleet.message = fleet.accepted();
-    fleet.until("it lies on two disks", || fleet.safe(&fleet.message));
+    fleet.message = fleet.send_until_accepted();
+    fleet.wait_for("it lies on two disks", || fleet.replicated(&fleet.message));
     let swapped = [("storage-1", "storage-2"), ("core-1", "core-2")];
     for (one, other) in swapped {
         [one, other].iter().for_each(|name| fleet.kill(name));
@@ -249,7 +250,7 @@
         for (name, owner) in [(one, other), (other, one)] {
             fleet.start(name, false);
             let code = loop {
-                assert!(Instant::now() < fleet.end, "{name} runs on another's disk");
+                assert!(Instant::now() < fleet.deadline, "{name} runs on another's disk");
                 match fleet.exit_code(name) {
                     Some(code) => break code,
                     None => std::thread::park_timeout(Duration::from_millis(20)),
@@ -264,29 +265,29 @@
         fleet.swap_disks(one, other);
         [one, other].iter().for_each(|name| fleet.start(name, false));
     }
-    fleet.until("it lies on two disks as before", || fleet.safe(&fleet.message));
+    fleet.wait_for("it lies on two disks as before", || fleet.replicated(&fleet.message));
     let read = || fleet.http("1:18262", "GET", "/v1/settings/read", "").filter(|answer| answer.0 == 200);
-    assert!(fleet.until("the configuration", read).1.contains("\"revision\":7"));
+    assert!(fleet.wait_for("the configuration", read).1.contains("\"revision\":7"));
 }
 
-/// An executor: an address where connections are counted, and its calls.
-struct StandIn {
+/// A simulated executor, which detects connections to its address and sends heartbeats.
+struct SimulatedExecutor {
     id: &'static str,
     listener: TcpListener,
 }
 
-impl StandIn {
-    fn new(id: &'static str) -> StandIn {
+impl SimulatedExecutor {
+    fn new(id: &'static str) -> SimulatedExecutor {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
-        StandIn { id, listener }
+        SimulatedExecutor { id, listener }
     }
 
     fn was_called(&self) -> bool {
         self.listener.accept().is_ok()
     }
 
-    fn beat(&self, fleet: &Fleet, core: u8, call_count: u64) -> Option<u16> {
+    fn heartbeat(&self, fleet: &Fleet, core: u8, call_count: u64) -> Option<u16> {
         let address = self.listener.local_addr().unwrap();
         let body = format!(
             r#"{{"backend":"lock","address":"{address}","zone":"z1","capacity":4,"state":"serving",
@@ -297,40 +298,42 @@
     }
 }
 
-/// All stores have heard of a leave so long after its acknowledgement: the least `drain_ms` of the operators' sites is 3 s.
-const LEAVE_HEARD_WITHIN: Duration = Duration::from_secs(1);
+/// Time after which all stores must know that an executor has left, from the acknowledgement of its leave. The smallest
+/// `drain_ms` of the operators' sites is 3 s.
+const LEAVE_PROPAGATION_TIME: Duration = Duration::from_secs(1);
 
-/// Its heartbeat was on its way when it left, and comes by way of another core: nothing is sent to it, also when all cores have
-/// been started anew since. Another executor of the service is called.
+/// Guards against a late heartbeat that registers an executor again after it left. The heartbeat was under way when the executor
+/// left, and arrives through another control node. No request may be sent to the executor, not even after a restart of all
+/// control nodes. Another executor of the service must be called.
 #[test]
 fn a_heartbeat_that_comes_after_a_leave_brings_no_executor_back() {
     let mut fleet = configured_fleet();
-    let (left, other) = (StandIn::new("e-left"), StandIn::new("e-other"));
-    fleet.until("its heartbeat is acknowledged", || left.beat(&fleet, 1, 1).filter(|status| *status == 200));
+    let (left, other) = (SimulatedExecutor::new("e-left"), SimulatedExecutor::new("e-other"));
+    fleet.wait_for("heartbeat acknowledged", || left.heartbeat(&fleet, 1, 1).filter(|status| *status == 200));
     let leave = || fleet.http("2:18262", "POST", "/v1/servers/e-left/leave", "{}");
-    fleet.until("its leave is acknowledged", || leave().filter(|answer| answer.0 == 200));
-    fleet.message = fleet.accepted();
-    // A store that has not heard of the leave yet may call it; from then on nobody may.
-    std::thread::park_timeout(LEAVE_HEARD_WITHIN);
+    fleet.wait_for("its leave is acknowledged", || leave().filter(|answer| answer.0 == 200));
+    fleet.message = fleet.send_until_accepted();
+    // Until a store knows of the leave, it may still call the executor; after this time no store may.
+    std::thread::park_timeout(LEAVE_PROPAGATION_TIME);
     while left.was_called() {}
-    let is_left_alone = |fleet: &Fleet, call_count: u64| {
+    let assert_not_called = |fleet: &Fleet, call_count: u64| {
         let until = Instant::now() + Duration::from_millis(1500);
         while Instant::now() < until {
-            left.beat(fleet, 3, call_count);
+            left.heartbeat(fleet, 3, call_count);
             assert!(!left.was_called(), "called after it left, heartbeat {call_count}");
             std::thread::park_timeout(Duration::from_millis(100));
         }
     };
-    is_left_alone(&fleet, 9);
+    assert_not_called(&fleet, 9);
     let cores = ["core-1", "core-2", "core-3"];
     cores.iter().for_each(|name| fleet.kill(name));
     cores.iter().for_each(|name| fleet.start(name, false));
-    fleet.until("the cores lead again", || fleet.configure(8).filter(|status| *status == 200));
-    is_left_alone(&fleet, 12);
+    fleet.wait_for("the cores lead again", || fleet.configure(8).filter(|status| *status == 200));
+    assert_not_called(&fleet, 12);
     let mut call_count = 0;
-    fleet.until("another executor is called", || {
+    fleet.wait_for("another executor is called", || {
         call_count += 1;
-        other.beat(&fleet, 1, call_count);
+        other.heartbeat(&fleet, 1, call_count);
         other.was_called().then_some(())
     });
 }
@@ -341,8 +344,8 @@
 #[test]
 fn machines_are_replaced_retired_and_lost_as_the_page_says() {
     let mut fleet = configured_fleet();
-    fleet.message = fleet.accepted();
-    fleet.until("it lies on two disks", || fleet.safe(&fleet.message));
+    fleet.message = fleet.send_until_accepted();
+    fleet.wait_for("it lies on two disks", || fleet.replicated(&fleet.message));
 
     replace_a_store_without_its_disk(&mut fleet);
     retire_a_store(&mut fleet);
@@ -350,61 +353,62 @@
     lose_too_many_stores_for_a_while(&mut fleet);
     lose_the_disks_of_all_stores(&mut fleet);
     lose_the_disks_of_most_cores(&mut fleet);
-    take_a_long_configuration(&mut fleet);
+    apply_a_long_configuration(&mut fleet);
 }
 
-/// Its messages are copied anew, and it is known again.
+/// After a store lost its disk, its messages must be replicated again and the system must list the store again.
 fn replace_a_store_without_its_disk(fleet: &mut Fleet) {
     fleet.kill("storage-1");
     fleet.wipe("storage-1");
     let checked = fleet.stilerouted("check boot /etc/stileroute/node.json", "");
     assert!(checked.status.success(), "{checked:?}");
     fleet.start("storage-1", false);
-    fleet.until("two disks again, with the new one there", || {
-        (fleet.safe(&fleet.message).is_some() && fleet.status().contains("store storage-1 ")).then_some(())
+    fleet.wait_for("two disks again, with the new one there", || {
+        (fleet.replicated(&fleet.message).is_some() && fleet.status().contains("store storage-1 "))
+            .then_some(())
     });
 }
 
-/// Retired: the last two are not let go.
+/// Retires one of the three stores; the retirement of one of the last two must be rejected.
 fn retire_a_store(fleet: &mut Fleet) {
-    // A primary that has just begun does not know who is there: until it does it says 503, and nothing else but 404 then.
-    fleet.until("no such store", || {
+    // A primary that has just started does not know the members yet: until it does, it may answer 503, and then only 404.
+    fleet.wait_for("no such store", || {
         let status = fleet.curl(3, BEGIN, "storage-3", "storage-9").map(|a| a.0);
         assert_matches!(status, Some(404 | 503));
         (status == Some(404)).then_some(())
     });
-    // A core that had the store's session before may not see that it took the order: another is asked.
+    // The control node that had the store's session before may not see that the store accepted the order, so all are asked.
     let any = |line: &str, part: &str| {
         let says = |a: (u16, String, String)| a.0 == 200 && a.1.contains(part);
         (1..=3).rev().find(|core| fleet.curl(*core, line, "", "").is_some_and(says))
     };
-    // With two losses of one to be borne, none is to spare from here on, and the operator is told.
+    // Only two stores are left and the loss of one must be tolerated, so no store is spare and the operator gets a warning.
     let answer = r#"{"spare_stores":0,"warning":"no spare store is left: the loss of another stops intake"}"#;
-    fleet.until("the order is taken", || any(BEGIN, answer));
-    let core = fleet.until("emptied", || any(READ, "complete"));
+    fleet.wait_for("the order is taken", || any(BEGIN, answer));
+    let core = fleet.wait_for("emptied", || any(READ, "complete"));
     assert_eq!(fleet.curl(core, BEGIN, "storage-3", "storage-2").map(|a| a.0), Some(409));
     fleet.kill("storage-3");
     fleet.wipe("storage-3");
-    fleet.until("it lies on the two that are left", || fleet.safe(&fleet.message));
+    fleet.wait_for("it lies on the two that are left", || fleet.replicated(&fleet.message));
 }
 
-/// The order is acknowledged again by a core, and its retirement is still complete.
-fn check_at_core(fleet: &Fleet, core: u8) {
-    fleet.until("acknowledged again", || {
+/// Checks that a control node acknowledges the same retirement order again, and still reports the retirement as complete.
+fn check_retirement_at_core(fleet: &Fleet, core: u8) {
+    fleet.wait_for("acknowledged again", || {
         let again = fleet.curl(core, BEGIN, "", "").map(|a| a.0);
         assert_matches!(again, None | Some(200 | 503), "an order that was taken is refused");
         (again == Some(200)).then_some(())
     });
-    fleet.until("still complete", || {
+    fleet.wait_for("still complete", || {
         let state = fleet.curl(core, READ, "", "").map(|a| (a.0, a.1.contains("complete")));
         assert_matches!(state, None | Some((200, true) | (503, _)), "what was complete is not any more");
         (state == Some((200, true))).then_some(())
     });
 }
 
-/// The machine is gone, and nobody forgets that it was retired: not when all cores were killed, either.
+/// The retirement of a store whose machine is gone must be remembered, even after all control nodes were killed.
 fn check_that_the_retirement_is_remembered(fleet: &mut Fleet) {
-    (1..=3).for_each(|core| check_at_core(fleet, core));
+    (1..=3).for_each(|core| check_retirement_at_core(fleet, core));
     let retire = |words: &[&str]| {
         let at = format!("{}.3:17300", fleet.net);
         let mut command = Command::new(env!("CARGO_BIN_EXE_stilerouted"));
@@ -420,53 +424,55 @@
     let cores = ["core-1", "core-2", "core-3"];
     cores.iter().for_each(|name| fleet.kill(name));
     cores.iter().for_each(|name| fleet.start(name, false));
-    (1..=3).for_each(|core| check_at_core(fleet, core));
+    (1..=3).for_each(|core| check_retirement_at_core(fleet, core));
 }
 
 const STORES: [&str; 2] = ["storage-1", "storage-2"];
 
-/// More stores gone than can be borne: nothing is taken. Their disks bring all back.
+/// While more stores are down than tolerated, messages must be rejected. After the stores restart with their disks, all
+/// messages must be back.
 fn lose_too_many_stores_for_a_while(fleet: &mut Fleet) {
     STORES.into_iter().for_each(|name| fleet.kill(name));
-    fleet.until("refused", || fleet.send().filter(|answer| answer.0 == 503));
+    fleet.wait_for("refused", || fleet.send().filter(|answer| answer.0 == 503));
     assert!(fleet.stages(&fleet.message).is_empty());
     let verified = fleet.stilerouted("state verify /var/lib/stilerouted", "");
     let text = String::from_utf8_lossy(&verified.stdout);
     assert!(verified.status.success() && text.contains("opens: true"), "{verified:?}");
     STORES.into_iter().for_each(|name| fleet.start(name, false));
-    fleet.until("all is back", || fleet.safe(&fleet.message));
+    fleet.wait_for("all is back", || fleet.replicated(&fleet.message));
 }
 
-/// Without their disks a message is gone, and nobody guesses: no store knows of it, and its state is 404 as soon as all stores
-/// are there to say so, and 503 until then.
+/// When all stores lose their disks, a message is lost. No store may claim to know the message, and its status must be 503 until
+/// all stores have answered, and then 404.
 fn lose_the_disks_of_all_stores(fleet: &mut Fleet) {
     STORES.into_iter().for_each(|name| fleet.kill(name));
     STORES.into_iter().for_each(|name| fleet.wipe(name));
     let verified = fleet.stilerouted("state verify /var/lib/stilerouted", "");
     assert_eq!(verified.status.code(), Some(2), "{verified:?}");
     STORES.into_iter().for_each(|name| fleet.start(name, false));
-    fleet.accepted();
+    fleet.send_until_accepted();
     let message = &fleet.message;
     let asked = fleet.stilerouted("message 9c41d07b.655f3c0000002.2b1f8e06 --at 10.1.0.14:7300", message);
     assert_eq!(asked.status.code(), Some(1), "{asked:?}");
     let state =
         || fleet.http("21:18263", "GET", &format!("/v1/message/{message}"), "").filter(|a| a.0 != 503);
-    assert_eq!(fleet.until("its state", state).0, 404);
+    assert_eq!(fleet.wait_for("its state", state).0, 404);
 }
 
 const MOST_CORES: [&str; 2] = ["core-1", "core-2"];
 
-/// Both are gone before either is back: one by one, the others would tell it where they stand.
+/// Kills and wipes both control nodes before either restarts: if they restarted one by one, the others would give a restarted
+/// node the current state.
 fn restart_without_disks(fleet: &mut Fleet, first: bool) {
     MOST_CORES.into_iter().for_each(|name| fleet.kill(name));
     MOST_CORES.into_iter().for_each(|name| fleet.wipe(name));
     MOST_CORES.into_iter().for_each(|name| fleet.start(name, first));
 }
 
-/// Nobody leads, and it stays so, until they begin anew by hand.
+/// When most control nodes lose their disks, there must be no leader until an operator restarts them with `first_start`.
 fn lose_the_disks_of_most_cores(fleet: &mut Fleet) {
     restart_without_disks(fleet, false);
-    fleet.until("both are blank", || {
+    fleet.wait_for("both are blank", || {
         let status = fleet.status();
         (status.contains("blank: core-1")
             && status.contains("blank: core-2")
@@ -475,50 +481,51 @@
     });
     assert_eq!(fleet.configure(8), Some(503));
 
-    // The way out, by hand: they begin anew beside the one that is left, and the configuration is sent once more.
+    // Manual recovery: the wiped nodes start with `first_start` beside the remaining one, and the configuration is sent again.
     restart_without_disks(fleet, true);
-    fleet.until("a configuration is taken again", || fleet.configure(9).filter(|status| *status == 200));
-    fleet.until("in force at all", || (fleet.status().matches("version 9").count() == 6).then_some(()));
-    fleet.accepted();
+    fleet.wait_for("a configuration is taken again", || fleet.configure(9).filter(|status| *status == 200));
+    fleet.wait_for("in force at all", || (fleet.status().matches("version 9").count() == 6).then_some(()));
+    fleet.send_until_accepted();
 }
 
-/// One that is longer than one record of the disk; one beyond the bound is refused by name and harms nobody.
-fn take_a_long_configuration(fleet: &mut Fleet) {
+/// A configuration that is longer than one log record must be accepted. A configuration beyond the size limit must be rejected
+/// with an error that names the limit, and without harm to any process.
+fn apply_a_long_configuration(fleet: &mut Fleet) {
     let long = |revision: &str, length: usize| {
         let text = CONFIG.replace("REV", revision);
         fleet.http("3:18262", "POST", "/v1/settings/replace", &format!("{}{text}", " ".repeat(length)))
     };
-    fleet.until("a long one is taken", || long("10", 2 << 20).filter(|answer| answer.0 == 200));
-    // So long a body takes its time on a busy machine; whatever becomes of the connection, it is never taken.
-    let refused = fleet.until("refused", || {
+    fleet.wait_for("a long one is taken", || long("10", 2 << 20).filter(|answer| answer.0 == 200));
+    // A body of this length may time out on a busy machine; whatever happens to its connection, it must not be accepted.
+    let refused = fleet.wait_for("refused", || {
         let answer = long("11", 5 << 20);
         assert_matches!(answer, None | Some((413 | 503 | 504, ..)));
         answer.filter(|answer| answer.0 == 413)
     });
     assert!(refused.1.contains("body: over 4194304 bytes"), "{}", refused.1);
-    fleet.until("in force at all", || (fleet.status().matches("version 10").count() == 6).then_some(()));
+    fleet.wait_for("in force at all", || (fleet.status().matches("version 10").count() == 6).then_some(()));
     MOST_CORES.iter().for_each(|name| fleet.kill(name));
     MOST_CORES.iter().for_each(|name| fleet.start(name, false));
     let kept = || fleet.http("2:18262", "GET", "/v1/settings/read", "").filter(|answer| answer.0 == 200);
-    assert!(fleet.until("read back", kept).1.len() > 2 << 20);
+    assert!(fleet.wait_for("read back", kept).1.len() > 2 << 20);
 }
 
-/// As docs/server.md says: SIGHUP reads the settings whole or not at all, and `--log` says how much is written.
+/// As docs/server.md documents, SIGHUP must reload the settings completely or not at all, and `--log` sets the log level.
 #[test]
 fn settings_are_read_again_and_logs_have_levels() {
     let mut fleet = Fleet::new();
     fleet.start("core-1", true);
     fleet.start_with("core-2", true, &["--log", "error"]);
     let up = |host: u8| fleet.http(&format!("{host}:18262"), "GET", "/v1/settings/read", "");
-    fleet.until("both answer", || up(1).and(up(2)));
+    fleet.wait_for("both answer", || up(1).and(up(2)));
     let said = |text: &str| fleet.log("core-1").contains(text).then_some(());
-    fleet.settings("core-1", "\"grace_s\":6", "\"grace_s\":\"long\"");
-    fleet.until("the fault is named", || said("bounds.grace_s"));
+    fleet.change_settings("core-1", "\"grace_s\":6", "\"grace_s\":\"long\"");
+    fleet.wait_for("the fault is named", || said("bounds.grace_s"));
     assert!(said("settings reloaded").is_none());
-    fleet.settings("core-1", "\"grace_s\":\"long\"", "\"grace_s\":5");
-    fleet.until("they are read again", || said("settings reloaded"));
-    fleet.settings("core-1", "\"node_name\":\"core-1\"", "\"node_name\":\"core-9\"");
-    fleet.until("another node's are not taken", || said("settings name another node: not reloaded"));
+    fleet.change_settings("core-1", "\"grace_s\":\"long\"", "\"grace_s\":5");
+    fleet.wait_for("they are read again", || said("settings reloaded"));
+    fleet.change_settings("core-1", "\"node_name\":\"core-1\"", "\"node_name\":\"core-9\"");
+    fleet.wait_for("another node's are not taken", || said("settings name another node: not reloaded"));
     assert!(up(1).is_some() && fleet.log("core-1").contains(" INFO starts"));
     assert_eq!(fleet.log("core-2"), "", "nothing is an error yet");
 }
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A small system on loopback addresses: one core, two stores, one edge, and an executor played here. Each command that
-//! docs/server.md shows is tried on it, as it stands there.
+//! Runs a small system on loopback addresses: one control node, two stores, one edge, and an executor that the test simulates.
+//! Each command that docs/server.md shows is run on this system as the page has it.
 
 mod support;
 
@@ -15,14 +15,14 @@
 use support::{http, program, texts, Answer, Fleet, CONFIGURATION};
 
 const DOCS: &str = include_str!("../../../docs/server.md");
-/// Where the example of the docs has the name of a message.
+/// The message id that the examples of the docs use.
 const EXAMPLE_MESSAGE: &str = "9c41d07b.655f3c0000002.2b1f8e06";
 const FIRST_NET: u32 = 64;
-/// For all of it together: where the disk stalls, a sync takes seconds.
+/// Time limit of the complete test: a sync takes seconds while the disk stalls.
 const TIME_LIMIT: Duration = Duration::from_secs(28);
 
-/// A line of the docs, with what this fleet has in the place of the examples.
-fn with_own_values(fleet: &Fleet, line: &str, message: &str) -> String {
+/// Replaces the example values in a command of the docs with those of this fleet.
+fn with_fleet_values(fleet: &Fleet, line: &str, message: &str) -> String {
     line.replace("10.1.0.14:7300", &fleet.at(1, 17300))
         .replace("10.1.0.12:7301", &fleet.at(2, 17301))
         .replace("/etc/stileroute/node.json", fleet.dir.join("store-1.json").to_str().unwrap())
@@ -32,13 +32,13 @@
         .replace(EXAMPLE_MESSAGE, message)
 }
 
-fn try_line(fleet: &Fleet, line: &str, message: &str) -> Output {
-    let line = with_own_values(fleet, line, message);
+fn run_docs_command(fleet: &Fleet, line: &str, message: &str) -> Output {
+    let line = with_fleet_values(fleet, line, message);
     program().args(line.split(' ').skip(1)).output().unwrap()
 }
 
-/// The commands in the docs' blocks.
-fn shown_commands() -> Vec<&'static str> {
+/// The lines of all code blocks in the docs, each of which is a command.
+fn commands_of_docs() -> Vec<&'static str> {
     let mut is_inside = false;
     let mut lines = Vec::new();
     for line in DOCS.lines() {
@@ -61,12 +61,12 @@
     let metrics_address = fleet.at(4, 18299);
     fleet.start(&["--figures", &metrics_address]);
     fs::write(fleet.dir.join("config.json"), CONFIGURATION).unwrap();
-    // One that runs, and one whose service has no executor.
+    // The first message is delivered; the service of the second one has no executor, so that message stays in the queue.
     let (done, stuck) = (fleet.accepted_message("/in/1", "m-1"), fleet.accepted_message("/stuck/1", "m-2"));
     fleet.wait_for_delivery(&done, "m-1");
 
     check_bodies_of_any_length(&fleet);
-    check_a_request_that_stops_half_way(&fleet);
+    check_an_incomplete_request(&fleet);
     check_that_messages_are_not_logged(&fleet);
     check_status_text(&fleet);
     check_status_json(&fleet);
@@ -74,13 +74,13 @@
     check_exit_codes_of_orders(&fleet);
     check_answers_to_a_configuration(&fleet);
     check_metrics(&fleet, &metrics_address);
-    let offline = try_each_command_of_the_docs(&fleet, &done);
-    stop_in_order(&mut fleet, &metrics_address);
+    let offline = run_each_command_of_the_docs(&fleet, &done);
+    stop_gracefully(&mut fleet, &metrics_address);
     check_stored_state(&fleet, &offline, &done);
-    check_that_damage_is_reported_and_left(&fleet);
+    check_that_damage_is_reported_and_not_repaired(&fleet);
 }
 
-/// A long configuration is taken; a body beyond the bounds is refused, however fast it comes.
+/// A long configuration must be accepted, and a message body beyond the size limit rejected, however fast the body arrives.
 fn check_bodies_of_any_length(fleet: &Fleet) {
     let long = format!("{}{CONFIGURATION}", " ".repeat(2 << 20));
     fleet.wait_for("a long configuration is taken", || {
@@ -90,8 +90,8 @@
     assert_eq!(answer.map(|answer| answer.0), Some(413));
 }
 
-/// It is answered, and so is the one behind it in the same bytes.
-fn check_a_request_that_stops_half_way(fleet: &Fleet) {
+/// A complete request must be answered, and so must the incomplete request that follows it in the same write.
+fn check_an_incomplete_request(fleet: &Fleet) {
     let mut stream = TcpStream::connect(fleet.at(4, 18263)).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     stream.write_all(b"GET /none HTTP/1.1\r\nHost: h\r\n\r\nPOST /in/1 HTTP/1.1\r\nHost: qu").unwrap();
@@ -100,14 +100,14 @@
     assert!(answers.starts_with("HTTP/1.1 404 ") && answers.contains("HTTP/1.1 408 "), "{answers}");
 }
 
-/// Changes of state are logged, messages are not.
+/// State changes must be logged, and individual messages must not be logged.
 fn check_that_messages_are_not_logged(fleet: &Fleet) {
     let lines = || ["store-1", "store-2", "edge-1"].map(|name| fleet.log(name).lines().count());
     let before = lines();
     for number in 0..30 {
         fleet.accepted_message("/in/more", &format!("n-{number}"));
     }
-    // Where the machine stalls, links break and are logged; thirty messages would be many more lines.
+    // If the machine stalls, links fail and are logged; logging thirty messages would add many more lines.
     let more = lines().into_iter().zip(before).map(|(after, before)| after - before).max();
     assert!(more < Some(25), "{}", fleet.log("store-1"));
     assert!(fleet.log("edge-1").contains("control nodes are reachable"), "{}", fleet.log("edge-1"));
@@ -115,7 +115,7 @@
 
 fn check_status_text(fleet: &Fleet) {
     let text = fleet.wait_for("all has run", || {
-        let text = texts(&try_line(fleet, "stilerouted status --at 10.1.0.14:7300", "")).0;
+        let text = texts(&run_docs_command(fleet, "stilerouted status --at 10.1.0.14:7300", "")).0;
         let has_run = text.contains("crane: 0 waiting, 0 out") && text.matches("version 7").count() == 4;
         (has_run && !text.contains("HEARS NOTHING") && !text.contains("SILENT")).then_some(text)
     });
@@ -130,7 +130,7 @@
 }
 
 fn check_status_json(fleet: &Fleet) {
-    let json = texts(&try_line(fleet, "stilerouted status --json --at 10.1.0.12:7301", "")).0;
+    let json = texts(&run_docs_command(fleet, "stilerouted status --json --at 10.1.0.12:7301", "")).0;
     let json = jzon::parse(&json).unwrap();
     assert_eq!((json["nodes"].len(), json["silent"].len()), (4, 0), "{json}");
     assert!(json["nodes"].members().all(|node| node["version"] == 7), "{json}");
@@ -141,7 +141,7 @@
 
 fn trace(fleet: &Fleet, message: &str) -> JsonValue {
     let line = format!("stilerouted message {EXAMPLE_MESSAGE} --at 10.1.0.14:7300 --json");
-    jzon::parse(&texts(&try_line(fleet, &line, message)).0).unwrap()
+    jzon::parse(&texts(&run_docs_command(fleet, &line, message)).0).unwrap()
 }
 
 fn check_traces(fleet: &Fleet, done: &str, stuck: &str) {
@@ -156,7 +156,7 @@
     assert_eq!(stages, BTreeSet::from(["copy".to_string(), "waiting".to_string()]), "{json}");
 }
 
-/// Orders from the command line: each end has its exit code.
+/// Each outcome of an operator command must have its own exit code.
 fn check_exit_codes_of_orders(fleet: &Fleet) {
     let (own, other, lower) = fleet.configurations();
     let broken = fleet.write_file("broken.json", "{\"routes\":7}");
@@ -180,7 +180,7 @@
     }
 }
 
-/// What the answer of the control node itself says, and the command's JSON.
+/// Checks the answer of a control node to a configuration, and the JSON output of the command that sends one.
 fn check_answers_to_a_configuration(fleet: &Fleet) {
     let (_, other, _) = fleet.configurations();
     let sent = |text: &str| {
@@ -198,7 +198,7 @@
     );
 }
 
-/// The metrics of each role, and that the docs explain each of them.
+/// Checks the metrics of each role, and that the docs explain each metric.
 fn check_metrics(fleet: &Fleet, metrics_address: &str) {
     let mut metrics = http(metrics_address, "GET", "/metrics", "", "").unwrap().2;
     assert_eq!(http(metrics_address, "GET", "/", "", "").unwrap().0, 404);
@@ -219,20 +219,20 @@
     assert!(metrics.contains("stileroute_deliveries_total{outcome=\"done\"}"), "{metrics}");
 }
 
-/// Tries each command of the docs but those that start a role, as they were started before, and those that need a process to be
-/// stopped, which are given back.
-fn try_each_command_of_the_docs(fleet: &Fleet, message: &str) -> Vec<&'static str> {
+/// Runs each command of the docs, except those that start a role, because the roles already run, and those that need a stopped
+/// process, which are returned.
+fn run_each_command_of_the_docs(fleet: &Fleet, message: &str) -> Vec<&'static str> {
     let (mut offline, mut starts) = (Vec::new(), 0);
-    for line in shown_commands() {
+    for line in commands_of_docs() {
         match line.split(' ').collect::<Vec<_>>()[..] {
             ["stilerouted", "state", ..] => offline.push(line),
             ["stilerouted", "--boot", _, "core" | "store" | "edge"] => starts += 1,
             ["stilerouted", ..] => {
-                let output = try_line(fleet, line, message);
+                let output = run_docs_command(fleet, line, message);
                 assert!(output.status.success(), "{line}: {output:?}");
             }
             ["curl", ref words @ .., url] => {
-                let url = with_own_values(fleet, url, message);
+                let url = with_fleet_values(fleet, url, message);
                 let (at, path) = url.strip_prefix("http://").unwrap().split_once('/').unwrap();
                 let method = if words == ["--data-binary", "@config.json"] { "POST" } else { "GET" };
                 let (status, _, body) = http(at, method, &format!("/{path}"), "", CONFIGURATION).unwrap();
@@ -245,14 +245,14 @@
     offline
 }
 
-/// A node that hears nothing says so; then all end in order.
-fn stop_in_order(fleet: &mut Fleet, metrics_address: &str) {
+/// A node without contact to the control nodes must report it in its metrics; then all nodes must shut down gracefully.
+fn stop_gracefully(fleet: &mut Fleet, metrics_address: &str) {
     fleet.end("core-1");
     fleet.wait_for("the edge hears nothing", || {
         let metrics = http(metrics_address, "GET", "/metrics", "", "")?.2;
         metrics.contains("stileroute_control_heard 0").then_some(())
     });
-    // Nobody can say what is in force.
+    // Without a control node, no process can say which configuration is in force.
     let (own, _, _) = fleet.configurations();
     let output = fleet.ask_at(&fleet.at(4, 17302), &["apply", &own]);
     assert_eq!(output.status.code(), Some(4), "{output:?}");
@@ -265,12 +265,12 @@
 
 fn check_stored_state(fleet: &Fleet, offline: &[&str], message: &str) {
     for line in offline {
-        let output = try_line(fleet, line, message);
+        let output = run_docs_command(fleet, line, message);
         assert!(output.status.success(), "{line}: {output:?}");
     }
     let store = jzon::parse(&texts(&verify(fleet, "store-1")).0).unwrap();
     let store = &store["hold"];
-    // With a slow disk an edge may have asked a second store, and a message is there twice.
+    // If the disk is slow, an edge may send a message to a second store, and the message is stored twice.
     let (live, complete) = (store["live"].as_u64().unwrap(), store["complete"].as_u64().unwrap());
     assert!(store["opens"] == true && live >= 1 && complete >= 31, "{store}");
     let core = jzon::parse(&texts(&verify(fleet, "core-1")).0).unwrap();
@@ -278,8 +278,8 @@
     assert_eq!(verify(fleet, "nothing").status.code(), Some(2));
 }
 
-/// A byte in the midst of what was synced: said, and left as it is.
-fn check_that_damage_is_reported_and_left(fleet: &Fleet) {
+/// A damaged byte in the middle of synced log data must be reported, and the log file must not be changed.
+fn check_that_damage_is_reported_and_not_repaired(fleet: &Fleet) {
     let folder = fleet.dir.join("store-1/hold");
     let files = fs::read_dir(&folder).unwrap().flatten().map(|entry| entry.path());
     let is_log = |path: &PathBuf| path.file_name().unwrap().to_string_lossy().starts_with("log-");
@@ -292,7 +292,7 @@
     assert_eq!((output.status.code(), fs::read(&log).unwrap() == bytes), (Some(1), true), "{output:?}");
 }
 
-/// What stands in the settings, what is to stand there instead, and how the fault begins.
+/// Changes that make valid settings unusable: the original text, its replacement, and the start of the fault's text.
 const UNUSABLE_SETTINGS: [(&str, &str, &str); 11] = [
     ("17315", "17301", "internal_ports: must span three ports"),
     ("\"disk_mb\":64", "\"disk_mb\":3", "limits.disk_mb: must be"),
@@ -315,19 +315,19 @@
 fn unusable_settings_end_with_2_and_a_line_for_each() {
     let fleet = Fleet::new("settings", FIRST_NET, TIME_LIMIT);
     let boot = fleet.write_settings("store-1", 2, "storage");
-    let good = fs::read_to_string(&boot).unwrap();
-    for (of, with, fault) in UNUSABLE_SETTINGS {
-        assert!(good.contains(of), "{of}");
-        fs::write(&boot, good.replacen(of, with, 1)).unwrap();
+    let valid = fs::read_to_string(&boot).unwrap();
+    for (original, replacement, fault) in UNUSABLE_SETTINGS {
+        assert!(valid.contains(original), "{original}");
+        fs::write(&boot, valid.replacen(original, replacement, 1)).unwrap();
         check_that_settings_are_rejected(&boot, fault);
     }
     check_that_every_fault_is_named(&boot);
-    check_unusable_words();
+    check_unusable_arguments();
     let nobody = program().args(["status", "--at", &fleet.at(200, 17300)]).output().unwrap();
     assert_eq!((nobody.status.code(), texts(&nobody).1.lines().count()), (Some(1), 1), "{nobody:?}");
 }
 
-/// By the role that is to be started, and by `check boot`.
+/// Checks that unusable settings are rejected by the start of a role and by `check boot`.
 fn check_that_settings_are_rejected(boot: &Path, fault: &str) {
     let line = format!("{}: {fault}", boot.display());
     let run = program().arg("--boot").arg(boot).arg("store").output().unwrap();
@@ -355,7 +355,7 @@
     }
 }
 
-fn check_unusable_words() {
+fn check_unusable_arguments() {
     for words in [
         &["--log", "loud", "core"][..],
         &["core"],
--- a/crates/server/tests/interface.rs
+++ b/crates/server/tests/interface.rs
@@ -1,6 +1,6 @@
-//! What `stilerouted` shows to operators and their tools, fixed by the files in `tests/interface/`: names, labels and help texts
-//! of all metrics, the keys of all JSON in their order, help texts, exit codes, and the reasons that the checks of settings
-//! give. Whoever parses these must not notice a change of the code.
+//! Compares the output of `stilerouted` for operators and their tools with the files in `tests/interface/`: names, labels and help
+//! texts of all metrics, the keys of all JSON output in their order, help texts, exit codes, and the reasons that the checks of
+//! settings give. This guards against code changes that break programs which parse the output.
 
 mod support;
 
@@ -12,7 +12,8 @@
 use std::time::Duration;
 use support::{program, Fleet, CONFIGURATION, NODES};
 
-/// Compares with a file in `tests/interface/`. What differs is left in the target folder, to be looked at.
+/// Asserts that the output equals the recorded file in `tests/interface/`. Different output is written to the target folder for
+/// inspection.
 fn assert_as_recorded(file: &str, actual: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/interface").join(file);
     let recorded = fs::read_to_string(&path).unwrap_or_default();
@@ -24,7 +25,7 @@
     }
 }
 
-/// A command as an operator sees it: its exit code and both outputs.
+/// The transcript of a command: its exit code, standard output and standard error.
 fn transcript(words: &[&str], output: &Output, replaced: &[(&str, &str)]) -> String {
     let mut text = format!("$ stilerouted {}\nexit code {:?}\n", words.join(" "), output.status.code());
     for (stream, bytes) in [("stdout", &output.stdout), ("stderr", &output.stderr)] {
@@ -40,20 +41,20 @@
     program().args(words).output().unwrap()
 }
 
-/// Each run of digits, with its fraction, as one `#`.
+/// Replaces each number, including its fraction, with one `#`.
 fn without_numbers(text: &str) -> String {
-    let mut plain = String::new();
+    let mut masked = String::new();
     for letter in text.chars() {
         match letter {
-            '0'..='9' if plain.ends_with('#') => {}
-            '0'..='9' => plain.push('#'),
-            other => plain.push(other),
+            '0'..='9' if masked.ends_with('#') => {}
+            '0'..='9' => masked.push('#'),
+            other => masked.push(other),
         }
     }
-    plain.replace("#.#", "#")
+    masked.replace("#.#", "#")
 }
 
-/// All paths of keys of a value, in the order in which they stand; the elements of a list are laid over one another.
+/// Collects the key paths of a JSON value in document order; all elements of an array share the same path.
 fn key_paths(value: &JsonValue, path: &str, paths: &mut Vec<String>) {
     let inner: Vec<(String, &JsonValue)> = match value {
         JsonValue::Object(_) => {
@@ -76,7 +77,7 @@
     format!("{title}\n  {}\n", paths.join("\n  "))
 }
 
-const HELP: [&[&str]; 14] = [
+const HELP_ARGUMENTS: [&[&str]; 14] = [
     &["--help"],
     &["edge", "--help"],
     &["store", "--help"],
@@ -93,7 +94,7 @@
     &["version", "--help"],
 ];
 
-const UNUSABLE: [&[&str]; 24] = [
+const UNUSABLE_ARGUMENTS: [&[&str]; 24] = [
     &[],
     &["nonsense"],
     &["--nonsense"],
@@ -123,7 +124,9 @@
 #[test]
 fn help_texts_versions_and_unusable_words_are_as_recorded() {
     let mut text = String::new();
-    for words in HELP.into_iter().chain(UNUSABLE).chain([&["version"][..], &["version", "--json"]]) {
+    for words in
+        HELP_ARGUMENTS.into_iter().chain(UNUSABLE_ARGUMENTS).chain([&["version"][..], &["version", "--json"]])
+    {
         text += &transcript(words, &run(words), &[]);
     }
     for (name, value) in [("STILEROUTE_LOG", "loud"), ("STILEROUTE_BOOT", "/nowhere.json")] {
@@ -135,8 +138,8 @@
     assert_as_recorded("words.txt", &text);
 }
 
-/// What stands in the settings, what is to stand there instead, and for which of the roles that `serves` can name.
-const SETTINGS: [(&str, &str, &str); 33] = [
+/// Changes to the valid settings: the original text, its replacement, and the value of the key `serves`.
+const SETTINGS_CHANGES: [(&str, &str, &str); 33] = [
     ("", "", "storage"),
     ("", "", "edge"),
     ("", "", "control"),
@@ -172,7 +175,7 @@
     ("\"zone\":\"z1\"", "\"zone\":7", "control"),
 ];
 
-const GOOD: &str = r#"{"node_name":"node","role":"any","machine_class":"any","serves":["SERVES"],"ip":"127.0.0.1","zone":"z1",
+const VALID_SETTINGS: &str = r#"{"node_name":"node","role":"any","machine_class":"any","serves":["SERVES"],"ip":"127.0.0.1","zone":"z1",
 "region":"r","zones":{"z1":"r"},"bind_addresses":{"control":"127.0.0.1:18262","front":"127.0.0.1:18263","readiness":"127.0.0.1:18268"},
 "internal_ports":[17300,17315],"seed_nodes":["127.0.0.1:18262"],"first_start":true,"limits":{"disk_mb":64},
 "data_dir":"/nowhere","beat_interval_ms":200,"tolerate":{"machine_losses":1},"bounds":{"grace_s":6}}"#;
@@ -185,14 +188,16 @@
     let (path, folder_path) = (file.to_str().unwrap(), folder.to_str().unwrap());
     let replaced = [(path, "FILE"), (folder_path, "FOLDER")];
     let mut text = String::new();
-    for (of, with, serves) in SETTINGS {
-        assert!(GOOD.contains(of), "{of}");
+    for (of, with, serves) in SETTINGS_CHANGES {
+        assert!(VALID_SETTINGS.contains(of), "{of}");
         text += &format!("# {serves}: {of:?} -> {with:?}\n");
-        fs::write(&file, GOOD.replace("SERVES", serves).replacen(of, with, 1)).unwrap();
+        fs::write(&file, VALID_SETTINGS.replace("SERVES", serves).replacen(of, with, 1)).unwrap();
         text += &transcript(&["check", "boot", path], &run(&["check", "boot", path]), &replaced);
     }
     let words = ["check", "boot", "--json", path];
-    for settings in [GOOD.replace("SERVES", "edge"), GOOD.replace("\"disk_mb\":64", "\"disk_mb\":7")] {
+    for settings in
+        [VALID_SETTINGS.replace("SERVES", "edge"), VALID_SETTINGS.replace("\"disk_mb\":64", "\"disk_mb\":7")]
+    {
         fs::write(&file, settings.replace("SERVES", "storage").replace(":6}", ":3}")).unwrap();
         text += &transcript(&words, &run(&words), &replaced);
     }
@@ -215,10 +220,10 @@
     assert_as_recorded("checks.txt", &text);
 }
 
-/// The figures of one process: the lines of help and kind as they are, and of each sample its name and labels. Values of labels
-/// that depend on what was just going on are left out.
-fn metrics(text: &str) -> String {
-    let changing = [
+/// The metrics of one process without sample values: the help and type lines unchanged, and the name and labels of each sample.
+/// Label values that depend on the current activity of the system are left out.
+fn metrics_without_values(text: &str) -> String {
+    let metrics_with_varying_labels = [
         "stileroute_said_total",
         "stileroute_said_bytes_total",
         "stileroute_answers_total",
@@ -229,7 +234,7 @@
         let line = match line.rsplit_once(' ') {
             _ if line.starts_with('#') => line.to_string(),
             Some((sample, _)) => match sample.split_once('{') {
-                Some((name, labels)) if changing.contains(&name) => {
+                Some((name, labels)) if metrics_with_varying_labels.contains(&name) => {
                     let names: Vec<&str> = labels
                         .trim_end_matches('}')
                         .split(',')
@@ -248,7 +253,7 @@
     lines.join("\n") + "\n"
 }
 
-/// The keys of `status --json`: those of a node by its class, those of a store in a service once.
+/// The JSON keys of `status --json`. Keys of nodes are listed by class, so that each key appears once for a class.
 fn status_keys(fleet: &Fleet) -> String {
     let status = fleet.json(&["status"]);
     let mut text = String::new();
@@ -262,7 +267,7 @@
     text + &format!("status\n  {}\n", top.join("\n  "))
 }
 
-/// What all stores say of a message: who has it is drawn.
+/// The traces of a message at all stores, combined, because the stores that hold the message are chosen at random.
 fn trace(fleet: &Fleet, message: &str) -> String {
     let output = fleet.ask(&["message", message]);
     let text = String::from_utf8_lossy(&output.stdout).to_string();
@@ -293,13 +298,13 @@
     eventually_as_recorded(&fleet, "message-delivered.txt", &|fleet| trace(fleet, &message));
     eventually_as_recorded(&fleet, "message-waiting.txt", &|fleet| trace(fleet, &waiting));
     fleet.addresses().iter().for_each(|(class, address)| check_figures(&fleet, class, address));
-    assert_as_recorded("orders.txt", &orders(&fleet));
+    assert_as_recorded("orders.txt", &operator_command_transcripts(&fleet));
     NODES.iter().for_each(|node| fleet.end(node.0));
     let state = state_of(&fleet, "store-1", "hold") + &state_of(&fleet, "core-1", "watch");
     assert_as_recorded("state.txt", &state);
 }
 
-/// Waits until what is shown is as recorded: it follows what the system does.
+/// Waits until the output equals the recorded file, because the output follows changes of the system with a delay.
 fn eventually_as_recorded(fleet: &Fleet, file: &str, show: &dyn Fn(&Fleet) -> String) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/interface").join(file);
     let recorded = fs::read_to_string(path).unwrap_or_default();
@@ -309,11 +314,11 @@
     }
 }
 
-/// The figures of one process, as text and as JSON.
+/// Checks the metrics of one process, as text and as JSON.
 fn check_figures(fleet: &Fleet, class: &str, address: &str) {
     let figures = |fleet: &Fleet| {
         let output = fleet.ask_at(address, &["figures"]);
-        metrics(&String::from_utf8_lossy(&output.stdout).replace(&*fleet.net, "NET"))
+        metrics_without_values(&String::from_utf8_lossy(&output.stdout).replace(&*fleet.net, "NET"))
     };
     eventually_as_recorded(fleet, &format!("figures-{class}.txt"), &figures);
     let shown = fleet.ask_at(address, &["figures"]);
@@ -328,8 +333,8 @@
     assert!(names.is_subset(&keys), "each sample is a key of the object: {names:?} {keys:?}");
 }
 
-/// What the orders of operators print, and how they end.
-fn orders(fleet: &Fleet) -> String {
+/// Transcripts of the operator commands: their output and exit codes.
+fn operator_command_transcripts(fleet: &Fleet) -> String {
     let (own, other, lower) = fleet.configurations();
     let nobody = format!("{}.200:17300", fleet.net);
     let replaced = [(fleet.dir.to_str().unwrap(), "DIR"), (&*fleet.net, "NET")];
@@ -361,18 +366,18 @@
     text
 }
 
-/// What `state verify` shows of a node that has ended.
+/// The output of `state verify` for a stopped node, without values.
 fn state_of(fleet: &Fleet, name: &str, folder: &str) -> String {
     let path = fleet.dir.join(name);
     let output = run(&["state", "verify", path.to_str().unwrap()]);
     let lines = String::from_utf8_lossy(&output.stdout).to_string();
     let fields = lines.lines().filter_map(|line| line.split(": ").next());
-    // Files, whose names have a hyphen, may be more or fewer.
+    // Lines of log files, whose names contain a hyphen, are left out because the number of files varies.
     let fields: Vec<&str> = fields.filter(|field| !field.contains('-')).collect();
     let mut text = format!("{name}: exit code {:?}\n{}\n", output.status.code(), fields.join("\n"));
     let output = run(&["state", "verify", "--json", path.to_str().unwrap()]);
     let json = jzon::parse(&String::from_utf8_lossy(&output.stdout)).unwrap();
-    text += &keys(&format!("{name} as JSON"), &without_kinds(&json, folder));
+    text += &keys(&format!("{name} as JSON"), &without_kind_counts(&json, folder));
     let kinds: BTreeSet<&str> = json[folder]["records_by_kind"].entries().map(|(kind, _)| kind).collect();
     let known: &[&str] = match folder {
         "hold" => &[
@@ -393,8 +398,8 @@
     text
 }
 
-/// Which kinds of records there are depends on the course of things.
-fn without_kinds(json: &JsonValue, folder: &str) -> JsonValue {
+/// Removes the counts by record kind, because the kinds that occur vary between runs.
+fn without_kind_counts(json: &JsonValue, folder: &str) -> JsonValue {
     let mut json = json.clone();
     json[folder]["records_by_kind"] = JsonValue::new_object();
     json
