--- a/crates/server/src/cli/args.rs
+++ b/crates/server/src/cli/args.rs
@@ -1,5 +1,5 @@
-//! The options and commands that the command line knows. Types and variants have plain comments: `gumdrop` would print doc
-//! comments as part of the help.
+//! The options and commands of the command line. Types and variants have plain comments, because `gumdrop` would print their doc
+//! comments as part of the help text.
 
 use super::error::CommandError;
 use super::output::OutputFormat;
@@ -10,10 +10,10 @@
 use std::path::{Path, PathBuf};
 use tracing::Level;
 
-/// Says how much is logged where no option does.
+/// The environment variable that sets the log level if no option does.
 const LOG_VARIABLE: &str = "STILEROUTE_LOG";
 
-// The options of the program itself, before its command.
+// The options of the program itself, which precede the command.
 #[derive(Debug, Options)]
 pub struct Args {
     #[options(help = "show this")]
@@ -47,7 +47,7 @@
     pub command: Option<Command>,
 }
 
-// The commands; the first three are the roles of a process.
+// The commands; the first three start a role.
 #[derive(Debug, Options)]
 pub enum Command {
     #[options(help = "take messages from clients")]
@@ -78,7 +78,7 @@
     Version(VersionOptions),
 }
 
-// Options of a role.
+// Options of the commands that start a role.
 #[derive(Debug, Options)]
 pub struct RoleOptions {
     #[options(help = "show this")]
@@ -125,7 +125,7 @@
     pub file: PathBuf,
 }
 
-// Options of a command that asks the running system.
+// Options of a command that queries the running system.
 #[derive(Debug, Options)]
 pub struct FleetOptions {
     #[options(help = "show this")]
@@ -136,7 +136,7 @@
     json: bool,
 }
 
-// Options of a command that sends or compares a configuration.
+// Options of a command that sends or compares a configuration file.
 #[derive(Debug, Options)]
 pub struct ConfigurationOptions {
     #[options(help = "show this")]
@@ -190,7 +190,7 @@
     pub command: Option<StateCommand>,
 }
 
-// What can be done with a data folder.
+// The operations on a data folder.
 #[derive(Debug, Options)]
 pub enum StateCommand {
     #[options(help = "read a data folder through, and change nothing")]
@@ -198,7 +198,7 @@
 }
 
 impl Args {
-    /// The role that the process is to run, if the command is one.
+    /// The role that the process will run, if the command starts one.
     pub fn role(&self) -> Option<NodeRole> {
         match &self.command {
             Some(Command::Edge(_)) => Some(NodeRole::Edge),
@@ -208,21 +208,21 @@
         }
     }
 
-    /// The settings file of a role.
+    /// The path of the settings file for a role.
     ///
     /// # Errors
     ///
-    /// [`CommandError::NoSettingsFile`] where neither `--boot` nor the environment names one.
+    /// [`CommandError::NoSettingsFile`] if neither `--boot` nor the environment names one.
     pub fn settings_file(&self) -> Result<PathBuf, CommandError> {
         let file = self.boot.clone().or_else(settings_file_of_environment);
         file.ok_or(CommandError::NoSettingsFile { option: "--boot" })
     }
 
-    /// How much is logged: by `--log`, else by the environment, else [`Level::INFO`].
+    /// The log level from `--log`, or else from the environment, or else [`Level::INFO`].
     ///
     /// # Errors
     ///
-    /// [`CommandError::UnknownLogLevel`] for a level that does not exist.
+    /// [`CommandError::UnknownLogLevel`] for an unknown log level.
     pub fn log_level(&self) -> Result<Level, CommandError> {
         let (option, level) = match (&self.log, std::env::var(LOG_VARIABLE)) {
             (Some(level), _) => ("--log", level.clone()),
@@ -245,35 +245,35 @@
 }
 
 impl FleetOptions {
-    /// The query that these options make, with the settings file that `--boot` names.
+    /// The query that these options describe; `settings` is the settings file that `--boot` names.
     pub fn query<'a>(&'a self, settings: Option<&'a Path>) -> Query<'a> {
         query(&self.at, self.json, settings)
     }
 }
 
 impl ConfigurationOptions {
-    /// The query that these options make, with the settings file that `--boot` names.
+    /// The query that these options describe; `settings` is the settings file that `--boot` names.
     pub fn query<'a>(&'a self, settings: Option<&'a Path>) -> Query<'a> {
         query(&self.at, self.json, settings)
     }
 }
 
-/// What `retire` asks for.
+/// The action that the command `retire` requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetireRequest {
-    /// The store is to be emptied.
+    /// Start the retirement, which empties the store.
     Begin,
-    /// Only how far it is.
+    /// Only report the progress of the retirement.
     Status,
 }
 
 impl RetireOptions {
-    /// The query that these options make, with the settings file that `--boot` names.
+    /// The query that these options describe; `settings` is the settings file that `--boot` names.
     pub fn query<'a>(&'a self, settings: Option<&'a Path>) -> Query<'a> {
         query(&self.at, self.json, settings)
     }
 
-    /// Whether the retirement is ordered, or only looked at.
+    /// Whether the command starts the retirement or only reports its progress.
     pub fn request(&self) -> RetireRequest {
         if self.status {
             RetireRequest::Status
@@ -284,21 +284,21 @@
 }
 
 impl MessageOptions {
-    /// The query that these options make, with the settings file that `--boot` names.
+    /// The query that these options describe; `settings` is the settings file that `--boot` names.
     pub fn query<'a>(&'a self, settings: Option<&'a Path>) -> Query<'a> {
         query(&self.at, self.json, settings)
     }
 }
 
 impl FileOptions {
-    /// How the result is printed.
+    /// The format in which the result is printed.
     pub fn format(&self) -> OutputFormat {
         OutputFormat::from_json_flag(self.json)
     }
 }
 
 impl VersionOptions {
-    /// How the version is printed.
+    /// The format in which the version is printed.
     pub fn format(&self) -> OutputFormat {
         OutputFormat::from_json_flag(self.json)
     }
--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -59,7 +59,7 @@
     }
 
     /// Adds a warning for the key unless the condition holds.
-    fn expect(&mut self, holds: bool, key: &str, reason: impl Into<String>) {
+    fn warn_unless(&mut self, holds: bool, key: &str, reason: impl Into<String>) {
         if !holds {
             self.findings.warnings.push(self.fault(key, reason));
         }
@@ -114,7 +114,7 @@
         self.require(boot.fault_tolerance.zones < zones, "tolerate.zones", reason);
         self.require(boot.bounds.shutdown_grace_ms <= DAY_MS, "bounds.grace_s", "must be a day or less");
         let is_long_enough = boot.bounds.shutdown_grace_ms >= MIN_RECOMMENDED_GRACE_MS;
-        self.expect(is_long_enough, "bounds.grace_s", "an edge needs 3.5 s to end in order");
+        self.warn_unless(is_long_enough, "bounds.grace_s", "an edge needs 3.5 s to end in order");
     }
 
     fn check_edge(&mut self) {
@@ -134,7 +134,7 @@
         self.require((1..=DAY_MS).contains(&bounds.rate_limit_window_ms), "bounds.ceiling_window_s", reason);
         let overrun = bounds.rate_limit_overrun;
         self.require(overrun <= MAX_RATE_LIMIT_OVERRUN, "bounds.origin_overrun", "must be 100 or less");
-        self.expect(overrun >= 1.0, "bounds.origin_overrun", "below 1 counts as 1");
+        self.warn_unless(overrun >= 1.0, "bounds.origin_overrun", "below 1 counts as 1");
         self.check_disk(NodeRole::Store);
     }
 
@@ -144,7 +144,7 @@
         self.require(boot.control_address.is_some(), "bind_addresses.control", reason);
         let has_majority = boot.seeds.len() > 2 * boot.fault_tolerance.machines;
         let reason = "the seeds are too few to have a majority after so many losses";
-        self.expect(has_majority, "tolerate.machine_losses", reason);
+        self.warn_unless(has_majority, "tolerate.machine_losses", reason);
         self.check_disk(NodeRole::Control);
     }
 
--- a/crates/server/tests/commands.rs
+++ b/crates/server/tests/commands.rs
@@ -115,7 +115,7 @@
     }
 
     fn kill(&mut self, name: &str) {
-        let at = self.children.iter().position(|(n, _)| n == name).unwrap();
+        let at = self.children.iter().position(|(node, _)| node == name).unwrap();
         let (_, mut child) = self.children.swap_remove(at);
         child.kill().unwrap();
         child.wait().unwrap();
@@ -123,7 +123,7 @@
 
     /// The exit code of a process that has exited without being killed; `None` while it runs.
     fn exit_code(&mut self, name: &str) -> Option<i32> {
-        let (_, child) = self.children.iter_mut().find(|(n, _)| n == name).unwrap();
+        let (_, child) = self.children.iter_mut().find(|(node, _)| node == name).unwrap();
         child.try_wait().unwrap().and_then(|status| status.code())
     }
 
@@ -146,7 +146,7 @@
         let text = fs::read_to_string(&boot).unwrap();
         assert!(text.contains(from));
         fs::write(&boot, text.replace(from, to)).unwrap();
-        let (_, child) = self.children.iter().find(|(n, _)| n == name).unwrap();
+        let (_, child) = self.children.iter().find(|(node, _)| node == name).unwrap();
         let signalled = Command::new("kill").args(["-HUP", &child.id().to_string()]).status().unwrap();
         assert!(signalled.success());
     }
@@ -203,7 +203,7 @@
 
     /// Sends messages until one is accepted, and returns its id.
     fn send_until_accepted(&self) -> String {
-        self.wait_for("taken", || self.send().filter(|answer| answer.0 == 202)).2
+        self.wait_for("a message is accepted", || self.send().filter(|answer| answer.0 == 202)).2
     }
 
     /// The stages of a message at the stores that know it: normally one store delivers it and another holds its replica.
@@ -232,7 +232,7 @@
 fn configured_fleet() -> Fleet {
     let mut fleet = Fleet::new();
     ALL_NODES.iter().for_each(|name| fleet.start(name, true));
-    fleet.wait_for("the configuration is taken", || fleet.configure(7).filter(|status| *status == 200));
+    fleet.wait_for("the configuration is accepted", || fleet.configure(7).filter(|status| *status == 200));
     fleet
 }
 
@@ -242,7 +242,7 @@
 fn swapped_disks_are_refused_before_anything_in_them_is_used() {
     let mut fleet = configured_fleet();
     fleet.message = fleet.send_until_accepted();
-    fleet.wait_for("it lies on two disks", || fleet.replicated(&fleet.message));
+    fleet.wait_for("the message is on two disks", || fleet.replicated(&fleet.message));
     let swapped = [("storage-1", "storage-2"), ("core-1", "core-2")];
     for (one, other) in swapped {
         [one, other].iter().for_each(|name| fleet.kill(name));
@@ -250,7 +250,7 @@
         for (name, owner) in [(one, other), (other, one)] {
             fleet.start(name, false);
             let code = loop {
-                assert!(Instant::now() < fleet.deadline, "{name} runs on another's disk");
+                assert!(Instant::now() < fleet.deadline, "{name} runs with the disk of another node");
                 match fleet.exit_code(name) {
                     Some(code) => break code,
                     None => std::thread::park_timeout(Duration::from_millis(20)),
@@ -265,7 +265,7 @@
         fleet.swap_disks(one, other);
         [one, other].iter().for_each(|name| fleet.start(name, false));
     }
-    fleet.wait_for("it lies on two disks as before", || fleet.replicated(&fleet.message));
+    fleet.wait_for("the message is on two disks as before", || fleet.replicated(&fleet.message));
     let read = || fleet.http("1:18262", "GET", "/v1/settings/read", "").filter(|answer| answer.0 == 200);
     assert!(fleet.wait_for("the configuration", read).1.contains("\"revision\":7"));
 }
@@ -345,7 +345,7 @@
 fn machines_are_replaced_retired_and_lost_as_the_page_says() {
     let mut fleet = configured_fleet();
     fleet.message = fleet.send_until_accepted();
-    fleet.wait_for("it lies on two disks", || fleet.replicated(&fleet.message));
+    fleet.wait_for("the message is on two disks", || fleet.replicated(&fleet.message));
 
     replace_a_store_without_its_disk(&mut fleet);
     retire_a_store(&mut fleet);
@@ -373,35 +373,35 @@
 fn retire_a_store(fleet: &mut Fleet) {
     // A primary that has just started does not know the members yet: until it does, it may answer 503, and then only 404.
     fleet.wait_for("no such store", || {
-        let status = fleet.curl(3, BEGIN, "storage-3", "storage-9").map(|a| a.0);
+        let status = fleet.curl(3, BEGIN, "storage-3", "storage-9").map(|answer| answer.0);
         assert_matches!(status, Some(404 | 503));
         (status == Some(404)).then_some(())
     });
     // The control node that had the store's session before may not see that the store accepted the order, so all are asked.
-    let any = |line: &str, part: &str| {
+    let core_with = |line: &str, part: &str| {
         let says = |a: (u16, String, String)| a.0 == 200 && a.1.contains(part);
         (1..=3).rev().find(|core| fleet.curl(*core, line, "", "").is_some_and(says))
     };
     // Only two stores are left and the loss of one must be tolerated, so no store is spare and the operator gets a warning.
     let answer = r#"{"spare_stores":0,"warning":"no spare store is left: the loss of another stops intake"}"#;
-    fleet.wait_for("the order is taken", || any(BEGIN, answer));
-    let core = fleet.wait_for("emptied", || any(READ, "complete"));
-    assert_eq!(fleet.curl(core, BEGIN, "storage-3", "storage-2").map(|a| a.0), Some(409));
+    fleet.wait_for("the order is accepted", || core_with(BEGIN, answer));
+    let core = fleet.wait_for("the store is empty", || core_with(READ, "complete"));
+    assert_eq!(fleet.curl(core, BEGIN, "storage-3", "storage-2").map(|answer| answer.0), Some(409));
     fleet.kill("storage-3");
     fleet.wipe("storage-3");
-    fleet.wait_for("it lies on the two that are left", || fleet.replicated(&fleet.message));
+    fleet.wait_for("the message is on the two stores that are left", || fleet.replicated(&fleet.message));
 }
 
 /// Checks that a control node acknowledges the same retirement order again, and still reports the retirement as complete.
 fn check_retirement_at_core(fleet: &Fleet, core: u8) {
     fleet.wait_for("acknowledged again", || {
-        let again = fleet.curl(core, BEGIN, "", "").map(|a| a.0);
-        assert_matches!(again, None | Some(200 | 503), "an order that was taken is refused");
+        let again = fleet.curl(core, BEGIN, "", "").map(|answer| answer.0);
+        assert_matches!(again, None | Some(200 | 503), "an order that was accepted is rejected");
         (again == Some(200)).then_some(())
     });
     fleet.wait_for("still complete", || {
-        let state = fleet.curl(core, READ, "", "").map(|a| (a.0, a.1.contains("complete")));
-        assert_matches!(state, None | Some((200, true) | (503, _)), "what was complete is not any more");
+        let state = fleet.curl(core, READ, "", "").map(|answer| (answer.0, answer.1.contains("complete")));
+        assert_matches!(state, None | Some((200, true) | (503, _)), "the retirement is no longer complete");
         (state == Some((200, true))).then_some(())
     });
 }
@@ -416,11 +416,11 @@
     };
     let (ordered, emptied) = (retire(&[]), retire(&["--status"]));
     assert_eq!((ordered.status.code(), emptied.status.code()), (Some(0), Some(0)));
-    let said = |output: &Output| String::from_utf8(output.stdout.clone()).unwrap();
+    let stdout = |output: &Output| String::from_utf8(output.stdout.clone()).unwrap();
     let warning = "WARNING: no spare store is left: the loss of another stops intake";
     let order = "storage-3 has the order: ask with --status until it is empty";
-    assert_eq!(said(&ordered), format!("{order}\n{warning}\n"));
-    assert_eq!(said(&emptied), "storage-3 is empty: take it away with its disk\n");
+    assert_eq!(stdout(&ordered), format!("{order}\n{warning}\n"));
+    assert_eq!(stdout(&emptied), "storage-3 is empty: take it away with its disk\n");
     let cores = ["core-1", "core-2", "core-3"];
     cores.iter().for_each(|name| fleet.kill(name));
     cores.iter().for_each(|name| fleet.start(name, false));
@@ -433,7 +433,7 @@
 /// messages must be back.
 fn lose_too_many_stores_for_a_while(fleet: &mut Fleet) {
     STORES.into_iter().for_each(|name| fleet.kill(name));
-    fleet.wait_for("refused", || fleet.send().filter(|answer| answer.0 == 503));
+    fleet.wait_for("rejected", || fleet.send().filter(|answer| answer.0 == 503));
     assert!(fleet.stages(&fleet.message).is_empty());
     let verified = fleet.stilerouted("state verify /var/lib/stilerouted", "");
     let text = String::from_utf8_lossy(&verified.stdout);
@@ -454,8 +454,9 @@
     let message = &fleet.message;
     let asked = fleet.stilerouted("message 9c41d07b.655f3c0000002.2b1f8e06 --at 10.1.0.14:7300", message);
     assert_eq!(asked.status.code(), Some(1), "{asked:?}");
-    let state =
-        || fleet.http("21:18263", "GET", &format!("/v1/message/{message}"), "").filter(|a| a.0 != 503);
+    let state = || {
+        fleet.http("21:18263", "GET", &format!("/v1/message/{message}"), "").filter(|reply| reply.0 != 503)
+    };
     assert_eq!(fleet.wait_for("its state", state).0, 404);
 }
 
@@ -484,7 +485,7 @@
     // Manual recovery: the wiped nodes start with `first_start` beside the remaining one, and the configuration is sent again.
     restart_without_disks(fleet, true);
     fleet.wait_for("a configuration is taken again", || fleet.configure(9).filter(|status| *status == 200));
-    fleet.wait_for("in force at all", || (fleet.status().matches("version 9").count() == 6).then_some(()));
+    fleet.wait_for("on all nodes", || (fleet.status().matches("version 9").count() == 6).then_some(()));
     fleet.send_until_accepted();
 }
 
@@ -497,13 +498,13 @@
     };
     fleet.wait_for("a long one is taken", || long("10", 2 << 20).filter(|answer| answer.0 == 200));
     // A body of this length may time out on a busy machine; whatever happens to its connection, it must not be accepted.
-    let refused = fleet.wait_for("refused", || {
+    let rejected = fleet.wait_for("rejected", || {
         let answer = long("11", 5 << 20);
         assert_matches!(answer, None | Some((413 | 503 | 504, ..)));
         answer.filter(|answer| answer.0 == 413)
     });
-    assert!(refused.1.contains("body: over 4194304 bytes"), "{}", refused.1);
-    fleet.wait_for("in force at all", || (fleet.status().matches("version 10").count() == 6).then_some(()));
+    assert!(rejected.1.contains("body: over 4194304 bytes"), "{}", rejected.1);
+    fleet.wait_for("on all nodes", || (fleet.status().matches("version 10").count() == 6).then_some(()));
     MOST_CORES.iter().for_each(|name| fleet.kill(name));
     MOST_CORES.iter().for_each(|name| fleet.start(name, false));
     let kept = || fleet.http("2:18262", "GET", "/v1/settings/read", "").filter(|answer| answer.0 == 200);
@@ -518,14 +519,14 @@
     fleet.start_with("core-2", true, &["--log", "error"]);
     let up = |host: u8| fleet.http(&format!("{host}:18262"), "GET", "/v1/settings/read", "");
     fleet.wait_for("both answer", || up(1).and(up(2)));
-    let said = |text: &str| fleet.log("core-1").contains(text).then_some(());
+    let logged = |text: &str| fleet.log("core-1").contains(text).then_some(());
     fleet.change_settings("core-1", "\"grace_s\":6", "\"grace_s\":\"long\"");
-    fleet.wait_for("the fault is named", || said("bounds.grace_s"));
-    assert!(said("settings reloaded").is_none());
+    fleet.wait_for("the fault is named", || logged("bounds.grace_s"));
+    assert!(logged("settings reloaded").is_none());
     fleet.change_settings("core-1", "\"grace_s\":\"long\"", "\"grace_s\":5");
-    fleet.wait_for("they are read again", || said("settings reloaded"));
+    fleet.wait_for("the reload is logged", || logged("settings reloaded"));
     fleet.change_settings("core-1", "\"node_name\":\"core-1\"", "\"node_name\":\"core-9\"");
-    fleet.wait_for("another node's are not taken", || said("settings name another node: not reloaded"));
+    fleet.wait_for("its rejection is logged", || logged("settings name another node: not reloaded"));
     assert!(up(1).is_some() && fleet.log("core-1").contains(" INFO starts"));
     assert_eq!(fleet.log("core-2"), "", "nothing is an error yet");
 }
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -114,7 +114,7 @@
 }
 
 fn check_status_text(fleet: &Fleet) {
-    let text = fleet.wait_for("all has run", || {
+    let text = fleet.wait_for("all messages are delivered and version 7 is in force", || {
         let text = texts(&run_docs_command(fleet, "stilerouted status --at 10.1.0.14:7300", "")).0;
         let has_run = text.contains("crane: 0 waiting, 0 out") && text.matches("version 7").count() == 4;
         (has_run && !text.contains("HEARS NOTHING") && !text.contains("SILENT")).then_some(text)
@@ -136,7 +136,7 @@
     assert!(json["nodes"].members().all(|node| node["version"] == 7), "{json}");
     assert_eq!(json["control"]["epoch"], 1);
     assert!(!json["services"]["crane"]["executors"]["i-crane-1"]["shares"].is_empty(), "{json}");
-    assert!(json["services"]["crane"]["repeats"]["first"].as_u64().is_some_and(|n| n > 0), "{json}");
+    assert!(json["services"]["crane"]["repeats"]["first"].as_u64().is_some_and(|count| count > 0), "{json}");
 }
 
 fn trace(fleet: &Fleet, message: &str) -> JsonValue {
@@ -145,7 +145,7 @@
 }
 
 fn check_traces(fleet: &Fleet, done: &str, stuck: &str) {
-    fleet.wait_for("the end is told to the copy", || {
+    fleet.wait_for("the replica knows the end of the message", || {
         let json = trace(fleet, done);
         let ends = json["stores"].entries().filter(|(_, trace)| trace["end"]["seal"] == "s-m-1").count();
         (ends == 2).then_some(())
@@ -248,7 +248,7 @@
 /// A node without contact to the control nodes must report it in its metrics; then all nodes must shut down gracefully.
 fn stop_gracefully(fleet: &mut Fleet, metrics_address: &str) {
     fleet.end("core-1");
-    fleet.wait_for("the edge hears nothing", || {
+    fleet.wait_for("the edge has no contact to control nodes", || {
         let metrics = http(metrics_address, "GET", "/metrics", "", "")?.2;
         metrics.contains("stileroute_control_heard 0").then_some(())
     });
