--- a/crates/server/src/cli/discovery.rs
+++ b/crates/server/src/cli/discovery.rs
@@ -49,7 +49,8 @@
 }
 
 impl Fleet {
-    /// Asks the processes at the entry point, then all processes that their reports name, until no new ones are named.
+    /// Asks the processes at the entry point, then all processes that the reports name, until no report names
+    /// a new one.
     ///
     /// # Errors
     ///
--- a/crates/server/src/cli/figures.rs
+++ b/crates/server/src/cli/figures.rs
@@ -29,7 +29,8 @@
     Err(CommandError::NoAnswer { reasons })
 }
 
-/// Builds a JSON object with one member for each sample: the key is the metric name with its labels.
+/// Builds a JSON object with one member for each sample: the key is the metric name with its labels, the value is that of the
+/// sample.
 fn samples_as_json(text: &str) -> JsonValue {
     let mut object = JsonValue::new_object();
     for line in text.lines().filter(|line| !line.starts_with('#')) {
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -156,7 +156,7 @@
     assert_eq!(stages, BTreeSet::from(["copy".to_string(), "waiting".to_string()]), "{json}");
 }
 
-/// Each outcome of an operator command must have its own exit code.
+/// Checks the exit code of operator commands for each of their outcomes.
 fn check_exit_codes_of_orders(fleet: &Fleet) {
     let (own, other, lower) = fleet.configurations();
     let broken = fleet.write_file("broken.json", "{\"routes\":7}");
