--- a/crates/server/src/cli/check.rs
+++ b/crates/server/src/cli/check.rs
@@ -61,17 +61,17 @@
 
 /// Checks a settings file for the roles that its key `serves` names.
 pub fn check_boot(path: &Path, format: OutputFormat) -> ExitStatus {
-    let boot = match NodeSettings::read(path) {
-        Ok(boot) => boot,
+    let node_settings = match NodeSettings::read(path) {
+        Ok(node_settings) => node_settings,
         Err(faults) => {
             return print_findings("", &Findings { faults: faults.faults, warnings: Vec::new() }, format);
         }
     };
     let file = path.display().to_string();
-    let roles: Vec<NodeRole> = boot.serves.iter().filter_map(|name| role_served(name)).collect();
+    let roles: Vec<NodeRole> = node_settings.serves.iter().filter_map(|name| role_served(name)).collect();
     let role_names: Vec<String> = roles.iter().map(NodeRole::to_string).collect();
-    let summary = format!("{file}: {} can run as {}", boot.node_name, role_names.join(", "));
-    print_findings(&summary, &settings::check(&file, &boot, &roles), format)
+    let summary = format!("{file}: {} can run as {}", node_settings.node_name, role_names.join(", "));
+    print_findings(&summary, &settings::check(&file, &node_settings, &roles), format)
 }
 
 /// The role that a value of the settings key `serves` names.
--- a/crates/server/src/cli/query.rs
+++ b/crates/server/src/cli/query.rs
@@ -56,13 +56,13 @@
         let file = self.at.map(PathBuf::from).or_else(|| self.settings.map(Path::to_path_buf));
         let file = file.or_else(settings_file_of_environment);
         let file = file.ok_or(CommandError::NoSettingsFile { option: "--at" })?;
-        let boot = NodeSettings::read(&file).map_err(CommandError::Settings)?;
-        let ports = (boot.internal_ports.first, boot.internal_ports.last);
+        let node_settings = NodeSettings::read(&file).map_err(CommandError::Settings)?;
+        let ports = (node_settings.internal_ports.first, node_settings.internal_ports.last);
         let address = |ip, class| links::listen_address(ports, ip, class);
         let classes = [NodeRole::Edge, NodeRole::Store, NodeRole::Control];
-        let mut addresses = classes.map(|class| address(boot.ip, class)).to_vec();
+        let mut addresses = classes.map(|class| address(node_settings.ip, class)).to_vec();
         if scope == SettingsScope::MachineAndSeeds {
-            addresses.extend(boot.seeds.iter().map(|seed| address(*seed.ip(), NodeRole::Control)));
+            addresses.extend(node_settings.seeds.iter().map(|seed| address(*seed.ip(), NodeRole::Control)));
         }
         Ok(addresses)
     }
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -61,13 +61,13 @@
     if args.figures.is_some_and(|address| !address.ip().is_loopback()) {
         return Err(CommandError::FiguresNotLoopback);
     }
-    let boot = settings::read(&path, role).map_err(CommandError::Settings)?;
-    let metrics_port_address = args.metrics_port.map(|port| SocketAddrV4::new(boot.ip, port));
-    let boot = NodeSettings {
-        metrics_address: args.figures.or(metrics_port_address).or(boot.metrics_address),
-        ..boot
+    let settings = settings::read(&path, role).map_err(CommandError::Settings)?;
+    let metrics_port_address = args.metrics_port.map(|port| SocketAddrV4::new(settings.ip, port));
+    let settings = NodeSettings {
+        metrics_address: args.figures.or(metrics_port_address).or(settings.metrics_address),
+        ..settings
     };
-    match run(boot, &path, role) {
+    match run(settings, &path, role) {
         Ok(()) => Ok(ExitStatus::Success),
         Err(report) => Err(CommandError::Role { settings: path, report }),
     }
@@ -82,9 +82,9 @@
     Ok(flush)
 }
 
-fn run(boot: NodeSettings, path: &Path, role: NodeRole) -> miette::Result<()> {
-    tracing::info!(node = boot.node_name, role = %role, first = boot.is_first_start, "starts");
-    let runtime = NodeRuntime::start(boot, path, role)?;
+fn run(settings: NodeSettings, path: &Path, role: NodeRole) -> miette::Result<()> {
+    tracing::info!(node = settings.node_name, role = %role, first = settings.is_first_start, "starts");
+    let runtime = NodeRuntime::start(settings, path, role)?;
     match role {
         NodeRole::Edge => edge::Edge::new(runtime)?.run(),
         NodeRole::Store => store::Store::new(runtime)?.run(),
--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -38,7 +38,7 @@
 /// A check of one settings file, which collects faults and warnings.
 struct Check<'a> {
     file: &'a str,
-    boot: &'a NodeSettings,
+    settings: &'a NodeSettings,
     findings: Findings,
 }
 
@@ -66,30 +66,30 @@
     }
 
     fn check_all_roles(&mut self) {
-        let boot = self.boot;
-        let PortRange { first, last } = boot.internal_ports;
+        let settings = self.settings;
+        let PortRange { first, last } = settings.internal_ports;
         let reason = "must span three ports at least, one for each role";
         self.require(last >= first.saturating_add(2), "internal_ports", reason);
-        self.require(!boot.seeds.is_empty(), "seed_nodes", "must name one control node at least");
-        self.require(!boot.ip.is_unspecified(), "ip", "must be the machine's own address");
+        self.require(!settings.seeds.is_empty(), "seed_nodes", "must name one control node at least");
+        self.require(!settings.ip.is_unspecified(), "ip", "must be the machine's own address");
         self.check_bind_addresses();
-        let is_in_range = HEARTBEAT_INTERVALS_MS.contains(&boot.heartbeat_interval_ms);
+        let is_in_range = HEARTBEAT_INTERVALS_MS.contains(&settings.heartbeat_interval_ms);
         self.require(is_in_range, "beat_interval_ms", "must be from 10 to 600000");
         self.check_limits();
     }
 
     fn check_bind_addresses(&mut self) {
-        let boot = self.boot;
-        let PortRange { first, last } = boot.internal_ports;
+        let settings = self.settings;
+        let PortRange { first, last } = settings.internal_ports;
         let addresses: [(&str, Option<SocketAddrV4>); 4] = [
-            ("bind_addresses.front", boot.front_address),
-            ("bind_addresses.readiness", boot.readiness_address),
-            ("bind_addresses.control", boot.control_address),
-            ("bind_addresses.figures", boot.metrics_address),
+            ("bind_addresses.front", settings.front_address),
+            ("bind_addresses.readiness", settings.readiness_address),
+            ("bind_addresses.control", settings.control_address),
+            ("bind_addresses.figures", settings.metrics_address),
         ];
         for (index, (key, address)) in addresses.iter().enumerate() {
             let Some(address) = address else { continue };
-            let is_internal = (first..=last).contains(&address.port()) && *address.ip() == boot.ip;
+            let is_internal = (first..=last).contains(&address.port()) && *address.ip() == settings.ip;
             self.require(!is_internal, key, "must not lie in internal_ports");
             let duplicate = addresses[..index].iter().find(|(_, other)| *other == Some(*address));
             self.require(
@@ -98,37 +98,45 @@
                 format!("is {} too", duplicate.map_or("", |(key, _)| key)),
             );
         }
-        let is_loopback = boot.metrics_address.is_none_or(|address| address.ip().is_loopback());
+        let is_loopback = settings.metrics_address.is_none_or(|address| address.ip().is_loopback());
         let reason = "must be a loopback address: anyone who reaches it may read it";
         self.require(is_loopback, "bind_addresses.figures", reason);
     }
 
     fn check_limits(&mut self) {
-        let boot = self.boot;
+        let settings = self.settings;
         let reason = format!("must be {MIN_OPEN_FILES} or more");
-        self.require(boot.resources.max_open_files >= MIN_OPEN_FILES, "limits.max_open_files", reason);
+        self.require(settings.resources.max_open_files >= MIN_OPEN_FILES, "limits.max_open_files", reason);
         let reason = format!("must be {MAX_MACHINE_LOSSES} or less");
-        self.require(boot.fault_tolerance.machines <= MAX_MACHINE_LOSSES, "tolerate.machine_losses", reason);
-        let zones = boot.zone_regions.len();
+        self.require(
+            settings.fault_tolerance.machines <= MAX_MACHINE_LOSSES,
+            "tolerate.machine_losses",
+            reason,
+        );
+        let zones = settings.zone_regions.len();
         let reason = format!("must be less than the {zones} there are");
-        self.require(boot.fault_tolerance.zones < zones, "tolerate.zones", reason);
-        self.require(boot.bounds.shutdown_grace_ms <= DAY_MS, "bounds.grace_s", "must be a day or less");
-        let is_long_enough = boot.bounds.shutdown_grace_ms >= MIN_RECOMMENDED_GRACE_MS;
+        self.require(settings.fault_tolerance.zones < zones, "tolerate.zones", reason);
+        self.require(settings.bounds.shutdown_grace_ms <= DAY_MS, "bounds.grace_s", "must be a day or less");
+        let is_long_enough = settings.bounds.shutdown_grace_ms >= MIN_RECOMMENDED_GRACE_MS;
         self.warn_unless(is_long_enough, "bounds.grace_s", "an edge needs 3.5 s to end in order");
     }
 
     fn check_edge(&mut self) {
-        let boot = self.boot;
-        self.require(boot.front_address.is_some(), "bind_addresses.front", "missing, and an edge needs it");
+        let settings = self.settings;
+        self.require(
+            settings.front_address.is_some(),
+            "bind_addresses.front",
+            "missing, and an edge needs it",
+        );
         self.require(
-            boot.readiness_address.is_some(),
+            settings.readiness_address.is_some(),
             "bind_addresses.readiness",
             "missing, and an edge needs it",
         );
     }
 
     fn check_store(&mut self) {
-        let bounds = &self.boot.bounds;
+        let bounds = &self.settings.bounds;
         self.require(bounds.status_retention_ms <= DAY_MS, "bounds.status_s", "must be a day or less");
         let reason = "must be above 0 and a day or less";
         self.require((1..=DAY_MS).contains(&bounds.rate_limit_window_ms), "bounds.ceiling_window_s", reason);
@@ -139,19 +147,19 @@
     }
 
     fn check_control_node(&mut self) {
-        let boot = self.boot;
+        let settings = self.settings;
         let reason = "missing, and a control node needs it";
-        self.require(boot.control_address.is_some(), "bind_addresses.control", reason);
-        let has_majority = boot.seeds.len() > 2 * boot.fault_tolerance.machines;
+        self.require(settings.control_address.is_some(), "bind_addresses.control", reason);
+        let has_majority = settings.seeds.len() > 2 * settings.fault_tolerance.machines;
         let reason = "the seeds are too few to have a majority after so many losses";
         self.warn_unless(has_majority, "tolerate.machine_losses", reason);
         self.check_disk(NodeRole::Control);
     }
 
     fn check_disk(&mut self, role: NodeRole) {
-        let has_folder = self.boot.data_dir.is_some();
+        let has_folder = self.settings.data_dir.is_some();
         self.require(has_folder, "data_dir", format!("missing, and a {role} needs it"));
-        let disk_mb = self.boot.resources.disk_mb;
+        let disk_mb = self.settings.resources.disk_mb;
         let is_usable = disk_mb == 0 || (MIN_DISK_MB..=MAX_DISK_MB).contains(&disk_mb);
         let reason = format!("must be 0 (unknown) or from {MIN_DISK_MB} to {MAX_DISK_MB}");
         self.require(is_usable, "limits.disk_mb", reason);
@@ -159,8 +167,8 @@
 }
 
 /// Checks settings for the given roles. `file` is the file name that faults and warnings show.
-pub fn check(file: &str, boot: &NodeSettings, roles: &[NodeRole]) -> Findings {
-    let mut check = Check { file, boot, findings: Findings::default() };
+pub fn check(file: &str, settings: &NodeSettings, roles: &[NodeRole]) -> Findings {
+    let mut check = Check { file, settings, findings: Findings::default() };
     check.check_all_roles();
     for role in roles {
         match role {
@@ -179,13 +187,13 @@
 ///
 /// If the settings can't be read or have faults; the error lists all faults that were found.
 pub fn read(path: &Path, role: NodeRole) -> Result<NodeSettings, ConfigError> {
-    let boot = NodeSettings::read(path)?;
-    let findings = check(&path.display().to_string(), &boot, &[role]);
+    let settings = NodeSettings::read(path)?;
+    let findings = check(&path.display().to_string(), &settings, &[role]);
     for warning in findings.warnings {
         tracing::warn!("{warning}");
     }
     if findings.faults.is_empty() {
-        Ok(boot)
+        Ok(settings)
     } else {
         Err(ConfigError { faults: findings.faults })
     }
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -114,7 +114,7 @@
 }
 
 fn check_status_text(fleet: &Fleet) {
-    let text = fleet.wait_for("all messages are delivered and version 7 is in force", || {
+    let text = fleet.wait_for("the queue of crane is empty and all nodes have version 7", || {
         let text = texts(&run_docs_command(fleet, "stilerouted status --at 10.1.0.14:7300", "")).0;
         let has_run = text.contains("crane: 0 waiting, 0 out") && text.matches("version 7").count() == 4;
         (has_run && !text.contains("HEARS NOTHING") && !text.contains("SILENT")).then_some(text)
