--- a/crates/server/src/cli/figures.rs
+++ b/crates/server/src/cli/figures.rs
@@ -1,21 +1,21 @@
-//! `stilerouted figures`: the counters of one process.
+//! `stilerouted figures`: shows the metrics of one process.
 
 use super::error::CommandError;
-use super::internal_client::ask;
+use super::internal_client::send_request;
 use super::output::{print, ExitStatus, OutputFormat};
 use super::query::{Query, SettingsScope};
 use crate::protocol::Frame;
 use jzon::JsonValue;
 
-/// Shows the counters of the first process at the entry point that answers.
+/// Shows the metrics of the first process at the entry point that answers.
 ///
 /// # Errors
 ///
-/// Where the entry point can't be used, or no process answers.
+/// If the entry point can't be used, or no process answers.
 pub fn figures(query: &Query<'_>) -> Result<ExitStatus, CommandError> {
     let mut reasons = Vec::new();
     for address in query.entry.addresses(SettingsScope::Machine)? {
-        match ask(address, &Frame::MetricsRequest { request_id: 1 }) {
+        match send_request(address, &Frame::MetricsRequest { request_id: 1 }) {
             Ok(text) => {
                 match query.format {
                     OutputFormat::Json => print(&samples_as_json(&text).pretty(2)),
@@ -29,7 +29,8 @@
     Err(CommandError::NoAnswer { reasons })
 }
 
-/// One member for each sample: its name with its labels, and its value.
+/// Builds a JSON object with one member for each sample: the key is the metric name with its labels, the value is that of the
+/// sample.
 fn samples_as_json(text: &str) -> JsonValue {
     let mut object = JsonValue::new_object();
     for line in text.lines().filter(|line| !line.starts_with('#')) {
--- a/crates/server/src/cli/status.rs
+++ b/crates/server/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! `stilerouted status`: the nodes, the control group and the services of a running system.
+//! `stilerouted status`: shows the nodes, the control group and the services of a running system.
 
 use super::discovery::{Fleet, ProcessReport, UnreachableProcess};
 use super::error::CommandError;
@@ -8,14 +8,14 @@
 use crate::protocol::NodeRole;
 use jzon::JsonValue;
 
-/// Parts of a report that are shown elsewhere, or only needed to find the other processes.
-const KEYS_LEFT_OUT: [&str; 5] = ["known", "links", "executors", "services", "ports"];
+/// Keys of a report that are left out, because they are shown elsewhere or only serve to discover other processes.
+const OMITTED_KEYS: [&str; 5] = ["known", "links", "executors", "services", "ports"];
 
-/// Shows the running system.
+/// Shows the state of the running system.
 ///
 /// # Errors
 ///
-/// Where the entry point can't be used, or no process answers.
+/// If the entry point can't be used, or no process answers.
 pub fn status(query: &Query<'_>) -> Result<ExitStatus, CommandError> {
     let fleet = Fleet::discover(&query.entry)?;
     match query.format {
@@ -26,7 +26,7 @@
 }
 
 fn as_json(fleet: &Fleet) -> JsonValue {
-    let silent: Vec<JsonValue> =
+    let unreachable: Vec<JsonValue> =
         fleet.unreachable.values().map(|process| process.to_string().into()).collect();
     let leading = fleet.leading_control_report();
     let control = leading.map_or(JsonValue::Null, |report| report["duty"].clone());
@@ -36,14 +36,14 @@
         "control" => control,
         "storage" => storage,
         "nodes" => nodes,
-        "silent" => silent,
+        "silent" => unreachable,
         "services" => services(fleet),
     }
 }
 
 fn node_as_json(process: &ProcessReport) -> JsonValue {
     let mut node = process.report.clone();
-    for key in KEYS_LEFT_OUT {
+    for key in OMITTED_KEYS {
         node.remove(key);
     }
     node["internal"] = process.address.to_string().into();
@@ -71,7 +71,7 @@
     let leader = fleet.reports_of(NodeRole::Control).find(|report| report["duty"]["leads"] == true);
     let leader = leader.map_or("nobody leads now".to_string(), |report| format!("{} leads", report["node"]));
     let mut text = format!("control: epoch {}, primary {}, {leader}\n", control["epoch"], control["primary"]);
-    let (replicas, voters) = (joined(&control["copies"]), joined(&control["voters"]));
+    let (replicas, voters) = (join_with_spaces(&control["copies"]), join_with_spaces(&control["voters"]));
     text += &format!("  copies: {replicas}\n  voters: {voters}\n");
     text += &storage_as_text(&report["storage"]);
     for report in fleet.reports_of(NodeRole::Control).filter(|report| report["duty"]["blank"] == true) {
@@ -80,7 +80,7 @@
     text
 }
 
-/// How many stores may be lost while messages are still accepted; nothing where an older process does not say.
+/// Formats how many stores may be lost while messages are still accepted; empty if an older process does not report it.
 fn storage_as_text(storage: &JsonValue) -> String {
     if storage.is_null() {
         return String::new();
@@ -89,8 +89,8 @@
     format!("  stores: {} in service, {} spare{warning}\n", storage["in_service"], storage["spare"])
 }
 
-/// The members of a list with blanks between them.
-pub fn joined(values: &JsonValue) -> String {
+/// Joins the members of a JSON array with spaces.
+pub fn join_with_spaces(values: &JsonValue) -> String {
     values.members().map(JsonValue::to_string).collect::<Vec<_>>().join(" ")
 }
 
@@ -122,8 +122,8 @@
     text
 }
 
-/// What a store says of copies that are missing; nothing where the loss of another store is tolerated, or an older process does not
-/// say.
+/// Formats the warning of a store about missing replicas; empty if the loss of another store is tolerated, or if an older process
+/// does not report it.
 fn replication_as_text(report: &JsonValue) -> String {
     if report["fully_replicated"] != false {
         return String::new();
@@ -135,7 +135,7 @@
     )
 }
 
-/// With which control node an edge or a store has its session.
+/// Formats the session of an edge or a store with a control node.
 fn session_as_text(report: &JsonValue) -> String {
     if report["class"] == "core" {
         return String::new();
@@ -156,7 +156,7 @@
         service["waiting"], service["out"], service["oldest_ms"]
     );
     if !service["ceiling"].is_null() {
-        let holders = joined(&service["ceiling"]["holders"]);
+        let holders = join_with_spaces(&service["ceiling"]["holders"]);
         let holders = if holders.is_empty() { "nobody".to_string() } else { holders };
         text += &format!(", at most {}/s, tokens by {holders}", service["ceiling"]["rate_per_s"]);
     }
@@ -177,7 +177,7 @@
 }
 
 fn executor_as_text(id: &str, executor: &JsonValue) -> String {
-    // An endpoint that the configuration names has no id.
+    // Endpoints that are listed in the configuration have no executor id.
     let id = if id.is_empty() { "endpoint" } else { id };
     let mut text = format!("    {id}");
     if executor["address"].is_string() {
