--- a/crates/server/src/dial_targets.rs
+++ b/crates/server/src/dial_targets.rs
@@ -1,11 +1,11 @@
-//! With whom an edge or a store opens connections.
+//! Selects the nodes that an edge or a store dials.
 
 use crate::node::NodeRuntime;
 use crate::protocol::{Member, NodeRole};
 
 impl NodeRuntime {
-    /// If the topology has changed, says with whom connections are to be opened from here: with control nodes, and with those
-    /// stores of the membership for which `dials` holds.
+    /// After a topology change, sets the addresses that this process dials: all control nodes, and the stores in the
+    /// membership for which `dials` returns true.
     pub fn update_dial_targets(&mut self, dials: impl Fn(&Member) -> bool) {
         if !self.take_topology_change() {
             return;
--- a/crates/server/src/keepalive.rs
+++ b/crates/server/src/keepalive.rs
@@ -1,47 +1,47 @@
-//! When a connection between two processes needs a ping, and when its other side is taken to be gone.
+//! Decides when a connection between two processes needs a ping, and when the peer is considered dead.
 //!
-//! The side that opened a connection pings, and the other side answers where it has sent nothing lately. With a clock for each
-//! connection every ping was a wake-up of its own, and an edge with a dozen stores woke for little else: so all pings go out
-//! together, once in [`PING_INTERVAL`].
+//! The side that opened a connection sends pings, and the other side replies if it has sent nothing recently. With
+//! one timer per connection every ping caused a separate wake-up, and these made up most wake-ups of an edge with a
+//! dozen stores. All pings are therefore sent together, once per [`PING_INTERVAL`].
 
 use crate::net::Millis;
 
-/// How often it is looked which connections need a ping.
+/// Interval at which connections are checked for a due ping, in milliseconds.
 pub const PING_INTERVAL: Millis = 500;
-/// A peer of which nothing has been received for so long is taken to be gone.
+/// Time without any received frame after which a peer is considered dead, in milliseconds.
 pub const PEER_SILENCE_LIMIT: Millis = 1600;
-/// A ping is answered only if nothing has been sent for so long.
+/// A ping is answered only if this side has sent no frame for this time, in milliseconds.
 const PING_REPLY_INTERVAL: Millis = 200;
 
 /// When something was last sent and received on one connection.
 #[derive(Clone, Copy)]
 pub struct Keepalive {
-    /// This side opened the connection.
+    /// Whether this side opened the connection.
     is_dialer: bool,
     last_received_at: Millis,
     last_sent_at: Millis,
-    /// Since when something that this side sent has had no answer. Only a dialer counts that.
+    /// Time of the oldest sent frame that has had no reply. Only the side that opened the connection tracks it.
     unanswered_since: Option<Millis>,
 }
 
 impl Keepalive {
-    /// A connection that has just been opened, by this side (`is_dialer`) or the other.
+    /// Creates the state of a connection that has just been opened, by this side (`is_dialer`) or by the peer.
     pub fn new(is_dialer: bool, now: Millis) -> Keepalive {
         Keepalive { is_dialer, last_received_at: now, last_sent_at: now, unanswered_since: None }
     }
 
-    /// When something was last received.
+    /// Returns the time at which a frame was last received.
     pub fn last_received_at(&self) -> Millis {
         self.last_received_at
     }
 
-    /// Something was received.
+    /// Records that a frame was received.
     pub fn record_received(&mut self, now: Millis) {
         self.last_received_at = now;
         self.unanswered_since = None;
     }
 
-    /// Something is sent.
+    /// Records that a frame was sent.
     pub fn record_sent(&mut self, now: Millis) {
         self.last_sent_at = now;
         if self.is_dialer {
@@ -49,10 +49,10 @@
         }
     }
 
-    /// When the other side is taken to be gone if nothing is received until then.
+    /// Returns the time at which the peer is considered dead unless a frame arrives first.
     ///
-    /// A dialer is sent little but answers. If it was suspended, and pinged nobody meanwhile, silence says nothing of the
-    /// other side: so it counts from its oldest unanswered ping.
+    /// A dialer receives little except ping replies. If its process was suspended and sent no pings in that time, the
+    /// silence says nothing about the peer; a dialer's time-out therefore starts at its oldest unanswered ping.
     pub fn expires_at(&self) -> Millis {
         let silent_from_last = self.last_received_at + PEER_SILENCE_LIMIT;
         if !self.is_dialer {
@@ -62,18 +62,18 @@
             .map_or(Millis::MAX, |since| (since + PEER_SILENCE_LIMIT - PING_INTERVAL).max(silent_from_last))
     }
 
-    /// Whether a ping is due; asked once in [`PING_INTERVAL`]. The side that was dialled pings only if the other one fails to:
-    /// that may be of an older release, or stuck.
+    /// Returns whether a ping is due; called once per [`PING_INTERVAL`]. The side that was dialed pings only if the
+    /// dialer fails to do so, because the dialer may run an older release or be stuck.
     pub fn is_ping_due(&self, now: Millis) -> bool {
         if self.is_dialer {
-            // Also if only the other side has been silent, so that it has something to answer.
+            // A ping is also due if only the peer has been silent: the ping gives it a frame to reply to.
             now >= self.last_sent_at.min(self.last_received_at) + PING_INTERVAL / 2
         } else {
             now >= self.last_sent_at + 2 * PING_INTERVAL
         }
     }
 
-    /// Whether a ping that has been received needs an answer.
+    /// Returns whether a received ping needs a reply.
     pub fn needs_ping_reply(&self, now: Millis) -> bool {
         !self.is_dialer && now >= self.last_sent_at + PING_REPLY_INTERVAL
     }
--- a/crates/server/src/keepalive/tests.rs
+++ b/crates/server/src/keepalive/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 
-/// What happened in 20 s on the connections of one edge.
+/// Traffic on the connections of one edge within 20 s of simulated time.
 struct Traffic {
-    /// Pings and other frames, in both directions.
+    /// Number of frames, pings and others, sent in both directions.
     frames: u64,
-    /// How often the edge woke up.
+    /// Number of wake-ups of the edge.
     wakeups: u64,
-    /// Longest time in which one side received nothing.
+    /// Longest time in which one side of a connection received no frame.
     longest_silence: Millis,
 }
 
-/// An edge and the peers that it has dialled, each connection in a state of its own at first. `sends_every`: how often the peers
-/// send something of their own.
+/// Simulates an edge and the peers that it has dialed, with connections in different initial states. `sends_every` is
+/// the interval at which each peer sends a frame other than a ping.
 fn simulate(others: u64, sends_every: Option<Millis>) -> Traffic {
     let begin = |n: u64| {
         let (one, other) = (n * 37 % PING_INTERVAL, n * 53 % PING_INTERVAL);
@@ -56,27 +56,29 @@
 
 #[test]
 fn pings_go_out_together_and_no_side_is_silent_for_long() {
-    // With a clock for each connection the edge woke up 4 times a second for each peer.
+    // With one timer per connection the edge woke up 4 times a second for each peer.
     for others in [1, 24, 100] {
         let Traffic { frames, wakeups, longest_silence } = simulate(others, None);
         assert!(frames <= others * 20 * 4, "{others}: {frames} frames");
         assert!(wakeups <= 20 * 2 + 2, "{others}: woke up {wakeups} times");
         assert!(longest_silence <= PEER_SILENCE_LIMIT / 2, "{others}: {longest_silence} ms of silence");
     }
-    // Where the peers send something, the edge still sends to them, and no more than without.
+    // If the peers send frames of their own, the edge still sends pings to them, and no more pings than without those
+    // frames.
     for every in [100, 190, 210, 700] {
         let Traffic { frames, longest_silence, .. } = simulate(24, Some(every));
         assert!(longest_silence <= PEER_SILENCE_LIMIT / 2, "{every}: {longest_silence} ms of silence");
         assert!(frames <= 24 * 20 * (4 + 1000 / every), "{every}: {frames} frames");
     }
-    // A peer that never answers is pinged, and taken to be gone all the same.
+    // A peer that never replies still receives pings, and is considered dead at the time-out.
     let mut silent = Keepalive::new(true, 0);
     for now in (0..3000).step_by(500).filter(|now| *now > 0) {
         assert!(silent.is_ping_due(now));
         silent.record_sent(now);
     }
     assert_eq!(silent.expires_at(), PEER_SILENCE_LIMIT);
-    // A dialer that was suspended, and pinged nobody meanwhile, pings first.
+    // A dialer whose process was suspended, and which sent no pings in that time, pings before it closes the
+    // connection.
     let mut suspended = Keepalive::new(true, 0);
     assert!(suspended.expires_at() > 5000 && suspended.is_ping_due(5000));
     suspended.record_sent(5000);
--- a/crates/server/src/links.rs
+++ b/crates/server/src/links.rs
@@ -1,7 +1,8 @@
-//! Connections between the system's own processes: opened again when they break, and closed when the other side is silent.
+//! Manages connections between the system's own processes: redials broken connections and closes connections whose
+//! peer is silent.
 //!
-//! [`Links`] knows which process is at the other end of each connection and keeps one connection for each node. It is a state
-//! machine above the event loop: events of [`Net`] go in, [`LinkEvent`]s come out.
+//! [`Links`] tracks which process is at the other end of each connection and keeps one connection per node. It is a
+//! state machine above the event loop: it takes [`Net`] events as input and produces [`LinkEvent`]s.
 
 use crate::keepalive::{Keepalive, PEER_SILENCE_LIMIT, PING_INTERVAL};
 use crate::net::{ConnectionId, Event, Millis, Net};
@@ -10,34 +11,34 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use stileroute_queue::Node;
 
-/// Time from one attempt to open a connection to the next.
+/// Interval between two attempts to dial the same address, in milliseconds.
 const REDIAL_INTERVAL: Millis = 100;
-/// How many variants [`NodeRole`] has.
+/// Number of variants of [`NodeRole`].
 const ROLE_COUNT: usize = 4;
 
-/// Which frames are counted together.
+/// Key under which sent frames are counted in the metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SentKind {
-    /// What they are about: [`Frame::category`].
+    /// Frame category, from [`Frame::category`].
     pub category: &'static str,
-    /// Whether they went to another zone.
+    /// Whether the frames were sent to a peer in another zone.
     pub crosses_zones: bool,
 }
 
-/// How much was sent of one [`SentKind`].
+/// Number of frames and bytes sent for one [`SentKind`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FrameVolume {
-    /// How many frames.
+    /// Number of frames sent.
     pub frames: u64,
-    /// How many bytes, with the frames' lengths.
+    /// Number of bytes sent, including the length prefix of each frame.
     pub bytes: u64,
 }
 
-/// One connection.
+/// State of one connection to a peer process.
 struct Link {
-    /// Who is at the other end, once it has said so.
+    /// Peer at the other end; `None` until its `Hello` frame has arrived.
     peer: Option<PeerInfo>,
-    /// The address to which the connection was opened, if it was opened from here.
+    /// Address that this process dialed; `None` if the peer opened the connection.
     dialed_address: Option<SocketAddrV4>,
     keepalive: Keepalive,
 }
@@ -47,7 +48,8 @@
         Link { peer: None, dialed_address, keepalive: Keepalive::new(dialed_address.is_some(), now) }
     }
 
-    /// When the connection is closed if nothing is received until then; in any case if the other side never said who it is.
+    /// Time at which the connection is closed unless a frame arrives first. A connection whose peer has not
+    /// identified itself always has this time-out, including on the dialing side.
     fn expires_at(&self) -> Millis {
         match self.peer {
             Some(_) => self.keepalive.expires_at(),
@@ -56,20 +58,21 @@
     }
 }
 
-/// What a role is told of its peers.
-// Most events are frames, and most frames of the large variant: a box would only add an allocation to each.
+/// Event about a peer connection, passed to the role that this process runs.
+// Most events are `Received` frames, and most frames are of the large variant: boxing would only add an allocation to
+// each event.
 #[allow(clippy::large_enum_variant)]
 pub enum LinkEvent {
-    /// There is a connection with this node.
+    /// A connection with this node was established.
     Up(PeerInfo),
-    /// There is no connection with this node any more.
+    /// The connection with this node was closed.
     Down(Node, NodeRole),
-    /// A node has sent a frame.
+    /// The node sent a frame.
     Received(Node, NodeRole, Frame),
 }
 
-/// The address at which a process listens for its peers. The roles on one machine share a range of `ports`, first and last,
-/// and take the first three.
+/// Returns the address at which a process listens for its peers. All roles on one machine share the port range
+/// `ports` (first and last port, inclusive) and use its first three ports.
 pub fn listen_address(ports: (u16, u16), ip: Ipv4Addr, role: NodeRole) -> SocketAddrV4 {
     let offset = match role {
         NodeRole::Control => 0,
@@ -80,31 +83,34 @@
     SocketAddrV4::new(ip, first.saturating_add(offset).min(last))
 }
 
-/// The connections of this process with its peers.
+/// Connections of this process with its peers.
 pub struct Links {
     local: PeerInfo,
     links: HashMap<ConnectionId, Link>,
     by_node: HashMap<Node, ConnectionId>,
-    /// The connected nodes of each role, so that nobody goes through all edges to find a control node.
+    /// Connected nodes, indexed by role, so that finding a control node does not require a scan of all edges.
     by_role: [BTreeSet<Node>; ROLE_COUNT],
-    /// Addresses with which a connection is wanted, and when the next attempt is made.
+    /// Addresses to keep a connection with, and the time of the next dial attempt for each.
     dial_targets: HashMap<SocketAddrV4, Millis>,
-    /// Addresses to which there is a connection that was opened from here, established or not.
+    /// Addresses that this process has dialed and whose connection is still open, whether or not it is established
+    /// yet.
     dialed: HashSet<SocketAddrV4>,
-    /// Nothing is due before this time: all connections are gone through only then, and not in every turn of the loop.
+    /// Time of the next scan over all connections. No deadline falls before it, so the event loop does not scan the
+    /// connections on every iteration.
     next_scan_at: Millis,
     next_ping_at: Millis,
     ports: (u16, u16),
-    /// Frames that could not be decoded, or that came where none was expected.
+    /// Number of frames that could not be decoded or arrived in a state where they are not allowed.
     pub undecodable_frames: u64,
-    /// What was sent.
+    /// Volume of sent frames by category and zone crossing.
     pub sent: BTreeMap<SentKind, FrameVolume>,
-    /// How often all connections were gone through.
+    /// Number of scans over all connections.
     pub scan_count: u64,
 }
 
 impl Links {
-    /// No connections yet. `local` is what is said to each peer, and `ports` the range of [`listen_address`].
+    /// Creates an empty connection set. `local` is sent to each peer in the `Hello` frame, and `ports` is the port
+    /// range for [`listen_address`].
     pub fn new(local: PeerInfo, ports: (u16, u16)) -> Links {
         Links {
             local,
@@ -122,22 +128,23 @@
         }
     }
 
-    /// This process.
+    /// Returns the description of this process that it sends to its peers.
     pub fn local(&self) -> &PeerInfo {
         &self.local
     }
 
-    /// The address at which a process with this role listens on a machine.
+    /// Returns the address at which a process with this role listens on the machine with this IP address.
     pub fn listen_address(&self, ip: Ipv4Addr, role: NodeRole) -> SocketAddrV4 {
         listen_address(self.ports, ip, role)
     }
 
-    /// The range of ports, first and last, that all machines use.
+    /// Returns the first and last port of the range that all machines use.
     pub fn ports(&self) -> (u16, u16) {
         self.ports
     }
 
-    /// Sets the addresses to which connections are opened and opened again. Others that are open stay so.
+    /// Sets the addresses that are dialed, and redialed when their connection breaks. Open connections to other
+    /// addresses stay open.
     pub fn set_dial_targets(&mut self, now: Millis, targets: impl IntoIterator<Item = SocketAddrV4>) {
         let old = std::mem::take(&mut self.dial_targets);
         for address in targets {
@@ -149,7 +156,7 @@
         }
     }
 
-    /// Whether there is a connection with the node.
+    /// Returns whether there is a connection with the node.
     pub fn is_up(&self, node: Node) -> bool {
         self.by_node.contains_key(&node)
     }
@@ -158,37 +165,37 @@
         self.links.get(self.by_node.get(&node)?)
     }
 
-    /// When something was last received from the node, if there is a connection with it.
+    /// Returns the time at which a frame last arrived from the node, or `None` without a connection.
     pub fn last_heard_at(&self, node: Node) -> Option<Millis> {
         Some(self.link_with(node)?.keepalive.last_received_at())
     }
 
-    /// What the node said of itself, if there is a connection with it.
+    /// Returns the node's description of itself from its `Hello` frame, or `None` without a connection.
     pub fn peer(&self, node: Node) -> Option<&PeerInfo> {
         self.link_with(node)?.peer.as_ref()
     }
 
-    /// All nodes with which there is a connection.
+    /// Iterates over all nodes that have a connection with this process.
     pub fn all_peers(&self) -> impl Iterator<Item = &PeerInfo> {
         self.by_node.values().filter_map(|connection| self.links.get(connection)?.peer.as_ref())
     }
 
-    /// The connected nodes of a role.
+    /// Returns the connected nodes with this role.
     pub fn nodes_with_role(&self, role: NodeRole) -> Vec<Node> {
         self.by_role[role as usize].iter().copied().collect()
     }
 
-    /// The connected nodes of a role, with what they said of themselves.
+    /// Iterates over the connected nodes with this role, with the description that each sent in its `Hello` frame.
     pub fn peers(&self, role: NodeRole) -> impl Iterator<Item = &PeerInfo> {
         self.by_role[role as usize].iter().filter_map(|node| self.peer(*node))
     }
 
-    /// The connected control node that takes calls at this address.
+    /// Returns the connected control node that accepts operators' calls at this address.
     pub fn node_at_control_address(&self, address: SocketAddrV4) -> Option<Node> {
         self.peers(NodeRole::Control).find(|peer| peer.control_address == Some(address)).map(|peer| peer.node)
     }
 
-    /// Sends a frame to a node. Returns `false` if there is no connection with it.
+    /// Sends a frame to a node. Returns `false` if there is no connection with the node.
     pub fn send(&mut self, net: &mut Net, to: Node, frame: &Frame) -> bool {
         let Some(connection) = self.by_node.get(&to).copied() else { return false };
         self.send_on(net, connection, frame);
@@ -213,14 +220,14 @@
         }
     }
 
-    // ---- What is due by time ----
+    // ---- Deadlines ----
 
-    /// When [`Links::tick`] has something to do.
+    /// Returns the time at which [`Links::tick`] next has work to do.
     pub fn next_deadline(&self) -> Millis {
         self.next_scan_at
     }
 
-    /// Opens connections, pings, and closes connections whose other side is silent.
+    /// Dials missing connections, sends due pings, and closes connections whose peer is silent.
     pub fn tick(&mut self, net: &mut Net) -> Vec<LinkEvent> {
         let now = net.now();
         if now < self.next_scan_at {
@@ -276,8 +283,8 @@
         link_events
     }
 
-    /// Sets when all connections are gone through next. Whatever is sent or received until then puts its deadline off, or is
-    /// due after the next pings: so this is never too late.
+    /// Schedules the next scan over all connections. Traffic before that scan either postpones a connection's
+    /// deadline or creates a deadline that falls after the next ping time, so the scan never runs too late.
     fn schedule_scan(&mut self, now: Millis) {
         let expiries = self.links.values().map(Link::expires_at);
         let missing = self.dial_targets.iter().filter(|(address, _)| !self.dialed.contains(address));
@@ -286,10 +293,10 @@
         self.next_scan_at = next.min(self.next_ping_at).max(now + 1);
     }
 
-    // ---- Events of connections ----
+    // ---- Connection events ----
 
-    /// Handles an event of the event loop. Adds what the role is to be told to `link_events`, and gives the event back if it is
-    /// not about connections between processes.
+    /// Handles an event of the event loop. Appends the events for the role to `link_events`, and returns the input
+    /// event if it does not concern a connection between processes.
     pub fn handle_event(
         &mut self,
         net: &mut Net,
@@ -348,12 +355,13 @@
         }
     }
 
-    /// Whether a process that says this of itself is accepted on a connection that was opened to `dialed_address`, if it was
-    /// opened from here.
+    /// Returns whether a process with this `Hello` description is accepted on a connection. `dialed_address` is the
+    /// address that this process dialed, or `None` if the peer opened the connection.
     fn accepts(&self, dialed_address: Option<SocketAddrV4>, peer: &PeerInfo) -> bool {
         let listens_there =
             |ip| dialed_address.is_none_or(|dialed| self.listen_address(ip, peer.role) == dialed);
-        // Another process may have the address by now, and would be sent what is meant for the one that was dialled.
+        // By now another process may own the dialed address; it would receive frames meant for the process that was
+        // dialed.
         let is_dialed_one = listens_there(peer.ip)
             || peer.control_address.is_some_and(|control| listens_there(*control.ip()));
         let is_known_by_other_name = self.peer(peer.node).is_some_and(|known| known.name != peer.name);
@@ -361,7 +369,7 @@
         peer.protocol_version == PROTOCOL_VERSION && is_dialed_one && has_own_id
     }
 
-    /// The other side has said who it is.
+    /// Registers the peer of a connection once its `Hello` frame has arrived.
     fn identified(
         &mut self,
         net: &mut Net,
@@ -382,8 +390,9 @@
         link_events.push(LinkEvent::Up(peer));
     }
 
-    /// The node has opened a newer connection: this one is dead, though nothing has said so. ([`Links::remove_link`] would
-    /// forget the node, which has its new connection already.)
+    /// Closes the old connection of a node that has opened a newer one: the old connection is dead even though no
+    /// error was reported. [`Links::remove_link`] can't be used, because it would unregister the node, which already
+    /// has its new connection.
     fn close_replaced(&mut self, net: &mut Net, connection: ConnectionId) {
         if let Some(address) = self.links.remove(&connection).and_then(|link| link.dialed_address) {
             self.dialed.remove(&address);
@@ -392,7 +401,7 @@
         net.close(connection);
     }
 
-    /// Forgets a connection. Returns what the role is to be told, if it was the connection of a node.
+    /// Removes a connection. Returns a `Down` event for the role if it was the current connection of a node.
     fn remove_link(&mut self, now: Millis, connection: ConnectionId) -> Option<LinkEvent> {
         let link = self.links.remove(&connection)?;
         if let Some(address) = link.dialed_address {
--- a/crates/server/src/links/tests.rs
+++ b/crates/server/src/links/tests.rs
@@ -16,7 +16,7 @@
     }
 }
 
-/// An edge, and what it makes of the first frame on a connection.
+/// An edge process under test, which is given the first frame of a connection.
 struct Edge {
     net: Net,
     links: Links,
@@ -49,10 +49,10 @@
     };
     let store = peer_info(2, "store", NodeRole::Store, STORE);
     assert!(is_accepted(Some(at), &store) && is_accepted(None, &store));
-    // Another process that has the address by now, or a relay that leads elsewhere.
+    // Another process may own the dialed address by now, or a relay may forward the connection to the wrong process.
     assert!(!is_accepted(Some(at), &peer_info(2, "store", NodeRole::Edge, STORE)));
     assert!(!is_accepted(Some(at), &peer_info(3, "other", NodeRole::Store, Ipv4Addr::new(10, 0, 0, 3))));
-    // A control node is dialled at the address of its listener for calls, as the seeds name it.
+    // A control node is dialed at its listener for operators' calls, which is the address in the list of seeds.
     let elsewhere = peer_info(4, "core", NodeRole::Control, Ipv4Addr::new(10, 0, 0, 4));
     let core = PeerInfo { control_address: Some(SocketAddrV4::new(STORE, 80)), ..elsewhere.clone() };
     let at = SocketAddrV4::new(STORE, 7300);
@@ -66,11 +66,12 @@
     let mut edge = Edge::new();
     let store = Frame::Hello(peer_info(2, "store", NodeRole::Store, STORE));
     assert_eq!(edge.receives_first(None, &store).len(), 1);
-    // The command line's identifier is random; were it taken for the store, the store's connection would end.
+    // The command line picks a random node identifier. If it collided with a store's identifier and were accepted,
+    // the store's connection would be closed.
     let command_line = Frame::Hello(peer_info(2, "visitor", NodeRole::CommandLine, Ipv4Addr::UNSPECIFIED));
     assert!(edge.receives_first(None, &command_line).is_empty());
     assert!(edge.links.is_up(2));
-    // The same name is the same node, restarted.
+    // A node that connects again with the same name is the same node after a restart.
     assert!(matches!(edge.receives_first(None, &store)[..], [LinkEvent::Down(2, _), LinkEvent::Up(_)]));
 }
 
--- a/crates/server/src/log_writer.rs
+++ b/crates/server/src/log_writer.rs
@@ -1,5 +1,5 @@
-//! Writes log lines to standard error on a thread of its own. The loop must not stand still while the file or the pipe behind it
-//! does: it would send no heartbeat, and read no answer of an executor.
+//! Writes log lines to standard error on a separate thread. A blocked file or pipe behind standard error must not
+//! block the event loop, which could then send no heartbeats and read no replies of executors.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,35 +9,35 @@
 use std::time::{Duration, Instant};
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Lines that wait at most; what comes beyond is lost, and counted.
+/// Maximum number of queued log lines; further lines are dropped and counted.
 const MAX_WAITING_LINES: usize = 4096;
-/// The end of the process waits at most so long for lines that were not written.
+/// Maximum time that process exit waits for queued log lines to be written.
 const FLUSH_LIMIT: Duration = Duration::from_millis(500);
-/// Until the end looks again whether there is space for its command.
+/// Interval at which process exit retries to queue its flush command while the channel is full.
 const FULL_CHANNEL_PAUSE: Duration = Duration::from_millis(1);
 
 enum Command {
     Line(Vec<u8>),
-    /// Everything before is written: that is told here.
+    /// Reports on this channel that all lines queued before the command have been written.
     Flush(SyncSender<()>),
 }
 
-/// Where log lines go; each copy leads to the same thread.
+/// Handle that queues log lines; all clones feed the same writer thread.
 #[derive(Clone)]
 pub struct LogWriter {
     commands: SyncSender<Command>,
     lost_lines: Arc<AtomicU64>,
 }
 
-/// Writes what is left when it is dropped, as the last thing that a process does.
+/// Writes the queued log lines when it is dropped, as the last action of a process.
 pub struct FlushOnDrop(LogWriter);
 
 impl LogWriter {
-    /// Starts the thread.
+    /// Starts the writer thread.
     ///
     /// # Errors
     ///
-    /// Where the system has no thread for it.
+    /// The operating system could not create the thread.
     pub fn start(output: impl Write + Send + 'static) -> io::Result<(LogWriter, FlushOnDrop)> {
         let (commands, received) = sync_channel(MAX_WAITING_LINES);
         let lost_lines = Arc::new(AtomicU64::new(0));
@@ -48,10 +48,10 @@
     }
 }
 
-/// Until nobody can send a line any more.
+/// Writes queued lines until all senders are dropped.
 fn write_all(commands: &Receiver<Command>, mut output: impl Write, lost_lines: &AtomicU64) {
     for command in commands {
-        // Nobody is left to tell of a failure.
+        // Write errors are ignored: a failing log output leaves no channel on which to report them.
         match command {
             Command::Line(line) => drop(output.write_all(&line)),
             Command::Flush(done) => drop((output.flush(), done.try_send(()))),
@@ -65,7 +65,7 @@
 }
 
 impl Write for LogWriter {
-    /// Takes a line, or counts it as lost. Never waits.
+    /// Queues a line, or drops it and counts it as lost if the channel is full. Never blocks.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         if let Err(TrySendError::Full(_)) = self.commands.try_send(Command::Line(line.to_vec())) {
             self.lost_lines.fetch_add(1, Ordering::Relaxed);
--- a/crates/server/src/log_writer/tests.rs
+++ b/crates/server/src/log_writer/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::sync::Mutex;
 
-/// An output that waits before each write until the test lets it go on.
+/// Output that blocks before each write until the test permits it.
 struct HeldOutput {
     may_write: Receiver<()>,
     written: Arc<Mutex<Vec<u8>>>,
@@ -9,7 +9,7 @@
 
 impl Write for HeldOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // The test has ended: nothing is held any more.
+        // Once the test has ended and dropped the sender, writes are no longer blocked.
         let _ = self.may_write.recv();
         self.written.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -20,20 +20,21 @@
     }
 }
 
-/// A loop that stood still for a log line sent no ends and read no answers: a message that had succeeded ran again.
+/// Guards against a blocked log output that stops the event loop: results were not sent and replies not read, so that
+/// a message that had succeeded ran again.
 #[test]
 fn a_line_never_waits_for_the_output_and_what_is_lost_is_told() {
     let (let_go, may_write) = sync_channel(1);
     let written = Arc::new(Mutex::new(Vec::new()));
     let output = HeldOutput { may_write, written: Arc::clone(&written) };
     let (mut log, flush) = LogWriter::start(output).unwrap();
-    // With one line in the held write, and the channel full, the rest is lost.
+    // With one line in the blocked write and a full channel, all further lines are lost.
     let lines = MAX_WAITING_LINES + 100;
     for number in 0..lines {
         log.write_all(format!("line {number}\n").as_bytes()).unwrap();
     }
     drop(let_go);
-    // The channel may be full still, and then the end does not wait.
+    // The channel may still be full, in which case flushing at exit does not wait for it.
     while log.commands.try_send(Command::Line(b"last\n".to_vec())).is_err() {}
     drop(flush);
     let text = String::from_utf8(written.lock().unwrap().clone()).unwrap();
--- a/crates/server/src/metrics.rs
+++ b/crates/server/src/metrics.rs
@@ -1,26 +1,28 @@
-//! Metrics in the text exposition format of Prometheus (version 0.0.4). Each name is explained in docs/server.md.
+//! Metrics in the Prometheus text exposition format, version 0.0.4. docs/server.md explains each metric name.
 //!
-//! The samples are made anew for each question, from counters that their owners keep; the format is the `prometheus` package's.
+//! Samples are created for each scrape from counters that other modules keep; the `prometheus` package formats the
+//! text.
 
 use prometheus::proto::{
     Bucket, Counter, Gauge, Histogram as EncodedHistogram, LabelPair, Metric, MetricFamily, MetricType,
 };
 use prometheus::TextEncoder;
 
-/// Upper bounds of a histogram's buckets, in milliseconds.
+/// Upper bounds of the histogram buckets, in milliseconds.
 const BUCKETS_MS: [u64; 10] = [5, 10, 20, 40, 80, 160, 320, 1000, 5000, 15_000];
 
-/// How often durations of each length occurred.
+/// Histogram of durations.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Histogram {
-    /// Durations up to each of [`BUCKETS_MS`], and above the one before.
+    /// Count of durations in each bucket: up to its bound in [`BUCKETS_MS`] and above the bound of the previous
+    /// bucket.
     buckets: [u64; BUCKETS_MS.len()],
     count: u64,
     sum_ms: u64,
 }
 
 impl Histogram {
-    /// Counts a duration, in milliseconds.
+    /// Records a duration in milliseconds.
     pub fn record(&mut self, duration_ms: u64) {
         if let Some(index) = BUCKETS_MS.iter().position(|bound| duration_ms <= *bound) {
             self.buckets[index] += 1;
@@ -30,12 +32,12 @@
     }
 }
 
-/// The labels of a sample: names and values.
+/// Label names and values of a sample.
 type Labels<'a> = &'a [(&'a str, &'a str)];
 
-/// What a gauge can show. Whole numbers are exact below 2^53.
+/// Value type that a gauge can hold. Integers are exact below 2^53.
 pub trait GaugeValue {
-    /// The value of the sample.
+    /// Converts the value to a metric sample.
     fn as_sample(&self) -> f64;
 }
 
@@ -50,15 +52,15 @@
 }
 gauge_values!(u8, u64, usize, f64);
 
-/// The metrics of a process, in the order in which they are written.
+/// Metrics of a process, in output order.
 #[derive(Default)]
 pub struct Exposition {
     families: Vec<MetricFamily>,
 }
 
 impl Exposition {
-    /// Adds a sample to the metric of this name, which is described with its first sample. All samples of one metric have to
-    /// follow one another.
+    /// Adds a sample to the metric with this name; the first sample also sets the metric's help text. All samples of
+    /// one metric must be added consecutively.
     fn add(&mut self, name: &str, kind: MetricType, help: &str, sample: Metric) {
         if self.families.last().is_none_or(|family| family.name() != name) {
             let mut family = MetricFamily::default();
@@ -72,7 +74,7 @@
         }
     }
 
-    /// A number that only rises while the process runs.
+    /// Adds a counter sample: a value that only increases while the process runs.
     pub fn counter(&mut self, name: &str, help: &str, labels: Labels, value: u64) {
         let mut counter = Counter::default();
         counter.set_value(value.as_sample());
@@ -81,7 +83,7 @@
         self.add(name, MetricType::COUNTER, help, sample);
     }
 
-    /// A number that rises and falls.
+    /// Adds a gauge sample: a value that can increase and decrease.
     pub fn gauge(&mut self, name: &str, help: &str, labels: Labels, value: impl GaugeValue) {
         let mut gauge = Gauge::default();
         gauge.set_value(value.as_sample());
@@ -90,7 +92,7 @@
         self.add(name, MetricType::GAUGE, help, sample);
     }
 
-    /// A histogram, recorded in milliseconds and written in seconds.
+    /// Adds a histogram, converting its milliseconds to seconds.
     pub fn histogram(&mut self, name: &str, help: &str, histogram: &Histogram) {
         let mut cumulative = 0;
         let buckets = BUCKETS_MS.iter().zip(histogram.buckets).map(|(bound_ms, count)| {
@@ -109,7 +111,7 @@
         self.add(name, MetricType::HISTOGRAM, help, sample);
     }
 
-    /// All metrics as text.
+    /// Returns all metrics as text.
     pub fn text(&self) -> String {
         TextEncoder::new().encode_to_string(&self.families).unwrap_or_else(|error| {
             tracing::error!(%error, "metrics not encoded");
--- a/crates/server/src/net/client.rs
+++ b/crates/server/src/net/client.rs
@@ -1,5 +1,5 @@
-//! HTTP requests that go out, each on a connection that carries nothing else meanwhile: which connection carries a call, and
-//! when it is given up.
+//! HTTP client side: selects the connection for each outgoing request, with at most one request in flight per
+//! connection, and handles time-outs of calls.
 
 pub(super) mod connection;
 pub(super) mod pool;
@@ -13,41 +13,42 @@
 use std::io::ErrorKind;
 use std::net::{SocketAddr, SocketAddrV4};
 
-/// How long a connection for a call may take to be established.
+/// Maximum time to establish a connection for a call, in milliseconds.
 const CONNECT_TIMEOUT_MS: Millis = 700;
-/// An idle connection that is to be closed within this time carries no further call.
+/// An idle connection that will be closed within this many milliseconds is not used for another call.
 const MIN_IDLE_TIME_LEFT_MS: Millis = 5;
 
-/// A request that is to be sent.
+/// HTTP request to be sent.
 pub struct OutgoingCall<'a> {
-    /// The other side.
+    /// Address of the server.
     pub to: SocketAddrV4,
-    /// The whole request, head and body.
+    /// Complete bytes of the request, head and body.
     pub request: &'a [u8],
-    /// The caller's number of the call, given back with its outcome.
+    /// Identifier of the call, chosen by the caller and returned with the outcome.
     pub call_id: u64,
-    /// When the call is given up.
+    /// Time at which the call is abandoned.
     pub deadline: Millis,
-    /// Most connections that may be open for such calls to this address; at least one.
+    /// Maximum number of connections that may be open to this address for calls of this kind; at least one.
     pub max_connections: usize,
-    /// The request's identifier, if the reply has to repeat it in `X-Request-Id`.
+    /// Identifier of the request, if the reply must repeat it in `X-Request-Id`.
     pub request_id: Option<&'a str>,
 }
 
-/// A connection that was opened from here for calls.
+/// State of a connection that this process opened for calls.
 pub(super) struct ClientSide {
-    /// The pool that it belongs to.
+    /// Pool that the connection belongs to.
     pub pool: PoolKey,
-    /// The state of its requests and replies.
+    /// State of the connection's requests and replies.
     http: ClientConnection,
-    /// Since when it has carried no call.
+    /// Time since which the connection has carried no call.
     idle_since: Millis,
-    /// How long it had been idle when it took the pending call; `None` if it was opened for that.
+    /// Idle time of the connection before it took the pending call; `None` if the connection was opened for this
+    /// call.
     idle_before_call_ms: Option<Millis>,
 }
 
 impl Connection {
-    /// The connection's own state, if it was opened for calls.
+    /// Returns the client state, or `None` if the connection was not opened for calls.
     fn client(&self) -> Option<&ClientSide> {
         match &self.protocol {
             Protocol::Client(client) => Some(client),
@@ -55,7 +56,7 @@
         }
     }
 
-    /// As [`Connection::client`], to be changed.
+    /// Mutable variant of [`Connection::client`].
     fn client_mut(&mut self) -> Option<&mut ClientSide> {
         match &mut self.protocol {
             Protocol::Client(client) => Some(client),
@@ -65,11 +66,11 @@
 }
 
 impl Net {
-    /// Sends a request on an idle connection or on a new one. Its outcome comes as [`Event::CallCompleted`].
+    /// Sends a request on an idle connection or on a new one. The outcome follows as [`Event::CallCompleted`].
     ///
     /// # Errors
     ///
-    /// [`CallError::NoCapacity`] or [`CallError::NotConnected`], and then no event follows: nothing has been sent.
+    /// [`CallError::NoCapacity`] or [`CallError::NotConnected`]: nothing has been sent, and no event follows.
     pub fn call(&mut self, call: OutgoingCall) -> Result<(), CallError> {
         let now = self.now;
         let key = PoolKey { to: call.to, replies_name_request: call.request_id.is_some() };
@@ -99,10 +100,10 @@
         Ok(())
     }
 
-    /// Takes an idle connection that may carry this request. If there is none, and no further one may be opened, one that has
-    /// carried the same request before is closed to make room.
+    /// Takes an idle connection that may carry this request. If there is none and no further connection may be
+    /// opened, closes an idle connection that has carried the same request before, to free capacity.
     fn take_idle(&mut self, key: PoolKey, max_open: usize, request_id: Option<&str>) -> Option<ConnectionId> {
-        // Have carried the same request: good for others.
+        // Idle connections that have already carried this request; they remain usable for other requests.
         let mut unsuitable = Vec::new();
         let mut found = None;
         loop {
@@ -129,7 +130,7 @@
         found
     }
 
-    /// Whether an idle connection is likely to be open on the other side still.
+    /// Returns whether an idle connection is likely to be still open on the server's side.
     fn is_usable(&self, id: ConnectionId, key: PoolKey, idle_limit: Option<IdleLimit>) -> bool {
         let now = self.now;
         let is_open = self.connections.get(id).is_some_and(|connection| {
@@ -137,7 +138,7 @@
         });
         is_open
             && IdleLimit::allows(idle_limit, now, self.idle_time(id))
-            // Where replies name their request, a stray one is recognised when it is read.
+            // If replies repeat the request identifier, a stray reply is recognised when it is parsed.
             && (key.replies_name_request || self.has_no_unread_input(id))
     }
 
@@ -146,8 +147,8 @@
         client.is_some_and(|client| client.http.has_carried(request_id))
     }
 
-    /// Whether the socket has neither bytes nor an end to read. What came since the connection became idle would be taken for
-    /// the reply to the next call.
+    /// Returns whether the socket has neither unread bytes nor an end of stream. Bytes that arrived while the
+    /// connection was idle would be taken for the reply to the next call.
     fn has_no_unread_input(&self, id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get(id) else { return false };
         let mut byte = [0];
@@ -175,15 +176,15 @@
         Ok(id)
     }
 
-    /// How long a connection has been idle.
+    /// Returns how long a connection has been idle, in milliseconds.
     fn idle_time(&self, id: ConnectionId) -> Millis {
         let now = self.now;
         let client = self.connections.get(id).and_then(Connection::client);
         client.map_or(0, |client| now.saturating_sub(client.idle_since))
     }
 
-    /// A call was lost. If it was on a connection that had been idle before, and no byte of a reply has come, connections to
-    /// this address are trusted for a shorter time from now on.
+    /// Records that a call was lost. If its connection had been idle before the call and no byte of a reply arrived,
+    /// the idle limit for connections to this address is reduced.
     fn record_loss(&mut self, id: ConnectionId) {
         let now = self.now;
         let Some(connection) = self.connections.get_mut(id) else { return };
@@ -198,7 +199,7 @@
         pool.idle_limit = IdleLimit::after_loss(pool.idle_limit, now, idle_ms);
     }
 
-    /// Takes the reply out of what has been read.
+    /// Parses replies from the connection's input buffer.
     pub(super) fn take_reply(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Protocol::Client(client) = &mut connection.protocol else { return };
@@ -209,7 +210,7 @@
         self.apply(id, progress);
     }
 
-    /// The other side sends no more.
+    /// Handles the end of the input: the server sends no more bytes.
     pub(super) fn reply_input_ended(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Protocol::Client(client) = &mut connection.protocol else { return };
@@ -221,7 +222,7 @@
         self.apply(id, progress);
     }
 
-    /// The connection broke, or could not be established.
+    /// Handles a connection that broke or could not be established.
     pub(super) fn call_connection_lost(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let was_open = connection.is_established;
@@ -234,14 +235,15 @@
         self.apply(id, progress);
     }
 
-    /// The connection's deadline has come: that of the call, of its being established, or of its being idle.
+    /// Handles an expired deadline: that of the pending call, of establishing the connection, or of an idle
+    /// connection.
     pub(super) fn call_timed_out(&mut self, id: ConnectionId) {
         let now = self.now;
         let Some(connection) = self.connections.get_mut(id) else { return };
         let is_established = connection.is_established;
         let Some(client) = connection.client_mut() else { return };
         match client.http.pending().map(|call| call.deadline) {
-            // It was established in time, and the call itself has time left.
+            // The connection was established in time, and the call's own deadline has not passed.
             Some(deadline) if now < deadline && is_established => self.set_deadline(id, deadline),
             _ => {
                 let progress = client.http.deadline_passed(is_established);
@@ -264,7 +266,7 @@
         }
     }
 
-    /// Keeps a connection for a later call, if there is room for it.
+    /// Keeps a connection for a later call if the pool has capacity for it.
     fn keep_idle(&mut self, id: ConnectionId, keep_alive_ms: Millis) {
         let now = self.now;
         let Some(connection) = self.connections.get_mut(id) else { return };
@@ -272,8 +274,9 @@
         let Some(client) = connection.client_mut() else { return };
         client.idle_since = now;
         let key = client.pool;
-        // When stores join, each one's share of an executor's connections shrinks: those beyond it are closed as they become
-        // idle, or the executor would reset as many of other stores.
+        // When more stores join, each store's share of an executor's connections shrinks. Connections beyond the
+        // share are closed when they become idle; otherwise the executor would reset an equal number of other stores'
+        // connections.
         if self.pools.get(&key).is_some_and(|pool| pool.open_count > pool.max_open) {
             return self.close(id);
         }
@@ -281,7 +284,7 @@
         self.pools.entry(key).or_default().idle.push(id);
     }
 
-    /// A connection of the pool is closed.
+    /// Removes a closed connection from its pool.
     pub(super) fn remove_from_pool(&mut self, id: ConnectionId, key: PoolKey) {
         let now = self.now;
         let Some(pool) = self.pools.get_mut(&key) else { return };
@@ -293,7 +296,7 @@
         }
     }
 
-    /// Closes the idle connections to an executor that gets no more calls.
+    /// Closes the idle connections to an executor that receives no more calls.
     pub fn close_idle_calls_to(&mut self, to: SocketAddrV4) {
         let Some(pool) = self.pools.get_mut(&PoolKey { to, replies_name_request: true }) else { return };
         let idle = std::mem::take(&mut pool.idle);
--- a/crates/server/src/net/connection.rs
+++ b/crates/server/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! The connections of the event loop, each in a slot of a table.
+//! Table of the event loop's connections, each in a numbered slot.
 
 use super::client::ClientSide;
 use super::server::ServerSide;
@@ -6,64 +6,64 @@
 use mio::net::TcpStream;
 use std::io::{ErrorKind, Write};
 
-/// A connection: the slot in its lower 32 bits, and how often the slot had been used before in the upper ones. So no
-/// identifier is given twice, and an old one finds nothing.
+/// Identifier of a connection: the slot index in the lower 32 bits and the slot's generation in the upper 32 bits. No
+/// identifier is therefore used twice, and the identifier of a closed connection finds no connection.
 pub type ConnectionId = u64;
 
-/// A buffer that grew beyond this is freed when it is empty.
+/// An empty buffer with more than this capacity in bytes is freed.
 const MAX_KEPT_BUFFER_BYTES: usize = 16 << 10;
 
-/// What is spoken on a connection.
+/// Protocol of a connection.
 pub(super) enum Protocol {
-    /// HTTP requests come in.
+    /// HTTP server: the connection receives requests.
     Server(ServerSide),
-    /// HTTP requests go out.
+    /// HTTP client: the connection sends requests.
     Client(ClientSide),
-    /// Frames of another process of the system.
+    /// Frames to and from another process of the system.
     Peer,
-    /// The last response has been written, and what still comes is discarded: a connection that is closed with unread bytes is
-    /// reset, and the client may lose the response (RFC 9112, 9.6).
+    /// The last response has been written, and further input is discarded. If the connection were closed with unread
+    /// bytes, it would be reset and the client could lose the response (RFC 9112, 9.6).
     Lingering,
 }
 
-/// Bytes that wait to be written.
+/// Output bytes that have not been written to the socket yet.
 #[derive(Default)]
 pub(super) struct OutputBuffer {
-    /// All bytes since the buffer was last empty.
+    /// All bytes added since the buffer was last empty.
     pub bytes: Vec<u8>,
-    /// How many of them have been written.
+    /// Number of bytes that have been written to the socket.
     written: usize,
-    /// The connection is on the list of those to be flushed.
+    /// Whether the connection is in the list of connections to flush.
     pub is_queued: bool,
 }
 
-/// How far [`Connection::write_output`] got.
+/// Result of [`Connection::write_output`].
 pub(super) enum WriteResult {
-    /// All is written.
+    /// All output has been written.
     Complete,
-    /// The socket takes no more now; the poll says when it does.
+    /// The socket accepts no more bytes for now; the poll reports when it is writable again.
     Blocked,
     /// The connection is broken.
     Failed,
 }
 
-/// One connection.
+/// State of one connection.
 pub(super) struct Connection {
-    /// The socket.
+    /// Socket of the connection.
     pub stream: TcpStream,
-    /// What is spoken on it.
+    /// Protocol of the connection, with its state.
     pub protocol: Protocol,
-    /// Bytes that have been read and not been understood yet.
+    /// Bytes that have been read and not parsed yet.
     pub input: Vec<u8>,
-    /// Bytes that wait to be written.
+    /// Bytes that have not been written to the socket yet.
     pub output: OutputBuffer,
-    /// Whether the connection is established: one that is opened from here may not be yet.
+    /// Whether the connection is established; a connection that this process opened may still be connecting.
     pub is_established: bool,
-    /// When the connection is looked at if nothing happens on it before.
+    /// Time at which the connection's time-out handler runs if there is no activity before.
     pub deadline: Millis,
-    /// The connection ends when all output is written.
+    /// Whether the connection is closed once all output has been written.
     pub closes_after_output: bool,
-    /// The other side sends no more.
+    /// Whether the other side has ended its stream and sends no more bytes.
     pub has_input_ended: bool,
 }
 
@@ -81,12 +81,12 @@
         }
     }
 
-    /// Whether what still comes is discarded: after its last response nothing is wanted of a client.
+    /// Returns whether further input is discarded, which is the case after the last response to a client.
     pub fn discards_input(&self) -> bool {
         self.closes_after_output || matches!(self.protocol, Protocol::Lingering)
     }
 
-    /// Whether nothing waits to be written or understood.
+    /// Returns whether there is neither unwritten output nor unparsed input.
     pub fn has_empty_buffers(&self) -> bool {
         self.input.is_empty() && self.output.bytes.is_empty()
     }
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Writes as much of the output as the socket takes.
+    /// Writes as much of the output as the socket accepts.
     pub fn write_output(&mut self) -> WriteResult {
         let output = &mut self.output;
         while output.written < output.bytes.len() {
@@ -119,23 +119,23 @@
     }
 }
 
-/// A place for a connection.
+/// Table entry that can hold one connection.
 struct Slot {
-    /// How many connections it has held before.
+    /// Number of connections that the slot has held before.
     generation: u32,
     connection: Option<Connection>,
 }
 
-/// All connections.
+/// Table of all connections.
 pub(super) struct ConnectionTable {
     slots: Vec<Slot>,
-    /// Slots that hold none.
+    /// Indices of the empty slots.
     free: Vec<usize>,
     max_connections: usize,
 }
 
 impl ConnectionTable {
-    /// A table with room for so many.
+    /// Creates a table with capacity for `max_connections` connections.
     pub fn new(max_connections: usize) -> ConnectionTable {
         ConnectionTable { slots: Vec::new(), free: Vec::new(), max_connections }
     }
@@ -150,14 +150,14 @@
         Some(index)
     }
 
-    /// Gives a reserved slot back that was not used.
+    /// Releases a reserved slot into which no connection was inserted.
     pub fn release(&mut self, index: usize) {
         if index < self.slots.len() {
             self.free.push(index);
         }
     }
 
-    /// Puts a connection into a reserved slot.
+    /// Inserts a connection into a reserved slot.
     pub fn insert(
         &mut self,
         index: usize,
@@ -177,25 +177,25 @@
         (u64::from(self.slots[index].generation) << 32) | index as u64
     }
 
-    /// The connection that is in a slot now.
+    /// Returns the identifier of the connection that is currently in a slot.
     pub fn occupant(&self, index: usize) -> Option<ConnectionId> {
         self.slots.get(index)?.connection.as_ref()?;
         Some(self.id_at(index))
     }
 
-    /// A connection, unless it is closed.
+    /// Returns a connection, or `None` if it is closed.
     pub fn get(&self, id: ConnectionId) -> Option<&Connection> {
         let slot = self.slots.get(index_of(id))?;
         slot.connection.as_ref().filter(|_| slot.generation == generation_of(id))
     }
 
-    /// A connection, unless it is closed.
+    /// Returns a mutable connection, or `None` if it is closed.
     pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         let slot = self.slots.get_mut(index_of(id))?;
         slot.connection.as_mut().filter(|_| slot.generation == generation_of(id))
     }
 
-    /// Takes a connection out, and frees its slot.
+    /// Removes a connection and frees its slot.
     pub fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         self.get(id)?;
         let index = index_of(id);
@@ -206,13 +206,13 @@
         Some(connection)
     }
 
-    /// All connections.
+    /// Iterates over all connections.
     pub fn iter(&self) -> impl Iterator<Item = (ConnectionId, &Connection)> {
         let slots = self.slots.iter().enumerate();
         slots.filter_map(|(index, slot)| Some((self.id_at(index), slot.connection.as_ref()?)))
     }
 
-    /// How many connections there are.
+    /// Returns the number of open connections.
     pub fn open_count(&self) -> usize {
         self.slots.len() - self.free.len()
     }
--- a/crates/server/src/net/fault_injection.rs
+++ b/crates/server/src/net/fault_injection.rs
@@ -1,22 +1,22 @@
-//! Faults that unit tests inject to prove that they would be noticed. Only test builds have the switch: in any other build
-//! [`is_injected`] is a constant `false`, and the compiler drops what depends on it.
+//! Faults that unit tests inject to prove that the tests detect them. Only test builds have the switch: in other
+//! builds [`is_injected`] is a constant `false`, and the compiler removes the code that depends on it.
 
-/// A fault. Each switches one rule off.
+/// Fault that a test can inject. Each fault disables one rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// An edge is told that a message is stored before the disk has it.
+    /// A store confirms to an edge that a message is stored before the message is on disk.
     AnswerBeforeDisk,
-    /// A reply is taken as the one to the pending call without a look at the request that it names.
+    /// A reply is assigned to the pending call without a check of the request identifier in the reply.
     RepliesMatchedByOrder,
     /// A call that was sent and never answered is reported as never sent.
     SilenceReportedAsNotSent,
-    /// A connection is used again on which bytes came that answer no call.
+    /// A connection is reused after it received bytes that answer no call.
     ConnectionKeptAfterStrayBytes,
-    /// A reply that the end of the connection cut short is taken as complete.
+    /// A reply that was cut short by the end of the connection is accepted as complete.
     TruncatedReplyAccepted,
 }
 
-/// Whether the fault is injected on this thread.
+/// Returns whether the fault is injected on the current thread.
 #[cfg(not(test))]
 #[inline(always)]
 pub const fn is_injected(_: InjectedFault) -> bool {
@@ -28,13 +28,13 @@
     static FAULT: std::cell::Cell<Option<InjectedFault>> = const { std::cell::Cell::new(None) };
 }
 
-/// Whether the fault is injected on this thread.
+/// Returns whether the fault is injected on the current thread.
 #[cfg(test)]
 pub fn is_injected(fault: InjectedFault) -> bool {
     FAULT.get() == Some(fault)
 }
 
-/// Runs `run` with a fault injected, on this thread alone.
+/// Runs `run` with a fault injected on the current thread only.
 #[cfg(test)]
 pub fn with_fault<T>(fault: Option<InjectedFault>, run: impl FnOnce() -> T) -> T {
     let before = FAULT.replace(fault);
--- a/crates/server/src/net/framing/tests.rs
+++ b/crates/server/src/net/framing/tests.rs
@@ -16,7 +16,7 @@
             assert_eq!(end, Ok(()), "seed {seed}");
             seen.extend(some);
         }
-        // As many as are whole, in order, and what is left is the beginning of the next.
+        // Expect all complete frames in order; the remaining input is the beginning of the next frame.
         let mut whole = 0;
         let fits = frames.iter().take_while(|frame| {
             whole += FRAME_LENGTH_BYTES + frame.len();
--- a/crates/server/src/net/listener.rs
+++ b/crates/server/src/net/listener.rs
@@ -1,4 +1,4 @@
-//! Listening sockets, and the connections that they accept.
+//! Listening sockets and the connections that they accept.
 
 use super::connection::Protocol;
 use super::server::ServerSide;
@@ -8,13 +8,13 @@
 use std::io::ErrorKind;
 use std::net::{SocketAddr, SocketAddrV4};
 
-/// A listener, numbered from 0 in the order in which they were opened.
+/// Identifier of a listener: listeners are numbered from 0 in the order in which they were opened.
 pub type ListenerId = usize;
 
-/// Most connections that one listener accepts in one poll.
+/// Maximum number of connections that one listener accepts per poll.
 const MAX_ACCEPTS_PER_POLL: usize = 256;
 
-/// Who connects to a listener.
+/// Kind of client that connects to a listener.
 #[derive(Clone, Copy)]
 enum Accepts {
     /// HTTP clients.
@@ -23,27 +23,27 @@
     Peers,
 }
 
-/// One listening socket.
+/// State of one listening socket.
 pub(super) struct Listener {
     socket: TcpListener,
     accepts: Accepts,
 }
 
 impl Net {
-    /// Listens for HTTP requests.
+    /// Opens a listener for HTTP requests.
     ///
     /// # Errors
     ///
-    /// The address can't be bound, or the socket not be polled.
+    /// The address can't be bound, or the socket can't be registered with the poll.
     pub fn listen_http(&mut self, at: SocketAddrV4, limits: RequestLimits) -> std::io::Result<ListenerId> {
         self.listen(at, Accepts::Http(limits))
     }
 
-    /// Listens for other processes of the system.
+    /// Opens a listener for other processes of the system.
     ///
     /// # Errors
     ///
-    /// The address can't be bound, or the socket not be polled.
+    /// The address can't be bound, or the socket can't be registered with the poll.
     pub fn listen_peers(&mut self, at: SocketAddrV4) -> std::io::Result<ListenerId> {
         self.listen(at, Accepts::Peers)
     }
@@ -56,21 +56,21 @@
         Ok(id)
     }
 
-    /// Closes a listener; the connections that it has accepted stay open.
+    /// Closes a listener; connections that it has accepted stay open.
     pub fn stop_listening(&mut self, id: ListenerId) {
         if let Some(mut listener) = self.listeners.get_mut(id).and_then(Option::take) {
             let _ = self.poll.registry().deregister(&mut listener.socket);
         }
     }
 
-    /// Sets the limits for requests that come from now on by a listener.
+    /// Sets the request limits of a listener for future requests.
     pub fn set_limits(&mut self, id: ListenerId, limits: RequestLimits) {
         if let Some(Some(listener)) = self.listeners.get_mut(id) {
             listener.accepts = Accepts::Http(limits);
         }
     }
 
-    /// The limits for requests by a listener; the default ones if it is closed.
+    /// Returns the request limits of a listener, or the default limits if the listener is closed.
     pub(super) fn request_limits(&self, id: ListenerId) -> RequestLimits {
         match self.listeners.get(id) {
             Some(Some(Listener { accepts: Accepts::Http(limits), .. })) => *limits,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Accepts the connections that wait at a listener.
+    /// Accepts the pending connections of a listener.
     pub(super) fn accept(&mut self, id: ListenerId) {
         for _ in 0..MAX_ACCEPTS_PER_POLL {
             let Some(Some(listener)) = self.listeners.get(id) else { return };
@@ -87,7 +87,8 @@
                 Ok((stream, _)) => self.accept_connection(id, accepts, stream),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                // A connection that ended before it was accepted, or no file descriptor is left: go on with the next one.
+                // The connection ended before it was accepted, or no file descriptor is free: continue with the next
+                // connection.
                 Err(_) => self.connections_rejected += 1,
             }
         }
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Adds a connection to the loop. `None`: there is no room for it, and it is dropped.
+    /// Adds a connection to the event loop. Returns `None`, and drops the connection, if the table is full.
     pub(super) fn add_connection(
         &mut self,
         mut stream: TcpStream,
@@ -120,7 +121,8 @@
             self.connections_rejected += 1;
             return None;
         };
-        // Small messages go out at once instead of waiting for the acknowledgement of the ones before (Nagle's algorithm).
+        // Disables Nagle's algorithm, so that small messages are sent immediately instead of waiting for the
+        // acknowledgement of earlier ones.
         let _ = stream.set_nodelay(true);
         let interest = Interest::READABLE | Interest::WRITABLE;
         if self.poll.registry().register(&mut stream, Token(index), interest).is_err() {
--- a/crates/server/src/net/mod.rs
+++ b/crates/server/src/net/mod.rs
@@ -1,12 +1,12 @@
-//! The network of a process: one event loop over all sockets.
+//! Network layer of a process: one event loop over all sockets.
 //!
-//! A role polls for [`Event`]s and hands in what is to be sent; what the bytes mean to a role is not known here. What a role
-//! writes between two polls goes out at the next one, with one system call for each connection: wake-ups and system calls
-//! are what the small machines that this runs on spend their time with.
+//! A role polls for [`Event`]s and submits the data to send; this layer does not interpret the content. Output that a
+//! role writes between two polls is sent at the next poll with one system call per connection, because wake-ups and
+//! system calls dominate the CPU time on the small machines that the system runs on.
 //!
 //! - [`connection`] and [`listener`] hold the sockets, [`timers`] their deadlines, and [`transfer`] moves bytes.
-//! - [`server`] is HTTP/1.1 for requests that come in, [`client`] for those that go out.
-//! - [`peer`] is the connections between the system's own processes, whose frames [`framing`] delimits.
+//! - [`server`] handles incoming HTTP/1.1 requests, and [`client`] sends outgoing ones.
+//! - [`peer`] handles connections between the system's own processes, whose frames are delimited by [`framing`].
 
 mod client;
 mod connection;
@@ -38,98 +38,100 @@
 use std::time::{Duration, Instant};
 use timers::Timers;
 
-/// Milliseconds on this process's monotonic clock, which starts at 0 with the process.
+/// Milliseconds on the process's monotonic clock, which starts at 0 when the process starts.
 pub type Millis = u64;
 
-/// The token of the waker; a listener's is its number above [`FIRST_LISTENER_TOKEN`], and a connection's its place.
+/// Poll token of the waker. A listener's token is its number plus [`FIRST_LISTENER_TOKEN`], and a connection's token
+/// is its slot index.
 const WAKER_TOKEN: Token = Token(usize::MAX);
-/// Tokens from here on are listeners.
+/// First token value of listeners; smaller tokens are connections.
 const FIRST_LISTENER_TOKEN: usize = usize::MAX / 2;
-/// Most I/O events taken in one poll.
+/// Maximum number of I/O events handled per poll.
 const MAX_IO_EVENTS: usize = 256;
-/// Longest wait in one poll.
+/// Maximum time that one poll waits, in milliseconds.
 const MAX_WAIT_MS: Millis = 60_000;
-/// Bytes read with one system call.
+/// Maximum number of bytes read with one system call.
 const READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// What has happened since the last poll.
+/// Event that occurred since the last poll.
 #[derive(Debug)]
 pub enum Event {
-    /// A complete request has come; it is to be answered once, by [`Net::respond`].
+    /// A complete request has arrived; it must be answered exactly once, with [`Net::respond`].
     Request {
-        /// The connection that waits for the response.
+        /// Connection that waits for the response.
         connection: ConnectionId,
-        /// The listener that accepted the connection.
+        /// Listener that accepted the connection.
         listener: ListenerId,
-        /// The request.
+        /// Received request.
         request: Request,
     },
-    /// A [`Net::call`] has its outcome.
+    /// A [`Net::call`] has finished.
     CallCompleted {
-        /// The number that the caller gave it.
+        /// Call identifier that the caller chose.
         call_id: u64,
-        /// The reply, or why there is none.
+        /// Reply to the call, or the reason why there is none.
         result: Result<CallReply, CallError>,
     },
-    /// A connection with another process of the system is established.
+    /// A connection with another process of the system was established.
     PeerConnected {
-        /// The connection.
+        /// Established connection.
         connection: ConnectionId,
     },
-    /// A connection with another process of the system is closed, or could not be established.
+    /// A connection with another process of the system was closed or could not be established.
     PeerDisconnected {
-        /// The connection, whose identifier is not used again.
+        /// Identifier of the closed connection, which is not used again.
         connection: ConnectionId,
     },
     /// Another process of the system has sent a frame.
     PeerFrame {
-        /// The connection.
+        /// Connection on which the frame arrived.
         connection: ConnectionId,
-        /// The frame's content.
+        /// Content of the frame.
         bytes: Vec<u8>,
     },
-    /// Another thread has used the [`Waker`]: it has something for the loop.
+    /// Another thread has called the [`Waker`] because it has work for the event loop.
     WakeUp,
 }
 
-/// The event loop with all its sockets.
+/// Event loop with all its sockets.
 pub struct Net {
     poll: Poll,
-    /// Space for the poll; `None` only while its events are handled.
+    /// Event buffer for the poll; `None` only while its events are handled.
     io_events: Option<Events>,
     connections: ConnectionTable,
     listeners: Vec<Option<Listener>>,
     pools: HashMap<PoolKey, Pool>,
     timers: Timers,
-    /// What the next poll returns.
+    /// Events that the next poll returns.
     events: VecDeque<Event>,
-    /// Connections with output since the last flush.
+    /// Connections with output that was added since the last flush.
     unflushed: Vec<ConnectionId>,
     start: Instant,
     now: Millis,
     read_buffer: Vec<u8>,
-    /// How often the loop has polled.
+    /// Number of polls.
     pub poll_count: u64,
-    /// Calls that were lost on a connection that had been idle before.
+    /// Number of calls that were lost on a connection that had been idle before the call.
     pub idle_connections_lost: u64,
-    /// Connections that were opened for calls.
+    /// Number of connections that were opened for calls.
     pub connections_opened: u64,
-    /// Connections that were not accepted or opened for want of room.
+    /// Number of connections that were not accepted or opened because no slot or file descriptor was free.
     pub connections_rejected: u64,
-    /// Malformed requests and frames.
+    /// Number of malformed requests and frames.
     pub malformed_inputs: u64,
-    /// Responses by listener and status.
+    /// Number of responses by listener and status.
     pub responses: BTreeMap<(ListenerId, u16), u64>,
     /// Time from a complete request to its response with status 202.
     pub accept_latency: Histogram,
 }
 
 impl Net {
-    /// An event loop with room for `max_connections`, and the waker by which other threads interrupt its poll.
+    /// Creates an event loop with capacity for `max_connections` connections, and the waker with which other threads
+    /// interrupt its poll.
     ///
     /// # Errors
     ///
-    /// The system gives no poll or no waker.
+    /// The operating system can't create a poll or a waker.
     pub fn new(max_connections: usize) -> std::io::Result<(Net, Arc<Waker>)> {
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKER_TOKEN)?);
@@ -156,23 +158,23 @@
         Ok((net, waker))
     }
 
-    /// The time of the last poll.
+    /// Returns the time of the last poll.
     pub fn now(&self) -> Millis {
         self.now
     }
 
-    /// The time at this moment, in tenths of a millisecond, as the dispatch module counts.
+    /// Returns the current time in tenths of a millisecond, the time unit of the dispatch module.
     pub fn now_tenths_ms(&self) -> i64 {
         (self.start.elapsed().as_micros() / 100) as i64
     }
 
-    /// Sets [`Net::now`] to the time at this moment, after work that took long, and returns it.
+    /// Sets [`Net::now`] to the current time, for use after long-running work, and returns it.
     pub fn refresh_now(&mut self) -> Millis {
         self.now = self.start.elapsed().as_millis() as Millis;
         self.now
     }
 
-    /// Writes what is to be sent, and waits until something happens or `until` has come.
+    /// Writes pending output, then waits until an event occurs or the time `until` is reached.
     pub fn poll(&mut self, until: Millis) -> VecDeque<Event> {
         self.flush();
         self.poll_count += 1;
@@ -189,7 +191,7 @@
         let wait_ms = wake_at.saturating_sub(now).min(MAX_WAIT_MS);
         let Some(mut io_events) = self.io_events.take() else { return };
         if let Err(error) = self.poll.poll(&mut io_events, Some(Duration::from_millis(wait_ms))) {
-            // A signal interrupts the poll, and the role looks whether it was one to shut down.
+            // A signal interrupts the poll; the role then checks whether it was a request to shut down.
             if error.kind() != ErrorKind::Interrupted {
                 tracing::error!(%error, "poll");
             }
@@ -209,13 +211,13 @@
         self.io_events = Some(io_events);
     }
 
-    /// Acts on the connections whose deadlines have come.
+    /// Handles the connections whose deadlines have passed.
     fn expire_deadlines(&mut self) {
         while let Some(id) = self.timers.pop_expired(self.now) {
             let now = self.now;
             let Some(connection) = self.connections.get_mut(id) else { continue };
             if connection.deadline > now {
-                // The deadline was put off, and has a timer of its own.
+                // The connection's deadline was postponed and has a timer of its own.
                 continue;
             }
             match &connection.protocol {
@@ -226,7 +228,7 @@
         }
     }
 
-    /// Sets when the connection is looked at if nothing happens on it until then.
+    /// Sets the time at which the connection's time-out handler runs if there is no activity before.
     fn set_deadline(&mut self, id: ConnectionId, deadline: Millis) {
         if let Some(connection) = self.connections.get_mut(id) {
             connection.deadline = deadline;
@@ -234,12 +236,12 @@
         self.timers.add(id, deadline);
     }
 
-    /// How many connections of all kinds are open.
+    /// Returns the number of open connections of all kinds.
     pub fn open_connections(&self) -> usize {
         self.connections.open_count()
     }
 
-    /// Closes a connection. Nothing that waits to be written is sent.
+    /// Closes a connection. Unwritten output is discarded.
     pub fn close(&mut self, id: ConnectionId) {
         let Some(mut connection) = self.connections.remove(id) else { return };
         let _ = self.poll.registry().deregister(&mut connection.stream);
--- a/crates/server/src/net/peer.rs
+++ b/crates/server/src/net/peer.rs
@@ -7,17 +7,19 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-/// Most bytes that may wait to be written on one connection before it is closed.
+/// Maximum number of unwritten output bytes on one connection before it is closed.
 const MAX_BACKLOG_BYTES: usize = 32 << 20;
-/// How long a connection may take to be established. It is short, for another attempt follows at once: a machine that is
-/// switched off answers nothing, and once it is back an attempt from before would still hang.
+/// Maximum time to establish a connection to a peer, in milliseconds. It is short because another attempt follows
+/// immediately: a machine that is switched off sends no reply, and an attempt from before its restart would still
+/// hang once it is back.
 const DIAL_TIMEOUT_MS: Millis = 200;
-/// How long sent bytes may stay unacknowledged before the system ends the connection (`TCP_USER_TIMEOUT`, RFC 5482).
+/// Maximum time for which sent bytes may stay unacknowledged before the operating system closes the connection
+/// (`TCP_USER_TIMEOUT`, RFC 5482).
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl Net {
-    /// Opens a connection to another process of the system. [`Event::PeerConnected`] or [`Event::PeerDisconnected`] follows;
-    /// `None`: it could not even be tried.
+    /// Opens a connection to another process of the system. [`Event::PeerConnected`] or [`Event::PeerDisconnected`]
+    /// follows. Returns `None` if the connection attempt could not even be started.
     pub fn dial(&mut self, to: SocketAddrV4) -> Option<ConnectionId> {
         let stream = TcpStream::connect(SocketAddr::V4(to)).ok()?;
         let id = self.add_connection(stream, Protocol::Peer, false, self.now + DIAL_TIMEOUT_MS)?;
@@ -25,7 +27,8 @@
         Some(id)
     }
 
-    /// Sends a frame. A connection whose other side reads so slowly that too much waits for it is closed instead.
+    /// Sends a frame. If the peer reads too slowly and the unwritten output exceeds its limit, closes the connection
+    /// instead.
     pub fn send(&mut self, id: ConnectionId, frame: &[u8]) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         if connection.output.bytes.len() + frame.len() > MAX_BACKLOG_BYTES {
@@ -36,13 +39,14 @@
         self.queue_flush(id);
     }
 
-    /// Closes a connection whose other side sends what can't be understood.
+    /// Closes a connection whose peer sends malformed data.
     pub fn close_malformed(&mut self, id: ConnectionId) {
         self.malformed_inputs += 1;
         self.close(id);
     }
 
-    /// A machine that is switched off closes nothing: the connection ends when what was sent is not acknowledged in time.
+    /// Sets a time-out for unacknowledged bytes on a connection: a machine that is switched off does not close its
+    /// connections.
     pub(super) fn limit_unacknowledged_time(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get(id) {
             let socket = socket2::SockRef::from(&connection.stream);
@@ -50,7 +54,7 @@
         }
     }
 
-    /// Takes the complete frames out of what has been read.
+    /// Takes the complete frames from the connection's input buffer.
     pub(super) fn take_peer_frames(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let (frames, end) = framing::take_frames(&mut connection.input);
--- a/crates/server/src/net/random.rs
+++ b/crates/server/src/net/random.rs
@@ -1,10 +1,10 @@
-//! Random choices for generated tests: the same for the same seed.
+//! Random choices for generated tests; the same seed produces the same choices.
 
-/// The generator SplitMix64 (Steele, Lea, Flood, "Fast splittable pseudorandom number generators", 2014).
+/// SplitMix64 generator (Steele, Lea, Flood, "Fast splittable pseudorandom number generators", 2014).
 pub struct SeededRandom(u64);
 
 impl SeededRandom {
-    /// The generator of this seed.
+    /// Creates a generator with this seed.
     pub fn new(seed: u64) -> SeededRandom {
         SeededRandom(seed)
     }
@@ -16,22 +16,22 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// A number below `bound`, or 0.
+    /// Returns a random number below `bound`, or 0 if `bound` is 0.
     pub fn below(&mut self, bound: usize) -> usize {
         (self.next() % bound.max(1) as u64) as usize
     }
 
-    /// True with a probability of 1 in `times`.
+    /// Returns true with a probability of 1 in `times`.
     pub fn once_in(&mut self, times: usize) -> bool {
         self.below(times) == 0
     }
 
-    /// One of these.
+    /// Returns one of the choices at random.
     pub fn pick<T: Copy>(&mut self, choices: &[T]) -> T {
         choices[self.below(choices.len())]
     }
 
-    /// Splits bytes at random places: not at all, into a few pieces, or byte by byte.
+    /// Splits bytes at random positions: not at all, into a few pieces, or into single bytes.
     pub fn split<'a>(&mut self, bytes: &'a [u8]) -> Vec<&'a [u8]> {
         let longest = match self.below(4) {
             0 => bytes.len(),
--- a/crates/server/src/net/server.rs
+++ b/crates/server/src/net/server.rs
@@ -1,4 +1,4 @@
-//! HTTP requests that come in: reads them from connections, writes responses, and closes connections that are too slow.
+//! HTTP server side: reads requests from connections, writes responses, and closes connections that are too slow.
 
 pub(super) mod connection;
 pub(super) mod message;
@@ -10,35 +10,37 @@
 use message::{RequestLimits, Response};
 use parser::RequestError;
 
-/// Input beside twice the longest body and the longest head that one request may need: for small chunks and trailers.
+/// Input allowance in bytes for small chunks and trailers of one request, in addition to its longest head and twice
+/// its longest body.
 const FRAMING_ALLOWANCE_BYTES: usize = 64 << 10;
 
-/// An accepted connection.
+/// State of an accepted connection.
 pub(super) struct ServerSide {
-    /// The listener that accepted it.
+    /// Listener that accepted the connection.
     pub listener: ListenerId,
-    /// The state of its requests and responses.
+    /// State of the connection's requests and responses.
     pub http: ServerConnection,
-    /// When the request in progress was complete.
+    /// Time at which the request in progress was complete.
     request_complete_at: Millis,
 }
 
 impl ServerSide {
-    /// A connection that the listener has just accepted.
+    /// Creates the state of a connection that the listener has just accepted.
     pub fn new(listener: ListenerId) -> ServerSide {
         ServerSide { listener, http: ServerConnection::default(), request_complete_at: 0 }
     }
 }
 
 impl RequestLimits {
-    /// Most bytes that one request may take with its framing: chunks of a few bytes each are not worth the memory.
+    /// Returns the maximum number of input bytes for one request including its framing. The limit excludes bodies in
+    /// chunks of a few bytes each, whose framing would use too much memory.
     pub(super) fn max_input_bytes(&self) -> usize {
         self.max_head_bytes + 2 * self.max_body_bytes + FRAMING_ALLOWANCE_BYTES
     }
 }
 
 impl Connection {
-    /// The connection's own state, if it was accepted for requests.
+    /// Returns the server state, or `None` if the connection was not accepted for requests.
     fn server(&self) -> Option<&ServerSide> {
         match &self.protocol {
             Protocol::Server(server) => Some(server),
@@ -46,7 +48,7 @@
         }
     }
 
-    /// As [`Connection::server`], to be changed.
+    /// Mutable variant of [`Connection::server`].
     fn server_mut(&mut self) -> Option<&mut ServerSide> {
         match &mut self.protocol {
             Protocol::Server(server) => Some(server),
@@ -56,7 +58,7 @@
 }
 
 impl Net {
-    /// Takes the next request out of what has been read.
+    /// Takes the next request from the connection's input buffer.
     pub(super) fn take_request(&mut self, id: ConnectionId) {
         let now = self.now;
         let Some(server) = self.connections.get(id).and_then(Connection::server) else { return };
@@ -81,7 +83,7 @@
             Received::Request(request) => {
                 server.request_complete_at = now;
                 connection.shrink_input();
-                // The role has its own time-outs.
+                // The role applies its own time-outs to a request in progress.
                 connection.deadline = Millis::MAX;
                 self.events.push_back(Event::Request { connection: id, listener, request: *request });
             }
@@ -93,7 +95,8 @@
         }
     }
 
-    /// More bytes have come than any request may have: complete requests are taken, and anything else is rejected.
+    /// Handles input that exceeds the limit for any single request: complete requests are taken, and anything else is
+    /// rejected.
     pub(super) fn take_oversized_request(&mut self, id: ConnectionId) {
         self.take_request(id);
         let Some(connection) = self.connections.get(id) else { return };
@@ -115,7 +118,7 @@
         self.respond(id, Response::empty(error.status()));
     }
 
-    /// Responds to the request that is in progress on a connection; without effect if there is none.
+    /// Responds to the request in progress on a connection; has no effect if there is none.
     pub fn respond(&mut self, id: ConnectionId, response: Response) {
         let now = self.now;
         let Some(connection) = self.connections.get_mut(id) else { return };
@@ -133,11 +136,12 @@
         self.queue_flush(id);
         let idle_timeout_ms = self.request_limits(listener).idle_timeout_ms;
         self.set_deadline(id, now + idle_timeout_ms);
-        // The client may have sent its next request already.
+        // The client may already have sent its next request.
         self.take_request(id);
     }
 
-    /// A request did not arrive completely in time, or none came on an open connection.
+    /// Handles a request that did not arrive completely in time, or an open connection on which no request arrived in
+    /// time.
     pub(super) fn request_timed_out(&mut self, id: ConnectionId) {
         let Some(server) = self.connections.get(id).and_then(Connection::server) else { return };
         if server.http.is_receiving() {
@@ -147,7 +151,7 @@
         }
     }
 
-    /// Closes the connections of a listener on which no request has begun and nothing waits to be written.
+    /// Closes those connections of a listener on which no request has begun and no output is unwritten.
     pub fn close_idle_connections(&mut self, listener: ListenerId) {
         let is_idle = |connection: &Connection| match &connection.protocol {
             Protocol::Server(server) => {
@@ -164,7 +168,7 @@
         idle.into_iter().for_each(|id| self.close(id));
     }
 
-    /// How many requests are being read, handled or answered.
+    /// Returns the number of requests that are being received, handled or answered.
     pub fn requests_in_flight(&self) -> usize {
         let is_in_flight = |connection: &Connection| match &connection.protocol {
             Protocol::Server(server) => server.http.is_in_progress() || !connection.has_empty_buffers(),
--- a/crates/server/src/net/transfer.rs
+++ b/crates/server/src/net/transfer.rs
@@ -1,4 +1,4 @@
-//! Moves bytes between sockets and buffers, and hands what was read to the connection's protocol.
+//! Moves bytes between sockets and buffers, and passes received bytes to the connection's protocol.
 
 use super::client::reply::MAX_REPLY_BYTES;
 use super::connection::{Protocol, WriteResult};
@@ -7,17 +7,18 @@
 use std::io::{ErrorKind, Read};
 use std::net::Shutdown;
 
-/// How long a connection is kept after its last response, until the other side closes it.
+/// Maximum time for which a connection stays open after its last response, in milliseconds, so that the client can
+/// close it first.
 const LINGER_MS: Millis = 1000;
-/// Bytes beside its content that a frame may occupy in the input.
+/// Maximum number of bytes that a frame occupies in the input buffer in addition to its content.
 const FRAME_OVERHEAD_BYTES: usize = 8;
-/// Least room for the input of an HTTP connection, whatever the limits for requests are.
+/// Minimum input limit of an HTTP connection in bytes, regardless of the limits for requests.
 const MIN_REQUEST_INPUT_BYTES: usize = 1 << 20;
 
 impl Net {
     // ---- Writing ----
 
-    /// Has the connection's output written at the next flush.
+    /// Queues the connection to have its output written at the next flush.
     pub(super) fn queue_flush(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         if !std::mem::replace(&mut connection.output.is_queued, true) {
@@ -25,7 +26,8 @@
         }
     }
 
-    /// Writes what is to be sent; each poll begins with that, and a process that is about to end does it once more.
+    /// Writes all queued output. Each poll starts with a flush, and a process that is about to exit flushes once
+    /// more.
     pub fn flush(&mut self) {
         for id in std::mem::take(&mut self.unflushed) {
             self.write(id);
@@ -46,7 +48,7 @@
         }
     }
 
-    /// The last response is written: waits for the client to close the connection.
+    /// Handles the end of the last response: waits for the client to close the connection.
     fn linger(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.protocol = Protocol::Lingering;
@@ -60,7 +62,7 @@
 
     // ---- Reading ----
 
-    /// The poll says that the connection in a slot can be read or written.
+    /// Handles a poll event that reports the connection in a slot as readable or writable.
     pub(super) fn connection_ready(&mut self, index: usize, is_readable: bool, is_writable: bool) {
         let Some(id) = self.connections.occupant(index) else { return };
         if is_writable && !self.became_writable(id) {
@@ -71,7 +73,8 @@
         }
     }
 
-    /// Returns whether the connection may still be read: `false` if it turned out that it could not be established.
+    /// Handles a writable connection. Returns whether the connection may still be read: `false` if it could not be
+    /// established.
     fn became_writable(&mut self, id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get_mut(id) else { return false };
         if connection.is_established {
@@ -80,7 +83,8 @@
             }
             return true;
         }
-        // A connection that is opened from here becomes writable when it is established, and also when that failed.
+        // A connection that this process opens becomes writable both when it is established and when the attempt has
+        // failed.
         let has_error = connection.stream.take_error().ok().flatten().is_some();
         if has_error || connection.stream.peer_addr().is_err() {
             self.connection_failed(id);
@@ -108,11 +112,11 @@
         }
     }
 
-    /// Reads all that the socket has. Returns whether the connection is broken.
+    /// Reads all available bytes of the socket. Returns whether the connection is broken.
     fn read_available(&mut self, id: ConnectionId, buffer: &mut [u8]) -> bool {
         while let Some(connection) = self.connections.get_mut(id) {
             if !connection.is_established {
-                // It was refused: the reset shows as readable before it shows as writable.
+                // The connection was refused: the reset is reported as readable before it is reported as writable.
                 return connection.stream.take_error().ok().flatten().is_some();
             }
             match connection.stream.read(buffer) {
@@ -135,7 +139,7 @@
         false
     }
 
-    /// Whether more bytes wait to be understood than any one message of the connection's protocol may have.
+    /// Returns whether the unparsed input exceeds the limit for any single message of the connection's protocol.
     fn is_input_over_limit(&self, id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get(id) else { return false };
         let limit = match &connection.protocol {
@@ -149,7 +153,7 @@
         connection.input.len() > limit
     }
 
-    /// Has input over the limit understood while more is still to be read. Returns `false` if that is not possible.
+    /// Parses input that exceeds the limit while more input is still unread. Returns `false` if it can't be reduced.
     fn reduce_input(&mut self, id: ConnectionId) -> bool {
         match self.connections.get(id).map(|connection| &connection.protocol) {
             Some(Protocol::Peer) => self.take_peer_frames(id),
@@ -161,7 +165,7 @@
         true
     }
 
-    /// Hands what has been read to the protocol.
+    /// Passes the received bytes to the connection's protocol.
     fn process_input(&mut self, id: ConnectionId) {
         match self.connections.get(id).map(|connection| &connection.protocol) {
             Some(Protocol::Peer) => self.take_peer_frames(id),
@@ -171,11 +175,12 @@
         }
     }
 
-    /// The other side sends no more, and all that it sent has been handed to the protocol.
+    /// Handles the end of the input: the other side sends no more bytes, and everything it sent has been passed to
+    /// the protocol.
     fn input_ended(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         match &connection.protocol {
-            // The client may still read the response that it waits for.
+            // The client may still read the response to its request in progress.
             Protocol::Server(server) if server.http.is_in_progress() => {}
             Protocol::Server(_) if !connection.output.bytes.is_empty() => {
                 connection.closes_after_output = true;
@@ -186,7 +191,7 @@
         }
     }
 
-    /// The connection broke or could not be established.
+    /// Handles a connection that broke or could not be established.
     fn connection_failed(&mut self, id: ConnectionId) {
         match self.connections.get(id).map(|connection| &connection.protocol) {
             Some(Protocol::Client(_)) => self.call_connection_lost(id),
--- a/crates/server/src/protocol.rs
+++ b/crates/server/src/protocol.rs
@@ -1,7 +1,7 @@
-//! The frames that the system's own processes send to one another, encoded with `postcard`.
+//! Frames that the system's own processes exchange, encoded with `postcard`.
 //!
-//! `postcard` writes a variant by its position and a field by its order: names may change, positions may not. The exact bytes
-//! are pinned by the unit tests.
+//! `postcard` encodes an enum variant by its position and struct fields in declaration order: names may change,
+//! positions may not. Unit tests pin the exact bytes.
 
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -10,191 +10,193 @@
     ExecutorState, Heartbeat, Member, MembershipUpdate, NodeRole, RetirementState,
 };
 
-/// The version of this protocol. A process of another version is rejected as soon as it says so in its [`PeerInfo`].
+/// Version of the frame protocol. A process with another version is rejected as soon as its [`PeerInfo`] arrives.
 pub const PROTOCOL_VERSION: u16 = 1;
-/// Each frame on a connection is preceded by its length in so many bytes, little-endian.
+/// Number of bytes of the little-endian length prefix of each frame.
 pub const FRAME_LENGTH_BYTES: usize = 4;
 
-/// Set in the `request_id` of a `Submit` whose message another store may have accepted: it was offered it, and has not answered.
-/// A store of an earlier version repeats the id as it is, and starts the message at once.
+/// Flag in the `request_id` of a `Submit` frame: another store was offered the message, has not replied, and may have
+/// accepted it. A store of an earlier release echoes the id unchanged, and starts the message immediately.
 pub const RESUBMISSION_FLAG: u64 = 1 << 63;
 
-/// What a process says of itself in the first frame of a connection, in both directions.
+/// Description of a process that each side sends in the first frame of a connection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerInfo {
-    /// The [`PROTOCOL_VERSION`] that the process speaks.
+    /// [`PROTOCOL_VERSION`] of the process.
     pub protocol_version: u16,
-    /// The node's identifier, a hash of its name.
+    /// Identifier of the node: a hash of its name.
     pub node: Node,
-    /// The name in the node's settings file.
+    /// Name of the node in its settings file.
     pub name: String,
-    /// What the process does.
+    /// Role of the process.
     pub role: NodeRole,
-    /// The failure domain that the process runs in.
+    /// Failure domain in which the process runs.
     pub zone: String,
-    /// The address of its machine.
+    /// IP address of the machine that the process runs on.
     pub ip: Ipv4Addr,
-    /// Distinguishes this start of the process from earlier and later ones.
+    /// Identifier of this run of the process, different for each start.
     pub incarnation: u64,
-    /// Where a control node takes heartbeats and operators' calls; `None` for other roles.
+    /// Address at which a control node accepts heartbeats and operators' calls; `None` for other roles.
     pub control_address: Option<SocketAddrV4>,
 }
 
-/// What a store knows of the fate of a message.
+/// Outcome of a message, as far as a store knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MessageStatus {
-    /// It has not ended yet.
+    /// The message has not finished yet.
     Pending,
-    /// An executor has run it.
+    /// An executor has run the message.
     Complete {
-        /// The executor's proof of the run (`X-Server-Seal`).
+        /// The executor's proof that it ran the message (`X-Server-Seal`).
         seal: String,
     },
-    /// It ended without success and will not be tried again.
+    /// The message ended without success and will not be retried.
     Failed,
 }
 
-/// A store's answer about a message that it knows.
+/// Reply of a store about a message that it knows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KnownMessage {
-    /// How far the message has come.
+    /// Current state of the message.
     pub status: MessageStatus,
-    /// Its body, if that was asked for and is still there.
+    /// Body of the message, if the body was requested and is still stored.
     pub body: Option<Vec<u8>>,
-    /// The tenant whose message it is. Earlier releases don't say: then none.
+    /// Tenant that owns the message; `None` if the sender runs an earlier release, which does not send this field.
     #[serde(deserialize_with = "none_if_absent")]
     pub tenant: Option<String>,
 }
 
-/// Reads the last field of a frame, which earlier releases don't send.
+/// Deserializes the last field of a frame as `None` if it is missing: earlier releases do not send it.
 fn none_if_absent<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<Option<String>, D::Error> {
     Ok(Option::deserialize(deserializer).unwrap_or_default())
 }
 
 /// One frame between two processes of the system, or between the command line and a process.
 ///
-/// A `request_id` is chosen by the sender of a request and repeated in the answer to it.
+/// The sender of a request chooses its `request_id`, and the reply repeats it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// The first frame of each side; any other frame before it closes the connection.
+    /// First frame of each side; any other frame before it closes the connection.
     Hello(PeerInfo),
-    /// Keeps a connection alive on which nothing else is sent.
+    /// Keeps alive a connection on which no other frames are sent.
     Ping,
-    /// An edge or a store polls its control node, and names what it already has.
+    /// An edge or a store asks its control node for updates, and states which versions it already has.
     UpdateRequest {
-        /// The control node's incarnation that `version` belongs to.
+        /// Incarnation of the control node that issued `version`.
         incarnation: u64,
-        /// The version of the last update that was applied.
+        /// Version of the last update that the sender applied.
         version: u64,
-        /// The version of the configuration that the node has; 0 if it has none.
+        /// Version of the configuration that the sender has; 0 if it has none.
         config_version: u64,
-        /// How far the sender's own retirement has come.
+        /// Progress of the sender's own retirement.
         retirement: RetirementState,
     },
-    /// A control node's answer to `UpdateRequest`, sent as soon as it has anything newer.
+    /// Reply of a control node to `UpdateRequest`, sent as soon as the control node has a newer update.
     Update(MembershipUpdate),
-    /// An edge asks a store to take a message.
+    /// An edge asks a store to accept a message.
     Submit {
-        /// Repeated in the `SubmitResult`.
+        /// Request identifier, repeated in the `SubmitResult`.
         request_id: u64,
-        /// The message to be stored and delivered.
+        /// Message to store and deliver.
         message: Message,
     },
-    /// A store's answer to `Submit`.
+    /// Reply of a store to `Submit`.
     SubmitResult {
-        /// That of the `Submit`.
+        /// Request identifier of the `Submit`.
         request_id: u64,
-        /// The name under which the message is stored, or why it was rejected.
+        /// Name under which the message is stored, or the reason why it was rejected.
         result: Result<String, PutError>,
     },
-    /// The store is shutting down or retiring: it takes no new messages.
+    /// The sending store is shutting down or retiring and accepts no new messages.
     Draining,
-    /// An edge asks a store what became of a message.
+    /// An edge asks a store for the outcome of a message.
     Lookup {
-        /// Repeated in the `LookupResult`.
+        /// Request identifier, repeated in the `LookupResult`.
         request_id: u64,
-        /// The message.
+        /// Key of the message.
         key: Key,
-        /// Whether the message's body is wanted as well.
+        /// Whether the reply should include the message's body.
         include_body: bool,
     },
-    /// A store's answer to `Lookup`.
+    /// Reply of a store to `Lookup`.
     LookupResult {
-        /// That of the `Lookup`.
+        /// Request identifier of the `Lookup`.
         request_id: u64,
-        /// `None` if the store does not know the message.
+        /// State of the message; `None` if the store does not know the message.
         result: Option<KnownMessage>,
     },
     /// Between two stores: replication and ownership of messages.
     Queue(PeerMessage),
     /// Between two control nodes: leases and the replicated configuration.
     ControlGroup(stileroute_control_group::Message),
-    /// Between control nodes: the members with a session at the sender.
+    /// Between control nodes: the members that have a session with the sender.
     Sessions(Vec<Member>),
-    /// Between control nodes: executors that sent heartbeats.
+    /// Between control nodes: heartbeats of executors.
     Heartbeats(Vec<Heartbeat>),
     /// A control node forwards a call that only the primary can decide.
     Forward {
-        /// Repeated in the `ForwardResult`.
+        /// Request identifier, repeated in the `ForwardResult`.
         request_id: u64,
-        /// The operators' call.
+        /// Forwarded operators' call.
         call: ForwardedCall,
     },
-    /// The primary's answer to `Forward`, to be given to the caller unchanged.
+    /// Reply of the primary to `Forward`, which is passed to the caller unchanged.
     ForwardResult {
-        /// That of the `Forward`.
+        /// Request identifier of the `Forward`.
         request_id: u64,
-        /// The HTTP status.
+        /// HTTP status of the reply.
         status: u16,
-        /// The JSON body.
+        /// JSON body of the reply.
         #[serde(with = "serde_bytes")]
         body: Vec<u8>,
     },
-    /// The command line asks a process for all that it can report of itself.
+    /// The command line asks a process for its complete status report.
     ReportRequest {
-        /// Repeated in the `InspectionReply`.
+        /// Request identifier, repeated in the `InspectionReply`.
         request_id: u64,
     },
-    /// The answer to `ReportRequest`, `TraceRequest` and `MetricsRequest`.
+    /// Reply to `ReportRequest`, `TraceRequest` and `MetricsRequest`.
     InspectionReply {
-        /// That of the request.
+        /// Request identifier of the request that this frame answers.
         request_id: u64,
-        /// JSON, or the metrics in the text exposition format.
+        /// JSON, or metrics in the Prometheus text exposition format.
         text: String,
     },
-    /// The command line asks a store for all that it knows of one message.
+    /// The command line asks a store for everything that it knows about one message.
     TraceRequest {
-        /// Repeated in the `InspectionReply`.
+        /// Request identifier, repeated in the `InspectionReply`.
         request_id: u64,
-        /// The message.
+        /// Key of the message.
         key: Key,
     },
     /// The command line asks a process for its metrics.
     MetricsRequest {
-        /// Repeated in the `InspectionReply`.
+        /// Request identifier, repeated in the `InspectionReply`.
         request_id: u64,
     },
-    /// A store is to hand all its messages to others: from the control node that it has its session with.
+    /// Orders a store to hand all its messages over to other stores; sent by the control node that has the store's
+    /// session.
     RetireStore {
-        /// The store, so that an order for a former owner of the address has no effect.
+        /// Node identifier of the store, so that an order for a previous process at the same address has no effect.
         node: Node,
     },
-    /// An edge tells all stores which of them keeps a message that it had submitted to several.
+    /// An edge tells all stores which of them keeps a message that the edge had submitted to several stores.
     Superseded {
         /// The client's identifier of the message.
         message_id: String,
-        /// A hash of the message's content.
+        /// Hash of the message's content.
         fingerprint: u64,
-        /// The one that is kept; `None` if none was confirmed.
+        /// Key of the copy that is kept; `None` if no copy was confirmed.
         kept: Option<Key>,
     },
-    /// Between control nodes: executors that send the sender their heartbeats, which it repeats seldom and corrects at once. Only for
-    /// a receiver that has said, by an empty `Heartbeats`, that it takes the sender's word for them.
+    /// Between control nodes: executors that send their heartbeats to the sender, which repeats this list rarely and
+    /// corrects it immediately. Sent only to a receiver that has announced, by an empty `Heartbeats` frame, that it
+    /// relies on the sender's state of these executors.
     HeldExecutors(Vec<Heartbeat>),
 }
 
 impl Frame {
-    /// The category under which the frame is counted in the metrics.
+    /// Returns the category under which the metrics count the frame.
     pub fn category(&self) -> &'static str {
         match self {
             Frame::Hello(_) | Frame::Ping => "link",
@@ -215,7 +217,7 @@
     }
 }
 
-/// The category of what one store sends to another.
+/// Returns the metrics category of a frame from one store to another.
 fn queue_category(message: &PeerMessage) -> &'static str {
     match message {
         PeerMessage::Replicate(_)
@@ -257,31 +259,31 @@
     }
 }
 
-/// An operators' call as one control node forwards it to the primary.
+/// Operators' call in the form in which a control node forwards it to the primary.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, strum::EnumDiscriminants)]
 #[strum_discriminants(
     name(ForwardedCallKind),
     doc = "Which call a [`ForwardedCall`] is, without its content."
 )]
 pub enum ForwardedCall {
-    /// Put another configuration in force.
+    /// Replaces the configuration in force.
     ReplaceConfig {
-        /// The revision that `body` names.
+        /// Revision that is named in `body`.
         version: u64,
-        /// The configuration, as the operators sent it.
+        /// Configuration as the operators sent it.
         #[serde(with = "serde_bytes")]
         body: Vec<u8>,
     },
-    /// Read the configuration in force.
+    /// Reads the configuration in force.
     ReadConfig,
-    /// Order the retirement of a store.
+    /// Orders the retirement of a store.
     BeginRetirement {
-        /// The store's name.
+        /// Name of the store to retire.
         node: String,
     },
-    /// Ask how far the retirement of a store has come.
+    /// Reads the progress of a store's retirement.
     ReadRetirement {
-        /// The store's name.
+        /// Name of the store whose retirement is queried.
         node: String,
     },
 }
--- a/crates/server/src/protocol/tests.rs
+++ b/crates/server/src/protocol/tests.rs
@@ -1,4 +1,4 @@
-//! The bytes that processes of one release say to those of another: none of them may change.
+//! Pins the bytes of frames between processes of different releases: none of these bytes may change.
 
 use super::*;
 use stileroute_control_group as group;
@@ -74,8 +74,8 @@
     Frame::LookupResult { request_id: 1, result }
 }
 
-/// Every variant of every type that a frame is made of, but for those that the packages of the queue and of the control group
-/// pin themselves: of these one each.
+/// Returns every variant of every type that a frame contains. Types that the queue and control group packages pin in
+/// their own tests appear with one value each.
 fn frames() -> Vec<Frame> {
     let full_news = MembershipUpdate {
         incarnation: 5,
@@ -141,7 +141,7 @@
     ]
 }
 
-/// The counters' name of each frame above, and its bytes.
+/// Metrics category and hexadecimal bytes of each frame in `frames()`.
 const PINNED: [(&str, &str); 38] = [
     ("link", "0001effdb6f50d06656467652d3100027a310a000001ef9bafcdf8acd1910100"),
     ("link", "0001effdb6f50d06656467652d3101027a310a000001ef9bafcdf8acd1910100"),
@@ -199,7 +199,7 @@
     assert_eq!(seen, PINNED);
 }
 
-/// Of a release before updates said how old the contact of the control nodes is, which is the last field since.
+/// Earlier releases sent updates without the age of the control nodes' contact, which is now the last field.
 #[test]
 fn an_update_of_an_earlier_release_is_read_and_the_present_one_begins_with_the_same_bytes() {
     let earlier = [3, 77, 44, 0, 0, 0, 0, 0];
@@ -224,7 +224,7 @@
 
 #[test]
 fn what_an_earlier_release_knows_of_a_message_is_nobody_s() {
-    // As pinned before there were tenants: the same bytes without the last one.
+    // These bytes were pinned before tenants existed: they are the current encoding without its last byte.
     let earlier = [0x08, 0x01, 0x01, 0x01, 0x01, 0x73, 0x01, 0x02, 0x01, 0x02];
     let frame: Frame = postcard::from_bytes(&earlier).expect("decodes");
     let status = MessageStatus::Complete { seal: "s".to_string() };
