--- a/crates/server/src/net/client/connection.rs
+++ b/crates/server/src/net/client/connection.rs
@@ -1,7 +1,8 @@
-//! The requests and replies of one connection that was opened from here, without I/O: bytes and ends in, outcomes out.
+//! State machine for the requests and replies of one outgoing connection, without I/O: bytes and ends of input go in,
+//! call outcomes come out.
 //!
-//! A connection carries one call at a time. A reply is tied to its call by the connection and, where the other side repeats
-//! it, by the request's identifier. Once that tie is in doubt the connection is not used again.
+//! A connection carries one call at a time. A reply is matched to its call by the connection and, if the server
+//! echoes it, by the request identifier. Once a match is in doubt, the connection is not used again.
 
 use super::reply::{accept_truncated, parse_reply, CallReply, ParsedReply};
 use crate::net::fault_injection::{is_injected, InjectedFault};
@@ -9,13 +10,14 @@
 use std::collections::VecDeque;
 use stileroute_dispatch::types::name_hash;
 
-/// So many requests are remembered of a connection, to recognise a second reply to one of them.
+/// Maximum number of request identifiers remembered per connection, to recognise a second reply to one of these
+/// requests.
 const MAX_REMEMBERED_REQUESTS: usize = 256;
 
-/// Why a call has no reply.
+/// Reason why a call has no reply.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum CallError {
-    /// The connection never opened: the request has not run.
+    /// The connection was never established: the request has not run.
     #[error("not connected")]
     NotConnected,
     /// All connections that may be open to this address are in use: the request was not sent.
@@ -24,84 +26,85 @@
     /// The connection was reset or closed before a reply: the request may have run.
     #[error("connection lost before a reply")]
     ConnectionLost,
-    /// There was no reply up to the deadline: the request may have run.
+    /// No reply arrived before the deadline: the request may have run.
     #[error("no reply in time")]
     TimedOut,
-    /// What came is no reply, or one to another request: the request may have run.
+    /// The received bytes are no valid reply, or a reply to another request: the request may have run.
     #[error("not a reply to this request")]
     InvalidReply,
 }
 
 impl CallError {
-    /// Whether the other side may have run the request.
+    /// Returns whether the other side may have run the request.
     pub fn may_have_run(self) -> bool {
         !matches!(self, CallError::NotConnected | CallError::NoCapacity)
     }
 }
 
-/// A call that waits for its reply.
+/// Call that waits for its reply.
 pub(in crate::net) struct PendingCall {
-    /// The caller's number of the call, given back with the outcome.
+    /// Identifier of the call, chosen by the caller and returned with the outcome.
     pub call_id: u64,
-    /// When it is given up.
+    /// Time at which the call is abandoned.
     pub deadline: Millis,
-    /// The request's identifier, where the reply has to repeat it.
+    /// Identifier of the request, if the reply must repeat it.
     pub request_id: Option<String>,
-    /// The request is a `HEAD`: its reply ends with the head.
+    /// Whether the request is a `HEAD`, whose reply ends with its head.
     pub is_head_request: bool,
 }
 
-/// What bytes, an end or a deadline lead to.
+/// Result of received bytes, an end of input or a passed deadline.
 #[derive(Debug)]
 pub(in crate::net) enum Progress {
-    /// Nothing yet.
+    /// No result yet: the connection waits for more input.
     Wait,
     /// No call is pending, and the connection can't be used again.
     Close,
-    /// The outcome of the pending call.
+    /// The pending call has finished.
     Completed {
-        /// The caller's number of the call.
+        /// Identifier of the call, chosen by the caller.
         call_id: u64,
-        /// The reply, or why there is none.
+        /// Reply to the call, or the reason why there is none.
         result: Result<CallReply, CallError>,
-        /// How long the connection may be idle and still carry another call; `None`: not at all.
+        /// Time in milliseconds for which the connection may be idle and still carry another call; `None` if it can't
+        /// be reused.
         keep_alive_ms: Option<Millis>,
     },
 }
 
-/// The state of one connection that was opened from here.
+/// Protocol state of one connection that this process opened for calls.
 #[derive(Default)]
 pub(in crate::net) struct ClientConnection {
     pending: Option<PendingCall>,
-    /// Hashes of the identifiers of requests that the connection has carried, the latest first.
+    /// Hashes of the identifiers of requests that the connection has carried, latest first.
     carried: VecDeque<u64>,
-    /// A second reply to an earlier request came: whatever comes next may be another one.
+    /// Whether a second reply to an earlier request has arrived, so that further replies may be stray as well.
     has_seen_stray_reply: bool,
 }
 
-/// Which request a reply belongs to.
+/// Request that a reply belongs to.
 enum ReplyOwner {
     /// The pending call.
     PendingCall,
-    /// An earlier request of this connection, which has been answered before.
+    /// An earlier request of this connection, which has already been answered.
     EarlierRequest,
-    /// None that this connection has carried.
+    /// No request that this connection has carried.
     Unknown,
 }
 
 impl ClientConnection {
-    /// A call is sent on the connection.
+    /// Starts a call on the connection.
     pub fn begin(&mut self, call: PendingCall) {
         self.pending = Some(call);
     }
 
-    /// The call that waits for its reply.
+    /// Returns the call that waits for its reply.
     pub fn pending(&self) -> Option<&PendingCall> {
         self.pending.as_ref()
     }
 
-    /// Whether the connection has carried a request with this identifier: a second reply to that one could not be told from
-    /// the reply to a repetition of it.
+    /// Returns whether the connection has carried a request with this identifier. A second reply to that request
+    /// could not be distinguished from the reply to a retry of it.
     pub fn has_carried(&self, request_id: &str) -> bool {
         self.carried.contains(&name_hash(request_id))
     }
@@ -120,8 +123,8 @@
         }
     }
 
-    /// Takes replies from the front of `input`. `is_request_sent`: the request has been written completely;
-    /// `has_input_ended`: the other side sends no more.
+    /// Parses replies from the front of `input`. `is_request_sent`: the request has been written completely;
+    /// `has_input_ended`: the other side sends no more bytes.
     pub fn receive(&mut self, input: &mut Vec<u8>, is_request_sent: bool, has_input_ended: bool) -> Progress {
         loop {
             if input.is_empty() {
@@ -132,7 +135,8 @@
                     input.clear();
                     return Progress::Wait;
                 }
-                // A second reply, or bytes that nobody asked for: whatever comes next would be taken for another's reply.
+                // A second reply or unsolicited bytes: any further input would be taken for the reply to another
+                // call.
                 return Progress::Close;
             };
             let names_request = call.request_id.is_some();
@@ -143,28 +147,31 @@
             };
             input.drain(..length);
             match self.owner_of(&reply) {
-                // Without an identifier only what comes after the complete request can be its reply.
+                // A reply without a request identifier belongs to the pending call only if it arrived after the
+                // request was sent completely.
                 ReplyOwner::PendingCall if !is_request_sent && !names_request => {
                     return self.complete(Err(CallError::InvalidReply), None);
                 }
                 ReplyOwner::PendingCall => {
-                    // The rest of a request that was answered early would be read as the beginning of the next one.
+                    // If a request is answered before it is sent completely, the server would read the rest of it as
+                    // the beginning of the next request.
                     let is_reusable =
                         is_request_sent && input.is_empty() && !has_input_ended && !self.has_seen_stray_reply;
                     let is_kept = is_reusable || is_injected(InjectedFault::ConnectionKeptAfterStrayBytes);
                     return self.complete(Ok(reply), keep_alive_ms.filter(|_| is_kept));
                 }
-                // The expected reply comes after it. If this one were taken for it, or the connection given up, a message
-                // that is running would run again.
+                // The expected reply follows this second reply to an earlier request. If the second reply were taken
+                // for it, or the connection were closed, a message that is still running would run again.
                 ReplyOwner::EarlierRequest => self.has_seen_stray_reply = true,
-                // Kept, this connection would give each request the reply to the one before, for as long as it is used:
-                // seconds after the executor has recovered each message would still run twice.
+                // If this connection were kept, each request would receive the reply to the previous one for as long
+                // as the connection is used: each message would run twice, even seconds after the executor has
+                // recovered.
                 ReplyOwner::Unknown => return self.complete(Err(CallError::InvalidReply), None),
             }
         }
     }
 
-    /// The other side sends no more; `input` is what is left of what it sent.
+    /// Handles the end of the input: the other side sends no more bytes, and `input` is the unparsed rest.
     pub fn end_of_input(&mut self, input: &[u8], is_request_sent: bool) -> Progress {
         let Some(call) = &self.pending else { return Progress::Close };
         let parsed = match parse_reply(input, call.is_head_request) {
@@ -183,12 +190,12 @@
         self.complete(result, None)
     }
 
-    /// The connection broke. `was_open`: it had been established, so that the request may have been sent.
+    /// Handles a broken connection. `was_open`: it had been established, so that the request may have been sent.
     pub fn connection_lost(&mut self, was_open: bool) -> Progress {
         self.fail(if was_open { CallError::ConnectionLost } else { CallError::NotConnected })
     }
 
-    /// The deadline of the call has come. `was_open`: the connection had been established.
+    /// Handles the passed deadline of the call. `was_open`: the connection had been established.
     pub fn deadline_passed(&mut self, was_open: bool) -> Progress {
         let was_sent = was_open && !is_injected(InjectedFault::SilenceReportedAsNotSent);
         self.fail(if was_sent { CallError::TimedOut } else { CallError::NotConnected })
--- a/crates/server/src/net/client/connection/generated.rs
+++ b/crates/server/src/net/client/connection/generated.rs
@@ -1,5 +1,5 @@
-//! Random connections to executors: every split of bytes, early and late ends, second replies, replies to other requests. What
-//! is right is known from how the bytes were made.
+//! Generated connections to executors: every split of bytes, early and late ends, second replies, and replies to
+//! other requests. The expected outcomes are known from the way in which the bytes were generated.
 
 use super::*;
 use crate::net::fault_injection::{with_fault, InjectedFault};
@@ -8,16 +8,17 @@
 const CONNECTIONS: u64 = 20_000;
 const CALLS: usize = 6;
 
-/// What comes in place of a reply, or as one.
+/// Kind of reply, or of other bytes, that the executor sends for a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Kind {
     Right,
-    /// It names a request that this connection never carried.
+    /// The reply names a request that this connection never carried.
     Stranger,
-    /// It names none, or two.
+    /// The reply names no request.
     Nameless,
+    /// The reply names two requests.
     TwoNames,
-    /// Framed in two ways.
+    /// The reply's length is given in two ways.
     TwoLengths,
     LengthAndChunks,
     Rubbish,
@@ -39,16 +40,16 @@
     Kind::OtherProtocol,
 ];
 
-/// What comes on the connection while a call is pending.
+/// Input that the connection receives while a call is pending.
 struct Script {
     bytes: Vec<u8>,
-    /// The expected reply is complete with so many of them; `None`: there is no such reply.
+    /// Number of input bytes with which the expected reply is complete; `None` if no expected reply is sent.
     complete_at: Option<usize>,
-    /// It is complete only when the connection ends.
+    /// Whether the expected reply is complete only when the connection ends.
     ends_with_connection: bool,
-    /// The other side closes after it.
+    /// Whether the executor closes the connection after the reply.
     closes: bool,
-    /// Second replies to earlier requests come before it.
+    /// Whether second replies to earlier requests precede the reply.
     has_stray_reply: bool,
 }
 
@@ -56,7 +57,8 @@
     format!("{}-{call}", if is_second_reply { "again" } else { "seal" })
 }
 
-/// One reply: its bytes, whether it ends with the connection, and whether the other side closes after it.
+/// Generates one reply: its bytes, whether it ends with the connection, and whether the executor closes the
+/// connection after it.
 fn answer(
     random: &mut SeededRandom,
     id: Option<&str>,
@@ -75,7 +77,8 @@
         random.pick(&["", "ok", "HTTP/1.1 200 OK\r\nX-Server-Seal: hidden\r\nContent-Length: 0\r\n\r\n"]);
     let (length, end) = (body.len(), "\r\n\r\n");
     let (text, ends_with_connection) = match random.below(6) {
-        // No answer to HEAD and none of these has a body, whatever it says.
+        // Neither a reply to a `HEAD` request nor a reply with one of these statuses has a body, whatever its headers
+        // say.
         _ if call.is_head_request => (format!("HTTP/1.1 200 OK\r\n{head}Content-Length: 70{end}"), false),
         0 => (format!("HTTP/1.1 304 No\r\n{head}Content-Length: 70{end}"), false),
         1 => (format!("HTTP/1.1 204 No\r\n{head}\r\n"), false),
@@ -129,7 +132,7 @@
     Script { bytes, complete_at, ends_with_connection, closes, has_stray_reply }
 }
 
-/// How a connection ends, once its bytes are through.
+/// How a connection ends after its last bytes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum End {
     Silence,
@@ -137,19 +140,19 @@
     Reset,
 }
 
-/// How a call ended, and what had come by then.
+/// Outcome of a call, and the input that had arrived by then.
 struct Outcome {
     call_id: u64,
     result: Result<CallReply, CallError>,
     keep_alive_ms: Option<Millis>,
-    /// Bytes that had come, and whether the request had been sent completely.
+    /// Number of bytes that had arrived, and whether the request had been sent completely.
     received: usize,
     is_request_sent: bool,
-    /// By the end of the connection, and not by bytes.
+    /// The end of the connection that completed the call; `None` if received bytes completed it.
     ended_by: Option<End>,
 }
 
-/// One connection from its opening until it may not be used again.
+/// One connection from its opening until it can't be reused.
 struct Connection {
     random: SeededRandom,
     connection: ClientConnection,
@@ -167,7 +170,7 @@
         Connection { random, connection, input, replies_name_request, earlier, has_seen_stray_reply: false }
     }
 
-    /// Makes one call. Returns whether another may follow, or what is wrong.
+    /// Makes one call. Returns whether another call may follow on the connection, or a description of the failure.
     fn call(&mut self, at: usize) -> Result<bool, String> {
         let id = format!("r{at}");
         let (named, is_head_request) =
@@ -178,7 +181,7 @@
         self.connection.begin(call);
         let outcome = self.outcome(&script)?;
         self.check(at, &script, &outcome)?;
-        // Nothing more comes of the call.
+        // No further event may complete the call a second time.
         let later =
             [self.connection.receive(&mut Vec::new(), true, false), self.connection.deadline_passed(true)];
         if later.iter().any(|progress| matches!(progress, Progress::Completed { .. })) {
@@ -188,7 +191,7 @@
         Ok(outcome.keep_alive_ms.is_some())
     }
 
-    /// Lets the bytes come, all of them or a part, and then the end.
+    /// Delivers all or part of the input bytes, and then the end of the connection.
     fn outcome(&mut self, script: &Script) -> Result<Outcome, String> {
         let length = script.bytes.len();
         let received_length = if self.random.once_in(4) { self.random.below(length) } else { length };
@@ -243,7 +246,8 @@
             Ok(reply) if reply.seal.as_deref() != Some(&seal(at, false)) => {
                 return Err(format!("given the answer {:?}", reply.seal));
             }
-            // A body up to the end of the connection can't be seen to be cut short; only the head is used of it.
+            // A body delimited by the end of the connection can't be recognised as truncated; only the reply's head
+            // is used.
             Ok(_) if due || ended_by_closing => {}
             Ok(_) => return Err("an answer out of a part of one".to_string()),
             Err(failure) if due && outcome.is_request_sent => {
@@ -263,7 +267,7 @@
         }
     }
 
-    /// Receives bytes that nobody asked for, while no call is pending.
+    /// Receives unsolicited bytes while no call is pending.
     fn stray(&mut self) -> Result<(), String> {
         let mut stray = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec();
         stray.truncate(1 + self.random.below(stray.len()));
@@ -274,7 +278,7 @@
     }
 }
 
-/// Makes calls on one connection. The error says what is wrong.
+/// Makes calls on one connection. The error describes the failure.
 fn run_connection(seed: u64) -> Result<(), String> {
     let mut connection = Connection::new(seed);
     for at in 0..CALLS {
--- a/crates/server/src/net/client/pool.rs
+++ b/crates/server/src/net/client/pool.rs
@@ -1,52 +1,52 @@
-//! Which connections to one address are open and idle, and how long an idle one may still be trusted.
+//! Pools of open and idle connections by address, and limits on the idle time after which a connection is reused.
 
 use crate::net::{ConnectionId, Millis};
 use std::net::SocketAddrV4;
 
-/// A request that is lost on a connection idle for less than this says nothing of how long connections are kept: any
-/// connection may break.
+/// Minimum idle time in milliseconds for a lost request to indicate an idle time-out of the server: any connection
+/// may break, and a loss after a shorter idle time gives no such evidence.
 const MIN_INFORMATIVE_IDLE_MS: Millis = 40;
-/// How long an [`IdleLimit`] holds: the executor at the address may be another one by then.
+/// Time in milliseconds for which an [`IdleLimit`] is valid: after that, another executor may run at the address.
 pub(super) const IDLE_LIMIT_LIFETIME_MS: Millis = 20_000;
 
-/// Calls whose replies repeat the request's identifier and those whose replies do not never share a connection: a second
-/// reply to one of the first would be taken for the reply to one of the others.
+/// Key of a connection pool. Calls whose replies repeat the request identifier never share connections with other
+/// calls: a second reply to a call with an identifier would be taken for the reply to a call without one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(in crate::net) struct PoolKey {
-    /// The other side.
+    /// Address of the server.
     pub to: SocketAddrV4,
-    /// Whether replies repeat the request's identifier.
+    /// Whether replies repeat the request identifier.
     pub replies_name_request: bool,
 }
 
-/// The connections of one [`PoolKey`].
+/// Connections with the same [`PoolKey`].
 #[derive(Default)]
 pub(in crate::net) struct Pool {
-    /// How many are open, idle or not.
+    /// Number of open connections, whether idle or in use.
     pub(super) open_count: usize,
-    /// Those that carry no call, the latest used last.
+    /// Connections that carry no call, most recently used last.
     pub(super) idle: Vec<ConnectionId>,
-    /// After a request was lost on an idle connection.
+    /// Limit on the idle time, set after a request was lost on an idle connection.
     pub(super) idle_limit: Option<IdleLimit>,
-    /// How many may be open, by the latest call.
+    /// Maximum number of open connections, set by the latest call.
     pub(super) max_open: usize,
 }
 
-/// A bound on how long a connection may have been idle before it carries a request, learnt from requests that were lost.
+/// Limit on how long a connection may have been idle before it carries a request, derived from lost requests.
 ///
-/// Some executors close idle connections sooner than they say, and a request that crosses with that is lost: it may have run,
-/// and runs again. After such a loss no connection that was idle for half as long is used; so a second and third loss are
-/// rare, and a shorter time-out is found by halving.
+/// Some executors close idle connections earlier than they announce. A request that crosses with the close is lost:
+/// it may have run, and is run again. After such a loss, connections that were idle for at least half as long are not
+/// reused. Further losses are therefore rare, and halving finds the shorter time-out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct IdleLimit {
-    /// Longest idle time.
+    /// Maximum idle time, in milliseconds.
     pub max_idle_ms: Millis,
-    /// When the limit is forgotten.
+    /// Time at which the limit expires.
     pub expires_at: Millis,
 }
 
 impl IdleLimit {
-    /// The limit after a request was lost on a connection that had been idle for `idle_ms`.
+    /// Returns the limit after a request was lost on a connection that had been idle for `idle_ms` milliseconds.
     pub fn after_loss(old: Option<IdleLimit>, now: Millis, idle_ms: Millis) -> Option<IdleLimit> {
         let old = old.filter(|limit| limit.expires_at > now);
         if idle_ms < MIN_INFORMATIVE_IDLE_MS {
@@ -57,7 +57,7 @@
         Some(IdleLimit { max_idle_ms, expires_at: now + IDLE_LIMIT_LIFETIME_MS })
     }
 
-    /// Whether a connection that has been idle for `idle_ms` may carry a request.
+    /// Returns whether a connection that has been idle for `idle_ms` milliseconds may carry a request.
     pub fn allows(limit: Option<IdleLimit>, now: Millis, idle_ms: Millis) -> bool {
         limit.is_none_or(|limit| limit.expires_at <= now || idle_ms <= limit.max_idle_ms)
     }
--- a/crates/server/src/net/client/reply.rs
+++ b/crates/server/src/net/client/reply.rs
@@ -1,61 +1,66 @@
-//! Parses the reply to a request that was sent from here, and says whether its connection may be used again.
+//! Parses the reply to an outgoing request, and determines whether its connection may be reused.
 
 use crate::net::Millis;
 use httparse::{Header, Status};
 use stileroute_http1::{body_framing, has_token, header_value, is_repeated, ChunkedDecoder, Framing};
 
-/// Most bytes of one reply with its head and framing.
+/// Maximum length of one reply in bytes, including its head and framing.
 pub(in crate::net) const MAX_REPLY_BYTES: usize = 1 << 20;
-/// Most headers of a reply.
+/// Maximum number of headers of a reply.
 const MAX_HEADERS: usize = 48;
-/// An idle connection is closed so long before the other side would close it, lest a request cross with that.
+/// Margin in milliseconds by which an idle connection is closed before the server would close it, so that no request
+/// crosses with the server's close.
 pub(super) const KEEP_ALIVE_MARGIN_MS: Millis = 400;
-/// How long the other side keeps an idle connection, where it does not say so in `Keep-Alive`.
+/// Assumed time in milliseconds for which the server keeps an idle connection, if it sends no `Keep-Alive` time-out.
 pub(super) const DEFAULT_KEEP_ALIVE_MS: Millis = 4000;
-/// An idle connection is kept no longer than this, whatever the other side says.
+/// Maximum time in milliseconds for which an idle connection is kept, regardless of the server's `Keep-Alive`
+/// time-out.
 const MAX_KEEP_ALIVE_MS: Millis = 60_000;
-/// Headers that tie a reply to its request or prove that it ran: with two of the same name they prove nothing.
+/// Headers that match a reply to its request or prove that the request ran. Two headers of the same name prove
+/// nothing.
 const SINGLE_HEADERS: [&str; 2] = ["X-Request-Id", "X-Server-Seal"];
 
-/// A complete reply, with those of its headers that have a meaning here.
+/// Complete reply with the headers that this service evaluates.
 #[derive(Clone, Debug, Default)]
 pub struct CallReply {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
     /// `X-Server-Seal`: the executor's proof that it ran the request.
     pub seal: Option<String>,
     /// `X-Not-Run`: the executor did not run the request and never will.
     pub was_not_run: bool,
-    /// `X-Server-Load`: how busy the executor is.
+    /// `X-Server-Load`: current load of the executor.
     pub server_load: Option<String>,
-    /// `X-Request-Id`: the request that the reply belongs to.
+    /// `X-Request-Id`: identifier of the request that the reply belongs to.
     pub request_id: Option<String>,
 }
 
-/// What the bytes so far amount to.
+/// Result of parsing the bytes received so far.
 #[derive(Debug)]
 pub(super) enum ParsedReply {
-    /// The beginning of a reply.
+    /// The bytes are the beginning of a reply.
     Incomplete,
-    /// A reply.
+    /// The bytes start with a complete reply.
     Complete {
-        /// The reply.
+        /// Parsed reply.
         reply: CallReply,
-        /// Its bytes at the front of the input.
+        /// Number of bytes of the reply at the front of the input.
         length: usize,
-        /// How long the connection may be idle and still be used again; `None`: not at all.
+        /// Time in milliseconds for which the connection may be idle and still be reused; `None` if it can't be
+        /// reused.
         keep_alive_ms: Option<Millis>,
     },
-    /// A reply that is complete when the connection ends.
+    /// The reply is delimited by the end of the connection.
     CompleteAtEnd {
-        /// The reply.
+        /// Parsed reply.
         reply: CallReply,
     },
-    /// No reply of HTTP/1.x, or one that can be read in more than one way.
+    /// The bytes are no HTTP/1.x reply, or are ambiguous.
     Malformed,
 }
 
-/// Parses the reply at the front of `bytes`. `is_bodiless`: it answers a `HEAD`, so that it ends with its head.
+/// Parses the reply at the front of `bytes`. `is_bodiless`: the reply answers a `HEAD` request and therefore ends
+/// with its head.
 pub(super) fn parse_reply(bytes: &[u8], is_bodiless: bool) -> ParsedReply {
     let mut start = 0;
     loop {
@@ -67,16 +72,17 @@
             Err(_) => return ParsedReply::Malformed,
         };
         match head.code.unwrap_or(0) {
-            // Nobody asked for another protocol, and what follows would not be HTTP (RFC 9110, 15.2.2).
+            // No request asks for a protocol upgrade, and the bytes after this reply would not be HTTP (RFC 9110,
+            // 15.2.2).
             101 => return ParsedReply::Malformed,
-            // An interim response; the final one follows it (RFC 9110, 15.2).
+            // An interim response, which the final response follows (RFC 9110, 15.2).
             100..=199 => start = head_end,
             _ => return parse_final_reply(bytes, head_end, &head, is_bodiless),
         }
     }
 }
 
-/// More bytes are needed; that many have come already that there may be no more.
+/// Returns `Incomplete`, or `Malformed` if the bytes already exceed the maximum length of a reply.
 fn incomplete(bytes: &[u8]) -> ParsedReply {
     if bytes.len() > MAX_REPLY_BYTES {
         ParsedReply::Malformed
@@ -85,7 +91,7 @@
     }
 }
 
-/// Parses a reply whose head ends at `head_end`.
+/// Parses a final reply whose head ends at `head_end`.
 fn parse_final_reply(
     bytes: &[u8],
     head_end: usize,
@@ -100,7 +106,7 @@
     let reply = reply_of(status, headers);
     let Ok(body_framing) = body_framing(headers, head.version) else { return ParsedReply::Malformed };
     let body_length = match body_framing {
-        // These end with their head, whatever that says of a body (RFC 9112, 6.3).
+        // These replies end with their head, whatever their headers say about a body (RFC 9112, 6.3).
         _ if is_bodiless || status == 204 || status == 304 => 0,
         None | Some(Framing::UntilClose) => return ParsedReply::CompleteAtEnd { reply },
         Some(Framing::Length(length)) if length > MAX_REPLY_BYTES => return ParsedReply::Malformed,
@@ -115,7 +121,7 @@
             length
         }
     };
-    // RFC 9112, 9.3: HTTP/1.0 keeps no connection open unless it is asked to.
+    // RFC 9112, 9.3: an HTTP/1.0 connection is closed after the reply unless the client asked to keep it open.
     let is_last = has_token(headers, "Connection", "close") || head.version == Some(0);
     let keep_alive_ms = keep_alive_ms(header_value(headers, "Keep-Alive"));
     ParsedReply::Complete {
@@ -136,8 +142,8 @@
     }
 }
 
-/// How long a connection may be idle, by the `timeout=5` of `Keep-Alive`, in seconds: a header of HTTP/1.0 that no RFC in
-/// force defines, and that most servers send.
+/// Returns how long a connection may be idle, from the `timeout=5` parameter of `Keep-Alive`, which is in seconds.
+/// `Keep-Alive` is an HTTP/1.0 header that no RFC in force defines but that most servers send.
 fn keep_alive_ms(keep_alive: Option<&str>) -> Millis {
     let stated_ms = keep_alive.and_then(|text| {
         let timeout = text.split([',', ' ']).find_map(|part| part.trim().strip_prefix("timeout="))?;
@@ -147,7 +153,7 @@
     stated_ms.unwrap_or(DEFAULT_KEEP_ALIVE_MS).saturating_sub(KEEP_ALIVE_MARGIN_MS).min(MAX_KEEP_ALIVE_MS)
 }
 
-/// The head of a reply whose rest is missing, taken as complete: for [`InjectedFault::TruncatedReplyAccepted`].
+/// Accepts the head of a truncated reply as a complete reply, for [`InjectedFault::TruncatedReplyAccepted`].
 ///
 /// [`InjectedFault::TruncatedReplyAccepted`]: crate::net::fault_injection::InjectedFault::TruncatedReplyAccepted
 pub(super) fn accept_truncated(input: &[u8]) -> ParsedReply {
--- a/crates/server/src/net/client/reply/tests.rs
+++ b/crates/server/src/net/client/reply/tests.rs
@@ -35,7 +35,7 @@
                 &text[..cut]
             );
         }
-        // A second answer behind it is not part of it.
+        // A second reply after the first one is not part of the first one.
         let second = text.clone() + "HTTP/1.1 200 OK\r\n\r\n";
         for (text, used) in [(&text, text.len()), (&second, text.len())] {
             assert_matches!(parse_reply(text.as_bytes(), false), ParsedReply::Complete { reply, length, keep_alive_ms } => {
--- a/crates/server/src/net/client/tests.rs
+++ b/crates/server/src/net/client/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use assert_matches::assert_matches;
 
-/// An executor on loopback: connections that came, and the last request's end.
+/// Test executor on loopback, with its accepted connections and the outcome of the last call.
 struct Peer {
     net: Net,
     socket: std::net::TcpListener,
@@ -17,7 +17,7 @@
         Peer { net: Net::new(16).unwrap().0, socket, conns: Vec::new() }
     }
 
-    /// One request, and these answers to it on the connection by which it came.
+    /// Sends one request, and answers it with these replies on the connection on which it arrived.
     fn ask(&mut self, id: &str, answers: &[&str]) -> (usize, Result<CallReply, CallError>) {
         self.call(Some(id), id, answers, 8)
     }
@@ -96,7 +96,8 @@
 
 #[test]
 fn a_call_lost_on_an_idle_connection_shortens_the_idle_limit() {
-    // Executors that forget what rested 320 ms: what was lost at 900 ms says little, at 340 enough.
+    // An executor that closes connections after 320 ms of idle time: a loss after 900 ms gives only a rough limit, a
+    // loss after 340 ms a sufficient one.
     let mut limit = None;
     assert!(IdleLimit::allows(limit, 0, 4000));
     for (now, rested, most) in [(0, 900, 450), (500, 440, 220), (900, 30, 220), (1000, 900, 220)] {
@@ -104,7 +105,7 @@
         assert_matches!(limit, Some(limit) if limit.max_idle_ms == most && limit.expires_at > now + IDLE_LIMIT_LIFETIME_MS / 2);
         assert!(IdleLimit::allows(limit, now, most) && !IdleLimit::allows(limit, now, most + 1), "{rested}");
     }
-    // The executor may be another by then.
+    // After this time another executor may run at the address.
     assert!(IdleLimit::allows(limit, 1000 + IDLE_LIMIT_LIFETIME_MS, 4000));
     assert_matches!(
         IdleLimit::after_loss(limit, 1000 + IDLE_LIMIT_LIFETIME_MS, 900),
@@ -115,13 +116,14 @@
 
 #[test]
 fn a_retry_uses_another_connection() {
-    // Its first answer may come once more, and by its id it could not be told from that to the repeat.
+    // A second reply to the first attempt may follow; by its identifier it could not be distinguished from the reply
+    // to the retry.
     let mut peer = Peer::new();
     let (first, _) = peer.ask("a", &["a"]);
     let (other, result) = peer.ask("a", &["a"]);
     assert_eq!((other, seal(result).as_str()), (first + 1, "of-a"));
     assert_eq!(peer.ask("b", &["b"]).0, other, "both are kept for others");
-    // Where no more may be open, one is closed for it.
+    // If no further connection may be opened, an idle one is closed to free capacity for the retry.
     let mut peer = Peer::new();
     let (first, _) = peer.call(Some("a"), "a", &["a"], 1);
     let (other, result) = peer.call(Some("a"), "a", &["a"], 1);
@@ -137,7 +139,8 @@
     assert_ne!(callback, delivery);
     assert_eq!(peer.call(None, "c", &["c"], 8).0, callback, "among themselves they do");
     assert_eq!(peer.ask("d", &["d"]).0, delivery);
-    // What came since the answer is no answer to the next, though the loop has not read it yet.
+    // Bytes that arrived after a reply must not be taken for the next reply, even if the event loop has not read them
+    // yet.
     std::io::Write::write_all(&mut peer.conns[callback], b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         .unwrap();
     let SocketAddr::V4(to) = peer.socket.local_addr().unwrap() else { panic!("no IPv4") };
--- a/crates/server/src/net/server/connection.rs
+++ b/crates/server/src/net/server/connection.rs
@@ -1,67 +1,69 @@
-//! The requests and responses of one accepted connection, without I/O: bytes in, requests out, responses in, bytes out.
+//! State machine for the requests and responses of one accepted connection, without I/O: received bytes and responses
+//! go in, requests and output bytes come out.
 //!
-//! One request at a time is with the handler, and the next one is parsed only when that is answered: so a response always
-//! belongs to the one request in progress, and clients may pipeline (RFC 9112, 9.3.2). After a request that is rejected
-//! nothing more is read.
+//! The handler has one request at a time, and the next request is parsed only after that one is answered. A response
+//! therefore always belongs to the single request in progress, and clients may pipeline requests (RFC 9112, 9.3.2).
+//! After a rejected request no further input is read.
 
 use super::message::{Request, RequestLimits, Response};
 use super::parser::{parse_request, Parsed, RequestError};
 
-/// What a client is sent that waits for it before it sends a body (RFC 9110, 15.2.1).
+/// Interim response for a client that waits for it before it sends a body (RFC 9110, 15.2.1).
 pub(in crate::net) const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// What came of the bytes received so far.
+/// Result of the bytes received so far.
 #[derive(Debug)]
 pub(in crate::net) enum Received {
-    /// Nothing new: there are no bytes, or no request may be read now.
+    /// No result: there are no bytes, or no request may be read now.
     Nothing,
-    /// Part of a request.
+    /// Part of a request has arrived.
     Partial {
-        /// These are its first bytes.
+        /// Whether the bytes are the first ones of the request.
         is_first: bool,
-        /// The client waits for [`CONTINUE`], and has not been sent it yet.
+        /// Whether the client waits for [`CONTINUE`], which has not been sent yet.
         wants_continue: bool,
     },
     /// A complete request, which is in progress from now on.
     Request(Box<Request>),
-    /// What came is rejected. It counts as a request in progress, to be answered with the error's status.
+    /// The input is rejected. It counts as a request in progress, to be answered with the status of the error.
     Rejected(RequestError),
 }
 
-/// How far the connection is with a request.
+/// Progress of the connection with its current request.
 #[derive(Clone, Copy, Default)]
 enum Phase {
-    /// No byte of the next request has come.
+    /// No byte of the next request has arrived.
     #[default]
     Idle,
-    /// Part of a request has come.
+    /// Part of a request has arrived.
     Receiving { has_sent_continue: bool },
-    /// A request is with the handler; further ones wait in the input.
+    /// The handler has a request; further requests stay in the input buffer.
     InProgress { is_head_request: bool },
     /// The last response has been written.
     Finished,
 }
 
-/// The state of one accepted connection.
+/// Protocol state of one accepted connection.
 #[derive(Default)]
 pub(in crate::net) struct ServerConnection {
     phase: Phase,
-    /// The connection ends after the response to the request in progress.
+    /// Whether the connection is closed after the response to the request in progress.
     closes_after_response: bool,
 }
 
 impl ServerConnection {
-    /// Whether a request is with the handler.
+    /// Returns whether the handler has a request that is not answered yet.
     pub fn is_in_progress(&self) -> bool {
         matches!(self.phase, Phase::InProgress { .. })
     }
 
-    /// Whether part of a request has come, and not all of it.
+    /// Returns whether a request has arrived in part but not completely.
     pub fn is_receiving(&self) -> bool {
         matches!(self.phase, Phase::Receiving { .. })
     }
 
-    /// Takes the next request from the front of `input`, unless one is in progress or the last response has been written.
+    /// Takes the next request from the front of `input`, unless a request is in progress or the last response has
+    /// been written.
     pub fn receive(&mut self, input: &mut Vec<u8>, limits: &RequestLimits) -> Received {
         let received_before = match self.phase {
             Phase::InProgress { .. } | Phase::Finished => return Received::Nothing,
@@ -90,15 +92,16 @@
         }
     }
 
-    /// Rejects what has come so far: it is no request and will never be one.
+    /// Rejects the input received so far: it is not a request and can't become one.
     pub fn reject(&mut self, error: RequestError) -> Received {
         self.phase = Phase::InProgress { is_head_request: false };
         self.closes_after_response = true;
         Received::Rejected(error)
     }
 
-    /// Writes the response to the request in progress. Returns whether the connection ends after it; `None` if no request is
-    /// in progress, and then nothing is written. `has_input_ended`: the client sends no more.
+    /// Writes the response to the request in progress. Returns whether the connection is closed after the response;
+    /// `None` if no request is in progress, in which case nothing is written. `has_input_ended`: the client sends no
+    /// more bytes.
     pub fn respond(
         &mut self,
         response: &Response,
--- a/crates/server/src/net/server/connection/generated.rs
+++ b/crates/server/src/net/server/connection/generated.rs
@@ -1,4 +1,4 @@
-//! Random connections of clients: requests one behind the other, split anywhere, cut short, or malformed.
+//! Generated client connections: pipelined requests that are split anywhere, truncated or malformed.
 
 use super::super::message::reason_phrase;
 use super::*;
@@ -7,10 +7,10 @@
 const CONNECTIONS: u64 = 20_000;
 const LIMITS: RequestLimits =
     RequestLimits { max_head_bytes: 600, max_body_bytes: 200, request_timeout_ms: 0, idle_timeout_ms: 0 };
-/// A request in the body of another.
+/// A request that is hidden in the body of another request.
 const HIDDEN: &str = "GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n";
 
-/// Beginnings of requests that can be read in more than one way, or in none.
+/// Header lines of requests that are ambiguous or invalid.
 const REJECTED: [&str; 8] = [
     "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     "Content-Length: 3\r\nContent-Length: 34\r\n\r\nabc",
@@ -22,7 +22,7 @@
     "X-Request-Id: other\r\n\r\n",
 ];
 
-/// A request as it is sent.
+/// A request as the client sends it.
 struct Sent {
     bytes: Vec<u8>,
     head: usize,
@@ -71,7 +71,7 @@
     Sent { bytes, head: length, body, method, expects, closes, rejected: false }
 }
 
-/// The connection as `Net` keeps it, and a role that responds at random times.
+/// An accepted connection as `Net` holds it, with a role that responds at random times.
 struct Server {
     connection: ServerConnection,
     input: Vec<u8>,
@@ -147,7 +147,8 @@
     while server.in_progress {
         server.respond();
     }
-    // Those that are complete, up to the first that ends the connection; not one out of another's body.
+    // Expect all complete requests up to the first one that ends the connection, and no request from the body of
+    // another request.
     let (mut end, mut due) = (0, Vec::new());
     for (at, sent) in all.iter().enumerate() {
         end += sent.bytes.len();
@@ -164,7 +165,7 @@
     for (request, (id, sent)) in server.seen.iter().zip(&due) {
         assert_eq!((&request.body, &*request.target), (&sent.body, &*format!("/{id}")), "seed {seed}");
     }
-    // One answer to each, in order, and the bytes of none beside them.
+    // Expect exactly one response to each request, in order, and no other bytes.
     let mut expected = Vec::new();
     for (at, (id, sent)) in due.iter().enumerate() {
         let last = sent.closes && at + 1 == due.len();
--- a/crates/server/src/net/server/message.rs
+++ b/crates/server/src/net/server/message.rs
@@ -1,18 +1,18 @@
-//! Requests that come in over HTTP/1.1 and the responses to them, and what a request may cost.
+//! Incoming HTTP/1.1 requests, the responses to them, and the limits for a request's size and duration.
 
 use crate::net::Millis;
 use std::io::Write;
 
-/// How large a request may be, and how long it may take to arrive.
+/// Limits for the size of a request and for the time in which it must arrive.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestLimits {
-    /// Longest head, from the request line to the empty line.
+    /// Maximum length of the head in bytes, from the request line to the empty line.
     pub max_head_bytes: usize,
-    /// Longest body, without its framing.
+    /// Maximum length of the body in bytes, without its framing.
     pub max_body_bytes: usize,
-    /// From a request's first byte to its last.
+    /// Maximum time from the first to the last byte of a request, in milliseconds.
     pub request_timeout_ms: Millis,
-    /// How long a connection may stay open without a request.
+    /// Maximum time for which a connection may stay open without a request, in milliseconds.
     pub idle_timeout_ms: Millis,
 }
 
@@ -27,68 +27,70 @@
     }
 }
 
-/// A complete request, with those of its headers that have a meaning here.
+/// Complete request with the headers that this service evaluates.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// The method, as it was sent.
+    /// Method of the request, as it was sent.
     pub method: String,
-    /// The path and the query.
+    /// Request target: path and query.
     pub target: String,
-    /// `Host`, or empty.
+    /// Value of `Host`; empty if the header is missing.
     pub host: String,
-    /// `X-Request-Id`, or empty.
+    /// Value of `X-Request-Id`; empty if the header is missing.
     pub request_id: String,
-    /// `Content-Type`.
+    /// Value of `Content-Type`.
     pub content_type: Option<String>,
-    /// `X-Delay-Ms`: the message is not to be delivered sooner.
+    /// Value of `X-Delay-Ms`: minimum delay before the message is delivered, in milliseconds.
     pub delay_ms: Option<u64>,
-    /// `X-Time-Left-Ms`: how long the client still waits.
+    /// Value of `X-Time-Left-Ms`: how long the client still waits, in milliseconds.
     pub time_left_ms: Option<u64>,
-    /// `X-Callback-Url`: who is to be told of the message's end.
+    /// Value of `X-Callback-Url`: URL that is notified when the message has ended.
     pub callback_url: Option<String>,
-    /// `X-Order-Key`: messages of the same key are delivered in order.
+    /// Value of `X-Order-Key`: messages with the same key are delivered in order.
     pub order_key: Option<String>,
-    /// `Authorization`, as it was sent.
+    /// Value of `Authorization`, as it was sent.
     pub authorization: Option<String>,
-    /// `X-Idempotency-Key`: all requests with one key are one message.
+    /// Value of `X-Idempotency-Key`: all requests with the same key count as one message.
     pub idempotency_key: Option<String>,
-    /// The body, without its framing.
+    /// Body without its framing.
     pub body: Vec<u8>,
 }
 
-/// The answer to a request.
+/// Response to a request.
 #[derive(Clone, Debug, Default)]
 pub struct Response {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// Headers beside those that the connection itself writes.
+    /// Headers in addition to those that the connection itself writes.
     pub headers: Vec<(&'static str, String)>,
-    /// Whether the body is marked as JSON.
+    /// Whether the response declares its body as JSON.
     pub is_json: bool,
-    /// The body.
+    /// Body of the response.
     pub body: Vec<u8>,
-    /// Whether the connection ends after this response.
+    /// Whether the connection is closed after this response.
     pub close_connection: bool,
 }
 
 impl Response {
-    /// A status alone.
+    /// Creates a response with a status and no body.
     pub fn empty(status: u16) -> Response {
         Response { status, ..Response::default() }
     }
 
-    /// A JSON text.
+    /// Creates a response with a JSON body.
     pub fn json(status: u16, body: String) -> Response {
         Response { status, is_json: true, body: body.into_bytes(), ..Response::default() }
     }
 
-    /// Nothing was done for the request, and nothing will be: it may be sent again after so many seconds.
+    /// Creates a response to a request that was not and will not be processed; the client may retry it after
+    /// `seconds` seconds.
     pub fn retry_after(status: u16, seconds: u64) -> Response {
         Response { status, headers: vec![("Retry-After", seconds.to_string())], ..Response::default() }
     }
 
-    /// Appends the response to what is to be written. `is_bodiless`: the request was a `HEAD`, so that the body is announced
-    /// and left out (RFC 9110, 9.3.2). `is_last`: the connection ends after it (RFC 9112, 9.6).
+    /// Appends the response to the output buffer. `is_bodiless`: the request was a `HEAD`, so that the body's length
+    /// is announced but the body is omitted (RFC 9110, 9.3.2). `is_last`: the connection is closed after the response
+    /// (RFC 9112, 9.6).
     pub(in crate::net) fn write_to(&self, output: &mut Vec<u8>, is_bodiless: bool, is_last: bool) {
         // Writing to a `Vec` can't fail.
         let _ = write!(output, "HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
@@ -108,7 +110,7 @@
     }
 }
 
-/// The text behind the status in the first line.
+/// Returns the reason phrase for the status line.
 pub(in crate::net) fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/server/src/net/server/parser.rs
+++ b/crates/server/src/net/server/parser.rs
@@ -1,16 +1,16 @@
-//! Parses one HTTP/1.1 request from the front of what a connection has received.
+//! Parses one HTTP/1.1 request from the front of a connection's input.
 //!
-//! Whatever another program on the way could read differently is rejected, for behind such a difference a second request can
-//! hide in the body of the first (request smuggling, RFC 9112, 11.2).
+//! Any input that another program on the path could interpret differently is rejected: such a difference allows a
+//! second request to be hidden in the body of the first (request smuggling, RFC 9112, 11.2).
 
 use super::message::{Request, RequestLimits};
 use httparse::{Header, Status};
 use stileroute_http1::{self as http1, body_framing, has_token, header_value, ChunkedDecoder, Framing};
 
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
-/// Headers that have a meaning here. With two of the same name it would depend on the reader which one holds; of `Host` a
-/// request may have only one in any case (RFC 9112, 3.2).
+/// Headers that this service evaluates, each allowed only once. With two headers of the same name, different readers
+/// could use different ones; a second `Host` header is invalid in any case (RFC 9112, 3.2).
 const SINGLE_HEADERS: [&str; 8] = [
     "Host",
     "X-Request-Id",
@@ -22,25 +22,26 @@
     "X-Idempotency-Key",
 ];
 
-/// Why a request is rejected. The connection ends with the response, for what follows can't be told apart from the request.
+/// Reason why a request is rejected. The connection is closed after the response, because the bytes that follow can't
+/// be separated from the rejected request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(in crate::net) enum RequestError {
-    /// It is no request of HTTP/1.x, or one that can be read in more than one way.
+    /// The input is no HTTP/1.x request, or is ambiguous.
     #[error("malformed request")]
     Malformed,
     /// The head is too long or has too many headers (RFC 6585, 5).
     #[error("request head too large")]
     HeadTooLarge,
-    /// The body, or the body with its framing, is too long.
+    /// The body is too long, either by itself or with its framing.
     #[error("request body too large")]
     BodyTooLarge,
-    /// It has not arrived completely in time.
+    /// The request has not arrived completely in time.
     #[error("request not complete in time")]
     TimedOut,
 }
 
 impl RequestError {
-    /// The status that the client is told.
+    /// Returns the HTTP status with which the request is rejected.
     pub fn status(self) -> u16 {
         match self {
             RequestError::Malformed => 400,
@@ -51,21 +52,21 @@
     }
 }
 
-/// What the bytes so far amount to.
+/// Result of parsing the bytes received so far.
 #[derive(Debug)]
 pub(super) enum Parsed {
-    /// The beginning of a request.
+    /// The bytes are the beginning of a request.
     Incomplete {
-        /// The client waits for `100 Continue` before it sends the body (RFC 9110, 10.1.1).
+        /// Whether the client waits for `100 Continue` before it sends the body (RFC 9110, 10.1.1).
         expects_continue: bool,
     },
-    /// A request.
+    /// The bytes start with a complete request.
     Complete {
-        /// The request.
+        /// Parsed request.
         request: Box<Request>,
-        /// Its bytes at the front of the input.
+        /// Number of bytes of the request at the front of the input.
         length: usize,
-        /// The client wants no further request answered on the connection (RFC 9112, 9.3 and 9.6).
+        /// Whether the client expects no further request to be answered on the connection (RFC 9112, 9.3 and 9.6).
         closes_connection: bool,
     },
 }
@@ -77,25 +78,27 @@
     let Some(head_length) = parse_head(&mut head, bytes, limits)? else {
         return Ok(Parsed::Incomplete { expects_continue: false });
     };
-    // `httparse` accepts lines that end with a bare LF; RFC 9112, 2.2 leaves that to the reader, so that readers differ.
+    // `httparse` accepts lines that end with a bare LF. RFC 9112, 2.2 leaves this to the recipient, so recipients
+    // differ.
     let has_ambiguous_lines = !http1::has_crlf_line_endings(&bytes[..head_length]);
     let has_repeated_header = SINGLE_HEADERS.iter().any(|name| http1::is_repeated(head.headers, name));
     if has_ambiguous_lines || has_repeated_header {
         return Err(RequestError::Malformed);
     }
-    // RFC 9112, 6: by `Transfer-Encoding` or `Content-Length`, and rejected with both or with an unclear one.
+    // RFC 9112, 6: the body is delimited by `Transfer-Encoding` or `Content-Length`; a request with both, or with an
+    // ambiguous value, is rejected.
     let body_framing = body_framing(head.headers, head.version).map_err(|_| RequestError::Malformed)?;
     let Some(body) = parse_body(&bytes[head_length..], body_framing, limits)? else {
         let expects_continue = has_token(head.headers, "Expect", "100-continue");
         return Ok(Parsed::Incomplete { expects_continue });
     };
-    // A connection of HTTP/1.0 ends after the response, whatever its headers say.
+    // An HTTP/1.0 connection is closed after the response, regardless of its headers.
     let closes_connection = has_token(head.headers, "Connection", "close") || head.version == Some(0);
     let length = head_length + body.length;
     Ok(Parsed::Complete { request: Box::new(request_of(&head, body.content)?), length, closes_connection })
 }
 
-/// Parses the head; gives its length, or `None` if it is not complete.
+/// Parses the head. Returns its length in bytes, or `None` if it is incomplete.
 fn parse_head<'b>(
     head: &mut httparse::Request<'_, 'b>,
     bytes: &'b [u8],
@@ -113,13 +116,13 @@
 
 /// A body that has arrived completely.
 struct Body {
-    /// Without the framing of chunks.
+    /// Body content without chunk framing.
     content: Vec<u8>,
-    /// Its bytes behind the head, with their framing.
+    /// Number of body bytes after the head, including their framing.
     length: usize,
 }
 
-/// Takes the body from the bytes behind the head; `None` if it is not complete.
+/// Parses the body from the bytes after the head. Returns `None` if the body is incomplete.
 fn parse_body(
     bytes: &[u8],
     body_framing: Option<Framing>,
@@ -132,12 +135,13 @@
             Ok(bytes.get(..length).map(|content| Body { content: content.to_vec(), length }))
         }
         Some(Framing::Chunked) => parse_chunked_body(bytes, limits),
-        // Only a response may end with the connection (RFC 9112, 6.3).
+        // Only a response may be delimited by the end of the connection (RFC 9112, 6.3).
         Some(Framing::UntilClose) => Err(RequestError::Malformed),
     }
 }
 
-/// Takes a body in chunks (RFC 9112, 7.1). It is too large as soon as its content is, complete or not.
+/// Parses a chunked body (RFC 9112, 7.1). The body is rejected as too large as soon as its content exceeds the limit,
+/// even if it is incomplete.
 fn parse_chunked_body(bytes: &[u8], limits: &RequestLimits) -> Result<Option<Body>, RequestError> {
     let mut chunks = ChunkedDecoder::default();
     let mut content = Vec::new();
@@ -169,7 +173,7 @@
     })
 }
 
-/// A header that holds a number of milliseconds.
+/// Returns the value of a header that holds a number of milliseconds.
 fn milliseconds(headers: &[Header], name: &str) -> Result<Option<u64>, RequestError> {
     match header_value(headers, name) {
         None => Ok(None),
--- a/crates/server/src/net/server/parser/tests.rs
+++ b/crates/server/src/net/server/parser/tests.rs
@@ -8,7 +8,7 @@
     parse_request(text.as_bytes(), &LIMITS)
 }
 
-/// A head that ends after these lines.
+/// Returns a request head that ends with these header lines.
 fn head(lines: &str) -> String {
     format!("POST /a?b HTTP/1.1\r\nHost: h\r\nX-Request-Id: i\r\n{lines}\r\n")
 }
@@ -58,7 +58,8 @@
     let plain =
         head("Content-Length: 3\r\nX-Delay-Ms: 1500\r\nX-Callback-Url: http://1.2.3.4:5/d\r\n") + "abc";
     for whole in [&chunked, &plain] {
-        // Cut anywhere it is waited for, and what follows it stays for the next.
+        // A request that is truncated at any position is incomplete; bytes that follow a complete request are left
+        // for the next one.
         for cut in 0..whole.len() {
             assert_matches!(
                 parse(&whole[..cut]),
