--- a/crates/server/src/keepalive.rs
+++ b/crates/server/src/keepalive.rs
@@ -9,9 +9,9 @@
 /// Interval at which connections are checked for a due ping, in milliseconds.
 pub const PING_INTERVAL: Millis = 500;
 /// Time without any received frame after which a peer is considered dead, in milliseconds.
-pub const PEER_SILENCE_LIMIT: Millis = 1600;
+pub const PEER_TIMEOUT: Millis = 1600;
 /// A ping is answered only if this side has sent no frame for this time, in milliseconds.
-const PING_REPLY_INTERVAL: Millis = 200;
+const MIN_PING_REPLY_INTERVAL: Millis = 200;
 
 /// When something was last sent and received on one connection.
 #[derive(Clone, Copy)]
@@ -54,12 +54,12 @@
     /// A dialer receives little except ping replies. If its process was suspended and sent no pings in that time, the
     /// silence says nothing about the peer; a dialer's time-out therefore starts at its oldest unanswered ping.
     pub fn expires_at(&self) -> Millis {
-        let silent_from_last = self.last_received_at + PEER_SILENCE_LIMIT;
+        let last_receipt_expiry = self.last_received_at + PEER_TIMEOUT;
         if !self.is_dialer {
-            return silent_from_last;
+            return last_receipt_expiry;
         }
         self.unanswered_since
-            .map_or(Millis::MAX, |since| (since + PEER_SILENCE_LIMIT - PING_INTERVAL).max(silent_from_last))
+            .map_or(Millis::MAX, |since| (since + PEER_TIMEOUT - PING_INTERVAL).max(last_receipt_expiry))
     }
 
     /// Returns whether a ping is due; called once per [`PING_INTERVAL`]. The side that was dialed pings only if the
@@ -75,7 +75,7 @@
 
     /// Returns whether a received ping needs a reply.
     pub fn needs_ping_reply(&self, now: Millis) -> bool {
-        !self.is_dialer && now >= self.last_sent_at + PING_REPLY_INTERVAL
+        !self.is_dialer && now >= self.last_sent_at + MIN_PING_REPLY_INTERVAL
     }
 }
 
--- a/crates/server/src/links.rs
+++ b/crates/server/src/links.rs
@@ -4,7 +4,7 @@
 //! [`Links`] tracks which process is at the other end of each connection and keeps one connection per node. It is a
 //! state machine above the event loop: it takes [`Net`] events as input and produces [`LinkEvent`]s.
 
-use crate::keepalive::{Keepalive, PEER_SILENCE_LIMIT, PING_INTERVAL};
+use crate::keepalive::{Keepalive, PEER_TIMEOUT, PING_INTERVAL};
 use crate::net::{ConnectionId, Event, Millis, Net};
 use crate::protocol::{Frame, NodeRole, PeerInfo, FRAME_LENGTH_BYTES, PROTOCOL_VERSION};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -12,20 +12,20 @@
 use stileroute_queue::Node;
 
 /// Interval between two attempts to dial the same address, in milliseconds.
-const REDIAL_INTERVAL: Millis = 100;
+const REDIAL_INTERVAL_MS: Millis = 100;
 /// Number of variants of [`NodeRole`].
 const ROLE_COUNT: usize = 4;
 
 /// Key under which sent frames are counted in the metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct SentKind {
+pub struct SentFrameKind {
     /// Frame category, from [`Frame::category`].
     pub category: &'static str,
     /// Whether the frames were sent to a peer in another zone.
     pub crosses_zones: bool,
 }
 
-/// Number of frames and bytes sent for one [`SentKind`].
+/// Number of frames and bytes sent for one [`SentFrameKind`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FrameVolume {
     /// Number of frames sent.
@@ -53,7 +53,7 @@
     fn expires_at(&self) -> Millis {
         match self.peer {
             Some(_) => self.keepalive.expires_at(),
-            None => self.keepalive.last_received_at() + PEER_SILENCE_LIMIT,
+            None => self.keepalive.last_received_at() + PEER_TIMEOUT,
         }
     }
 }
@@ -103,7 +103,7 @@
     /// Number of frames that could not be decoded or arrived in a state where they are not allowed.
     pub undecodable_frames: u64,
     /// Volume of sent frames by category and zone crossing.
-    pub sent: BTreeMap<SentKind, FrameVolume>,
+    pub sent: BTreeMap<SentFrameKind, FrameVolume>,
     /// Number of scans over all connections.
     pub scan_count: u64,
 }
@@ -210,7 +210,7 @@
         }
         match postcard::to_stdvec(frame) {
             Ok(bytes) => {
-                let kind = SentKind { category: frame.category(), crosses_zones };
+                let kind = SentFrameKind { category: frame.category(), crosses_zones };
                 let volume = self.sent.entry(kind).or_default();
                 volume.frames += 1;
                 volume.bytes += (bytes.len() + FRAME_LENGTH_BYTES) as u64;
@@ -239,7 +239,7 @@
             self.next_ping_at = now + PING_INTERVAL;
             self.send_pings(net);
         }
-        let link_events = self.close_silent(net);
+        let link_events = self.close_timed_out(net);
         self.schedule_scan(now);
         link_events
     }
@@ -249,7 +249,7 @@
         let mut due: Vec<SocketAddrV4> = Vec::new();
         for (address, next_attempt_at) in &mut self.dial_targets {
             if *next_attempt_at <= now && !self.dialed.contains(address) {
-                *next_attempt_at = now + REDIAL_INTERVAL;
+                *next_attempt_at = now + REDIAL_INTERVAL_MS;
                 due.push(*address);
             }
         }
@@ -271,12 +271,12 @@
         }
     }
 
-    fn close_silent(&mut self, net: &mut Net) -> Vec<LinkEvent> {
+    fn close_timed_out(&mut self, net: &mut Net) -> Vec<LinkEvent> {
         let now = net.now();
-        let silent = self.links.iter().filter(|(_, link)| now >= link.expires_at());
-        let silent: Vec<ConnectionId> = silent.map(|(connection, _)| *connection).collect();
+        let timed_out = self.links.iter().filter(|(_, link)| now >= link.expires_at());
+        let timed_out: Vec<ConnectionId> = timed_out.map(|(connection, _)| *connection).collect();
         let mut link_events = Vec::new();
-        for connection in silent {
+        for connection in timed_out {
             link_events.extend(self.remove_link(now, connection));
             net.close(connection);
         }
@@ -305,24 +305,24 @@
     ) -> Option<Event> {
         let now = net.now();
         match event {
-            Event::PeerConnected { connection } => self.connected(net, connection),
+            Event::PeerConnected { connection } => self.handle_connected(net, connection),
             Event::PeerDisconnected { connection } => link_events.extend(self.remove_link(now, connection)),
-            Event::PeerFrame { connection, bytes } => self.received(net, connection, &bytes, link_events),
+            Event::PeerFrame { connection, bytes } => self.handle_frame(net, connection, &bytes, link_events),
             other => return Some(other),
         }
         None
     }
 
-    fn connected(&mut self, net: &mut Net, connection: ConnectionId) {
+    fn handle_connected(&mut self, net: &mut Net, connection: ConnectionId) {
         let now = net.now();
         let link = self.links.entry(connection).or_insert(Link::new(now, None));
         link.keepalive.record_received(now);
-        self.next_scan_at = self.next_scan_at.min(now + PEER_SILENCE_LIMIT);
+        self.next_scan_at = self.next_scan_at.min(now + PEER_TIMEOUT);
         let hello = Frame::Hello(self.local.clone());
         self.send_on(net, connection, &hello);
     }
 
-    fn received(
+    fn handle_frame(
         &mut self,
         net: &mut Net,
         connection: ConnectionId,
@@ -336,8 +336,8 @@
         let dialed_address = link.dialed_address;
         let needs_ping_reply = link.keepalive.needs_ping_reply(now);
         match (postcard::from_bytes(bytes), sender) {
-            (Ok(Frame::Hello(peer)), None) if self.accepts(dialed_address, &peer) => {
-                self.identified(net, connection, peer, link_events);
+            (Ok(Frame::Hello(peer)), None) if self.accepts_peer(dialed_address, &peer) => {
+                self.register_peer(net, connection, peer, link_events);
             }
             (Ok(Frame::Ping), Some(_)) => {
                 if needs_ping_reply {
@@ -357,20 +357,20 @@
 
     /// Returns whether a process with this `Hello` description is accepted on a connection. `dialed_address` is the
     /// address that this process dialed, or `None` if the peer opened the connection.
-    fn accepts(&self, dialed_address: Option<SocketAddrV4>, peer: &PeerInfo) -> bool {
+    fn accepts_peer(&self, dialed_address: Option<SocketAddrV4>, peer: &PeerInfo) -> bool {
         let listens_there =
             |ip| dialed_address.is_none_or(|dialed| self.listen_address(ip, peer.role) == dialed);
         // By now another process may own the dialed address; it would receive frames meant for the process that was
         // dialed.
-        let is_dialed_one = listens_there(peer.ip)
+        let is_dialed_process = listens_there(peer.ip)
             || peer.control_address.is_some_and(|control| listens_there(*control.ip()));
-        let is_known_by_other_name = self.peer(peer.node).is_some_and(|known| known.name != peer.name);
-        let has_own_id = peer.node != self.local.node && !is_known_by_other_name;
-        peer.protocol_version == PROTOCOL_VERSION && is_dialed_one && has_own_id
+        let has_other_known_name = self.peer(peer.node).is_some_and(|known| known.name != peer.name);
+        let has_unique_id = peer.node != self.local.node && !has_other_known_name;
+        peer.protocol_version == PROTOCOL_VERSION && is_dialed_process && has_unique_id
     }
 
     /// Registers the peer of a connection once its `Hello` frame has arrived.
-    fn identified(
+    fn register_peer(
         &mut self,
         net: &mut Net,
         connection: ConnectionId,
--- a/crates/server/src/log_writer.rs
+++ b/crates/server/src/log_writer.rs
@@ -10,11 +10,11 @@
 use tracing_subscriber::fmt::MakeWriter;
 
 /// Maximum number of queued log lines; further lines are dropped and counted.
-const MAX_WAITING_LINES: usize = 4096;
+const MAX_QUEUED_LINES: usize = 4096;
 /// Maximum time that process exit waits for queued log lines to be written.
-const FLUSH_LIMIT: Duration = Duration::from_millis(500);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval at which process exit retries to queue its flush command while the channel is full.
-const FULL_CHANNEL_PAUSE: Duration = Duration::from_millis(1);
+const FULL_CHANNEL_RETRY_INTERVAL: Duration = Duration::from_millis(1);
 
 enum Command {
     Line(Vec<u8>),
@@ -39,7 +39,7 @@
     ///
     /// The operating system could not create the thread.
     pub fn start(output: impl Write + Send + 'static) -> io::Result<(LogWriter, FlushOnDrop)> {
-        let (commands, received) = sync_channel(MAX_WAITING_LINES);
+        let (commands, received) = sync_channel(MAX_QUEUED_LINES);
         let lost_lines = Arc::new(AtomicU64::new(0));
         let lost = Arc::clone(&lost_lines);
         Builder::new().name("log".into()).spawn(move || write_all(&received, output, &lost))?;
@@ -88,13 +88,13 @@
 
 impl Drop for FlushOnDrop {
     fn drop(&mut self) {
-        let deadline = Instant::now() + FLUSH_LIMIT;
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
         let (done, written) = sync_channel(1);
         while self.0.commands.try_send(Command::Flush(done.clone())).is_err() {
             if Instant::now() > deadline {
                 return;
             }
-            thread::sleep(FULL_CHANNEL_PAUSE);
+            thread::sleep(FULL_CHANNEL_RETRY_INTERVAL);
         }
         let _ = written.recv_timeout(deadline.saturating_duration_since(Instant::now()));
     }
--- a/crates/server/src/log_writer/tests.rs
+++ b/crates/server/src/log_writer/tests.rs
@@ -2,15 +2,15 @@
 use std::sync::Mutex;
 
 /// Output that blocks before each write until the test permits it.
-struct HeldOutput {
-    may_write: Receiver<()>,
+struct BlockingOutput {
+    write_permits: Receiver<()>,
     written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for HeldOutput {
+impl Write for BlockingOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         // Once the test has ended and dropped the sender, writes are no longer blocked.
-        let _ = self.may_write.recv();
+        let _ = self.write_permits.recv();
         self.written.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
     }
@@ -23,17 +23,17 @@
 /// Guards against a blocked log output that stops the event loop: results were not sent and replies not read, so that
 /// a message that had succeeded ran again.
 #[test]
-fn a_line_never_waits_for_the_output_and_what_is_lost_is_told() {
-    let (let_go, may_write) = sync_channel(1);
+fn logging_never_blocks_on_the_output_and_lost_lines_are_reported() {
+    let (permit_writes, write_permits) = sync_channel(1);
     let written = Arc::new(Mutex::new(Vec::new()));
-    let output = HeldOutput { may_write, written: Arc::clone(&written) };
+    let output = BlockingOutput { write_permits, written: Arc::clone(&written) };
     let (mut log, flush) = LogWriter::start(output).unwrap();
     // With one line in the blocked write and a full channel, all further lines are lost.
-    let lines = MAX_WAITING_LINES + 100;
+    let lines = MAX_QUEUED_LINES + 100;
     for number in 0..lines {
         log.write_all(format!("line {number}\n").as_bytes()).unwrap();
     }
-    drop(let_go);
+    drop(permit_writes);
     // The channel may still be full, in which case flushing at exit does not wait for it.
     while log.commands.try_send(Command::Line(b"last\n".to_vec())).is_err() {}
     drop(flush);
@@ -45,11 +45,12 @@
 }
 
 #[test]
-fn the_end_waits_for_lines_that_were_not_written() {
+fn exit_waits_for_queued_lines() {
     let written = Arc::new(Mutex::new(Vec::new()));
-    let (let_go, may_write) = sync_channel(100);
-    (0..100).for_each(|_| let_go.send(()).unwrap());
-    let (mut log, flush) = LogWriter::start(HeldOutput { may_write, written: Arc::clone(&written) }).unwrap();
+    let (permit_writes, write_permits) = sync_channel(100);
+    (0..100).for_each(|_| permit_writes.send(()).unwrap());
+    let (mut log, flush) =
+        LogWriter::start(BlockingOutput { write_permits, written: Arc::clone(&written) }).unwrap();
     for number in 0..50 {
         log.write_all(format!("line {number}\n").as_bytes()).unwrap();
     }
--- a/crates/server/src/net/client/connection.rs
+++ b/crates/server/src/net/client/connection.rs
@@ -77,7 +77,7 @@
 pub(in crate::net) struct ClientConnection {
     pending: Option<PendingCall>,
     /// Hashes of the identifiers of requests that the connection has carried, latest first.
-    carried: VecDeque<u64>,
+    carried_request_hashes: VecDeque<u64>,
     /// Whether a second reply to an earlier request has arrived, so that further replies may be stray as well.
     has_seen_stray_reply: bool,
 }
@@ -106,7 +106,7 @@
     /// Returns whether the connection has carried a request with this identifier. A second reply to that request
     /// could not be distinguished from the reply to a retry of it.
     pub fn has_carried(&self, request_id: &str) -> bool {
-        self.carried.contains(&name_hash(request_id))
+        self.carried_request_hashes.contains(&name_hash(request_id))
     }
 
     fn owner_of(&self, reply: &CallReply) -> ReplyOwner {
@@ -197,7 +197,7 @@
 
     /// Handles the passed deadline of the call. `was_open`: the connection had been established.
     pub fn deadline_passed(&mut self, was_open: bool) -> Progress {
-        let was_sent = was_open && !is_injected(InjectedFault::SilenceReportedAsNotSent);
+        let was_sent = was_open && !is_injected(InjectedFault::TimeoutReportedAsNotSent);
         self.fail(if was_sent { CallError::TimedOut } else { CallError::NotConnected })
     }
 
@@ -210,9 +210,9 @@
 
     fn complete(&mut self, result: Result<CallReply, CallError>, keep_alive_ms: Option<Millis>) -> Progress {
         let Some(call) = self.pending.take() else { return Progress::Close };
-        self.carried.truncate(MAX_REMEMBERED_REQUESTS - 1);
+        self.carried_request_hashes.truncate(MAX_REMEMBERED_REQUESTS - 1);
         if let Some(request_id) = &call.request_id {
-            self.carried.push_front(name_hash(request_id));
+            self.carried_request_hashes.push_front(name_hash(request_id));
         }
         Progress::Completed { call_id: call.call_id, result, keep_alive_ms }
     }
--- a/crates/server/src/net/client/connection/generated.rs
+++ b/crates/server/src/net/client/connection/generated.rs
@@ -303,7 +303,7 @@
 fn each_injected_fault_is_found() {
     let faults = [
         InjectedFault::RepliesMatchedByOrder,
-        InjectedFault::SilenceReportedAsNotSent,
+        InjectedFault::TimeoutReportedAsNotSent,
         InjectedFault::ConnectionKeptAfterStrayBytes,
         InjectedFault::TruncatedReplyAccepted,
     ];
--- a/crates/server/src/net/client/pool.rs
+++ b/crates/server/src/net/client/pool.rs
@@ -35,8 +35,8 @@
 /// Limit on how long a connection may have been idle before it carries a request, derived from lost requests.
 ///
 /// Some executors close idle connections earlier than they announce. A request that crosses with the close is lost:
-/// it may have run, and is run again. After such a loss, connections that were idle for at least half as long are not
-/// reused. Further losses are therefore rare, and halving finds the shorter time-out.
+/// it may have run, and is run again. After such a loss, connections that were idle for more than half that time are
+/// not reused. Further losses are therefore rare, and halving finds the shorter time-out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct IdleLimit {
     /// Maximum idle time, in milliseconds.
@@ -47,13 +47,13 @@
 
 impl IdleLimit {
     /// Returns the limit after a request was lost on a connection that had been idle for `idle_ms` milliseconds.
-    pub fn after_loss(old: Option<IdleLimit>, now: Millis, idle_ms: Millis) -> Option<IdleLimit> {
-        let old = old.filter(|limit| limit.expires_at > now);
+    pub fn after_loss(previous: Option<IdleLimit>, now: Millis, idle_ms: Millis) -> Option<IdleLimit> {
+        let previous = previous.filter(|limit| limit.expires_at > now);
         if idle_ms < MIN_INFORMATIVE_IDLE_MS {
-            return old;
+            return previous;
         }
         let half = idle_ms / 2;
-        let max_idle_ms = old.map_or(half, |limit| limit.max_idle_ms.min(half));
+        let max_idle_ms = previous.map_or(half, |limit| limit.max_idle_ms.min(half));
         Some(IdleLimit { max_idle_ms, expires_at: now + IDLE_LIMIT_LIFETIME_MS })
     }
 
--- a/crates/server/src/net/fault_injection.rs
+++ b/crates/server/src/net/fault_injection.rs
@@ -9,7 +9,7 @@
     /// A reply is assigned to the pending call without a check of the request identifier in the reply.
     RepliesMatchedByOrder,
     /// A call that was sent and never answered is reported as never sent.
-    SilenceReportedAsNotSent,
+    TimeoutReportedAsNotSent,
     /// A connection is reused after it received bytes that answer no call.
     ConnectionKeptAfterStrayBytes,
     /// A reply that was cut short by the end of the connection is accepted as complete.
@@ -37,8 +37,8 @@
 /// Runs `run` with a fault injected on the current thread only.
 #[cfg(test)]
 pub fn with_fault<T>(fault: Option<InjectedFault>, run: impl FnOnce() -> T) -> T {
-    let before = FAULT.replace(fault);
+    let previous = FAULT.replace(fault);
     let result = run();
-    FAULT.set(before);
+    FAULT.set(previous);
     result
 }
--- a/crates/server/src/net/framing/tests.rs
+++ b/crates/server/src/net/framing/tests.rs
@@ -2,34 +2,35 @@
 use super::*;
 
 #[test]
-fn frames_are_complete_however_they_are_split() {
+fn frames_are_reassembled_from_any_split() {
     for seed in 0..2000 {
         let mut random = SeededRandom::new(seed);
-        let frames: Vec<Vec<u8>> = (0..random.below(6)).map(|at| vec![at as u8; random.below(40)]).collect();
+        let frames: Vec<Vec<u8>> =
+            (0..random.below(6)).map(|index| vec![index as u8; random.below(40)]).collect();
         let mut bytes = Vec::new();
         frames.iter().for_each(|frame| append_frame(&mut bytes, frame));
-        let cut = if random.once_in(2) { bytes.len() } else { random.below(bytes.len() + 1) };
+        let received_length = if random.once_in(2) { bytes.len() } else { random.below(bytes.len() + 1) };
         let (mut input, mut seen) = (Vec::new(), Vec::new());
-        for piece in random.split(&bytes[..cut]) {
+        for piece in random.split(&bytes[..received_length]) {
             input.extend_from_slice(piece);
-            let (some, end) = take_frames(&mut input);
+            let (taken, end) = take_frames(&mut input);
             assert_eq!(end, Ok(()), "seed {seed}");
-            seen.extend(some);
+            seen.extend(taken);
         }
         // Expect all complete frames in order; the remaining input is the beginning of the next frame.
-        let mut whole = 0;
-        let fits = frames.iter().take_while(|frame| {
-            whole += FRAME_LENGTH_BYTES + frame.len();
-            whole <= cut
+        let mut end_offset = 0;
+        let complete = frames.iter().take_while(|frame| {
+            end_offset += FRAME_LENGTH_BYTES + frame.len();
+            end_offset <= received_length
         });
-        assert_eq!(seen, fits.cloned().collect::<Vec<_>>(), "seed {seed}");
-        let used: usize = seen.iter().map(|frame| FRAME_LENGTH_BYTES + frame.len()).sum();
-        assert_eq!(input, bytes[used..cut], "seed {seed}");
+        assert_eq!(seen, complete.cloned().collect::<Vec<_>>(), "seed {seed}");
+        let consumed: usize = seen.iter().map(|frame| FRAME_LENGTH_BYTES + frame.len()).sum();
+        assert_eq!(input, bytes[consumed..received_length], "seed {seed}");
     }
 }
 
 #[test]
-fn a_length_of_another_protocol_ends_the_connection() {
+fn a_length_prefix_over_the_limit_is_an_error() {
     let mut input = Vec::new();
     append_frame(&mut input, b"first");
     input.extend_from_slice(b"GET / HTTP/1.1\r\n");
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn a_frame_is_its_length_in_four_bytes_little_endian_and_its_bytes() {
+fn a_frame_has_a_four_byte_little_endian_length_prefix() {
     let mut out = b"before".to_vec();
     append_frame(&mut out, b"");
     append_frame(&mut out, &[0xAB; 258]);
--- a/crates/server/src/net/random.rs
+++ b/crates/server/src/net/random.rs
@@ -33,18 +33,18 @@
 
     /// Splits bytes at random positions: not at all, into a few pieces, or into single bytes.
     pub fn split<'a>(&mut self, bytes: &'a [u8]) -> Vec<&'a [u8]> {
-        let longest = match self.below(4) {
+        let max_piece_length = match self.below(4) {
             0 => bytes.len(),
             1 => 1,
             2 => 7,
             _ => 60,
         };
-        let (mut rest, mut pieces) = (bytes, Vec::new());
-        while !rest.is_empty() {
-            let length = (1 + self.below(longest)).min(rest.len());
-            let (piece, behind) = rest.split_at(length);
+        let (mut unsplit, mut pieces) = (bytes, Vec::new());
+        while !unsplit.is_empty() {
+            let length = (1 + self.below(max_piece_length)).min(unsplit.len());
+            let (piece, remainder) = unsplit.split_at(length);
             pieces.push(piece);
-            rest = behind;
+            unsplit = remainder;
         }
         pieces
     }
--- a/crates/server/src/protocol/tests.rs
+++ b/crates/server/src/protocol/tests.rs
@@ -77,7 +77,7 @@
 /// Returns every variant of every type that a frame contains. Types that the queue and control group packages pin in
 /// their own tests appear with one value each.
 fn frames() -> Vec<Frame> {
-    let full_news = MembershipUpdate {
+    let full_update = MembershipUpdate {
         incarnation: 5,
         version: 6,
         is_partitioned: true,
@@ -106,7 +106,7 @@
         update_request(RetirementState::Draining),
         update_request(RetirementState::Complete),
         Frame::Update(MembershipUpdate::default()),
-        Frame::Update(full_news),
+        Frame::Update(full_update),
         Frame::Submit { request_id: 300, message: message() },
         Frame::SubmitResult { request_id: 1, result: Ok("name".to_string()) },
         Frame::SubmitResult { request_id: 1, result: Err(PutError::Rejected) },
@@ -184,7 +184,7 @@
 ];
 
 #[test]
-fn every_frame_has_the_bytes_and_the_counter_of_earlier_releases() {
+fn every_frame_has_the_bytes_and_the_category_of_earlier_releases() {
     let frames = frames();
     let seen: Vec<(&str, String)> = frames
         .iter()
@@ -201,7 +201,7 @@
 
 /// Earlier releases sent updates without the age of the control nodes' contact, which is now the last field.
 #[test]
-fn an_update_of_an_earlier_release_is_read_and_the_present_one_begins_with_the_same_bytes() {
+fn an_update_of_an_earlier_release_is_decoded_and_is_a_prefix_of_the_current_encoding() {
     let earlier = [3, 77, 44, 0, 0, 0, 0, 0];
     let update = MembershipUpdate { incarnation: 77, version: 44, ..MembershipUpdate::default() };
     let present = Frame::Update(update);
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_passed_call_has_the_kind_of_its_name() {
+fn a_forwarded_call_has_the_kind_of_the_same_name() {
     let calls = [
         (ForwardedCall::ReplaceConfig { version: 7, body: Vec::new() }, ForwardedCallKind::ReplaceConfig),
         (ForwardedCall::ReadConfig, ForwardedCallKind::ReadConfig),
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn what_an_earlier_release_knows_of_a_message_is_nobody_s() {
+fn a_lookup_result_of_an_earlier_release_has_no_tenant() {
     // These bytes were pinned before tenants existed: they are the current encoding without its last byte.
     let earlier = [0x08, 0x01, 0x01, 0x01, 0x01, 0x73, 0x01, 0x02, 0x01, 0x02];
     let frame: Frame = postcard::from_bytes(&earlier).expect("decodes");
