--- a/crates/server/src/keepalive/tests.rs
+++ b/crates/server/src/keepalive/tests.rs
@@ -95,6 +95,6 @@
     assert_eq!(
         Keepalive::new(false, 0).expires_at(),
         PEER_TIMEOUT,
-        "the side that was dialled counts from what it received"
+        "the time-out of the dialed side starts at the last received frame"
     );
 }
--- a/crates/server/src/links.rs
+++ b/crates/server/src/links.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// Event about a peer connection, passed to the role that this process runs.
+/// Event of a peer connection for the role that this process runs.
 // Most events are `Received` frames, and most frames are of the large variant: boxing would only add an allocation to
 // each event.
 #[allow(clippy::large_enum_variant)]
@@ -146,9 +146,9 @@
     /// Sets the addresses that are dialed, and redialed when their connection breaks. Open connections to other
     /// addresses stay open.
     pub fn set_dial_targets(&mut self, now: Millis, targets: impl IntoIterator<Item = SocketAddrV4>) {
-        let old = std::mem::take(&mut self.dial_targets);
+        let previous_targets = std::mem::take(&mut self.dial_targets);
         for address in targets {
-            let next_attempt_at = old.get(&address).copied().unwrap_or(now);
+            let next_attempt_at = previous_targets.get(&address).copied().unwrap_or(now);
             if !self.dialed.contains(&address) {
                 self.next_scan_at = self.next_scan_at.min(next_attempt_at);
             }
@@ -358,12 +358,12 @@
     /// Returns whether a process with this `Hello` description is accepted on a connection. `dialed_address` is the
     /// address that this process dialed, or `None` if the peer opened the connection.
     fn accepts_peer(&self, dialed_address: Option<SocketAddrV4>, peer: &PeerInfo) -> bool {
-        let listens_there =
+        let listens_at_dialed_address =
             |ip| dialed_address.is_none_or(|dialed| self.listen_address(ip, peer.role) == dialed);
         // By now another process may own the dialed address; it would receive frames meant for the process that was
         // dialed.
-        let is_dialed_process = listens_there(peer.ip)
-            || peer.control_address.is_some_and(|control| listens_there(*control.ip()));
+        let is_dialed_process = listens_at_dialed_address(peer.ip)
+            || peer.control_address.is_some_and(|control| listens_at_dialed_address(*control.ip()));
         let has_other_known_name = self.peer(peer.node).is_some_and(|known| known.name != peer.name);
         let has_unique_id = peer.node != self.local.node && !has_other_known_name;
         peer.protocol_version == PROTOCOL_VERSION && is_dialed_process && has_unique_id
--- a/crates/server/src/links/tests.rs
+++ b/crates/server/src/links/tests.rs
@@ -58,7 +58,10 @@
     let at = SocketAddrV4::new(STORE, 7300);
     assert!(is_accepted(Some(at), &core) && !is_accepted(Some(at), &elsewhere));
     assert!(!is_accepted(None, &PeerInfo { protocol_version: PROTOCOL_VERSION + 1, ..store.clone() }));
-    assert!(!is_accepted(None, &peer_info(1, "edge", NodeRole::Edge, STORE)), "its own identifier");
+    assert!(
+        !is_accepted(None, &peer_info(1, "edge", NodeRole::Edge, STORE)),
+        "a peer with this process's own node identifier is rejected"
+    );
 }
 
 #[test]
@@ -71,7 +74,7 @@
     let command_line = Frame::Hello(peer_info(2, "visitor", NodeRole::CommandLine, Ipv4Addr::UNSPECIFIED));
     assert!(edge.receives_first(None, &command_line).is_empty());
     assert!(edge.links.is_up(2));
-    // A node that connects again with the same name is the same node after a restart.
+    // A second connection with a known node name is accepted as that node after a restart, and replaces its connection.
     assert!(matches!(edge.receives_first(None, &store)[..], [LinkEvent::Down(2, _), LinkEvent::Up(_)]));
 }
 
--- a/crates/server/src/metrics.rs
+++ b/crates/server/src/metrics.rs
@@ -37,7 +37,7 @@
 
 /// Value type that a gauge can hold. Integers are exact below 2^53.
 pub trait GaugeValue {
-    /// Converts the value to a metric sample.
+    /// Converts the gauge value to a metric sample.
     fn as_sample(&self) -> f64;
 }
 
@@ -111,7 +111,7 @@
         self.add(name, MetricType::HISTOGRAM, help, sample);
     }
 
-    /// Returns all metrics as text.
+    /// Returns all metrics in the text exposition format.
     pub fn text(&self) -> String {
         TextEncoder::new().encode_to_string(&self.families).unwrap_or_else(|error| {
             tracing::error!(%error, "metrics not encoded");
--- a/crates/server/src/net/client/reply.rs
+++ b/crates/server/src/net/client/reply.rs
@@ -106,7 +106,7 @@
     let reply = reply_of(status, headers);
     let Ok(body_framing) = body_framing(headers, head.version) else { return ParsedReply::Malformed };
     let body_length = match body_framing {
-        // These replies end with their head, whatever their headers say about a body (RFC 9112, 6.3).
+        // Replies to `HEAD` and replies with status 204 or 304 have no body, whatever their headers say (RFC 9112, 6.3).
         _ if is_bodiless || status == 204 || status == 304 => 0,
         None | Some(Framing::UntilClose) => return ParsedReply::CompleteAtEnd { reply },
         Some(Framing::Length(length)) if length > MAX_REPLY_BYTES => return ParsedReply::Malformed,
@@ -145,12 +145,12 @@
 /// Returns how long a connection may be idle, from the `timeout=5` parameter of `Keep-Alive`, which is in seconds.
 /// `Keep-Alive` is an HTTP/1.0 header that no RFC in force defines but that most servers send.
 fn keep_alive_ms(keep_alive: Option<&str>) -> Millis {
-    let stated_ms = keep_alive.and_then(|text| {
+    let announced_ms = keep_alive.and_then(|text| {
         let timeout = text.split([',', ' ']).find_map(|part| part.trim().strip_prefix("timeout="))?;
         let seconds = timeout.parse::<f64>().ok().filter(|s| s.is_finite() && *s >= 0.0)?;
         Some((seconds * 1000.0) as Millis)
     });
-    stated_ms.unwrap_or(DEFAULT_KEEP_ALIVE_MS).saturating_sub(KEEP_ALIVE_MARGIN_MS).min(MAX_KEEP_ALIVE_MS)
+    announced_ms.unwrap_or(DEFAULT_KEEP_ALIVE_MS).saturating_sub(KEEP_ALIVE_MARGIN_MS).min(MAX_KEEP_ALIVE_MS)
 }
 
 /// Accepts the head of a truncated reply as a complete reply, for [`InjectedFault::TruncatedReplyAccepted`].
--- a/crates/server/src/net/client/reply/tests.rs
+++ b/crates/server/src/net/client/reply/tests.rs
@@ -4,29 +4,32 @@
 
 #[test]
 fn a_reply_is_complete_when_its_framing_says_so() {
-    let begin = "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nX-Request-Id: i\r\n";
+    let reply_start = "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nX-Request-Id: i\r\n";
     let rows = [
-        (format!("{begin}Content-Length: 2\r\n\r\nok"), Some(DEFAULT_KEEP_ALIVE_MS - KEEP_ALIVE_MARGIN_MS)),
         (
-            format!("{begin}Content-Length: 0\r\nKeep-Alive: timeout=5, max=9\r\n\r\n"),
+            format!("{reply_start}Content-Length: 2\r\n\r\nok"),
+            Some(DEFAULT_KEEP_ALIVE_MS - KEEP_ALIVE_MARGIN_MS),
+        ),
+        (
+            format!("{reply_start}Content-Length: 0\r\nKeep-Alive: timeout=5, max=9\r\n\r\n"),
             Some(5000 - KEEP_ALIVE_MARGIN_MS),
         ),
-        (format!("{begin}Content-Length: 0\r\nKeep-Alive: timeout=0.2\r\n\r\n"), None),
+        (format!("{reply_start}Content-Length: 0\r\nKeep-Alive: timeout=0.2\r\n\r\n"), None),
         (
-            format!("{begin}Content-Length: 0\r\nKeep-Alive: timeout=-1\r\n\r\n"),
+            format!("{reply_start}Content-Length: 0\r\nKeep-Alive: timeout=-1\r\n\r\n"),
             Some(DEFAULT_KEEP_ALIVE_MS - KEEP_ALIVE_MARGIN_MS),
         ),
         (
-            format!("{begin}Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"),
+            format!("{reply_start}Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"),
             Some(DEFAULT_KEEP_ALIVE_MS - KEEP_ALIVE_MARGIN_MS),
         ),
-        (format!("{begin}Connection: close\r\nContent-Length: 2\r\n\r\nok"), None),
+        (format!("{reply_start}Connection: close\r\nContent-Length: 2\r\n\r\nok"), None),
         (
-            format!("HTTP/1.1 100 Continue\r\n\r\n{begin}Content-Length: 2\r\n\r\nok"),
+            format!("HTTP/1.1 100 Continue\r\n\r\n{reply_start}Content-Length: 2\r\n\r\nok"),
             Some(DEFAULT_KEEP_ALIVE_MS - KEEP_ALIVE_MARGIN_MS),
         ),
     ];
-    for (text, keeps) in rows {
+    for (text, expected_keep_alive_ms) in rows {
         for cut in 0..text.len() {
             assert_matches!(
                 parse_reply(&text.as_bytes()[..cut], false),
@@ -36,10 +39,10 @@
             );
         }
         // A second reply after the first one is not part of the first one.
-        let second = text.clone() + "HTTP/1.1 200 OK\r\n\r\n";
-        for (text, used) in [(&text, text.len()), (&second, text.len())] {
+        let with_second_reply = text.clone() + "HTTP/1.1 200 OK\r\n\r\n";
+        for (text, consumed) in [(&text, text.len()), (&with_second_reply, text.len())] {
             assert_matches!(parse_reply(text.as_bytes(), false), ParsedReply::Complete { reply, length, keep_alive_ms } => {
-                assert_eq!((reply.status, length, keep_alive_ms), (200, used, keeps), "{text:?}");
+                assert_eq!((reply.status, length, keep_alive_ms), (200, consumed, expected_keep_alive_ms), "{text:?}");
                 assert_eq!((reply.seal.as_deref(), reply.request_id.as_deref()), (Some("s"), Some("i")));
             });
         }
@@ -80,11 +83,11 @@
         .chain(std::iter::repeat_n(b'a', MAX_REPLY_BYTES))
         .collect::<Vec<_>>();
     assert_matches!(parse_reply(&endless, false), ParsedReply::Malformed);
-    for failure in [CallError::NotConnected, CallError::NoCapacity] {
-        assert!(!failure.may_have_run());
+    for error in [CallError::NotConnected, CallError::NoCapacity] {
+        assert!(!error.may_have_run());
     }
-    for failure in [CallError::ConnectionLost, CallError::TimedOut, CallError::InvalidReply] {
-        assert!(failure.may_have_run());
+    for error in [CallError::ConnectionLost, CallError::TimedOut, CallError::InvalidReply] {
+        assert!(error.may_have_run());
     }
 }
 
@@ -96,7 +99,7 @@
         ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", true),
         ("HTTP/1.1 200 OK\r\n\r\n", true),
     ];
-    for (text, bodiless) in rows {
-        assert_matches!(parse_reply(text.as_bytes(), bodiless), ParsedReply::Complete { length, .. } if length == text.len(), "{text:?}");
+    for (text, is_bodiless) in rows {
+        assert_matches!(parse_reply(text.as_bytes(), is_bodiless), ParsedReply::Complete { length, .. } if length == text.len(), "{text:?}");
     }
 }
--- a/crates/server/src/net/framing.rs
+++ b/crates/server/src/net/framing.rs
@@ -35,18 +35,18 @@
 /// returned together with the error.
 pub fn take_frames(input: &mut Vec<u8>) -> (Vec<Vec<u8>>, Result<(), FrameTooLong>) {
     let mut frames = Vec::new();
-    let mut used = 0;
+    let mut consumed = 0;
     let end = loop {
-        match first_frame(&input[used..]) {
+        match first_frame(&input[consumed..]) {
             Ok(Some(content)) => {
                 frames.push(content.to_vec());
-                used += FRAME_LENGTH_BYTES + content.len();
+                consumed += FRAME_LENGTH_BYTES + content.len();
             }
             Ok(None) => break Ok(()),
             Err(error) => break Err(error),
         }
     };
-    input.drain(..used);
+    input.drain(..consumed);
     (frames, end)
 }
 
--- a/crates/server/src/net/random.rs
+++ b/crates/server/src/net/random.rs
@@ -26,7 +26,7 @@
         self.below(times) == 0
     }
 
-    /// Returns one of the choices at random.
+    /// Returns a random element of `choices`.
     pub fn pick<T: Copy>(&mut self, choices: &[T]) -> T {
         choices[self.below(choices.len())]
     }
--- a/crates/server/src/net/server/parser/tests.rs
+++ b/crates/server/src/net/server/parser/tests.rs
@@ -48,8 +48,8 @@
     {
         assert_matches!(parse(garbage), Err(RequestError::Malformed), "{garbage:?}");
     }
-    let endless = "POST /".to_string() + &"a".repeat(400);
-    assert_matches!(parse(&endless), Err(RequestError::HeadTooLarge));
+    let unterminated = "POST /".to_string() + &"a".repeat(400);
+    assert_matches!(parse(&unterminated), Err(RequestError::HeadTooLarge));
 }
 
 #[test]
@@ -57,20 +57,20 @@
     let chunked = head("Transfer-Encoding: chunked\r\n") + "2;x=y\r\nab\r\n1\r\nc\r\n0\r\nT: t\r\n\r\n";
     let plain =
         head("Content-Length: 3\r\nX-Delay-Ms: 1500\r\nX-Callback-Url: http://1.2.3.4:5/d\r\n") + "abc";
-    for whole in [&chunked, &plain] {
+    for request_text in [&chunked, &plain] {
         // A request that is truncated at any position is incomplete; bytes that follow a complete request are left
         // for the next one.
-        for cut in 0..whole.len() {
+        for cut in 0..request_text.len() {
             assert_matches!(
-                parse(&whole[..cut]),
+                parse(&request_text[..cut]),
                 Ok(Parsed::Incomplete { expects_continue: false }),
                 "{:?}",
-                &whole[..cut]
+                &request_text[..cut]
             );
         }
-        let piped = whole.clone() + "GET /next HTTP/1.1\r\n\r\n";
-        assert_matches!(parse(&piped), Ok(Parsed::Complete { request, length, closes_connection: false }) => {
-            assert_eq!((length, request.body.as_slice()), (whole.len(), &b"abc"[..]));
+        let pipelined = request_text.clone() + "GET /next HTTP/1.1\r\n\r\n";
+        assert_matches!(parse(&pipelined), Ok(Parsed::Complete { request, length, closes_connection: false }) => {
+            assert_eq!((length, request.body.as_slice()), (request_text.len(), &b"abc"[..]));
             assert_eq!((request.method.as_str(), request.target.as_str()), ("POST", "/a?b"));
             assert_eq!((request.host.as_str(), request.request_id.as_str()), ("h", "i"));
         });
