--- a/crates/server/src/links.rs
+++ b/crates/server/src/links.rs
@@ -216,7 +216,7 @@
                 volume.bytes += (bytes.len() + FRAME_LENGTH_BYTES) as u64;
                 net.send(connection, &bytes);
             }
-            Err(error) => tracing::error!(%error, "frame not encoded"),
+            Err(error) => tracing::error!(%error, "frame could not be encoded and was not sent"),
         }
     }
 
@@ -385,7 +385,7 @@
             link_events.push(LinkEvent::Down(peer.node, peer.role));
         }
         if peer.role != NodeRole::CommandLine {
-            tracing::debug!(node = peer.name, "link up");
+            tracing::debug!(node = peer.name, "peer connection established");
         }
         link_events.push(LinkEvent::Up(peer));
     }
@@ -416,7 +416,7 @@
         self.by_node.remove(&peer.node);
         self.by_role[peer.role as usize].remove(&peer.node);
         if peer.role != NodeRole::CommandLine {
-            tracing::info!(node = peer.name, "link down");
+            tracing::info!(node = peer.name, "peer connection closed");
         }
         Some(LinkEvent::Down(peer.node, peer.role))
     }
--- a/crates/server/src/metrics.rs
+++ b/crates/server/src/metrics.rs
@@ -114,7 +114,7 @@
     /// Returns all metrics in the text exposition format.
     pub fn text(&self) -> String {
         TextEncoder::new().encode_to_string(&self.families).unwrap_or_else(|error| {
-            tracing::error!(%error, "metrics not encoded");
+            tracing::error!(%error, "metrics could not be encoded as text");
             String::new()
         })
     }
--- a/crates/server/src/net/client/connection/generated.rs
+++ b/crates/server/src/net/client/connection/generated.rs
@@ -77,7 +77,7 @@
         random.pick(&["", "ok", "HTTP/1.1 200 OK\r\nX-Server-Seal: hidden\r\nContent-Length: 0\r\n\r\n"]);
     let (length, end) = (body.len(), "\r\n\r\n");
     let (text, ends_with_connection) = match random.below(6) {
-        // Neither a reply to a `HEAD` request nor a reply with one of these statuses has a body, whatever its headers
+        // Neither a reply to a `HEAD` request nor a reply with status 204 or 304 has a body, whatever its headers
         // say.
         _ if call.is_head_request => (format!("HTTP/1.1 200 OK\r\n{head}Content-Length: 70{end}"), false),
         0 => (format!("HTTP/1.1 304 No\r\n{head}Content-Length: 70{end}"), false),
--- a/crates/server/src/net/framing.rs
+++ b/crates/server/src/net/framing.rs
@@ -8,7 +8,7 @@
 
 /// The length prefix exceeds [`MAX_FRAME_BYTES`]: the other side uses a different protocol.
 #[derive(Debug, PartialEq, thiserror::Error)]
-#[error("a frame of more than {MAX_FRAME_BYTES} bytes")]
+#[error("frame length exceeds the limit of {MAX_FRAME_BYTES} bytes")]
 pub struct FrameTooLong;
 
 /// Appends a frame to the output buffer.
