--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -15,9 +15,9 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// What faults name as their file: a configuration comes in a request.
+/// File name in the faults of a configuration, which arrives in a request and not from a file.
 const FILE: &str = "configuration";
-/// Most routes, and most services.
+/// Maximum number of routes in a configuration, and of services.
 const MAX_ENTRIES: usize = 100_000;
 
 const DEFAULT_MAX_HEADER_BYTES: usize = 16_384;
@@ -28,40 +28,42 @@
 /// A complete and consistent configuration.
 #[derive(Clone)]
 pub struct Config {
-    /// Version that the operators gave it; a higher one replaces it.
+    /// Version number assigned by the operators; a configuration with a higher version replaces this one.
     pub revision: u64,
-    /// All routes, as listed.
+    /// All routes, in the order of the configuration.
     pub routes: Vec<Route>,
-    /// All services, as listed.
+    /// All services, in the order of the configuration.
     pub services: Vec<Service>,
-    /// The tenants, one of whose keys each request on a route that isn't public has to carry; `None`: no route asks for a key.
+    /// Tenants of the configuration. A request on a route that is not public must carry a key of one of them; `None` if no route
+    /// requires a key.
     pub tenants: Option<TenantTable>,
-    /// What clients' connections and requests are held to.
+    /// Limits of client connections and requests.
     pub limits: HttpLimits,
-    /// The bytes that it was read from, which are sent on unchanged.
+    /// Bytes from which the configuration was parsed; they are forwarded unchanged.
     pub body: Arc<[u8]>,
-    /// Keys that stand in it and that nothing here reads, such as `routes[].split`: what they ask for is not carried out.
+    /// Keys present in the configuration that this program does not read, such as `routes[].split`: what they ask for is not
+    /// carried out.
     pub unread_keys: Vec<String>,
     table: RouteTable,
-    /// Index of each service by its name.
+    /// Index of each service in the list of services, by service name.
     service_indices: HashMap<String, usize>,
 }
 
 /// Limits of clients' connections and requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HttpLimits {
-    /// Longest head of a request, in bytes.
+    /// Maximum length of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// Longest body of a request, in bytes.
+    /// Maximum length of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// A head must arrive within this time from its first byte.
+    /// Time limit for receiving a complete request head, counted from its first byte.
     pub header_timeout_ms: u64,
-    /// A connection without a request is closed after this time.
+    /// Idle time-out: a connection without a request is closed after this time.
     pub idle_timeout_ms: u64,
 }
 
 impl fmt::Debug for Config {
-    /// Without the bytes that it was read from: these hold the tenants' keys.
+    /// Omits the source bytes of the configuration from debug output, because they contain the tenants' keys.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.debug_struct("Config")
             .field("revision", &self.revision)
@@ -74,11 +76,11 @@
 }
 
 impl Config {
-    /// Reads a configuration.
+    /// Parses a configuration.
     ///
     /// # Errors
     ///
-    /// All that is wrong with it. Then nothing of it may come into force.
+    /// All faults of the configuration. If there is one, no part of the configuration may be applied.
     pub fn parse(body: &[u8]) -> Result<Config, ConfigError> {
         let (faults, key_use) = (FaultCollector::new(FILE), KeyUse::default());
         let object = match parse_object(body) {
@@ -108,13 +110,15 @@
         })
     }
 
-    /// The index of a request's route: of the routes of its host, the one with the longest prefix with which the path begins.
-    /// Hosts are compared without case and port, paths as they are written and without their query.
+    /// Returns the index of the route of a request: among the routes of the request's host, the one with the longest path prefix
+    /// that the request path begins with. Hosts are compared without case and port, paths as they are written and without their
+    /// query.
     pub fn route(&self, host: &str, path: &str) -> Option<usize> {
         self.table.find(&self.routes, host, path)
     }
 
-    /// Keys that are read, and whose values ask for something that the program does not do.
+    /// Returns the keys of the configuration that are read, but whose values ask for something that the program does not
+    /// implement.
     pub fn unserved_keys(&self) -> Vec<&'static str> {
         let asked_for = [
             ("routes[].route_type", self.routes.iter().any(|route| route.kind == RouteKind::Other)),
@@ -125,20 +129,20 @@
         asked_for.into_iter().filter(|(_, is_asked_for)| *is_asked_for).map(|(key, _)| key).collect()
     }
 
-    /// The index of the service of this name.
+    /// Returns the index of the service with this name.
     pub fn service(&self, name: &str) -> Option<usize> {
         self.service_indices.get(name).copied()
     }
 }
 
-/// The services, and the index of each by its name; two of one name are a fault.
+/// Reads the services and the index of each by its name; two services with the same name are a fault.
 fn read_services(root: Section) -> (Vec<Service>, HashMap<String, usize>) {
     let mut indices = HashMap::new();
     let mut services = Vec::new();
     for (index, section) in root.sections("backends", MAX_ENTRIES).into_iter().enumerate() {
         let service = Service::from_section(section);
         let earlier = indices.insert(service.name.clone(), index);
-        // An empty name is a fault already.
+        // An empty service name was already reported as a fault.
         if let Some(first) = earlier.filter(|_| !service.name.is_empty()) {
             let name = values::quoted(&service.name);
             section.fault("name", FaultReason::DuplicateService { name, first });
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,33 +1,34 @@
-//! Parsing of a whole text, after checks of what the JSON parser does not bound itself.
+//! Parsing of a complete JSON text, after checks of the sizes that the JSON parser itself does not limit.
 
 use crate::reason::FaultReason;
 use crate::values::describe;
 use jzon::object::Object;
 use jzon::JsonValue;
 
-/// Longest text that is read, in bytes.
+/// Maximum length of a JSON text, in bytes.
 pub const MAX_TEXT_BYTES: usize = 8 << 20;
-/// Longest number as written, in characters. `jzon` counts the places after the point in 16 bits without a check.
+/// Maximum length of a number as written, in characters. `jzon` counts the decimal places in 16 bits without an overflow check.
 const MAX_NUMBER_CHARACTERS: usize = 1100;
-/// Most digits before an exponent: `jzon` drops those that do not fit into 64 bits, and the value would silently be another.
+/// Maximum number of digits before an exponent. `jzon` drops digits that do not fit into 64 bits, so a longer number would
+/// silently get another value.
 const MAX_DIGITS_BEFORE_EXPONENT: usize = 19;
-/// Most memory that the values of one text may take, in bytes, by the two estimates below. The longest text, made of brackets
-/// alone, would take more than a machine has.
+/// Maximum memory for the values of one JSON text, in bytes, by the two estimates below. Without it, a text of the maximum length
+/// made only of brackets would take more memory than a machine has.
 const MAX_MEMORY_BYTES: usize = 96 << 20;
-/// Upper estimate of the memory that a list or an object takes.
+/// Upper estimate of the memory that a JSON array or object takes, in bytes.
 const CONTAINER_BYTES: usize = 400;
-/// Upper estimate of the memory that a value takes, by the comma before it.
+/// Upper estimate of the memory that a JSON value takes, in bytes, counted by the comma before the value.
 const ELEMENT_BYTES: usize = 224;
 
-/// The object that a text holds. Of a key that stands twice `jzon` keeps the last; all nodes read the same bytes with this code,
-/// so all of them see the same.
+/// Parses the object that a JSON text holds. If a key occurs twice, `jzon` keeps the last one; all nodes parse the same bytes
+/// with this code, so all of them get the same value.
 pub fn parse_object(bytes: &[u8]) -> Result<Object, FaultReason> {
     if bytes.len() > MAX_TEXT_BYTES {
         return Err(FaultReason::TextTooLong { limit: MAX_TEXT_BYTES });
     }
     let text = std::str::from_utf8(bytes)?;
     check_bounds(text)?;
-    // Deep nesting ends in an error: the parser keeps its own stack and takes 512 levels.
+    // Nesting that is too deep ends in an error: the parser has its own stack, limited to 512 levels.
     match jzon::parse(text) {
         Ok(JsonValue::Object(object)) => Ok(object),
         Ok(other) => Err(FaultReason::WrongValue { expected: "an object", found: describe(&other) }),
@@ -35,8 +36,8 @@
     }
 }
 
-/// Checks the numbers, the whitespace and the memory of a text. In one that is not JSON this may miss anything; the parser then
-/// refuses it.
+/// Checks the numbers, the whitespace and the estimated memory of a JSON text. In a text that is not JSON this check may miss
+/// faults; the parser then rejects the text.
 fn check_bounds(text: &str) -> Result<(), FaultReason> {
     let mut scanner = Scanner::default();
     text.bytes().try_for_each(|byte| scanner.next(byte))?;
@@ -46,16 +47,16 @@
     Ok(())
 }
 
-/// Goes over a text byte by byte and knows strings from the rest.
+/// Scans a JSON text byte by byte and distinguishes strings from everything else.
 #[derive(Default)]
 struct Scanner {
     in_string: bool,
-    /// In a string, after a backslash.
+    /// The scanner is in a string, directly after a backslash.
     is_escaped: bool,
     memory_bytes: usize,
-    /// Characters of the number at hand.
+    /// Number of characters scanned so far of the current number.
     number_characters: usize,
-    /// Digits of the number at hand before its exponent.
+    /// Number of digits scanned so far of the current number, before its exponent.
     number_digits: usize,
 }
 
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,20 +1,20 @@
-//! The error of a refused text: all its faults, each with file, key and reason.
+//! The error of a rejected text: all its faults, each with file, key and reason.
 
 use crate::reason::FaultReason;
 use std::fmt::{self, Display, Formatter};
 
-/// One thing that is wrong in a text.
+/// One fault in a settings file or configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingsFault {
-    /// The file, or `configuration` for one that was sent.
+    /// Name of the file, or `configuration` for a configuration that was sent in a request.
     pub file: String,
-    /// Where in it, as `routes[3].timeout_ms`; empty if the text as a whole is meant.
+    /// Path of the faulty key in the text, such as `routes[3].timeout_ms`; empty if the fault concerns the whole text.
     pub key: String,
-    /// What is wrong there.
+    /// Reason for which the value or the text is rejected.
     pub reason: FaultReason,
 }
 
-/// Why a text is refused: all that is wrong with it, one line each when printed.
+/// Error of a rejected text: all its faults, printed with one line for each.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigError {
     /// The faults in the order in which they were found; never empty. If there were too many, the last one says how many were
@@ -23,8 +23,8 @@
 }
 
 impl Display for SettingsFault {
-    /// One line, with `all` for the key of the whole text. Control characters are escaped: with the line ends in what was sent,
-    /// a client could forge lines of the log.
+    /// Formats a fault as one line, with `all` in place of the key if the fault concerns the whole text. Control characters are
+    /// escaped: with line ends in the text that it sends, a client could forge lines of the log.
     fn fmt(&self, f: &mut Formatter) -> fmt::Result {
         let key = if self.key.is_empty() { "all" } else { &self.key };
         let line = format!("{}: {key}: {}", self.file, self.reason);
--- a/crates/config/src/fault_collector.rs
+++ b/crates/config/src/fault_collector.rs
@@ -5,10 +5,11 @@
 use std::cell::RefCell;
 use std::fmt::Display;
 
-/// Faults that are reported. A small text can hold a million of them, and their lines would outweigh the process.
+/// Maximum number of faults reported for one text. A small text can hold a million faults, whose lines would take more memory
+/// than the rest of the process.
 const MAX_REPORTED_FAULTS: usize = 64;
 
-/// The faults of one text.
+/// Collector of the faults of one text.
 pub struct FaultCollector {
     file: String,
     collected: RefCell<Collected>,
@@ -17,17 +18,17 @@
 #[derive(Default)]
 struct Collected {
     faults: Vec<SettingsFault>,
-    /// How many came after the last that is reported.
+    /// Number of faults found after the maximum number of reported faults was reached.
     omitted: usize,
 }
 
 impl FaultCollector {
-    /// No faults yet; `file` is what they will name.
+    /// Creates a collector without faults; `file` is the file name in the faults that it collects.
     pub fn new(file: &str) -> FaultCollector {
         FaultCollector { file: file.to_string(), collected: RefCell::default() }
     }
 
-    /// Notes a fault at a key; an empty key means the text as a whole.
+    /// Records a fault at a key; an empty key means the text as a whole.
     pub fn add(&self, key: impl Display, reason: FaultReason) {
         let mut collected = self.collected.borrow_mut();
         if collected.faults.len() == MAX_REPORTED_FAULTS {
@@ -37,8 +38,8 @@
         collected.faults.push(SettingsFault { file: self.file.clone(), key: key.to_string(), reason });
     }
 
-    /// Gives out what was read, if nothing is wrong with it. The only way to get at it: values that were read beside a fault may
-    /// be placeholders.
+    /// Returns the parsed value if no fault was recorded. This is the only way to get the value: values parsed alongside a fault
+    /// may be placeholders.
     pub fn finish<T>(self, value: T) -> Result<T, ConfigError> {
         let Collected { mut faults, omitted } = self.collected.into_inner();
         if omitted > 0 {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// The error of a text of which nothing can be read.
+    /// Returns the error of a text that cannot be parsed at all, which has a single fault.
     pub fn refuse(self, reason: FaultReason) -> ConfigError {
         self.add("", reason);
         ConfigError { faults: self.collected.into_inner().faults }
--- a/crates/config/src/fault_tolerance.rs
+++ b/crates/config/src/fault_tolerance.rs
@@ -1,26 +1,27 @@
-//! How many machines and failure domains may be lost at once.
+//! The number of machines and failure domains whose simultaneous loss is tolerated.
 
 use crate::section::Section;
 
-/// The losses that are tolerated with all guarantees kept: any one of the three, not their sum. From the key `tolerate`.
+/// Losses that are tolerated with all guarantees kept: any one of the three kinds at a time, not their sum. From the key
+/// `tolerate`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultTolerance {
-    /// Machines that may be lost at once.
+    /// Number of machines that may be lost at once.
     pub machines: usize,
-    /// Zones that may be lost at once, with all their machines.
+    /// Number of zones that may be lost at once, with all their machines.
     pub zones: usize,
-    /// Regions that may be lost at once, with all their zones.
+    /// Number of regions that may be lost at once, with all their zones.
     pub regions: usize,
 }
 
 impl FaultTolerance {
-    /// Replicas that are needed beside the first to keep one through any tolerated loss, if each is in a failure domain of its
-    /// own.
+    /// Returns the number of replicas needed in addition to the first so that one survives any tolerated loss, if each replica is
+    /// in a failure domain of its own.
     pub fn additional_replicas(&self) -> usize {
         self.machines.max(self.zones).max(self.regions)
     }
 
-    /// Whether the loss of a whole zone or region is tolerated, not only of single machines.
+    /// Whether the loss of a complete zone or region is tolerated, not only of single machines.
     pub fn covers_failure_domains(&self) -> bool {
         self.zones > 0 || self.regions > 0
     }
--- a/crates/config/src/key_use.rs
+++ b/crates/config/src/key_use.rs
@@ -1,35 +1,35 @@
-//! Which keys of a text are read by anybody. A key that nobody reads is a request of the operators that nothing carries out.
+//! Tracks which keys of a text are read. A key that no code reads is a request of the operators that is not carried out.
 
 use jzon::object::Object;
 use jzon::JsonValue;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 
-/// Unread keys that are named. Of a text that is made to hold more the rest would only fill the log.
+/// Maximum number of unread keys that are reported. In a text crafted to hold more, the others would only fill the log.
 const MAX_NAMED_KEYS: usize = 32;
-/// Most characters of a key that are named.
+/// Maximum number of characters of an unread key that are reported.
 const MAX_KEY_CHARACTERS: usize = 60;
 
-/// The keys that were read of one text, each with the key of the object or of the list of objects that it is in.
+/// Record of the keys of one text that were read, each with the key of its object or list of objects.
 #[derive(Default)]
 pub struct KeyUse {
     read: RefCell<BTreeSet<(&'static str, String)>>,
-    /// Objects and lists whose keys are read one by one.
+    /// Objects and lists of objects whose keys are read one by one.
     opened: RefCell<BTreeSet<&'static str>>,
 }
 
 impl KeyUse {
-    /// A key is read, whether it is there or not.
+    /// Records that a key is read, whether it is present or not.
     pub fn read(&self, section: &'static str, key: &str) {
         self.read.borrow_mut().insert((section, key.to_string()));
     }
 
-    /// The keys of an object, or of the objects in a list, are read one by one.
+    /// Records that the keys of an object, or of the objects in a list, are read one by one.
     pub fn open(&self, section: &'static str) {
         self.opened.borrow_mut().insert(section);
     }
 
-    /// The keys of a text that were not read, each once, such as `customers` or `routes[].public`.
+    /// Returns the keys of a text that were not read, each once, such as `customers` or `routes[].public`.
     pub fn unread(&self, root: &Object) -> Vec<String> {
         let mut unread = BTreeSet::new();
         self.add_unread(&mut unread, "", "", root);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,9 +1,8 @@
 //! The two inputs of operators: the settings file of each process, and the configuration that all processes share.
 //!
-//! [`NodeSettings`] describes a process and its machine, [`Config`] which routes and services there are. Both
-//! are read from JSON by hand, field by field: unknown fields are ignored, missing ones get a default or are a fault, and all
-//! faults of a text are reported at once in a [`ConfigError`]. Whatever the bytes, reading ends in a value or in faults, never
-//! in a panic.
+//! [`NodeSettings`] describes a process and its machine, [`Config`] the routes and services. Both are read from JSON field by
+//! field, without derived code: unknown fields are ignored, a missing field gets a default or is a fault, and all faults of a
+//! text are reported at once in a [`ConfigError`]. Whatever the bytes, reading returns a value or faults and never panics.
 
 mod config;
 mod document;
--- a/crates/config/src/node_settings.rs
+++ b/crates/config/src/node_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process: its name, addresses and place in the system, and the limits it works within.
+//! The settings file of a process: its name, addresses, failure domain and resource limits.
 
 use crate::document::{parse_object, MAX_TEXT_BYTES};
 use crate::error::ConfigError;
@@ -18,96 +18,98 @@
 
 const DEFAULT_HEARTBEAT_INTERVAL_MS: u64 = 1200;
 
-/// The settings of one process. Those that are missing take the safe side or the usual figure.
+/// Settings of one process. A missing setting gets the safe or the usual value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
-    /// Unique in the system; the node's identifier is derived from it.
+    /// Node name, unique in the system; the node identifier is derived from it.
     pub node_name: String,
-    /// The key `role`: the deployment's name for what the machine does. The command line decides what the process does.
+    /// The key `role`: the deployment's name for the purpose of the machine. The command line, not this key, decides what the
+    /// process does.
     pub role: String,
-    /// The class of the machine.
+    /// Machine class.
     pub machine_class: String,
-    /// The parts of the system that the machine runs: `edge`, `storage` or `control`.
+    /// The parts of the system that run on the machine: `edge`, `storage` or `control`.
     pub serves: Vec<String>,
-    /// The machine's own address.
+    /// IP address of this machine.
     pub ip: Ipv4Addr,
-    /// The failure domain that the machine is in.
+    /// Zone (failure domain) of this machine.
     pub zone: String,
-    /// The region of that zone.
+    /// Region of the machine's zone.
     pub region: String,
-    /// The region of each zone of the system, the own one among them.
+    /// Region of each zone of the system, including the machine's own zone.
     pub zone_regions: BTreeMap<String, String>,
-    /// Where an edge takes clients' requests.
+    /// Addresses on which an edge accepts client requests.
     pub front_address: Option<SocketAddrV4>,
-    /// Where an edge says whether it is ready.
+    /// Address on which an edge reports whether it is ready.
     pub readiness_address: Option<SocketAddrV4>,
-    /// Where a control node takes the calls of executors and operators.
+    /// Address on which a control node accepts calls of executors and operators.
     pub control_address: Option<SocketAddrV4>,
-    /// Where metrics can be read; nothing listens where none is set.
+    /// Address on which metrics can be read; without it, nothing listens for them.
     pub metrics_address: Option<SocketAddrV4>,
-    /// Ports for the traffic between nodes.
+    /// Range of ports for the traffic between nodes.
     pub internal_ports: PortRange,
-    /// Control nodes to begin with. After the first start of the system any of them may be down, or gone for good.
+    /// Control nodes to contact first. After the first start of the system any of them may be down or removed for good.
     pub seeds: Vec<SocketAddrV4>,
-    /// The system starts for the first time ever, so that an empty disk is no loss of data.
+    /// Whether the system starts for the first time ever; only then is an empty disk not a loss of data.
     pub is_first_start: bool,
     /// The key `counted`: read and checked, but no process acts on it.
     pub is_counted: bool,
-    /// What of the machine the process may use.
+    /// Machine resources that the process may use.
     pub resources: ResourceLimits,
-    /// Where the process keeps its files; `None` for one that keeps nothing.
+    /// Directory for the files of the process; `None` for a process that stores nothing.
     pub data_dir: Option<PathBuf>,
-    /// How often executors send heartbeats.
+    /// Interval at which executors send heartbeats.
     pub heartbeat_interval_ms: u64,
-    /// Which losses must be tolerated.
+    /// Losses of machines and failure domains that must be tolerated.
     pub fault_tolerance: FaultTolerance,
-    /// The bounds of the deployment's guarantees.
+    /// Time bounds of the deployment's guarantees.
     pub bounds: TimeBounds,
-    /// Keys that stand in the file and that nothing here reads.
+    /// Keys present in the settings file that this program does not read.
     pub unread_keys: Vec<String>,
 }
 
-/// The ports from `first` to `last`, both included.
+/// The range of ports from `first` to `last`, both included.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PortRange {
-    /// The lowest port.
+    /// Lowest port of the range.
     pub first: u16,
-    /// The highest port.
+    /// Highest port of the range.
     pub last: u16,
 }
 
-/// What of the machine a process may use, from the key `limits`.
+/// Machine resources that a process may use, from the key `limits`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResourceLimits {
-    /// Share of one processor.
+    /// Processor limit, in processors; may be a fraction of one.
     pub cpu_share: f64,
-    /// Memory in MB.
+    /// Memory limit, in MB.
     pub memory_mb: u64,
-    /// File descriptors.
+    /// Maximum number of file descriptors.
     pub max_open_files: u64,
-    /// Network bandwidth in Mbit/s.
+    /// Network bandwidth limit, in Mbit/s.
     pub bandwidth_mbps: f64,
-    /// Disk space in MB; 0 where it is unknown.
+    /// Disk space limit, in MB; 0 if it is unknown.
     pub disk_mb: u64,
 }
 
-/// How far away another node is; the nearer is the lesser.
+/// Distance of another node by failure domain; a nearer node compares as less.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ZoneDistance {
-    /// In this node's own zone.
+    /// The other node is in this node's own zone.
     SameZone,
-    /// In another zone of its region.
+    /// The other node is in another zone of this node's region.
     SameRegion,
-    /// In another region, or in a zone that the settings do not name.
+    /// The other node is in another region, or in a zone that the settings do not name.
     OtherRegion,
 }
 
 impl NodeSettings {
-    /// Reads a settings file. It may be replaced while it is read: what is cut short is refused, and may be read again.
+    /// Reads a settings file. The file may be replaced while it is read: a truncated text is rejected, and the file may be read
+    /// again.
     ///
     /// # Errors
     ///
-    /// Where the file cannot be read, or all that is wrong with its text.
+    /// The file cannot be read, or its text has faults; all of them are returned.
     pub fn read(path: &Path) -> Result<NodeSettings, ConfigError> {
         let name = path.display().to_string();
         let mut bytes = Vec::new();
@@ -121,11 +123,11 @@
         }
     }
 
-    /// Reads the text of a settings file; `file` is what faults name.
+    /// Parses the text of a settings file; `file` is the file name in the faults.
     ///
     /// # Errors
     ///
-    /// All that is wrong with the text.
+    /// All faults of the text.
     pub fn parse(file: &str, text: &str) -> Result<NodeSettings, ConfigError> {
         NodeSettings::from_bytes(file, text.as_bytes())
     }
@@ -171,14 +173,14 @@
         }
     }
 
-    /// The region of each zone as a number, in the order of the zones: equal numbers are the same region.
+    /// Returns the region of each zone as a number, in the order of the zones: zones with equal numbers are in the same region.
     pub fn region_numbers(&self) -> Vec<usize> {
         let names: BTreeSet<&String> = self.zone_regions.values().collect();
         let number = |name: &String| names.iter().position(|other| *other == name).unwrap_or(0);
         self.zone_regions.values().map(number).collect()
     }
 
-    /// How far away a zone is.
+    /// Returns the distance from this node to a zone.
     pub fn distance_to(&self, zone: &str) -> ZoneDistance {
         if zone == self.zone {
             return ZoneDistance::SameZone;
@@ -189,7 +191,8 @@
         }
     }
 
-    /// Whether stores in these zones, one entry for each store, are enough to tolerate the losses that the settings name.
+    /// Whether the stores are enough to tolerate the losses named in the settings; `zones` has one entry, the zone, for each
+    /// store.
     pub fn are_stores_sufficient<'a>(&self, zones: impl Iterator<Item = &'a str>) -> bool {
         let stores: Vec<&str> = zones.collect();
         let zones: BTreeSet<&str> = stores.iter().copied().collect();
@@ -200,7 +203,7 @@
             && regions.len() > self.fault_tolerance.regions
     }
 
-    /// The key that gives this address of the machine to something else than metrics, if there is one.
+    /// Returns the key that already uses this address of the machine for another purpose than metrics, if there is one.
     pub fn key_of_address(&self, address: SocketAddrV4) -> Option<&'static str> {
         let named = [
             ("bind_addresses.front", self.front_address),
@@ -213,8 +216,8 @@
         used.or(is_internal.then_some("internal_ports"))
     }
 
-    /// How many of the stores in these zones, one entry for each store, may be lost before messages are no longer accepted for
-    /// want of stores for their replicas: 0 where the loss of any single one may be enough for that.
+    /// Returns how many stores may be lost before messages are rejected because too few stores are left for their replicas: 0 if
+    /// the loss of any single store may be enough for that. `zones` has one entry, the zone, for each store.
     pub fn spare_stores<'a>(&self, zones: impl Iterator<Item = &'a str>) -> usize {
         let zones: Vec<&str> = zones.collect();
         let needed = self.fault_tolerance.additional_replicas() + 1;
@@ -227,7 +230,7 @@
     }
 }
 
-/// All but one of some stores' zones.
+/// Returns the zones of all stores but one.
 fn without_one<'a>(zones: &'a [&'a str], lost: usize) -> impl Iterator<Item = &'a str> {
     zones.iter().enumerate().filter(move |(index, _)| *index != lost).map(|(_, zone)| *zone)
 }
--- a/crates/config/src/route.rs
+++ b/crates/config/src/route.rs
@@ -10,36 +10,36 @@
 const DEFAULT_MAX_ATTEMPTS: u32 = 3;
 const DEFAULT_MAX_WAIT_MS: u64 = 90_000;
 
-/// A route, as an entry of `routes` describes it.
+/// A route, as described by an entry of `routes`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// What operators call it.
+    /// Name of the route, chosen by the operators.
     pub name: String,
-    /// The host of its requests as written; see [`Config::route`](crate::Config::route) for how it is compared.
+    /// Host of the route's requests, as written; [`Config::route`](crate::Config::route) describes how it is compared.
     pub host: String,
-    /// The path of its requests begins with this.
+    /// Prefix of the path of the route's requests.
     pub path_prefix: String,
-    /// How its requests are executed.
+    /// How the requests of the route are executed.
     pub kind: RouteKind,
-    /// Longest time of one attempt at an executor.
+    /// Time-out of one attempt at an executor.
     pub timeout_ms: u64,
     /// Latency target of the route.
     pub latency_target_ms: u64,
-    /// A request is to be executed so soon after it is due; the latency target where none is set.
+    /// Time after its due time within which a request is to be executed; the latency target if it is not set.
     pub completion_target_ms: u64,
-    /// A request that waits for longer than this is given up.
+    /// Maximum time that a request waits; after it the request is given up.
     pub max_wait_ms: u64,
-    /// 0 is the highest.
+    /// Priority of the route's requests; 0 is the highest.
     pub priority: i64,
-    /// Index of its service in [`Config::services`](crate::Config::services).
+    /// Index of the route's service in [`Config::services`](crate::Config::services).
     pub service: usize,
-    /// Most attempts to execute a request, the first among them.
+    /// Maximum number of attempts to execute a request, including the first.
     pub max_attempts: u32,
-    /// Requests with the same order key are executed one after the other.
+    /// Whether requests with the same order key are executed one after the other.
     pub is_ordered: bool,
-    /// Requests need no key of a tenant.
+    /// Whether the route is public, so that its requests need no tenant key.
     pub is_public: bool,
-    /// Clients may name a URL to which the result is delivered.
+    /// Whether clients may name a callback URL to which the result is delivered.
     pub allows_callback: bool,
 }
 
@@ -47,9 +47,9 @@
 #[derive(Clone, Copy, Debug, Display, EnumString, PartialEq)]
 #[strum(serialize_all = "snake_case")]
 pub enum RouteKind {
-    /// Requests are accepted, kept and executed later.
+    /// Requests are accepted, stored and executed later.
     Deferred,
-    /// Any kind that this program does not serve.
+    /// Any route kind that this program does not implement.
     Other,
 }
 
--- a/crates/config/src/route_table.rs
+++ b/crates/config/src/route_table.rs
@@ -6,27 +6,27 @@
 use crate::route::Route;
 use std::collections::HashMap;
 
-/// The routes of each normalized host.
+/// The routes, grouped by normalized host.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
-    /// The entries of a host are in the order of their prefixes.
+    /// Entries of each host, sorted by path prefix.
     hosts: HashMap<String, Vec<Entry>>,
 }
 
-/// A route among those of its host.
+/// Entry of a route in the list of its host.
 #[derive(Clone, Debug)]
 struct Entry {
-    /// Index into the routes.
+    /// Index of the entry's route in the list of routes.
     route: usize,
-    /// Index into the host's entries of the longest other prefix with which this one begins.
+    /// Index, among the entries of the same host, of the longest other prefix with which this entry's prefix begins.
     parent: Option<usize>,
 }
 
 impl RouteTable {
-    /// Sorts the routes; two with the same host and prefix are a fault.
+    /// Builds the table by sorting the routes; two routes with the same host and prefix are a fault.
     pub fn new(routes: &[Route], faults: &FaultCollector) -> RouteTable {
         let mut hosts: HashMap<String, Vec<Entry>> = HashMap::new();
-        // Empty ones are placeholders beside a fault.
+        // A route with an empty host or prefix is a placeholder for a value that was already reported as a fault.
         let complete = |route: &Route| !route.host.is_empty() && !route.path_prefix.is_empty();
         for (index, route) in routes.iter().enumerate().filter(|(_, route)| complete(route)) {
             let host = normalized_host(&route.host).into_owned();
@@ -42,13 +42,13 @@
         RouteTable { hosts }
     }
 
-    /// The index of a request's route among `routes`, which must be those that the table was made of.
+    /// Returns the index of a request's route in `routes`, which must be the list from which the table was built.
     pub fn find(&self, routes: &[Route], host: &str, path: &str) -> Option<usize> {
         let path = path.split('?').next().unwrap_or_default();
         let entries = self.hosts.get(normalized_host(host).as_ref())?;
         let prefix = |index: usize| routes[entries[index].route].path_prefix.as_str();
-        // All prefixes that sort between the longest fitting one and the path begin with that one. So the last that does not
-        // sort after the path is the one that is looked for, or begins with it.
+        // All prefixes that sort between the longest matching prefix and the path begin with the matching prefix. The last prefix
+        // that does not sort after the path is therefore the matching prefix or begins with it.
         let not_after = entries.partition_point(|entry| routes[entry.route].path_prefix.as_str() <= path);
         let mut index = not_after.checked_sub(1)?;
         while !path.starts_with(prefix(index)) {
@@ -65,7 +65,7 @@
     }
 }
 
-/// The parent of an entry, if those before it have theirs: the entry before it, or an ancestor of that.
+/// Finds the parent of an entry, once all earlier entries have theirs: the parent is the previous entry or one of its ancestors.
 fn find_parent(entries: &[Entry], index: usize, routes: &[Route]) -> Option<usize> {
     let prefix = |index: usize| routes[entries[index].route].path_prefix.as_str();
     let mut candidate = Some(index - 1);
--- a/crates/config/src/section.rs
+++ b/crates/config/src/section.rs
@@ -1,4 +1,4 @@
-//! Typed reading of the fields of one JSON object, with the path of each key for the faults.
+//! Typed reading of the fields of one JSON object; faults name the path of each key.
 
 use crate::fault_collector::FaultCollector;
 use crate::key_use::KeyUse;
@@ -9,34 +9,34 @@
 use std::net::SocketAddrV4;
 use std::sync::OnceLock;
 
-/// An object within a text, and where it is.
+/// A JSON object within a text, and its path.
 #[derive(Clone, Copy)]
 pub struct Section<'a> {
     faults: &'a FaultCollector,
     key_use: &'a KeyUse,
     object: &'a Object,
-    /// The key of the object, or of the list that it is in; empty for the outermost object.
+    /// The key of the object, or of the list that contains it; empty for the outermost object.
     key: &'static str,
-    /// The position of the object in its list, if it is in one.
+    /// Index of the object in its list; `None` if it is not in a list.
     index: Option<usize>,
 }
 
 impl<'a> Section<'a> {
-    /// The outermost object of a text.
+    /// Returns the outermost object of a text.
     pub fn root(object: &'a Object, faults: &'a FaultCollector, key_use: &'a KeyUse) -> Section<'a> {
         Section { faults, key_use, object, key: "", index: None }
     }
 
-    /// The value of a key, which counts as read from now on.
+    /// Returns the value of a key and records the key as read.
     fn get(&self, key: &str) -> Option<&'a JsonValue> {
-        // The entries of a list are read alike: the first stands for all.
+        // The entries of a list are all read in the same way, so the keys read of the first entry stand for all entries.
         if self.index.is_none_or(|index| index == 0) {
             self.key_use.read(self.key, key);
         }
         self.object.get(key)
     }
 
-    /// Notes a fault at a key of this object.
+    /// Records a fault at a key of this object.
     pub fn fault(&self, key: &str, reason: FaultReason) {
         self.faults.add(self.path(key), reason);
     }
@@ -53,8 +53,8 @@
         self.fault(key, FaultReason::WrongValue { expected, found: describe(value) });
     }
 
-    /// The value of a key as `read` converts it, or the default where the key is missing and there is one. Otherwise a fault is
-    /// noted, and what is returned is a placeholder. `expected` says in words what `read` takes.
+    /// Returns the value of a key as converted by `read`, or the default if the key is missing and there is a default. Otherwise
+    /// it records a fault and returns a placeholder. `expected` describes in words the values that `read` accepts.
     pub fn value<T: Default>(
         &self,
         key: &str,
@@ -74,41 +74,41 @@
         })
     }
 
-    /// Text that is required and not empty.
+    /// Reads a text that is required and must not be empty.
     pub fn text(&self, key: &str) -> String {
         self.value(key, None, "text that is not empty", values::text)
     }
 
-    /// A flag, off where it is missing.
+    /// Reads a boolean; a missing key means `false`.
     pub fn flag(&self, key: &str) -> bool {
         self.value(key, Some(false), "true or false", JsonValue::as_bool)
     }
 
-    /// A whole number from 0 up; required where there is no default.
+    /// Reads a whole number of at least 0; the key is required if there is no default.
     pub fn unsigned(&self, key: &str, default: Option<u64>) -> u64 {
         self.value(key, default, "a whole number from 0 up", values::unsigned)
     }
 
-    /// A whole number from 0 up that fits a narrower type.
+    /// Reads a whole number of at least 0 that fits a narrower integer type.
     pub fn narrow_unsigned<T: TryFrom<u64> + Default>(&self, key: &str, default: T) -> T {
         let read = |value: &JsonValue| T::try_from(values::unsigned(value)?).ok();
         self.value(key, Some(default), "a whole number from 0 up that is not too large", read)
     }
 
-    /// A finite number that is not negative.
+    /// Reads a finite number that is not negative.
     pub fn non_negative(&self, key: &str, default: f64) -> f64 {
         self.value(key, Some(default), "a finite number from 0 up", values::non_negative)
     }
 
-    /// A span of time in ms; required where there is no default. Keys that end in `_s` hold seconds, others milliseconds; either
-    /// may have a fraction.
+    /// Reads a duration in ms; the key is required if there is no default. Keys that end in `_s` hold seconds, others
+    /// milliseconds; both may have a fraction.
     pub fn duration_ms(&self, key: &str, default: Option<u64>) -> u64 {
         let unit_ms = if key.ends_with("_s") { 1000.0 } else { 1.0 };
         let expected = "a span of time from 0 up that is not too long";
         self.value(key, default, expected, |value| values::duration_ms(value, unit_ms))
     }
 
-    /// An address; `None` where the key is missing or null.
+    /// Reads a network address; `None` if the key is missing or null.
     pub fn address(&self, key: &str) -> Option<SocketAddrV4> {
         let read = |value: &JsonValue| match value {
             JsonValue::Null => Some(None),
@@ -117,7 +117,7 @@
         self.value(key, Some(None), "ip:port or null", read)
     }
 
-    /// The object under a key; an empty one where it is missing.
+    /// Returns the object under a key; an empty object if the key is missing.
     pub fn section(&self, key: &'static str) -> Section<'a> {
         static EMPTY: OnceLock<Object> = OnceLock::new();
         self.key_use.open(key);
@@ -132,12 +132,13 @@
         Section { object, key, index: None, ..*self }
     }
 
-    /// Whether a key is there.
+    /// Whether the object has this key.
     pub fn has(&self, key: &str) -> bool {
         self.get(key).is_some()
     }
 
-    /// The texts in the list under a key, none of which is ever quoted; none where the key is missing.
+    /// Reads the texts in the list under a key; an empty list if the key is missing. The texts may be secret, so no fault quotes
+    /// them.
     pub fn secrets(&self, key: &str, limit: usize) -> Vec<String> {
         let Some(value) = self.get(key) else { return Vec::new() };
         let Some(secrets) = values::list(value, values::text) else {
@@ -150,7 +151,8 @@
         secrets
     }
 
-    /// The objects in the list under a key, which is required, with their indices. Of a list that is too long none is read.
+    /// Returns the objects in the required list under a key, with their indices. If the list is too long, none of its objects is
+    /// read.
     pub fn sections(&self, key: &'static str, limit: usize) -> Vec<Section<'a>> {
         self.key_use.open(key);
         match self.get(key) {
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -1,34 +1,34 @@
-//! A service of the operators' configuration: what a route's requests are executed by.
+//! A service of the operators' configuration, whose executors execute the requests of routes.
 
 use crate::section::Section;
 use crate::values;
 use std::net::SocketAddrV4;
 
 const DEFAULT_HEALTH_PATH: &str = "/health";
-/// The protocol that executors are spoken to in.
+/// Default protocol for requests to executors.
 pub(crate) const DEFAULT_PROTOCOL: &str = "h1";
 const DEFAULT_MAX_CONNECTIONS: u32 = 64;
 
-/// A service, as an entry of `backends` describes it.
+/// A service, as described by an entry of `backends`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Unique among the services; routes and executors refer to it.
+    /// Name of the service, unique in the configuration; routes and executors refer to it.
     pub name: String,
-    /// Path of the health check at its executors.
+    /// Path of the health check on the service's executors.
     pub health_path: String,
-    /// Most connections to one executor, of all stores together.
+    /// Maximum number of connections to one executor, of all stores together.
     pub max_connections: u32,
-    /// Rate limit of the whole service in requests per second; 0 for none.
+    /// Rate limit of the whole service, in requests per second; 0 for no limit.
     pub rate_limit_per_s: f64,
-    /// The service recognises a request that it has executed already.
+    /// Whether the service recognises a request that it has already executed, so that requests are idempotent.
     pub deduplicates: bool,
-    /// The key `protocol`: read and checked, but executors are always spoken to in HTTP/1.1.
+    /// The key `protocol`: read and checked, but requests are always sent to executors by HTTP/1.1.
     pub protocol: String,
-    /// The key `tls`: read and checked, but executors are always spoken to in clear.
+    /// The key `tls`: read and checked, but connections to executors are never encrypted.
     pub wants_tls: bool,
-    /// The key `pull`: read and checked, but nothing acts on it.
+    /// The key `pull`: read and checked, but no process acts on it.
     pub pulls_requests: bool,
-    /// The service's one address; `None` where executors register with heartbeats.
+    /// The single address of the service; `None` if its executors register with heartbeats.
     pub endpoint: Option<SocketAddrV4>,
 }
 
--- a/crates/config/src/tenant.rs
+++ b/crates/config/src/tenant.rs
@@ -1,6 +1,6 @@
-//! The tenants of the operators' configuration, and which of them a key belongs to.
+//! The tenants of the operators' configuration, and the look-up of a tenant by its key.
 //!
-//! Keys are kept as digests alone: nothing that prints a configuration in force can print a key.
+//! Tenants' keys are stored only as digests, so that printing a configuration in force cannot reveal a key.
 
 use crate::reason::FaultReason;
 use crate::section::Section;
@@ -8,35 +8,35 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Most tenants, and most keys of one tenant.
+/// Maximum number of tenants, and of keys of one tenant.
 const MAX_ENTRIES: usize = 200_000;
-/// Bytes of a key's digest by which it is found; the rest is compared in constant time.
+/// Length, in bytes, of the digest prefix by which a tenant's key is found; the rest of the digest is compared in constant time.
 const PREFIX_BYTES: usize = 8;
 
-/// A tenant, as an entry of `customers` describes it.
+/// A tenant, as described by an entry of `customers`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Unique among the tenants; what executors are told.
+    /// Name of the tenant, unique in the configuration; it is sent to executors.
     pub name: Arc<str>,
-    /// The key `priority`: read and checked, but nothing acts on it.
+    /// The key `priority`: read and checked, but no process acts on it.
     pub priority: i64,
-    /// Most accepted messages a second, over all stores; 0 for no limit.
+    /// Rate limit of the tenant: maximum number of accepted messages per second, over all stores; 0 for no limit.
     pub rate_limit_per_s: f64,
-    /// Accepted messages by which it may be exceeded at once.
+    /// Burst allowance of the tenant: number of accepted messages by which the rate limit may be exceeded at once.
     pub burst: f64,
 }
 
 /// All tenants of a configuration.
 #[derive(Clone, Debug, Default)]
 pub struct TenantTable {
-    /// The tenants, as listed.
+    /// The tenants, in the order of the configuration.
     pub tenants: Vec<Tenant>,
-    /// By the first bytes of its digest: each key that is in force, with the index of its tenant.
+    /// Every tenant key in force, as a digest with the index of its tenant, by the first bytes of the digest.
     keys: HashMap<[u8; PREFIX_BYTES], Vec<(blake3::Hash, usize)>>,
 }
 
 impl TenantTable {
-    /// Reads the tenants; `None` where the configuration has no key `customers`, and so asks for no keys of anybody.
+    /// Reads the tenants; `None` if the configuration has no key `customers`, in which case no request needs a tenant's key.
     pub(crate) fn from_root(root: Section) -> Option<TenantTable> {
         if !root.has("customers") {
             return None;
@@ -46,7 +46,7 @@
         for (index, section) in root.sections("customers", MAX_ENTRIES).into_iter().enumerate() {
             let tenant = Tenant::from_section(section);
             let earlier = indices.insert(Arc::clone(&tenant.name), index);
-            // An empty name is a fault already.
+            // An empty tenant name was already reported as a fault.
             if let Some(first) = earlier.filter(|_| !tenant.name.is_empty()) {
                 let name = values::quoted(&tenant.name);
                 section.fault("name", FaultReason::DuplicateTenant { name, first });
@@ -63,7 +63,7 @@
         let digest = blake3::hash(key.as_bytes());
         let alike = self.keys.entry(prefix(&digest)).or_default();
         match alike.iter().find(|(other, _)| *other == digest) {
-            // Named by the tenant that has it: the key itself is told nobody.
+            // The fault names the tenant that has the key, because the key itself must not be disclosed.
             Some((_, first)) if *first != tenant => {
                 section.fault("api_keys", FaultReason::SharedKey { first: *first });
             }
@@ -72,16 +72,16 @@
         }
     }
 
-    /// The tenant whose key this is.
+    /// Returns the tenant to which a key belongs.
     pub fn tenant_of(&self, key: &str) -> Option<&Tenant> {
         let digest = blake3::hash(key.as_bytes());
         let alike = self.keys.get(&prefix(&digest))?;
-        // `blake3::Hash` compares in constant time.
+        // `blake3::Hash` compares digests in constant time.
         let (_, tenant) = alike.iter().find(|(other, _)| *other == digest)?;
         self.tenants.get(*tenant)
     }
 
-    /// How many keys are in force.
+    /// Returns the number of tenant keys in force.
     pub fn key_count(&self) -> usize {
         self.keys.values().map(Vec::len).sum()
     }
--- a/crates/config/src/time_bounds.rs
+++ b/crates/config/src/time_bounds.rs
@@ -1,9 +1,9 @@
-//! The bounds that the deployment promises its users, from the key `bounds` of a settings file.
+//! The time bounds guaranteed to users of the deployment, from the key `bounds` of a settings file.
 
 use crate::section::Section;
 
-/// The bounds of the deployment's guarantees. Spans of time are in ms, whatever unit their key has. Most of them are read and
-/// checked for the sake of the file alone; those that a process acts on say what for.
+/// Time bounds of the deployment's guarantees. Durations are in ms, whatever the unit of their key. Most of the bounds are only
+/// read and checked; the fields that a process acts on describe what it does with them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimeBounds {
     /// The key `seed_lag_s`.
@@ -18,7 +18,7 @@
     pub catch_up_ms: u64,
     /// The key `drain_ms`.
     pub drain_ms: u64,
-    /// A process that is told to end is killed after this time: its graceful shutdown ends a little earlier.
+    /// Time after which a process that was asked to end is killed; its graceful shutdown ends a little earlier.
     pub shutdown_grace_ms: u64,
     /// The key `loss_slack_ms`.
     pub loss_slack_ms: u64,
@@ -32,7 +32,7 @@
     pub recovery_ms: u64,
     /// The key `done_within_s`.
     pub done_within_ms: u64,
-    /// For so long after its end a request's status can be asked for.
+    /// Time for which the status of a request can be queried after the request has ended.
     pub status_retention_ms: u64,
     /// The key `callback_timeout_s`.
     pub callback_timeout_ms: u64,
@@ -40,21 +40,22 @@
     pub visible_ms: u64,
     /// The key `early_slack_ms`.
     pub early_slack_ms: u64,
-    /// The window over which a service's rate limit is measured.
+    /// Length of the window over which a service's rate limit is measured.
     pub rate_limit_window_ms: u64,
-    /// The factor by which a service's rate limit may be exceeded within a window.
+    /// Factor by which a service's rate limit may be exceeded within a window.
     pub rate_limit_overrun: f64,
-    /// A key that was taken away is refused by every edge, also by one that is cut off from the control nodes.
+    /// Whether every edge, even one partitioned from the control nodes, rejects a tenant key that was removed from the
+    /// configuration.
     pub revokes_everywhere: bool,
-    /// Within this time after the acknowledgement of the configuration that took it away.
+    /// Time within which a removed tenant key is rejected, counted from the acknowledgement of the configuration that removed it.
     pub revoke_ms: u64,
-    /// For so long after it was first sent, an idempotency key stands for its first message.
+    /// Time for which an idempotency key refers to its first message, counted from the first sending.
     pub idempotency_window_ms: u64,
-    /// The window over which a tenant's rate limit is measured.
+    /// Length of the window over which a tenant's rate limit is measured.
     pub quota_window_ms: u64,
-    /// The part by which a tenant's rate limit may be exceeded within a window; 0.1 is a tenth.
+    /// Fraction by which a tenant's rate limit may be exceeded within a window; 0.1 is a tenth.
     pub quota_overrun: f64,
-    /// Messages by which it may be exceeded besides.
+    /// Number of messages by which a tenant's rate limit may be exceeded in addition to the fraction.
     pub quota_slack: u64,
 }
 
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -1,24 +1,26 @@
-//! Conversion of single JSON values; `None` where a value does not have the type or the range asked for.
+//! Conversion of single JSON values; `None` if a value does not have the required type or range.
 
 use jzon::JsonValue;
 use std::net::SocketAddrV4;
 
-/// Longest span of time in ms, thirty years: far from where sums of times would overflow.
+/// Maximum duration in ms, thirty years: far below values whose sums would overflow.
 const MAX_DURATION_MS: f64 = 1e12;
-/// Most characters of a text that a fault quotes: long ones in many faults would outweigh the process.
+/// Maximum number of characters of a text that a fault quotes: long quotes in many faults would take more memory than the rest of
+/// the process.
 const MAX_QUOTED_CHARACTERS: usize = 40;
 
-/// Text that is not empty.
+/// Converts a text that must not be empty.
 pub fn text(value: &JsonValue) -> Option<String> {
     value.as_str().filter(|text| !text.is_empty()).map(str::to_string)
 }
 
-/// A list, if all of it can be read.
+/// Converts a list; `None` if any of its elements cannot be converted.
 pub fn list<T>(value: &JsonValue, read: impl Fn(&JsonValue) -> Option<T>) -> Option<Vec<T>> {
     value.as_array()?.iter().map(read).collect()
 }
 
-/// A whole number from 0 up, however it is written: 70, 70.0 and 7e1 are the same. `None` where `jzon` may have dropped digits.
+/// Converts a whole number of at least 0 in any notation: 70, 70.0 and 7e1 are the same. `None` if `jzon` may have dropped
+/// digits.
 pub fn unsigned(value: &JsonValue) -> Option<u64> {
     let (is_positive, mut mantissa, mut exponent) = value.as_number()?.as_parts();
     if mantissa == 0 {
@@ -34,7 +36,7 @@
     mantissa.checked_mul(scale)
 }
 
-/// A whole number of either sign.
+/// Converts a whole number of either sign.
 pub fn signed(value: &JsonValue) -> Option<i64> {
     let number = value.as_number()?;
     if number.is_sign_positive() {
@@ -43,27 +45,27 @@
     0i64.checked_sub_unsigned(unsigned(&JsonValue::Number(-number))?)
 }
 
-/// A finite number from 0 up.
+/// Converts a finite number of at least 0.
 pub fn non_negative(value: &JsonValue) -> Option<f64> {
     let number = value.as_number()?;
-    // Zero times ten to the thousandth is zero, but not a number to the conversion.
+    // Zero with an exponent of a thousand is zero, but the conversion of `jzon` does not return a number for it.
     let float = if number.is_zero() { 0.0 } else { f64::from(number) };
     (float.is_finite() && float >= 0.0).then_some(float)
 }
 
-/// A span of time in whole ms, of a value in units of `unit_ms`. It is rounded, but only zero becomes zero.
+/// Converts a value in units of `unit_ms` to a duration in whole ms. The result is rounded, but only zero becomes 0 ms.
 pub fn duration_ms(value: &JsonValue, unit_ms: f64) -> Option<u64> {
     let duration_ms = non_negative(value)? * unit_ms;
     let least = u64::from(!value.as_number()?.is_zero());
     (duration_ms <= MAX_DURATION_MS).then_some((duration_ms.round() as u64).max(least))
 }
 
-/// An address that can be connected to; one with port 0 cannot.
+/// Converts a network address to connect to; port 0 is rejected.
 pub fn address(value: &JsonValue) -> Option<SocketAddrV4> {
     value.as_str()?.parse().ok().filter(|address: &SocketAddrV4| address.port() != 0)
 }
 
-/// A value in a few words, however large it is.
+/// Describes a value in a few words, however large the value is.
 pub fn describe(value: &JsonValue) -> String {
     match value {
         JsonValue::Object(_) => "an object".into(),
@@ -75,7 +77,7 @@
     }
 }
 
-/// The beginning of a text, in quotes and with its control characters escaped.
+/// Returns the beginning of a text, in quotes and with control characters escaped.
 pub fn quoted(text: &str) -> String {
     format!("{:?}", text.chars().take(MAX_QUOTED_CHARACTERS).collect::<String>())
 }
--- a/crates/config/tests/accepted_keys.rs
+++ b/crates/config/tests/accepted_keys.rs
@@ -147,7 +147,7 @@
 
 #[test]
 fn forms_of_a_setting_that_are_accepted() {
-    // The value of `key` in the least settings, and whether it is the same as `of` is.
+    // Each case: two JSON members; each is added to the minimal settings, and both must give the same settings.
     let with = |more: &str| {
         NodeSettings::parse("node.json", &LEAST_SETTINGS.replacen('{', &format!("{{{more},"), 1))
     };
@@ -164,7 +164,7 @@
     for (one, other) in same {
         let (read, as_other) = (with(one), with(other));
         assert!(read.is_ok(), "{one}: {read:?}");
-        // Which keys are unread differs with the text, and is pinned in unread_keys.rs.
+        // The set of unread keys differs with the text and is tested in unread_keys.rs.
         let values = |settings| NodeSettings { unread_keys: Vec::new(), ..settings };
         assert_eq!(read.map(values), as_other.map(values), "{one} {other}");
     }
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations: what is read, what is refused, and that no bytes bring it down.
+//! Configurations: which are accepted, which are rejected, and that no input bytes cause a panic.
 
 use assert_matches::assert_matches;
 use stileroute_config::{Config, HttpLimits, RouteKind};
@@ -14,7 +14,7 @@
  {"name":"barge","health_path":"/well","max_conns":9,"rate_per_s":2.5,"self_dedupe":true,"pull":true,"endpoint":null},
  {"name":"crane","endpoint":"10.9.8.7:8099"}],"limits":{"max_body_bytes":5000}}"#;
 
-/// The keys and reasons of what is refused, one line each; empty where it is taken.
+/// Returns the keys and reasons of the faults of a configuration, one line each; empty if the configuration is accepted.
 fn faults(body: impl AsRef<[u8]>) -> String {
     Config::parse(body.as_ref()).err().map(|faults| faults.to_string()).unwrap_or_default()
 }
@@ -68,7 +68,7 @@
     for (host, path, route) in rows {
         assert_eq!(config.route(host, path), route, "{host} {path}");
     }
-    // Every path of a few letters, against looking at every route.
+    // Compares the route table with a linear search of all routes, for every path of a few letters.
     let routes: Vec<String> =
         (0..64).filter(|n| n % 3 > 0).map(|n| format!("{n:b}").replace('0', "/")).collect();
     let rest = r#""hostname":"h","route_type":"deferred","timeout_ms":1,"target_ms":1,"backend":"s""#;
@@ -86,7 +86,7 @@
 
 #[test]
 fn what_is_wrong_is_refused_by_its_key() {
-    // What is replaced by what, and the key and the reason that are then reported.
+    // Each case: the text to replace, its replacement, and the key and reason of the fault that is reported.
     let rows = [
         ("\"revision\":12,", "", "revision: missing"),
         (":12,", ":-1,", "revision: must be a whole number from 0 up, is -1.0"),
@@ -159,7 +159,7 @@
     let many = COMPLETE.replace("1500", "0").replace(":12,", ":-1,").replace("8099", "no\\nline");
     let expected = faults(many);
     assert_eq!(expected.lines().count(), 3, "{expected}");
-    // What follows from a fault is reported too.
+    // Faults that follow from another fault are reported too.
     let expected = faults(COMPLETE.replace("\"backends\":[", "\"backends\":{},\"b\":["));
     assert!(expected.starts_with("configuration: backends: must be a list, is an object\n"), "{expected}");
     assert_eq!(expected.lines().count(), 4, "{expected}");
--- a/crates/config/tests/fault_texts.rs
+++ b/crates/config/tests/fault_texts.rs
@@ -6,7 +6,7 @@
 const SETTINGS: &str = r#"{"node_name":"gate-3","role":"keeper","machine_class":"stone","ip":"10.9.0.3","zone":"weir-a",
  "region":"weir","internal_ports":[7100,7115]}"#;
 
-/// The faults of the settings with these keys added, which hide those of the same name before them.
+/// Returns the faults of the minimal settings with these keys added; an added key hides an earlier key of the same name.
 fn settings_with(more: &str) -> String {
     let text = SETTINGS.replace("[7100,7115]}", &format!("[7100,7115],{more}}}"));
     NodeSettings::parse("node.json", &text).map(|_| String::new()).unwrap_or_else(|faults| faults.to_string())
@@ -16,7 +16,7 @@
     Config::parse(body.as_bytes()).map(|_| String::new()).unwrap_or_else(|faults| faults.to_string())
 }
 
-/// A key with a value that is refused, and the whole text of the fault.
+/// A test case: a key with a value that is rejected, and the complete text of the fault.
 const WRONG_SETTINGS: &[(&str, &str)] = &[
         (r#""node_name":"""#, r#"node.json: node_name: must be text that is not empty, is """#),
         (r#""role":7"#, "node.json: role: must be text that is not empty, is 7.0"),
--- a/crates/config/tests/node_settings.rs
+++ b/crates/config/tests/node_settings.rs
@@ -1,4 +1,4 @@
-//! Settings files.
+//! Settings files: parsing, defaults, rejected values, and the failure domains derived from them.
 
 use assert_matches::assert_matches;
 use miette::Diagnostic;
@@ -89,7 +89,7 @@
 #[test]
 fn distances_and_tolerated_losses() {
     let boot = NodeSettings::parse("node.json", COMPLETE).unwrap();
-    // Zones in order: dune-a, weir-a (the own one), weir-b.
+    // Zones in sorted order: dune-a, weir-a (this machine's own zone), weir-b.
     assert_eq!(boot.region_numbers(), [0, 1, 1]);
     assert_eq!(
         ["weir-a", "weir-b", "dune-a", "unknown"].map(|zone| boot.distance_to(zone)),
--- a/crates/config/tests/tenants.rs
+++ b/crates/config/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants of a configuration: whose a key is, what is refused, and that no key is ever printed.
+//! Tenants of a configuration: look-up by key, rejected values, and that no key is ever printed.
 
 use stileroute_config::Config;
 
@@ -85,6 +85,6 @@
 fn nothing_that_prints_a_configuration_prints_a_key() {
     let printed = format!("{:?}", parse(TWO).unwrap());
     assert!(printed.contains("ferry"), "{printed}");
-    // Neither as text nor byte by byte.
+    // The key must not be printed as text, nor as a list of byte values.
     assert!(!printed.contains("secret") && !printed.contains("115, 101, 99, 114, 101, 116"), "{printed}");
 }
--- a/crates/config/tests/unread_keys.rs
+++ b/crates/config/tests/unread_keys.rs
@@ -1,4 +1,4 @@
-//! Keys that nobody reads are named, once each, wherever they stand.
+//! Keys that no code reads are reported once each, at any place in the text.
 
 use stileroute_config::{Config, NodeSettings};
 
--- a/crates/http1/src/chunked.rs
+++ b/crates/http1/src/chunked.rs
@@ -1,21 +1,21 @@
-//! Decoder of the chunked transfer coding (RFC 9112, section 7.1), for bodies that arrive in pieces of any size.
+//! Decoder of the chunked transfer coding (RFC 9112, section 7.1), for bodies that arrive in segments of any size.
 
 use crate::MAX_HEAD_BYTES;
 
-/// Most hex digits of a chunk's size.
+/// Maximum number of hex digits of a chunk size.
 const MAX_SIZE_DIGITS: usize = 8;
-/// Longest chunk extension that is skipped, in bytes.
+/// Maximum length of a chunk extension that is skipped, in bytes.
 const MAX_EXTENSION_BYTES: usize = 256;
-/// Longest trailer section that is skipped, in bytes without line endings.
+/// Maximum length of a trailer section that is skipped, in bytes without line endings.
 const MAX_TRAILER_BYTES: usize = MAX_HEAD_BYTES;
 
-/// Why a chunked body is refused.
+/// Reason for which a chunked body is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChunkError {
-    /// A chunk's size is not one to eight bare hex digits.
+    /// A chunk size is not one to eight hex digits without prefix or whitespace.
     #[error("a chunk's size is malformed")]
     InvalidSize,
-    /// A line does not end in CR LF, or a chunk has more bytes than its size.
+    /// A line does not end in CR LF, or a chunk has more bytes than its declared size.
     #[error("a line does not end in CR LF")]
     InvalidLineEnding,
     /// A chunk extension is longer than 256 bytes.
@@ -26,42 +26,43 @@
     TrailerTooLong,
 }
 
-/// Where in the grammar the next byte belongs.
+/// Position of the next byte in the grammar of the chunked coding.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// In a chunk's size.
+    /// The next byte belongs to a chunk size.
     Size { digits: usize },
-    /// In a chunk extension, which is skipped: none has a meaning here.
+    /// The next byte belongs to a chunk extension. Extensions are skipped, because none has a meaning for this program.
     Extension { length: usize },
-    /// After the CR that ends a size or an extension.
+    /// The next byte follows the CR that ends a chunk size or extension.
     SizeLineFeed,
-    /// In a chunk's data.
+    /// The next byte belongs to the data of a chunk.
     Data,
-    /// After the last byte of a chunk's data.
+    /// The next byte follows the last byte of a chunk's data.
     DataCarriageReturn,
-    /// After the CR behind a chunk's data.
+    /// The next byte follows the CR after a chunk's data.
     DataLineFeed,
-    /// In the trailer section, which is skipped; its length so far without line endings.
+    /// The next byte belongs to the trailer section, which is skipped. Holds the length of the section so far, without line
+    /// endings.
     Trailer { length: usize, line: Line },
-    /// After a CR in the trailer section.
+    /// The next byte follows a CR in the trailer section.
     TrailerLineFeed { length: usize, line: Line },
-    /// After the empty line that ends the body.
+    /// The next byte follows the empty line that ends the body.
     Done,
 }
 
-/// Whether the present line of the trailer section holds anything: an empty one ends the body.
+/// Whether the current line of the trailer section has content: an empty line ends the body.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Line {
     Empty,
     Filled,
 }
 
-/// Removes the chunk framing from a body. Sizes are bare hex digits and lines end in CR LF; looser readings, which the grammar
-/// does not allow but other programs take, are refused.
+/// Removes the chunk framing from a body. Chunk sizes must be hex digits alone and lines must end in CR LF. Looser forms, which
+/// the grammar does not allow but other programs accept, are rejected.
 #[derive(Debug)]
 pub struct ChunkedDecoder {
     state: State,
-    /// The size of the present chunk as far as it was read, then how many of its bytes are still to come.
+    /// While a chunk size is read: its value so far. While chunk data is read: the number of bytes that remain in the chunk.
     remaining: usize,
 }
 
@@ -72,18 +73,18 @@
 }
 
 impl ChunkedDecoder {
-    /// Whether the body has ended.
+    /// Whether the end of the body was reached.
     pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
-    /// Decodes the next bytes of the body and gives its content to `output`, in pieces. Returns how many bytes were used: fewer
-    /// than all only after the end of the body.
+    /// Decodes the next bytes of the body and passes its content to `output`, in one or more segments. Returns the number of
+    /// bytes consumed, which is less than the input only after the end of the body.
     ///
     /// # Errors
     ///
-    /// Where the bytes are not in the coding. Content before the fault was given out already; the decoder and the connection
-    /// can't be used further.
+    /// The bytes are not in the chunked coding. Content before the fault was already passed to `output`; the decoder and the
+    /// connection can't be used any longer.
     pub fn decode(&mut self, bytes: &[u8], mut output: impl FnMut(&[u8])) -> Result<usize, ChunkError> {
         let mut used = 0;
         while used < bytes.len() && !self.is_done() {
@@ -107,7 +108,7 @@
         }
     }
 
-    /// The state after a byte that is no chunk data.
+    /// Returns the state that follows a byte outside chunk data.
     fn next_state(&mut self, byte: u8) -> Result<State, ChunkError> {
         match (self.state, byte) {
             (State::Size { digits: 1.. }, b'\r') => Ok(State::SizeLineFeed),
--- a/crates/http1/src/framing.rs
+++ b/crates/http1/src/framing.rs
@@ -1,4 +1,4 @@
-//! Where the body of a message ends, as its head declares it (RFC 9112, section 6).
+//! Determines the end of a message body from its head (RFC 9112, section 6).
 
 use crate::headers::{header_value, is_decimal, is_present, is_repeated};
 use httparse::Header;
@@ -6,52 +6,52 @@
 const CONTENT_LENGTH: &str = "Content-Length";
 const TRANSFER_ENCODING: &str = "Transfer-Encoding";
 
-/// The minor version that `httparse` gives for HTTP/1.1.
+/// Minor version that `httparse` reports for HTTP/1.1.
 const HTTP_1_1: Option<u8> = Some(1);
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Framing {
-    /// The body has just so many bytes; a reader may count down what is still to come.
+    /// The body has exactly this many bytes; a reader may use the value to count down the bytes that remain.
     Length(usize),
     /// The body is in the chunked transfer coding: see [`ChunkedDecoder`](crate::ChunkedDecoder).
     Chunked,
-    /// The body ends as the connection does; only a response may be framed so.
+    /// The body ends when the connection closes; only a response may be framed in this way.
     UntilClose,
 }
 
-/// Why the framing that a head declares is refused.
+/// Reason for which the framing declared in a head is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FramingError {
-    /// More than one `Content-Length`, even with the same value.
+    /// The head has more than one `Content-Length`, even with the same value.
     #[error("Content-Length is given more than once")]
     RepeatedLength,
     /// `Content-Length` is not one decimal number that fits a `usize`.
     #[error("Content-Length is not a number")]
     InvalidLength,
-    /// Both `Content-Length` and `Transfer-Encoding`: the classic ambiguity behind request smuggling.
+    /// The head has both `Content-Length` and `Transfer-Encoding`: the classic ambiguity behind request smuggling.
     #[error("Content-Length and Transfer-Encoding are both given")]
     LengthAndCoding,
-    /// More than one `Transfer-Encoding`.
+    /// The head has more than one `Transfer-Encoding`.
     #[error("Transfer-Encoding is given more than once")]
     RepeatedCoding,
     /// `Transfer-Encoding` is not `chunked` alone.
     #[error("Transfer-Encoding is not chunked")]
     UnsupportedCoding,
-    /// `Transfer-Encoding` in a message that is not HTTP/1.1, whose readers may not know it.
+    /// `Transfer-Encoding` is in a message that is not HTTP/1.1; recipients of other versions may not know the field.
     #[error("Transfer-Encoding needs HTTP/1.1")]
     CodingBeforeHttp11,
 }
 
-/// The framing that a head declares; `None` where it declares none. Then a request has no body, and a response that may have
-/// one is framed by the end of its connection (RFC 9112, section 6.3).
+/// Returns the body framing that a head declares; `None` if it declares none. Without declared framing a request has no body, and
+/// a response that may have a body is framed by the end of its connection (RFC 9112, section 6.3).
 ///
-/// `version` is the minor version, as `httparse` gives it.
+/// `version` is the minor version of HTTP, as reported by `httparse`.
 ///
 /// # Errors
 ///
-/// Where the head could be read in more than one way. This is stricter than RFC 9112, which lets a recipient accept repeated
-/// equal lengths, or prefer the coding over the length.
+/// The framing declared in the head is ambiguous. This is stricter than RFC 9112, which lets a recipient accept repeated equal
+/// lengths, or prefer the transfer coding over the length.
 pub fn body_framing(headers: &[Header], version: Option<u8>) -> Result<Option<Framing>, FramingError> {
     match (is_present(headers, CONTENT_LENGTH), is_present(headers, TRANSFER_ENCODING)) {
         (false, false) => Ok(None),
--- a/crates/http1/src/response.rs
+++ b/crates/http1/src/response.rs
@@ -1,56 +1,58 @@
-//! Reader of responses that are only of use when complete, as the list that a discovery service answers with.
+//! Reader of responses that are useful only when complete, such as the endpoint list of a discovery service.
 
 use crate::chunked::{ChunkError, ChunkedDecoder};
 use crate::framing::{body_framing, Framing, FramingError};
 use crate::headers::has_token;
 use crate::MAX_HEADERS;
 
-/// Longest response that is collected, in bytes: the list of a large fleet, at a few hundred bytes an executor.
+/// Maximum length of a response that is collected, in bytes: enough for the endpoint list of a large fleet, at a few hundred
+/// bytes per executor.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// A complete response.
+/// A complete HTTP response.
 #[derive(Debug, PartialEq)]
 pub struct Response {
-    /// The status code.
+    /// HTTP status code of the response.
     pub status: u16,
-    /// The content, without any chunk framing.
+    /// Content of the response, without chunk framing.
     pub body: Vec<u8>,
-    /// The server closes the connection after it (RFC 9112, section 9.6), so that no further request can be sent.
+    /// Whether the server closes the connection after the response (RFC 9112, section 9.6), so that no further request can be
+    /// sent.
     pub closes_connection: bool,
 }
 
-/// Why a response is refused.
+/// Reason for which a response is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ResponseError {
-    /// It is longer than 4 MiB.
+    /// The response is longer than 4 MiB.
     #[error("answer too large")]
     TooLarge,
-    /// Its head is malformed, or has too many header fields.
+    /// The response head is malformed, or has too many header fields.
     #[error(transparent)]
     MalformedHead(#[from] httparse::Error),
-    /// Its head declares neither a length nor the chunked coding.
+    /// The response head declares neither a length nor the chunked coding.
     #[error("answer has no length")]
     Unframed,
-    /// Its head declares a framing that can be read in more than one way.
+    /// The framing declared in the response head is ambiguous.
     #[error("answer has no length")]
     AmbiguousFraming(#[from] FramingError),
-    /// Its body is not in the chunked coding that the head declares.
+    /// The response body is not in the chunked coding that its head declares.
     #[error("chunks are malformed")]
     MalformedChunks(#[from] ChunkError),
 }
 
-/// Collects the bytes of one response. Each call parses from the start again: such responses are rare and come in few pieces.
+/// Collects the bytes of one response. Each call parses from the start again: such responses are rare and arrive in few segments.
 #[derive(Default)]
 pub struct ResponseReader {
     received: Vec<u8>,
 }
 
 impl ResponseReader {
-    /// Adds bytes that have arrived; returns the response as soon as it is complete. Bytes beyond its end are ignored.
+    /// Adds received bytes; returns the response as soon as it is complete. Bytes beyond the end of the response are ignored.
     ///
     /// # Errors
     ///
-    /// Where the response is too large, malformed, or without a length that can be relied on.
+    /// The response is too large or malformed, or does not declare an unambiguous length.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Response>, ResponseError> {
         self.received.extend_from_slice(bytes);
         if self.received.len() > MAX_RESPONSE_BYTES {
@@ -73,7 +75,7 @@
     }
 }
 
-/// The content of a chunked body; `None` if its end has not arrived.
+/// Returns the content of a chunked body; `None` if the end of the body has not arrived.
 fn decode_chunks(bytes: &[u8]) -> Result<Option<Vec<u8>>, ChunkError> {
     let (mut decoder, mut body) = (ChunkedDecoder::default(), Vec::new());
     decoder.decode(bytes, |part| body.extend_from_slice(part))?;
--- a/crates/http1/tests/http1.rs
+++ b/crates/http1/tests/http1.rs
@@ -1,8 +1,8 @@
-//! Tables of heads, chunked bodies and answers: what is accepted, what is refused, and with what text.
+//! Tables of heads, chunked bodies and responses: which are accepted, which are rejected, and the text of each error.
 
 use stileroute_http1::*;
 
-/// The framing of a request head; `Err` where it is ambiguous or malformed.
+/// Returns the framing of a request head; `Err` if the framing is ambiguous or malformed.
 fn framing_of(head: &str) -> Result<Option<Framing>, FramingError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -110,7 +110,7 @@
     }
 }
 
-/// The body, whether it is at its end, and how many bytes were used.
+/// Returns the decoded body, whether its end was reached, and the number of bytes consumed.
 fn unchunk(parts: &[&[u8]]) -> Result<(String, bool, usize), ChunkError> {
     let (mut decoder, mut body, mut used) = (ChunkedDecoder::default(), Vec::new(), 0);
     for part in parts {
@@ -186,7 +186,7 @@
     }
 }
 
-/// What becomes of an answer that comes in one piece.
+/// Parses a response that arrives in one segment.
 fn read(text: &str) -> Result<Option<Response>, ResponseError> {
     ResponseReader::default().feed(text.as_bytes())
 }
