--- a/crates/gossip/src/detector.rs
+++ b/crates/gossip/src/detector.rs
@@ -1,6 +1,6 @@
-//! The failure detector and the dissemination of updates: probes, directly and by way of others, suspicions that the suspected
-//! member can refute, and updates that ride on every message. Each instance sends and receives about as much, however many
-//! there are.
+//! The failure detector and the dissemination of updates: direct and indirect probes, suspicions that the suspected member can
+//! refute, and updates piggybacked on every message. The traffic of each instance is about the same, however many instances there
+//! are.
 
 mod dissemination;
 mod probing;
@@ -23,68 +23,68 @@
 use std::net::SocketAddrV4;
 use suspicions::Suspicion;
 
-/// The worse this instance receives, the longer it waits before it holds silence against others (Lifeguard's local health
-/// multiplier); at most by so much.
+/// Maximum health penalty. The worse this instance receives messages, the longer it waits before it treats the silence of another
+/// member as a failure (Lifeguard's local health multiplier).
 const MAX_HEALTH_PENALTY: usize = 8;
-/// A member that seems dead is probed again so often, in case only the network between was at fault.
+/// Interval at which a member that seems dead is probed again, in case only the network between the two was at fault.
 const RECONNECT_INTERVAL: Time = 5 * SECOND;
-/// All that another member holds is requested so often for every [`SYNC_FLEET_SIZE`] members, so that it costs the same in a large
-/// fleet; more often after a start, and after this instance was held dead.
+/// Interval at which the complete table of another member is requested, for every [`SYNC_FLEET_SIZE`] members, so that the
+/// traffic is the same in a large fleet. The interval is shorter after a start and after this instance was declared dead.
 const SYNC_INTERVAL: Time = 30 * SECOND;
 const SYNC_FLEET_SIZE: f64 = 50.0;
-/// A member that leaves tells at least so many others itself: a small fleet is told at once, and in a large one whoever probes it
-/// meanwhile is likely to ask somebody who was told.
-const DEPARTURE_RECEIVERS: usize = 128;
+/// Minimum number of members that a leaving member notifies itself: in a small fleet these are all members, and in a large one
+/// whoever probes the leaving member meanwhile is likely to ask a member that was notified for an indirect probe.
+const MIN_DEPARTURE_RECEIVERS: usize = 128;
 
-/// A message that is to be sent.
+/// An encoded message to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Datagram {
-    /// The recipient.
+    /// Address of the recipient.
     pub to: SocketAddrV4,
     /// The encoded message.
     pub bytes: Vec<u8>,
 }
 
-/// What has happened since the start, for metrics.
+/// Counters since the start of the instance, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counters {
     /// Messages sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of the messages sent.
     pub sent_bytes: u64,
     /// Messages received and processed.
     pub received: u64,
     /// Messages that could not be decoded.
     pub malformed: u64,
-    /// Messages without the key.
+    /// Messages that were not authenticated with the fleet's key.
     pub unauthenticated: u64,
-    /// Messages that had been received before.
+    /// Messages that had already been received.
     pub replayed: u64,
-    /// Suspicions that began here.
+    /// Suspicions that this instance began, after a failed probe.
     pub suspected: u64,
-    /// Suspicions of this instance that it refuted.
+    /// Suspicions of this instance that the instance refuted.
     pub refuted: u64,
     /// Times that this instance was found to have been paused.
     pub pauses: u64,
-    /// Another process that runs has the same identifier.
+    /// Times that another running process was found to have the same identifier.
     pub conflicts: u64,
 }
 
-/// One instance's view of the fleet, and its part in the protocol.
+/// State of the membership protocol in one instance, with its view of the fleet.
 pub struct Detector {
     settings: Settings,
-    /// What this instance announces of itself.
+    /// Entry that this instance announces about itself.
     own: Entry,
     last_number: u64,
     last_seq: u32,
     table: Table,
-    /// The members that are probed next, the first one last.
+    /// Identifiers of the members to probe next, in reverse order: the last one is probed first.
     probe_order: Vec<u64>,
     probe: Option<Probe>,
     relayed_probes: Vec<RelayedProbe>,
     suspicions: BTreeMap<u64, Suspicion>,
     pending_updates: Vec<PendingUpdate>,
-    /// How badly this instance receives: nought is well.
+    /// How badly this instance receives messages; 0 means that it receives them well.
     health_penalty: usize,
     next_probe_at: Time,
     next_reconnect_at: Time,
@@ -92,16 +92,17 @@
     sync_interval: Time,
     last_tick_at: Option<Time>,
     started_at: Option<Time>,
-    /// It has left, or another process has taken its place.
+    /// Whether the instance has stopped, because it left or because another process replaced it.
     pub is_stopped: bool,
     random: Pcg64Mcg,
-    /// For metrics.
+    /// Counters for metrics.
     pub counters: Counters,
 }
 
 impl Detector {
-    /// An instance that knows nobody yet. `incarnation` must be higher than that of the process before, if there was one: Unix
-    /// time is, and where it was set back the instance learns of its former end and refutes it.
+    /// Creates an instance that knows no other member yet. `incarnation` must be higher than that of the previous process, if
+    /// there was one. Unix time normally is; if the clock was set back, the instance learns from others that its previous
+    /// incarnation was declared dead and refutes that.
     pub fn new(
         id: u64,
         incarnation: u64,
@@ -135,22 +136,22 @@
         }
     }
 
-    /// What this instance announces of itself.
+    /// Returns the entry that this instance announces about itself.
     pub fn own(&self) -> &Entry {
         &self.own
     }
 
-    /// All other members that are known.
+    /// Returns all other members known to this instance.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.table.members.values()
     }
 
-    /// How many members there are, this instance among them.
+    /// Counts the members, including this instance.
     pub fn count(&self, now: Time) -> MemberCount {
         self.table.count(now, self.own.domain)
     }
 
-    /// How many are alive, this instance among them.
+    /// Returns the number of members that are alive or suspect, including this instance.
     fn fleet_size(&self) -> f64 {
         1.0 + self.table.alive_count() as f64
     }
@@ -159,7 +160,7 @@
         self.table.alive_count() == 0
     }
 
-    /// A time-out, longer while this instance receives badly.
+    /// Returns a time-out extended by the health penalty: it is longer while this instance receives messages badly.
     fn with_health_penalty(&self, time: Time) -> Time {
         time * (1 + self.health_penalty as Time)
     }
@@ -177,7 +178,7 @@
         self.last_seq
     }
 
-    /// Some members that are alive, without those `excluded`.
+    /// Returns up to `count` random members that are alive and not in `excluded`.
     fn sample_alive(&mut self, count: usize, excluded: &[u64]) -> Vec<(u64, SocketAddrV4)> {
         let is_eligible =
             |member: &&Member| member.entry.state == State::Alive && !excluded.contains(&member.entry.id);
@@ -187,7 +188,8 @@
         eligible.sample(&mut self.random, count).copied().collect()
     }
 
-    /// Seeds that start at the same moment may not receive yet: until one has answered they are asked often.
+    /// Returns the interval between requests to seeds. Seeds that start at the same moment may not receive yet, so they are asked
+    /// at the short startup interval until one has answered.
     fn reconnect_interval(&self) -> Time {
         if self.is_alone() {
             self.settings.startup_interval()
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Does what is due. To be called at least ten times in each probe interval.
+    /// Performs all actions that are due. Must be called at least ten times in each probe interval.
     pub fn tick(&mut self, now: Time) -> Vec<Datagram> {
         let mut datagrams = Vec::new();
         if self.is_stopped {
@@ -221,8 +223,8 @@
         datagrams
     }
 
-    /// Far more time has passed since the last tick than should have: this instance was paused, and has received nothing. That
-    /// says nothing of the others, so all time-outs are put off by as much.
+    /// Detects that this instance was paused, and so received no messages: far more time has passed since the last tick than
+    /// should have. The pause says nothing about the other members, so all time-outs are extended by its length.
     fn notice_pause(&mut self, now: Time) {
         let gap = self.last_tick_at.map_or(0, |last| now - last);
         self.last_tick_at = Some(now);
@@ -236,7 +238,8 @@
         self.relayed_probes.clear();
     }
 
-    /// Requests all that one other member holds, and forgets members that are long gone. While nobody else is known the request stays due.
+    /// Requests the complete table of another member, and removes members that have been dead or gone for longer than the
+    /// retention. The request stays due while no other member is known.
     fn synchronize(&mut self, now: Time, datagrams: &mut Vec<Datagram>) {
         self.table.remove_expired(now);
         let Some((_, address)) = self.sample_alive(1, &[]).pop() else { return };
@@ -246,12 +249,12 @@
         self.send(datagrams, address, Kind::Sync { from: 0 }, vec![self.own]);
     }
 
-    /// Announces its own end to some members, which tell the others. Nothing is sent after that.
+    /// Announces to some members that this instance leaves; they forward the update to the others. Nothing is sent after that.
     pub fn leave(&mut self) -> Vec<Datagram> {
         let mut datagrams = Vec::new();
         if !self.is_stopped {
             let own = Entry { state: State::Left, ..self.own };
-            let receivers = self.sample_alive(self.transmission_limit().max(DEPARTURE_RECEIVERS), &[]);
+            let receivers = self.sample_alive(self.transmission_limit().max(MIN_DEPARTURE_RECEIVERS), &[]);
             for (_, address) in receivers {
                 self.send(&mut datagrams, address, Kind::Members { next: 0 }, vec![own]);
             }
--- a/crates/gossip/src/detector/probing.rs
+++ b/crates/gossip/src/detector/probing.rs
@@ -1,4 +1,4 @@
-//! Probes: one member in each interval, directly and then by way of others; and probes on behalf of others.
+//! Probes: one member in each interval, directly and then indirectly through other members; and probes relayed for other members.
 
 use super::{Datagram, Detector};
 use crate::member::{Entry, Evidence, Member, State};
@@ -7,44 +7,44 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 use std::net::SocketAddrV4;
 
-/// Most probes that are under way on behalf of others.
+/// Maximum number of probes in flight on behalf of other members.
 const MAX_RELAYED_PROBES: usize = 64;
-/// Listed seeds that are asked at a time, while this instance knows nobody and otherwise.
+/// Number of seeds asked at a time: the first value applies while this instance knows no other member, the second otherwise.
 const SEEDS_ASKED_ALONE: usize = 3;
 const SEEDS_ASKED: usize = 1;
 
-/// The probe that is under way.
+/// The probe in flight.
 pub(super) struct Probe {
-    /// The member that is probed.
+    /// Identifier of the probed member.
     pub id: u64,
-    /// Names the answer.
+    /// Sequence number that the answer to the probe repeats.
     pub seq: u32,
-    /// When other members are asked to probe it.
+    /// Time at which other members are asked to probe the member.
     ask_others_at: Time,
-    /// When it has failed.
+    /// Time at which the probe fails without an answer.
     fails_at: Time,
-    /// Others were asked.
+    /// Whether other members were asked to probe the member.
     pub were_others_asked: bool,
-    /// How many of those asked have answered that they receive this instance's messages, but not the member's.
+    /// Number of asked members that answered that they receive this instance's messages, but have no answer of the probed member.
     pub nacks: usize,
 }
 
-/// A probe on behalf of another member.
+/// A probe in flight on behalf of another member.
 pub(super) struct RelayedProbe {
-    /// Names the answer to this instance.
+    /// Sequence number that the probed member's answer to this instance repeats.
     pub seq: u32,
-    /// Names the answer to the member that asked.
+    /// Sequence number for the answer to the requesting member.
     pub requested_seq: u32,
-    /// The member that asked.
+    /// Address of the requesting member.
     pub requested_by: SocketAddrV4,
-    /// When that member is told that there is no answer yet; `None` once it was.
+    /// Time at which the requesting member is notified that there is no answer yet; `None` once it was notified.
     nack_at: Option<Time>,
     expires_at: Time,
 }
 
 impl Detector {
-    /// The next member to be probed. Each once in a round, in an order of this instance's own: nobody is left out for long, and no
-    /// two instances probe in step.
+    /// Returns the next member to probe. Each member is probed once in a round, in a random order that differs between instances:
+    /// no member is left out for long, and no two instances probe in step.
     fn next_to_probe(&mut self) -> Option<u64> {
         loop {
             match self.probe_order.pop() {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Begins the next probe, unless one is under way.
+    /// Begins the next probe, unless one is in flight.
     pub(super) fn probe_next(&mut self, now: Time, datagrams: &mut Vec<Datagram>) {
         if self.probe.is_some() {
             return;
@@ -79,12 +79,13 @@
             were_others_asked: false,
             nacks: 0,
         });
-        // A member that is suspected is told so first, so that it can refute that.
+        // A suspected member is notified of the suspicion with the probe, so that it can refute the suspicion.
         let entries = if entry.state == State::Suspect { vec![entry] } else { Vec::new() };
         self.send(datagrams, entry.address, Kind::Ping { seq, id }, entries);
     }
 
-    /// Asks others where the probe has no answer in time, and suspects the member where theirs has none either.
+    /// Asks other members to probe if the direct probe is not answered in time, and suspects the member if the indirect probes
+    /// are not answered either.
     pub(super) fn advance_probe(&mut self, now: Time, datagrams: &mut Vec<Datagram>) {
         let Some(probe) = &mut self.probe else { return };
         let (id, seq) = (probe.id, probe.seq);
@@ -94,8 +95,8 @@
         }
         let Some(probe) = self.probe.take_if(|probe| now >= probe.fails_at) else { return };
         let Some(known) = self.table.members.get(&id).map(|member| member.entry) else { return };
-        // Those asked would have answered that they receive this instance's messages: that they do not either may be the fault of
-        // its own network.
+        // The members asked would have answered that they receive this instance's messages. If fewer than half of them answer
+        // either, this instance's own network may be at fault.
         let asked = self.settings.indirect_probes.min(self.table.members.len().saturating_sub(1));
         if probe.were_others_asked && probe.nacks < asked.div_ceil(2) && asked > 0 {
             self.health_worsened();
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Looks for members that may only have been partitioned, and for seeds that were never heard of.
+    /// Probes a member that is declared dead but may only have been partitioned, and asks seeds that are not known as members.
     pub(super) fn reconnect(&mut self, datagrams: &mut Vec<Datagram>) {
         let is_dead = |member: &&Member| member.entry.state == State::Dead;
         let dead = self.table.members.values().filter(is_dead);
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Probes a member on behalf of another one.
+    /// Probes a member on behalf of another member.
     pub(super) fn relay_probe(
         &mut self,
         now: Time,
@@ -168,13 +169,15 @@
         self.send(datagrams, address, Kind::Ping { seq, id }, Vec::new());
     }
 
-    /// What is known of a member that has left. Whoever asks for a probe of it has not heard, and would suspect it.
+    /// Returns the entry of a member that has left. A member that requests a probe of it has not been notified that it left, and
+    /// would suspect it.
     fn departed(&self, id: u64) -> Option<Entry> {
         let entry = self.table.members.get(&id)?.entry;
         (entry.state == State::Left).then_some(entry)
     }
 
-    /// Answers members whose probe has no answer yet, and forgets probes that nobody waits for any more.
+    /// Notifies the requesting members of relayed probes without an answer so far, and removes relayed probes whose requesters no
+    /// longer wait.
     pub(super) fn expire_relayed_probes(&mut self, now: Time, datagrams: &mut Vec<Datagram>) {
         let mut due = Vec::new();
         for probe in &mut self.relayed_probes {
--- a/crates/gossip/src/detector/receiving.rs
+++ b/crates/gossip/src/detector/receiving.rs
@@ -1,4 +1,5 @@
-//! What a received message leads to: its updates are applied, suspicions of this instance are refuted, and it is answered.
+//! Processing of a received message: its updates are applied, suspicions of this instance are refuted, and the message is
+//! answered.
 
 use super::probing::Probe;
 use super::{Datagram, Detector};
@@ -7,12 +8,12 @@
 use crate::{Time, SECOND};
 use std::net::SocketAddrV4;
 
-/// For so long after its start a process takes one of its name with a later incarnation for the one before it, whose clock was
-/// set back since; from then on for its successor.
+/// Time after the start of a process in which another process with its identifier and a later incarnation is taken for its
+/// predecessor, started before the clock was set back. After this time the other process is taken for its successor.
 const STARTUP_PERIOD: Time = 10 * SECOND;
 
 impl Detector {
-    /// A message has come from an address.
+    /// Processes a message received from an address, and returns the messages to send.
     pub fn receive(&mut self, now: Time, from: SocketAddrV4, bytes: &[u8]) -> Vec<Datagram> {
         let mut datagrams = Vec::new();
         let message = match Message::decode(bytes, self.settings.key.as_ref()) {
@@ -40,7 +41,8 @@
         if let Some(member) = self.table.members.get_mut(&message.from).filter(|_| !was_known) {
             member.accept_number(message.incarnation, message.number);
         }
-        // That a message was received makes nobody a member: only what it announces of itself does, with its address.
+        // Receiving a message does not add its sender to the members; only the sender's own announcement does, because it has the
+        // address.
         self.answer(now, from, &message, &mut datagrams);
         datagrams
     }
@@ -52,7 +54,7 @@
         }
     }
 
-    /// Whether a message of a known member is new.
+    /// Whether a message from a known member is new and not a replay.
     fn accept_number(
         &mut self,
         from: SocketAddrV4,
@@ -64,7 +66,7 @@
             return true;
         }
         self.counters.replayed += 1;
-        // One that was restarted by a clock that was set back has to learn of the incarnation that it had.
+        // A member that was restarted after its clock was set back has to learn the incarnation that it had before.
         let entry = member.entry;
         if message.incarnation < entry.incarnation {
             self.send(datagrams, from, Kind::Members { next: 0 }, vec![entry]);
@@ -72,7 +74,7 @@
         false
     }
 
-    /// Applies an update about a member, which another one has sent.
+    /// Applies an update about a member that was received from `sender`.
     fn apply_update(&mut self, now: Time, entry: Entry, sender: u64) {
         if entry.id == self.own.id {
             return self.apply_update_about_self(now, entry);
@@ -85,17 +87,18 @@
             self.suspicions.remove(&entry.id);
             self.disseminate(entry);
             if entry.state == State::Left {
-                // That it does not answer says nothing about either side's network.
+                // A member that has left does not answer probes, which says nothing about the network of either side.
                 self.probe.take_if(|probe| probe.id == entry.id);
             }
         }
     }
 
-    /// Others hold something of this instance.
+    /// Applies an update about this instance that was received from another member.
     fn apply_update_about_self(&mut self, now: Time, entry: Entry) {
         let is_same = entry.incarnation == self.own.incarnation;
         if entry.incarnation < self.own.incarnation {
-            // Whoever holds an earlier incarnation dead or suspect has not heard of this one.
+            // A member that has an earlier incarnation of this instance as dead or suspect has not been notified of the current
+            // one.
             if entry.state != State::Alive {
                 self.disseminate(self.own);
             }
@@ -105,8 +108,8 @@
             return;
         }
         if entry.state == State::Alive && entry.address != self.own.address {
-            // Another process has this name. One that has just started takes the place of the older; of two that started in the
-            // same moment the lower address gives way.
+            // Another process has the same identifier. A process that has just started replaces the older one; of two that
+            // started at the same moment, the one with the lower address stops.
             let has_just_started = self.started_at.is_none_or(|started_at| now < started_at + STARTUP_PERIOD);
             self.counters.conflicts += 1;
             if is_same && entry.address > self.own.address || !is_same && !has_just_started {
@@ -117,13 +120,13 @@
         if entry.state != State::Alive {
             self.refute(now, entry.state);
         }
-        // Whatever is reported of an incarnation, a later one answers it.
+        // A report about an incarnation of this instance is superseded by announcing a later incarnation.
         self.own.incarnation = entry.incarnation + 1;
         self.last_number = 0;
         self.disseminate(self.own);
     }
 
-    /// This instance is suspected, or held dead, without cause: so it receives badly.
+    /// This instance was wrongly suspected or declared dead, so it receives messages badly.
     fn refute(&mut self, now: Time, reported: State) {
         self.counters.refuted += 1;
         self.health_worsened();
@@ -135,7 +138,8 @@
 
     fn answer(&mut self, now: Time, from: SocketAddrV4, message: &Message, datagrams: &mut Vec<Datagram>) {
         match message.kind {
-            // Whoever is at an address that another had before is not that one.
+            // A process at an address that another member had before is a different member and must not acknowledge the ping for
+            // that one.
             Kind::Ping { seq, id } if id == self.own.id => {
                 self.send(datagrams, from, Kind::Ack { seq }, Vec::new());
             }
@@ -155,7 +159,7 @@
         }
     }
 
-    /// A probe was answered, by the member itself or by one that was asked to probe it.
+    /// Processes the answer to a probe, sent by the probed member or by a member that was asked to probe it.
     fn acknowledged(&mut self, sender: u64, seq: u32, datagrams: &mut Vec<Datagram>) {
         let is_own = |probe: &Probe| probe.seq == seq && (probe.were_others_asked || probe.id == sender);
         if self.probe.as_ref().is_some_and(is_own) {
@@ -167,10 +171,10 @@
         }
     }
 
-    /// Sends members from this identifier on, as many as fit, and where to continue.
+    /// Sends the members from this identifier on, as many as fit into a message, and the identifier at which to continue.
     fn send_members(&mut self, first: u64, to: SocketAddrV4, datagrams: &mut Vec<Datagram>) {
         let own = (self.own.id >= first).then_some(self.own);
-        // One more than there is room for names where to continue.
+        // One entry more than fits into a message is collected; its identifier is the one at which to continue.
         let others = self.table.members.range(first..).map(|(_, member)| member.entry);
         let mut entries: Vec<Entry> = others.take(max_entries() + 1).chain(own).collect();
         entries.sort_by_key(|entry| entry.id);
--- a/crates/gossip/src/detector/settings.rs
+++ b/crates/gossip/src/detector/settings.rs
@@ -1,28 +1,30 @@
-//! How often and how patiently members are probed, and where the others are first looked for.
+//! Settings of the failure detector: probe timing and seeds.
 
 use crate::wire::Key;
 use crate::{Time, SECOND};
 use std::net::SocketAddrV4;
 
-/// The settings of an instance.
+/// Settings of an instance.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Addresses of any of the others; one that answers is enough.
+    /// Addresses of any other members, which are asked for the membership at the start; one that answers is enough.
     pub seeds: Vec<SocketAddrV4>,
-    /// The fleet's key; without one, messages are not authenticated.
+    /// The fleet's key; without it, messages are not authenticated.
     pub key: Option<Key>,
-    /// One member is probed in each such interval. A tenth of it is the longest that may pass between two ticks.
+    /// Interval at which members are probed, one in each interval. At most a tenth of it may pass between two ticks.
     pub probe_interval: Time,
-    /// After so long without an answer other members are asked to probe it.
+    /// Time without an answer after which other members are asked to probe the member.
     pub probe_timeout: Time,
-    /// How many others are asked.
+    /// Number of other members that are asked to probe a member that did not answer.
     pub indirect_probes: usize,
-    /// A suspicion lasts so many probe intervals, times the logarithm of the number of members, at least.
+    /// Minimum duration of a suspicion, as a number of probe intervals that is multiplied by the logarithm of the number of
+    /// members.
     pub suspicion_multiplier: f64,
 }
 
 impl Settings {
-    /// An instance that has just started looks for the others, and asks for all that they hold, so often at first.
+    /// Returns the initial interval at which an instance that has just started asks seeds and requests the tables of other
+    /// members.
     pub(super) fn startup_interval(&self) -> Time {
         self.probe_interval.min(SECOND)
     }
--- a/crates/gossip/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -1,30 +1,31 @@
-//! What one instance knows of another: the entry that travels, the evidence for it, and which of its messages were received.
+//! What one instance knows of another member: the entry that is sent in messages, the evidence for it, and which messages of the
+//! member were received.
 
 use crate::Time;
 use std::net::SocketAddrV4;
 
-/// How a member is doing. Of one incarnation a later state here replaces an earlier one.
+/// State of a member, ordered: for the same incarnation, a later state in this list replaces an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    /// It answers probes.
+    /// The member answers probes.
     Alive = 0,
-    /// It did not answer a probe, and has time to refute that.
+    /// The member did not answer a probe, and has time to refute the suspicion.
     Suspect = 1,
-    /// It did not refute a suspicion.
+    /// The member did not refute a suspicion in time.
     Dead = 2,
-    /// It has announced its own end.
+    /// The member has announced that it leaves.
     Left = 3,
 }
 
 impl State {
-    /// The state with this number on the wire.
+    /// Returns the state with this number on the wire.
     pub fn from_byte(byte: u8) -> Option<State> {
         [State::Alive, State::Suspect, State::Dead, State::Left]
             .into_iter()
             .find(|state| *state as u8 == byte)
     }
 
-    /// The word for it in operators' lists.
+    /// Returns the name of the state in operators' lists.
     pub fn label(self) -> &'static str {
         match self {
             State::Alive => "alive",
@@ -35,53 +36,53 @@
     }
 }
 
-/// An update about a member, as it is sent.
+/// An update about a member, as sent in messages.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Entry {
-    /// The member's identifier.
+    /// Identifier of the member.
     pub id: u64,
-    /// Rises with each start of the member, and whenever it refutes a suspicion.
+    /// Incarnation of the member: increases with each start of the member, and whenever it refutes a suspicion.
     pub incarnation: u64,
-    /// Where it receives messages.
+    /// Address at which the member receives messages.
     pub address: SocketAddrV4,
-    /// The failure domain that it runs in.
+    /// Failure domain of the member.
     pub domain: u8,
-    /// How it is doing.
+    /// State of the member.
     pub state: State,
-    /// Of a suspicion, whose it is; zero otherwise.
+    /// Identifier of the member that suspects this one; 0 if the entry is not a suspicion.
     pub suspected_by: u64,
 }
 
-/// How this instance knows what it holds of a member.
+/// Evidence for the state of a member, as known to this instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Evidence {
-    /// The member itself has said so.
+    /// The member itself announced the state.
     Itself,
-    /// Another member has said so.
+    /// Another member, with this identifier, reported the state.
     ReportedBy(u64),
-    /// It did not answer a probe of this instance.
+    /// The member did not answer a probe of this instance.
     NoReply,
-    /// It did not refute a suspicion in time.
+    /// The member did not refute a suspicion in time.
     NotRefuted,
 }
 
-/// Messages that come late are accepted within a window of so many before the newest.
+/// Replay window, in messages: a late message is accepted if its number is within this distance of the newest.
 const REPLAY_WINDOW: u64 = 64;
 
-/// What one instance knows of another.
+/// What one instance knows of another member.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// The newest update.
+    /// Newest update about the member.
     pub entry: Entry,
-    /// How it is known.
+    /// Evidence for the newest update.
     pub evidence: Evidence,
-    /// Since when the member has been in this state, as seen here.
+    /// Time since which the member has been in its state, as seen by this instance.
     pub since: Time,
-    /// The highest message number of the incarnation below, against replays.
+    /// Highest message number received in `numbered_incarnation`, to detect replays.
     highest_number: u64,
-    /// Which of the numbers before it were received, a bit each.
+    /// Bit set of the message numbers received, up to the highest one: bit 0 is the highest number, bit n the number n below it.
     received: u64,
-    /// The incarnation that the numbers belong to.
+    /// Incarnation of the member to which the received message numbers belong.
     numbered_incarnation: u64,
 }
 
@@ -90,7 +91,7 @@
         Member { entry, evidence, since, highest_number: 0, received: 0, numbered_incarnation: 0 }
     }
 
-    /// Whether a message of this incarnation and number is new; it counts as received from then on.
+    /// Whether a message with this incarnation and number is new. A new message is recorded as received.
     pub(crate) fn accept_number(&mut self, incarnation: u64, number: u64) -> bool {
         if incarnation < self.numbered_incarnation {
             return false;
--- a/crates/gossip/src/member/tests.rs
+++ b/crates/gossip/src/member/tests.rs
@@ -2,7 +2,7 @@
 use crate::table::Table;
 use std::net::Ipv4Addr;
 
-/// An entry of this machine's own address, with the identifier as its port.
+/// Returns an entry with this machine's own address and the identifier as its port.
 pub fn entry(id: u64, incarnation: u64, state: State) -> Entry {
     Entry {
         id,
@@ -19,7 +19,7 @@
     let mut table = Table::default();
     table.apply(0, entry(1, 7, State::Alive), Evidence::Itself);
     let member = table.members.get_mut(&1).unwrap();
-    // Life, number, and whether it is new.
+    // Each case: incarnation, message number, and whether the message is new.
     let cases = [
         (7, 1, true),
         (7, 1, false),
@@ -32,7 +32,7 @@
         (8, 1, true),
         (7, 201, false),
     ];
-    for (life, number, new) in cases {
-        assert_eq!(member.accept_number(life, number), new, "{life} {number}");
+    for (incarnation, number, is_new) in cases {
+        assert_eq!(member.accept_number(incarnation, number), is_new, "{incarnation} {number}");
     }
 }
--- a/crates/gossip/src/table.rs
+++ b/crates/gossip/src/table.rs
@@ -1,42 +1,44 @@
-//! The table of members: one entry each, which an update of a later incarnation or of a worse state replaces.
+//! The membership table: one entry per member, which is replaced by an update of a later incarnation or of a worse state.
 
 use crate::member::{Entry, Evidence, Member, State};
 use crate::{Time, SECOND};
 use std::collections::BTreeMap;
 
-/// For so long a member that is held dead counts as possibly sending: a partition may last.
+/// Time for which a member declared dead counts as possibly sending, because a partition may last.
 pub const PARTITION_ALLOWANCE: Time = 600 * SECOND;
-/// A member that has left may still have a message on its way for so long; then it sends no more.
+/// Time for which a member that left counts as possibly sending, because a message of it may still be in flight; after that it
+/// sends nothing.
 const DEPARTURE_ALLOWANCE: Time = 30 * SECOND;
-/// The entry of a member that is dead or has left is removed after so long.
+/// Time after which the entry of a member that is dead or has left is removed.
 pub const RETENTION: Time = 1800 * SECOND;
-/// Most members that are kept: whoever reports strangers without end must not fill the memory.
+/// Maximum number of members in the table: a sender that reports unknown members without end must not fill the memory.
 pub const MAX_MEMBERS: usize = 20_000;
 
-/// How many members there are, this instance among them.
+/// Number of members, including this instance.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemberCount {
-    /// Alive or only suspected: likely to be there.
+    /// Members that are alive or only suspected, and so are likely to be running.
     pub likely: usize,
-    /// All that may still be sending: also those that are held dead and may only be partitioned.
+    /// Members that may still be sending, including those that were declared dead and may only be partitioned.
     pub possibly_sending: usize,
-    /// The likely ones by failure domain.
+    /// Members that are likely to be running, by failure domain.
     pub by_domain: BTreeMap<u8, usize>,
 }
 
 /// All members but the instance itself.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    /// By identifier.
+    /// Members by identifier.
     pub members: BTreeMap<u64, Member>,
-    /// How many of them are alive or suspect: to count them anew for each message would cost more the more there are.
+    /// Number of members that are alive or suspect. It is stored because the cost of counting them for each message would grow
+    /// with their number.
     alive_count: usize,
-    /// Updates that were rejected, for there was no room.
+    /// Number of updates that were rejected because the table was full.
     pub rejected: u64,
 }
 
 impl Table {
-    /// Applies an update. Returns whether it changed anything, and so is an update for others too.
+    /// Applies an update. Returns whether it changed the table, and so should be disseminated to other members.
     pub fn apply(&mut self, now: Time, entry: Entry, evidence: Evidence) -> bool {
         let Some(member) = self.members.get_mut(&entry.id) else {
             return self.insert(now, entry, evidence);
@@ -56,7 +58,8 @@
         true
     }
 
-    /// Adds a member that was never heard of. Also one that is dead or has left: its entry keeps older updates from reviving it.
+    /// Adds a member that was not known. Members that are dead or have left are added too: their entries keep older updates from
+    /// reviving them.
     fn insert(&mut self, now: Time, entry: Entry, evidence: Evidence) -> bool {
         if self.members.len() >= MAX_MEMBERS {
             self.rejected += 1;
@@ -67,12 +70,12 @@
         true
     }
 
-    /// How many members are alive or suspect.
+    /// Returns the number of members that are alive or suspect.
     pub fn alive_count(&self) -> usize {
         self.alive_count
     }
 
-    /// Removes members that have been dead or gone for long.
+    /// Removes members that have been dead or gone for longer than the retention.
     pub fn remove_expired(&mut self, now: Time) {
         self.members.retain(|_, member| member.entry.state < State::Dead || now < member.since + RETENTION);
     }
@@ -82,7 +85,7 @@
         self.members.get(&id).is_some_and(|member| member.entry.state < State::Dead)
     }
 
-    /// How many there are besides the instance itself, which is in this failure domain.
+    /// Counts the members, including the instance itself, which is in the failure domain `own_domain`.
     pub fn count(&self, now: Time, own_domain: u8) -> MemberCount {
         let mut count = MemberCount { likely: 1, possibly_sending: 1, by_domain: [(own_domain, 1)].into() };
         for member in self.members.values() {
--- a/crates/gossip/src/table/tests.rs
+++ b/crates/gossip/src/table/tests.rs
@@ -4,7 +4,7 @@
 #[test]
 fn a_later_incarnation_replaces_and_of_one_incarnation_the_worse_state() {
     use State::{Alive, Dead, Left, Suspect};
-    // What is held, what is told, and whether that is news.
+    // Each case: the entry in the table, the reported entry, and whether the report replaces it.
     let cases = [
         ((5, Alive), (5, Alive), false),
         ((5, Alive), (5, Suspect), true),
@@ -16,16 +16,19 @@
         ((6, Alive), (5, Dead), false),
         ((5, Dead), (5, Left), true),
     ];
-    for ((life, state), (told, says), is_newer) in cases {
+    for ((incarnation, state), (reported_incarnation, reported_state), is_newer) in cases {
         let mut table = Table::default();
-        assert!(table.apply(1, entry(1, life, state), Evidence::Itself));
+        assert!(table.apply(1, entry(1, incarnation, state), Evidence::Itself));
         assert_eq!(
-            table.apply(2, entry(1, told, says), Evidence::ReportedBy(9)),
+            table.apply(2, entry(1, reported_incarnation, reported_state), Evidence::ReportedBy(9)),
             is_newer,
-            "{life} {state:?} {told} {says:?}"
+            "{incarnation} {state:?} {reported_incarnation} {reported_state:?}"
+        );
+        let current = table.members[&1].entry;
+        assert_eq!(
+            (current.incarnation, current.state),
+            if is_newer { (reported_incarnation, reported_state) } else { (incarnation, state) }
         );
-        let held = table.members[&1].entry;
-        assert_eq!((held.incarnation, held.state), if is_newer { (told, says) } else { (life, state) });
     }
 }
 
@@ -38,7 +41,11 @@
     let count = table.count(SECOND, 1);
     assert_eq!((count.likely, count.possibly_sending), (3, 5));
     assert_eq!(count.by_domain, [(0, 1), (1, 2)].into());
-    assert_eq!(table.count(DEPARTURE_ALLOWANCE, 0).possibly_sending, 4, "who has left sends no more");
+    assert_eq!(
+        table.count(DEPARTURE_ALLOWANCE, 0).possibly_sending,
+        4,
+        "a member that has left sends nothing more"
+    );
     assert_eq!(table.count(PARTITION_ALLOWANCE, 0).possibly_sending, 3);
     table.remove_expired(RETENTION);
     assert_eq!(table.members.len(), 2);
--- a/crates/gossip/src/wire.rs
+++ b/crates/gossip/src/wire.rs
@@ -1,63 +1,65 @@
-//! The encoding of a message, and its authentication. Every message is 1,200 bytes at most, begins with a version byte and names
-//! its sender, the sender's incarnation, and a number that rises in that incarnation. With a key, sixteen bytes at its end prove
-//! that its writer knows the key. What can't be decoded is counted by its recipient and dropped.
+//! Encoding and authentication of messages. Every message is at most 1,200 bytes long, begins with a version byte and contains
+//! its sender, the sender's incarnation, and a number that increases within that incarnation. If there is a key, the last sixteen
+//! bytes prove that the sender knows the key. The recipient counts and drops messages that can't be decoded.
 
 use crate::member::{Entry, State};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Lists by number (`docs/migration.md`) have version 1, so both can be distinguished on one socket.
+/// Version of the message format. Membership lists by number (`docs/migration.md`) have version 1, so the two formats can be
+/// distinguished on one socket.
 pub const VERSION: u8 = 2;
-/// The longest message.
+/// Maximum length of a message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 1200;
-/// Version, kind, sender, incarnation, number.
+/// Length of the message header, in bytes: version, kind, sender, incarnation, number.
 const HEADER_BYTES: usize = 2 + 8 + 8 + 8;
-/// What the kinds need beside that at the most, and the number of entries.
+/// Maximum length, in bytes, of the fields of a message kind and of the number of entries, which follow the header.
 const MAX_KIND_BYTES: usize = 20 + 1;
-/// The authentication tag.
+/// Length of the authentication tag, in bytes.
 const TAG_BYTES: usize = 16;
-/// One entry.
+/// Length of one encoded entry, in bytes.
 pub const ENTRY_BYTES: usize = 32;
 
-/// A key that all instances of a fleet share.
+/// A key shared by all instances of a fleet.
 pub type Key = [u8; 32];
 
-/// What a message asks or answers.
+/// Kind of a message, with the fields of the kind.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Kind {
-    /// Asks whether the member with this identifier is there; whoever else has its address now must not answer for it.
+    /// Asks whether the member with this identifier is running; another process that has its address now must not answer for it.
     Ping {
-        /// Repeated in the answer.
+        /// Sequence number that the answer repeats.
         seq: u32,
-        /// The member that is meant.
+        /// Identifier of the member that should answer.
         id: u64,
     },
     /// Answers a ping.
     Ack {
-        /// That of the ping, or of the request that led to it.
+        /// Sequence number of the ping, or of the request that led to it.
         seq: u32,
     },
-    /// Asks another member to probe one that did not answer (SWIM's ping-req).
+    /// Asks another member to probe a member that did not answer (SWIM's ping-req).
     Request {
-        /// Repeated in the answer.
+        /// Sequence number that the answer repeats.
         seq: u32,
-        /// The member that is to be probed.
+        /// Identifier of the member to probe.
         id: u64,
-        /// Where it receives messages.
+        /// Address at which the member to probe receives messages.
         address: SocketAddrV4,
     },
-    /// Answers a request: no answer yet, but the request was received, so the asking member's own network works (Lifeguard).
+    /// Answers a request: there is no answer to the probe yet, but the request was received, so the requesting member's own
+    /// network works (Lifeguard).
     Nack {
-        /// That of the request.
+        /// Sequence number of the request.
         seq: u32,
     },
-    /// Asks for members, from this identifier on.
+    /// Asks for the members from this identifier on.
     Sync {
-        /// The first identifier.
+        /// The first identifier asked for.
         from: u64,
     },
-    /// Some members, in the order of their identifiers.
+    /// Members, in the order of their identifiers.
     Members {
-        /// More follow from this identifier on; none at zero.
+        /// Identifier from which on more members follow; 0 if there are no more.
         next: u64,
     },
 }
@@ -65,25 +67,25 @@
 /// A message between two instances.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// The sender.
+    /// Identifier of the sender.
     pub from: u64,
-    /// The sender's incarnation.
+    /// Incarnation of the sender.
     pub incarnation: u64,
-    /// Rises with each message of an incarnation.
+    /// Message number, which increases with each message of an incarnation.
     pub number: u64,
-    /// What it asks or answers.
+    /// Kind of the message.
     pub kind: Kind,
     /// Updates about members.
     pub entries: Vec<Entry>,
 }
 
-/// Why a message was dropped.
+/// Reason for which a message was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// It is no message of this version, or it was cut short.
+    /// The bytes are not a message of this version, or the message was truncated.
     #[error("malformed message")]
     Malformed,
-    /// Its writer does not know the key.
+    /// The message is not authenticated with the fleet's key.
     #[error("message without the fleet's key")]
     Unauthenticated,
 }
@@ -94,13 +96,13 @@
     tag
 }
 
-/// How many entries fit into a message of any kind.
+/// Returns the number of entries that fit into a message of any kind.
 pub const fn max_entries() -> usize {
     (MAX_MESSAGE_BYTES - HEADER_BYTES - TAG_BYTES - MAX_KIND_BYTES) / ENTRY_BYTES
 }
 
 impl Message {
-    /// The bytes of the message, authenticated if there is a key.
+    /// Returns the encoded message, authenticated if there is a key.
     pub fn encode(&self, key: Option<&Key>) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(HEADER_BYTES + 24 + self.entries.len() * ENTRY_BYTES + TAG_BYTES);
         let code = match self.kind {
@@ -143,11 +145,11 @@
         bytes
     }
 
-    /// Decodes a message, and checks that its writer knows the key, if there is one.
+    /// Decodes a message and, if there is a key, checks its authentication tag.
     ///
     /// # Errors
     ///
-    /// Where the bytes are no message, or not by someone who knows the key.
+    /// The bytes are not a message, or the sender does not know the key.
     pub fn decode(bytes: &[u8], key: Option<&Key>) -> Result<Message, DecodeError> {
         if bytes.len() > MAX_MESSAGE_BYTES || bytes.first() != Some(&VERSION) {
             return Err(DecodeError::Malformed);
@@ -158,7 +160,7 @@
                 return Err(DecodeError::Unauthenticated);
             };
             let (body, found) = bytes.split_at(most);
-            // Compared as hashes are, in the same time wherever they differ.
+            // The tags are compared as hashes, in constant time, so that the time does not reveal where they differ.
             if blake3::Hash::from(widened(found)) != blake3::Hash::from(widened(&tag(key, body))) {
                 return Err(DecodeError::Unauthenticated);
             }
@@ -175,7 +177,7 @@
     wide
 }
 
-/// The bytes that are left to decode.
+/// The bytes that remain to be decoded.
 struct Decoder<'a>(&'a [u8]);
 
 impl Decoder<'_> {
--- a/crates/gossip/src/wire/tests.rs
+++ b/crates/gossip/src/wire/tests.rs
@@ -25,7 +25,7 @@
         assert_eq!(Message::decode(&tagged, Some(&key)).as_ref(), Ok(&message));
         assert_eq!(Message::decode(&tagged, Some(&other)), Err(DecodeError::Unauthenticated));
         assert_eq!(Message::decode(&plain, Some(&key)), Err(DecodeError::Unauthenticated));
-        // Cut short anywhere, longer, or changed at any byte.
+        // Truncated at any length, extended, or changed at any byte.
         for at in 0..plain.len() {
             assert!(Message::decode(&plain[..at], None).is_err(), "{message:?} to {at}");
         }
