--- a/crates/config/src/config.rs
+++ b/crates/config/src/config.rs
@@ -16,9 +16,9 @@
 use std::sync::Arc;
 
 /// File name in the faults of a configuration, which arrives in a request and not from a file.
-const FILE: &str = "configuration";
+const CONFIGURATION_FILE_NAME: &str = "configuration";
 /// Maximum number of routes in a configuration, and of services.
-const MAX_ENTRIES: usize = 100_000;
+const MAX_ROUTES_AND_SERVICES: usize = 100_000;
 
 const DEFAULT_MAX_HEADER_BYTES: usize = 16_384;
 const DEFAULT_MAX_BODY_BYTES: usize = 262_144;
@@ -82,7 +82,7 @@
     ///
     /// All faults of the configuration. If there is one, no part of the configuration may be applied.
     pub fn parse(body: &[u8]) -> Result<Config, ConfigError> {
-        let (faults, key_use) = (FaultCollector::new(FILE), KeyUse::default());
+        let (faults, key_use) = (FaultCollector::new(CONFIGURATION_FILE_NAME), KeyUse::default());
         let object = match parse_object(body) {
             Ok(object) => object,
             Err(reason) => return Err(faults.refuse(reason)),
@@ -93,7 +93,8 @@
         let (services, service_indices) = read_services(root);
         let tenants = TenantTable::from_root(root);
         let route = |section| Route::from_section(section, &service_indices);
-        let routes: Vec<Route> = root.sections("routes", MAX_ENTRIES).into_iter().map(route).collect();
+        let routes: Vec<Route> =
+            root.sections("routes", MAX_ROUTES_AND_SERVICES).into_iter().map(route).collect();
         let table = RouteTable::new(&routes, &faults);
         faults.finish(())?;
         let unread_keys = key_use.unread(&object);
@@ -139,7 +140,7 @@
 fn read_services(root: Section) -> (Vec<Service>, HashMap<String, usize>) {
     let mut indices = HashMap::new();
     let mut services = Vec::new();
-    for (index, section) in root.sections("backends", MAX_ENTRIES).into_iter().enumerate() {
+    for (index, section) in root.sections("backends", MAX_ROUTES_AND_SERVICES).into_iter().enumerate() {
         let service = Service::from_section(section);
         let earlier = indices.insert(service.name.clone(), index);
         // An empty service name was already reported as a fault.
--- a/crates/config/src/tenant.rs
+++ b/crates/config/src/tenant.rs
@@ -9,9 +9,9 @@
 use std::sync::Arc;
 
 /// Maximum number of tenants, and of keys of one tenant.
-const MAX_ENTRIES: usize = 200_000;
+const MAX_TENANTS_AND_KEYS: usize = 200_000;
 /// Length, in bytes, of the digest prefix by which a tenant's key is found; the rest of the digest is compared in constant time.
-const PREFIX_BYTES: usize = 8;
+const DIGEST_PREFIX_BYTES: usize = 8;
 
 /// A tenant, as described by an entry of `customers`.
 #[derive(Clone, Debug, PartialEq)]
@@ -32,7 +32,7 @@
     /// The tenants, in the order of the configuration.
     pub tenants: Vec<Tenant>,
     /// Every tenant key in force, as a digest with the index of its tenant, by the first bytes of the digest.
-    keys: HashMap<[u8; PREFIX_BYTES], Vec<(blake3::Hash, usize)>>,
+    keys: HashMap<[u8; DIGEST_PREFIX_BYTES], Vec<(blake3::Hash, usize)>>,
 }
 
 impl TenantTable {
@@ -43,7 +43,7 @@
         }
         let mut table = TenantTable::default();
         let mut indices = HashMap::new();
-        for (index, section) in root.sections("customers", MAX_ENTRIES).into_iter().enumerate() {
+        for (index, section) in root.sections("customers", MAX_TENANTS_AND_KEYS).into_iter().enumerate() {
             let tenant = Tenant::from_section(section);
             let earlier = indices.insert(Arc::clone(&tenant.name), index);
             // An empty tenant name was already reported as a fault.
@@ -51,7 +51,7 @@
                 let name = values::quoted(&tenant.name);
                 section.fault("name", FaultReason::DuplicateTenant { name, first });
             }
-            for key in section.secrets("api_keys", MAX_ENTRIES) {
+            for key in section.secrets("api_keys", MAX_TENANTS_AND_KEYS) {
                 table.add_key(section, &key, index);
             }
             table.tenants.push(tenant);
@@ -101,8 +101,8 @@
     }
 }
 
-fn prefix(digest: &blake3::Hash) -> [u8; PREFIX_BYTES] {
-    let mut prefix = [0; PREFIX_BYTES];
-    prefix.copy_from_slice(&digest.as_bytes()[..PREFIX_BYTES]);
+fn prefix(digest: &blake3::Hash) -> [u8; DIGEST_PREFIX_BYTES] {
+    let mut prefix = [0; DIGEST_PREFIX_BYTES];
+    prefix.copy_from_slice(&digest.as_bytes()[..DIGEST_PREFIX_BYTES]);
     prefix
 }
--- a/crates/config/tests/accepted_keys.rs
+++ b/crates/config/tests/accepted_keys.rs
@@ -18,7 +18,7 @@
   "status_s":14,"callback_timeout_s":15,"visible_ms":16,"early_slack_ms":17,"ceiling_window_s":18,"origin_overrun":1.5,
   "revoke_everywhere":true,"revoke_ms":19,"key_window_s":20,"quota_window_s":21,"quota_overrun":0.25,"quota_slack":22}}"#;
 
-const LEAST_SETTINGS: &str = r#"{"node_name":"gate-3","role":"keeper","machine_class":"stone","ip":"10.9.0.3",
+const MINIMAL_SETTINGS: &str = r#"{"node_name":"gate-3","role":"keeper","machine_class":"stone","ip":"10.9.0.3",
  "zone":"weir-a","region":"weir","internal_ports":[7100,7100]}"#;
 
 #[test]
@@ -90,7 +90,7 @@
 
 #[test]
 fn settings_that_are_missing_get_their_defaults() {
-    let boot = NodeSettings::parse("node.json", LEAST_SETTINGS).unwrap();
+    let boot = NodeSettings::parse("node.json", MINIMAL_SETTINGS).unwrap();
     assert!(boot.serves.is_empty() && boot.seeds.is_empty());
     let zones: Vec<(&str, &str)> =
         boot.zone_regions.iter().map(|(zone, region)| (zone.as_str(), region.as_str())).collect();
@@ -149,7 +149,7 @@
 fn forms_of_a_setting_that_are_accepted() {
     // Each case: two JSON members; each is added to the minimal settings, and both must give the same settings.
     let with = |more: &str| {
-        NodeSettings::parse("node.json", &LEAST_SETTINGS.replacen('{', &format!("{{{more},"), 1))
+        NodeSettings::parse("node.json", &MINIMAL_SETTINGS.replacen('{', &format!("{{{more},"), 1))
     };
     let same = [
         (r#""data_dir":null"#, r#""later":[1,{"a":null}]"#),
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -3,7 +3,7 @@
 use assert_matches::assert_matches;
 use stileroute_config::{Config, HttpLimits, RouteKind};
 
-const COMPLETE: &str = r#"{"revision":12,"future":[{}],"routes":[
+const COMPLETE_CONFIGURATION: &str = r#"{"revision":12,"future":[{}],"routes":[
  {"name":"jetty","hostname":"Ferry.example","path_prefix":"/quay/","route_type":"deferred","timeout_ms":1500,
   "target_ms":80,"priority":2,"backend":"crane","max_tries":4,"in_order":true,"max_wait_s":7.25,"callback_url":true,
   "run_target_ms":1200},
@@ -21,8 +21,8 @@
 
 #[test]
 fn a_complete_configuration_is_read() {
-    let config = Config::parse(COMPLETE.as_bytes()).unwrap();
-    assert_eq!((config.revision, &config.body[..]), (12, COMPLETE.as_bytes()));
+    let config = Config::parse(COMPLETE_CONFIGURATION.as_bytes()).unwrap();
+    assert_eq!((config.revision, &config.body[..]), (12, COMPLETE_CONFIGURATION.as_bytes()));
     let limits = HttpLimits {
         max_header_bytes: 16_384,
         max_body_bytes: 5000,
@@ -64,7 +64,7 @@
         ("canal.example:x", "/any", None),
         ("", "/any", None),
     ];
-    let config = Config::parse(COMPLETE.as_bytes()).unwrap();
+    let config = Config::parse(COMPLETE_CONFIGURATION.as_bytes()).unwrap();
     for (host, path, route) in rows {
         assert_eq!(config.route(host, path), route, "{host} {path}");
     }
@@ -142,25 +142,26 @@
         ("\"endpoint\":null", "\"endpoint\":false", "backends[0].endpoint: must be"),
     ];
     for (of, with, expected) in rows {
-        assert!(COMPLETE.contains(of), "{of}");
-        let faults = faults(COMPLETE.replacen(of, with, 1));
+        assert!(COMPLETE_CONFIGURATION.contains(of), "{of}");
+        let faults = faults(COMPLETE_CONFIGURATION.replacen(of, with, 1));
         assert!(faults.starts_with(&format!("configuration: {expected}")), "{of} -> {with}: {faults}");
         assert_eq!(faults.lines().count(), 1, "{faults}");
     }
     for (of, with) in
         [(":12,", ":12.0,"), (":12,", ":18446744073709551615,"), ("y\":2", "y\":-9223372036854775808")]
     {
-        assert_eq!(faults(COMPLETE.replacen(of, with, 1)), "");
+        assert_eq!(faults(COMPLETE_CONFIGURATION.replacen(of, with, 1)), "");
     }
 }
 
 #[test]
 fn all_faults_are_reported_at_once_and_a_flood_is_counted() {
-    let many = COMPLETE.replace("1500", "0").replace(":12,", ":-1,").replace("8099", "no\\nline");
+    let many =
+        COMPLETE_CONFIGURATION.replace("1500", "0").replace(":12,", ":-1,").replace("8099", "no\\nline");
     let expected = faults(many);
     assert_eq!(expected.lines().count(), 3, "{expected}");
     // Faults that follow from another fault are reported too.
-    let expected = faults(COMPLETE.replace("\"backends\":[", "\"backends\":{},\"b\":["));
+    let expected = faults(COMPLETE_CONFIGURATION.replace("\"backends\":[", "\"backends\":{},\"b\":["));
     assert!(expected.starts_with("configuration: backends: must be a list, is an object\n"), "{expected}");
     assert_eq!(expected.lines().count(), 4, "{expected}");
     let flood = faults(format!("{{\"routes\":[{}0]}}", "0,".repeat(5000)));
@@ -184,11 +185,11 @@
 }
 
 #[test]
-fn cut_short_or_with_any_byte_changed_it_brings_nothing_down() {
-    for cut in 0..COMPLETE.len() {
-        assert_matches!(Config::parse(&COMPLETE.as_bytes()[..cut]), Err(faults) if !faults.faults.is_empty(), "{cut}");
+fn a_truncated_or_altered_configuration_causes_no_panic() {
+    for cut in 0..COMPLETE_CONFIGURATION.len() {
+        assert_matches!(Config::parse(&COMPLETE_CONFIGURATION.as_bytes()[..cut]), Err(faults) if !faults.faults.is_empty(), "{cut}");
     }
-    let mut body = COMPLETE.as_bytes().to_vec();
+    let mut body = COMPLETE_CONFIGURATION.as_bytes().to_vec();
     for at in 0..body.len() {
         for byte in
             [0, 0x0c, b'"', b'\\', b'0', b'-', b'e', b'}', b',', 0xc3, 0xff, body[at] ^ 1, body[at] ^ 0x20]
--- a/crates/config/tests/fault_texts.rs
+++ b/crates/config/tests/fault_texts.rs
@@ -156,11 +156,11 @@
     assert_eq!(faults, format!("{}: {expected}", path.display()));
 }
 
-const LEAST_ROUTE: &str = r#""name":"jetty","hostname":"ferry.example","path_prefix":"/","route_type":"deferred",
+const MINIMAL_ROUTE: &str = r#""name":"jetty","hostname":"ferry.example","path_prefix":"/","route_type":"deferred",
  "timeout_ms":1500,"target_ms":80,"backend":"crane""#;
 
 fn route_with(more: &str) -> String {
-    let routes = format!(r#"[{{{LEAST_ROUTE},{more}}}]"#);
+    let routes = format!(r#"[{{{MINIMAL_ROUTE},{more}}}]"#);
     configuration(&format!(r#"{{"revision":1,"routes":{routes},"backends":[{{"name":"crane"}}]}}"#))
 }
 
@@ -233,7 +233,7 @@
             "configuration: backends[1].name: \"crane\" is the name of backends[0] too",
         ),
         (
-            format!(r#"{{"revision":1,"routes":[{{{LEAST_ROUTE}}},{{{LEAST_ROUTE}}}],"backends":[{service}]}}"#),
+            format!(r#"{{"revision":1,"routes":[{{{MINIMAL_ROUTE}}},{{{MINIMAL_ROUTE}}}],"backends":[{service}]}}"#),
             "configuration: routes[1].path_prefix: host and prefix are those of routes[0] too",
         ),
         (
--- a/crates/config/tests/node_settings.rs
+++ b/crates/config/tests/node_settings.rs
@@ -5,7 +5,7 @@
 use stileroute_config::ZoneDistance::{OtherRegion, SameRegion, SameZone};
 use stileroute_config::{FaultTolerance, NodeSettings, PortRange};
 
-const COMPLETE: &str = r#"{"node_name":"gate-3","role":"keeper","machine_class":"stone","serves":["edge","control"],
+const COMPLETE_SETTINGS: &str = r#"{"node_name":"gate-3","role":"keeper","machine_class":"stone","serves":["edge","control"],
  "ip":"10.9.0.3","zone":"weir-a","region":"weir","zones":{"weir-b":"weir","dune-a":"dune"},
  "bind_addresses":{"front":"10.9.0.3:8011","control":"10.9.0.3:8012"},"internal_ports":[7100,7115],
  "seed_nodes":["10.9.0.4:8012"],"first_start":true,"counted":true,"limits":{"cpu_share":0.5,"disk_mb":64},
@@ -14,7 +14,7 @@
 
 #[test]
 fn a_complete_file_is_read_and_what_is_missing_gets_its_default() {
-    let boot = NodeSettings::parse("node.json", COMPLETE).unwrap();
+    let boot = NodeSettings::parse("node.json", COMPLETE_SETTINGS).unwrap();
     assert_eq!(
         (boot.node_name.as_str(), boot.role.as_str(), boot.machine_class.as_str()),
         ("gate-3", "keeper", "stone")
@@ -60,8 +60,8 @@
         ("{\"catch_up_s\":4.35", "7,\"x\":{\"y\":1", "bounds: must be an object, is 7.0"),
     ];
     for (of, with, expected) in rows {
-        assert!(COMPLETE.contains(of), "{of}");
-        let faults = NodeSettings::parse("node.json", &COMPLETE.replacen(of, with, 1)).unwrap_err();
+        assert!(COMPLETE_SETTINGS.contains(of), "{of}");
+        let faults = NodeSettings::parse("node.json", &COMPLETE_SETTINGS.replacen(of, with, 1)).unwrap_err();
         assert!(
             faults.to_string().starts_with(&format!("node.json: {expected}")),
             "{of} -> {with}: {faults}"
@@ -77,18 +77,18 @@
 fn a_file_is_read_from_disk_and_refused_when_cut_short() {
     let path = std::env::temp_dir().join(format!("charter-boot-{}.json", std::process::id()));
     assert_matches!(NodeSettings::read(&path), Err(faults) if faults.faults[0].reason.to_string().starts_with("cannot be read"));
-    std::fs::write(&path, COMPLETE).unwrap();
+    std::fs::write(&path, COMPLETE_SETTINGS).unwrap();
     let read = NodeSettings::read(&path);
     std::fs::remove_file(&path).unwrap();
-    assert_eq!(read, NodeSettings::parse("node.json", COMPLETE));
-    for cut in 0..COMPLETE.len() {
-        assert_matches!(NodeSettings::parse("node.json", &COMPLETE[..cut]), Err(_), "{cut}");
+    assert_eq!(read, NodeSettings::parse("node.json", COMPLETE_SETTINGS));
+    for cut in 0..COMPLETE_SETTINGS.len() {
+        assert_matches!(NodeSettings::parse("node.json", &COMPLETE_SETTINGS[..cut]), Err(_), "{cut}");
     }
 }
 
 #[test]
 fn distances_and_tolerated_losses() {
-    let boot = NodeSettings::parse("node.json", COMPLETE).unwrap();
+    let boot = NodeSettings::parse("node.json", COMPLETE_SETTINGS).unwrap();
     // Zones in sorted order: dune-a, weir-a (this machine's own zone), weir-b.
     assert_eq!(boot.region_numbers(), [0, 1, 1]);
     assert_eq!(
--- a/crates/config/tests/tenants.rs
+++ b/crates/config/tests/tenants.rs
@@ -11,12 +11,12 @@
     config.tenants.as_ref()?.tenant_of(key).map(|tenant| tenant.name.to_string())
 }
 
-const TWO: &str = r#"[{"name":"ferry","api_keys":["secret-a","secret-b"],"priority":1,"rate_per_s":207,"burst":20.5},
+const TWO_TENANTS: &str = r#"[{"name":"ferry","api_keys":["secret-a","secret-b"],"priority":1,"rate_per_s":207,"burst":20.5},
     {"name":"lugger","api_keys":["secret-c","secret-c"]}]"#;
 
 #[test]
-fn a_key_is_its_tenant_s() {
-    let config = parse(TWO).unwrap();
+fn a_key_identifies_its_tenant() {
+    let config = parse(TWO_TENANTS).unwrap();
     assert_eq!(owner(&config, "secret-a").as_deref(), Some("ferry"));
     assert_eq!(owner(&config, "secret-b").as_deref(), Some("ferry"));
     assert_eq!(owner(&config, "secret-c").as_deref(), Some("lugger"));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_can_t_be_told_apart_is_refused_by_name() {
+fn ambiguous_or_invalid_tenants_and_keys_are_rejected_by_name() {
     let rows = [
         (
             r#"[{"name":"a","api_keys":["secret-1"]},{"name":"b","api_keys":["secret-2","secret-1"]}]"#,
@@ -83,7 +83,7 @@
 
 #[test]
 fn nothing_that_prints_a_configuration_prints_a_key() {
-    let printed = format!("{:?}", parse(TWO).unwrap());
+    let printed = format!("{:?}", parse(TWO_TENANTS).unwrap());
     assert!(printed.contains("ferry"), "{printed}");
     // The key must not be printed as text, nor as a list of byte values.
     assert!(!printed.contains("secret") && !printed.contains("115, 101, 99, 114, 101, 116"), "{printed}");
--- a/crates/http1/tests/http1.rs
+++ b/crates/http1/tests/http1.rs
@@ -111,7 +111,7 @@
 }
 
 /// Returns the decoded body, whether its end was reached, and the number of bytes consumed.
-fn unchunk(parts: &[&[u8]]) -> Result<(String, bool, usize), ChunkError> {
+fn decode_segments(parts: &[&[u8]]) -> Result<(String, bool, usize), ChunkError> {
     let (mut decoder, mut body, mut used) = (ChunkedDecoder::default(), Vec::new(), 0);
     for part in parts {
         used += decoder.decode(part, |bytes| body.extend_from_slice(bytes))?;
@@ -138,12 +138,16 @@
     for (text, body, done, used) in cases {
         for at in 0..=text.len() {
             let (head, tail) = text.as_bytes().split_at(at);
-            assert_eq!(unchunk(&[head, tail]), Ok((body.to_string(), done, used)), "{text:?} split at {at}");
+            assert_eq!(
+                decode_segments(&[head, tail]),
+                Ok((body.to_string(), done, used)),
+                "{text:?} split at {at}"
+            );
         }
         let single: Vec<&[u8]> = text.as_bytes().chunks(1).collect();
-        assert_eq!(unchunk(&single), Ok((body.to_string(), done, used)), "{text:?} byte by byte");
+        assert_eq!(decode_segments(&single), Ok((body.to_string(), done, used)), "{text:?} byte by byte");
     }
-    assert_eq!(unchunk(&[trailer.as_bytes()]), Ok((String::new(), true, trailer.len())));
+    assert_eq!(decode_segments(&[trailer.as_bytes()]), Ok((String::new(), true, trailer.len())));
 }
 
 #[test]
@@ -180,9 +184,9 @@
         (trailer.as_str(), ChunkError::TrailerTooLong),
     ];
     for (text, expected) in cases {
-        assert_eq!(unchunk(&[text.as_bytes()]), Err(expected), "{text:?}");
+        assert_eq!(decode_segments(&[text.as_bytes()]), Err(expected), "{text:?}");
         let single: Vec<&[u8]> = text.as_bytes().chunks(1).collect();
-        assert_eq!(unchunk(&single), Err(expected), "{text:?} byte by byte");
+        assert_eq!(decode_segments(&single), Err(expected), "{text:?} byte by byte");
     }
 }
 
@@ -192,7 +196,7 @@
 }
 
 #[test]
-fn whole_answers_are_read() {
+fn complete_responses_are_read() {
     let whole =
         |status, body: &str, close| Some(Response { status, body: body.into(), closes_connection: close });
     let cases = [
@@ -219,7 +223,7 @@
 }
 
 #[test]
-fn answers_that_cannot_be_read_are_refused_with_a_text() {
+fn unreadable_responses_are_rejected_with_a_text() {
     let long = format!("HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n{}", "x".repeat(4 << 20));
     let many = format!("HTTP/1.1 200 OK\r\n{}\r\n", "A: b\r\n".repeat(MAX_HEADERS + 1));
     let cases = [
