--- a/crates/config/tests/fault_texts.rs
+++ b/crates/config/tests/fault_texts.rs
@@ -6,7 +6,7 @@
 const SETTINGS: &str = r#"{"node_name":"gate-3","role":"keeper","machine_class":"stone","ip":"10.9.0.3","zone":"weir-a",
  "region":"weir","internal_ports":[7100,7115]}"#;
 
-/// The faults of the settings with these keys added, which hide those of the same name before them.
+/// Returns the faults of the minimal settings with these keys added; an added key hides an earlier key of the same name.
 fn settings_with(more: &str) -> String {
     let text = SETTINGS.replace("[7100,7115]}", &format!("[7100,7115],{more}}}"));
     NodeSettings::parse("node.json", &text).map(|_| String::new()).unwrap_or_else(|faults| faults.to_string())
@@ -16,7 +16,7 @@
     Config::parse(body.as_bytes()).map(|_| String::new()).unwrap_or_else(|faults| faults.to_string())
 }
 
-/// A key with a value that is refused, and the whole text of the fault.
+/// A test case: a key with a value that is rejected, and the complete text of the fault.
 const WRONG_SETTINGS: &[(&str, &str)] = &[
         (r#""node_name":"""#, r#"node.json: node_name: must be text that is not empty, is """#),
         (r#""role":7"#, "node.json: role: must be text that is not empty, is 7.0"),
@@ -156,11 +156,11 @@
     assert_eq!(faults, format!("{}: {expected}", path.display()));
 }
 
-const LEAST_ROUTE: &str = r#""name":"jetty","hostname":"ferry.example","path_prefix":"/","route_type":"deferred",
+const MINIMAL_ROUTE: &str = r#""name":"jetty","hostname":"ferry.example","path_prefix":"/","route_type":"deferred",
  "timeout_ms":1500,"target_ms":80,"backend":"crane""#;
 
 fn route_with(more: &str) -> String {
-    let routes = format!(r#"[{{{LEAST_ROUTE},{more}}}]"#);
+    let routes = format!(r#"[{{{MINIMAL_ROUTE},{more}}}]"#);
     configuration(&format!(r#"{{"revision":1,"routes":{routes},"backends":[{{"name":"crane"}}]}}"#))
 }
 
@@ -233,7 +233,7 @@
             "configuration: backends[1].name: \"crane\" is the name of backends[0] too",
         ),
         (
-            format!(r#"{{"revision":1,"routes":[{{{LEAST_ROUTE}}},{{{LEAST_ROUTE}}}],"backends":[{service}]}}"#),
+            format!(r#"{{"revision":1,"routes":[{{{MINIMAL_ROUTE}}},{{{MINIMAL_ROUTE}}}],"backends":[{service}]}}"#),
             "configuration: routes[1].path_prefix: host and prefix are those of routes[0] too",
         ),
         (
