--- a/crates/server/src/node.rs
+++ b/crates/server/src/node.rs
@@ -211,7 +211,7 @@
                 self.boot.fault_tolerance = boot.fault_tolerance;
                 tracing::info!("settings reloaded");
             }
-            Ok(_) => tracing::warn!("settings not reloaded: other node name or IP address"),
+            Ok(_) => tracing::warn!("settings name another node: not reloaded"),
             Err(faults) => {
                 for fault in &faults.faults {
                     tracing::warn!("{fault}");
